--- a/admin/admin.go
+++ b/admin/admin.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/httpx"
 )
 
@@ -33,14 +33,14 @@
 )
 
 // Command is what a request asks of the owner, or the status that refuses it.
-func Command(req control.ReqID, r httpx.Request) (control.Command, int) {
+func Command(req controller.ReqID, r httpx.Request) (controller.Command, int) {
 	parts := strings.Split(strings.TrimPrefix(r.Path, Prefix), "/")
-	ask := control.Ask{Req: req, What: parts[0], Body: r.Body}
-	want := "GET"
+	ask := controller.AdminRequest{Req: req, What: parts[0], Body: r.Body}
+	method := "GET"
 	switch {
 	case len(parts) == 1 && parts[0] == "settings":
 		if r.Method == "PUT" {
-			ask.What, want = "set", "PUT"
+			ask.What, method = "set", "PUT"
 		}
 	case len(parts) == 1 && parts[0] == "jobs":
 		q, err := url.ParseQuery(r.Query)
@@ -49,20 +49,20 @@
 		}
 		ask.Team = q.Get("team")
 		var ok bool
-		if ask.Limit, ok = limit(q, maxJobs); !ok {
+		if ask.Limit, ok = parseLimit(q, maxJobs); !ok {
 			return nil, 400
 		}
 	case len(parts) == 1 && slices.Contains([]string{"members", "parts", "machines", "teams", "metrics"}, parts[0]):
 	case len(parts) == 2 && parts[0] == "jobs" && parts[1] != "":
 		ask.What, ask.ID = "job", parts[1]
 	case len(parts) == 3 && parts[0] == "machines" && parts[1] != "" && (parts[2] == "drain" || parts[2] == "undrain"):
-		ask.What, ask.ID, want = parts[2], parts[1], "POST"
+		ask.What, ask.ID, method = parts[2], parts[1], "POST"
 	case parts[0] == "skips":
 		return skipsCommand(ask, parts, r)
-	case OfHosted(r.Path):
+	case IsHostedPath(r.Path):
 		if parts[0] == "audit" {
 			var ok bool
-			if ask.After, ask.Limit, ok = Page(r); !ok {
+			if ask.After, ask.Limit, ok = ParsePage(r); !ok {
 				return nil, 400
 			}
 		}
@@ -70,32 +70,32 @@
 	default:
 		return nil, 404
 	}
-	if r.Method != want {
+	if r.Method != method {
 		return nil, 405
 	}
 	return ask, 0
 }
 
-// limit reads how many are asked for.
-func limit(q url.Values, most int) (int, bool) {
-	l := q.Get("limit")
-	if l == "" {
+// parseLimit reads how many are asked for.
+func parseLimit(q url.Values, maxItems int) (int, bool) {
+	text := q.Get("limit")
+	if text == "" {
 		return defaultLimit, true
 	}
-	n, err := strconv.Atoi(l)
-	return n, err == nil && n >= 1 && n <= most
+	n, err := strconv.Atoi(text)
+	return n, err == nil && n >= 1 && n <= maxItems
 }
 
-// Page reads which page of a list is asked for: what it comes after, and how long it may be.
-func Page(r httpx.Request) (after string, most int, ok bool) {
+// ParsePage reads which page of a list is asked for: what it comes after, and how long it may be.
+func ParsePage(r httpx.Request) (after string, maxItems int, ok bool) {
 	q, err := url.ParseQuery(r.Query)
 	if err != nil {
 		return "", 0, false
 	}
 	after = q.Get("after")
-	most, ok = limit(q, maxPage)
+	maxItems, ok = parseLimit(q, maxPage)
 	// It becomes part of a key.
-	return after, most, ok && len(after) <= 100 && !strings.ContainsFunc(after, func(c rune) bool { return c <= ' ' || c > '~' || c == '/' })
+	return after, maxItems, ok && len(after) <= 100 && !strings.ContainsFunc(after, func(c rune) bool { return c <= ' ' || c > '~' || c == '/' })
 }
 
 // Cmd is the client's subcommands.
@@ -154,22 +154,22 @@
 }
 
 // Do runs the subcommand that was chosen.
-func (c *Cmd) Do(chosen string) error {
-	switch chosen {
+func (c *Cmd) Do(command string) error {
+	switch command {
 	case "jobs":
 		q := url.Values{"limit": {strconv.Itoa(c.Jobs.Limit)}}
 		if c.Jobs.Team != "" {
 			q.Set("team", c.Jobs.Team)
 		}
-		return c.call("GET", "jobs?"+q.Encode(), nil)
+		return c.callAndPrint("GET", "jobs?"+q.Encode(), nil)
 	case "job <ref>":
-		return c.call("GET", "jobs/"+c.Job.Ref, nil)
+		return c.callAndPrint("GET", "jobs/"+c.Job.Ref, nil)
 	case "drain <machine>":
-		return c.call("POST", "machines/"+c.Drain.Machine+"/drain", nil)
+		return c.callAndPrint("POST", "machines/"+c.Drain.Machine+"/drain", nil)
 	case "undrain <machine>":
-		return c.call("POST", "machines/"+c.Undrain.Machine+"/undrain", nil)
+		return c.callAndPrint("POST", "machines/"+c.Undrain.Machine+"/undrain", nil)
 	}
-	group, rest, _ := strings.Cut(chosen, " ")
+	group, rest, _ := strings.Cut(command, " ")
 	switch group {
 	case "tenant":
 		return c.tenant(rest)
@@ -182,34 +182,34 @@
 	case "skips":
 		return c.skips(rest)
 	}
-	switch chosen {
+	switch command {
 	case "audit":
-		return ofPath(c, "audit?"+c.Audit.query(), auditTable)
+		return printTable(c, "audit?"+c.Audit.query(), auditTable)
 	case "set <file>":
 		body, err := os.ReadFile(c.Set.File)
 		if err != nil {
 			return fmt.Errorf("settings: %w", err)
 		}
-		return c.call("PUT", "settings", body)
+		return c.callAndPrint("PUT", "settings", body)
 	}
-	return c.call("GET", chosen, nil)
+	return c.callAndPrint("GET", command, nil)
 }
 
-func (c *Cmd) call(method, path string, body []byte) error {
-	answer, err := ask(c.Addr, c.KeyFile, method, Prefix+path, body)
+func (c *Cmd) callAndPrint(method, path string, body []byte) error {
+	answer, err := doRequest(c.Addr, c.KeyFile, method, Prefix+path, body)
 	if err != nil {
 		return err
 	}
-	return show(answer)
+	return printJSON(answer)
 }
 
-// quietly asks for a change and shows no answer.
-func (c *Cmd) quietly(method, path string, body any) error {
+// sendQuiet asks for a change and shows no answer.
+func (c *Cmd) sendQuiet(method, path string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	_, err = ask(c.Addr, c.KeyFile, method, Prefix+path, data)
+	_, err = doRequest(c.Addr, c.KeyFile, method, Prefix+path, data)
 	return err
 }
 
@@ -219,33 +219,33 @@
 	if err != nil {
 		return err
 	}
-	return c.call(method, path, data)
+	return c.callAndPrint(method, path, data)
 }
 
-// read is what lies at a path.
-func read[T any](c *Cmd, path string) (T, error) {
-	var at T
-	data, err := ask(c.Addr, c.KeyFile, "GET", Prefix+path, nil)
+// fetch is what lies at a path.
+func fetch[T any](c *Cmd, path string) (T, error) {
+	var value T
+	data, err := doRequest(c.Addr, c.KeyFile, "GET", Prefix+path, nil)
 	if err != nil {
-		return at, err
+		return value, err
 	}
-	if err := json.Unmarshal(data, &at); err != nil {
-		return at, fmt.Errorf("%s: %w", path, err)
+	if err := json.Unmarshal(data, &value); err != nil {
+		return value, fmt.Errorf("%s: %w", path, err)
 	}
-	return at, nil
+	return value, nil
 }
 
-// ofPath shows what lies at a path as a table.
-func ofPath[T any](c *Cmd, path string, table func(io.Writer, T)) error {
-	body, err := ask(c.Addr, c.KeyFile, "GET", Prefix+path, nil)
+// printTable shows what lies at a path as a table.
+func printTable[T any](c *Cmd, path string, table func(io.Writer, T)) error {
+	body, err := doRequest(c.Addr, c.KeyFile, "GET", Prefix+path, nil)
 	if err != nil {
 		return err
 	}
-	return present(body, c.JSON, table)
+	return printAnswer(body, c.JSON, table)
 }
 
-// ask sends a request and returns the body of its answer, which must be 200 or 201.
-func ask(addr, keyFile, method, path string, body []byte) ([]byte, error) {
+// doRequest sends a request and returns the body of its answer, which must be 200 or 201.
+func doRequest(addr, keyFile, method, path string, body []byte) ([]byte, error) {
 	client := httpx.NewClient(16<<20, 1, 1)
 	if keyFile != "" {
 		key, err := os.ReadFile(keyFile)
@@ -256,20 +256,20 @@
 	}
 	r, err := client.Do(context.Background(), addr, method, path, body, 10*time.Second)
 	if err != nil {
-		return nil, &Refused{Path: path, Why: err.Error()}
+		return nil, &RequestError{Path: path, Reason: err.Error()}
 	}
 	if r.Status != 200 && r.Status != 201 {
-		var why api.ErrorBody
-		if json.Unmarshal(r.Body, &why) != nil {
-			why.Error = string(bytes.TrimSpace(r.Body))
+		var refusal api.ErrorBody
+		if json.Unmarshal(r.Body, &refusal) != nil {
+			refusal.Error = string(bytes.TrimSpace(r.Body))
 		}
-		return nil, &Refused{path, r.Status, why.Error, r.RetryAfter}
+		return nil, &RequestError{path, r.Status, refusal.Error, r.RetryAfter}
 	}
 	return r.Body, nil
 }
 
-// show prints an answer as it came, indented.
-func show(body []byte) error {
+// printJSON prints an answer as it came, indented.
+func printJSON(body []byte) error {
 	var out bytes.Buffer
 	if json.Indent(&out, body, "", "  ") != nil {
 		out.Write(body)
--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/getkin/kin-openapi/openapi3"
 
 	"basaltwall/api"
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/tenant"
 )
 
@@ -25,8 +25,8 @@
 	Job   JobCmd `cmd:""`
 }
 
-// run does what a command line says.
-func run(t *testing.T, line ...string) error {
+// runCommand does what a command line says.
+func runCommand(t *testing.T, line ...string) error {
 	t.Helper()
 	var c commands
 	parser, err := kong.New(&c)
@@ -37,13 +37,13 @@
 	if err != nil {
 		t.Fatalf("%v: %v", line, err)
 	}
-	if chosen, ok := strings.CutPrefix(ctx.Command(), "admin "); ok {
-		return c.Admin.Do(chosen)
+	if command, ok := strings.CutPrefix(ctx.Command(), "admin "); ok {
+		return c.Admin.Do(command)
 	}
 	return c.Job.Do(strings.TrimPrefix(ctx.Command(), "job "))
 }
 
-func keyFile(t *testing.T) string {
+func writeKeyFile(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "key")
 	if err := os.WriteFile(file, []byte("bw1.x.y\n"), 0o600); err != nil {
@@ -54,7 +54,7 @@
 
 // Each subcommand for a hosted service sends what docs/openapi.yaml names, with a body as
 // it says, the key, and the revision that it read just before.
-func TestCommandsSendWhatTheDocumentNames(t *testing.T) {
+func TestCommandsMatchOpenAPI(t *testing.T) {
 	doc, err := openapi3.NewLoader().LoadFromFile("../docs/openapi.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 "ram_gb":1,"stampo":"img","image_gb":1,"together":false,"scatter":false,"avanzi":false,"stima_s":20,"tappa_s":0,"salvo_s":0}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	addr, key := strings.TrimPrefix(s.URL, "http://"), keyFile(t)
+	addr, key := strings.TrimPrefix(s.URL, "http://"), writeKeyFile(t)
 	for line, want := range map[string]string{
 		"admin tenant list": "GET /admin/v1/tenants", "admin tenant show kipper": "GET /admin/v1/tenants/kipper",
 		"admin tenant add kipper --team dispo --team red --rate 2 --burst 4 --network 10.0.0.0/8 --network 192.0.2.1": "PUT /admin/v1/tenants/kipper",
@@ -111,7 +111,7 @@
 		"job cancel run-1":      "POST /v1/jobs/run-1/withdraw",
 	} {
 		words := strings.Fields(line)
-		if err := run(t, append([]string{words[0], "--addr", addr, "--key-file", key}, words[1:]...)...); err != nil {
+		if err := runCommand(t, append([]string{words[0], "--addr", addr, "--key-file", key}, words[1:]...)...); err != nil {
 			t.Errorf("%s: %v", line, err)
 			continue
 		}
@@ -172,7 +172,7 @@
 		w.WriteHeader(status)
 		io.WriteString(w, `{"error":"name: is taken"}`)
 	}))
-	addr, key := strings.TrimPrefix(s.URL, "http://"), keyFile(t)
+	addr, key := strings.TrimPrefix(s.URL, "http://"), writeKeyFile(t)
 	for _, c := range []struct {
 		status, code int
 		retry, part  string
@@ -180,7 +180,7 @@
 		if status, retry = c.status, c.retry; status == 0 {
 			s.Close() // nobody answers
 		}
-		err := run(t, "job", "--addr", addr, "--key-file", key, "usage")
+		err := runCommand(t, "job", "--addr", addr, "--key-file", key, "usage")
 		code := 0
 		if e, ok := err.(kong.ExitCoder); ok {
 			code = e.ExitCode()
@@ -200,11 +200,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tenantTable(&out, control.TenantAt{Tenant: tenant.Tenant{Name: "kipper", State: tenant.Suspended, Why: "unpaid", Teams: []api.Team{"dispo", "red"}, Networks: networks, Retention: 3600},
-		Keys: []control.KeyView{{ID: "00aa", Name: "laptop", Created: 1}}, Jobs: 3, Tasks: 9, Revision: 12})
-	operatorsTable(&out, control.OperatorsAt{First: "11bb", Retired: true, Keys: []control.OperatorKeyView{{KeyView: control.KeyView{Name: "watch"}, Role: tenant.RoleRead}}, CPUs: 4, Given: tenant.Given{CPUs: 3}})
-	queueTable(&out, control.QueueView{Open: 2, Jobs: []control.OpenJob{{Ref: "run-7", State: api.JobPending, Why: "suspended: unpaid"}}, After: "x-run-7"})
-	usageTable(&out, control.UsageView{Open: 2, OpenJobs: 2000, Teams: []control.TeamUsage{{Team: "dispo", CPUs: 2, CPUsMax: 6}}})
+	tenantTable(&out, controller.TenantView{Tenant: tenant.Tenant{Name: "kipper", State: tenant.Suspended, SuspendReason: "unpaid", Teams: []api.Team{"dispo", "red"}, Networks: networks, Retention: 3600},
+		Keys: []controller.KeyView{{ID: "00aa", Name: "laptop", Created: 1}}, Jobs: 3, Tasks: 9, Revision: 12})
+	operatorsTable(&out, controller.OperatorsView{AdminKey: "11bb", AdminKeyRetired: true, Keys: []controller.OperatorKeyView{{KeyView: controller.KeyView{Name: "watch"}, Role: tenant.RoleRead}}, CPUs: 4, Guaranteed: tenant.GuaranteedTotal{CPUs: 3}})
+	queueTable(&out, controller.QueueView{Open: 2, Jobs: []controller.UnfinishedJob{{Ref: "run-7", State: api.JobPending, Reason: "suspended: unpaid"}}, After: "x-run-7"})
+	usageTable(&out, controller.UsageView{Open: 2, OpenJobs: 2000, Teams: []controller.TeamUsage{{Team: "dispo", UsedCPUs: 2, MaxCPUs: 6}}})
 	for _, part := range []string{"suspended\tunpaid", "dispo,red", "3\tof 2000", "10.0.0.0/8,2001:db8::/32", "laptop\t00aa", "1h0m0s", "rate\tnone",
 		"11bb\tretired", "4 CPUs, 3 given", "\tread", "run-7\tpending", "2 open", "more with --after x-run-7", "2 of 2000", "dispo\t2\t0\t6\t0\t0\tnone"} {
 		if !strings.Contains(out.String(), part) {
--- a/admin/hosted.go
+++ b/admin/hosted.go
@@ -4,12 +4,12 @@
 	"slices"
 	"strings"
 
-	"basaltwall/control"
+	"basaltwall/controller"
 )
 
-// hosted are the requests of a hosted service alone. In a path ID stands for what is asked
+// hostedRoutes are the requests of a hosted service alone. In a path ID stands for what is asked
 // about, and SUB for the name of one of its keys.
-var hosted = []struct{ method, path, what string }{
+var hostedRoutes = []struct{ method, path, what string }{
 	{"GET", "audit", "audit"},
 	{"GET", "tenants", "tenants"},
 	{"GET", "tenants/ID", "tenant"},
@@ -32,9 +32,9 @@
 	{"POST", "pools/ID/remove", "pool-remove"},
 }
 
-// fits reports whether a path is of a form, and reads what it names.
-func fits(parts []string, form string) (id, sub string, ok bool) {
-	ok = slices.EqualFunc(parts, strings.Split(form, "/"), func(part, want string) bool {
+// matchPath reports whether a path is of a form, and reads what it names.
+func matchPath(parts []string, pattern string) (id, sub string, ok bool) {
+	ok = slices.EqualFunc(parts, strings.Split(pattern, "/"), func(part, want string) bool {
 		switch want {
 		case "ID":
 			id = part
@@ -48,18 +48,18 @@
 	return id, sub, ok
 }
 
-// OfHosted reports whether a path is of a hosted service only.
-func OfHosted(path string) bool {
+// IsHostedPath reports whether a path is of a hosted service only.
+func IsHostedPath(path string) bool {
 	first, rest, _ := strings.Cut(strings.TrimPrefix(path, Prefix), "/")
 	return slices.Contains([]string{"tenants", "operators", "audit", "pools"}, first) || first == "teams" && rest != ""
 }
 
 // hostedCommand is what a request of a hosted service asks of the owner, or the status that
 // refuses it.
-func hostedCommand(ask control.Ask, parts []string, method string) (control.Command, int) {
+func hostedCommand(ask controller.AdminRequest, parts []string, method string) (controller.Command, int) {
 	status := 404
-	for _, r := range hosted {
-		id, sub, ok := fits(parts, r.path)
+	for _, r := range hostedRoutes {
+		id, sub, ok := matchPath(parts, r.path)
 		if !ok {
 			continue
 		}
--- a/admin/operators.go
+++ b/admin/operators.go
@@ -5,7 +5,7 @@
 	"net/url"
 	"time"
 
-	"basaltwall/control"
+	"basaltwall/controller"
 )
 
 type operatorsCmd struct {
@@ -48,41 +48,41 @@
 }
 
 // operators runs a subcommand on the operators' record.
-func (c *Cmd) operators(chosen string) error {
+func (c *Cmd) operators(command string) error {
 	o := &c.Operators
-	switch chosen {
+	switch command {
 	case "show":
-		return ofPath(c, "operators", operatorsTable)
+		return printTable(c, "operators", operatorsTable)
 	case "change":
 		return c.putOperators(o.Change)
 	case "key add <key>":
-		body := newKey(o.Key.Add.Key, o.Key.Add.Expires)
+		body := keyRequest(o.Key.Add.Key, o.Key.Add.Expires)
 		body["role"] = o.Key.Add.Role
-		return c.act("operators", "keys", body)
+		return c.postWithRevision("operators", "keys", body)
 	case "key revoke <key>":
-		return c.act("operators", "keys/"+url.PathEscape(o.Key.Revoke.Key)+"/revoke", map[string]any{})
+		return c.postWithRevision("operators", "keys/"+url.PathEscape(o.Key.Revoke.Key)+"/revoke", map[string]any{})
 	}
-	return fmt.Errorf("operators %s: no such command", chosen)
+	return fmt.Errorf("operators %s: no such command", command)
 }
 
 func (c *Cmd) putOperators(p operatorsPutCmd) error {
-	at, err := read[control.OperatorsAt](c, "operators")
+	at, err := fetch[controller.OperatorsView](c, "operators")
 	if err != nil {
 		return err
 	}
-	set(&at.CPUs, p.CPUs)
-	set(&at.GPUs, p.GPUs)
-	return c.send("PUT", "operators", map[string]any{"revision": at.Revision, "networks": named(p.Network, texts(at.Networks)),
-		"proxies": named(p.Proxy, texts(at.Proxies)), "cpus": at.CPUs, "gpus": at.GPUs})
+	override(&at.CPUs, p.CPUs)
+	override(&at.GPUs, p.GPUs)
+	return c.send("PUT", "operators", map[string]any{"revision": at.Revision, "networks": overrideList(p.Network, prefixStrings(at.Networks)),
+		"proxies": overrideList(p.Proxy, prefixStrings(at.Proxies)), "cpus": at.CPUs, "gpus": at.GPUs})
 }
 
 // team runs a subcommand on teams that operators make.
-func (c *Cmd) team(chosen string) error {
+func (c *Cmd) team(command string) error {
 	name := c.Team.Put.Name
-	if chosen == "remove <name>" {
+	if command == "remove <name>" {
 		name = c.Team.Remove.Name
 	}
-	all, err := read[[]control.TeamView](c, "teams")
+	all, err := fetch[[]controller.TeamView](c, "teams")
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 		}
 	}
 	method, path := "POST", "teams/"+url.PathEscape(name)+"/remove"
-	if chosen == "put <name>" {
+	if command == "put <name>" {
 		p := c.Team.Put
 		method, path = "PUT", "teams/"+url.PathEscape(name)
 		body["cpus"], body["gpus"], body["cpus_max"], body["gpus_max"] = p.CPUs, p.GPUs, p.CPUsMax, p.GPUsMax
--- a/admin/pools.go
+++ b/admin/pools.go
@@ -8,7 +8,7 @@
 	"net/url"
 	"slices"
 
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/pool"
 )
 
@@ -36,33 +36,33 @@
 }
 
 // pool runs a subcommand on pools.
-func (c *Cmd) pool(chosen string) error {
-	switch chosen {
+func (c *Cmd) pool(command string) error {
+	switch command {
 	case "list":
-		return ofPath(c, "pools", poolsTable)
+		return printTable(c, "pools", poolsTable)
 	case "show <name>":
-		return ofPath(c, "pools/"+url.PathEscape(c.Pool.Show.Name), poolTable)
+		return printTable(c, "pools/"+url.PathEscape(c.Pool.Show.Name), poolTable)
 	case "put <name>":
 		return c.putPool(c.Pool.Put)
 	case "remove <name>":
-		return c.act("pools/"+url.PathEscape(c.Pool.Remove.Name), "remove", map[string]any{})
+		return c.postWithRevision("pools/"+url.PathEscape(c.Pool.Remove.Name), "remove", map[string]any{})
 	}
-	return fmt.Errorf("pool %s: no such command", chosen)
+	return fmt.Errorf("pool %s: no such command", command)
 }
 
 func (c *Cmd) putPool(p poolPutCmd) error {
 	path := "pools/" + url.PathEscape(p.Name)
-	at, err := read[control.PoolView](c, path)
-	var refused *Refused
+	at, err := fetch[controller.PoolView](c, path)
+	var refused *RequestError
 	if err != nil && !(errors.As(err, &refused) && refused.Status == 404) { // which is a new one
 		return err
 	}
 	frozen := at.State == pool.Frozen
-	set(&at.Size, p.Size)
-	set(&at.Largest, p.Largest)
-	set(&at.Unit, p.Unit)
-	set(&frozen, p.Frozen)
-	set(&at.Reclaim, p.Reclaim)
+	override(&at.Size, p.Size)
+	override(&at.Largest, p.Largest)
+	override(&at.Unit, p.Unit)
+	override(&frozen, p.Frozen)
+	override(&at.Reclaim, p.Reclaim)
 	guaranteed := map[string]int{}
 	for team, units := range at.Guaranteed {
 		guaranteed[string(team)] = units
@@ -71,7 +71,7 @@
 		guaranteed = p.Guarantee
 	}
 	return c.send("PUT", path, map[string]any{"guaranteed": guaranteed, "revision": at.Revision, "size": at.Size, "largest": max(at.Largest, at.Size), "unit": at.Unit,
-		"teams": named(p.Team, plain(at.Teams)), "tenants": named(p.Tenant, plain(at.Tenants)), "frozen": frozen, "reclaim": at.Reclaim})
+		"teams": overrideList(p.Team, toStrings(at.Teams)), "tenants": overrideList(p.Tenant, toStrings(at.Tenants)), "frozen": frozen, "reclaim": at.Reclaim})
 }
 
 func sum(list []int) int {
@@ -82,37 +82,37 @@
 	return s
 }
 
-func poolsTable(w io.Writer, all []control.PoolView) {
-	row(w, "POOL", "STATE", "SIZE", "HELD", "WAITING", "OLDEST WAIT", "UNIT")
+func poolsTable(w io.Writer, all []controller.PoolView) {
+	writeRow(w, "POOL", "STATE", "SIZE", "HELD", "WAITING", "OLDEST WAIT", "UNIT")
 	for _, p := range all {
-		row(w, p.Name, p.State, p.Size, sum(p.Held), p.Waiting, fmt.Sprintf("%.0f s", p.Oldest), p.Unit)
+		writeRow(w, p.Name, p.State, p.Size, sum(p.Held), p.WaitingUnits, fmt.Sprintf("%.0f s", p.OldestWait), p.Unit)
 	}
 }
 
-func poolTable(w io.Writer, p control.PoolView) {
-	row(w, "pool", p.Name, p.Unit)
-	row(w, "state", p.State)
-	row(w, "size", p.Size, fmt.Sprintf("largest %d", p.Largest))
-	row(w, "held", sum(p.Held))
-	row(w, "reclaims", p.Reclaim)
-	row(w, "waiting", p.Waiting, fmt.Sprintf("the oldest for %.0f s", p.Oldest))
-	row(w, "teams", joined(p.Teams))
-	row(w, "tenants", joined(p.Tenants))
+func poolTable(w io.Writer, p controller.PoolView) {
+	writeRow(w, "pool", p.Name, p.Unit)
+	writeRow(w, "state", p.State)
+	writeRow(w, "size", p.Size, fmt.Sprintf("largest %d", p.Largest))
+	writeRow(w, "held", sum(p.Held))
+	writeRow(w, "reclaims", p.Reclaim)
+	writeRow(w, "waiting", p.WaitingUnits, fmt.Sprintf("the oldest for %.0f s", p.OldestWait))
+	writeRow(w, "teams", joinNames(p.Teams))
+	writeRow(w, "tenants", joinNames(p.Tenants))
 	for _, team := range slices.Sorted(maps.Keys(p.Guaranteed)) {
-		row(w, "guaranteed", team, p.Guaranteed[team])
+		writeRow(w, "guaranteed", team, p.Guaranteed[team])
 	}
-	row(w, "revision", p.Revision)
-	row(w)
-	row(w, "PART", "SHARE", "HELD", "FREE")
+	writeRow(w, "revision", p.Revision)
+	writeRow(w)
+	writeRow(w, "PART", "SHARE", "HELD", "FREE")
 	for q := range p.Shares {
-		row(w, q, p.Shares[q], p.Held[q], p.Free[q])
+		writeRow(w, q, p.Shares[q], p.Held[q], p.Free[q])
 	}
-	row(w)
-	row(w, "HOLDER", "TENANT", "TEAM", "UNITS", "TASKS")
+	writeRow(w)
+	writeRow(w, "HOLDER", "TENANT", "TEAM", "UNITS", "TASKS")
 	for _, h := range p.Holders {
 		if h.Ref == "" {
 			h.Ref = h.Job
 		}
-		row(w, h.Ref, h.Tenant, h.Team, h.Units, h.Tasks)
+		writeRow(w, h.Ref, h.Tenant, h.Team, h.Units, h.Tasks)
 	}
 }
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -12,24 +12,24 @@
 	"strings"
 	"time"
 
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/httpx"
-	"basaltwall/skips"
+	"basaltwall/reservation"
 )
 
 // skipsCommand is what a request for skips asks: GET skips counts them, GET skips/DEPOT lists
 // a depot's, POST skips/DEPOT/WHAT changes one.
-func skipsCommand(ask control.Ask, parts []string, r httpx.Request) (control.Command, int) {
-	want := "GET"
+func skipsCommand(ask controller.AdminRequest, parts []string, r httpx.Request) (controller.Command, int) {
+	method := "GET"
 	switch {
 	case len(parts) == 1:
 	case len(parts) == 2 && parts[1] != "":
 		var ok bool
-		if ask.After, ask.Limit, ok = Page(r); !ok {
+		if ask.After, ask.Limit, ok = ParsePage(r); !ok {
 			return nil, 400
 		}
 	case len(parts) == 3 && parts[1] != "" && slices.Contains([]string{"offer", "promise", "release", "deliver", "return", "out", "in", "import"}, parts[2]):
-		ask.What, ask.Sub, want = "skips-do", parts[2], "POST"
+		ask.What, ask.Sub, method = "skips-do", parts[2], "POST"
 	default:
 		return nil, 404
 	}
@@ -40,7 +40,7 @@
 		}
 		ask.ID = depot
 	}
-	if r.Method != want {
+	if r.Method != method {
 		return nil, 405
 	}
 	return ask, 0
@@ -92,17 +92,17 @@
 }
 
 // skips runs a subcommand on skips.
-func (c *Cmd) skips(chosen string) error {
-	do, _, _ := strings.Cut(chosen, " ")
+func (c *Cmd) skips(command string) error {
+	do, _, _ := strings.Cut(command, " ")
 	post := func(depot string, body map[string]any) error {
 		return c.send("POST", "skips/"+url.PathEscape(depot)+"/"+do, body)
 	}
 	s := &c.Skips
 	switch do {
 	case "list":
-		return ofPath(c, "skips", depotsTable)
+		return printTable(c, "skips", skipCountsTable)
 	case "show":
-		return ofPath(c, "skips/"+url.PathEscape(s.Show.Depot)+"?"+s.Show.query(), skipsTable)
+		return printTable(c, "skips/"+url.PathEscape(s.Show.Depot)+"?"+s.Show.query(), skipsTable)
 	case "offer", "promise":
 		a := s.Offer
 		body := map[string]any{}
@@ -161,8 +161,8 @@
 	send := func(depot string) error {
 		for try := 1; ; try++ {
 			data := map[string]any{"skips": pages[depot]}
-			err := c.quietly("POST", "skips/"+url.PathEscape(depot)+"/import", data)
-			var r *Refused
+			err := c.sendQuiet("POST", "skips/"+url.PathEscape(depot)+"/import", data)
+			var r *RequestError
 			if err == nil {
 				sent += len(pages[depot])
 				pages[depot] = nil
@@ -202,29 +202,29 @@
 	return nil
 }
 
-func depotsTable(w io.Writer, v control.DepotsView) {
-	row(w, "DEPOT", "KIND", "SKIPS", "FREE TODAY, ABOUT", "OFFERED", "PROMISED", "OUT")
+func skipCountsTable(w io.Writer, v controller.SkipCountsView) {
+	writeRow(w, "DEPOT", "KIND", "SKIPS", "FREE TODAY, ABOUT", "OFFERED", "PROMISED", "OUT")
 	for _, k := range v.Kinds {
-		row(w, k.Depot, k.Kind, k.Skips, k.Free, k.Offered, k.Promised, k.Out)
+		writeRow(w, k.Depot, k.Kind, k.Skips, k.Free, k.Offered, k.Promised, k.OutOfService)
 	}
 }
 
-func skipsTable(w io.Writer, v control.SkipsView) {
-	row(w, "SKIP", "KIND", "STATE", "NUMBER", "FROM", "TO", "SITE")
+func skipsTable(w io.Writer, v controller.SkipsView) {
+	writeRow(w, "SKIP", "KIND", "STATE", "NUMBER", "FROM", "TO", "SITE")
 	for _, s := range v.Skips {
-		if s.Out {
-			row(w, s.Skip, s.Kind, "out of service", "", "", "", "")
+		if s.OutOfService {
+			writeRow(w, s.Skip, s.Kind, "out of service", "", "", "", "")
 		}
 		held := false
 		for _, x := range s.Items {
-			if x.Stage == skips.Offered || x.Stage == skips.Promised || x.Stage == skips.Delivered {
+			if x.Stage == reservation.Offered || x.Stage == reservation.Promised || x.Stage == reservation.Delivered {
 				held = true
-				row(w, s.Skip, s.Kind, x.Stage, strconv.FormatUint(uint64(x.Number), 10), x.From, x.To, x.Site)
+				writeRow(w, s.Skip, s.Kind, x.Stage, strconv.FormatUint(uint64(x.Number), 10), x.From, x.To, x.Site)
 			}
 		}
-		if !held && !s.Out {
-			row(w, s.Skip, s.Kind, "-", "", "", "", "")
+		if !held && !s.OutOfService {
+			writeRow(w, s.Skip, s.Kind, "-", "", "", "", "")
 		}
 	}
-	more(w, string(v.After))
+	writeNextPageHint(w, string(v.After))
 }
--- a/admin/tables.go
+++ b/admin/tables.go
@@ -12,14 +12,14 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/tenant"
 )
 
-// present shows an answer of one of the forms below as a table, or as it came.
-func present[T any](body []byte, asJSON bool, table func(w io.Writer, v T)) error {
+// printAnswer shows an answer of one of the forms below as a table, or as it came.
+func printAnswer[T any](body []byte, asJSON bool, table func(w io.Writer, v T)) error {
 	if asJSON {
-		return show(body)
+		return printJSON(body)
 	}
 	var v T
 	if err := json.Unmarshal(body, &v); err != nil {
@@ -30,8 +30,8 @@
 	return w.Flush()
 }
 
-// row writes a line of a table.
-func row(w io.Writer, cells ...any) {
+// writeRow writes a line of a table.
+func writeRow(w io.Writer, cells ...any) {
 	for i, c := range cells {
 		if i > 0 {
 			fmt.Fprint(w, "\t")
@@ -41,141 +41,141 @@
 	fmt.Fprintln(w)
 }
 
-// more says how to ask for the next page.
-func more(w io.Writer, after string) {
+// writeNextPageHint says how to ask for the next page.
+func writeNextPageHint(w io.Writer, after string) {
 	if after != "" {
 		fmt.Fprintf(w, "more with --after %s\n", after)
 	}
 }
 
-// local is a time in the zone of the terminal, or nothing.
-func local(at api.Wall) string {
+// formatTime is a time in the zone of the terminal, or nothing.
+func formatTime(at api.WallTime) string {
 	if at == 0 {
 		return "-"
 	}
 	return time.UnixMilli(int64(at)).Format(time.DateTime)
 }
 
-// bound is a number of which 0 stands for none.
-func bound(v float64) string {
+// formatLimit is a number of which 0 stands for none.
+func formatLimit(v float64) string {
 	if v == 0 {
 		return "none"
 	}
 	return fmt.Sprint(v)
 }
 
-func joined[T ~string](list []T) string { return strings.Join(plain(list), ",") }
+func joinNames[T ~string](list []T) string { return strings.Join(toStrings(list), ",") }
 
-func networks(n tenant.Networks, none string) string {
+func formatNetworks(n tenant.Networks, none string) string {
 	if n.IsZero() {
 		return none
 	}
-	return strings.Join(texts(n), ",")
+	return strings.Join(prefixStrings(n), ",")
 }
 
-func tenantsTable(w io.Writer, all []control.TenantAt) {
-	row(w, "TENANT", "STATE", "TEAMS", "OPEN JOBS", "TASKS", "KEYS", "WHY")
+func tenantsTable(w io.Writer, all []controller.TenantView) {
+	writeRow(w, "TENANT", "STATE", "TEAMS", "OPEN JOBS", "TASKS", "KEYS", "WHY")
 	for _, t := range all {
-		row(w, t.Name, t.State, joined(t.Teams), t.Jobs, t.Tasks, len(t.Keys), t.Why)
+		writeRow(w, t.Name, t.State, joinNames(t.Teams), t.Jobs, t.Tasks, len(t.Keys), t.SuspendReason)
 	}
 }
 
-func keyRows(w io.Writer, k control.KeyView, more ...any) {
-	row(w, append([]any{k.Name, k.ID, local(k.Created), local(k.Expires), local(k.Used)}, more...)...)
+func keyRows(w io.Writer, k controller.KeyView, extra ...any) {
+	writeRow(w, append([]any{k.Name, k.ID, formatTime(k.Created), formatTime(k.Expires), formatTime(k.LastUsed)}, extra...)...)
 }
 
-func tenantTable(w io.Writer, t control.TenantAt) {
-	row(w, "tenant", t.Name)
-	row(w, "called", t.Display)
-	row(w, "state", t.State, t.Why)
-	row(w, "teams", joined(t.Teams))
-	row(w, "rate", bound(t.Rate), "burst "+bound(t.Burst))
-	row(w, "open jobs", t.Jobs, fmt.Sprintf("of %d", t.Bound()))
-	row(w, "tasks", t.Tasks)
-	row(w, "networks", networks(t.Networks, "anywhere"))
-	row(w, "history kept", time.Duration(t.Retention*float64(time.Second)))
-	row(w, "revision", t.Revision)
-	row(w)
-	row(w, "KEY", "ID", "MADE", "EXPIRES", "LAST USED")
+func tenantTable(w io.Writer, t controller.TenantView) {
+	writeRow(w, "tenant", t.Name)
+	writeRow(w, "called", t.Display)
+	writeRow(w, "state", t.State, t.SuspendReason)
+	writeRow(w, "teams", joinNames(t.Teams))
+	writeRow(w, "rate", formatLimit(t.Rate), "burst "+formatLimit(t.Burst))
+	writeRow(w, "open jobs", t.Jobs, fmt.Sprintf("of %d", t.OpenJobLimit()))
+	writeRow(w, "tasks", t.Tasks)
+	writeRow(w, "networks", formatNetworks(t.Networks, "anywhere"))
+	writeRow(w, "history kept", time.Duration(t.Retention*float64(time.Second)))
+	writeRow(w, "revision", t.Revision)
+	writeRow(w)
+	writeRow(w, "KEY", "ID", "MADE", "EXPIRES", "LAST USED")
 	for _, k := range t.Keys {
 		keyRows(w, k)
 	}
 }
 
-func operatorsTable(w io.Writer, o control.OperatorsAt) {
+func operatorsTable(w io.Writer, o controller.OperatorsView) {
 	first := "opens everything"
-	if o.Retired {
+	if o.AdminKeyRetired {
 		first = "retired"
 	}
-	row(w, "first key", o.First, first)
-	row(w, "networks", networks(o.Networks, "anywhere"))
-	row(w, "proxies", networks(o.Proxies, "none"))
-	row(w, "for teams", fmt.Sprintf("%v CPUs, %v given", o.CPUs, o.Given.CPUs), fmt.Sprintf("%v GPUs, %v given", o.GPUs, o.Given.GPUs))
-	row(w, "revision", o.Revision)
-	row(w)
-	row(w, "KEY", "ID", "MADE", "EXPIRES", "LAST USED", "ROLE")
+	writeRow(w, "first key", o.AdminKey, first)
+	writeRow(w, "networks", formatNetworks(o.Networks, "anywhere"))
+	writeRow(w, "proxies", formatNetworks(o.Proxies, "none"))
+	writeRow(w, "for teams", fmt.Sprintf("%v CPUs, %v given", o.CPUs, o.Guaranteed.CPUs), fmt.Sprintf("%v GPUs, %v given", o.GPUs, o.Guaranteed.GPUs))
+	writeRow(w, "revision", o.Revision)
+	writeRow(w)
+	writeRow(w, "KEY", "ID", "MADE", "EXPIRES", "LAST USED", "ROLE")
 	for _, k := range o.Keys {
 		keyRows(w, k.KeyView, k.Role)
 	}
 }
 
-func auditTable(w io.Writer, v control.AuditView) {
-	row(w, "AT", "KEY", "FROM", "WHAT", "ABOUT", "KEY CHANGED")
-	for _, c := range v.Changes {
-		row(w, local(c.At), c.Key, c.From, c.What, c.About, c.Sub)
+func auditTable(w io.Writer, v controller.AuditView) {
+	writeRow(w, "AT", "KEY", "FROM", "WHAT", "ABOUT", "KEY CHANGED")
+	for _, c := range v.Entries {
+		writeRow(w, formatTime(c.Time), c.Key, c.From, c.Action, c.Subject, c.KeyName)
 	}
-	more(w, v.After)
+	writeNextPageHint(w, v.After)
 }
 
-func historyTable(w io.Writer, v control.HistoryView) {
-	row(w, "JOB", "STATE", "CLASS", "TEAM", "TASKS", "ACCEPTED", "ENDED")
+func historyTable(w io.Writer, v controller.HistoryView) {
+	writeRow(w, "JOB", "STATE", "CLASS", "TEAM", "TASKS", "ACCEPTED", "ENDED")
 	for _, j := range v.Jobs {
-		row(w, j.Ref, j.State, j.Class, j.Team, j.Tasks, local(j.Accepted), local(j.Ended))
+		writeRow(w, j.JobID, j.State, j.Class, j.Team, j.Tasks, formatTime(j.AcceptedAt), formatTime(j.EndedAt))
 	}
-	more(w, v.After)
+	writeNextPageHint(w, v.After)
 }
 
-func queueTable(w io.Writer, v control.QueueView) {
-	row(w, "JOB", "STATE", "CLASS", "TEAM", "DONE", "RUNNING", "TASKS", "ACCEPTED", "WHY IT WAITS")
+func queueTable(w io.Writer, v controller.QueueView) {
+	writeRow(w, "JOB", "STATE", "CLASS", "TEAM", "DONE", "RUNNING", "TASKS", "ACCEPTED", "WHY IT WAITS")
 	for _, j := range v.Jobs {
-		row(w, j.Ref, j.State, j.Class, j.Team, j.Done, j.Running, j.Tasks, local(j.Accepted), j.Why)
+		writeRow(w, j.Ref, j.State, j.Class, j.Team, j.Done, j.Running, j.Tasks, formatTime(j.Accepted), j.Reason)
 	}
-	row(w, fmt.Sprintf("%d open", v.Open))
-	more(w, v.After)
+	writeRow(w, fmt.Sprintf("%d open", v.Open))
+	writeNextPageHint(w, v.After)
 }
 
-func usageTable(w io.Writer, v control.UsageView) {
-	row(w, "open jobs", fmt.Sprintf("%d of %d", v.Open, v.OpenJobs))
-	row(w, "waiting tasks", v.Waiting)
-	row(w, "running tasks", v.Running)
+func usageTable(w io.Writer, v controller.UsageView) {
+	writeRow(w, "open jobs", fmt.Sprintf("%d of %d", v.Open, v.OpenJobs))
+	writeRow(w, "waiting tasks", v.PendingTasks)
+	writeRow(w, "running tasks", v.RunningTasks)
 	for _, name := range slices.Sorted(maps.Keys(v.Pools)) {
-		row(w, "pool "+string(name), v.Pools[name])
+		writeRow(w, "pool "+string(name), v.Pools[name])
 	}
 	if s := v.Submissions; s != nil {
-		row(w, "at "+string(v.Controller), fmt.Sprintf("%d accepted", s.Accepted), fmt.Sprintf("refused %v", s.Refused))
+		writeRow(w, "at "+string(v.Controller), fmt.Sprintf("%d accepted", s.Accepted), fmt.Sprintf("refused %v", s.Rejected))
 	}
-	row(w)
-	row(w, "TEAM", "CPUS USED", "GUARANTEED", "LIMIT", "GPUS USED", "GUARANTEED", "LIMIT")
+	writeRow(w)
+	writeRow(w, "TEAM", "CPUS USED", "GUARANTEED", "LIMIT", "GPUS USED", "GUARANTEED", "LIMIT")
 	for _, t := range v.Teams {
-		row(w, t.Team, t.CPUs, t.CPUsGot, bound(t.CPUsMax), t.GPUs, t.GPUsGot, bound(t.GPUsMax))
+		writeRow(w, t.Team, t.UsedCPUs, t.GuaranteedCPUs, formatLimit(t.MaxCPUs), t.UsedGPUs, t.GuaranteedGPUs, formatLimit(t.MaxGPUs))
 	}
 }
 
-// Refused is an answer that is none of what was wanted.
-type Refused struct {
-	Path   string
-	Status int // 0: no answer
-	Why    string
-	Wait   int // seconds, 0 if not said
+// RequestError is an answer that is none of what was wanted.
+type RequestError struct {
+	Path       string
+	Status     int // 0: no answer
+	Reason     string
+	RetryAfter int // seconds, 0 if not said
 }
 
-func (r *Refused) Error() string {
-	s := fmt.Sprintf("%s: %s", r.Path, r.Why)
+func (r *RequestError) Error() string {
+	s := fmt.Sprintf("%s: %s", r.Path, r.Reason)
 	if r.Status != 0 {
-		s = fmt.Sprintf("%s: %d: %s", r.Path, r.Status, r.Why)
+		s = fmt.Sprintf("%s: %d: %s", r.Path, r.Status, r.Reason)
 	}
-	if r.Wait > 0 {
-		s += fmt.Sprintf(" (again in %d s)", r.Wait)
+	if r.RetryAfter > 0 {
+		s += fmt.Sprintf(" (again in %d s)", r.RetryAfter)
 	}
 	return s
 }
@@ -184,13 +184,13 @@
 // understood ends with what kong has for it.
 const (
 	exitRefused = 1
-	exitLater   = 75 // EX_TEMPFAIL of sysexits.h: the same again, later, may do
+	exitRetry   = 75 // EX_TEMPFAIL of sysexits.h: the same again, later, may do
 )
 
 // ExitCode tells programs whether it is worth asking again.
-func (r *Refused) ExitCode() int {
+func (r *RequestError) ExitCode() int {
 	if r.Status == 0 || r.Status == 429 || r.Status == 503 {
-		return exitLater
+		return exitRetry
 	}
 	return exitRefused
 }
--- a/admin/tenants.go
+++ b/admin/tenants.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/tenant"
 )
 
@@ -69,68 +69,68 @@
 }
 
 // tenant runs a subcommand on tenants. Changes name the revision that is read just before.
-func (c *Cmd) tenant(chosen string) error {
+func (c *Cmd) tenant(command string) error {
 	t := &c.Tenant
-	switch chosen {
+	switch command {
 	case "list":
-		return ofPath(c, "tenants", tenantsTable)
+		return printTable(c, "tenants", tenantsTable)
 	case "show <name>":
-		return ofPath(c, "tenants/"+url.PathEscape(t.Show.Name), tenantTable)
+		return printTable(c, "tenants/"+url.PathEscape(t.Show.Name), tenantTable)
 	case "usage <name>":
-		return ofPath(c, "tenants/"+url.PathEscape(t.Usage.Name)+"/usage", usageTable)
+		return printTable(c, "tenants/"+url.PathEscape(t.Usage.Name)+"/usage", usageTable)
 	case "add <name>":
-		return c.putTenant(t.Add, control.TenantAt{Tenant: tenant.Tenant{Retention: (90 * 24 * time.Hour).Seconds()}})
+		return c.putTenant(t.Add, controller.TenantView{Tenant: tenant.Tenant{Retention: (90 * 24 * time.Hour).Seconds()}})
 	case "change <name>":
-		at, err := read[control.TenantAt](c, "tenants/"+url.PathEscape(t.Change.Name))
+		at, err := fetch[controller.TenantView](c, "tenants/"+url.PathEscape(t.Change.Name))
 		if err != nil {
 			return err
 		}
 		return c.putTenant(t.Change, at)
 	case "suspend <name>":
-		return c.act("tenants/"+url.PathEscape(t.Suspend.Name), "suspend", map[string]any{"why": t.Suspend.Why, "drain_s": t.Suspend.Drain.Seconds()})
+		return c.postWithRevision("tenants/"+url.PathEscape(t.Suspend.Name), "suspend", map[string]any{"why": t.Suspend.Why, "drain_s": t.Suspend.Drain.Seconds()})
 	case "resume <name>":
-		return c.act("tenants/"+url.PathEscape(t.Resume.Name), "resume", map[string]any{})
+		return c.postWithRevision("tenants/"+url.PathEscape(t.Resume.Name), "resume", map[string]any{})
 	case "remove <name>":
-		return c.act("tenants/"+url.PathEscape(t.Remove.Name), "remove", map[string]any{"cancel": t.Remove.Cancel})
+		return c.postWithRevision("tenants/"+url.PathEscape(t.Remove.Name), "remove", map[string]any{"cancel": t.Remove.Cancel})
 	case "key add <tenant> <key>":
-		return c.act("tenants/"+url.PathEscape(t.Key.Add.Tenant), "keys", newKey(t.Key.Add.Key, t.Key.Add.Expires))
+		return c.postWithRevision("tenants/"+url.PathEscape(t.Key.Add.Tenant), "keys", keyRequest(t.Key.Add.Key, t.Key.Add.Expires))
 	case "key revoke <tenant> <key>":
-		return c.act("tenants/"+url.PathEscape(t.Key.Revoke.Tenant), "keys/"+url.PathEscape(t.Key.Revoke.Key)+"/revoke", map[string]any{})
+		return c.postWithRevision("tenants/"+url.PathEscape(t.Key.Revoke.Tenant), "keys/"+url.PathEscape(t.Key.Revoke.Key)+"/revoke", map[string]any{})
 	}
-	return fmt.Errorf("tenant %s: no such command", chosen)
+	return fmt.Errorf("tenant %s: no such command", command)
 }
 
 // putTenant sends what is agreed: what is there already, but for what is named.
-func (c *Cmd) putTenant(p tenantPutCmd, at control.TenantAt) error {
+func (c *Cmd) putTenant(p tenantPutCmd, at controller.TenantView) error {
 	t := at.Tenant
-	set(&t.Display, p.Display)
-	set(&t.Rate, p.Rate)
-	set(&t.Burst, p.Burst)
-	set(&t.OpenJobs, p.OpenJobs)
+	override(&t.Display, p.Display)
+	override(&t.Rate, p.Rate)
+	override(&t.Burst, p.Burst)
+	override(&t.OpenJobs, p.OpenJobs)
 	if p.Retention != nil {
 		t.Retention = p.Retention.Seconds()
 	}
-	return c.send("PUT", "tenants/"+url.PathEscape(p.Name), map[string]any{"revision": at.Revision, "display": t.Display, "teams": named(p.Team, plain(t.Teams)), "rate": t.Rate, "burst": t.Burst,
-		"open_jobs": t.OpenJobs, "networks": named(p.Network, texts(t.Networks)), "retention_s": t.Retention})
+	return c.send("PUT", "tenants/"+url.PathEscape(p.Name), map[string]any{"revision": at.Revision, "display": t.Display, "teams": overrideList(p.Team, toStrings(t.Teams)), "rate": t.Rate, "burst": t.Burst,
+		"open_jobs": t.OpenJobs, "networks": overrideList(p.Network, prefixStrings(t.Networks)), "retention_s": t.Retention})
 }
 
-// set changes what is named.
-func set[T any](to, named *T) {
-	if named != nil {
-		*to = *named
+// override changes what is named.
+func override[T any](to, value *T) {
+	if value != nil {
+		*to = *value
 	}
 }
 
-// named is a list as it is named, without empty texts, or as it is there if it is not.
-func named(list, there []string) []string {
-	if list == nil {
-		return there
+// overrideList is a list as it is named, without empty texts, or as it is there if it is not.
+func overrideList(values, current []string) []string {
+	if values == nil {
+		return current
 	}
-	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == "" })
+	return slices.DeleteFunc(slices.Clone(values), func(s string) bool { return s == "" })
 }
 
-// plain are names as texts.
-func plain[T ~string](list []T) []string {
+// toStrings are names as texts.
+func toStrings[T ~string](list []T) []string {
 	out := make([]string, len(list))
 	for i, s := range list {
 		out[i] = string(s)
@@ -138,8 +138,8 @@
 	return out
 }
 
-// texts are networks as texts.
-func texts(n tenant.Networks) []string {
+// prefixStrings are networks as texts.
+func prefixStrings(n tenant.Networks) []string {
 	out := []string{}
 	for _, p := range n.Prefixes() {
 		out = append(out, p.String())
@@ -147,9 +147,9 @@
 	return out
 }
 
-// act asks for a change of what lies at a path, naming the revision that is read there.
-func (c *Cmd) act(path, what string, body map[string]any) error {
-	at, err := read[struct {
+// postWithRevision asks for a change of what lies at a path, naming the revision that is read there.
+func (c *Cmd) postWithRevision(path, what string, body map[string]any) error {
+	at, err := fetch[struct {
 		Revision api.Revision `json:"revision"`
 	}](c, path)
 	if err != nil {
@@ -159,11 +159,11 @@
 	return c.send("POST", path+"/"+what, body)
 }
 
-// newKey is what is asked for a key that lasts so long, for ever if 0.
-func newKey(name string, lasts time.Duration) map[string]any {
+// keyRequest is what is asked for a key that lasts so long, for ever if 0.
+func keyRequest(name string, lifetime time.Duration) map[string]any {
 	body := map[string]any{"name": name}
-	if lasts > 0 {
-		body["expires"] = time.Now().Add(lasts).UnixMilli()
+	if lifetime > 0 {
+		body["expires"] = time.Now().Add(lifetime).UnixMilli()
 	}
 	return body
 }
@@ -186,10 +186,10 @@
 }
 
 // Do runs the subcommand that was chosen.
-func (c *JobCmd) Do(chosen string) error {
+func (c *JobCmd) Do(command string) error {
 	method, path := "GET", api.PathJobs+"/"+url.PathEscape(c.Show.Ref)
 	var body []byte
-	switch chosen {
+	switch command {
 	case "submit <file>":
 		var err error
 		if body, err = os.ReadFile(c.Submit.File); err != nil {
@@ -203,19 +203,19 @@
 	case "history":
 		path = api.PathHistory + "?" + c.History.query()
 	case "cancel <ref>":
-		method, path = "POST", api.PathJobs+"/"+url.PathEscape(c.Cancel.Ref)+"/"+api.EndCancel
+		method, path = "POST", api.PathJobs+"/"+url.PathEscape(c.Cancel.Ref)+"/"+api.PathSuffixCancel
 	}
-	answer, err := ask(c.Addr, c.KeyFile, method, path, body)
+	answer, err := doRequest(c.Addr, c.KeyFile, method, path, body)
 	if err != nil {
 		return err
 	}
-	switch chosen {
+	switch command {
 	case "list":
-		return present(answer, c.JSON, queueTable)
+		return printAnswer(answer, c.JSON, queueTable)
 	case "usage":
-		return present(answer, c.JSON, usageTable)
+		return printAnswer(answer, c.JSON, usageTable)
 	case "history":
-		return present(answer, c.JSON, historyTable)
+		return printAnswer(answer, c.JSON, historyTable)
 	}
-	return show(answer)
+	return printJSON(answer)
 }
--- a/api/types.go
+++ b/api/types.go
@@ -14,21 +14,21 @@
 // Identifiers and counters. Each has its own type so that one cannot be passed
 // for another.
 type (
-	JobRef    string // a job's id as its user chose it
-	MachineID string // a machine's name at the cloud
-	TypeName  string // a machine type
-	Zone      string
-	Team      string
-	Class     string
-	Image     string
-	Label     string // a controller node
-	Attempt   uint64 // one start of a task
-	Token     uint64 // entitlement to give commands to a machine
-	Revision  uint64 // of the state service
-	Session   uint64 // of a worker
-	Seq       uint64 // of a worker's messages within a session
-	LeaseID   uint64
-	PartID    int
+	JobID           string // a job's id as its user chose it
+	MachineID       string // a machine's name at the cloud
+	MachineTypeName string // a machine type
+	Zone            string
+	Team            string
+	Class           string
+	Image           string
+	ControllerID    string // a controller node
+	Attempt         uint64 // one start of a task
+	FencingToken    uint64 // entitlement to give commands to a machine
+	Revision        uint64 // of the state service
+	Epoch           uint64 // of a worker
+	Seq             uint64 // of a worker's messages within a session
+	LeaseID         uint64
+	PartitionID     int
 )
 
 // Time is a reading of the process's steady clock, in nanoseconds.
@@ -40,16 +40,16 @@
 // Sub returns the duration from u to t.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// Wall is the time of day in milliseconds since 1970. It is only compared
+// WallTime is the time of day in milliseconds since 1970. It is only compared
 // with a tolerance: clocks of different nodes differ.
-type Wall int64
+type WallTime int64
 
 // Seconds turns a protocol duration into a Go duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // TaskID names a task of a job.
 type TaskID struct {
-	Job   JobRef
+	Job   JobID
 	Index int
 }
 
@@ -66,11 +66,11 @@
 	if err != nil || n < 0 {
 		return TaskID{}, fmt.Errorf("task id %q has no index", s)
 	}
-	return TaskID{Job: JobRef(s[:i]), Index: n}, nil
+	return TaskID{Job: JobID(s[:i]), Index: n}, nil
 }
 
-// ValidRef reports whether a job id has the users' form, run- and digits.
-func ValidRef(s string) bool {
+// ValidJobID reports whether a job id has the users' form, run- and digits.
+func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, "run-")
 	if !ok || digits == "" || len(digits) > 40 {
 		return false
@@ -83,18 +83,18 @@
 	return true
 }
 
-// Amount is a quantity of a resource in millionths, so that sums are exact.
-type Amount int64
+// Quantity is a quantity of a resource in millionths, so that sums are exact.
+type Quantity int64
 
-// ToAmount converts a protocol number.
-func ToAmount(f float64) Amount { return Amount(math.Round(f * 1e6)) }
+// ToQuantity converts a protocol number.
+func ToQuantity(f float64) Quantity { return Quantity(math.Round(f * 1e6)) }
 
 // Float is the amount as a protocol number.
-func (a Amount) Float() float64 { return float64(a) / 1e6 }
+func (a Quantity) Float() float64 { return float64(a) / 1e6 }
 
 // Resources is what a task takes or a machine offers.
 type Resources struct {
-	CPU, GPU, Mem Amount
+	CPU, GPU, Mem Quantity
 }
 
 // Plus adds.
@@ -109,19 +109,19 @@
 
 // Times multiplies by a count.
 func (r Resources) Times(n int) Resources {
-	k := Amount(n)
+	k := Quantity(n)
 	return Resources{r.CPU * k, r.GPU * k, r.Mem * k}
 }
 
 // Fits reports whether r fits into room.
-func (r Resources) Fits(room Resources) bool {
-	return r.CPU <= room.CPU && r.GPU <= room.GPU && r.Mem <= room.Mem
+func (r Resources) Fits(capacity Resources) bool {
+	return r.CPU <= capacity.CPU && r.GPU <= capacity.GPU && r.Mem <= capacity.Mem
 }
 
 // Slots counts how many r fit into room together.
-func (r Resources) Slots(room Resources) int {
+func (r Resources) Slots(capacity Resources) int {
 	n := math.MaxInt32
-	for _, p := range [3][2]Amount{{r.CPU, room.CPU}, {r.GPU, room.GPU}, {r.Mem, room.Mem}} {
+	for _, p := range [3][2]Quantity{{r.CPU, capacity.CPU}, {r.GPU, capacity.GPU}, {r.Mem, capacity.Mem}} {
 		if p[0] > 0 {
 			n = min(n, int(max(p[1], 0)/p[0]))
 		}
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"basaltwall/api"
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/httpx"
 )
 
@@ -14,30 +14,30 @@
 const pageSize = 500
 
 // Request is the HTTP request for a call.
-func Request(c control.CloudCall) (method, target string, body []byte, err error) {
+func Request(c controller.CloudCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Types:
-		return "GET", api.PathTypes, nil, nil
+		return "GET", api.PathMachineTypes, nil, nil
 	case c.List != nil:
-		target = fmt.Sprintf("%s?limit=%d", api.PathHosts, pageSize)
+		target = fmt.Sprintf("%s?limit=%d", api.PathInstances, pageSize)
 		if c.List.Since != "" {
 			target += "&since=" + string(c.List.Since)
 		}
 		return "GET", target, nil, nil
-	case c.Rent != nil:
-		body, err = json.Marshal(c.Rent)
-		return "POST", api.PathHosts, body, err
+	case c.Create != nil:
+		body, err = json.Marshal(c.Create)
+		return "POST", api.PathInstances, body, err
 	case len(c.Delete) > 0:
-		body, err = json.Marshal(api.MachineNames{Machines: c.Delete})
-		return "POST", api.PathDelete, body, err
+		body, err = json.Marshal(api.MachineIDList{Machines: c.Delete})
+		return "POST", api.PathDeleteInstances, body, err
 	}
 	return "", "", nil, fmt.Errorf("cloud call %d asks for nothing", c.ID)
 }
 
-// Answer is the owner's answer for a response.
-func Answer(c control.CloudCall, r httpx.Response, failed error) control.CloudAnswer {
-	a := control.CloudAnswer{ID: c.ID}
-	if failed != nil {
+// ParseResponse is the owner's answer for a response.
+func ParseResponse(c controller.CloudCall, r httpx.Response, callErr error) controller.CloudResponse {
+	a := controller.CloudResponse{ID: c.ID}
+	if callErr != nil {
 		return a
 	}
 	a.Status = r.Status
@@ -54,8 +54,8 @@
 		a.Types = t.Types
 	case c.List != nil:
 		err = json.Unmarshal(r.Body, &a.Hosts)
-	case c.Rent != nil:
-		var m api.MachineNames
+	case c.Create != nil:
+		var m api.MachineIDList
 		err = json.Unmarshal(r.Body, &m)
 		a.Machines = m.Machines
 	}
--- a/book/keys.go
+++ b/clusterstate/keys.go
@@ -2,7 +2,7 @@
 // under Root in the state service, in the order of their revisions. Two books at the
 // same revision agree. It decides nothing; what an owner notes of jobs and places
 // beyond the record are types of the caller's.
-package book
+package clusterstate
 
 import (
 	"encoding/json"
@@ -16,15 +16,15 @@
 // Keys in the state service. Everything a controller follows lies under Root;
 // final states lie outside, so that what a restart reads stays bounded.
 const (
-	Root      = "b/"
-	KeyMember = Root + "member/"
-	KeyPart   = Root + "part/"
-	KeyHead   = Root + "head/"
-	KeySnap   = Root + "snap/"
-	KeyRound  = Root + "round/"
-	KeyJob    = Root + "job/"
-	KeyLend   = Root + "lend/"
-	KeyFinal  = "final/"
+	Root               = "b/"
+	KeyMember          = Root + "member/"
+	KeyPartition       = Root + "part/"
+	KeyCheckpointHead  = Root + "head/"
+	KeyCheckpointChunk = Root + "snap/"
+	KeyRound           = Root + "round/"
+	KeyJob             = Root + "job/"
+	KeyLoan            = Root + "lend/"
+	KeyJobResult       = "final/"
 )
 
 // RingSize is how many round records a part keeps before their keys are used
@@ -34,35 +34,37 @@
 // a crash stays some hundred records.
 const RingSize = 128
 
-// PartKey is the key of a part under a prefix.
-func PartKey(prefix string, p api.PartID) string { return prefix + strconv.Itoa(int(p)) }
+// PartitionKey is the key of a part under a prefix.
+func PartitionKey(prefix string, partition api.PartitionID) string {
+	return prefix + strconv.Itoa(int(partition))
+}
 
 // RoundKey is the key of a part's round in its ring.
-func RoundKey(p api.PartID, seq uint64) string {
-	return fmt.Sprintf("%s%d/%d", KeyRound, p, seq%RingSize)
+func RoundKey(partition api.PartitionID, seq uint64) string {
+	return fmt.Sprintf("%s%d/%d", KeyRound, partition, seq%RingSize)
 }
 
-// SnapKey is the key of a piece of a part's checkpoint; two generations take turns.
-func SnapKey(p api.PartID, gen uint64, i int) string {
-	return fmt.Sprintf("%s%d/%d/%d", KeySnap, p, gen%2, i)
+// CheckpointChunkKey is the key of a piece of a part's checkpoint; two generations take turns.
+func CheckpointChunkKey(partition api.PartitionID, gen uint64, i int) string {
+	return fmt.Sprintf("%s%d/%d/%d", KeyCheckpointChunk, partition, gen%2, i)
 }
 
-// Kind is a kind of durable record: all keys that begin with a prefix, or the key that
+// RecordKind is a kind of durable record: all keys that begin with a prefix, or the key that
 // is the prefix. It is declared in one place: a key's value is the record's whole state,
 // so it needs no place in the checkpoints, and what a restart reads of it are its keys.
 // A write of it is conditional on If, and on the part or member whose right it is.
-type Kind struct {
+type RecordKind struct {
 	Prefix string
 	// Put takes in a value; name is what follows the prefix. It leaves all as it was
 	// when it returns an error.
 	Put func(name string, value json.RawMessage, ver api.Revision) error
-	// Drop takes in a deletion; nil where nothing is kept of the key.
-	Drop func(name string)
+	// Delete takes in a deletion; nil where nothing is kept of the key.
+	Delete func(name string)
 }
 
-// One is the kind of a single key whose value is read into to.
-func One[T any](key string, to *T) Kind {
-	return Kind{Prefix: key, Put: func(_ string, value json.RawMessage, _ api.Revision) error {
+// SingleKey is the kind of a single key whose value is read into to.
+func SingleKey[T any](key string, to *T) RecordKind {
+	return RecordKind{Prefix: key, Put: func(_ string, value json.RawMessage, _ api.Revision) error {
 		var v T
 		if err := json.Unmarshal(value, &v); err != nil {
 			return err
@@ -72,12 +74,12 @@
 	}}
 }
 
-// partOf reads the part's number from what follows a prefix.
-func partOf(name string, parts int) (api.PartID, error) {
+// parsePartition reads the part's number from what follows a prefix.
+func parsePartition(name string, partitions int) (api.PartitionID, error) {
 	num, _, _ := strings.Cut(name, "/")
 	n, err := strconv.Atoi(num)
-	if err != nil || n < 0 || n >= parts {
+	if err != nil || n < 0 || n >= partitions {
 		return 0, fmt.Errorf("%q: no such part", num)
 	}
-	return api.PartID(n), nil
+	return api.PartitionID(n), nil
 }
--- /dev/null
+++ b/clusterstate/taskset.go
@@ -0,0 +1,58 @@
+package clusterstate
+
+import "math/bits"
+
+// TaskSet is a set of task numbers.
+type TaskSet []uint64
+
+// Add adds a number, and reports whether it was not in before.
+func (s *TaskSet) Add(i int) bool {
+	for len(*s) <= i/64 {
+		*s = append(*s, 0)
+	}
+	old := (*s)[i/64]
+	(*s)[i/64] |= 1 << (i % 64)
+	return old != (*s)[i/64]
+}
+
+// Has reports whether a number is in.
+func (s TaskSet) Has(i int) bool { return i/64 < len(s) && s[i/64]&(1<<(i%64)) != 0 }
+
+// Count is how many members lie from one number up to another.
+func (s TaskSet) Count(from, to int) int {
+	n := 0
+	for w := from / 64; w < len(s) && w*64 < to; w++ {
+		word := s[w]
+		if w*64 < from {
+			word &= ^uint64(0) << (from % 64)
+		}
+		if to-w*64 < 64 {
+			word &= 1<<(to%64) - 1
+		}
+		n += bits.OnesCount64(word)
+	}
+	return n
+}
+
+func (s TaskSet) bytes() []byte {
+	out := make([]byte, 0, len(s)*8)
+	for _, w := range s {
+		for k := range 8 {
+			out = append(out, byte(w>>(8*k)))
+		}
+	}
+	for len(out) > 0 && out[len(out)-1] == 0 {
+		out = out[:len(out)-1]
+	}
+	return out
+}
+
+func (s *TaskSet) addBytes(in []byte, limit int) {
+	for i, c := range in {
+		for k := range 8 {
+			if c&(1<<k) != 0 && i*8+k < limit {
+				s.Add(i*8 + k)
+			}
+		}
+	}
+}
--- a/cmd/basaltwall/main.go
+++ b/cmd/basaltwall/main.go
@@ -20,7 +20,7 @@
 
 	"basaltwall/admin"
 	"basaltwall/config"
-	"basaltwall/node"
+	"basaltwall/server"
 	"basaltwall/tenant"
 )
 
@@ -39,8 +39,8 @@
 		if cfg.Hosted, err = c.hosted(); err != nil {
 			return err
 		}
-		if ops := cfg.Deployment.State.TxnOps; ops < config.HostedTxnOps {
-			return fmt.Errorf("settings: deployment.state.txn_ops: %d is less than the %d that a hosted service needs", ops, config.HostedTxnOps)
+		if ops := cfg.Deployment.State.TxnOps; ops < config.MinHostedTxnOps {
+			return fmt.Errorf("settings: deployment.state.txn_ops: %d is less than the %d that a hosted service needs", ops, config.MinHostedTxnOps)
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -57,7 +57,7 @@
 	if share := cfg.Deployment.Limits.CPUShare; share > 0 {
 		runtime.GOMAXPROCS(max(2, int(math.Ceil(share))))
 	}
-	return node.New(cfg).Run(ctx)
+	return server.New(cfg).Run(ctx)
 }
 
 // hosted reads what a hosted service starts with.
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin key: %s: %w", c.AdminKeyFile, err)
 	}
-	return &config.Hosted{Admin: secret.Key("admin")}, nil
+	return &config.Hosted{AdminKey: secret.Key("admin")}, nil
 }
 
 type newKeyCmd struct{}
@@ -133,14 +133,14 @@
 		level = slog.LevelDebug
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-	var c cli
-	ctx := kong.Parse(&c, kong.Name("basaltwall"), kong.Description("A cluster scheduler."))
+	var commands cli
+	ctx := kong.Parse(&commands, kong.Name("basaltwall"), kong.Description("A cluster scheduler."))
 	run := ctx.Run
-	if chosen, ok := strings.CutPrefix(ctx.Command(), "admin "); ok {
-		run = func(...any) error { return c.Admin.Do(chosen) }
+	if command, ok := strings.CutPrefix(ctx.Command(), "admin "); ok {
+		run = func(...any) error { return commands.Admin.Do(command) }
 	}
-	if chosen, ok := strings.CutPrefix(ctx.Command(), "job "); ok {
-		run = func(...any) error { return c.Job.Do(chosen) }
+	if command, ok := strings.CutPrefix(ctx.Command(), "job "); ok {
+		run = func(...any) error { return commands.Job.Do(command) }
 	}
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "basaltwall:", err)
--- a/config/config.go
+++ b/config/config.go
@@ -15,9 +15,9 @@
 
 // Peer is another controller.
 type Peer struct {
-	Label api.Label `json:"label"`
-	Zone  api.Zone  `json:"domain"`
-	Addr  string    `json:"peer_addr"`
+	Label api.ControllerID `json:"label"`
+	Zone  api.Zone         `json:"domain"`
+	Addr  string           `json:"peer_addr"`
 }
 
 // Team has a guarantee and a limit; a limit of 0 means none.
@@ -41,22 +41,22 @@
 // Hosted is what a hosted service starts with. All else its operators set through the
 // administration API.
 type Hosted struct {
-	Admin tenant.Key // the first operators' key
+	AdminKey tenant.Key // the first operators' key
 }
 
-// HostedTxnOps is how many writes a transaction of a hosted service must hold at least: a
+// MinHostedTxnOps is how many writes a transaction of a hosted service must hold at least: a
 // tenant's record, the gate, an operators' change, and a team.
-const HostedTxnOps = 4
+const MinHostedTxnOps = 4
 
 // Config is the whole file.
 type Config struct {
 	Hosted *Hosted `json:"-"` // the service has tenants; not of the platform's file
 
-	Label      api.Label `json:"label"`
-	Zone       api.Zone  `json:"domain"`
-	APIAddr    string    `json:"api_addr"`
-	PeerListen string    `json:"peer_listen"`
-	Peers      []Peer    `json:"peers"`
+	Label      api.ControllerID `json:"label"`
+	Zone       api.Zone         `json:"domain"`
+	APIAddr    string           `json:"api_addr"`
+	PeerListen string           `json:"peer_listen"`
+	Peers      []Peer           `json:"peers"`
 	External   struct {
 		Cloud string `json:"cloud"`
 		State string `json:"state"`
@@ -66,11 +66,11 @@
 
 // Deployment is what all controllers have in common.
 type Deployment struct {
-	Size       int         `json:"initial_size"`
-	Zones      []api.Zone  `json:"zones"`
-	Teams      []Team      `json:"teams"`
-	Objectives []Objective `json:"objectives"`
-	Workers    struct {
+	InitialSize int         `json:"initial_size"`
+	Zones       []api.Zone  `json:"zones"`
+	Teams       []Team      `json:"teams"`
+	Objectives  []Objective `json:"objectives"`
+	Workers     struct {
 		Report   float64 `json:"report_s"`
 		Lease    float64 `json:"lease_s"`
 		GangWait float64 `json:"gang_wait_s"`
@@ -106,17 +106,17 @@
 
 // Parse checks settings; the error names the field at fault.
 func Parse(data []byte) (*Config, error) {
-	c := &Config{}
-	if err := json.Unmarshal(data, c); err != nil {
+	cfg := &Config{}
+	if err := json.Unmarshal(data, cfg); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.Label == "" {
+	if cfg.Label == "" {
 		return nil, fmt.Errorf("settings: label: missing")
 	}
-	addrs := map[string]string{"api_addr": c.APIAddr, "peer_listen": c.PeerListen,
-		"external.cloud": c.External.Cloud, "external.state": c.External.State}
-	for _, p := range c.Peers {
-		if p.Label == "" || p.Label == c.Label {
+	addrs := map[string]string{"api_addr": cfg.APIAddr, "peer_listen": cfg.PeerListen,
+		"external.cloud": cfg.External.Cloud, "external.state": cfg.External.State}
+	for _, p := range cfg.Peers {
+		if p.Label == "" || p.Label == cfg.Label {
 			return nil, fmt.Errorf("settings: peers: label %q is missing or our own", p.Label)
 		}
 		addrs["peers."+string(p.Label)] = p.Addr
@@ -126,43 +126,43 @@
 			return nil, fmt.Errorf("settings: %s: %w", field, err)
 		}
 	}
-	d := &c.Deployment
-	if d.Size == 0 {
-		d.Size = len(c.Peers) + 1
+	deployment := &cfg.Deployment
+	if deployment.InitialSize == 0 {
+		deployment.InitialSize = len(cfg.Peers) + 1
 	}
-	positive := []struct {
+	mustBePositive := []struct {
 		v    float64
 		name string
 	}{
-		{float64(d.Size), "initial_size"}, {d.Workers.Report, "workers.report_s"}, {d.Workers.Lease, "workers.lease_s"},
-		{d.Workers.Cancel, "workers.cancel_s"}, {d.State.RPS, "state.rps"}, {d.State.WriteRPS, "state.write_rps"},
-		{d.State.ValueKB, "state.value_kb"}, {float64(d.State.TxnOps), "state.txn_ops"}, {d.Cloud.RPS, "cloud.rps"},
+		{float64(deployment.InitialSize), "initial_size"}, {deployment.Workers.Report, "workers.report_s"}, {deployment.Workers.Lease, "workers.lease_s"},
+		{deployment.Workers.Cancel, "workers.cancel_s"}, {deployment.State.RPS, "state.rps"}, {deployment.State.WriteRPS, "state.write_rps"},
+		{deployment.State.ValueKB, "state.value_kb"}, {float64(deployment.State.TxnOps), "state.txn_ops"}, {deployment.Cloud.RPS, "cloud.rps"},
 	}
-	for _, p := range positive {
+	for _, p := range mustBePositive {
 		if !(p.v > 0) {
 			return nil, fmt.Errorf("settings: deployment.%s: must be above 0", p.name)
 		}
 	}
 	// With less, jobs could be accepted but no round could start a task.
-	if d.State.ValueKB < 1 {
-		return nil, fmt.Errorf("settings: deployment.state.value_kb: %v is less than 1", d.State.ValueKB)
+	if deployment.State.ValueKB < 1 {
+		return nil, fmt.Errorf("settings: deployment.state.value_kb: %v is less than 1", deployment.State.ValueKB)
 	}
-	if d.State.TxnOps < 2 {
-		return nil, fmt.Errorf("settings: deployment.state.txn_ops: %d is less than 2", d.State.TxnOps)
+	if deployment.State.TxnOps < 2 {
+		return nil, fmt.Errorf("settings: deployment.state.txn_ops: %d is less than 2", deployment.State.TxnOps)
 	}
-	if len(d.Teams) == 0 {
+	if len(deployment.Teams) == 0 {
 		return nil, fmt.Errorf("settings: deployment.teams: missing")
 	}
-	for _, t := range d.Teams {
+	for _, t := range deployment.Teams {
 		if t.Name == "" || t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
 			return nil, fmt.Errorf("settings: deployment.teams: %q has an invalid amount or no name", t.Name)
 		}
 	}
-	return c, nil
+	return cfg, nil
 }
 
-// ReportEvery is the workers' reporting interval.
-func (c *Config) ReportEvery() time.Duration { return api.Seconds(c.Deployment.Workers.Report) }
+// HeartbeatInterval is the workers' reporting interval.
+func (c *Config) HeartbeatInterval() time.Duration { return api.Seconds(c.Deployment.Workers.Report) }
 
 // WorkerLease is the workers' lease.
 func (c *Config) WorkerLease() time.Duration { return api.Seconds(c.Deployment.Workers.Lease) }
--- /dev/null
+++ b/controller/admin.go
@@ -0,0 +1,332 @@
+package controller
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/priority"
+)
+
+// Settings are what operators decide, beyond the platform's file. They live in
+// the state service and reach every controller by its watch.
+type Settings struct {
+	Drained         []api.MachineID `json:"drained"`     // no new tasks on these
+	IdleTimeout     float64         `json:"idle_hold_s"` // how long idle machines are kept; 0: as long as a boot
+	DisableScaleOut bool            `json:"no_rent"`     // rent nothing
+	// Which work goes before which when there is too little.
+	Priority priority.Rules `json:"precedence,omitempty"`
+}
+
+// VersionedSettings are settings with the revision that a change must name.
+type VersionedSettings struct {
+	Settings
+	Revision api.Revision `json:"revision"`
+}
+
+// ParseSettings reads settings for a change; the error names the field.
+func ParseSettings(body []byte) (VersionedSettings, error) {
+	var s VersionedSettings
+	d := json.NewDecoder(strings.NewReader(string(body)))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&s); err != nil {
+		var te *json.UnmarshalTypeError
+		if errors.As(err, &te) {
+			return s, fmt.Errorf("%s: wrong type", te.Field)
+		}
+		return s, err
+	}
+	if s.IdleTimeout < 0 || s.IdleTimeout > 86400 {
+		return s, errors.New("idle_hold_s: must be between 0 and 86400")
+	}
+	if len(s.Drained) > 200 {
+		return s, errors.New("drained: more than 200 machines")
+	}
+	if err := s.Priority.Validate(); err != nil {
+		return s, err
+	}
+	for _, id := range s.Drained {
+		if id == "" || len(id) > 30 {
+			return s, errors.New("drained: not a machine's name")
+		}
+	}
+	return s, nil
+}
+
+// What an operator is shown.
+type (
+	// MemberView is a controller.
+	MemberView struct {
+		Label      api.ControllerID  `json:"label"`
+		Live       bool              `json:"live"`
+		Partitions []api.PartitionID `json:"parts"`
+		Self       bool              `json:"self"`
+	}
+	// PartitionView is a part of the machines.
+	PartitionView struct {
+		Partition    api.PartitionID  `json:"part"`
+		Owner        api.ControllerID `json:"owner"`
+		Term         api.Revision     `json:"term"`
+		Rounds       uint64           `json:"rounds"`
+		Tasks        int              `json:"tasks"`
+		PendingTasks int              `json:"waiting"`
+	}
+	// MachineView is a machine of a part that this node owns.
+	MachineView struct {
+		ID                  api.MachineID       `json:"machine"`
+		Partition           api.PartitionID     `json:"part"`
+		Type                api.MachineTypeName `json:"type"`
+		Zone                api.Zone            `json:"zone"`
+		Spot                bool                `json:"spot"`
+		Tasks               []string            `json:"tasks"`
+		UnschedulableReason string              `json:"avoided,omitempty"`
+	}
+	// TeamView is a team.
+	TeamView struct {
+		Team           api.Team `json:"team"`
+		UsedCPUs       float64  `json:"cpus_used"`
+		UsedGPUs       float64  `json:"gpus_used"`
+		GuaranteedCPUs float64  `json:"cpus_guaranteed"`
+		GuaranteedGPUs float64  `json:"gpus_guaranteed"`
+		MaxCPUs        float64  `json:"cpus_max"`
+		MaxGPUs        float64  `json:"gpus_max"`
+		// Of a team that operators of a hosted service made; and whose it is.
+		OperatorDefined bool         `json:"made,omitempty"`
+		Tenant          string       `json:"tenant,omitempty"`
+		Revision        api.Revision `json:"revision,omitempty"`
+		Shares          []struct {
+			Part     api.PartitionID `json:"part"`
+			UsedCPUs float64         `json:"cpus"`
+			UsedGPUs float64         `json:"gpus"`
+		} `json:"shares,omitempty"`
+	}
+)
+
+// handleAdmin answers an operator.
+func (n *Controller) handleAdmin(c AdminRequest) {
+	if !n.loaded {
+		n.replyError(c.Req, 503, "starting")
+		return
+	}
+	if n.hosted != nil && !c.Forwarded {
+		n.withOperator(c, n.handleHostedAdmin)
+		return
+	}
+	n.handleCommonAdmin(c)
+}
+
+// handleHostedAdmin answers an operator of a hosted service.
+func (n *Controller) handleHostedAdmin(c AdminRequest) {
+	var err error
+	switch c.What {
+	case "tenants", "tenant", "usage", "tenant-put", "suspend", "resume", "remove", "key-add", "key-revoke":
+		err = n.handleTenantRequest(c)
+	case "operators", "operators-put", "operators-key-add", "operators-key-revoke":
+		err = n.handleOperatorsRequest(c)
+	case "team-put", "team-remove":
+		err = n.handleTeamRequest(c)
+	case "pools", "pool", "pool-put", "pool-remove":
+		err = n.handlePoolRequest(c)
+	case "audit":
+		n.listAudit(c)
+	default:
+		n.handleCommonAdmin(c)
+	}
+	if err != nil {
+		n.refuseError(c.Req, err)
+	}
+}
+
+// handleCommonAdmin answers an operator of any service.
+func (n *Controller) handleCommonAdmin(c AdminRequest) {
+	switch c.What {
+	case "metrics":
+		n.reply(c.Req, 200, n.viewMetrics(), 0)
+	case "members":
+		n.reply(c.Req, 200, n.viewMembers(), 0)
+	case "parts":
+		n.reply(c.Req, 200, n.viewPartitions(), 0)
+	case "machines":
+		n.reply(c.Req, 200, n.viewMachines(), 0)
+	case "teams":
+		n.reply(c.Req, 200, n.viewTeams(), 0)
+	case "jobs":
+		if _, known := n.teams[api.Team(c.Team)]; c.Team != "" && !known {
+			n.replyError(c.Req, 404, fmt.Sprintf("team: there is no team %q", c.Team))
+			return
+		}
+		n.reply(c.Req, 200, n.viewJobs(api.Team(c.Team), c.Limit), 0)
+	case "job":
+		j := n.state.Jobs[api.JobID(c.ID)]
+		if j == nil {
+			n.replyError(c.Req, 404, "no such job, or it is over")
+			return
+		}
+		n.reply(c.Req, 200, n.viewJob(j, n.freeCapacityGroups()), 0)
+	case "skips", "skips-do":
+		n.handleSkipsRequest(c)
+	case "settings":
+		n.reply(c.Req, 200, n.currentSettings(), 0)
+	case "set":
+		s, err := ParseSettings(c.Body)
+		if err != nil {
+			n.replyError(c.Req, 400, err.Error())
+			return
+		}
+		n.updateSettings(c, s)
+	case "drain", "undrain":
+		s := n.currentSettings()
+		id := api.MachineID(c.ID)
+		s.Drained = slices.DeleteFunc(slices.Clone(s.Drained), func(x api.MachineID) bool { return x == id })
+		if c.What == "drain" {
+			s.Drained = append(s.Drained, id)
+		}
+		n.updateSettings(c, s)
+	default:
+		n.replyError(c.Req, 404, "no such path")
+	}
+}
+
+func (n *Controller) currentSettings() VersionedSettings {
+	return VersionedSettings{n.settings, n.state.Version(settingsKey)}
+}
+
+// updateSettings writes settings; it must name the revision that it replaces.
+func (n *Controller) updateSettings(c AdminRequest, s VersionedSettings) {
+	req := c.Req
+	v, err := json.Marshal(s.Settings)
+	if err != nil || n.exceedsValueSize(v) {
+		n.replyError(req, 400, "drained, precedence: more than a record holds")
+		return
+	}
+	tx := api.Txn{If: []api.Condition{{Key: settingsKey, Version: s.Revision}}, Writes: []api.Write{{Put: settingsKey, Value: v}}}
+	if n.hosted != nil {
+		tx.Writes = append(tx.Writes, n.auditWrite(c, "settings", settingsAuditView(n.settings), settingsAuditView(s.Settings)))
+	}
+	n.callStoreTxn(tx, func(a StoreResponse) {
+		n.replyChange(req, a.Status, a.Txn.Revision, "the settings have", func(rev api.Revision) any {
+			s.Revision = rev
+			return s
+		})
+	})
+}
+
+func (n *Controller) viewMembers() []MemberView {
+	out := []MemberView{}
+	for _, l := range n.controllers {
+		v := MemberView{Label: l, Live: n.isLive(l), Partitions: []api.PartitionID{}, Self: l == n.config.Label}
+		for i, p := range n.state.Partitions {
+			if p.Owner == l {
+				v.Partitions = append(v.Partitions, api.PartitionID(i))
+			}
+		}
+		out = append(out, v)
+	}
+	return out
+}
+
+func (n *Controller) viewPartitions() []PartitionView {
+	out := []PartitionView{}
+	for i, p := range n.state.Partitions {
+		v := PartitionView{Partition: api.PartitionID(i), Owner: p.Owner, Term: p.Term, Rounds: p.RoundSeq, Tasks: len(n.state.PlacementsByPartition[i])}
+		for _, j := range n.state.Jobs {
+			if !j.Terminal() {
+				v.PendingTasks += j.PendingTasks(v.Partition)
+			}
+		}
+		out = append(out, v)
+	}
+	return out
+}
+
+func (n *Controller) viewMachines() []MachineView {
+	out := []MachineView{}
+	for _, p := range slices.Sorted(maps.Keys(n.partitions)) {
+		for _, m := range n.machinesOf(p) {
+			v := MachineView{ID: m.ID, Partition: p, Type: m.machineType, Zone: m.zone, Spot: m.spot, Tasks: []string{}, UnschedulableReason: n.unschedulableReason(m, n.partitions[p])}
+			for _, placement := range n.state.PlacementsOn(m.ID) {
+				v.Tasks = append(v.Tasks, placement.Task.String())
+			}
+			out = append(out, v)
+		}
+	}
+	return out
+}
+
+// tokenNotAnnounced is why a machine gets no tasks that was heard but does not know our
+// term yet: it will within a moment.
+const tokenNotAnnounced = "our term has not been announced to it"
+
+// unschedulableReason says why a machine gets no new tasks, or nothing.
+func (n *Controller) unschedulableReason(m *Machine, owned *ownedPartition) string {
+	switch {
+	case m.deleting:
+		return "is being returned"
+	case slices.Contains(n.settings.Drained, m.ID):
+		return "drained by an operator"
+	case m.lastHeartbeat == 0:
+		return "has not been heard yet"
+	case m.reclaimNotice:
+		return "the cloud takes it back"
+	case n.machineTypes[m.machineType] == nil:
+		return "of an unknown type"
+	case m.quarantinedUntil >= n.now:
+		return "different jobs fail on it"
+	case m.fullUntil >= n.now:
+		return "it refused a task for want of room"
+	case n.now.Sub(m.lastHeartbeat) >= 2*n.config.HeartbeatInterval()+2*time.Second:
+		return "is silent"
+	case m.missedCalls > 0 && n.now.Sub(m.lastHeartbeat) > time.Second:
+		return "does not answer"
+	case m.suspectSince != 0:
+		return "it was silent, and its report may be an old one"
+	case n.zoneUnavailable(m.zone) && n.now.Sub(m.lastHeartbeat) > n.config.HeartbeatInterval()*5/4:
+		return "its zone is cut off"
+	case n.outboundCutOff(m, owned):
+		return "its reports do not reach us, so its lease will end"
+	case m.reportedToken < n.minToken(owned, m.ID):
+		return tokenNotAnnounced
+	}
+	return ""
+}
+
+// outboundCutOff reports whether a machine answers calls while no report of its own comes, though there was
+// time for some: nobody renews its lease, and what is started there dies with it.
+func (n *Controller) outboundCutOff(m *Machine, owned *ownedPartition) bool {
+	since := max(m.leaseRenewedAt, m.firstHeartbeat, m.discoveredAt, owned.ownedSince, n.machineLoans[m.ID].knownAt)
+	return n.now.Sub(since) >= 2*n.config.HeartbeatInterval()+2*time.Second
+}
+
+func (n *Controller) viewTeams() []TeamView {
+	out := []TeamView{}
+	usage, owners := n.teamUsage(), n.teamOwners()
+	for _, name := range slices.Sorted(maps.Keys(n.teams)) {
+		team := n.teams[name]
+		v := TeamView{Team: name, UsedCPUs: usage[name].CPU.Float(), UsedGPUs: usage[name].GPU.Float(), GuaranteedCPUs: team.CPUs,
+			GuaranteedGPUs: team.GPUs, MaxCPUs: team.CPUsMax, MaxGPUs: team.GPUsMax}
+		if n.hosted != nil {
+			definition, ok := n.hosted.teams[name]
+			v.OperatorDefined, v.Revision, v.Tenant = ok, definition.Revision, string(owners[name])
+		}
+		if team.CPUsMax > 0 || team.GPUsMax > 0 {
+			v.Shares = slices.Grow(v.Shares, len(n.state.Partitions))[:len(n.state.Partitions)]
+			for i := range n.state.Partitions {
+				s := n.state.QuotaShare(api.PartitionID(i), name, quotaLimit(team))
+				v.Shares[i].Part = api.PartitionID(i)
+				if team.CPUsMax > 0 {
+					v.Shares[i].UsedCPUs = s.CPU.Float()
+				}
+				if team.GPUsMax > 0 {
+					v.Shares[i].UsedGPUs = s.GPU.Float()
+				}
+			}
+		}
+		out = append(out, v)
+	}
+	return out
+}
--- /dev/null
+++ b/controller/backfill_test.go
@@ -0,0 +1,215 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/config"
+	"basaltwall/sched"
+)
+
+// While more is asked than can be answered, questions for jobs whose turn it is not are refused
+// at once, with when to come back; in a full cycle each job has had its turn. What is over is
+// told all the same: it costs nothing.
+func TestPollsAreServedFairly(t *testing.T) {
+	n, _, _, _ := newTestOwner(t, testSpec(1))
+	n.storeHealthy = true
+	n.state.SetJobResult("run-77", api.JobDone)
+	ask := func(ref string) (status, retry int) {
+		n.effects = nil
+		n.dispatch(Poll{Req: 5, Ref: ref})
+		for _, e := range n.effects {
+			if r, ok := e.(Reply); ok {
+				return r.Status, r.RetryAfter
+			}
+		}
+		return 0, 0 // it waits for a current read
+	}
+	n.dispatch(ResourceUsage{QueuedRequests: 8 * overloadQueueLength})
+	served := map[string]bool{}
+	for w := range 8 {
+		n.wallClock = api.WallTime(w * 7000)
+		for i := range 40 {
+			ref := fmt.Sprintf("run-%d", 1000+i)
+			switch status, retry := ask(ref); {
+			case status == 503 && (retry < 1 || retry > 57):
+				t.Fatalf("%s is told to come back after %d s", ref, retry)
+			case status != 503:
+				served[ref] = true
+			}
+		}
+		if status, _ := ask("run-77"); status != 200 {
+			t.Errorf("a job that is over gets %d", status)
+		}
+	}
+	if len(served) != 40 {
+		t.Errorf("%d of 40 jobs had their turn in a cycle", len(served))
+	}
+	n.dispatch(ResourceUsage{QueuedRequests: 0})
+	if status, _ := ask("run-1003"); status == 503 {
+		t.Error("refused though nothing waits")
+	}
+}
+
+// Who passes questions on does not always ask the same helper, and asks another one if the
+// first does not answer while the user still waits.
+func TestForwardingRotatesPeers(t *testing.T) {
+	n, _, _, _ := newTestOwner(t, testSpec(1))
+	for _, l := range []api.ControllerID{"x", "y"} {
+		n.peers[l] = &peerStatus{gossip: Gossip{From: l, StateOK: true}, receivedAt: n.now}
+	}
+	n.storeHealthy = false
+	firstAsked := map[api.ControllerID]int{}
+	for i := range 4 {
+		n.effects = nil
+		n.dispatch(Poll{Req: ReqID(i), Ref: "run-5"})
+		call := n.effects[0].(PeerCall)
+		firstAsked[call.To]++
+		n.effects = nil
+		n.dispatch(PeerResponse{ID: call.ID})
+		again, ok := n.effects[0].(PeerCall)
+		if !ok || again.To == call.To || call.Timeout >= 2*time.Second {
+			t.Fatalf("after %s did not answer within %v: %v", call.To, call.Timeout, n.effects)
+		}
+	}
+	if firstAsked["x"] != 2 || firstAsked["y"] != 2 {
+		t.Errorf("first asked: %v", firstAsked)
+	}
+}
+
+// A job whose record just fits could never be cancelled: the cancellation is written into it.
+func TestRecordReservesBytesForCancellation(t *testing.T) {
+	n, _, _, _ := newTestOwner(t, testSpec(1))
+	n.wallClock = 1_900_000_000_000
+	limit := int(n.config.Deployment.State.ValueKB * 1024)
+	for pad := 0; pad < 200; pad++ {
+		s := testSpec(1)
+		v := clusterstate.JobValue{Spec: s, Split: []clusterstate.TaskRange{{To: 1}}, AcceptedAt: n.wallClock}
+		data, _ := json.Marshal(v)
+		s.Types = []api.MachineTypeName{api.MachineTypeName(strings.Repeat("t", limit-len(data)-pad))}
+		data, _ = json.Marshal(v)
+		if n.jobExceedsValueSize(data) {
+			continue
+		}
+		v.Cancelled, v.CancelledAt = true, n.wallClock
+		if data, _ = json.Marshal(v); len(data) > limit {
+			t.Fatalf("accepted, and %d bytes once cancelled, of %d", len(data), limit)
+		}
+		return
+	}
+	t.Error("nothing is accepted")
+}
+
+// A member key that names another life of ours is written anew, tied to our lease: the other's
+// would take it along when it ends.
+func TestMemberKeyOfOldIncarnationIsRewritten(t *testing.T) {
+	n, _, _, _ := newTestOwner(t, testSpec(1))
+	n.storeHealthy, n.leaseID, n.registered = true, 9, true
+	n.now = n.now.Add(10 * time.Second)
+	writes := func() bool {
+		n.effects, n.leaseCallInFlight, n.nextLeaseCallAt = nil, false, 0
+		n.maintainMembership()
+		for _, e := range n.effects {
+			if c, ok := e.(StoreCall); ok && c.Txn != nil && c.Txn.Writes[0].Put == clusterstate.KeyMember+"n" && c.Txn.Writes[0].Lease == 9 {
+				return true
+			}
+		}
+		return false
+	}
+	put := func(born int64, ver api.Revision) {
+		data, _ := json.Marshal(clusterstate.MemberValue{Incarnation: born})
+		if err := n.state.Put(clusterstate.KeyMember+"n", data, ver); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if put(1, 20); writes() {
+		t.Error("written though it is ours")
+	}
+	if put(77, 21); !writes() {
+		t.Error("the key of a former life is left as it is")
+	}
+}
+
+// Limits of a team's that others' services hold are not waited for.
+func TestQuotaIsReservedOnlyIfAttainable(t *testing.T) {
+	n, _, _, j := newTestOwner(t, testSpec(4))
+	n.teams["red"] = config.Team{Name: "red", CPUsMax: 4 * j.Spec.CPUs}
+	if !n.fitsAttainableQuota(j, 4) || n.fitsAttainableQuota(j, 5) {
+		t.Error("the limit itself")
+	}
+	s := *j.Spec
+	s.Ref, s.Kind = "run-50", api.Service
+	data, _ := json.Marshal(clusterstate.JobValue{Spec: &s, Split: []clusterstate.TaskRange{{To: s.Tasks}}})
+	if err := n.state.Put(clusterstate.KeyJob+"run-50", data, 8); err != nil {
+		t.Fatal(err)
+	}
+	o := n.state.Jobs["run-50"]
+	n.state.AddPlacement(&Placement{Task: api.TaskID{Job: "run-50", Index: 0}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: o})
+	if n.fitsAttainableQuota(j, 4) || !n.fitsAttainableQuota(j, 3) {
+		t.Error("a service's part of the limit does not come free by itself")
+	}
+}
+
+// What a part keeps is in its record: a new owner goes on keeping it, records that it does no
+// more once the job has begun or is over, and what is kept for nobody known is left.
+func TestNewOwnerRestoresReservations(t *testing.T) {
+	spec := testSpec(2)
+	spec.Ref = "run-7"
+	n, owned, m, j := newTestOwner(t, spec)
+	applyRecord := func(reservations ...clusterstate.Reservation) {
+		n.state.ApplyRecord(0, &clusterstate.Record{Seq: n.state.Partitions[0].RoundSeq + 1, Reservations: reservations})
+	}
+	n.reserve(owned, m, j.ID, j.Spec.Priority.Rank(), sched.AgedWithinPriority)
+	reservations := n.reservationChanges(owned)
+	if len(reservations) != 1 || reservations[0].Machine != m.ID || reservations[0].Job != j.ID {
+		t.Fatalf("recorded: %+v", reservations)
+	}
+	applyRecord(reservations...)
+	if again := n.reservationChanges(owned); len(again) != 0 {
+		t.Fatalf("recorded once more: %+v", again)
+	}
+	m.reservedFor, m.reservedUntil, m.consolidated = "", 0, false // another owner knows nothing but the record
+	n.beginOwnership(0, 8)
+	if n.reservedFor(m) != j.ID || !m.consolidated {
+		t.Error("a new owner forgets what is kept")
+	}
+	if len(n.reservationChanges(n.partitions[0])) != 0 {
+		t.Error("a new owner records it anew")
+	}
+	for i := range spec.Tasks {
+		n.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j})
+	}
+	if ends := n.reservationChanges(n.partitions[0]); len(ends) != 1 || ends[0] != (clusterstate.Reservation{Machine: m.ID}) {
+		t.Errorf("its end is not recorded: %+v", ends)
+	}
+	applyRecord(clusterstate.Reservation{Machine: m.ID}, clusterstate.Reservation{Machine: "i-000009", Job: "run-99"})
+	n.beginOwnership(0, 9)
+	if n.machines["i-000009"] != nil && n.reservedFor(n.machines["i-000009"]) != "" {
+		t.Error("kept for a job that there is none of")
+	}
+}
+
+// Metrics tell by part, type and zone what is free of accelerators and fits nothing usual.
+func TestFragmentationByZone(t *testing.T) {
+	spec := testSpec(1)
+	spec.GPUs, spec.CPUs = 4, 4
+	n, _, m, _ := newTestOwner(t, spec)
+	n.addMachineTypes([]api.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, Zones: []api.Zone{"a", "b"}}})
+	m.machineType = "g4"
+	m.untrackedUsage = api.Resources{GPU: api.ToQuantity(3)}
+	for i, zone := range []api.Zone{"b", "a"} {
+		o := n.ensureMachine(api.MachineID(fmt.Sprint("i-00000", i+1)))
+		o.machineType, o.zone, o.lastHeartbeat, o.epoch, o.reportedToken = "g4", zone, n.now, 1, 7
+	}
+	got := n.fragmentedCapacity()
+	want := []FragmentationView{{Type: "g4", Zone: "a", Free: 5, Unusable: 1}, {Type: "g4", Zone: "b", Free: 4}}
+	if !slices.Equal(got, want) {
+		t.Errorf("%+v, not %+v", got, want)
+	}
+}
--- /dev/null
+++ b/controller/cancel_test.go
@@ -0,0 +1,170 @@
+package controller
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+)
+
+// newCancelledJob is an owner with two tasks of a job on its machine, reported under its token, and
+// the job's cancellation read.
+func newCancelledJob(t *testing.T) (*Controller, *ownedPartition, *Machine, *Job) {
+	n, owned, m, j := newTestOwner(t, testSpec(2))
+	n.state.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}, {Task: 1, Machine: m.ID, Epoch: 1}}}}})
+	for _, p := range j.Placements {
+		p.OwnerState.reported, p.OwnerState.state = true, api.TaskRunning
+	}
+	v := j.JobValue
+	v.Cancelled = true
+	data, err := json.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := n.state.Put(clusterstate.KeyJob+string(j.ID), data, 9); err != nil {
+		t.Fatal(err)
+	}
+	return n, owned, m, j
+}
+
+// An owner says that it knows of a cancellation only when it alone commands the machines of the
+// job's tasks and no launch of one is on its way; and users are told only then.
+func TestOwnerAcknowledgesCancellation(t *testing.T) {
+	for what, tc := range map[string]struct {
+		change func(n *Controller, m *Machine, j *Job)
+		want   bool
+	}{
+		"as it should be":                {func(*Controller, *Machine, *Job) {}, true},
+		"a former owner's token":         {func(_ *Controller, m *Machine, _ *Job) { m.reportedToken = 6 }, false},
+		"lent, and not heard since":      {func(n *Controller, m *Machine, _ *Job) { n.state.Loans[m.ID] = clusterstate.Loan{Revision: 8} }, false},
+		"a machine that is not known":    {func(n *Controller, m *Machine, _ *Job) { n.forgetMachine(m.ID) }, false},
+		"a launch on its way":            {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.reported = false }, false},
+		"a task that fetches its image":  {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.state = api.TaskFetching }, false},
+		"a task that waits for its gang": {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.state = api.TaskWaiting }, false},
+		"a task that saves":              {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.state = api.TaskCheckpointing }, true},
+		"that one is over": {func(n *Controller, _ *Machine, j *Job) {
+			j.Placements[1].OwnerState.reported = false
+			n.state.SetFinishing(j.Placements[1], true)
+		}, true},
+		"leases longer than a cancellation": {func(n *Controller, _ *Machine, _ *Job) { n.leaseCoversCancellation = false }, false},
+	} {
+		n, owned, m, j := newCancelledJob(t)
+		if s, _ := n.jobStatus(j.ID); s.State != api.JobRunning || *s.Running != 2 {
+			t.Errorf("%s: the job is called %s with %d tasks before its owner knows", what, s.State, *s.Running)
+		}
+		tc.change(n, m, j)
+		n.runPartition(owned)
+		acknowledged := false
+		if owned.inFlight != nil {
+			for _, d := range owned.inFlight.record.Jobs {
+				acknowledged = acknowledged || d.CancellationAcknowledged
+			}
+			n.applyCommittedRound(owned, 10)
+		}
+		s, _ := n.jobStatus(j.ID)
+		if acknowledged != tc.want || s.Terminal() != tc.want {
+			t.Errorf("%s: said %v, the job is called %s; expected %v", what, acknowledged, s.State, tc.want)
+		}
+	}
+}
+
+// Who asks for a cancellation is answered when the book lets it be told, and else with 503 and
+// Retry-After after a while; a request that a peer has passed on waits less.
+func TestCancellationAnsweredOnceAcknowledged(t *testing.T) {
+	n, _, _, j := newCancelledJob(t)
+	retried, answered := 0, 0
+	ask := func(forwarded bool) {
+		n.respondWhenAcknowledged(forwarded, func(s api.JobStatus) {
+			if answered++; s.State != api.JobCancelled {
+				t.Errorf("%s is told", s.State)
+			}
+		}, func() { retried++ })(api.JobStatus{JobID: j.ID, State: api.JobRunning})
+	}
+	ask(true)
+	ask(false)
+	n.now = n.now.Add(time.Second)
+	if n.answerCancellations(); retried != 1 || answered != 0 {
+		t.Errorf("after a second %d were told, %d are to come again", answered, retried)
+	}
+	n.state.ApplyRecord(0, &clusterstate.Record{Seq: 2, Jobs: []clusterstate.JobDelta{{Job: j.ID, CancellationAcknowledged: true}}})
+	if n.answerCancellations(); retried != 1 || answered != 1 || len(n.pendingCancellations) != 0 {
+		t.Errorf("%d were told, %d are to come again, %d wait", answered, retried, len(n.pendingCancellations))
+	}
+	if v := n.viewMetrics(); v.PendingCancellations != 0 {
+		t.Errorf("%d cancellations wait", v.PendingCancellations)
+	}
+}
+
+// What nobody understands changes nothing and is counted.
+func TestMalformedPeerMessages(t *testing.T) {
+	n, _, _, _ := newTestOwner(t, testSpec(1))
+	n.dispatch(MalformedMessage{Req: 1, From: "10.0.0.9:1"})
+	n.dispatch(PeerGossip{Req: 2, Gossip: &Gossip{From: "nobody", Rented: []RecentScaleOut{{Machines: []api.MachineID{"i-9"}}}}})
+	if n.metrics.MalformedMessages != 2 || len(n.fleet.provisioned) != 0 {
+		t.Errorf("%d counted, %d rentals believed", n.metrics.MalformedMessages, len(n.fleet.provisioned))
+	}
+	for _, e := range n.effects {
+		if r, ok := e.(Reply); ok && r.Status != 400 {
+			t.Errorf("answered with %d", r.Status)
+		}
+	}
+}
+
+// A task that completes once its job's cancellation is read is recorded as lost: a job that was
+// called cancelled must not become done.
+func TestNoCompletionAfterACancellation(t *testing.T) {
+	n, owned, _, j := newCancelledJob(t)
+	n.recordTaskEnd(owned, j.Placements[0], true, "done")
+	n.recordTaskEnd(owned, j.Placements[1], true, "done")
+	n.runPartition(owned)
+	if owned.inFlight == nil {
+		t.Fatal("no round is written")
+	}
+	lost := 0
+	for _, d := range owned.inFlight.record.Jobs {
+		if lost += len(d.Terminated); len(d.Completed) > 0 {
+			t.Errorf("%v are recorded as done", d.Completed)
+		}
+	}
+	if lost != 2 {
+		t.Errorf("%d are recorded as lost, expected 2", lost)
+	}
+	n.applyCommittedRound(owned, 10)
+	if s, _ := n.jobStatus(j.ID); s.State != api.JobCancelled {
+		t.Errorf("the job is called %s", s.State)
+	}
+}
+
+// The machines that hold a cancelled job's tasks are called as soon as the cancellation is read, each
+// once: their next reports are seconds away.
+func TestMachinesContactedForCancelledTasks(t *testing.T) {
+	n, owned, m, j := newCancelledJob(t)
+	m.address = "10.1.0.1:9000"
+	for _, p := range j.Placements {
+		m.reportedTasks[attemptKey{p.Task, p.Attempt}] = api.TaskStatus{Task: p.Task.String(), Attempt: p.Attempt, State: api.TaskRunning}
+	}
+	calls := func() (count, stops int) {
+		n.reconcileMachines()
+		for _, e := range n.effects {
+			if c, ok := e.(WorkerCall); ok {
+				count++
+				for _, command := range c.Commands.Commands {
+					if command.Op == api.OpStop {
+						stops++
+					}
+				}
+			}
+		}
+		return count, stops
+	}
+	n.runPartition(owned)
+	if count, stops := calls(); count != 1 || stops != 2 {
+		t.Errorf("%d calls with %d halts, expected 1 with 2", count, stops)
+	}
+	n.stopCancelledTasks(owned, j)
+	if len(n.pendingContacts) != 0 {
+		t.Error("it is called again for the same")
+	}
+}
--- /dev/null
+++ b/controller/capacitytarget.go
@@ -0,0 +1,405 @@
+package controller
+
+import (
+	"cmp"
+	"log/slog"
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+)
+
+// AcceleratorKind is machines with accelerators that cost alike.
+type AcceleratorKind struct {
+	Type api.MachineTypeName
+	Spot bool
+}
+
+// AcceleratorCount says how many machines of a supply are up, and how many of these have
+// work that they are kept for and that does not end soon: services and gangs.
+type AcceleratorCount struct{ Up, Lasting int }
+
+// countAccelerators counts a part's machines with accelerators.
+func (n *Controller) countAccelerators(p api.PartitionID) map[AcceleratorKind]AcceleratorCount {
+	counts := map[AcceleratorKind]AcceleratorCount{}
+	for _, m := range n.machinesOf(p) {
+		if m.lastHeartbeat == 0 || m.deleting || !n.hasAccelerators(m.machineType) {
+			continue
+		}
+		c := counts[AcceleratorKind{m.machineType, m.spot}]
+		c.Up++
+		if n.hasLongRunningWork(m.ID) {
+			c.Lasting++
+		}
+		counts[AcceleratorKind{m.machineType, m.spot}] = c
+	}
+	return counts
+}
+
+// hasLongRunningWork reports whether a machine with accelerators has a service or a gang
+// that needs them.
+func (n *Controller) hasLongRunningWork(id api.MachineID) bool {
+	for _, p := range n.state.PlacementsOn(id) {
+		if p.Job.Spec.Kind != api.Array && !n.isCPUOnly(p.Job.Spec) {
+			return true
+		}
+	}
+	return false
+}
+
+// acceleratorsByPartition is what is known of all parts' machines with accelerators.
+func (n *Controller) acceleratorsByPartition() map[api.PartitionID]map[AcceleratorKind]AcceleratorCount {
+	out := map[api.PartitionID]map[AcceleratorKind]AcceleratorCount{}
+	for p := range n.partitions {
+		out[p] = n.countAccelerators(p)
+	}
+	for _, status := range n.peerPartitionStatuses() {
+		out[status.Part] = status.Accelerated
+	}
+	n.eachUnreportedMachine(func(p api.PartitionID, h api.Instance) {
+		if !n.hasAccelerators(h.Type) {
+			return
+		}
+		if out[p] == nil {
+			out[p] = map[AcceleratorKind]AcceleratorCount{}
+		}
+		c := out[p][AcceleratorKind{h.Type, h.Spot}]
+		c.Up++
+		if n.hasLongRunningWork(h.ID) {
+			c.Lasting++
+		}
+		out[p][AcceleratorKind{h.Type, h.Spot}] = c
+	})
+	return out
+}
+
+// capacityTarget is what is known of the need for a type with accelerators.
+type capacityTarget struct {
+	samples              []demandSample // of late
+	latencySensitiveSpec *api.JobSpec   // work of a class that should start sooner than a machine boots, if any
+	batchSpec            *api.JobSpec   // other work that needs the accelerators
+	total                int            // how many machines should be up
+	latencySensitive     int            // how many of them should be such as the work ahead may use
+}
+
+// demandSample is how many machines work wants at a time: all work that needs the
+// accelerators, and of it that of classes that should start sooner than one boots.
+type demandSample struct {
+	sampledAt               api.Time
+	total, latencySensitive float64
+}
+
+// headroomDeviations is how far above the load the stock of machines is held that work
+// needs sooner than one boots. The number of jobs at a time that come by chance
+// varies by about the root of its mean; with that much more few find none.
+const headroomDeviations = 1.5
+
+func withHeadroom(load float64) int { return int(math.Ceil(load + headroomDeviations*math.Sqrt(load))) }
+
+// sampleAt is the load that was seen last at least so long ago.
+func (target *capacityTarget) sampleAt(at api.Time) demandSample {
+	var out demandSample
+	for _, sample := range target.samples {
+		if sample.sampledAt > at {
+			break
+		}
+		out = sample
+	}
+	return out
+}
+
+// updateCapacityTargets reckons once a second how many machines with accelerators are wanted
+// and which of those that are up are more than that. Work that goes round the
+// machines would otherwise keep all of them though it never needs them at once.
+// Those are the dear ones; of the others a few more do not matter, and rounds of
+// short tasks miss them (docs/measurements.md).
+func (n *Controller) updateCapacityTargets() {
+	n.fleet.nextDemandSample = n.now.Add(demandSampleInterval)
+	n.recordSpotUptime()
+	samples := map[api.MachineTypeName]demandSample{}
+	for _, j := range n.state.Jobs {
+		if j.Terminal() || n.isCPUOnly(j.Spec) || n.startsBlocked(j) {
+			continue
+		}
+		typ := n.cheapestType(j.Spec)
+		if typ == nil {
+			continue
+		}
+		sample := samples[typ.Name]
+		machines := float64(j.Spec.Tasks-j.CompletedCount) / float64(max(1, j.Demand.Slots(typ.Capacity())))
+		sample.total += machines
+		target := n.capacityTargetOf(typ.Name)
+		switch {
+		case !n.isLatencySensitive(j.Spec):
+			if target.batchSpec == nil || !target.batchSpec.Spot && j.Spec.Spot {
+				target.batchSpec = j.Spec
+			}
+		case target.latencySensitiveSpec == nil || target.latencySensitiveSpec.Spot && !j.Spec.Spot:
+			target.latencySensitiveSpec = j.Spec
+			fallthrough
+		default:
+			sample.latencySensitive += machines
+		}
+		if !n.isLatencySensitive(j.Spec) && n.spotRisk(j) > 0.3 {
+			sample.latencySensitive += machines
+		}
+		samples[typ.Name] = sample
+	}
+	counts := n.acceleratorsByPartition()
+	for _, name := range slices.Sorted(maps.Keys(n.machineTypes)) {
+		if typ := n.machineTypes[name]; typ.GPUs > 0 {
+			target := n.capacityTargetOf(name)
+			sample := samples[name]
+			sample.sampledAt = n.now
+			target.addSample(sample, api.Time(n.idleTimeout(name)+2*demandSampleInterval), api.Time(api.Seconds(typ.BootSeconds)))
+			n.markSurplus(name, target, counts)
+		}
+	}
+}
+
+// isLatencySensitive reports whether work should start sooner than a machine for it boots:
+// booting takes up to half as long again as the type's time.
+func (n *Controller) isLatencySensitive(s *api.JobSpec) bool {
+	within, typ := n.startObjective(s.Class), n.cheapestType(s)
+	return within > 0 && typ != nil && within < slowBootFactor*typ.BootSeconds
+}
+
+// suitsLatencySensitive reports whether a machine is such as prompt work needs: other work
+// leaves room there if it can, or it would have to make way.
+func (n *Controller) suitsLatencySensitive(m *Machine) bool {
+	target := n.fleet.capacityTargets[m.machineType]
+	return target != nil && target.latencySensitiveSpec != nil && (target.latencySensitiveSpec.Spot || !m.spot)
+}
+
+// demandSampleInterval is how often the load is looked at.
+const demandSampleInterval = time.Second
+
+func (n *Controller) capacityTargetOf(name api.MachineTypeName) *capacityTarget {
+	target := n.fleet.capacityTargets[name]
+	if target == nil {
+		target = &capacityTarget{}
+		n.fleet.capacityTargets[name] = target
+	}
+	return target
+}
+
+// addSample reckons the targets from a new load and those of a while before it.
+func (target *capacityTarget) addSample(sample demandSample, retention, boot api.Time) {
+	target.samples = append(target.samples, sample)
+	target.samples = slices.DeleteFunc(target.samples, func(o demandSample) bool { return sample.sampledAt-o.sampledAt > retention })
+	var mean demandSample
+	for _, o := range target.samples {
+		mean.total += o.total / float64(len(target.samples))
+		mean.latencySensitive += o.latencySensitive / float64(len(target.samples))
+	}
+	if target.latencySensitiveSpec == nil {
+		target.total, target.latencySensitive = int(math.Ceil(mean.total)), 0
+		return
+	}
+	// What has been added while a machine boots is likely to be added again until
+	// one more is up; but not when it came all at once, nor when there was next to
+	// nothing before it.
+	before, halfBefore := target.sampleAt(sample.sampledAt-boot), target.sampleAt(sample.sampledAt-boot/2)
+	grown := max(0, min(sample.latencySensitive-before.latencySensitive, 2*(sample.latencySensitive-halfBefore.latencySensitive), before.latencySensitive))
+	target.latencySensitive = withHeadroom(max(mean.latencySensitive, sample.latencySensitive)) + int(math.Ceil(grown))
+	target.total = target.latencySensitive + withHeadroom(max(mean.total-mean.latencySensitive, sample.total-sample.latencySensitive))
+}
+
+// cheapestType is the cheapest type that can take a job's tasks.
+func (n *Controller) cheapestType(s *api.JobSpec) *api.MachineType {
+	var best *api.MachineType
+	for _, name := range slices.Sorted(maps.Keys(n.machineTypes)) {
+		t := n.machineTypes[name]
+		if s.Demand().Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, name)) && (best == nil || t.Price < best.Price) {
+			best = t
+		}
+	}
+	return best
+}
+
+// markSurplus chooses our share of the machines that are more than needed, of
+// those without lasting work: the dearest first, but of those that the work ahead
+// may use as many stay as it needs. They get work last and are returned when they
+// are idle. Every owner reckons alike from the same counts, so that together they
+// choose about as many as there are too many.
+func (n *Controller) markSurplus(name api.MachineTypeName, target *capacityTarget, countsByPartition map[api.PartitionID]map[AcceleratorKind]AcceleratorCount) {
+	totals := map[AcceleratorKind]AcceleratorCount{}
+	surplus := -target.total
+	for _, counts := range countsByPartition {
+		for s, c := range counts {
+			if s.Type == name {
+				totals[s] = AcceleratorCount{totals[s].Up + c.Up, totals[s].Lasting + c.Lasting}
+				surplus += c.Up
+			}
+		}
+	}
+	price := func(s AcceleratorKind) float64 {
+		if s.Spot {
+			return n.machineTypes[name].SpotPrice
+		}
+		return n.machineTypes[name].Price
+	}
+	supplies := slices.SortedFunc(maps.Keys(totals), func(a, b AcceleratorKind) int { return cmp.Compare(price(b), price(a)) })
+	for _, s := range supplies {
+		free := totals[s].Up - totals[s].Lasting
+		excess := surplus
+		if target.latencySensitiveSpec != nil && (target.latencySensitiveSpec.Spot || !s.Spot) {
+			excess = min(excess, totals[s].Up-target.latencySensitive)
+		}
+		surplusOfKind := max(0, min(excess, free))
+		surplus -= surplusOfKind
+		freeBefore := 0
+		for _, p := range slices.Sorted(maps.Keys(countsByPartition)) {
+			c := countsByPartition[p][s]
+			take := 0
+			if free > 0 {
+				take = surplusOfKind*(freeBefore+c.Up-c.Lasting)/free - surplusOfKind*freeBefore/free
+			}
+			freeBefore += c.Up - c.Lasting
+			if owned := n.partitions[p]; owned != nil {
+				n.selectSurplus(p, s, take)
+				if target.latencySensitiveSpec != nil && (excess-free)/len(countsByPartition) > 0 {
+					n.consolidate(owned, s)
+				}
+			}
+		}
+	}
+}
+
+// selectSurplus marks so many of a part's machines: those marked before, then
+// those with least work, then the newest.
+func (n *Controller) selectSurplus(p api.PartitionID, s AcceleratorKind, take int) {
+	var free []*Machine
+	for _, m := range n.machinesOf(p) {
+		switch {
+		case m.machineType != s.Type || m.spot != s.Spot:
+		case m.lastHeartbeat != 0 && !m.deleting && !n.hasLongRunningWork(m.ID):
+			free = append(free, m)
+		default:
+			m.surplus = false
+		}
+	}
+	rank := func(m *Machine) int {
+		if m.surplus || n.now < m.consolidatingUntil {
+			return 0
+		}
+		return 1 + len(n.state.PlacementsOn(m.ID))
+	}
+	slices.SortStableFunc(free, func(a, b *Machine) int {
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(b.ID, a.ID))
+	})
+	for i, m := range free {
+		m.surplus = i < take
+	}
+}
+
+// minServiceRuntime is how long a service must have run before it is moved.
+const minServiceRuntime = time.Minute
+
+// consolidate has the services of a machine, that which holds fewest, move to others that
+// have room and their image, so that it can be returned: services that came while there
+// was much other work are spread over many machines when that is gone. The cost is a
+// moment without the replica.
+func (n *Controller) consolidate(owned *ownedPartition, s AcceleratorKind) {
+	if n.now.Sub(owned.ownedSince) < n.idleTimeout(s.Type) {
+		return
+	}
+	var from, to []*Machine
+	for _, m := range n.machinesOf(owned.id) {
+		if m.machineType != s.Type || m.spot != s.Spot || m.surplus || n.now < m.consolidatingUntil || !n.isSchedulable(m, owned) || len(n.state.PlacementsOn(m.ID)) == 0 {
+			continue
+		}
+		if n.reservedFor(m) == "" {
+			to = append(to, m)
+		}
+		if n.allServicesMovable(m, owned) {
+			from = append(from, m)
+		}
+	}
+	if len(from) == 0 {
+		return
+	}
+	m := slices.MinFunc(from, func(a, b *Machine) int { return len(n.state.PlacementsOn(a.ID)) - len(n.state.PlacementsOn(b.ID)) })
+	if !n.fitsElsewhere(m, owned, to) {
+		return
+	}
+	m.consolidatingUntil = n.now.Add(reservationTTL)
+	slog.Info("services relocated", "machine", m.ID, "tasks", len(n.state.PlacementsOn(m.ID)))
+	for _, p := range slices.Clone(n.state.PlacementsOn(m.ID)) {
+		n.stopTask(p)
+	}
+}
+
+// fitsElsewhere reports whether others that have the images have room for all that a
+// machine holds.
+func (n *Controller) fitsElsewhere(from *Machine, owned *ownedPartition, to []*Machine) bool {
+	taken := map[*Machine]api.Resources{}
+	for _, p := range n.state.PlacementsOn(from.ID) {
+		i := slices.IndexFunc(to, func(m *Machine) bool {
+			_, has := m.cachedImages[p.Job.Spec.Image]
+			return has && m != from && p.Job.Demand.Fits(n.freeCapacityOn(m, owned).Minus(taken[m]))
+		})
+		if i < 0 {
+			return false
+		}
+		taken[to[i]] = taken[to[i]].Plus(p.Job.Demand)
+	}
+	return true
+}
+
+// allServicesMovable reports whether all that a machine holds are services that may move.
+func (n *Controller) allServicesMovable(m *Machine, owned *ownedPartition) bool {
+	for _, p := range n.state.PlacementsOn(m.ID) {
+		s := p.Job.Spec
+		if s.Kind != api.Service || s.Spread || s.OneZone || p.Partition != owned.id || p.Finishing || p.OwnerState.stopRequested || p.Job.Terminal() ||
+			p.OwnerState.runningSince == 0 || n.now.Sub(p.OwnerState.runningSince) < minServiceRuntime {
+			return false
+		}
+	}
+	return true
+}
+
+// scaleOutAhead adds the machines that should be up before the work comes that will
+// need them.
+func (n *Controller) scaleOutAhead(need, incoming map[machineOffer]int) {
+	counts := n.acceleratorsByPartition()
+	for _, name := range slices.Sorted(maps.Keys(n.fleet.capacityTargets)) {
+		target := n.fleet.capacityTargets[name]
+		if target.latencySensitiveSpec == nil {
+			continue
+		}
+		existing := func(matches func(spot bool) bool) int {
+			sum := 0
+			for _, c := range counts {
+				for s, k := range c {
+					if s.Type == name && matches(s.Spot) {
+						sum += k.Up
+					}
+				}
+			}
+			for _, byOffer := range []map[machineOffer]int{need, incoming} {
+				for o, k := range byOffer {
+					if o.machineType == name && matches(o.spot) {
+						sum += k
+					}
+				}
+			}
+			return sum
+		}
+		add := func(s *api.JobSpec, missing int) {
+			for ; missing > 0; missing-- {
+				o, ok := n.cheapestOffer(s, need, incoming, func(api.Zone) bool { return true })
+				if !ok {
+					break
+				}
+				need[o]++
+			}
+		}
+		add(target.latencySensitiveSpec, target.latencySensitive-existing(func(spot bool) bool { return target.latencySensitiveSpec.Spot || !spot }))
+		if target.batchSpec != nil {
+			add(target.batchSpec, target.total-existing(func(bool) bool { return true }))
+		}
+	}
+}
--- /dev/null
+++ b/controller/hosted.go
@@ -0,0 +1,615 @@
+package controller
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/gob"
+	"encoding/json"
+	"log/slog"
+	"maps"
+	"math"
+	"net/netip"
+	"slices"
+	"strings"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/pool"
+	"basaltwall/tenant"
+)
+
+// Keys of a hosted service's records.
+const (
+	keyTenant = clusterstate.Root + "tenant/"
+	keyTeamOf = clusterstate.Root + "teamof/" // claims a team for one tenant
+	// keyGate is written with every suspension. Every round is conditional on it, so that
+	// none composed before can be written after; see docs/tenants.md.
+	keyGate = clusterstate.Root + "gate"
+)
+
+// hostedService is what a controller of a hosted service keeps of its tenants.
+type hostedService struct {
+	adminKey    tenant.Key
+	tenants     *tenant.Table
+	rateBuckets map[tenant.Name]*tenant.TokenBucket
+	fairLimiter tenant.FairLimiter
+
+	operators   tenant.Operators
+	teams       map[api.Team]TeamRecordView // that operators made
+	pools       poolState
+	guaranteed  tenant.GuaranteedTotal
+	keyUses     keyUses
+	submissions map[tenant.Name]*submissionCounts
+	roundTurns  map[tenantPartition]int // how often a tenant's jobs took turns in a part's rounds
+
+	pendingSubmissions    map[tenant.Name]map[api.JobID]bool // jobs that this controller is writing
+	openJobLimitReachedAt map[tenant.Name]api.Time           // when as many were open as may be
+	reconciledAt          api.Time
+	finishingRemoval      bool // a removal is being ended
+
+	auditSequence int // of operators, by this process
+	sweepNext     int // the next tenant whose history is looked through
+	sweptAt       api.Time
+	sweeping      bool
+}
+
+func (n *Controller) initHosted() {
+	if h := n.config.Hosted; h != nil {
+		n.hosted = &hostedService{adminKey: h.AdminKey, rateBuckets: map[tenant.Name]*tenant.TokenBucket{}, pendingSubmissions: map[tenant.Name]map[api.JobID]bool{}, openJobLimitReachedAt: map[tenant.Name]api.Time{},
+			submissions: map[tenant.Name]*submissionCounts{}, roundTurns: map[tenantPartition]int{}}
+	}
+}
+
+// hostedRecordKinds are the records that a hosted service follows beside the others.
+func (n *Controller) hostedRecordKinds() []clusterstate.RecordKind {
+	if n.hosted == nil {
+		return nil
+	}
+	tenants, service := tenant.NewTable(), n.hosted
+	service.tenants, service.operators, service.teams, service.guaranteed = tenants, tenant.Operators{}, map[api.Team]TeamRecordView{}, tenant.GuaranteedTotal{}
+	service.pools.table, service.pools.shareWrites = pool.NewTable(n.config.Deployment.InitialSize), map[api.PoolName]bool{}
+	n.resetPlatformTeams()
+	return []clusterstate.RecordKind{{Prefix: keyPool, Put: service.pools.table.Put}, {Prefix: keyTenant, Put: tenants.Put, Delete: tenants.Drop}, {Prefix: keyTeam, Put: n.applyTeam},
+		clusterstate.SingleKey(keyOperators, &service.operators), clusterstate.SingleKey(keyGuaranteedTotal, &service.guaranteed)}
+}
+
+// Caller is who sends a request, as far as the connection and the request say.
+type Caller struct {
+	Auth      string // the Authorization header
+	From      netip.Addr
+	Forwarded string // the X-Forwarded-For header
+}
+
+// clientAddr is where a request comes from: what a proxy says is believed from those only that
+// the operators have named.
+func (n *Controller) clientAddr(c Caller) netip.Addr {
+	return tenant.ClientAddr(c.From, c.Forwarded, n.hosted.operators.Proxies)
+}
+
+// bearerSecret reads a caller's key.
+func (c Caller) bearerSecret() (tenant.Secret, error) {
+	text, ok := strings.CutPrefix(c.Auth, "Bearer ")
+	if !ok {
+		return tenant.Secret{}, &tenant.Error{Status: 401, Reason: "Authorization: a key is needed, as Bearer"}
+	}
+	return tenant.ParseSecret(strings.TrimSpace(text))
+}
+
+func (n *Controller) maxClockError() time.Duration {
+	return time.Duration(n.config.Deployment.ClockErrorMS * float64(time.Millisecond))
+}
+
+// errInvalidKey says as little of a key that opens nothing as of one that is not there.
+var errInvalidKey = &tenant.Error{Status: 401, Reason: "not a key that opens anything"}
+
+// authenticateTenant finds the tenant whose key a caller brings, as far as the book has been read.
+func (n *Controller) authenticateTenant(c Caller) (*tenant.Entry, error) {
+	secret, err := c.bearerSecret()
+	if err != nil {
+		return nil, err
+	}
+	entry, key := n.hosted.tenants.Find(secret.ID)
+	if entry == nil || !key.Verify(secret, n.wallClock, n.maxClockError()) {
+		return nil, errInvalidKey
+	}
+	if !entry.Networks.Allows(n.clientAddr(c)) {
+		return nil, &tenant.Error{Status: 403, Reason: "not from this address"}
+	}
+	n.recordKeyUse(entry.Name, key.ID)
+	return entry, nil
+}
+
+// refuseError refuses with the status and the words of an error.
+func (n *Controller) refuseError(req ReqID, err error) {
+	status := 400
+	if e, ok := err.(*tenant.Error); ok {
+		status = e.Status
+	}
+	n.replyError(req, status, err.Error())
+}
+
+// withTenant does something for the tenant whose key a caller brings, by what is current
+// now: a revoked key opens nothing on any controller that answers, and one that can't know
+// passes the request on or says so.
+func (n *Controller) withTenant(req ReqID, c Caller, callback func(*tenant.Entry), forward func()) {
+	n.linearizableRead(func() {
+		entry, err := n.authenticateTenant(c)
+		if err != nil {
+			n.refuseError(req, err)
+			return
+		}
+		callback(entry)
+	}, forward)
+}
+
+// hostedForward is a request as it is passed on to a peer, which asks for the key again.
+type hostedForward struct {
+	Kind, Ref string
+	Body      []byte
+	Caller    Caller
+}
+
+// ForwardHosted is the kind of a Forward that holds a request of a hosted service.
+const ForwardHosted = "hosted"
+
+func encodeHostedForward(f hostedForward) (Forward, error) {
+	var buf bytes.Buffer
+	err := gob.NewEncoder(&buf).Encode(f)
+	return Forward{Kind: ForwardHosted, Body: buf.Bytes()}, err
+}
+
+// DecodeHostedForward is the request within a Forward of kind ForwardHosted, nil if it makes no sense.
+func DecodeHostedForward(body []byte, req ReqID) Command {
+	var f hostedForward
+	if gob.NewDecoder(bytes.NewReader(body)).Decode(&f) != nil {
+		return nil
+	}
+	switch f.Kind {
+	case "submit":
+		return Submit{Req: req, Body: f.Body, Forwarded: true, Caller: f.Caller}
+	case "poll":
+		return Poll{Req: req, Ref: f.Ref, Forwarded: true, Caller: f.Caller}
+	case "cancel":
+		return Cancel{Req: req, Ref: f.Ref, Forwarded: true, Caller: f.Caller}
+	}
+	return nil
+}
+
+func (n *Controller) forwardHosted(req ReqID, f hostedForward, forwarded bool) {
+	wrapped, err := encodeHostedForward(f)
+	if err != nil {
+		n.replyError(req, 503, "not passed on")
+		return
+	}
+	n.forward(req, wrapped, forwarded)
+}
+
+// withTenantJob does something with the job that a tenant's request names: do is given the id under
+// which it is kept, and elsewhere for when this controller can't answer.
+func (n *Controller) withTenantJob(req ReqID, f hostedForward, forwarded bool, callback func(id api.JobID, notFound, forward func())) {
+	forward := func() { n.forwardHosted(req, f, forwarded) }
+	if n.shouldForward(forwarded) {
+		forward()
+		return
+	}
+	notFound := func() { n.replyError(req, 404, "no such job") }
+	n.withTenant(req, f.Caller, func(entry *tenant.Entry) {
+		if !api.ValidJobID(f.Ref) {
+			notFound()
+			return
+		}
+		callback(tenant.JobID(entry.Name, api.JobID(f.Ref)), notFound, forward)
+	}, forward)
+}
+
+func (n *Controller) pollHosted(c Poll) {
+	n.withTenantJob(c.Req, hostedForward{Kind: "poll", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
+		n.findJob(id, func(s api.JobStatus) {
+			s.JobID = api.JobID(c.Ref)
+			n.reply(c.Req, 200, s, 0)
+		}, notFound, forward)
+	})
+}
+
+func (n *Controller) cancelHosted(c Cancel) {
+	n.withTenantJob(c.Req, hostedForward{Kind: "cancel", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
+		n.recordCancellation(id, 5, n.respondWhenAcknowledged(c.Forwarded, func(s api.JobStatus) {
+			n.reply(c.Req, 200, api.JobStatus{JobID: api.JobID(c.Ref), State: s.State}, 0)
+		}, func() { n.replyError(c.Req, 503, cancellationPending) }), notFound, forward)
+	})
+}
+
+// submitHosted takes a tenant's submission. It is written on the condition that the
+// tenant's record is as it was read: whatever is decided here by an older one, a
+// suspension or a revoked key that this controller has not heard of, is not written.
+func (n *Controller) submitHosted(c Submit, tries int) {
+	forward := func() {
+		n.forwardHosted(c.Req, hostedForward{Kind: "submit", Body: c.Body, Caller: c.Caller}, c.Forwarded)
+	}
+	if n.shouldForward(c.Forwarded) || len(n.machineTypes) == 0 {
+		forward()
+		return
+	}
+	// What is refused must be refused by what is current.
+	retry := func(refuse func()) {
+		if tries == 0 {
+			refuse()
+			return
+		}
+		n.linearizableRead(func() { n.submitHosted(c, tries-1) }, forward)
+	}
+	entry, err := n.authenticateTenant(c.Caller)
+	if err != nil {
+		retry(func() { n.refuseError(c.Req, err) })
+		return
+	}
+	spec, err := api.ParseJob(c.Body)
+	if err != nil {
+		n.replyError(c.Req, 400, err.Error())
+		return
+	}
+	tenantJobID := spec.Ref
+	spec.Ref = tenant.JobID(entry.Name, tenantJobID)
+	replyKnown := func(s api.JobStatus) { n.reply(c.Req, 200, api.JobStatus{JobID: tenantJobID, State: s.State}, 0) }
+	if _, ok := n.jobStatus(spec.Ref); ok {
+		n.lookupJob(spec.Ref, replyKnown, forward, forward)
+		return
+	}
+	// A job that was accepted is never refused, whatever holds by now.
+	refuse := func(status int, reason string, wait time.Duration) {
+		n.lookupJob(spec.Ref, replyKnown, func() {
+			n.reply(c.Req, status, api.ErrorBody{Error: reason}, int(math.Ceil(wait.Seconds())))
+		}, forward)
+	}
+	switch {
+	case entry.State != tenant.Active:
+		retry(func() {
+			n.countSubmission(entry.Name, "suspended")
+			refuse(403, "suspended: "+entry.SuspendReason, 0)
+		})
+		return
+	case !slices.Contains(entry.Teams, spec.Team):
+		retry(func() { refuse(422, "bottega: unknown team", 0) })
+		return
+	}
+	if reason := n.infeasibleReason(spec); reason != "" {
+		refuse(422, reason, 0)
+		return
+	}
+	if reason := n.checkPoolNeeds(spec, entry.Name); reason != "" {
+		retry(func() { refuse(422, reason, 0) })
+		return
+	}
+	if ok, wait, field, reason := n.admit(entry); !ok {
+		n.countSubmission(entry.Name, field)
+		refuse(429, field+": "+reason, max(wait, time.Second))
+		return
+	}
+	value := clusterstate.JobValue{Spec: spec, Split: n.splitAcrossPartitions(spec), AcceptedAt: n.wallClock, Tenant: string(entry.Name), TenantJobID: tenantJobID}
+	data, err := json.Marshal(value)
+	if err != nil || n.jobExceedsValueSize(data) {
+		refuse(400, specTooLarge, 0)
+		return
+	}
+	jobKey := clusterstate.KeyJob + string(spec.Ref)
+	tx := api.Txn{If: []api.Condition{{Key: jobKey}, {Key: clusterstate.KeyJobResult + string(spec.Ref)}, n.state.VersionCondition(keyTenant + string(entry.Name))},
+		Writes: []api.Write{{Put: jobKey, Value: data}}}
+	for _, need := range spec.Needs { // or it would wait for a pool that was removed meanwhile
+		tx.If = append(tx.If, n.state.VersionCondition(keyPool+string(need.Pool)))
+	}
+	n.addPendingSubmission(entry.Name, spec.Ref)
+	n.callStoreTxn(tx, func(a StoreResponse) {
+		switch a.Status {
+		case 200:
+			n.countSubmission(entry.Name, "")
+			n.reply(c.Req, 201, api.JobStatus{JobID: tenantJobID, State: api.JobPending}, 0)
+			slog.Info("job accepted", "job", spec.Ref, specAttr(spec))
+			written := func() { n.removePendingSubmission(entry.Name, spec.Ref) }
+			n.linearizableRead(written, written)
+			return
+		case 409:
+			retry(func() { n.lookupJob(spec.Ref, replyKnown, forward, forward) })
+		case 429:
+			n.replyError(c.Req, 503, "the state service is at its limit")
+		default:
+			forward()
+		}
+		n.removePendingSubmission(entry.Name, spec.Ref)
+	})
+}
+
+// admit decides whether one more submission of a tenant is taken: by the number of its
+// jobs, by its rate, and by what this controller may write. Where it is not, field is what
+// is at fault.
+func (n *Controller) admit(entry *tenant.Entry) (ok bool, wait time.Duration, field, reason string) {
+	service := n.hosted
+	if n.atOpenJobLimit(entry) {
+		return false, 2 * time.Second, "open_jobs", "as many of your jobs are not over as may be"
+	}
+	members := len(n.state.Members)
+	if entry.Rate > 0 {
+		bucket := service.rateBuckets[entry.Name]
+		if bucket == nil {
+			bucket = &tenant.TokenBucket{}
+			service.rateBuckets[entry.Name] = bucket
+		}
+		rate, burst := tenant.RateShare(entry.Rate, entry.Burst, members)
+		if ok, wait := bucket.Take(n.now, rate, burst); !ok {
+			return false, wait, "rate", "more submissions than agreed"
+		}
+	}
+	if ok, wait := service.fairLimiter.Take(n.now, entry.Name, submissionWriteShare*n.config.Deployment.State.WriteRPS/float64(max(1, members))); !ok {
+		return false, wait, "writes", "more submissions at once than can be written"
+	}
+	return true, 0, "", ""
+}
+
+// tenantCounts is what there is of a tenant: jobs whose keys are there, those of them that are not
+// over, and tasks on machines.
+type tenantCounts struct{ jobs, open, tasks int }
+
+func (n *Controller) countTenant(name tenant.Name) tenantCounts {
+	var counts tenantCounts
+	for _, j := range n.state.JobsByTenant[string(name)] {
+		counts.jobs++
+		if !j.Terminal() {
+			counts.open++
+		}
+		counts.tasks += len(j.Placements)
+	}
+	return counts
+}
+
+// atOpenJobLimit is whether as many of a tenant's jobs are not over as may be: by the book, and by what
+// this controller is writing. The others may be writing as many, so each of them takes no
+// more than its part of what the book leaves: with one book they come to less than their
+// number too much together, and with news under way to what those are about. For a while a
+// tenant that was full is taken to be: it may ask often, and have very many.
+func (n *Controller) atOpenJobLimit(entry *tenant.Entry) bool {
+	service, jobs := n.hosted, n.state.JobsByTenant[string(entry.Name)]
+	members := max(1, len(n.state.Members))
+	if len(jobs)+members*len(service.pendingSubmissions[entry.Name]) < entry.OpenJobLimit() {
+		return false
+	}
+	if reachedAt, ok := service.openJobLimitReachedAt[entry.Name]; ok && n.now.Sub(reachedAt) < openJobLimitTTL {
+		return true
+	}
+	open := n.countTenant(entry.Name).open
+	for ref := range service.pendingSubmissions[entry.Name] {
+		if jobs[ref] == nil {
+			open += members
+		}
+	}
+	if open < entry.OpenJobLimit() {
+		return false
+	}
+	service.openJobLimitReachedAt[entry.Name] = n.now
+	return true
+}
+
+// openJobLimitTTL is for how long nobody counts again.
+const openJobLimitTTL = 250 * time.Millisecond
+
+// addPendingSubmission notes a job that is being written, goes that it is not or that the book has it.
+func (n *Controller) addPendingSubmission(name tenant.Name, jobID api.JobID) {
+	if n.hosted.pendingSubmissions[name] == nil {
+		n.hosted.pendingSubmissions[name] = map[api.JobID]bool{}
+	}
+	n.hosted.pendingSubmissions[name][jobID] = true
+}
+
+func (n *Controller) removePendingSubmission(name tenant.Name, jobID api.JobID) {
+	if pending := n.hosted.pendingSubmissions[name]; pending != nil {
+		if delete(pending, jobID); len(pending) == 0 {
+			delete(n.hosted.pendingSubmissions, name)
+		}
+	}
+}
+
+// maxTenantJobsPerRound is how many of a tenant's jobs a part's round looks at, so that nobody's queue
+// makes the rounds of the others longer.
+const maxTenantJobsPerRound = 200
+
+// deferredJobsInterval is how soon the jobs that a round left out get their turn if nothing else
+// makes the part run one.
+const deferredJobsInterval = time.Second
+
+type tenantPartition struct {
+	tenant    string
+	partition api.PartitionID
+}
+
+// limitTenantJobs leaves out of a round what is more than so many jobs of one tenant: half of
+// those that stay are its most urgent ones, the others take turns. The order of the rest
+// is kept.
+func (n *Controller) limitTenantJobs(owned *ownedPartition, jobs []*Job) []*Job {
+	owned.unexaminedJobs = 0
+	if n.hosted == nil || len(jobs) <= maxTenantJobsPerRound {
+		return jobs
+	}
+	byTenant := map[string][]*Job{}
+	for _, j := range jobs {
+		byTenant[j.Tenant] = append(byTenant[j.Tenant], j)
+	}
+	deferred := map[*Job]bool{}
+	for name, tenantJobs := range byTenant {
+		if len(tenantJobs) <= maxTenantJobsPerRound {
+			continue
+		}
+		slices.SortFunc(tenantJobs, func(a, b *Job) int {
+			return cmp.Or(b.Spec.Priority.Rank()-a.Spec.Priority.Rank(), cmp.Compare(a.AcceptedAt, b.AcceptedAt), cmp.Compare(a.ID, b.ID))
+		})
+		for _, j := range tenantJobs {
+			deferred[j] = true
+		}
+		key := tenantPartition{name, owned.id}
+		for _, i := range tenant.Window(len(tenantJobs), maxTenantJobsPerRound, n.hosted.roundTurns[key]) {
+			delete(deferred, tenantJobs[i])
+		}
+		n.hosted.roundTurns[key]++
+	}
+	owned.unexaminedJobs = len(deferred)
+	return slices.DeleteFunc(jobs, func(j *Job) bool { return deferred[j] })
+}
+
+// startsBlocked reports whether what waits of a job may not be started.
+func (n *Controller) startsBlocked(j *Job) bool {
+	return n.hosted != nil && j.Tenant != "" && !n.hosted.tenants.MayStartTasks(tenant.Name(j.Tenant))
+}
+
+// Draining and cancelling are bounded: so many tasks and jobs of a part a second.
+const (
+	maxDrainedTasks         = 32
+	maxCancelledJobs        = 2
+	tenantReconcileInterval = time.Second
+)
+
+// reconcileTenants goes on with what suspensions and removals have begun.
+func (n *Controller) reconcileTenants() {
+	service := n.hosted
+	if service == nil || !n.loaded || n.now.Sub(service.reconciledAt) < tenantReconcileInterval {
+		return
+	}
+	n.flushKeyUses()
+	if len(n.partitions) == 0 {
+		return
+	}
+	service.reconciledAt = n.now
+	n.reconcilePools()
+	n.sweepHistory()
+	draining := map[tenant.Name][]*Placement{} // services whose time is up
+	var removing []*tenant.Entry
+	for _, name := range service.tenants.Names() {
+		entry := service.tenants.Get(name)
+		if entry.State != tenant.Suspended && entry.State != tenant.Removing {
+			continue
+		}
+		if float64(n.wallClock-entry.SuspendedAt)/1000 >= entry.Drain {
+			draining[name] = nil
+		}
+		if entry.State == tenant.Removing {
+			removing = append(removing, entry)
+		}
+	}
+	n.drainServices(draining)
+	for _, entry := range removing {
+		n.continueRemoval(entry)
+	}
+}
+
+// drainServices stops services of tenants, of each the least urgent and youngest first.
+// Whatever else runs of them ends by itself.
+func (n *Controller) drainServices(byTenant map[tenant.Name][]*Placement) {
+	if len(byTenant) == 0 {
+		return
+	}
+	for p := range n.partitions {
+		for placement := range n.state.PlacementsByPartition[p] {
+			name := tenant.Name(placement.Job.Tenant)
+			if running, drains := byTenant[name]; drains && placement.Job.Spec.Kind == api.Service && !placement.Finishing && !placement.OwnerState.stopRequested && !placement.Job.Terminal() {
+				byTenant[name] = append(running, placement)
+			}
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(byTenant)) {
+		running := byTenant[name]
+		slices.SortFunc(running, func(a, b *Placement) int {
+			return cmp.Or(a.Job.Spec.Priority.Rank()-b.Job.Spec.Priority.Rank(), cmp.Compare(b.Job.AcceptedAt, a.Job.AcceptedAt),
+				cmp.Compare(a.Job.ID, b.Job.ID), b.Task.Index-a.Task.Index)
+		})
+		for _, placement := range running[:min(maxDrainedTasks, len(running))] {
+			n.stopTask(placement)
+		}
+	}
+}
+
+// continueRemoval cancels jobs of a tenant that is being removed, each by the owner of its
+// first task, and ends the removal when none is left.
+func (n *Controller) continueRemoval(entry *tenant.Entry) {
+	var open []*Job
+	remaining := 0
+	for _, j := range n.state.JobsByTenant[string(entry.Name)] {
+		remaining++
+		if owned := n.partitions[j.Split[0].Partition]; owned != nil && !j.Terminal() {
+			open = append(open, j)
+		}
+	}
+	if entry.CancelJobs {
+		slices.SortFunc(open, func(a, b *Job) int { return strings.Compare(string(a.ID), string(b.ID)) })
+		for _, j := range open[:min(maxCancelledJobs*len(n.partitions), len(open))] {
+			n.recordCancellation(j.ID, 1, func(api.JobStatus) {}, func() {}, func() {})
+		}
+	}
+	if remaining > 0 || n.partitions[0] == nil || n.hosted.finishingRemoval {
+		return
+	}
+	n.hosted.finishingRemoval = true
+	release := func() { n.hosted.finishingRemoval = false }
+	name, revision := entry.Name, entry.Revision
+	n.linearizableRead(func() {
+		entry := n.hosted.tenants.Get(name)
+		if entry == nil || entry.Revision != revision {
+			release()
+			return
+		}
+		done, err := entry.FinishRemoval(n.countTenant(name).jobs)
+		if err != nil {
+			release()
+			return
+		}
+		n.writeTenant(done, entry, nil, func(int, api.Revision) {
+			slog.Info("tenant removed", "tenant", name)
+			release()
+		})
+	}, release)
+}
+
+// writeTenant writes a tenant's record in place of what was read of it, nil if it is new,
+// with whatever else is to be written at once.
+func (n *Controller) writeTenant(t tenant.Tenant, old *tenant.Entry, extraWrites []api.Write, respond func(status int, revision api.Revision)) {
+	key := keyTenant + string(t.Name)
+	data, err := json.Marshal(t)
+	if err != nil || n.exceedsValueSize(data) {
+		respond(400, 0)
+		return
+	}
+	condition := api.Condition{Key: key}
+	var teams []api.Team
+	if old != nil {
+		condition.Version = old.Revision
+		teams = old.Teams
+	}
+	tx := api.Txn{If: []api.Condition{condition}, Writes: append([]api.Write{{Put: key, Value: data}}, extraWrites...)}
+	for _, team := range t.Teams {
+		if !slices.Contains(teams, team) {
+			claim, _ := json.Marshal(t.Name)
+			tx.If = append(tx.If, api.Condition{Key: keyTeamOf + string(team)}, n.state.VersionCondition(keyTeam+string(team)))
+			tx.Writes = append(tx.Writes, api.Write{Put: keyTeamOf + string(team), Value: claim})
+		}
+	}
+	for _, team := range teams {
+		if !slices.Contains(t.Teams, team) {
+			tx.Writes = append(tx.Writes, api.Write{Drop: keyTeamOf + string(team)})
+		}
+	}
+	if len(tx.Writes) > n.config.Deployment.State.TxnOps {
+		respond(413, 0)
+		return
+	}
+	n.callStoreTxn(tx, func(a StoreResponse) {
+		status := a.Status
+		if status == 409 && slices.ContainsFunc(a.Txn.Failed, func(k string) bool { return strings.HasPrefix(k, keyTeamOf) }) {
+			status = 422
+		}
+		respond(status, a.Txn.Revision)
+	})
+}
+
+// tenantAttr says in the log whose a job is; of a service without tenants, nothing.
+func tenantAttr(j *Job) slog.Attr {
+	if j.Tenant == "" {
+		return slog.Attr{}
+	}
+	return slog.Group("tenant", "name", j.Tenant, "ref", string(j.TenantJobID))
+}
--- a/control/hosted_test.go
+++ b/controller/hosted_test.go
@@ -1,4 +1,4 @@
-package control
+package controller
 
 import (
 	"encoding/json"
@@ -9,23 +9,23 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/book"
+	"basaltwall/clusterstate"
 	"basaltwall/config"
 	"basaltwall/tenant"
 )
 
 // hostedOwner is a controller of a hosted service with tenant kipper of team red, whose job
 // waits, and kipper's key.
-func hostedOwner(t testing.TB) (*Node, *partition, *Job, tenant.Secret) {
+func hostedOwner(t testing.TB) (*Controller, *ownedPartition, *Job, tenant.Secret) {
 	t.Helper()
-	n, partition, _, j := owner(t, testSpec(4))
+	n, owned, _, j := newTestOwner(t, testSpec(4))
 	_, admin, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.cfg.Hosted = &config.Hosted{Admin: admin.Key("admin")}
+	n.config.Hosted = &config.Hosted{AdminKey: admin.Key("admin")}
 	n.initHosted()
-	n.hostedKinds()
+	n.hostedRecordKinds()
 	k, s, err := tenant.NewKey([tenant.RandomBytes]byte{2}, "first", 1000, 60_000)
 	if err != nil {
 		t.Fatal(err)
@@ -35,39 +35,39 @@
 		t.Fatal(err)
 	}
 	putTenant(t, n, tenant.Tenant{Name: "kipper", State: tenant.Active, Teams: []api.Team{"red"}, Keys: []tenant.Key{k}, Networks: networks, Retention: 100})
-	j.Tenant, j.Own = "kipper", "run-1"
-	return n, partition, j, s
+	j.Tenant, j.TenantJobID = "kipper", "run-1"
+	return n, owned, j, s
 }
 
-func putTenant(t testing.TB, n *Node, x tenant.Tenant) {
+func putTenant(t testing.TB, n *Controller, x tenant.Tenant) {
 	t.Helper()
 	data, err := json.Marshal(x)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.hosted.table.Put(string(x.Name), data, 8); err != nil {
+	if err := n.hosted.tenants.Put(string(x.Name), data, 8); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // putJob has a tenant's job accepted, all of it in part 0.
-func putJob(t testing.TB, n *Node, spec *api.JobSpec, name string, accepted api.Wall) *Job {
+func putJob(t testing.TB, n *Controller, spec *api.JobSpec, name string, accepted api.WallTime) *Job {
 	t.Helper()
-	data, err := json.Marshal(book.JobValue{Spec: spec, Split: []book.Range{{From: 0, To: spec.Tasks}}, Accepted: accepted, Tenant: name, Own: spec.Ref})
+	data, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}, AcceptedAt: accepted, Tenant: name, TenantJobID: spec.Ref})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.book.Put(book.KeyJob+string(spec.Ref), data, 9); err != nil {
+	if err := n.state.Put(clusterstate.KeyJob+string(spec.Ref), data, 9); err != nil {
 		t.Fatal(err)
 	}
-	return n.book.Jobs[spec.Ref]
+	return n.state.Jobs[spec.Ref]
 }
 
 // stateCalls are the calls to the state service that were wanted since the last time.
-func stateCalls(n *Node) []StateCall {
-	var out []StateCall
+func stateCalls(n *Controller) []StoreCall {
+	var out []StoreCall
 	for _, e := range n.effects {
-		if c, ok := e.(StateCall); ok {
+		if c, ok := e.(StoreCall); ok {
 			out = append(out, c)
 		}
 	}
@@ -78,43 +78,43 @@
 // A round names the gate where there are tenants, and only there: one condition more is all
 // that a hosted service's rounds differ by.
 func TestRoundNamesTheGate(t *testing.T) {
-	gate := func(n *Node, partition *partition) (int, bool) {
-		n.runPart(partition)
+	gate := func(n *Controller, owned *ownedPartition) (int, bool) {
+		n.runPartition(owned)
 		for _, c := range stateCalls(n) {
-			if c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == book.RoundKey(0, 1) {
+			if c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
 				return len(c.Txn.If), slices.ContainsFunc(c.Txn.If, func(x api.Condition) bool { return x.Key == keyGate })
 			}
 		}
 		t.Fatal("no round is written")
 		return 0, false
 	}
-	plain, partition, _, _ := owner(t, testSpec(4))
-	without, named := gate(plain, partition)
+	cpuOnly, owned, _, _ := newTestOwner(t, testSpec(4))
+	without, named := gate(cpuOnly, owned)
 	if named {
 		t.Error("a round names the gate though there are no tenants")
 	}
-	n, partition, _, _ := hostedOwner(t)
-	if with, named := gate(n, partition); !named || with != without+1 {
+	n, owned, _, _ := hostedOwner(t)
+	if with, named := gate(n, owned); !named || with != without+1 {
 		t.Errorf("%d conditions, %d without tenants; names the gate: %v", with, without, named)
 	}
 }
 
 // Work of a tenant that is suspended, or of whom nothing is known, is neither started nor
 // are machines wanted for it.
-func TestHeldWorkWantsNothing(t *testing.T) {
+func TestBlockedJobsCreateNoDemand(t *testing.T) {
 	for state, starts := range map[tenant.State]bool{tenant.Active: true, tenant.Suspended: false, tenant.Removing: false, "": false} {
-		n, partition, j, _ := hostedOwner(t)
+		n, owned, j, _ := hostedOwner(t)
 		if state == "" {
-			n.hosted.table.Drop("kipper")
+			n.hosted.tenants.Drop("kipper")
 		} else {
-			e := n.hosted.table.Get("kipper").Tenant
+			e := n.hosted.tenants.Get("kipper").Tenant
 			e.State = state
 			putTenant(t, n, e)
 		}
-		if got := len(n.plan(partition).starts) > 0; got != starts || n.held(j) == starts {
-			t.Errorf("%q: starts %v, held %v", state, got, n.held(j))
+		if got := len(n.planRound(owned).starts) > 0; got != starts || n.startsBlocked(j) == starts {
+			t.Errorf("%q: starts %v, held %v", state, got, n.startsBlocked(j))
 		}
-		if waiting := n.waitingIn(0, j.Spec); (waiting > 0) != starts {
+		if waiting := n.pendingTasksIn(0, j.Spec); (waiting > 0) != starts {
 			t.Errorf("%q: %d tasks count as waiting", state, waiting)
 		}
 	}
@@ -129,12 +129,12 @@
 	return a
 }
 
-func TestWhoMayCome(t *testing.T) {
+func TestTenantAuthentication(t *testing.T) {
 	n, _, _, s := hostedOwner(t)
-	n.wall = 2000
+	n.wallClock = 2000
 	at := func(auth, from string) int {
 		c := Caller{Auth: auth, From: mustAddr(t, from)}
-		if _, err := n.who(c); err != nil {
+		if _, err := n.authenticateTenant(c); err != nil {
 			return err.(*tenant.Error).Status
 		}
 		return 200
@@ -149,46 +149,48 @@
 			t.Errorf("%q from %s: %d, expected %d", c.auth, c.from, got, c.want)
 		}
 	}
-	n.wall = 60_000
+	n.wallClock = 60_000
 	if got := at(good, "192.0.2.7"); got != 401 {
 		t.Errorf("an expired key: %d", got)
 	}
 }
 
 // What is older than it is to be kept goes, and nothing else, under the term of part 0.
-func TestHistoryIsSwept(t *testing.T) {
+func TestHistorySweep(t *testing.T) {
 	n, _, _, _ := hostedOwner(t)
-	n.wall = 1_000_000
+	n.wallClock = 1_000_000
 	n.now = n.now.Add(time.Minute)
 	n.sweepHistory()
 	calls := stateCalls(n)
-	if len(calls) != 1 || calls[0].Page == nil || calls[0].Page.Under != "history/kipper/" {
+	if len(calls) != 1 || calls[0].Page == nil || calls[0].Page.Prefix != "history/kipper/" {
 		t.Fatalf("asked for %+v", calls)
 	}
-	key := func(at api.Wall, ref int) string { return fmt.Sprintf("history/kipper/%s-run-%d", stamp(at), ref) }
-	page := api.KeyPage{Pairs: []api.Pair{{Key: key(899_000, 1)}, {Key: key(899_999, 2)}, {Key: key(900_000, 3)}, {Key: key(999_000, 4)}}}
-	n.handle(StateAnswer{ID: calls[0].ID, Status: 200, Page: page})
+	key := func(at api.WallTime, ref int) string {
+		return fmt.Sprintf("history/kipper/%s-run-%d", timeKey(at), ref)
+	}
+	page := api.KeyPage{Pairs: []api.KeyValue{{Key: key(899_000, 1)}, {Key: key(899_999, 2)}, {Key: key(900_000, 3)}, {Key: key(999_000, 4)}}}
+	n.dispatch(StoreResponse{ID: calls[0].ID, Status: 200, Page: page})
 	calls = stateCalls(n)
 	if len(calls) != 1 || calls[0].Txn == nil {
 		t.Fatalf("wrote %+v", calls)
 	}
 	want := []api.Write{{Drop: key(899_000, 1)}, {Drop: key(899_999, 2)}}
 	if got := calls[0].Txn; !slices.EqualFunc(got.Writes, want, func(a, b api.Write) bool { return a.Drop == b.Drop && a.Put == "" }) ||
-		!slices.Contains(got.If, api.Condition{Key: book.KeyPart + "0", Version: 7}) {
+		!slices.Contains(got.If, api.Condition{Key: clusterstate.KeyPartition + "0", Version: 7}) {
 		t.Errorf("wrote %+v", got)
 	}
 }
 
 // A queue of one tenant makes nobody's rounds longer than by the jobs of it that a round
 // looks at, and each of them has its turn though all those before it find no room.
-func TestALongQueueIsLookedAtByTurns(t *testing.T) {
-	n, partition, j, _ := hostedOwner(t)
+func TestLongQueueRotatesAcrossRounds(t *testing.T) {
+	n, owned, j, _ := hostedOwner(t)
 	putTenant(t, n, tenant.Tenant{Name: "flood", State: tenant.Active, Teams: []api.Team{"blue"}, Retention: 100})
 	n.teams["blue"] = config.Team{Name: "blue"}
 	const queue = 5000
-	put := func(ref int, cpus float64, accepted api.Wall) *Job {
+	put := func(ref int, cpus float64, accepted api.WallTime) *Job {
 		spec := testSpec(1)
-		spec.Ref, spec.Team, spec.CPUs = api.JobRef(fmt.Sprintf("run-1%05d", ref)), "blue", cpus
+		spec.Ref, spec.Team, spec.CPUs = api.JobID(fmt.Sprintf("run-1%05d", ref)), "blue", cpus
 		return putJob(t, n, spec, "flood", accepted)
 	}
 	for i := range queue - 1 {
@@ -196,32 +198,32 @@
 	}
 	fits := put(queue, 1, 2000)
 	j.Tenant = "kipper"
-	starts := func(w *writing, j *Job) bool {
-		return slices.ContainsFunc(w.starts, func(p *Place) bool { return p.Job == j })
+	starts := func(round *pendingRound, j *Job) bool {
+		return slices.ContainsFunc(round.starts, func(p *Placement) bool { return p.Job == j })
 	}
-	w := n.plan(partition)
-	if !starts(w, j) {
+	round := n.planRound(owned)
+	if !starts(round, j) {
 		t.Error("another tenant's job waits behind the queue")
 	}
-	if looked, most := n.metrics.FlowTasks, roundJobs+j.Spec.Tasks; looked > most {
-		t.Errorf("a round looks at %d tasks, expected %d at most", looked, most)
+	if examined, limit := n.metrics.FlowTasks, maxTenantJobsPerRound+j.Spec.Tasks; examined > limit {
+		t.Errorf("a round looks at %d tasks, expected %d at most", examined, limit)
 	}
-	delete(n.book.Open, j.Ref) // a round places one task on each machine
+	delete(n.state.PendingJobs, j.ID) // a round places one task on each machine
 	rounds := 1
-	for !starts(w, fits) && rounds <= queue {
-		w = n.plan(partition)
+	for !starts(round, fits) && rounds <= queue {
+		round = n.planRound(owned)
 		rounds++
 	}
-	if most := tenant.Turns(queue, roundJobs); rounds > most {
-		t.Errorf("a job has its turn after %d rounds, expected %d at most", rounds, most)
+	if limit := tenant.RoundsToCoverAll(queue, maxTenantJobsPerRound); rounds > limit {
+		t.Errorf("a job has its turn after %d rounds, expected %d at most", rounds, limit)
 	}
 	// A round comes by itself for those who were left out.
-	partition.dirty, partition.next = false, 0
-	partition.planAt = n.now
-	n.now = n.now.Add(turnEvery)
-	before := n.hosted.turns[turnOf{"flood", 0}]
-	n.runPart(partition)
-	if n.hosted.turns[turnOf{"flood", 0}] == before {
+	owned.dirty, owned.nextRound = false, 0
+	owned.plannedAt = n.now
+	n.now = n.now.Add(deferredJobsInterval)
+	before := n.hosted.roundTurns[tenantPartition{"flood", 0}]
+	n.runPartition(owned)
+	if n.hosted.roundTurns[tenantPartition{"flood", 0}] == before {
 		t.Error("nobody has a turn when nothing else happens")
 	}
 }
@@ -229,7 +231,7 @@
 // Operators' keys are judged by what is current; a controller that can't know answers
 // questions about itself alone, by what it knew within the last minute, or by the key of
 // the file it was started with.
-func TestOperatorsInAnOutage(t *testing.T) {
+func TestOperatorKeysDuringOutage(t *testing.T) {
 	n, _, _, _ := hostedOwner(t)
 	_, first, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
 	if err != nil {
@@ -240,14 +242,14 @@
 		t.Fatal(err)
 	}
 	n.hosted.operators.Keys = []tenant.OperatorKey{{Key: watch, Role: tenant.RoleRead}}
-	n.currentAt = n.now
+	n.lastReadAt = n.now
 	asks := func(key tenant.Secret, what string) int {
 		n.effects = nil
-		n.handle(Ask{Req: 1, What: what, Caller: Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
-		waiting := n.waiters
-		n.waiters = nil
+		n.dispatch(AdminRequest{Req: 1, What: what, Caller: Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
+		waiting := n.readWaiters
+		n.readWaiters = nil
 		for _, w := range waiting {
-			w.fail() // the state service does not answer
+			w.onFailure() // the state service does not answer
 		}
 		for _, e := range n.effects {
 			if r, ok := e.(Reply); ok {
@@ -262,13 +264,13 @@
 		what  string
 		want  int
 	}{{0, secret, "metrics", 200}, {0, secret, "tenants", 503}, {0, secret, "drain", 503}, {0, first, "set", 503}, {0, first, "members", 200},
-		{operatorTrust - time.Second, secret, "machines", 200}, {2 * time.Second, secret, "machines", 503}, {0, first, "machines", 200}, {0, first, "operators", 503}} {
+		{operatorKeyCacheTTL - time.Second, secret, "machines", 200}, {2 * time.Second, secret, "machines", 503}, {0, first, "machines", 200}, {0, first, "operators", 503}} {
 		n.now = n.now.Add(c.after)
 		if got := asks(c.key, c.what); got != c.want {
-			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.now.Sub(n.currentAt), got, c.want)
+			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.now.Sub(n.lastReadAt), got, c.want)
 		}
 	}
-	n.hosted.operators.Retired = []tenant.KeyID{first.ID}
+	n.hosted.operators.RetiredAdminKeys = []tenant.KeyID{first.ID}
 	if got := asks(first, "metrics"); got != 401 {
 		t.Errorf("the retired key of the file: %d", got)
 	}
--- a/control/timetable_test.go
+++ b/controller/intervals_test.go
@@ -1,4 +1,4 @@
-package control
+package controller
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
-	_ "basaltwall/internal/seeded"
+	_ "basaltwall/internal/proptest"
 )
 
 // drawConfig draws settings, from the smallest that are accepted to very large ones.
@@ -19,16 +19,16 @@
 	spread := func(name string, low, high float64) float64 { // as likely small as large
 		return math.Exp(rapid.Float64Range(math.Log(low), math.Log(high)).Draw(t, name))
 	}
-	nodes := rapid.IntRange(1, 15).Draw(t, "controllers")
+	controllers := rapid.IntRange(1, 15).Draw(t, "controllers")
 	peers := []map[string]string{}
-	for i := range nodes - 1 {
+	for i := range controllers - 1 {
 		peers = append(peers, map[string]string{"label": fmt.Sprintf("n-%d", i), "peer_addr": "10.0.0.2:8081"})
 	}
 	data, err := json.Marshal(map[string]any{
 		"label": "self", "api_addr": "10.0.0.1:8080", "peer_listen": "10.0.0.1:8081", "peers": peers,
 		"external": map[string]string{"cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379"},
 		"deployment": map[string]any{
-			"initial_size": nodes, "zones": []string{"a", "b"}, "teams": []map[string]any{{"name": "red"}},
+			"initial_size": controllers, "zones": []string{"a", "b"}, "teams": []map[string]any{{"name": "red"}},
 			"workers": map[string]float64{"report_s": spread("report", 0.2, 600), "lease_s": spread("lease", 1, 3600), "cancel_s": spread("cancel", 1, 3600)},
 			"state": map[string]float64{"rps": spread("rps", 0.5, 1e5), "write_rps": spread("writes", 0.2, 1e5),
 				"value_kb": spread("value", 1, 1024), "txn_ops": float64(rapid.IntRange(2, 500).Draw(t, "ops"))},
@@ -47,54 +47,54 @@
 // Whatever settings are accepted, what all controllers do of themselves stays within
 // their limits, a lease outlives a renewal that goes unanswered, and silence is asked
 // about before it is acted on.
-func TestTimetableFitsSettings(t *testing.T) {
+func TestIntervalsFitSettings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		d := c.Deployment
-		nodes := float64(len(c.Peers) + 1)
-		tt := timetableOf(c)
+		controllers := float64(len(c.Peers) + 1)
+		tt := intervalsFor(c)
 		perSecond := func(each float64, every time.Duration) float64 { return each / every.Seconds() }
-		const slack = 1.0001                      // durations are whole nanoseconds
-		readers := min(nodes, float64(tt.relays)) // the others read through these
-		asked := perSecond(nodes, tt.renewEvery) + perSecond(readers, tt.syncGap)
-		if asked > slack*0.4*d.State.RPS && tt.renewEvery < maxRenew {
+		const slack = 1.0001                               // durations are whole nanoseconds
+		readers := min(controllers, float64(tt.maxRelays)) // the others read through these
+		asked := perSecond(controllers, tt.leaseRenewInterval) + perSecond(readers, tt.readInterval)
+		if asked > slack*0.4*d.State.RPS && tt.leaseRenewInterval < maxLeaseRenewInterval {
 			t.Errorf("%.2f renewals and reads a second of %.2f", asked, d.State.RPS)
 		}
-		if got := asked + perSecond(nodes-readers, tt.aloneGap); got > slack*0.6*d.State.RPS && tt.renewEvery < maxRenew {
+		if got := asked + perSecond(controllers-readers, tt.directReadInterval); got > slack*0.6*d.State.RPS && tt.leaseRenewInterval < maxLeaseRenewInterval {
 			t.Errorf("%.2f a second of %.2f when nobody has a relay", got, d.State.RPS)
 		}
-		if got := perSecond(nodes, tt.renewEvery) + perSecond(nodes, New(c, 1).pageGap()); got > slack*0.4*d.State.RPS && tt.renewEvery < maxRenew {
+		if got := perSecond(controllers, tt.leaseRenewInterval) + perSecond(controllers, New(c, 1).pageReadInterval()); got > slack*0.4*d.State.RPS && tt.leaseRenewInterval < maxLeaseRenewInterval {
 			t.Errorf("%.2f a second of %.2f while versions change", got, d.State.RPS)
 		}
-		if got := perSecond(float64(d.Size), tt.roundGap); got > slack*0.5*d.State.WriteRPS {
+		if got := perSecond(float64(d.InitialSize), tt.roundInterval); got > slack*0.5*d.State.WriteRPS {
 			t.Errorf("%.2f rounds a second of %.2f writes", got, d.State.WriteRPS)
 		}
-		if got := perSecond(1, tt.rentGap); got > slack*d.Cloud.RPS/3 {
+		if got := perSecond(1, tt.cloudCallInterval); got > slack*d.Cloud.RPS/3 {
 			t.Errorf("%.2f rentals a second of %.2f calls", got, d.Cloud.RPS)
 		}
-		if tt.memberTTL < tt.renewEvery+renewTimeout+2*retryPause || tt.memberTTL > 10*time.Minute || tt.memberTTL < 100*time.Millisecond {
-			t.Errorf("a lease of %v is renewed every %v", tt.memberTTL, tt.renewEvery)
+		if tt.memberLeaseTTL < tt.leaseRenewInterval+renewTimeout+2*retryDelay || tt.memberLeaseTTL > 10*time.Minute || tt.memberLeaseTTL < 100*time.Millisecond {
+			t.Errorf("a lease of %v is renewed every %v", tt.memberLeaseTTL, tt.leaseRenewInterval)
 		}
-		if tt.settleTime < tt.memberTTL {
-			t.Errorf("parts go home after %v, while a lease lasts %v", tt.settleTime, tt.memberTTL)
+		if tt.handoverDelay < tt.memberLeaseTTL {
+			t.Errorf("parts go home after %v, while a lease lasts %v", tt.handoverDelay, tt.memberLeaseTTL)
 		}
-		if cancel := api.Seconds(d.Workers.Cancel); tt.cancelLimit >= cancel || tt.cancelLimit < cancel/2 || cancel > 30*time.Second && tt.cancelLimit+2*cloudTimeout >= cancel {
-			t.Errorf("cancelled tasks have %v, their machine is deleted after %v", cancel, tt.cancelLimit)
+		if cancel := api.Seconds(d.Workers.Cancel); tt.cancellationTimeout >= cancel || tt.cancellationTimeout < cancel/2 || cancel > 30*time.Second && tt.cancellationTimeout+2*cloudTimeout >= cancel {
+			t.Errorf("cancelled tasks have %v, their machine is deleted after %v", cancel, tt.cancellationTimeout)
 		}
 		report := api.Seconds(d.Workers.Report)
-		if latest := report * 5 / 4; tt.silentAfter <= latest || tt.givenUpAfter <= tt.silentAfter || tt.returnTime < latest {
-			t.Errorf("reports come every %v; silent after %v, given up after %v, back within %v", report, tt.silentAfter, tt.givenUpAfter, tt.returnTime)
+		if latest := report * 5 / 4; tt.heartbeatTimeout <= latest || tt.livenessTimeout <= tt.heartbeatTimeout || tt.redirectTTL < latest {
+			t.Errorf("reports come every %v; silent after %v, given up after %v, back within %v", report, tt.heartbeatTimeout, tt.livenessTimeout, tt.redirectTTL)
 		}
 	})
 }
 
 // The smallest values and transactions that are accepted hold a round with a start:
 // a deployment would otherwise accept jobs and never run them.
-func TestSmallestSettingsHoldARound(t *testing.T) {
+func TestSmallestSettingsFitARound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		n := New(c, 1)
-		if room, conditions := n.recordRoom(), n.recordConditions(); room < 64 || conditions < 2 {
+		if room, conditions := n.roundByteBudget(), n.roundConditionBudget(); room < 64 || conditions < 2 {
 			t.Errorf("%.2f KB and %d writes leave %d bytes and %d conditions", c.Deployment.State.ValueKB, c.Deployment.State.TxnOps, room, conditions)
 		}
 	})
--- a/control/jobs_test.go
+++ b/controller/jobs_test.go
@@ -1,4 +1,4 @@
-package control
+package controller
 
 import (
 	"encoding/json"
@@ -7,30 +7,30 @@
 	"testing"
 
 	"basaltwall/api"
-	"basaltwall/book"
+	"basaltwall/clusterstate"
 	"basaltwall/config"
 )
 
 // manyJobs is a controller with so many waiting jobs of two teams, each a second
 // older than the one before it and with a limit of 100 s.
-func manyJobs(t *testing.T, jobs int) *Node {
+func manyJobs(t *testing.T, jobs int) *Controller {
 	t.Helper()
 	spec := testSpec(3)
-	n, _, _, first := owner(t, spec)
+	n, _, _, first := newTestOwner(t, spec)
 	n.teams["blue"] = config.Team{Name: "blue"}
-	n.wall = first.Accepted + api.Wall(1000*jobs)
+	n.wallClock = first.AcceptedAt + api.WallTime(1000*jobs)
 	for i := range jobs {
 		s := *spec
 		limit := 100.0
-		s.Ref, s.Deadline, s.Estimate = api.JobRef(fmt.Sprintf("run-%06d", 100000+i)), &limit, 10
+		s.Ref, s.Deadline, s.Estimate = api.JobID(fmt.Sprintf("run-%06d", 100000+i)), &limit, 10
 		if i%2 == 1 {
 			s.Team = "blue"
 		}
-		data, err := json.Marshal(book.JobValue{Spec: &s, Split: []book.Range{{From: 0, To: s.Tasks}}, Accepted: n.wall - api.Wall(1000*i)})
+		data, err := json.Marshal(clusterstate.JobValue{Spec: &s, Split: []clusterstate.TaskRange{{From: 0, To: s.Tasks}}, AcceptedAt: n.wallClock - api.WallTime(1000*i)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := n.book.Put(book.KeyJob+string(s.Ref), data, 7); err != nil {
+		if err := n.state.Put(clusterstate.KeyJob+string(s.Ref), data, 7); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -42,25 +42,25 @@
 func TestLateJobsFirst(t *testing.T) {
 	n := manyJobs(t, 200)
 	v := n.viewJobs("", 5)
-	if v.Open != 201 || v.Late != 109 || len(v.Jobs) != 5 {
-		t.Fatalf("%d open, %d late, %d shown", v.Open, v.Late, len(v.Jobs))
+	if v.OpenCount != 201 || v.LateCount != 109 || len(v.Jobs) != 5 {
+		t.Fatalf("%d open, %d late, %d shown", v.OpenCount, v.LateCount, len(v.Jobs))
 	}
-	if j := v.Jobs[0]; j.Ref != "run-100199" || j.Team != "blue" || j.LateBy != 109 || len(j.Why) == 0 {
+	if j := v.Jobs[0]; j.JobID != "run-100199" || j.Team != "blue" || j.Tardiness != 109 || len(j.Reasons) == 0 {
 		t.Errorf("first comes %+v", j)
 	}
-	if !slices.IsSortedFunc(v.Jobs, func(a, b JobView) int { return int(b.LateBy - a.LateBy) }) {
+	if !slices.IsSortedFunc(v.Jobs, func(a, b JobView) int { return int(b.Tardiness - a.Tardiness) }) {
 		t.Errorf("not by lateness: %+v", v.Jobs)
 	}
 	for _, j := range n.viewJobs("blue", 1000).Jobs {
 		if j.Team != "blue" {
-			t.Errorf("blue is shown %s of %s", j.Ref, j.Team)
+			t.Errorf("blue is shown %s of %s", j.JobID, j.Team)
 		}
 	}
 }
 
 // Asking must not hold up decisions: what is done for each job that is not shown is
 // next to nothing, however many there are.
-func TestAskingForJobsIsCheap(t *testing.T) {
+func TestListingJobsAllocatesLittle(t *testing.T) {
 	count := func(jobs int) float64 {
 		n := manyJobs(t, jobs)
 		return testing.AllocsPerRun(3, func() { n.viewJobs("", 50) })
--- a/control/messages.go
+++ b/controller/messages.go
@@ -1,4 +1,4 @@
-package control
+package controller
 
 import (
 	"time"
@@ -6,7 +6,7 @@
 	"basaltwall/api"
 	"basaltwall/sched"
 	"basaltwall/tenant"
-	"basaltwall/zone"
+	"basaltwall/zonehealth"
 )
 
 // ReqID names a request from outside that waits for a Reply.
@@ -42,17 +42,17 @@
 		Forwarded bool
 		Caller    Caller
 	}
-	// Ready is the balancer's probe.
-	Ready struct{ Req ReqID }
-	// Checkin is a worker's report.
-	Checkin struct {
+	// ReadinessProbe is the balancer's probe.
+	ReadinessProbe struct{ Req ReqID }
+	// WorkerHeartbeat is a worker's report.
+	WorkerHeartbeat struct {
 		Req       ReqID
-		Report    *api.Report
+		Heartbeat *api.Heartbeat
 		Body      []byte // as it came, for passing on
 		Forwarded bool
 	}
-	// Ask is an operator's question or order; What says which.
-	Ask struct {
+	// AdminRequest is an operator's question or order; What says which.
+	AdminRequest struct {
 		Req   ReqID
 		What  string
 		ID    string
@@ -67,55 +67,55 @@
 
 		Forwarded bool // by a peer, which has looked at the key
 
-		by tenant.KeyID // the operators' key that came with it
+		keyID tenant.KeyID // the operators' key that came with it
 	}
-	// Garbled is a message of another controller that can't be understood.
-	Garbled struct {
+	// MalformedMessage is a message of another controller that can't be understood.
+	MalformedMessage struct {
 		Req  ReqID
 		From string
 	}
-	// Hear is another controller's news.
-	Hear struct {
+	// PeerGossip is another controller's news.
+	PeerGossip struct {
 		Req    ReqID
 		Gossip *Gossip
 	}
 	// ReadLog is another controller's question for what follows a revision of the log.
 	ReadLog struct {
-		Req ReqID
-		Ask *LogAsk
+		Req     ReqID
+		Request *ReadLogRequest
 	}
 )
 
 // Answers to calls.
 type (
-	// StateAnswer answers a StateCall.
-	StateAnswer struct {
+	// StoreResponse answers a StateCall.
+	StoreResponse struct {
 		ID      CallID
 		Status  int
-		Txn     api.TxnAnswer
+		Txn     api.TxnResponse
 		Changes api.Changes
 		Page    api.KeyPage
-		Pair    api.Pair
+		Pair    api.KeyValue
 		Lease   api.LeaseID
 	}
-	// WorkerAnswer answers a WorkerCall.
-	WorkerAnswer struct {
-		ID     CallID
-		Status int
-		Report *api.Report
+	// WorkerResponse answers a WorkerCall.
+	WorkerResponse struct {
+		ID        CallID
+		Status    int
+		Heartbeat *api.Heartbeat
 	}
-	// CloudAnswer answers a CloudCall.
-	CloudAnswer struct {
+	// CloudResponse answers a CloudCall.
+	CloudResponse struct {
 		ID       CallID
 		Status   int
 		Types    []api.MachineType
-		Hosts    api.HostList
+		Hosts    api.InstanceList
 		Machines []api.MachineID
 
 		NoCapacity bool // refused for want of machines, not of time
 	}
-	// PeerAnswer answers a PeerCall.
-	PeerAnswer struct {
+	// PeerResponse answers a PeerCall.
+	PeerResponse struct {
 		ID    CallID
 		OK    bool
 		Reply PeerReply
@@ -135,51 +135,51 @@
 		RetryAfter int
 		Log        *api.Changes // answers a ReadLog
 	}
-	// StateCall is a request to the state service; one of its fields is set.
-	StateCall struct {
-		ID      CallID
-		Txn     *api.Txn
-		Changes *ChangesAsk
-		Page    *PageAsk
-		Get     string
-		Lease   time.Duration
-		Renew   api.LeaseID
-		Timeout time.Duration
+	// StoreCall is a request to the state service; one of its fields is set.
+	StoreCall struct {
+		ID         CallID
+		Txn        *api.Txn
+		Changes    *ChangesRequest
+		Page       *PageRequest
+		Get        string
+		GrantLease time.Duration
+		RenewLease api.LeaseID
+		Timeout    time.Duration
 	}
-	// ChangesAsk asks for the changes under root.
-	ChangesAsk struct {
-		Since api.Revision
-		Wait  time.Duration
-		Under string // or under another prefix
+	// ChangesRequest asks for the changes under root.
+	ChangesRequest struct {
+		Since  api.Revision
+		Wait   time.Duration
+		Prefix string // or under another prefix
 	}
-	// PageAsk asks for keys under root, or under another prefix where one is named.
-	PageAsk struct {
-		After string
-		Under string
-		Limit int // so many at most; 0: as many as a page holds
+	// PageRequest asks for keys under root, or under another prefix where one is named.
+	PageRequest struct {
+		After  string
+		Prefix string
+		Limit  int // so many at most; 0: as many as a page holds
 	}
 	// WorkerCall sends commands straight to a worker.
 	WorkerCall struct {
-		ID      CallID
-		Addr    string
-		Orders  api.Orders
-		Timeout time.Duration
+		ID       CallID
+		Address  string
+		Commands api.CommandBatch
+		Timeout  time.Duration
 	}
 	// CloudCall is a request to the cloud; one of its fields is set.
 	CloudCall struct {
 		ID      CallID
 		Types   bool
-		List    *ListAsk
-		Rent    *api.RentRequest
+		List    *ListRequest
+		Create  *api.ScaleOutRequest
 		Delete  []api.MachineID
 		Timeout time.Duration
 	}
-	// ListAsk asks for a page of machines.
-	ListAsk struct{ Since api.MachineID }
+	// ListRequest asks for a page of machines.
+	ListRequest struct{ Since api.MachineID }
 	// PeerCall is a message to another controller.
 	PeerCall struct {
 		ID      CallID
-		To      api.Label
+		To      api.ControllerID
 		Message PeerMessage
 		Timeout time.Duration
 	}
@@ -189,13 +189,13 @@
 type PeerMessage struct {
 	Gossip  *Gossip
 	Forward *Forward
-	ReadLog *LogAsk
+	ReadLog *ReadLogRequest
 }
 
-// LogAsk asks a controller that reads the state service's log for what follows a revision. With
+// ReadLogRequest asks a controller that reads the state service's log for what follows a revision. With
 // Wait the answer comes when there is something; without, it holds all that was durable when the
 // question came.
-type LogAsk struct {
+type ReadLogRequest struct {
 	Since api.Revision
 	Wait  bool
 }
@@ -218,73 +218,73 @@
 // Gossip is what a controller tells the others of itself. It is advice only:
 // nothing that safety needs rests on it.
 type Gossip struct {
-	From    api.Label
+	From    api.ControllerID
 	Born    int64  // which run of the process tells it
 	Number  uint64 // grows with each that this run tells
 	StateOK bool
-	Parts   []PartNews
-	Rented  []Rented
+	Parts   []PartitionStatus
+	Rented  []RecentScaleOut
 	Passed  []*Gossip // what others told of themselves lately, which a relay passes on
 }
 
-// Rented names machines that were rented lately: whoever rents next must count on
+// RecentScaleOut names machines that were rented lately: whoever rents next must count on
 // them before the list shows them.
-type Rented struct {
-	Type     api.TypeName
+type RecentScaleOut struct {
+	Type     api.MachineTypeName
 	Zone     api.Zone
 	Spot     bool
 	Machines []api.MachineID
 }
 
-// PartNews describes a part to the nodes that do not own it.
-type PartNews struct {
-	Part        api.PartID
-	Kinds       []Kind // that Rooms refer to
-	Rooms       []Room
-	Accelerated map[Supply]Count
-	Zones       map[api.Zone]zone.Count
+// PartitionStatus describes a part to the nodes that do not own it.
+type PartitionStatus struct {
+	Part        api.PartitionID
+	Kinds       []MachineClass // that Rooms refer to
+	Rooms       []FreeCapacity
+	Accelerated map[AcceleratorKind]AcceleratorCount
+	Zones       map[api.Zone]zonehealth.MachineCount
 	Silent      []api.MachineID            // that do not report to their owner
 	Fresh       []api.MachineID            // that have come up lately
 	Want        map[api.Team]api.Resources // share it could use
 	Due         map[api.Team]api.Resources // of that, what jobs lack that must begin
 	Starved     map[api.Team]api.Resources // of that, what jobs lack that have machines and nothing of the limit
-	Short       []api.TypeName             // on which work found no room
+	Short       []api.MachineTypeName      // on which work found no room
 	Spare       map[api.Team]api.Resources // share it does not use
 	Waiting     int                        // tasks that found no room
-	Lack        []Lack                     // jobs that this part can't hold whole
+	Lack        []UnmetDemand              // jobs that this part can't hold whole
 }
 
-// Kind is what machines may have in common.
-type Kind struct {
-	Type   api.TypeName
+// MachineClass is what machines may have in common.
+type MachineClass struct {
+	Type   api.MachineTypeName
 	Zone   api.Zone
 	Spot   bool
 	Usable bool // gets new tasks
 	Closed bool // only for work that needs its accelerators
 }
 
-// Room is what is free on a number of machines that are alike, and what would be
+// FreeCapacity is what is free on a number of machines that are alike, and what would be
 // if all work made way that urgent work may stop.
-type Room struct {
+type FreeCapacity struct {
 	Kind  int
 	Free  api.Resources
 	Could api.Resources
 	Count int
 }
 
-// maxSilent bounds the machines that a part names.
-const maxSilent = 500
+// maxSilentMachines bounds the machines that a part names.
+const maxSilentMachines = 500
 
-// Lack is a job whose tasks must lie in one part, and don't fit there.
-type Lack struct {
+// UnmetDemand is a job whose tasks must lie in one part, and don't fit there.
+type UnmetDemand struct {
 	Spec  *api.JobSpec
 	Zones map[api.Zone]int // where some of its tasks are
 	Zone  api.Zone         // where it should be, when they must be together
-	Stage sched.Stage      // whether it must begin
+	Stage sched.AgingStage // whether it must begin
 	// Lenders are other parts with room for it, once it has waited for long: they may lend
 	// machines with the tasks that run there.
-	Lenders []api.PartID
+	Lenders []api.PartitionID
 }
 
-// maxLack bounds the lacks a part tells of.
-const maxLack = 4
+// maxUnmetDemands bounds the lacks a part tells of.
+const maxUnmetDemands = 4
--- /dev/null
+++ b/controller/metrics.go
@@ -0,0 +1,304 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"basaltwall/api"
+	"basaltwall/zonehealth"
+)
+
+// metrics are what an operator may want to see of the past: counts since the
+// process began and how long things took, in microseconds.
+type metrics struct {
+	Rounds, Starts, Ends, Completions, Takeovers, PreemptedTasks, TaskMoves, MachinesLoaned, MachinesTransferred, MachinesReserved, ReplicasMoved, PollsDeferred, OptionalWorkShed, MalformedMessages uint64
+	StoreRequests, StoreWrites, StoreFailures                                                                                                                                                         uint64
+	CloudRequests, WorkerCalls, WorkerHeartbeats                                                                                                                                                      uint64
+	ReadsRelayed, ReadsServed, ReadFallbacks, ReadsInvalid                                                                                                                                            uint64
+	RequestsWithoutRead, IndeterminateWrites, IndeterminateWritten, IndeterminateUnwritten                                                                                                            uint64
+	FlowTasks, FlowMachines                                                                                                                                                                           int // of the last round
+	usage                                                                                                                                                                                             ResourceUsage
+	latencies                                                                                                                                                                                         map[string]*hdrhistogram.Histogram
+}
+
+// ResourceUsage tells the owner, which has no clock, how long its last step took and, since
+// the process began, each kind of work and the whole process; and how many
+// commands wait.
+type ResourceUsage struct {
+	StepTime       time.Duration
+	WorkTime       [WorkKinds]time.Duration
+	ProcessTime    time.Duration
+	QueueLength    int
+	QueuedRequests int // of these, all but workers' reports
+}
+
+// WorkKind is a kind of work, for accounts of the time that it takes.
+type WorkKind int
+
+// Kinds of work: commands by where they come from, then what is done by the clock.
+const (
+	WorkUsers WorkKind = iota
+	WorkHeartbeats
+	WorkStore
+	WorkWorkers // answers to direct calls
+	WorkCloud
+	WorkPeers
+	WorkOperators
+	WorkMembership // the lease, and following the state
+	WorkFleet
+	WorkRounds
+	WorkMachines
+	WorkGossip
+	WorkKinds // how many there are
+)
+
+var workKindNames = [WorkKinds]string{"users", "reports", "state_answers", "worker_answers", "cloud_answers", "peers", "operators",
+	"membership", "fleet", "rounds", "machines", "gossip"}
+
+// workKindOf is the kind of work that a command makes.
+func workKindOf(c Command) WorkKind {
+	switch c.(type) {
+	case Submit, Poll, Cancel, ReadinessProbe, ListHistory, TenantQuery:
+		return WorkUsers
+	case WorkerHeartbeat:
+		return WorkHeartbeats
+	case StoreResponse:
+		return WorkStore
+	case WorkerResponse:
+		return WorkWorkers
+	case CloudResponse:
+		return WorkCloud
+	case PeerGossip, MalformedMessage, ReadLog, PeerResponse:
+		return WorkPeers
+	}
+	return WorkOperators
+}
+
+// startWork tells whoever has a clock which kind of work comes next.
+func (n *Controller) startWork(w WorkKind) {
+	if n.OnWorkStart != nil {
+		n.OnWorkStart(w)
+	}
+}
+
+// observeLatency notes a duration.
+func (m *metrics) observeLatency(what string, d time.Duration) {
+	if m.latencies == nil {
+		m.latencies = map[string]*hdrhistogram.Histogram{}
+	}
+	h := m.latencies[what]
+	if h == nil {
+		h = hdrhistogram.New(1, time.Hour.Microseconds(), 2)
+		m.latencies[what] = h
+	}
+	// What is out of its range is noted as its end.
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), time.Hour.Microseconds()))
+}
+
+// latencySummary describes a histogram, in milliseconds.
+type latencySummary struct {
+	Count int64   `json:"count"`
+	P50   float64 `json:"p50_ms"`
+	P95   float64 `json:"p95_ms"`
+	P99   float64 `json:"p99_ms"`
+	Max   float64 `json:"max_ms"`
+}
+
+// MetricsView is what an operator is shown of a node's doings.
+type MetricsView struct {
+	UpSeconds                        float64                   `json:"up_s"`
+	Rounds                           uint64                    `json:"rounds"`
+	Starts                           uint64                    `json:"starts"`
+	Ends                             uint64                    `json:"ends"`
+	Completions                      uint64                    `json:"completions"`
+	Takeovers                        uint64                    `json:"takeovers"`
+	PreemptedTasks                   uint64                    `json:"preempted"`
+	MachinesReserved                 uint64                    `json:"machines_kept"` // for jobs that must begin
+	ReplicasMoved                    uint64                    `json:"replicas_moved"`
+	PollsDeferred                    uint64                    `json:"polls_not_in_turn"`
+	TaskMoves                        uint64                    `json:"moves"`
+	MachinesLoaned                   uint64                    `json:"machines_lent"`
+	MachinesTransferred              uint64                    `json:"machines_transferred"` // lent with the tasks that run there
+	StoreRequests                    uint64                    `json:"state_requests"`
+	StoreWrites                      uint64                    `json:"state_writes"`
+	StoreFailures                    uint64                    `json:"state_failures"`
+	StoreRPSLimit                    float64                   `json:"state_rps_limit"`
+	StoreWriteRPSLimit               float64                   `json:"state_write_rps_limit"`
+	ReadsRelayed                     uint64                    `json:"log_reads_relayed"` // asked of relays
+	ReadsServed                      uint64                    `json:"log_reads_served"`  // for others
+	ReadFallbacks                    uint64                    `json:"log_read_fallbacks"`
+	ReadsInvalid                     uint64                    `json:"log_reads_impossible"`
+	IsRelay                          bool                      `json:"relay"` // reads the log for others
+	CloudRequests                    uint64                    `json:"cloud_requests"`
+	CloudRPSLimit                    float64                   `json:"cloud_rps_limit"`
+	WorkerCalls                      uint64                    `json:"worker_calls"`
+	WorkerHeartbeats                 uint64                    `json:"worker_reports"`
+	MachinesNotResumed               int                       `json:"machines_not_resumed"` // that do not know our term yet
+	FlowTasks                        int                       `json:"flow_tasks_last"`
+	FlowMachines                     int                       `json:"flow_machines_last"`
+	Jobs                             int                       `json:"jobs"`
+	PendingTasks                     int                       `json:"waiting_tasks"`
+	PendingCancellations             int                       `json:"cancellations_waiting"`   // recorded, and not yet to be told
+	OldestPendingCancellationSeconds float64                   `json:"cancellations_waiting_s"` // the oldest of them
+	PendingCalls                     int                       `json:"calls_open"`
+	RequestsWithoutRead              uint64                    `json:"requests_without_read"`   // users', refused for want of a current read
+	IndeterminateWrites              uint64                    `json:"indeterminate_writes"`    // that were not answered
+	IndeterminateWritten             uint64                    `json:"indeterminate_written"`   // rounds of these that were found to be written
+	IndeterminateUnwritten           uint64                    `json:"indeterminate_unwritten"` // and that were not, and never can be
+	LongPendingJobs                  map[string]int            `json:"jobs_waiting_over_60s"`   // in our parts, by reason; see jobs for each
+	MalformedMessages                uint64                    `json:"peer_messages_not_understood"`
+	Latencies                        map[string]latencySummary `json:"times"`
+
+	// Seconds since the process began, by kind of work, and of the whole process:
+	// the rest of that is messages and the runtime.
+	WorkSeconds      map[string]float64 `json:"work_s"`
+	ProcessSeconds   float64            `json:"processor_s"`
+	QueueLength      int                `json:"commands_waiting"`
+	OptionalWorkShed uint64             `json:"optional_work_put_off"`
+
+	// Zones that are not whole.
+	Zones map[api.Zone]ZoneView `json:"zones,omitempty"`
+
+	// Accelerators of our parts that are free and in pieces, by type.
+	Fragmentation []FragmentationView `json:"accelerators_in_pieces,omitempty"`
+
+	// Reservations, once somebody asked this controller for one.
+	Reservations *SkipMetrics `json:"skips,omitempty"`
+
+	// Of a hosted service: pools, the first 200 by name, and how often this controller
+	// moved shares of any.
+	Pools          map[api.PoolName]PoolMetrics `json:"pools,omitempty"`
+	PoolShareMoves uint64                       `json:"pool_share_moves,omitempty"`
+}
+
+// FragmentationView is what an operator is shown of free accelerators of a part that usual demands can't
+// use: by how usual each is, so what a rare one can't use counts for little.
+type FragmentationView struct {
+	Partition api.PartitionID     `json:"part"`
+	Type      api.MachineTypeName `json:"type"`
+	Zone      api.Zone            `json:"zone"`
+	Free      float64             `json:"free"`
+	Unusable  float64             `json:"lost"`
+}
+
+// ZoneView is what an operator is shown of a zone that is not whole.
+type ZoneView struct {
+	State            string            `json:"state"`    // doubtful, lost or returning
+	SilentSeconds    float64           `json:"silent_s"` // since its silent machines were last heard
+	Machines         int               `json:"machines"` // that are known, of all controllers that tell
+	SilentMachines   int               `json:"machines_silent"`
+	PartitionsInside []api.PartitionID `json:"parts_inside,omitempty"` // whose owners were lost with it
+	PendingTasks     int               `json:"tasks_waiting"`          // on its machines past their leases, for room or for the zone
+}
+
+// PoolMetrics is what there is of a pool.
+type PoolMetrics struct {
+	Size              int     `json:"size"`
+	Held              int     `json:"held"`
+	PendingUnits      int     `json:"waiting_units"`
+	OldestWaitSeconds float64 `json:"oldest_wait_s"`
+}
+
+// longPendingThreshold is from when on a job that waits is counted by its reason, maxLongWaits how many jobs
+// are looked at for it.
+const (
+	longPendingThreshold = time.Minute
+	maxLongPending       = 200
+)
+
+// longPendingJobs counts the jobs of our parts that have waited for long without a task there, by reason.
+func (n *Controller) longPendingJobs() map[string]int {
+	out, rooms, budget := map[string]int{}, n.freeCapacityGroups(), maxLongPending
+	for _, ref := range slices.Sorted(maps.Keys(n.state.PendingJobs)) {
+		j := n.state.PendingJobs[ref]
+		for _, p := range slices.Sorted(maps.Keys(n.partitions)) {
+			if waited := time.Duration(n.wallClock-j.AcceptedAt) * time.Millisecond; waited < longPendingThreshold || j.PlacementCounts[p] > 0 || j.PendingTasks(p) == 0 {
+				continue
+			}
+			if budget--; budget < 0 {
+				return out
+			}
+			out[pendingReasonCategory(n.pendingReason(j, p, rooms))]++
+		}
+	}
+	return out
+}
+
+// pendingReasonCategory is a reason for waiting without its figures.
+func pendingReasonCategory(reason string) string {
+	for _, r := range []struct{ begins, reason string }{{"limit:", "limit"}, {"no room:", "no room"}, {"pool ", "pool"}, {"backs off", "backs off after failures"}, {"room is gathered", "room is gathered"}, {"the gang's last attempt", "the gang's last attempt ends"}} {
+		if strings.HasPrefix(reason, r.begins) {
+			return r.reason
+		}
+	}
+	return "has room"
+}
+
+// maxPoolMetrics bounds the pools that metrics name.
+const maxPoolMetrics = 200
+
+func (n *Controller) viewMetrics() MetricsView {
+	m := &n.metrics
+	v := MetricsView{UpSeconds: n.now.Sub(n.startedAt).Seconds(), Rounds: m.Rounds, Starts: m.Starts, Ends: m.Ends,
+		Completions: m.Completions, Takeovers: m.Takeovers, PreemptedTasks: m.PreemptedTasks, MachinesReserved: m.MachinesReserved, ReplicasMoved: m.ReplicasMoved, PollsDeferred: m.PollsDeferred, TaskMoves: m.TaskMoves, MachinesLoaned: m.MachinesLoaned, MachinesTransferred: m.MachinesTransferred,
+		StoreRequests: m.StoreRequests, StoreWrites: m.StoreWrites, StoreFailures: m.StoreFailures,
+		StoreRPSLimit: n.config.Deployment.State.RPS, StoreWriteRPSLimit: n.config.Deployment.State.WriteRPS,
+		ReadsRelayed: m.ReadsRelayed, ReadsServed: m.ReadsServed, ReadFallbacks: m.ReadFallbacks, ReadsInvalid: m.ReadsInvalid,
+		IsRelay:       n.usesRelays() && isRelay(n.currentRelays(), n.config.Label),
+		CloudRequests: m.CloudRequests, CloudRPSLimit: n.config.Deployment.Cloud.RPS, WorkerCalls: m.WorkerCalls, WorkerHeartbeats: m.WorkerHeartbeats,
+		FlowTasks: m.FlowTasks, FlowMachines: m.FlowMachines, Jobs: len(n.state.Jobs), PendingCalls: len(n.pendingCalls),
+		RequestsWithoutRead: m.RequestsWithoutRead, IndeterminateWrites: m.IndeterminateWrites, IndeterminateWritten: m.IndeterminateWritten, IndeterminateUnwritten: m.IndeterminateUnwritten, LongPendingJobs: n.longPendingJobs(),
+		Latencies: map[string]latencySummary{}, WorkSeconds: map[string]float64{}, ProcessSeconds: m.usage.ProcessTime.Seconds(), QueueLength: m.usage.QueueLength, OptionalWorkShed: m.OptionalWorkShed, MalformedMessages: m.MalformedMessages}
+	for w, d := range m.usage.WorkTime {
+		v.WorkSeconds[workKindNames[w]] = d.Seconds()
+	}
+	for _, j := range n.state.PendingJobs {
+		for p := range n.state.Partitions {
+			v.PendingTasks += j.PendingTasks(api.PartitionID(p))
+		}
+	}
+	for _, j := range n.state.CancellingJobs {
+		if !j.CancellationConfirmed() {
+			v.PendingCancellations++
+			v.OldestPendingCancellationSeconds = max(v.OldestPendingCancellationSeconds, float64(n.wallClock-j.CancelledAt)/1000)
+		}
+	}
+	for p, owned := range n.partitions {
+		for _, m := range n.machinesOf(p) {
+			if m.lastHeartbeat != 0 && m.reportedToken < n.minToken(owned, m.ID) {
+				v.MachinesNotResumed++
+			}
+		}
+	}
+	for _, name := range n.config.Deployment.Zones {
+		s := n.zoneState(name)
+		if s == zonehealth.Healthy {
+			continue
+		}
+		if v.Zones == nil {
+			v.Zones = map[api.Zone]ZoneView{}
+		}
+		sight := n.zones.observations[name]
+		v.Zones[name] = ZoneView{State: string(s), SilentSeconds: n.zoneSilenceSeconds(name), Machines: sight.All, SilentMachines: sight.Silent,
+			PartitionsInside: n.zones.records[name].PartitionsInside, PendingTasks: n.zones.expiredLeaseTasks[name]}
+	}
+	v.Reservations, v.Fragmentation = n.viewSkips(), n.fragmentedCapacity()
+	if h := n.hosted; h != nil && h.pools.table.Len() > 0 {
+		v.Pools, v.PoolShareMoves = map[api.PoolName]PoolMetrics{}, h.pools.shareMoves
+		names := h.pools.table.Names()
+		for _, name := range names[:min(maxPoolMetrics, len(names))] {
+			p := PoolMetrics{Size: h.pools.table.Get(name).Size, Held: n.poolHeldTotal(name)}
+			p.PendingUnits, p.OldestWaitSeconds = n.poolBacklog(name)
+			v.Pools[name] = p
+		}
+	}
+	for what, h := range m.latencies {
+		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+		v.Latencies[what] = latencySummary{h.TotalCount(), ms(50), ms(95), ms(99), float64(h.Max()) / 1000}
+	}
+	return v
+}
--- /dev/null
+++ b/controller/operators.go
@@ -0,0 +1,400 @@
+package controller
+
+import (
+	"encoding/json"
+	"log/slog"
+	"slices"
+	"strings"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/config"
+	"basaltwall/tenant"
+)
+
+// Keys of what a hosted service's operators decide for all tenants.
+const (
+	keyOperators = clusterstate.Root + "operators"
+	keyTeam      = clusterstate.Root + "team/" // made by operators, beside the platform's
+	// keyGuaranteedTotal is what those teams are guaranteed together. It is written with each change
+	// of one and with what is set aside for them, so that their sum stays within that.
+	keyGuaranteedTotal = clusterstate.Root + "given"
+)
+
+// operatorKeyCacheTTL is for how long an operators' key that was good when the state was last
+// read is believed without it, for questions about the controller alone. Whoever looks at
+// a service in trouble needs answers from the controllers that are cut off.
+const operatorKeyCacheTTL = time.Minute
+
+type (
+	// OperatorsView is the operators' record as it is shown.
+	OperatorsView struct {
+		AdminKey        tenant.KeyID           `json:"first"` // of the file that this controller was started with
+		AdminKeyRetired bool                   `json:"first_retired"`
+		Keys            []OperatorKeyView      `json:"keys"`
+		Networks        tenant.Networks        `json:"networks"`
+		Proxies         tenant.Networks        `json:"proxies"`
+		CPUs            float64                `json:"cpus"`
+		GPUs            float64                `json:"gpus"`
+		Guaranteed      tenant.GuaranteedTotal `json:"given"`
+		Revision        api.Revision           `json:"revision"`
+	}
+	// OperatorKeyView is an operators' key as it is shown.
+	OperatorKeyView struct {
+		KeyView
+		Role tenant.Role `json:"role"`
+	}
+	// TeamRecordView is a team that operators made, as it is shown.
+	TeamRecordView struct {
+		tenant.Team
+		Tenant   tenant.Name  `json:"tenant,omitempty"` // whose it is
+		Revision api.Revision `json:"revision"`
+	}
+	// operatorsRequest is what an act on the operators' record may bring.
+	operatorsRequest struct {
+		Revision *api.Revision   `json:"revision"`
+		Networks tenant.Networks `json:"networks"`
+		Proxies  tenant.Networks `json:"proxies"`
+		CPUs     float64         `json:"cpus"`
+		GPUs     float64         `json:"gpus"`
+		Name     string          `json:"name"`
+		Role     tenant.Role     `json:"role"`
+		Expires  api.WallTime    `json:"expires"`
+	}
+	// teamRequest is what an act on a team may bring.
+	teamRequest struct {
+		Revision *api.Revision `json:"revision"`
+		CPUs     float64       `json:"cpus"`
+		GPUs     float64       `json:"gpus"`
+		CPUsMax  float64       `json:"cpus_max"`
+		GPUsMax  float64       `json:"gpus_max"`
+	}
+)
+
+// applyTeam folds a team that operators made. A removed one is no team any more.
+func (n *Controller) applyTeam(name string, value json.RawMessage, version api.Revision) error {
+	var team tenant.Team
+	if err := json.Unmarshal(value, &team); err != nil {
+		return err
+	}
+	if err := team.Check(); err != nil {
+		return err
+	}
+	n.hosted.teams[api.Team(name)] = TeamRecordView{Team: team, Revision: version}
+	delete(n.teams, team.Name)
+	if !team.Removed {
+		n.teams[team.Name] = config.Team{Name: team.Name, CPUs: team.CPUs, GPUs: team.GPUs, CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
+	}
+	return nil
+}
+
+// resetPlatformTeams forgets the teams that operators made.
+func (n *Controller) resetPlatformTeams() {
+	n.teams = map[api.Team]config.Team{}
+	for _, t := range n.config.Deployment.Teams {
+		n.teams[t.Name] = t
+	}
+}
+
+// authenticateOperator finds what an operator may do by the key that a request brings, as far as the
+// book has been read.
+func (n *Controller) authenticateOperator(c Caller) (tenant.KeyID, tenant.Role, error) {
+	s, err := c.bearerSecret()
+	if err != nil {
+		return "", "", err
+	}
+	role, ok := n.hosted.operators.Authenticate(n.hosted.adminKey, s, n.wallClock, n.maxClockError())
+	if !ok {
+		return "", "", errInvalidKey
+	}
+	if !n.hosted.operators.Networks.Allows(n.clientAddr(c)) {
+		return "", "", &tenant.Error{Status: 403, Reason: "not from this address"}
+	}
+	return s.ID, role, nil
+}
+
+// What operators may ask without changing anything: of the record, and of what the
+// controller that answers knows.
+var (
+	recordQueries     = []string{"tenants", "tenant", "usage", "operators", "pools", "pool", "audit", "skips"}
+	controllerQueries = []string{"metrics", "members", "parts", "machines", "teams", "jobs", "job", "settings"}
+)
+
+// withOperator does what an operator of a hosted service asks if the key that comes with it
+// may: by what is current. A controller that can't know what is answers questions about
+// itself alone, for a while, by what it knew last; the file's key lies beside it and needs
+// no state.
+func (n *Controller) withOperator(c AdminRequest, callback func(AdminRequest)) {
+	aboutController := slices.Contains(controllerQueries, c.What)
+	readOnly := aboutController || slices.Contains(recordQueries, c.What)
+	authorized := func() bool {
+		id, role, err := n.authenticateOperator(c.Caller)
+		if err == nil && !readOnly && role != tenant.RoleChange {
+			err = &tenant.Error{Status: 403, Reason: "this key may not change anything"}
+		}
+		if err != nil {
+			n.refuseError(c.Req, err)
+			return false
+		}
+		n.recordKeyUse(operatorsHolder, id)
+		c.keyID = id
+		return true
+	}
+	n.linearizableRead(func() {
+		if authorized() {
+			callback(c)
+		}
+	}, func() {
+		s, err := c.Caller.bearerSecret()
+		trusted := n.lastReadAt != 0 && n.now.Sub(n.lastReadAt) <= operatorKeyCacheTTL || err == nil && s.ID == n.hosted.adminKey.ID
+		if !aboutController || !n.loaded || !trusted {
+			n.replyError(c.Req, 503, "state service not reachable")
+			return
+		}
+		if authorized() {
+			callback(c)
+		}
+	})
+}
+
+// decodeRequest reads what an act brings; the error names the field.
+func decodeRequest(body []byte, target any) error {
+	if len(body) == 0 {
+		return nil
+	}
+	decoder := json.NewDecoder(strings.NewReader(string(body)))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(target); err != nil {
+		if typeErr, ok := err.(*json.UnmarshalTypeError); ok {
+			return &tenant.Error{Status: 400, Field: typeErr.Field, Reason: "wrong type"}
+		}
+		return &tenant.Error{Status: 400, Reason: err.Error()}
+	}
+	return nil
+}
+
+// newKey makes a key of what a request was given of random.
+func (n *Controller) newKey(c AdminRequest, name string, expires api.WallTime) (tenant.Key, *NewKeyView, error) {
+	if c.Random == nil {
+		return tenant.Key{}, nil, &tenant.Error{Status: 503, Reason: "no random bytes"}
+	}
+	k, s, err := tenant.NewKey(*c.Random, name, n.wallClock, expires)
+	if err != nil {
+		return k, nil, err
+	}
+	return k, &NewKeyView{KeyView: viewKey(k), Secret: s.String()}, nil
+}
+
+// checkRevision refuses a change that names another revision than the one it would replace.
+func checkRevision(expected *api.Revision, current api.Revision, what string) error {
+	if expected == nil || *expected != current {
+		return &tenant.Error{Status: 409, Field: "revision", Reason: what + " changed since, or no revision is named"}
+	}
+	return nil
+}
+
+func (n *Controller) viewOperators(record tenant.Operators, revision api.Revision) OperatorsView {
+	v := OperatorsView{AdminKey: n.hosted.adminKey.ID, AdminKeyRetired: slices.Contains(record.RetiredAdminKeys, n.hosted.adminKey.ID), Keys: []OperatorKeyView{},
+		Networks: record.Networks, Proxies: record.Proxies, CPUs: record.CPUs, GPUs: record.GPUs, Guaranteed: n.hosted.guaranteed, Revision: revision}
+	for _, k := range record.Keys {
+		v.Keys = append(v.Keys, OperatorKeyView{viewKey(k.Key), k.Role})
+	}
+	return v
+}
+
+// handleOperatorsRequest answers a question or an act on the operators' record.
+func (n *Controller) handleOperatorsRequest(c AdminRequest) error {
+	old, revision := n.hosted.operators, n.state.Version(keyOperators)
+	if c.What == "operators" {
+		n.readKeyUses(c, operatorsHolder, func(lastUsed map[tenant.KeyID]api.WallTime) {
+			v := n.viewOperators(old, revision)
+			for i := range v.Keys {
+				v.Keys[i].LastUsed = lastUsed[v.Keys[i].ID]
+			}
+			n.reply(c.Req, 200, v, 0)
+		})
+		return nil
+	}
+	var request operatorsRequest
+	if err := decodeRequest(c.Body, &request); err != nil {
+		return err
+	}
+	updated := old
+	var secret *NewKeyView
+	var err error
+	switch c.What {
+	case "operators-put":
+		updated.Networks, updated.Proxies, updated.CPUs, updated.GPUs = request.Networks, request.Proxies, request.CPUs, request.GPUs
+		err = updated.Check()
+	case "operators-key-add":
+		var k tenant.Key
+		if k, secret, err = n.newKey(c, request.Name, request.Expires); err == nil {
+			updated, err = updated.Add(k, request.Role)
+		}
+	case "operators-key-revoke":
+		updated, err = updated.Revoke(n.hosted.adminKey, c.Sub)
+	}
+	if err != nil {
+		return err
+	}
+	before, after := operatorsAuditView(old), operatorsAuditView(updated)
+	if secret == nil && equalJSON(old, updated) {
+		n.reply(c.Req, 200, n.viewOperators(old, revision), 0) // it is so already: asked again, perhaps
+		return nil
+	}
+	if err := checkRevision(request.Revision, revision, "the operators' record"); err != nil {
+		return err
+	}
+	if err := n.hosted.guaranteed.CheckBudget(updated); err != nil {
+		return err
+	}
+	// By the proxies as they will be: the next request is judged by them.
+	if err := updated.CheckAccessFrom(tenant.ClientAddr(c.Caller.From, c.Caller.Forwarded, updated.Proxies)); err != nil {
+		return err
+	}
+	data, err := json.Marshal(updated)
+	if err != nil || n.exceedsValueSize(data) {
+		return &tenant.Error{Status: 400, Field: "networks", Reason: "the record is too large"}
+	}
+	tx := api.Txn{If: []api.Condition{{Key: keyOperators, Version: revision}, n.state.VersionCondition(keyGuaranteedTotal)},
+		Writes: []api.Write{{Put: keyOperators, Value: data}, n.auditWrite(c, "operators", before, after)}}
+	n.commitChange(c, tx, "the operators' record", func(committed api.Revision) any {
+		if secret != nil {
+			secret.Revision = committed
+			return secret
+		}
+		return n.viewOperators(updated, committed)
+	})
+	return nil
+}
+
+// commitChange writes an operators' change and answers with what is shown then.
+func (n *Controller) commitChange(c AdminRequest, tx api.Txn, what string, view func(api.Revision) any) {
+	n.callStoreTxn(tx, func(a StoreResponse) {
+		if a.Status == 200 {
+			slog.Info("operator change committed", "what", c.What, "id", c.ID, "key", c.keyID, "from", n.clientAddr(c.Caller), "revision", a.Txn.Revision)
+		}
+		n.replyChange(c.Req, a.Status, a.Txn.Revision, what, view)
+	})
+}
+
+// replyChange answers an operators' change by how its write ended.
+func (n *Controller) replyChange(req ReqID, status int, revision api.Revision, what string, view func(api.Revision) any) {
+	switch status {
+	case 200:
+		n.reply(req, 200, view(revision), 0)
+		n.linearizableRead(func() {}, func() {})
+	case 409:
+		n.replyError(req, 409, "revision: "+what+" changed since")
+	default:
+		n.replyError(req, 503, "state service not reachable; the change may or may not have been made")
+	}
+}
+
+// teamOwners is whose the teams of a hosted service are.
+func (n *Controller) teamOwners() map[api.Team]tenant.Name {
+	byTeam := map[api.Team]tenant.Name{}
+	if n.hosted == nil {
+		return byTeam
+	}
+	for _, name := range n.hosted.tenants.Names() {
+		for _, team := range n.hosted.tenants.Get(name).Teams {
+			byTeam[team] = name
+		}
+	}
+	return byTeam
+}
+
+func (n *Controller) teamJobCount(team api.Team) int {
+	count := 0
+	for _, j := range n.state.Jobs {
+		if j.Spec.Team == team {
+			count++
+		}
+	}
+	return count
+}
+
+// handleTeamRequest makes, changes or removes a team beside the platform's.
+func (n *Controller) handleTeamRequest(c AdminRequest) error {
+	var request teamRequest
+	if err := decodeRequest(c.Body, &request); err != nil {
+		return err
+	}
+	name := api.Team(c.ID)
+	for _, t := range n.config.Deployment.Teams {
+		if t.Name == name {
+			return &tenant.Error{Status: 409, Field: "name", Reason: c.ID + " is a team of the platform's file"}
+		}
+	}
+	old, known := n.hosted.teams[name]
+	if !known && c.What == "team-remove" {
+		return &tenant.Error{Status: 404, Field: "name", Reason: "there is no team " + c.ID}
+	}
+	var updated tenant.Team
+	var err error
+	if c.What == "team-remove" {
+		updated, err = old.Team.Remove(n.teamOwners()[name], n.teamJobCount(name))
+	} else {
+		updated, err = old.Change(tenant.Team{Name: name, CPUs: request.CPUs, GPUs: request.GPUs, CPUsMax: request.CPUsMax, GPUsMax: request.GPUsMax})
+	}
+	if err != nil {
+		return err
+	}
+	if known && updated == old.Team {
+		n.reply(c.Req, 200, TeamRecordView{updated, n.teamOwners()[name], old.Revision}, 0) // asked again, perhaps
+		return nil
+	}
+	if err := checkRevision(request.Revision, old.Revision, "the team"); err != nil {
+		return err
+	}
+	guaranteed, err := n.hosted.guaranteed.Adjust(old.Team, updated, n.hosted.operators)
+	if err != nil {
+		return err
+	}
+	teamValue, _ := json.Marshal(updated)
+	guaranteedValue, _ := json.Marshal(guaranteed)
+	// The claim of the team by a tenant is named, so that none is made meanwhile; and the
+	// operators' record, so that what is set aside is what was read.
+	tx := api.Txn{If: []api.Condition{{Key: keyTeam + c.ID, Version: old.Revision}, n.state.VersionCondition(keyGuaranteedTotal), n.state.VersionCondition(keyOperators)},
+		Writes: []api.Write{{Put: keyTeam + c.ID, Value: teamValue}, {Put: keyGuaranteedTotal, Value: guaranteedValue}, n.auditWrite(c, "team "+c.ID, old.Team, updated)}}
+	if c.What == "team-remove" {
+		tx.If = append(tx.If, api.Condition{Key: keyTeamOf + c.ID})
+	}
+	n.commitChange(c, tx, "the team, or what is set aside for teams,", func(revision api.Revision) any {
+		return TeamRecordView{updated, n.teamOwners()[name], revision}
+	})
+	return nil
+}
+
+// operatorsAuditView is the record as the audit shows it: networks counted, of keys what is
+// public.
+func operatorsAuditView(record tenant.Operators) any {
+	type key struct {
+		ID      tenant.KeyID `json:"id"`
+		Name    string       `json:"name"`
+		Role    tenant.Role  `json:"role"`
+		Expires api.WallTime `json:"expires,omitempty"`
+	}
+	keys := []key{}
+	for _, k := range record.Keys {
+		keys = append(keys, key{k.ID, k.Name, k.Role, k.Expires})
+	}
+	return map[string]any{"keys": keys, "networks": record.Networks.Len(), "proxies": record.Proxies.Len(), "cpus": record.CPUs, "gpus": record.GPUs, "retired": record.RetiredAdminKeys}
+}
+
+// equalJSON reports whether two values are the same as they are written.
+func equalJSON(a, b any) bool {
+	x, errX := json.Marshal(a)
+	y, errY := json.Marshal(b)
+	return errX == nil && errY == nil && string(x) == string(y)
+}
+
+// settingsAuditView is the settings as the audit shows them: a long list of machines, counted.
+func settingsAuditView(s Settings) any {
+	if len(s.Drained) <= 20 {
+		return s
+	}
+	return map[string]any{"drained": len(s.Drained), "idle_hold_s": s.IdleTimeout, "no_rent": s.DisableScaleOut}
+}
