--- /dev/null
+++ b/controller/pools.go
@@ -0,0 +1,580 @@
+package controller
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/pool"
+	"basaltwall/sched"
+	"basaltwall/tenant"
+)
+
+// keyPool holds a pool's record. A round that hands out units is conditional on it as it was
+// folded; see docs/pools.md.
+const keyPool = clusterstate.Root + "pool/"
+
+// Bounds on what a round and a second do for pools.
+const (
+	maxRoundPools     = 8           // a round hands out units of so many pools at most
+	poolShareInterval = time.Second // how often a pool's shares are looked at
+)
+
+// poolState is what a controller keeps of pools beyond their records.
+type poolState struct {
+	table       *pool.Table
+	checkedAt   api.Time
+	shareWrites map[api.PoolName]bool // its shares are being written
+	shareMoves  uint64
+}
+
+// poolHeldByPartition is what each part holds of a pool by the book.
+func (n *Controller) poolHeldByPartition(name api.PoolName) []int {
+	out := make([]int, len(n.state.Partitions))
+	for i := range n.state.Partitions {
+		out[i] = n.state.Partitions[i].PoolUsage[name]
+	}
+	return out
+}
+
+// poolHeldTotal is what all parts together hold of a pool by the book.
+func (n *Controller) poolHeldTotal(name api.PoolName) int {
+	sum := 0
+	for i := range n.state.Partitions {
+		sum += n.state.Partitions[i].PoolUsage[name]
+	}
+	return sum
+}
+
+// poolRequest is a job that waits in a part for units of a pool.
+type poolRequest struct {
+	job       *Job
+	partition api.PartitionID
+	entitled  bool // within what its team is guaranteed
+	ask       pool.Demand
+}
+
+// poolHeldByTeam is what each team holds of a pool that guarantees units to some, nil of others.
+func (n *Controller) poolHeldByTeam(e *pool.Entry) map[api.Team]int {
+	if e == nil || len(e.Guaranteed) == 0 {
+		return nil
+	}
+	out := map[api.Team]int{}
+	for _, j := range n.state.Jobs {
+		if need, ok := j.Spec.PoolRequest(e.Name); ok {
+			out[j.Spec.Team] += need.Units(j.LiveCount(), false)
+		}
+	}
+	return out
+}
+
+// poolRequests lists who waits for a pool, in the order in which they are served: by priority,
+// then who is within its team's guarantee, then by age. Work that may not start anyway is
+// not among them. Who is urgent or entitled reserves what comes free, and others do by
+// turns if they need several units at once.
+func (n *Controller) poolRequests(name api.PoolName) []poolRequest {
+	var out []poolRequest
+	e := n.poolEntry(name)
+	teams := n.poolHeldByTeam(e)
+	for _, j := range n.state.PendingJobs {
+		need, ok := j.Spec.PoolRequest(name)
+		if !ok || n.startsBlocked(j) || j.OwnerState.backoffUntil > n.now {
+			continue
+		}
+		for p := range n.state.Partitions {
+			waiting := j.PendingTasks(api.PartitionID(p))
+			if waiting == 0 {
+				continue
+			}
+			a := pool.Demand{Partition: api.PartitionID(p), Units: need.Units(1, j.LiveCount() > 0), Starts: waiting}
+			if j.Spec.Kind == api.Gang {
+				a.Units, a.Starts = need.Units(j.Spec.Tasks, false), 1
+			}
+			entitled := teams != nil && teams[j.Spec.Team]+a.Units <= e.Guaranteed[j.Spec.Team]
+			if entitled {
+				a.Starts = min(a.Starts, (e.Guaranteed[j.Spec.Team]-teams[j.Spec.Team])/a.Units)
+			}
+			a.Reserves = entitled || n.waitStage(j, api.PartitionID(p)) != sched.NotAged || j.Spec.Priority.Rank() >= preemptorRank || a.Units > 1 && pool.ShouldReserve(time.Duration(n.wallClock-j.AcceptedAt)*time.Millisecond)
+			out = append(out, poolRequest{j, api.PartitionID(p), entitled, a})
+		}
+	}
+	slices.SortFunc(out, func(a, b poolRequest) int {
+		return cmp.Or(boolToInt(n.waitStage(b.job, b.partition) == sched.AgedAboveAll)-boolToInt(n.waitStage(a.job, a.partition) == sched.AgedAboveAll),
+			sched.Descending(n.effectivePriority(a.job.Spec), n.effectivePriority(b.job.Spec)), boolToInt(b.entitled)-boolToInt(a.entitled),
+			cmp.Compare(a.job.AcceptedAt, b.job.AcceptedAt), cmp.Compare(a.job.ID, b.job.ID), int(a.partition-b.partition))
+	})
+	return out
+}
+
+func boolToInt(is bool) int {
+	if is {
+		return 1
+	}
+	return 0
+}
+
+// allocatePoolUnits is what a part may hand out of the pools that jobs need, and the jobs that may ask
+// for it: those that come after one that reserves what it lacks are left out. Of more
+// pools than a round may name some are looked at by turns.
+func (n *Controller) allocatePoolUnits(owned *ownedPartition, jobs []*Job) (map[api.PoolName]int, []*Job) {
+	var names []api.PoolName
+	for _, j := range jobs {
+		for _, need := range j.Spec.Needs {
+			if !slices.Contains(names, need.Pool) {
+				names = append(names, need.Pool)
+			}
+		}
+	}
+	if len(names) == 0 {
+		return nil, jobs
+	}
+	slices.Sort(names)
+	if len(names) > maxRoundPools {
+		from := owned.poolCursor % len(names)
+		owned.poolCursor += maxRoundPools
+		names = slices.Concat(names[from:], names[:from])[:maxRoundPools]
+	}
+	out, blocked := map[api.PoolName]int{}, map[*Job]bool{}
+	for _, name := range names {
+		e := n.poolEntry(name)
+		if e == nil || !n.isPoolCurrent(e) {
+			continue
+		}
+		out[name] = e.Available(owned.id, n.poolHeldByPartition(name))
+		var reserving *Job // that reserves, and has room for what it reserves for
+		checksLeft := maxPoolRequests
+		for _, a := range n.poolRequests(name) {
+			if reserving != nil && a.job != reserving {
+				blocked[a.job] = true
+			}
+			if reserving != nil || !a.ask.Reserves || checksLeft == 0 {
+				continue
+			}
+			if checksLeft--; n.hasCapacityFor(a) {
+				reserving = a.job
+			}
+		}
+	}
+	return out, slices.DeleteFunc(jobs, func(j *Job) bool { return blocked[j] })
+}
+
+// hasCapacityFor reports whether work that asks for units could start where it does. Work that moves
+// whole, or makes others make way, needs its units first.
+func (n *Controller) hasCapacityFor(a poolRequest) bool {
+	return a.job.Spec.NeedsSinglePartition() || n.freeSlotsByPartition(a.job.Spec)[a.partition] > 0
+}
+
+func (n *Controller) poolEntry(name api.PoolName) *pool.Entry {
+	if n.hosted == nil {
+		return nil
+	}
+	return n.hosted.pools.table.Get(name)
+}
+
+// isPoolCurrent reports whether what is known of a pool is its latest record. Where that could
+// not be read the one before is kept, under which nothing may be handed out any more.
+func (n *Controller) isPoolCurrent(e *pool.Entry) bool {
+	return e.Revision == n.state.Version(keyPool+string(e.Name))
+}
+
+// checkPoolNeeds says why a job may not ask for what it needs of pools, or nothing.
+func (n *Controller) checkPoolNeeds(s *api.JobSpec, name tenant.Name) string {
+	for _, need := range s.Needs {
+		e, units := n.poolEntry(need.Pool), need.Units(s.GangSize(), false)
+		switch {
+		case e == nil || e.State == pool.Removed || !e.Allows(s.Team, name):
+			return fmt.Sprintf("gettoni.nome: no pool %q", need.Pool)
+		case units > e.Largest:
+			return fmt.Sprintf("gettoni: %d units of %s at once, of which there are never more than %d", units, need.Pool, e.Largest)
+		}
+	}
+	return ""
+}
+
+// freePoolUnits is what may still be handed out of the pools in all parts together.
+func (n *Controller) freePoolUnits() map[api.PoolName]int {
+	if n.hosted == nil || n.hosted.pools.table.Len() == 0 {
+		return nil
+	}
+	out := map[api.PoolName]int{}
+	for _, name := range n.hosted.pools.table.Names() {
+		e := n.hosted.pools.table.Get(name)
+		if e.State != pool.Active {
+			continue
+		}
+		out[name] = max(0, e.Size-n.poolHeldTotal(name))
+	}
+	return out
+}
+
+// pendingReasonPool says which pool keeps a job from starting in a part, or nothing.
+func (n *Controller) pendingReasonPool(j *Job, p api.PartitionID) string {
+	for _, need := range j.Spec.Needs {
+		e := n.poolEntry(need.Pool)
+		if e == nil {
+			return fmt.Sprintf("pool %s: there is none", need.Pool)
+		}
+		units, held := need.Units(j.Spec.GangSize(), j.LiveCount() > 0), n.poolHeldByPartition(need.Pool)
+		switch {
+		case !n.isPoolCurrent(e):
+			return fmt.Sprintf("pool %s: its record is not understood", need.Pool)
+		case e.State != pool.Active:
+			return fmt.Sprintf("pool %s is %s", need.Pool, e.State)
+		case units > e.Size:
+			return fmt.Sprintf("pool %s has %d units, fewer than the %d that are needed at once", need.Pool, e.Size, units)
+		case units > e.Available(p, held):
+			return fmt.Sprintf("pool %s: %d of %d units are held, %d are needed, %d are to be had here", need.Pool, n.poolHeldTotal(need.Pool), e.Size, units, e.Available(p, held))
+		}
+	}
+	return ""
+}
+
+// reconcilePools moves shares of pools to where they are asked for. Of each pool the owner of
+// one part does; whoever does, nothing goes wrong.
+func (n *Controller) reconcilePools() {
+	state := &n.hosted.pools
+	if state.table.Len() == 0 || n.now.Sub(state.checkedAt) < poolShareInterval || n.overloaded() {
+		return
+	}
+	state.checkedAt = n.now
+	for i, name := range state.table.Names() {
+		e, requests := state.table.Get(name), n.poolRequests(name)
+		n.preemptPoolHolders(e, requests)
+		owned := n.partitions[api.PartitionID(i%len(n.state.Partitions))]
+		if owned == nil || state.shareWrites[name] || e.State != pool.Active || !n.isPoolCurrent(e) {
+			continue
+		}
+		asks := n.preferPlaceable(requests)
+		if len(asks) == 0 {
+			continue
+		}
+		held := n.poolHeldByPartition(name)
+		next := e.Pool
+		next.Shares = pool.AllocateShares(e.Size, held, asks)
+		if pool.SatisfiedUnits(&next, held, asks) <= pool.SatisfiedUnits(&e.Pool, held, asks) {
+			continue
+		}
+		data, err := json.Marshal(next)
+		if err != nil {
+			slog.Error("pool shares not encoded", "pool", name, "err", err)
+			continue
+		}
+		state.shareWrites[name] = true
+		key := keyPool + string(name)
+		tx := api.Txn{If: []api.Condition{{Key: key, Version: e.Revision}, owned.ownershipCondition()}, Writes: []api.Write{{Put: key, Value: data}}}
+		n.callStoreTxn(tx, func(a StoreResponse) {
+			delete(state.shareWrites, name)
+			if a.Status == 200 {
+				state.shareMoves++
+				n.linearizableRead(func() {}, func() {})
+			}
+		})
+	}
+}
+
+// poolHolding is what gives back units of a pool together: a task, or all tasks of a job that
+// runs whole or holds units for itself.
+type poolHolding struct {
+	job    *Job
+	places []*Placement
+	units  int
+}
+
+// poolHoldings lists what holds units of a pool in the order in which it makes way: the least
+// urgent first, of those gangs last, since they lose all their tasks' work, and then the
+// newest. Each owner finds the same by its book.
+func (n *Controller) poolHoldings(name api.PoolName) []poolHolding {
+	var all []poolHolding
+	positions := map[*Job]int{} // where in all, and one more
+	for p := range n.state.Partitions {
+		for pl := range n.state.PlacementsByPartition[p] {
+			j := pl.Job
+			need, ok := j.Spec.PoolRequest(name)
+			if !ok || pl.Finishing {
+				continue
+			}
+			if j.Spec.Kind != api.Gang && need.Job == 0 {
+				all = append(all, poolHolding{j, []*Placement{pl}, need.Task})
+				continue
+			}
+			if positions[j] == 0 {
+				all = append(all, poolHolding{j, nil, need.Job})
+				positions[j] = len(all)
+			}
+			h := &all[positions[j]-1]
+			h.places, h.units = append(h.places, pl), h.units+need.Task
+		}
+	}
+	gang := func(h poolHolding) int { return boolToInt(h.job.Spec.Kind == api.Gang) }
+	slices.SortFunc(all, func(a, b poolHolding) int {
+		return cmp.Or(sched.Descending(n.effectivePriority(b.job.Spec), n.effectivePriority(a.job.Spec)), gang(a)-gang(b), cmp.Compare(b.job.AcceptedAt, a.job.AcceptedAt),
+			cmp.Compare(b.job.ID, a.job.ID), b.places[0].Task.Index-a.places[0].Task.Index)
+	})
+	return all
+}
+
+// preemptPoolHolders stops work that holds units of a pool. Of a pool of which more is held than there
+// is it stops what is too much, if its operators say so. For urgent work that lacks units
+// only it stops less urgent work, gangs aside, as for want of machines. Each owner stops
+// what is its own; what has been told to stop counts as held until it has ended, so no more
+// is stopped than it takes.
+func (n *Controller) preemptPoolHolders(e *pool.Entry, requests []poolRequest) {
+	if !n.isPoolCurrent(e) || e.State == pool.Removed {
+		return
+	}
+	missing := n.poolHeldTotal(e.Name) - e.Size
+	preemptible := func(poolHolding) bool { return e.Reclaim }
+	if missing <= 0 || !e.Reclaim {
+		urgent := n.urgentPoolRequest(e, requests)
+		if urgent == nil {
+			return
+		}
+		missing += urgent.ask.Units * urgent.ask.Starts
+		rank := urgent.job.Spec.Priority.Rank()
+		preemptible = func(h poolHolding) bool { return h.job.Spec.Kind != api.Gang && h.job.Spec.Priority.Rank() < rank }
+	}
+	if missing <= 0 {
+		return
+	}
+	for _, h := range n.poolHoldings(e.Name) {
+		if missing <= 0 {
+			return
+		}
+		if !preemptible(h) {
+			continue
+		}
+		missing -= h.units
+		for _, pl := range h.places {
+			if n.partitions[pl.Partition] != nil && !pl.OwnerState.stopRequested {
+				n.stopTask(pl)
+				pl.Job.OwnerState.preemptedTasks++
+				slog.Info("task preempted", tenantAttr(pl.Job), "task", pl.Task, "machine", pl.Machine, "pool", e.Name)
+			}
+		}
+	}
+}
+
+// urgentPoolRequest is the first urgent work that waits for a pool and has room to start, nil if
+// there is none.
+func (n *Controller) urgentPoolRequest(e *pool.Entry, requests []poolRequest) *poolRequest {
+	if e.State != pool.Active {
+		return nil
+	}
+	for _, a := range requests {
+		if a.job.Spec.Priority.Rank() < preemptorRank {
+			return nil
+		}
+		if a.ask.Units <= e.Size && n.hasCapacityFor(a) {
+			return &a
+		}
+	}
+	return nil
+}
+
+// maxPoolRequests bounds the jobs whose room is looked for when a pool's shares are.
+const maxPoolRequests = 64
+
+// preferPlaceable puts those who ask where there is room for their tasks before the others: units
+// in a part without machines help nobody, while the same work waits elsewhere beside free
+// machines. Work that moves whole, or makes others make way, needs its units first.
+func (n *Controller) preferPlaceable(requests []poolRequest) []pool.Demand {
+	var asks, rest []pool.Demand
+	freeSlots := map[*Job][]int{}
+	for _, a := range requests {
+		if a.job.Spec.NeedsSinglePartition() || len(freeSlots) >= maxPoolRequests && freeSlots[a.job] == nil {
+			asks = append(asks, a.ask)
+			continue
+		}
+		if freeSlots[a.job] == nil {
+			freeSlots[a.job] = n.freeSlotsByPartition(a.job.Spec)
+		}
+		startable := a.ask
+		startable.Starts = min(startable.Starts, freeSlots[a.job][a.partition])
+		if startable.Starts > 0 {
+			asks = append(asks, startable)
+		}
+		if a.ask.Starts -= startable.Starts; a.ask.Starts > 0 {
+			a.ask.Reserves = false
+			rest = append(rest, a.ask)
+		}
+	}
+	return append(asks, rest...)
+}
+
+// What operators see of pools.
+type (
+	// PoolView is a pool and what is held of it.
+	PoolView struct {
+		pool.Pool
+		Held         []int        `json:"held"` // by part
+		Free         []int        `json:"free"` // that each part may hand out
+		WaitingUnits int          `json:"waiting_units"`
+		OldestWait   float64      `json:"oldest_wait_s"`
+		Revision     api.Revision `json:"revision"`
+		Holders      []HolderView `json:"holders,omitempty"`
+	}
+	// HolderView is a job that holds units.
+	HolderView struct {
+		Job    api.JobID `json:"job"`
+		Tenant string    `json:"tenant,omitempty"`
+		Ref    api.JobID `json:"ref,omitempty"` // as the tenant chose it
+		Team   api.Team  `json:"team"`
+		Units  int       `json:"units"`
+		Tasks  int       `json:"tasks"`
+	}
+	poolUpdate struct {
+		Revision *api.Revision `json:"revision"`
+		Unit     string        `json:"unit"`
+		Size     int           `json:"size"`
+		Largest  int           `json:"largest"`
+		Teams    []api.Team    `json:"teams"`
+		Tenants  []tenant.Name `json:"tenants"`
+		Frozen   bool          `json:"frozen"`
+		Reclaim  bool          `json:"reclaim"`
+
+		Guaranteed map[api.Team]int `json:"guaranteed"`
+	}
+)
+
+// maxHolders bounds the jobs that a pool's view names.
+const maxHolders = 200
+
+func (n *Controller) viewPool(p pool.Pool, rev api.Revision) PoolView {
+	v := PoolView{Pool: p, Held: n.poolHeldByPartition(p.Name), Revision: rev}
+	for q := range v.Held {
+		v.Free = append(v.Free, p.Available(api.PartitionID(q), v.Held))
+	}
+	v.WaitingUnits, v.OldestWait = n.poolBacklog(p.Name)
+	return v
+}
+
+// poolBacklog is how many units of a pool are waited for, and for how many seconds the oldest
+// of who waits has been there.
+func (n *Controller) poolBacklog(name api.PoolName) (units int, oldest float64) {
+	for _, a := range n.poolRequests(name) {
+		units += a.ask.Units * a.ask.Starts
+		oldest = max(oldest, roundToTenth(float64(n.wallClock-a.job.AcceptedAt)/1000))
+	}
+	return units, oldest
+}
+
+// poolHolders lists the jobs that hold units of a pool, those that hold most first.
+func (n *Controller) poolHolders(name api.PoolName) []HolderView {
+	out := []HolderView{}
+	for _, j := range n.state.Jobs {
+		if need, ok := j.Spec.PoolRequest(name); ok && j.LiveCount() > 0 {
+			out = append(out, HolderView{j.ID, j.Tenant, j.TenantJobID, j.Spec.Team, need.Units(j.LiveCount(), false), j.LiveCount()})
+		}
+	}
+	slices.SortFunc(out, func(a, b HolderView) int { return cmp.Or(b.Units-a.Units, cmp.Compare(a.Job, b.Job)) })
+	return out[:min(maxHolders, len(out))]
+}
+
+// handlePoolRequest answers an operator's question or act on pools.
+func (n *Controller) handlePoolRequest(c AdminRequest) error {
+	table := n.hosted.pools.table
+	if c.What == "pools" {
+		out := []PoolView{}
+		for _, name := range table.Names() {
+			e := table.Get(name)
+			out = append(out, n.viewPool(e.Pool, e.Revision))
+		}
+		n.reply(c.Req, 200, out, 0)
+		return nil
+	}
+	name := api.PoolName(c.ID)
+	e := table.Get(name)
+	if e == nil && c.What != "pool-put" {
+		return &tenant.Error{Status: 404, Field: "name", Reason: "there is no pool " + c.ID}
+	}
+	if c.What == "pool" {
+		v := n.viewPool(e.Pool, e.Revision)
+		v.Holders = n.poolHolders(name)
+		n.reply(c.Req, 200, v, 0)
+		return nil
+	}
+	var ask poolUpdate
+	if err := decodeRequest(c.Body, &ask); err != nil {
+		return err
+	}
+	var previous, next pool.Pool
+	var rev api.Revision
+	if e != nil {
+		previous, next, rev = e.Pool, e.Pool, e.Revision
+	}
+	if c.What == "pool-remove" {
+		next.State = pool.Removed
+	} else {
+		next.Name, next.Unit, next.Size, next.Largest, next.Teams, next.Tenants = name, ask.Unit, ask.Size, max(ask.Largest, ask.Size), ask.Teams, ask.Tenants
+		next.State, next.Reclaim, next.Guaranteed = pool.Active, ask.Reclaim, ask.Guaranteed
+		if ask.Frozen {
+			next.State = pool.Frozen
+		}
+	}
+	// What is held is known of the same moment as the record, or of a later one: nobody
+	// hands out a unit under the old record after this is written.
+	if next.Size != previous.Size || len(next.Shares) == 0 {
+		next.Shares = pool.AllocateShares(next.Size, n.poolHeldByPartition(name), n.preferPlaceable(n.poolRequests(name)))
+	}
+	if err := next.Validate(len(n.state.Partitions)); err != nil {
+		return err
+	}
+	for _, team := range slices.Concat(next.Teams, slices.Sorted(maps.Keys(next.Guaranteed))) {
+		if _, known := n.teams[team]; !known {
+			return &tenant.Error{Status: 422, Field: "teams", Reason: "there is no team " + string(team)}
+		}
+	}
+	for _, name := range next.Tenants {
+		if n.hosted.tenants.Get(name) == nil {
+			return &tenant.Error{Status: 422, Field: "tenants", Reason: "there is no tenant " + string(name)}
+		}
+	}
+	if e != nil && equalJSON(previous, next) {
+		n.reply(c.Req, 200, n.viewPool(next, rev), 0) // asked again, perhaps
+		return nil
+	}
+	if err := checkRevision(ask.Revision, rev, "the pool"); err != nil {
+		return err
+	}
+	if c.What == "pool-remove" {
+		if held, asking := n.poolHeldTotal(name), len(n.poolRequests(name)); held > 0 || asking > 0 {
+			return &tenant.Error{Status: 409, Field: "name", Reason: fmt.Sprintf("%d units of %s are held, and %d jobs wait for it: freeze it, or cancel them", held, name, asking)}
+		}
+	}
+	data, err := json.Marshal(next)
+	if err != nil || n.exceedsValueSize(data) {
+		return &tenant.Error{Status: 400, Field: "teams", Reason: "the record is too large"}
+	}
+	var before any
+	if e != nil {
+		before = previous
+	}
+	key := keyPool + c.ID
+	tx := api.Txn{If: []api.Condition{{Key: key, Version: rev}}, Writes: []api.Write{{Put: key, Value: data}, n.auditWrite(c, "pool "+c.ID, before, next)}}
+	n.commitChange(c, tx, "the pool", func(rev api.Revision) any { return n.viewPool(next, rev) })
+	return nil
+}
+
+// addRoundPools adds pools to those that a round names, or reports that they would be too many:
+// jobs that hold their own units already may start tasks whatever pools a round looks at.
+func addRoundPools(named map[api.PoolName]bool, needs []api.PoolRequest) bool {
+	added := 0
+	for _, need := range needs {
+		if !named[need.Pool] {
+			added++
+		}
+	}
+	if len(named)+added > maxRoundPools {
+		return false
+	}
+	for _, need := range needs {
+		named[need.Pool] = true
+	}
+	return true
+}
--- /dev/null
+++ b/controller/preempt.go
@@ -0,0 +1,282 @@
+package controller
+
+import (
+	"cmp"
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/sched"
+)
+
+// maxPreemptions bounds the jobs of a round for which others are made to give way.
+const maxPreemptions = 8
+
+// runsLowerPriority reports whether a part runs anything that could give way.
+func (n *Controller) runsLowerPriority(p api.PartitionID, rank int) bool {
+	for _, count := range n.state.Partitions[p].CountByRank[:rank] {
+		if count > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// reservationTTL is how long a machine is kept for a job for which others made way:
+// time enough for a stop to be heard, its evidence to be recorded, and a machine
+// of another part to be lent.
+const reservationTTL = 15 * time.Second
+
+// reservedFor is the job that a machine is kept for, if any.
+func (n *Controller) reservedFor(m *Machine) api.JobID {
+	if m.reservedFor == "" || n.now >= m.reservedUntil {
+		return ""
+	}
+	if j := n.state.Jobs[m.reservedFor]; j == nil || j.Terminal() || j.CompletedCount+len(j.Placements)-j.FinishingCount >= j.Spec.Tasks {
+		m.reservedFor = ""
+	}
+	return m.reservedFor
+}
+
+// reserveExclusively keeps a machine for a job for which others made way, or it was lent.
+func (n *Controller) reserveExclusively(m *Machine, ref api.JobID) {
+	m.reservedFor, m.softReservation, m.reservedUntil, m.consolidated = ref, false, n.now.Add(reservationTTL), false
+}
+
+// preemptionPlan is what stopping lower work on a machine would bring.
+type preemptionPlan struct {
+	machine *Machine
+	tasks   int // of the job that could start there then
+	victims []*Placement
+	cost    float64
+}
+
+// planPreemption finds how up to most of a job's tasks could come to fit on a machine. With
+// sparing nothing makes way whose job would be late for it.
+func (n *Controller) planPreemption(m *Machine, owned *ownedPartition, s *api.JobSpec, maxTasks int, avoidLate bool) preemptionPlan {
+	rank, effective, demand := s.Priority.Rank(), n.effectivePriority(s), s.Demand() // what a rule puts before it does not make way
+	available := n.freeCapacityOn(m, owned)
+	needsAccelerator := n.hasAccelerators(m.machineType) && !n.isCPUOnly(s) // its accelerators, which other work could leave
+	var candidates []*Placement
+	for _, p := range n.state.PlacementsOn(m.ID) {
+		if p.Finishing {
+			continue
+		}
+		if p.OwnerState.stopRequested || p.Job.Terminal() {
+			available = available.Plus(p.Job.Demand)
+		} else if p.Job.Spec.Priority.Rank() < rank && p.Partition == owned.id && p.Job.Spec.Kind != api.Gang && (n.effectivePriority(p.Job.Spec) < effective || needsAccelerator && n.isCPUOnly(p.Job.Spec)) &&
+			n.isPreemptible(p) && !(avoidLate && n.missedObjective(p) > 0) {
+			candidates = append(candidates, p)
+		}
+	}
+	plan := preemptionPlan{machine: m, tasks: min(maxTasks, demand.Slots(available))}
+	slices.SortStableFunc(candidates, func(a, b *Placement) int {
+		return cmp.Or(cmp.Compare(n.priorityBoost(a.Job.Spec), n.priorityBoost(b.Job.Spec)), cmp.Compare(n.preemptionCost(a), n.preemptionCost(b)))
+	})
+	cost := 0.0
+	for k, p := range candidates {
+		if plan.tasks == maxTasks {
+			break
+		}
+		available = available.Plus(p.Job.Demand)
+		cost += n.preemptionCost(p)
+		if slots := min(maxTasks, demand.Slots(available)); slots > plan.tasks {
+			plan.tasks, plan.victims, plan.cost = slots, candidates[:k+1], cost
+		}
+	}
+	return plan
+}
+
+// preemptionCost is what stopping a task would lose, in seconds of its CPUs: what it has run
+// and, when its job would be late by it, as much as the whole job's limit.
+func (n *Controller) preemptionCost(p *Placement) float64 {
+	return (n.now.Sub(p.OwnerState.placedAt).Seconds()+n.missedObjective(p))*p.Job.Demand.CPU.Float() + 1
+}
+
+// missedObjective is the limit that a task's job could keep but would not if the task had to
+// run again, or 0.
+func (n *Controller) missedObjective(p *Placement) float64 {
+	elapsed := max(0, float64(n.wallClock-p.Job.AcceptedAt)/1000)
+	run := p.Job.Spec.Estimate * runtimeSafetyFactor
+	for _, l := range n.completionObjectives(p.Job.Spec) {
+		if rest := max(0, p.Job.Spec.Estimate-n.now.Sub(p.OwnerState.placedAt).Seconds()); elapsed+rest <= l {
+			if elapsed+run > l {
+				return l
+			}
+			break
+		}
+	}
+	return 0
+}
+
+// preemptFor makes room for a job of higher priority by stopping lower work, where
+// that costs least: a machine for each task that waits or, for a gang, as many as
+// all of it needs, in one zone if its tasks must be together. The room is kept for
+// the job, or the work that made way would win it back before the rest is free.
+// With quick above 0 only machines count where the task would start within so many
+// seconds. It returns how many machines were chosen.
+func (n *Controller) preemptFor(owned *ownedPartition, request *sched.Job, j *Job, need int, maxFetch float64) int {
+	gang, tasksPerMachine := j.Spec.Kind == api.Gang, 1
+	if gang {
+		tasksPerMachine = need
+	}
+	within := n.startObjective(j.Spec.Class)
+	byZone := map[api.Zone][]preemptionPlan{}
+	for _, m := range n.machinesOf(owned.id) {
+		if reservedJob := n.reservedFor(m); reservedJob != "" && reservedJob != j.ID || !n.isSchedulable(m, owned) || request.ExcludedMachines[m.ID] ||
+			!n.isEligible(j.Spec, request.AcceleratorOptional, m.machineType, m.zone, m.spot) || !sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.zone) {
+			continue
+		}
+		fetch := fetchSlowdownFactor * (&sched.Machine{CachedImages: m.cachedImages, FetchRate: n.machineTypes[m.machineType].FetchRate, FetchingImages: n.pendingImageFetches(m)}).FetchTime(j.Spec)
+		if maxFetch > 0 && fetch > maxFetch {
+			continue
+		}
+		plan := n.planPreemption(m, owned, j.Spec, tasksPerMachine, maxFetch > 0)
+		if plan.tasks == 0 || !gang && len(plan.victims) == 0 && len(n.settings.Priority) > 0 {
+			continue // what comes free by itself is for who goes first by the rules
+		}
+		if within > 0 {
+			// A fetch that takes the time in which the task should start weighs
+			// like a minute of work lost.
+			plan.cost += 60 * j.Demand.CPU.Float() * min(1, fetch/within)
+		}
+		zone := m.zone
+		if !j.Spec.OneZone && !j.Spec.Spread {
+			zone = ""
+		}
+		byZone[zone] = append(byZone[zone], plan)
+	}
+	byCost := func(a, b preemptionPlan) int { return cmp.Compare(a.cost/float64(a.tasks), b.cost/float64(b.tasks)) }
+	var best []preemptionPlan
+	bestCost := 0.0
+	var plans []preemptionPlan
+	for _, z := range slices.Sorted(maps.Keys(byZone)) {
+		zonePlans := byZone[z]
+		slices.SortStableFunc(zonePlans, byCost)
+		if !gang {
+			if j.Spec.Spread {
+				zonePlans = zonePlans[:min(len(zonePlans), (j.Spec.Tasks+1)/2-request.PlacedByZone[z])]
+			}
+			plans = append(plans, zonePlans...)
+			continue
+		}
+		got, cost := 0, 0.0
+		for k, plan := range zonePlans {
+			got, cost = got+plan.tasks, cost+plan.cost
+			if got >= need {
+				if best == nil || cost < bestCost {
+					best, bestCost = zonePlans[:k+1], cost
+				}
+				break
+			}
+		}
+	}
+	if !gang {
+		slices.SortStableFunc(plans, byCost)
+		best = plans[:min(len(plans), need)]
+	}
+	for _, plan := range best {
+		n.reserveExclusively(plan.machine, j.ID)
+		n.executePreemption(plan, j.ID)
+	}
+	return len(best)
+}
+
+// fetchSlowdownFactor is how many times longer than usual a fetch may take: rates differ by a third.
+const fetchSlowdownFactor = 4.0 / 3
+
+// preemptionFetchRatio is how many times longer than after making way an image must take to
+// fetch where there is room, for others to make way although it is late either way.
+const preemptionFetchRatio = 3.0
+
+// lostReplicaFetchRatio is the same for replicas that were lost: they are missed while they fetch.
+const lostReplicaFetchRatio = 1.5
+
+// startDelay is for how long a job's tasks have been due to start, in seconds: since it
+// was accepted, or since a service lost replicas, which should be back as soon.
+func (n *Controller) startDelay(j *Job) float64 {
+	since := max(0, float64(n.wallClock-j.AcceptedAt)/1000)
+	if j.Spec.Kind == api.Service && j.OwnerState.lastLossAt != 0 {
+		since = min(since, n.now.Sub(j.OwnerState.lastLossAt).Seconds())
+	}
+	return since
+}
+
+// preemptionDelay is how long it takes to stop a task and to start another in its
+// place: a call, a round that records the end and the start, another call.
+const preemptionDelay = 500 * time.Millisecond
+
+// preemptForFastStart has lower work make way, once for a job and for each loss of a service's
+// replicas, on machines that hold its image, when its tasks would else start too late
+// for its class's aim for having to fetch it. What has no quick place meanwhile waits
+// for that.
+func (n *Controller) preemptForFastStart(owned *ownedPartition, input *sched.Input, request *sched.Job, j *Job) {
+	slack := request.StartSLO - n.startDelay(j) - preemptionDelay.Seconds()
+	rank := j.Spec.Priority.Rank()
+	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.preemptedForStart || rank < preemptorRank || !n.runsLowerPriority(owned.id, rank) {
+		return
+	}
+	byZone := map[api.Zone]int{}
+	fastSlots := 0
+	var slowFetches []float64 // how long images take to fetch where there is room that is not quick
+	for i := range input.Machines {
+		m := &input.Machines[i]
+		if !m.Eligible(request) || !sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.Zone) {
+			continue
+		}
+		slots := 1
+		if j.Spec.Kind == api.Gang {
+			slots = j.Demand.Slots(m.Free)
+		} else if !j.Demand.Fits(m.Free) {
+			continue
+		}
+		if fetch := fetchSlowdownFactor * m.FetchTime(j.Spec); fetch > slack {
+			slowFetches = append(slowFetches, fetch)
+			continue
+		}
+		byZone[m.Zone] += slots
+		fastSlots += slots
+	}
+	if j.Spec.OneZone {
+		fastSlots = byZone[largestZone(byZone)]
+	} else if j.Spec.Spread {
+		fastSlots = 0
+		for z, c := range byZone {
+			fastSlots += min(c, (j.Spec.Tasks+1)/2-request.PlacedByZone[z])
+		}
+	}
+	need := len(request.Pending) - fastSlots
+	if need <= 0 {
+		return
+	}
+	j.OwnerState.preemptedForStart = true
+	maxFetch := slack
+	if j.Spec.Kind == api.Gang {
+		need, fastSlots = len(request.Pending), 0
+	} else if len(slowFetches) > 0 {
+		slices.Sort(slowFetches)
+		fetchRatio := preemptionFetchRatio
+		if j.OwnerState.lastLossAt != 0 && j.Spec.Kind == api.Service {
+			fetchRatio = lostReplicaFetchRatio
+		}
+		maxFetch = max(maxFetch, slowFetches[min(need, len(slowFetches))-1]/fetchRatio)
+	}
+	if n.preemptFor(owned, request, j, need, maxFetch) > 0 {
+		request.Pending = request.Pending[:fastSlots]
+		j.OwnerState.backoffUntil = n.now.Add(preemptionDelay)
+		owned.dirty = true
+	}
+}
+
+// executePreemption stops what must make way.
+func (n *Controller) executePreemption(plan preemptionPlan, jobID api.JobID) {
+	for _, p := range plan.victims {
+		n.metrics.PreemptedTasks++
+		p.Job.OwnerState.preemptedTasks++
+		slog.Info("task preempted", "task", p.Task, "machine", p.Machine, "for", jobID)
+		n.adjustFloors(p.Job.Spec, -p.Job.Demand.CPU.Float())
+		n.stopTask(p)
+	}
+}
--- /dev/null
+++ b/controller/quotatransfer.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+)
+
+// spareQuotaTransfers gives shares of teams' limits that this part does not use to parts
+// that could use them.
+func (n *Controller) spareQuotaTransfers(owned *ownedPartition) []clusterstate.QuotaTransfer {
+	remaining := n.remainingQuota(owned.id)
+	if owned.inFlight != nil {
+		return nil
+	}
+	var out []clusterstate.QuotaTransfer
+	for _, to := range slices.Sorted(maps.Keys(owned.reservedQuota)) {
+		if n.now < owned.nextQuotaTransfer[to] {
+			continue // it has not told since; what is reserved waits here
+		}
+		// No start of this round uses it, whatever else waits here.
+		for _, team := range slices.Sorted(maps.Keys(owned.reservedQuota[to])) {
+			amount := owned.reservedQuota[to][team]
+			remaining[team] = remaining[team].Minus(amount)
+			out = append(out, clusterstate.QuotaTransfer{To: to, Team: team, Amount: amount})
+		}
+		owned.nextQuotaTransfer[to] = n.now.Add(2 * gossipInterval)
+	}
+	for _, status := range n.otherPartitionStatuses(owned) {
+		if n.now < owned.nextQuotaTransfer[status.Part] {
+			continue
+		}
+		for _, team := range slices.Sorted(maps.Keys(status.Want)) {
+			// What a round has just planned to use is not in left yet; a team
+			// that wants here gives nothing, so only idle shares move.
+			demand, unused := status.Want[team], remaining[team]
+			if owned.plannedTeams[team] {
+				continue
+			}
+			if _, needed := owned.quotaDemand[team]; needed {
+				// But what this round could not use, too little for any of its tasks or without
+				// room for them, is of use to a part that has room and nothing of the limit: pieces
+				// of it in several parts would leave all of them waiting. It goes to the lowest, so
+				// that it comes together.
+				var starved bool
+				demand, starved = status.Starved[team]
+				_, starvedHere := owned.quotaStarvedDemand[team]
+				_, mustStartHere := owned.mustStartQuotaDemand[team] // what a job here that must begin is to have stays
+				if !starved || mustStartHere || starvedHere && owned.id < status.Part {
+					continue
+				}
+			}
+			transfer := clusterstate.QuotaTransfer{To: status.Part, Team: team, Amount: api.Resources{
+				CPU: max(0, min(demand.CPU, unused.CPU)), GPU: max(0, min(demand.GPU, unused.GPU))}}
+			limit := quotaLimit(n.teams[team])
+			transfer.Amount = n.limitedResources(team, transfer.Amount)
+			if transfer.Amount.CPU > limit.CPU || transfer.Amount.CPU == 0 && transfer.Amount.GPU == 0 {
+				continue
+			}
+			remaining[team] = remaining[team].Minus(transfer.Amount)
+			out = append(out, transfer)
+			owned.nextQuotaTransfer[status.Part] = n.now.Add(2 * gossipInterval)
+		}
+	}
+	return out
+}
+
+// limitedResources is of an amount what a team's limits are of: what it may use without limit is not shared.
+func (n *Controller) limitedResources(team api.Team, amount api.Resources) api.Resources {
+	if n.teams[team].CPUsMax <= 0 {
+		amount.CPU = 0
+	}
+	if n.teams[team].GPUsMax <= 0 {
+		amount.GPU = 0
+	}
+	return amount
+}
--- /dev/null
+++ b/controller/rebalance.go
@@ -0,0 +1,259 @@
+package controller
+
+import (
+	"encoding/json"
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/sched"
+)
+
+// rebalancePending moves waiting tasks to a part that has room for them.
+func (n *Controller) rebalancePending(owned *ownedPartition) {
+	if owned.moveInFlight || owned.releasing || owned.inFlight != nil || n.now < owned.nextMove || owned.pendingTaskCount == 0 {
+		return
+	}
+	owned.nextMove = n.now.Add(gossipInterval)
+	candidatesLeft := maxMoveCandidates
+	for _, jobID := range n.sortByPriority(owned.rotateAfterCursor(slices.Sorted(maps.Keys(n.state.PendingJobs)))) {
+		j := n.state.PendingJobs[jobID]
+		if j.OwnerState.backoffUntil > n.now || n.startsBlocked(j) || n.now.Sub(j.OwnerState.rebalancedAt) < 3*gossipInterval && j.OwnerState.rebalancedAt != 0 {
+			continue
+		}
+		waiting := j.PendingTasks(owned.id)
+		if waiting == 0 {
+			continue
+		}
+		if candidatesLeft--; candidatesLeft < 0 {
+			return
+		}
+		owned.moveCursor = jobID
+		if n.hasReservationFor(owned, jobID) {
+			continue // room is gathered for it here
+		}
+		stuck := j.OwnerState.unplaceable && n.waitStage(j, owned.id) != sched.NotAged && n.now.Sub(j.OwnerState.rebalancedAt) > stuckMoveInterval
+		freeSlots := n.freeSlotsByPartition(j.Spec)
+		if freeSlots[owned.id] > 0 && j.Spec.Kind == api.Array {
+			continue // it will be placed here
+		}
+		best, moveCount := api.PartitionID(0), 0
+		for q := range freeSlots {
+			if api.PartitionID(q) == owned.id {
+				continue
+			}
+			if r := freeSlots[q] - n.pendingTasksIn(api.PartitionID(q), j.Spec); r > moveCount {
+				best, moveCount = api.PartitionID(q), r
+			}
+		}
+		if capacity := n.totalSlotsByPartition(j.Spec); j.Spec.NeedsSinglePartition() && moveCount == 0 && capacity[owned.id] < j.Spec.Tasks {
+			// It can never be placed here; there it may wait or have others
+			// make way.
+			for q, c := range capacity {
+				if c >= j.Spec.Tasks && c > moveCount {
+					best, moveCount = api.PartitionID(q), c
+				}
+			}
+		}
+		if j.Spec.NeedsSinglePartition() {
+			holdNow, holdAfterPreemption := n.partitionsWithCapacity(j.Spec)
+			if holdNow[owned.id] {
+				continue
+			}
+			if len(holdNow) == 0 {
+				if holdAfterPreemption[owned.id] {
+					continue // others will make way here
+				}
+				holdNow = holdAfterPreemption
+			}
+			if len(holdNow) > 0 && !holdNow[best] {
+				best = slices.Min(slices.Collect(maps.Keys(holdNow)))
+				moveCount = j.Spec.Tasks
+			}
+		}
+		if moveCount == 0 && !j.Spec.NeedsSinglePartition() {
+			best, moveCount = n.balanceTarget(owned, j, waiting)
+		}
+		if moveCount == 0 && stuck {
+			// It must begin, and nothing that it may use comes free here by itself: the next
+			// part that has such machines may be better off.
+			capacity := n.totalSlotsByPartition(j.Spec)
+			for i := 1; i < len(capacity) && moveCount == 0; i++ {
+				if q := (int(owned.id) + i) % len(capacity); capacity[q] > 0 {
+					best, moveCount = api.PartitionID(q), waiting
+				}
+			}
+			j.OwnerState.unplaceable = false
+		}
+		if moveCount == 0 {
+			continue
+		}
+		split, ok := splitAfterMove(j, owned.id, best, moveCount)
+		if !ok {
+			continue
+		}
+		v := j.JobValue
+		v.Split = split
+		data, err := json.Marshal(v)
+		if err != nil || n.jobExceedsValueSize(data) {
+			continue
+		}
+		j.OwnerState.rebalancedAt = n.now
+		owned.moveInFlight = true
+		key := clusterstate.KeyJob + string(jobID)
+		tx := api.Txn{If: []api.Condition{{Key: key, Version: j.Version}, owned.ownershipCondition()},
+			Writes: []api.Write{{Put: key, Value: data}}}
+		n.callStoreTxn(tx, func(a StoreResponse) {
+			if a.Status == 200 {
+				n.metrics.TaskMoves++
+			}
+			slog.Info("pending tasks moved", "job", jobID, "from", owned.id, "to", best, "most", moveCount, "status", a.Status)
+			n.linearizableRead(func() { owned.moveInFlight = false }, func() { owned.moveInFlight = false })
+		})
+		return
+	}
+}
+
+// balanceTarget finds a part in which less waits that goes before a job's tasks, by what the parts'
+// machines hold, and how many to move there: where rules say what goes first, work that comes
+// after it would start there while it waits here.
+func (n *Controller) balanceTarget(owned *ownedPartition, j *Job, waiting int) (to api.PartitionID, moveCount int) {
+	if len(n.settings.Priority) == 0 {
+		return 0, 0
+	}
+	capacity := n.totalSlotsByPartition(j.Spec)
+	ownWaiting, ownCapacity := n.pendingTasksIn(owned.id, j.Spec), float64(capacity[owned.id])
+	for other, c := range capacity {
+		if api.PartitionID(other) == owned.id || c == 0 {
+			continue
+		}
+		otherWaiting := n.pendingTasksIn(api.PartitionID(other), j.Spec)
+		if surplus := (float64(ownWaiting)*float64(c) - float64(otherWaiting)*ownCapacity) / (ownCapacity + float64(c)); int(surplus) > moveCount && surplus > minRebalanceShare*float64(ownWaiting) {
+			to, moveCount = api.PartitionID(other), min(waiting, int(surplus))
+		}
+	}
+	return to, moveCount
+}
+
+// minRebalanceShare is the share of what waits that is worth a write to move.
+const minRebalanceShare = 0.25
+
+// stuckMoveInterval is how long a job that must begin stays in a part that has no room to hope for.
+const stuckMoveInterval = 15 * time.Second
+
+// hasReservationFor reports whether a part keeps a machine for a job because room is gathered for it.
+func (n *Controller) hasReservationFor(owned *ownedPartition, ref api.JobID) bool {
+	return slices.ContainsFunc(n.machinesOf(owned.id), func(m *Machine) bool { return m.consolidated && n.reservedFor(m) == ref })
+}
+
+// maxMoveCandidates bounds the jobs that are looked at at once for moving elsewhere.
+const maxMoveCandidates = 16
+
+// rotateAfterCursor puts the jobs after the one last looked at first.
+func (owned *ownedPartition) rotateAfterCursor(refs []api.JobID) []api.JobID {
+	i, _ := slices.BinarySearch(refs, owned.moveCursor)
+	return slices.Concat(refs[i:], refs[:i])
+}
+
+// maxSplitRanges bounds how finely a job may be split.
+const maxSplitRanges = 64
+
+// splitAfterMove returns the job's split with up to most of the waiting tasks of one
+// part given to another; jobs whose tasks belong together move whole or not.
+func splitAfterMove(j *Job, from, to api.PartitionID, maxTasks int) ([]clusterstate.TaskRange, bool) {
+	if j.Spec.NeedsSinglePartition() {
+		if len(j.Placements) > 0 || j.Spec.Kind == api.Gang && maxTasks < j.Spec.Tasks {
+			return nil, false
+		}
+		return []clusterstate.TaskRange{{From: 0, To: j.Spec.Tasks, Partition: to}}, true
+	}
+	if len(j.Split) >= maxSplitRanges {
+		return nil, false
+	}
+	for k := len(j.Split) - 1; k >= 0; k-- {
+		r := j.Split[k]
+		if r.Partition != from {
+			continue
+		}
+		end := r.To
+		for end > r.From && (j.Completed.Has(end-1) || j.Placements[end-1] != nil) {
+			end--
+		}
+		begin := end
+		for begin > r.From && end-begin < maxTasks && !j.Completed.Has(begin-1) && j.Placements[begin-1] == nil {
+			begin--
+		}
+		if begin == end {
+			continue
+		}
+		var out []clusterstate.TaskRange
+		for _, p := range []clusterstate.TaskRange{{From: r.From, To: begin, Partition: from}, {From: begin, To: end, Partition: to}, {From: end, To: r.To, Partition: from}} {
+			if p.To > p.From {
+				out = append(out, p)
+			}
+		}
+		return slices.Concat(j.Split[:k], out, j.Split[k+1:]), true
+	}
+	return nil, false
+}
+
+// partitionsWithCapacity finds the parts that have room for all of a job's tasks: now, or
+// if others made way where the job is urgent enough for that.
+func (n *Controller) partitionsWithCapacity(s *api.JobSpec) (now, afterPreemption map[api.PartitionID]bool) {
+	demand, cpuOnly := s.Demand(), n.isCPUOnly(s)
+	urgent := s.Priority.Rank() >= preemptorRank
+	free, preemptible := map[api.PartitionID][]sched.Machine{}, map[api.PartitionID][]sched.Machine{}
+	n.eachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+		if !k.Usable || !n.isEligible(s, cpuOnly, k.Type, k.Zone, k.Spot) {
+			return
+		}
+		m := sched.Machine{Type: k.Type, Zone: k.Zone, Spot: k.Spot}
+		for range min(r.Count, s.Tasks) { // more of a kind are never needed
+			if m.Free = r.Free; demand.Fits(m.Free) {
+				free[p] = append(free[p], m)
+			}
+			if m.Free = r.Could; urgent && demand.Fits(m.Free) {
+				preemptible[p] = append(preemptible[p], m)
+			}
+		}
+	})
+	holding := func(machines map[api.PartitionID][]sched.Machine) map[api.PartitionID]bool {
+		out := map[api.PartitionID]bool{}
+		for p, ms := range machines {
+			if sched.FitsAll(ms, s) {
+				out[p] = true
+			}
+		}
+		return out
+	}
+	return holding(free), holding(preemptible)
+}
+
+// preferredZone is the zone with most room for a job whose tasks must be together.
+func (n *Controller) preferredZone(s *api.JobSpec) api.Zone {
+	if !s.OneZone {
+		return ""
+	}
+	freeSlots := map[api.Zone]int{}
+	n.eachFreeCapacity(func(_ api.PartitionID, k MachineClass, r FreeCapacity) {
+		if k.Usable && sched.Feasible(s, k.Type, k.Zone, k.Spot) {
+			// Room that is free at once counts for more.
+			freeSlots[k.Zone] += r.Count * (2*s.Demand().Slots(r.Free) + s.Demand().Slots(r.Could))
+		}
+	})
+	return largestZone(freeSlots)
+}
+
+// largestZone is the zone with the highest count.
+func largestZone(count map[api.Zone]int) api.Zone {
+	var best api.Zone
+	for _, z := range slices.Sorted(maps.Keys(count)) {
+		if best == "" || count[z] > count[best] {
+			best = z
+		}
+	}
+	return best
+}
--- a/control/gossip_test.go
+++ b/controller/rebalance_test.go
@@ -1,26 +1,26 @@
-package control
+package controller
 
 import (
 	"math/rand/v2"
 	"testing"
 
 	"basaltwall/api"
-	"basaltwall/book"
+	"basaltwall/clusterstate"
 )
 
 // A job is split and moved without losing or doubling a task.
-func TestMovedKeepsEveryTask(t *testing.T) {
+func TestRebalanceKeepsEveryTask(t *testing.T) {
 	r := rand.New(rand.NewPCG(8, 9))
 	for range 300 {
 		spec := testSpec(1 + r.IntN(40))
-		j := &Job{JobValue: book.JobValue{Spec: spec, Split: []book.Range{{From: 0, To: spec.Tasks}}}, Places: map[int]*Place{}, Placed: map[api.PartID]int{}}
+		j := &Job{JobValue: clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}}, Placements: map[int]*Placement{}, PlacementCounts: map[api.PartitionID]int{}}
 		for i := range spec.Tasks {
 			if r.IntN(3) == 0 {
-				j.Done.Set(i)
+				j.Completed.Add(i)
 			}
 		}
-		before := j.Waiting(0)
-		split, ok := moved(j, 0, 1, 1+r.IntN(10))
+		before := j.PendingTasks(0)
+		split, ok := splitAfterMove(j, 0, 1, 1+r.IntN(10))
 		if !ok {
 			if before > 0 {
 				t.Fatalf("%d tasks wait and none can be moved", before)
@@ -32,7 +32,7 @@
 		for _, rg := range split {
 			for i := rg.From; i < rg.To; i++ {
 				owners[i]++
-				if rg.Part == 1 && j.Done.Has(i) {
+				if rg.Partition == 1 && j.Completed.Has(i) {
 					t.Fatalf("task %d was done and is moved", i)
 				}
 			}
@@ -42,7 +42,7 @@
 				t.Fatalf("task %d is in %d ranges of %v", i, n, split)
 			}
 		}
-		if after := j.Waiting(0) + j.Waiting(1); after != before {
+		if after := j.PendingTasks(0) + j.PendingTasks(1); after != before {
 			t.Fatalf("%d tasks wait, %d before", after, before)
 		}
 	}
--- /dev/null
+++ b/controller/reservations.go
@@ -0,0 +1,567 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+	"unicode"
+	"unicode/utf8"
+
+	"basaltwall/api"
+	"basaltwall/reservation"
+	"basaltwall/tenant"
+)
+
+// What the ledger of skips may use, so that scheduling never waits for it: a fifth of the
+// writes, which submissions leave while it is used, and a sixth of the requests (lookGap).
+const (
+	ledgerWriteShare   = 0.2
+	ledgerActiveWindow = 10 * time.Second
+	// ledgerRequestTimeout is how long a request waits for its outcome: less than who asks does.
+	ledgerRequestTimeout = 4 * time.Second
+	// ledgerMaxReadAge is how old a read may be that an answer rests on: whoever stood still since
+	// then has to read again.
+	ledgerMaxReadAge = 2 * time.Second
+	// ledgerReadInterval keeps a ledger that nobody asks for within what the log reaches back.
+	ledgerReadInterval    = 20 * time.Second
+	ledgerCompactInterval = 5 * time.Second
+
+	ledgerSweepInterval = 10 * time.Minute
+)
+
+// reservationLedger is what a controller has of the skips; nothing before somebody asks for one.
+type reservationLedger struct {
+	replica         *reservation.Ledger // nil: not read
+	requested       bool
+	loadedPairs     []api.KeyValue // while it is being read
+	resumeLoad      func()         // goes on with that; nil: from the beginning
+	busy            bool           // a read is under way
+	nextReadAt      api.Time       // no read before
+	readAt          api.Time
+	compactedAt     api.Time
+	wroteAt         api.Time
+	writeTokens     float64 // writes
+	writeTokensAt   api.Time
+	pendingRequests []*reservation.PendingRequest // until it is read
+	pendingLists    []readWaiter                  // that wait for a current read
+	staleShards     []bool                        // by shard: its record's condition failed, and the log has to be read
+	sweptAt         api.Time
+	sweeping        bool
+}
+
+// Skips asks, as the administration API has them.
+type (
+	// SkipView is a skip with what holds it; SkipItem an offer or a promise.
+	SkipView struct {
+		Depot        reservation.Depot  `json:"depot"`
+		Skip         reservation.SkipID `json:"skip"`
+		Kind         reservation.Kind   `json:"kind"`
+		OutOfService bool               `json:"out_of_service,omitempty"`
+		Items        []SkipItem         `json:"items"`
+	}
+	SkipItem struct {
+		Number    reservation.BookingID      `json:"number"`
+		Name      reservation.IdempotencyKey `json:"name"`
+		Stage     reservation.Stage          `json:"state"`
+		Site      reservation.Site           `json:"site,omitempty"`
+		From      string                     `json:"from"`
+		To        string                     `json:"to"`
+		ExpiresAt api.WallTime               `json:"until,omitempty"` // of an offer, in milliseconds since 1970
+	}
+	// SkipResult is what became of a request: the skip and, if it is about one, the offer or
+	// promise.
+	SkipResult struct {
+		Depot reservation.Depot  `json:"depot"`
+		Skip  reservation.SkipID `json:"skip,omitempty"`
+		*SkipItem
+	}
+	// SkipsView is a page of a depot's skips. After is what to ask for next, empty at the end.
+	SkipsView struct {
+		Skips []SkipView         `json:"skips"`
+		After reservation.SkipID `json:"after,omitempty"`
+	}
+	// SkipCountsView counts skips by depot and kind, for today: about, as it may be old.
+	SkipCountsView struct {
+		Kinds      []reservation.Counts `json:"kinds"`
+		AgeSeconds float64              `json:"about_s_old"`
+	}
+	skipRequestBody struct {
+		Name   reservation.IdempotencyKey `json:"name"`
+		Skip   reservation.SkipID         `json:"skip"`
+		Kind   reservation.Kind           `json:"kind"`
+		Number reservation.BookingID      `json:"number"`
+		Site   reservation.Site           `json:"site"`
+		From   string                     `json:"from"`
+		To     string                     `json:"to"`
+		For    *float64                   `json:"for_s"`
+		Skips  []struct {
+			Skip reservation.SkipID `json:"skip"`
+			Kind reservation.Kind   `json:"kind"`
+		} `json:"skips"`
+	}
+)
+
+// Bounds of what may be asked.
+const (
+	maxSkipText         = 40
+	maxSkipDays         = 400
+	maxSkipsPerImport   = 60
+	defaultOfferSeconds = 300.0
+	maxOfferSeconds     = 3600.0
+)
+
+// skipOperations are the changes by the last word of their path.
+var skipOperations = map[string]reservation.OpType{"offer": reservation.OpOffer, "promise": reservation.OpPromise, "release": reservation.OpRelease, "deliver": reservation.OpDeliver,
+	"return": reservation.OpReturn, "out": reservation.OpOutOfService, "in": reservation.OpInService, "import": reservation.OpAdd}
+
+// parseSkipRequest reads a change; the error names the field.
+func parseSkipRequest(c AdminRequest) (*reservation.Request, error) {
+	invalidField := func(field, why string) error { return &tenant.Error{Status: 400, Field: field, Reason: why} }
+	checkText := func(field, s string, most int) error {
+		if s == "" || len(s) > most || !utf8.ValidString(s) {
+			return invalidField(field, fmt.Sprintf("must be given, and %d bytes at most", most))
+		}
+		for _, request := range s {
+			if !unicode.IsPrint(request) {
+				return invalidField(field, "must be printable")
+			}
+		}
+		return nil
+	}
+	var body skipRequestBody
+	if err := decodeRequest(c.Body, &body); err != nil {
+		return nil, err
+	}
+	request := &reservation.Request{Type: skipOperations[c.Sub], Depot: reservation.Depot(c.ID), Key: body.Name, Skip: body.Skip, Kind: body.Kind, Booking: body.Number, Site: body.Site}
+	if err := checkText("depot", c.ID, maxSkipText); err != nil {
+		return nil, err
+	}
+	switch request.Type {
+	case reservation.OpAdd:
+		if len(body.Skips) == 0 || len(body.Skips) > maxSkipsPerImport {
+			return nil, invalidField("skips", fmt.Sprintf("1 to %d at a time", maxSkipsPerImport))
+		}
+		for i, s := range body.Skips {
+			if err := checkText(fmt.Sprintf("skips[%d].skip", i), string(s.Skip), maxSkipText); err != nil {
+				return nil, err
+			}
+			if err := checkText(fmt.Sprintf("skips[%d].kind", i), string(s.Kind), maxSkipText); err != nil {
+				return nil, err
+			}
+			request.Skips = append(request.Skips, reservation.Skip{ID: s.Skip, Kind: s.Kind})
+		}
+		return request, nil
+	case reservation.OpOffer, reservation.OpPromise:
+		if err := checkText("name", string(body.Name), maxSkipText); err != nil {
+			return nil, err
+		}
+		if request.Type == reservation.OpPromise {
+			if err := checkText("site", string(body.Site), maxSkipText); err != nil {
+				return nil, err
+			}
+		} else if body.Site != "" || body.Number != 0 {
+			return nil, invalidField("site", "an offer is for no site and of no number yet")
+		}
+	}
+	if request.Type != reservation.OpOffer && request.Type != reservation.OpPromise || request.Booking != 0 {
+		if err := checkText("skip", string(body.Skip), maxSkipText); err != nil {
+			return nil, err
+		}
+		if request.Booking == 0 && request.Type != reservation.OpOutOfService && request.Type != reservation.OpInService {
+			return nil, invalidField("number", "must name the offer or promise that is changed")
+		}
+		return request, nil
+	}
+	if (body.Skip == "") == (body.Kind == "") {
+		return nil, invalidField("kind", "either a kind or a skip must be given")
+	}
+	if len(body.Skip) > maxSkipText || len(body.Kind) > maxSkipText {
+		return nil, invalidField("kind", "too long")
+	}
+	var err error
+	if request.From, err = reservation.ParseDay(body.From); err != nil {
+		return nil, invalidField("from", err.Error())
+	}
+	if request.To, err = reservation.ParseDay(body.To); err != nil {
+		return nil, invalidField("to", err.Error())
+	}
+	if request.To <= request.From || request.To > request.From+maxSkipDays {
+		return nil, invalidField("to", fmt.Sprintf("must be after from, by %d days at most", maxSkipDays))
+	}
+	seconds := defaultOfferSeconds
+	if body.For != nil {
+		seconds = *body.For
+	}
+	if seconds < 1 || seconds > maxOfferSeconds {
+		return nil, invalidField("for_s", fmt.Sprintf("must be between 1 and %.0f", maxOfferSeconds))
+	}
+	request.OfferDuration = api.Seconds(seconds)
+	return request, nil
+}
+
+// ForwardSkips is the kind of a Forward that holds a question about skips.
+const ForwardSkips = "skips"
+
+// handleSkipsRequest answers what is asked of the skips.
+func (n *Controller) handleSkipsRequest(c AdminRequest) {
+	l := &n.reservationLedger
+	l.requested = true
+	if c.What == "skips" && c.ID == "" {
+		n.countSkips(c)
+		return
+	}
+	var request *reservation.Request
+	if c.What == "skips-do" {
+		var err error
+		if request, err = parseSkipRequest(c); err != nil {
+			n.refuseError(c.Req, err)
+			return
+		}
+	}
+	forwardTo := func(to []api.ControllerID, then func()) {
+		body, err := json.Marshal(AdminRequest{What: c.What, ID: c.ID, Sub: c.Sub, After: c.After, Limit: c.Limit, Body: c.Body})
+		if c.Forwarded || len(to) == 0 || err != nil {
+			then()
+			return
+		}
+		n.callPeer(to[0], forwardTimeout, PeerMessage{Forward: &Forward{Kind: ForwardSkips, Body: body}}, func(a PeerResponse) {
+			if a.OK && a.Reply.Status != 0 && a.Reply.Status != 503 {
+				n.replyFromPeer(c.Req, a.Reply)
+				return
+			}
+			then()
+		})
+	}
+	refuseUnreachable := func() { n.replyError(c.Req, 503, "state service not reachable") }
+	if n.storeUnreachable() {
+		forwardTo(n.forwardTargets(), refuseUnreachable)
+		return
+	}
+	// One controller writes for a depot in usual times, so that what is asked at once shares a
+	// write. It may be any: the ledger's rules rest on the writes' conditions.
+	var writer []api.ControllerID
+	if request != nil {
+		p := api.PartitionID(n.depotShard(request.Depot))
+		if owner := n.state.Partitions[p].Owner; owner != n.config.Label && n.isLive(owner) && n.peers[owner] != nil && n.peers[owner].recent(n.now) {
+			writer = append(writer, owner)
+		}
+	}
+	forwardTo(writer, func() {
+		if request == nil {
+			n.listSkips(c)
+			return
+		}
+		pending := &reservation.PendingRequest{Request: request, ArrivedAt: n.now, Respond: func(res reservation.Result) { n.replySkips(c.Req, request, res) }}
+		if l.replica == nil {
+			l.pendingRequests = append(l.pendingRequests, pending)
+		} else {
+			l.replica.Enqueue(pending)
+		}
+	})
+}
+
+// depotShard is the shard of a depot, of which there are as many as parts.
+func (n *Controller) depotShard(d reservation.Depot) int {
+	return reservation.ShardOf(d, len(n.state.Partitions))
+}
+
+func (n *Controller) replySkips(req ReqID, request *reservation.Request, result reservation.Result) {
+	switch result.Reason {
+	case "":
+		if request.Type != reservation.OpOffer && request.Type != reservation.OpAdd {
+			slog.Info("skip reservation changed", "what", request.Type, "depot", request.Depot, "skip", result.Skip, "number", result.Booking.ID, "state", result.Booking.Stage, "site", result.Booking.Site)
+		}
+		a := SkipResult{Depot: request.Depot, Skip: result.Skip}
+		if result.Booking.ID != 0 {
+			v := viewSkipItem(&result.Booking)
+			a.SkipItem = &v
+		}
+		n.reply(req, 200, a, 0)
+	case reservation.ReasonNoSuchSkip, reservation.ReasonNoSuchBooking:
+		n.replyError(req, 404, string(result.Reason))
+	case reservation.ReasonRecordTooLarge:
+		n.replyError(req, 400, string(result.Reason))
+	case reservation.ReasonBusy:
+		n.replyError(req, 503, string(result.Reason))
+	default:
+		n.replyError(req, 409, string(result.Reason))
+	}
+}
+
+func viewSkipItem(item *reservation.Booking) SkipItem {
+	return SkipItem{Number: item.ID, Name: item.Key, Stage: item.Stage, Site: item.Site, From: item.From.String(), To: item.To.String(), ExpiresAt: item.ExpiresAt}
+}
+
+// today is the day by our clock; only counts that say that they are about rest on it.
+func (n *Controller) today() reservation.Day { return reservation.Day(n.wallClock / 86_400_000) }
+
+// SkipMetrics is what a controller knows of the skips that it has read.
+type SkipMetrics struct {
+	Kinds       []reservation.Counts                 `json:"kinds"` // of all depots together, today
+	Refused     map[reservation.RefusalReason]uint64 `json:"refused"`
+	Records     uint64                               `json:"records_written"`
+	Conflicts   uint64                               `json:"conflicts"`
+	OldestOffer float64                              `json:"oldest_offer_s"`
+}
+
+func (n *Controller) viewSkips() *SkipMetrics {
+	replica := n.reservationLedger.replica
+	if replica == nil {
+		return nil
+	}
+	v := &SkipMetrics{Refused: replica.Refused, Records: replica.Records, Conflicts: replica.Conflicts, Kinds: []reservation.Counts{}}
+	byKind := map[reservation.Kind]reservation.Counts{}
+	for i := range n.state.Partitions {
+		s := replica.Shard(i)
+		for _, c := range s.Count(n.today(), n.today()+1) {
+			sum := byKind[c.Kind]
+			byKind[c.Kind] = reservation.Counts{Kind: c.Kind, Skips: sum.Skips + c.Skips, Free: sum.Free + c.Free, Offered: sum.Offered + c.Offered, Promised: sum.Promised + c.Promised, OutOfService: sum.OutOfService + c.OutOfService}
+		}
+		if since := s.OldestOfferTime(); since != 0 {
+			v.OldestOffer = max(v.OldestOffer, roundToTenth(float64(n.wallClock-since)/1000))
+		}
+	}
+	for _, k := range slices.Sorted(maps.Keys(byKind)) {
+		v.Kinds = append(v.Kinds, byKind[k])
+	}
+	return v
+}
+
+// countSkips counts skips by what was last read.
+func (n *Controller) countSkips(c AdminRequest) {
+	if n.reservationLedger.replica == nil {
+		n.replyError(c.Req, 503, "the ledger of skips is being read")
+		return
+	}
+	v := SkipCountsView{Kinds: []reservation.Counts{}, AgeSeconds: roundToTenth(n.now.Sub(n.reservationLedger.readAt).Seconds())}
+	for i := range n.state.Partitions {
+		v.Kinds = append(v.Kinds, n.reservationLedger.replica.Shard(i).Count(n.today(), n.today()+1)...)
+	}
+	n.reply(c.Req, 200, v, 0)
+}
+
+// listSkips shows a depot's skips as they are now.
+func (n *Controller) listSkips(c AdminRequest) {
+	n.reservationLedger.pendingLists = append(n.reservationLedger.pendingLists, readWaiter{onRead: func() {
+		shard := n.reservationLedger.replica.Shard(n.depotShard(reservation.Depot(c.ID)))
+		list, more := shard.List(reservation.Depot(c.ID), reservation.SkipID(c.After), max(1, c.Limit))
+		v := SkipsView{Skips: []SkipView{}}
+		for _, skip := range list {
+			view := SkipView{Depot: skip.Depot, Skip: skip.ID, Kind: skip.Kind, OutOfService: skip.OutOfService, Items: []SkipItem{}}
+			for i := range skip.Bookings {
+				view.Items = append(view.Items, viewSkipItem(&skip.Bookings[i]))
+			}
+			v.Skips = append(v.Skips, view)
+		}
+		if more {
+			v.After = list[len(list)-1].ID
+		}
+		n.reply(c.Req, 200, v, 0)
+	}, onFailure: func() { n.replyError(c.Req, 503, "state service not reachable") }})
+}
+
+// syncLedger reads the ledger once it is wanted, and writes what was asked.
+func (n *Controller) syncLedger() {
+	l := &n.reservationLedger
+	if !l.requested {
+		return
+	}
+	l.expireRequests(n)
+	n.sweepReservationArchive()
+	if l.busy || n.now < l.nextReadAt {
+		return
+	}
+	if l.replica == nil {
+		l.busy = true
+		if l.resumeLoad != nil {
+			l.resumeLoad()
+			return
+		}
+		l.loadedPairs = nil
+		n.loadLedgerPage("", 0)
+		return
+	}
+	readNeeded := len(l.pendingLists) > 0 || n.now.Sub(l.readAt) > ledgerReadInterval
+	for i := range n.state.Partitions {
+		readNeeded = readNeeded || l.staleShards[i] || l.replica.Idle(i) && l.replica.HasPending(i)
+	}
+	if n.now.Sub(l.compactedAt) > ledgerCompactInterval {
+		l.compactedAt = n.now
+		for i := range n.state.Partitions {
+			readNeeded = readNeeded || n.partitions[api.PartitionID(i)] != nil && l.replica.Idle(i) && l.replica.NeedsCleanup(i, n.wallClock)
+		}
+	}
+	if !readNeeded {
+		return
+	}
+	l.busy, l.nextReadAt = true, n.now.Add(n.lookupInterval)
+	readStarted, lists := n.now, l.pendingLists
+	l.pendingLists = nil
+	n.callStore(StoreCall{Changes: &ChangesRequest{Since: l.replica.Revision(), Prefix: reservation.Root}}, func(a StoreResponse) {
+		l.busy = false
+		ok := a.Status == 200 && n.now.Sub(readStarted) < ledgerMaxReadAge
+		if a.Status == 410 {
+			l.reset()
+		} else if a.Status == 200 {
+			if err := l.replica.ApplyChanges(a.Changes); err != nil {
+				slog.Error("reservation ledger reload", "err", err)
+				l.reset()
+				ok = false
+			}
+		}
+		for _, w := range lists {
+			if ok && l.replica != nil {
+				w.onRead()
+			} else {
+				w.onFailure()
+			}
+		}
+		if !ok || l.replica == nil {
+			return
+		}
+		l.readAt = n.now
+		for i := range n.state.Partitions {
+			if l.staleShards[i] {
+				l.staleShards[i] = false
+				l.replica.ResolveConflict(i)
+			}
+			n.writeLedgerShard(i, readStarted)
+		}
+	})
+}
+
+// reset has the ledger read anew; what waits stays.
+func (l *reservationLedger) reset() {
+	l.pendingRequests = append(l.pendingRequests, l.replica.RemoveTimedOut(1<<62)...)
+	l.replica, l.resumeLoad = nil, nil
+}
+
+// expireRequests tells who has waited for too long.
+func (l *reservationLedger) expireRequests(n *Controller) {
+	deadline := n.now.Add(-ledgerRequestTimeout)
+	var expired []*reservation.PendingRequest
+	if l.replica != nil {
+		expired = l.replica.RemoveTimedOut(deadline)
+	}
+	for len(l.pendingRequests) > 0 && l.pendingRequests[0].ArrivedAt < deadline {
+		expired, l.pendingRequests = append(expired, l.pendingRequests[0]), l.pendingRequests[1:]
+	}
+	for _, a := range expired {
+		a.Respond(reservation.Result{Reason: reservation.ReasonBusy})
+	}
+}
+
+// resumeAfter has the reading go on after a pause.
+func (l *reservationLedger) resumeAfter(n *Controller, pause time.Duration, next func()) {
+	l.busy, l.resumeLoad, l.nextReadAt = false, next, n.now.Add(pause)
+}
+
+// loadLedgerPage reads all of the ledger, page by page, then what changed since the first: pages are
+// of different revisions.
+func (n *Controller) loadLedgerPage(start string, from api.Revision) {
+	l := &n.reservationLedger
+	n.callStore(StoreCall{Page: &PageRequest{Prefix: reservation.Root, After: start}}, func(a StoreResponse) {
+		if a.Status != 200 {
+			l.resumeAfter(n, retryDelay, func() { n.loadLedgerPage(start, from) })
+			return
+		}
+		if from == 0 {
+			from = a.Page.Revision
+		}
+		l.loadedPairs = append(l.loadedPairs, a.Page.Pairs...)
+		if k := len(a.Page.Pairs); a.Page.More && k > 0 {
+			l.resumeAfter(n, n.pageReadInterval(), func() { n.loadLedgerPage(a.Page.Pairs[k-1].Key, from) })
+			return
+		}
+		n.finishLedgerLoad(from)
+	})
+}
+
+func (n *Controller) finishLedgerLoad(from api.Revision) {
+	l := &n.reservationLedger
+	n.callStore(StoreCall{Changes: &ChangesRequest{Since: from, Prefix: reservation.Root}}, func(a StoreResponse) {
+		if a.Status == 410 { // it took too long
+			l.resumeAfter(n, retryDelay, nil)
+			return
+		}
+		if a.Status != 200 {
+			l.resumeAfter(n, retryDelay, func() { n.finishLedgerLoad(from) })
+			return
+		}
+		latest := map[string]api.KeyValue{}
+		for _, p := range l.loadedPairs {
+			latest[p.Key] = p
+		}
+		for _, ch := range a.Changes.Log {
+			if ch.Put != "" && ch.Version > latest[ch.Put].Version {
+				latest[ch.Put] = api.KeyValue{Key: ch.Put, Value: ch.Value, Version: ch.Version}
+			}
+		}
+		pairs := make([]api.KeyValue, 0, len(latest))
+		for _, key := range slices.Sorted(maps.Keys(latest)) {
+			pairs = append(pairs, latest[key])
+		}
+		limits := n.config.Deployment.State
+		replica := reservation.NewLedger(fmt.Sprintf("%s-%d", n.config.Label, n.incarnation), len(n.state.Partitions), n.maxClockError(),
+			reservation.Limits{MaxValueBytes: int(limits.ValueKB*1024) - 512, MaxPuts: limits.TxnOps})
+		if err := replica.Load(pairs, a.Changes.Revision); err != nil {
+			slog.Error("reservation ledger load failed", "err", err)
+			l.resumeAfter(n, time.Second, nil)
+			return
+		}
+		l.resumeAfter(n, 0, nil)
+		l.replica, l.loadedPairs, l.staleShards = replica, nil, make([]bool, len(n.state.Partitions))
+		for _, request := range l.pendingRequests {
+			replica.Enqueue(request)
+		}
+		l.pendingRequests = nil
+		slog.Info("reservation ledger loaded", "keys", len(pairs), "revision", a.Changes.Revision)
+	})
+}
+
+// writeLedgerShard writes a shard's next record, if there is one and the writes for it.
+func (n *Controller) writeLedgerShard(shard int, readAt api.Time) {
+	l := &n.reservationLedger
+	rate := ledgerWriteShare * n.config.Deployment.State.WriteRPS / float64(max(1, len(n.state.Members)))
+	l.writeTokens = min(max(rate, float64(n.config.Deployment.State.TxnOps)), l.writeTokens+rate*n.now.Sub(l.writeTokensAt).Seconds())
+	l.writeTokensAt = n.now
+	if l.writeTokens < 1 || !l.replica.Idle(shard) {
+		return
+	}
+	tx := l.replica.Compose(shard, n.wallClock, readAt)
+	if tx == nil {
+		return
+	}
+	l.writeTokens -= float64(len(tx.Writes))
+	l.wroteAt = n.now
+	n.sendLedgerWrite(l.replica, shard, *tx)
+}
+
+// sweepReservationArchive deletes what has been kept in the archive for long enough, the oldest first. The
+// owner of part 0 does.
+func (n *Controller) sweepReservationArchive() {
+	l, owned := &n.reservationLedger, n.partitions[0]
+	if owned == nil || l.sweeping || n.now.Sub(l.sweptAt) < ledgerSweepInterval || n.overloaded() {
+		return
+	}
+	l.sweptAt, l.sweeping = n.now, true
+	n.sweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { l.sweeping = false })
+}
+
+// sendLedgerWrite sends a record until its outcome is known.
+func (n *Controller) sendLedgerWrite(replica *reservation.Ledger, shard int, tx api.Txn) {
+	n.callStoreTxn(tx, func(a StoreResponse) {
+		if n.reservationLedger.replica != replica {
+			return // read anew meanwhile: names tell what became of it
+		}
+		switch replica.HandleOutcome(shard, a.Status, a.Txn.Revision) {
+		case reservation.StepRead:
+			n.reservationLedger.staleShards[shard] = true
+		case reservation.StepRetry:
+			n.deferCall(func() { n.sendLedgerWrite(replica, shard, tx) })
+		}
+	})
+}
--- /dev/null
+++ b/controller/resultlookup.go
@@ -0,0 +1,114 @@
+package controller
+
+import (
+	"encoding/json"
+	"log/slog"
+	"slices"
+	"strings"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/jobresult"
+)
+
+// resultLookups are the questions for final states that this process does not remember.
+type resultLookups struct {
+	queue    jobresult.Queue
+	waiters  map[api.JobID][]resultWaiter
+	inFlight bool
+	nextAt   api.Time
+}
+
+type resultWaiter struct {
+	since    api.Time
+	sequence uint64 // of its question
+	found    func(api.JobStatus)
+	notFound func()
+	fail     func()
+}
+
+// maxPendingLookups bounds the questions that stay though nobody waits for them any more.
+const maxPendingLookups = 10_000
+
+// sendResultLookup sends the next request for final states. Who has waited for as long as users do is
+// told to ask again; the question stays until it is answered, so that the next time it is
+// known. So each is answered within one turn of the queue, whatever else is asked.
+func (n *Controller) sendResultLookup() {
+	lookups := &n.resultLookups
+	var late []api.JobID
+	for ref, waiters := range lookups.waiters {
+		if n.now.Sub(waiters[0].since) > storeTimeout {
+			late = append(late, ref)
+		}
+	}
+	slices.Sort(late)
+	for _, ref := range late {
+		waiters := lookups.waiters[ref]
+		k := 0
+		for ; k < len(waiters) && n.now.Sub(waiters[k].since) > storeTimeout; k++ {
+			waiters[k].fail()
+		}
+		if lookups.waiters[ref] = waiters[k:]; k == len(waiters) {
+			delete(lookups.waiters, ref)
+			if lookups.queue.Len() > maxPendingLookups {
+				lookups.queue.Remove(ref)
+			}
+		}
+	}
+	if lookups.inFlight || n.now < lookups.nextAt {
+		return
+	}
+	query, ok := lookups.queue.Next()
+	if !ok {
+		return
+	}
+	lookups.inFlight, lookups.nextAt = true, n.now.Add(n.lookupInterval)
+	call := StoreCall{Get: clusterstate.KeyJobResult + string(query.JobID)}
+	if query.JobID == "" {
+		call = StoreCall{Page: &PageRequest{Prefix: clusterstate.KeyJobResult, After: clusterstate.KeyJobResult + query.After, Limit: jobresult.PageSize}}
+	}
+	n.callStore(call, func(a StoreResponse) {
+		lookups.inFlight = false
+		switch {
+		case query.JobID != "" && (a.Status == 200 || a.Status == 404):
+			var s api.JobState
+			if a.Status == 200 && json.Unmarshal(a.Pair.Value, &s) != nil {
+				return
+			}
+			if f, ok := lookups.queue.HandleSingle(query, s); ok {
+				n.deliverResult(f)
+			}
+		case query.JobID == "" && a.Status == 200:
+			var states []jobresult.Result
+			for _, p := range a.Page.Pairs {
+				f := jobresult.Result{JobID: api.JobID(strings.TrimPrefix(p.Key, clusterstate.KeyJobResult))}
+				if err := json.Unmarshal(p.Value, &f.State); err != nil {
+					slog.Error("final job state could not be decoded", "key", p.Key, "err", err)
+				}
+				states = append(states, f)
+			}
+			for _, f := range lookups.queue.HandlePage(query, states, a.Page.More) {
+				n.deliverResult(f)
+			}
+		}
+	})
+}
+
+// deliverResult answers who waits for a job's final state: that there is none only those who had asked
+// when it was read. The others may ask after the job's end, and were told of it by another node.
+func (n *Controller) deliverResult(result jobresult.Result) {
+	waiters := n.resultLookups.waiters[result.JobID]
+	delete(n.resultLookups.waiters, result.JobID)
+	if result.State != "" {
+		n.state.SetJobResult(result.JobID, result.State)
+	} else if k := slices.IndexFunc(waiters, func(w resultWaiter) bool { return w.sequence > result.MaxSeq }); k >= 0 {
+		n.resultLookups.waiters[result.JobID], waiters = waiters[k:], waiters[:k]
+	}
+	for _, w := range waiters {
+		if result.State != "" {
+			w.found(api.JobStatus{JobID: result.JobID, State: result.State})
+		} else {
+			w.notFound()
+		}
+	}
+}
--- /dev/null
+++ b/controller/roundrate.go
@@ -0,0 +1,62 @@
+package controller
+
+import (
+	"time"
+
+	"basaltwall/api"
+)
+
+// Rounds may take half of the state service's writes. That is shared by the partitions that write
+// rounds, as the log tells, and not by all there are: of many most have nothing to do at a time.
+
+// roundRate is how often a partition may write its round.
+type roundRate struct {
+	lastSequence []uint64   // by partition, its latest round
+	observedAt   []api.Time // and when that was first known here
+	refusedAt    api.Time   // the state service last refused a round for its limits
+}
+
+const (
+	// activeWindow is how long after a round a partition counts as one that writes.
+	activeWindow = 2 * time.Second
+	// backoffHold is how long after a refusal the writes are shared by all partitions, and
+	// recoverFor how long it takes from then on until only those that write count.
+	backoffHold     = 3 * time.Second
+	backoffRecovery = 10 * time.Second
+)
+
+// observeRounds notes which partitions write rounds.
+func (n *Controller) observeRounds() {
+	p := &n.roundRate
+	if p.lastSequence == nil {
+		p.lastSequence, p.observedAt = make([]uint64, len(n.state.Partitions)), make([]api.Time, len(n.state.Partitions))
+	}
+	for i := range n.state.Partitions {
+		if seq := n.state.Partitions[i].RoundSeq; seq != p.lastSequence[i] {
+			p.lastSequence[i], p.observedAt[i] = seq, n.now
+		}
+	}
+}
+
+// currentRoundInterval is the time between two rounds of a partition, as of now. It reckons with as many that
+// write as there are relays at least: some that begin at the same moment are within the limit, and
+// with no more partitions than that nothing depends on who writes.
+func (n *Controller) currentRoundInterval() time.Duration {
+	active := 0
+	for _, at := range n.roundRate.observedAt {
+		if at != 0 && n.now.Sub(at) <= activeWindow {
+			active++
+		}
+	}
+	partitionCount := len(n.state.Partitions)
+	shared := n.roundInterval * time.Duration(min(partitionCount, max(active, n.maxRelays))) / time.Duration(partitionCount)
+	shared = max(shared, min(n.roundInterval, minRoundInterval))
+	if n.roundRate.refusedAt == 0 {
+		return shared
+	}
+	recovered := min(1, max(0, float64(n.now.Sub(n.roundRate.refusedAt)-backoffHold)/float64(backoffRecovery)))
+	return n.roundInterval - time.Duration(recovered*float64(n.roundInterval-shared))
+}
+
+// backOffRounds notes that the state service refused a round for its limits.
+func (n *Controller) backOffRounds() { n.roundRate.refusedAt = n.now }
--- a/control/pace_test.go
+++ b/controller/roundrate_test.go
@@ -1,4 +1,4 @@
-package control
+package controller
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/book"
+	"basaltwall/clusterstate"
 	"basaltwall/config"
 )
 
-// many is a controller among so many, with as many partitions.
-func many(t *testing.T, nodes int) *Node {
+// manyControllers is a controller among so many, with as many partitions.
+func manyControllers(t *testing.T, nodes int) *Controller {
 	t.Helper()
 	var peers []string
 	for i := range nodes - 1 {
@@ -32,28 +32,28 @@
 
 // However many partitions write rounds, together they stay within half of the writes; those that
 // write nothing leave theirs to the others. With few nothing depends on who writes.
-func TestRoundsShareTheWrites(t *testing.T) {
+func TestRoundsShareWriteBudget(t *testing.T) {
 	for _, all := range []int{1, 3, 7, 23} {
 		for active := range all + 1 {
-			n := many(t, all)
-			n.watchRounds()
+			n := manyControllers(t, all)
+			n.observeRounds()
 			n.now = n.now.Add(time.Minute)
 			for i := range active {
-				n.book.Parts[i].Seq++
+				n.state.Partitions[i].RoundSeq++
 			}
-			n.watchRounds()
-			pause := n.roundPause()
+			n.observeRounds()
+			pause := n.currentRoundInterval()
 			if rate := float64(active) / pause.Seconds(); rate > 1.001*0.5*50 {
 				t.Errorf("%d of %d partitions write %.1f rounds a second", active, all, rate)
 			}
-			if all <= n.relays && pause != n.roundGap {
-				t.Errorf("%d of %d: %v, expected %v", active, all, pause, n.roundGap)
+			if all <= n.maxRelays && pause != n.roundInterval {
+				t.Errorf("%d of %d: %v, expected %v", active, all, pause, n.roundInterval)
 			}
-			if active <= n.relays && all > n.relays && pause >= n.roundGap {
+			if active <= n.maxRelays && all > n.maxRelays && pause >= n.roundInterval {
 				t.Errorf("%d of %d: %v, as if all wrote", active, all, pause)
 			}
-			n.now = n.now.Add(2 * activeFor)
-			if n.watchRounds(); n.roundPause() > pause {
+			n.now = n.now.Add(2 * activeWindow)
+			if n.observeRounds(); n.currentRoundInterval() > pause {
 				t.Errorf("%d of %d: slower once they are idle", active, all)
 			}
 		}
@@ -61,18 +61,18 @@
 }
 
 // A refusal makes rounds as rare as if all partitions wrote, at once, and they come back slowly.
-func TestARefusalSlowsRounds(t *testing.T) {
-	n := many(t, 23)
-	n.watchRounds()
-	fast := n.roundPause()
-	n.slowRounds()
-	if got := n.roundPause(); got != n.roundGap || got <= fast {
+func TestRefusalBacksOffRounds(t *testing.T) {
+	n := manyControllers(t, 23)
+	n.observeRounds()
+	fast := n.currentRoundInterval()
+	n.backOffRounds()
+	if got := n.currentRoundInterval(); got != n.roundInterval || got <= fast {
 		t.Errorf("%v after a refusal, %v before", got, fast)
 	}
-	last := n.roundPause()
+	last := n.currentRoundInterval()
 	for range 20 {
 		n.now = n.now.Add(time.Second)
-		if got := n.roundPause(); got > last {
+		if got := n.currentRoundInterval(); got > last {
 			t.Errorf("slower by itself: %v after %v", got, last)
 		} else {
 			last = got
@@ -85,46 +85,46 @@
 
 // Of many controllers the first few relays read for themselves, each other one reads through one of
 // them, and through another when that fails; of three all read for themselves.
-func TestWhoReadsThroughWhom(t *testing.T) {
-	n := many(t, 3)
-	if n.relayed() || n.relayToAsk() != "" {
+func TestRelaySelection(t *testing.T) {
+	n := manyControllers(t, 3)
+	if n.usesRelays() || n.nextRelay() != "" {
 		t.Error("one of three reads through another")
 	}
-	n = many(t, 23)
-	for _, l := range n.all {
-		n.book.Members[l] = book.MemberValue{Format: book.FormatTransfers}
+	n = manyControllers(t, 23)
+	for _, l := range n.controllers {
+		n.state.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatTransfers}
 	}
-	if gap := n.readGap(); n.relayed() || gap != n.aloneGap/2 {
+	if gap := n.logReadInterval(); n.usesRelays() || gap != n.directReadInterval/2 {
 		t.Errorf("relays, read every %v, though no other controller knows of them", gap)
 	}
-	for _, l := range n.all {
-		n.book.Members[l] = book.MemberValue{Format: book.FormatRelays}
+	for _, l := range n.controllers {
+		n.state.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatRelays}
 	}
-	if gap := n.readGap(); !n.relayed() || gap != n.syncGap {
+	if gap := n.logReadInterval(); !n.usesRelays() || gap != n.readInterval {
 		t.Errorf("no relays, read every %v, though all know of them", gap)
 	}
-	n.book.Members[n.all[3]] = book.MemberValue{}
-	if n.relayed() {
+	n.state.Members[n.controllers[3]] = clusterstate.MemberValue{}
+	if n.usesRelays() {
 		t.Error("relays beside a controller of an older version")
 	}
-	delete(n.book.Members, n.all[3])
-	relays := n.relaysNow()
-	if len(relays) != n.relays || !n.relayed() || isRelay(relays, n.all[3]) {
+	delete(n.state.Members, n.controllers[3])
+	relays := n.currentRelays()
+	if len(relays) != n.maxRelays || !n.usesRelays() || isRelay(relays, n.controllers[3]) {
 		t.Fatalf("%d relays", len(relays))
 	}
-	if isRelay(relays, n.cfg.Label) {
+	if isRelay(relays, n.config.Label) {
 		t.Fatal("the test needs names with which we are no relay")
 	}
-	asked := map[api.Label]bool{}
+	asked := map[api.ControllerID]bool{}
 	for range relays {
-		via := n.relayToAsk()
+		via := n.nextRelay()
 		if via == "" || asked[via] || !isRelay(relays, via) {
 			t.Fatalf("asks %q after %v", via, asked)
 		}
 		asked[via] = true
-		n.link.Failed(via, n.now)
+		n.relayLink.MarkFailed(via, n.now)
 	}
-	if via := n.relayToAsk(); via != "" {
+	if via := n.nextRelay(); via != "" {
 		t.Errorf("asks %s, which has failed", via)
 	}
 }
--- a/control/guards_test.go
+++ b/controller/safety_test.go
@@ -1,4 +1,4 @@
-package control
+package controller
 
 import (
 	"encoding/json"
@@ -8,13 +8,13 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/book"
+	"basaltwall/clusterstate"
 	"basaltwall/config"
 )
 
-// owner is a controller that owns part 0 under term 7, with one usable machine,
+// newTestOwner is a controller that owns part 0 under term 7, with one usable machine,
 // i-000000 in zone a, and a job of the given kind accepted.
-func owner(t testing.TB, spec *api.JobSpec) (*Node, *partition, *Machine, *Job) {
+func newTestOwner(t testing.TB, spec *api.JobSpec) (*Controller, *ownedPartition, *Machine, *Job) {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
 "external":{"cloud":"10.0.0.2:1","state":"10.0.0.3:1"},"deployment":{"initial_size":1,"zones":["a","b"],
@@ -25,30 +25,30 @@
 	}
 	n := New(cfg, 1)
 	n.now, n.loaded = api.Time(time.Minute), true
-	n.learnTypes([]api.MachineType{{Name: "c8", CPUs: 8, MemGB: 32, Zones: []api.Zone{"a", "b"}}})
-	for key, v := range map[string]any{book.KeyPart + "0": book.PartValue{Owner: "n"}, book.KeyJob + string(spec.Ref): book.JobValue{Spec: spec, Split: []book.Range{{From: 0, To: spec.Tasks}}}} {
+	n.addMachineTypes([]api.MachineType{{Name: "c8", CPUs: 8, MemGB: 32, Zones: []api.Zone{"a", "b"}}})
+	for key, v := range map[string]any{clusterstate.KeyPartition + "0": clusterstate.PartitionValue{Owner: "n"}, clusterstate.KeyJob + string(spec.Ref): clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}}} {
 		data, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := n.book.Put(key, data, 7); err != nil {
+		if err := n.state.Put(key, data, 7); err != nil {
 			t.Fatal(err)
 		}
 	}
-	n.beginPart(0, 7)
-	m := n.machine("i-000000")
-	m.typ, m.zone, m.heard, m.session, m.token = "c8", "a", n.now, 1, 7
-	return n, n.partitions[0], m, n.book.Jobs[spec.Ref]
+	n.beginOwnership(0, 7)
+	m := n.ensureMachine("i-000000")
+	m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.now, 1, 7
+	return n, n.partitions[0], m, n.state.Jobs[spec.Ref]
 }
 
 // A deposed owner's late round must not be written even into a slot that nobody
 // has used since: the term alone says so then.
-func TestRoundNamesItsTerm(t *testing.T) {
-	n, partition, _, _ := owner(t, testSpec(2))
-	n.runPart(partition)
-	want := api.Condition{Key: book.KeyPart + "0", Version: 7}
+func TestRoundIsConditionalOnTerm(t *testing.T) {
+	n, owned, _, _ := newTestOwner(t, testSpec(2))
+	n.runPartition(owned)
+	want := api.Condition{Key: clusterstate.KeyPartition + "0", Version: 7}
 	for _, e := range n.effects {
-		if c, ok := e.(StateCall); ok && c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == book.RoundKey(0, 1) {
+		if c, ok := e.(StoreCall); ok && c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
 			if !slices.Contains(c.Txn.If, want) {
 				t.Errorf("the round is written on %v, without %v", c.Txn.If, want)
 			}
@@ -60,36 +60,36 @@
 
 // Forgetting an attempt while a command that starts it may still arrive would let
 // it start anew.
-func TestNoReapBeforeCallsAreSettled(t *testing.T) {
-	n, partition, m, _ := owner(t, testSpec(1))
-	k := taskKey{api.TaskID{Job: "run-9", Index: 0}, 3}
-	m.tasks[k] = api.TaskReport{Task: k.id.String(), Attempt: 3, State: api.TaskExited}
-	reaps := func() bool {
-		return slices.ContainsFunc(n.orders(m, partition), func(o api.Order) bool { return o.Op == api.OpForget })
+func TestNoForgetWhileCallsAreUncertain(t *testing.T) {
+	n, owned, m, _ := newTestOwner(t, testSpec(1))
+	k := attemptKey{api.TaskID{Job: "run-9", Index: 0}, 3}
+	m.reportedTasks[k] = api.TaskStatus{Task: k.task.String(), Attempt: 3, State: api.TaskExited}
+	forgets := func() bool {
+		return slices.ContainsFunc(n.commandsFor(m, owned), func(command api.Command) bool { return command.Op == api.OpReap })
 	}
-	if !reaps() {
+	if !forgets() {
 		t.Error("an attempt that is over and recorded is not forgotten")
 	}
-	if m.calling = true; reaps() {
+	if m.callInFlight = true; forgets() {
 		t.Error("forgotten while a call is unanswered")
 	}
-	m.calling, m.doubt = false, 7
-	if reaps() {
+	m.callInFlight, m.uncertainToken = false, 7
+	if forgets() {
 		t.Error("forgotten though a lost call may still arrive under the machine's token")
 	}
 }
 
 // Where a job's tasks bind each other, none starts while a task of it may be in
 // a zone that is not known.
-func TestUnknownZoneBlocksWhatIsBound(t *testing.T) {
+func TestUnknownZoneBlocksConstrainedJobs(t *testing.T) {
 	for _, bound := range []bool{false, true} {
 		spec := testSpec(4)
 		spec.Spread = bound
-		n, partition, _, j := owner(t, spec)
-		n.book.AddPlace(&Place{Task: api.TaskID{Job: j.Ref, Index: 0}, Machine: "i-000009", Session: 1, Attempt: 1, Job: j})
-		w := n.plan(partition)
-		if got := len(w.starts) > 0; got == bound {
-			t.Errorf("spread %v, a place in an unknown zone: %d starts", bound, len(w.starts))
+		n, owned, _, j := newTestOwner(t, spec)
+		n.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: 0}, Machine: "i-000009", Epoch: 1, Attempt: 1, Job: j})
+		round := n.planRound(owned)
+		if got := len(round.starts) > 0; got == bound {
+			t.Errorf("spread %v, a place in an unknown zone: %d starts", bound, len(round.starts))
 		}
 	}
 }
@@ -99,25 +99,25 @@
 func TestRoundFitsItsRecord(t *testing.T) {
 	spec := testSpec(3000)
 	spec.CPUs = 0.001
-	n, partition, _, j := owner(t, spec)
+	n, owned, _, j := newTestOwner(t, spec)
 	for i := range 1200 {
-		m := n.machine(api.MachineID(fmt.Sprintf("i-%06d", i)))
-		m.typ, m.zone, m.heard, m.session, m.token = "c8", "a", n.now, 1, 7
-		p := &Place{Task: api.TaskID{Job: j.Ref, Index: i}, Machine: m.ID, Session: 1, Attempt: 1, Job: j}
-		n.book.AddPlace(p)
-		n.end(partition, p, i%2 == 0, "test")
+		m := n.ensureMachine(api.MachineID(fmt.Sprintf("i-%06d", i)))
+		m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.now, 1, 7
+		p := &Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j}
+		n.state.AddPlacement(p)
+		n.recordTaskEnd(owned, p, i%2 == 0, "test")
 	}
 	rounds := 0
-	for ; len(partition.ends) > 0 && rounds < 100; rounds++ {
-		w := n.plan(partition)
-		body, err := json.Marshal(w.rec)
+	for ; len(owned.pendingEnds) > 0 && rounds < 100; rounds++ {
+		round := n.planRound(owned)
+		body, err := json.Marshal(round.record)
 		if err != nil || len(body) > 8<<10 {
 			t.Fatalf("a record of %d bytes: %v", len(body), err)
 		}
-		if len(w.ends)+len(w.starts) == 0 {
+		if len(round.ends)+len(round.starts) == 0 {
 			t.Fatal("a round that does nothing while there is work")
 		}
-		n.book.FoldRecord(0, &w.rec)
+		n.state.ApplyRecord(0, &round.record)
 	}
 	if rounds > 20 {
 		t.Errorf("%d rounds for 1200 ends", rounds)
@@ -126,10 +126,10 @@
 
 // A job that has no time to run a task again, also when an earlier limit is missed
 // already, is at risk on spot machines; one that has time is not.
-func TestNoTimeForAnotherRunKeepsOffSpot(t *testing.T) {
+func TestTightDeadlineAvoidsSpot(t *testing.T) {
 	spec := testSpec(40)
 	spec.Spot, spec.Estimate = true, 100
-	n, _, _, j := owner(t, spec)
+	n, _, _, j := newTestOwner(t, spec)
 	for _, c := range []struct {
 		deadline, elapsed float64
 		off               bool
@@ -137,7 +137,7 @@
 		spec := *j.Spec
 		spec.Deadline = &c.deadline
 		j.Spec = &spec
-		n.wall = j.Accepted + api.Wall(c.elapsed*1000)
+		n.wallClock = j.AcceptedAt + api.WallTime(c.elapsed*1000)
 		if risk := n.spotRisk(j); (risk >= 0.5) != c.off || !c.off && risk > 0.1 {
 			t.Errorf("deadline %v s, %v s gone, runs 100 s: risk %.2f", c.deadline, c.elapsed, risk)
 		}
--- a/control/submit_test.go
+++ b/controller/submit_test.go
@@ -1,4 +1,4 @@
-package control
+package controller
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"testing"
 
 	"basaltwall/api"
-	"basaltwall/book"
+	"basaltwall/clusterstate"
 )
 
 // submission is a job as a user writes it.
@@ -26,7 +26,7 @@
 }
 
 // replyTo is what a request was answered, status 0 if it was not.
-func replyTo(n *Node, req ReqID) (status int, body string) {
+func replyTo(n *Controller, req ReqID) (status int, body string) {
 	for _, e := range n.effects {
 		if r, ok := e.(Reply); ok && r.Req == req {
 			return r.Status, string(r.Body)
@@ -35,14 +35,14 @@
 	return 0, ""
 }
 
-// read answers the node's current read with changes.
-func read(t *testing.T, n *Node, log ...api.Change) {
+// answerRead answers the node's current read with changes.
+func answerRead(t *testing.T, n *Controller, log ...api.Change) {
 	t.Helper()
-	n.syncNext = 0
-	n.follow()
+	n.nextReadAt = 0
+	n.followLog()
 	for _, e := range n.effects {
-		if c, ok := e.(StateCall); ok && c.Changes != nil && c.Changes.Wait == 0 && n.calls[c.ID] != nil {
-			n.handle(StateAnswer{ID: c.ID, Status: 200, Changes: api.Changes{Revision: 99, Log: log}})
+		if c, ok := e.(StoreCall); ok && c.Changes != nil && c.Changes.Wait == 0 && n.pendingCalls[c.ID] != nil {
+			n.dispatch(StoreResponse{ID: c.ID, Status: 200, Changes: api.Changes{Revision: 99, Log: log}})
 			return
 		}
 	}
@@ -51,7 +51,7 @@
 
 // What a node would refuse for anything but the request's own bytes may have been accepted by
 // another: a repeat of it gets the job's state, by a current read, and only then a refusal.
-func TestRepeatOfAnAcceptedJobIsNotRefused(t *testing.T) {
+func TestResubmissionOfAcceptedJobIsNotRefused(t *testing.T) {
 	types := []string{"c8"}
 	for i := range 60 {
 		types = append(types, fmt.Sprintf("%s%d", strings.Repeat("x", 180), i))
@@ -67,8 +67,8 @@
 		"a gang that can never start": {func(m map[string]any) { m["forma"], m["pezzi"], m["scatter"], m["cortile"] = "ensemble", 3, true, "a" }, 422, "scatter"},
 	} {
 		for _, accepted := range []bool{true, false} {
-			n, _, _, _ := owner(t, testSpec(1))
-			n.stateOK = true
+			n, _, _, _ := newTestOwner(t, testSpec(1))
+			n.storeHealthy = true
 			body := submission(t, tc.change)
 			n.submit(Submit{Req: 1, Body: body})
 			if status, _ := replyTo(n, 1); status != 0 {
@@ -81,18 +81,18 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				v, err := json.Marshal(book.JobValue{Spec: spec, Split: []book.Range{{From: 0, To: spec.Tasks}}})
+				v, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}})
 				if err != nil {
 					t.Fatal(err)
 				}
-				log = append(log, api.Change{Put: book.KeyJob + "run-9", Value: v, Version: 50})
+				log = append(log, api.Change{Put: clusterstate.KeyJob + "run-9", Value: v, Version: 50})
 			}
-			read(t, n, log...)
+			answerRead(t, n, log...)
 			if !accepted { // it is in no book: its final state is looked for
-				n.lookUp()
+				n.sendResultLookup()
 				for _, e := range n.effects {
-					if c, ok := e.(StateCall); ok && c.Get != "" {
-						n.handle(StateAnswer{ID: c.ID, Status: 404})
+					if c, ok := e.(StoreCall); ok && c.Get != "" {
+						n.dispatch(StoreResponse{ID: c.ID, Status: 404})
 					}
 				}
 			}
@@ -107,27 +107,27 @@
 // A question that comes while a final state is looked for is not answered by that request's not
 // finding it: the job may have been accepted, done and put away meanwhile, and the book may have
 // been read anew since.
-func TestAFinalStateIsReadAfterTheQuestion(t *testing.T) {
-	n, _, _, _ := owner(t, testSpec(1))
-	n.stateOK = true
+func TestResultReadAfterQuery(t *testing.T) {
+	n, _, _, _ := newTestOwner(t, testSpec(1))
+	n.storeHealthy = true
 	ask := func(req ReqID) {
 		n.poll(Poll{Req: req, Ref: "run-9"})
-		read(t, n)
+		answerRead(t, n)
 	}
 	answer := func(status int, state string) {
-		n.finals.next = 0
-		n.lookUp()
+		n.resultLookups.nextAt = 0
+		n.sendResultLookup()
 		for _, e := range n.effects {
-			if c, ok := e.(StateCall); ok && c.Get != "" && n.calls[c.ID] != nil {
-				n.handle(StateAnswer{ID: c.ID, Status: status, Pair: api.Pair{Value: json.RawMessage(state)}})
+			if c, ok := e.(StoreCall); ok && c.Get != "" && n.pendingCalls[c.ID] != nil {
+				n.dispatch(StoreResponse{ID: c.ID, Status: status, Pair: api.KeyValue{Value: json.RawMessage(state)}})
 				return
 			}
 		}
 		t.Fatal("no final state is looked for")
 	}
 	ask(1)
-	n.finals.next = 0
-	n.lookUp() // its request is on its way
+	n.resultLookups.nextAt = 0
+	n.sendResultLookup() // its request is on its way
 	ask(2)
 	answer(404, "")
 	if first, _ := replyTo(n, 1); first != 404 {
--- /dev/null
+++ b/controller/transfer.go
@@ -0,0 +1,180 @@
+package controller
+
+import (
+	"cmp"
+	"encoding/json"
+	"log/slog"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/sched"
+)
+
+// A machine with room is lent together with the tasks that run there, where a job whose tasks must
+// lie in one part has waited for long and no machine is empty. One record of the part that gives
+// it carries the lending, the tasks and the share of their teams' limits that they use, under the
+// conditions that none of their jobs has changed: none was cancelled, so that no place is added
+// to a part that has not said that it knows of a cancellation. See book/transfer.go and
+// docs/safety.md.
+
+// transferWait is how long a job waits before machines are lent to it with their tasks: that
+// tears the work of other jobs from their part, and room may come free by itself.
+const transferWait = 20 * time.Second
+
+// unmetDemandRecheckInterval is how often a round looks again at jobs that lack room when nothing else changes.
+const unmetDemandRecheckInterval = 3 * time.Second
+
+// unmetDemandExpiry is when a job that was not seen to lack room since counts as one that begins to.
+const unmetDemandExpiry = 4 * unmetDemandRecheckInterval
+
+// unmetDemandOf describes a job that found no room in its part.
+func (n *Controller) unmetDemandOf(owned *ownedPartition, j *Job, request *sched.Job) UnmetDemand {
+	if j.OwnerState.unmetSince == 0 || n.now.Sub(j.OwnerState.unmetSeenAt) > unmetDemandExpiry {
+		j.OwnerState.unmetSince = n.now
+	}
+	j.OwnerState.unmetSeenAt = n.now
+	demand := UnmetDemand{Spec: j.Spec, Zones: request.PlacedByZone, Zone: n.preferredZone(j.Spec), Stage: request.AgingStage}
+	if j.Spec.OneZone {
+		for zone := range request.PlacedByZone {
+			demand.Zone = zone // where its tasks are
+		}
+	}
+	if n.now.Sub(j.OwnerState.unmetSince) > transferWait {
+		demand.Lenders = n.findLenders(owned, j, &demand)
+	}
+	return demand
+}
+
+// findLenders are the parts whose machines have most room for a job that finds none in its own,
+// as many as it takes; none if all together have too little, which for a gang is room for less
+// than all of it.
+func (n *Controller) findLenders(owned *ownedPartition, j *Job, demand *UnmetDemand) []api.PartitionID {
+	cpuOnly := n.isCPUOnly(j.Spec)
+	slots := make([]int, len(n.state.Partitions))
+	var machines []sched.Machine
+	n.eachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+		if !k.Usable || demand.Zone != "" && k.Zone != demand.Zone || !n.isEligible(j.Spec, cpuOnly, k.Type, k.Zone, k.Spot) || !sched.ZoneFeasible(j.Spec, demand.Zones, k.Zone) {
+			return
+		}
+		slotsPerMachine := j.Demand.Slots(r.Free)
+		slots[p] += r.Count * slotsPerMachine
+		if j.Spec.Kind == api.Gang && slotsPerMachine > 0 {
+			for range min(r.Count, j.Spec.Tasks) {
+				machines = append(machines, sched.Machine{Type: k.Type, Zone: k.Zone, Spot: k.Spot, Free: r.Free})
+			}
+		}
+	})
+	if j.Spec.Kind == api.Gang && !sched.FitsAll(machines, j.Spec) {
+		return nil
+	}
+	missing := j.PendingTasks(owned.id)
+	if j.Spec.Kind == api.Gang {
+		missing -= slots[owned.id]
+	}
+	var others []api.PartitionID
+	for p, s := range slots {
+		if api.PartitionID(p) != owned.id && s > 0 {
+			others = append(others, api.PartitionID(p))
+		}
+	}
+	slices.SortStableFunc(others, func(a, b api.PartitionID) int { return cmp.Compare(slots[b], slots[a]) })
+	count := 0
+	for count < len(others) && missing > 0 {
+		missing -= slots[others[count]]
+		count++
+	}
+	return others[:count]
+}
+
+// allSupportFormat reports whether every controller has told that it understands a form of records.
+func (n *Controller) allSupportFormat(format int) bool {
+	return !slices.ContainsFunc(n.controllers, func(l api.ControllerID) bool { return n.memberFormats[l] < format })
+}
+
+// selectTransferMachine is the machine of a part that has room for most of a job's tasks and, of
+// those, holds fewest others; nil if none can be lent with what runs there.
+func (n *Controller) selectTransferMachine(owned *ownedPartition, demand *UnmetDemand, cpuOnly bool) *Machine {
+	if !slices.Contains(demand.Lenders, owned.id) || n.isRecordRingFull(owned) || !n.allSupportFormat(clusterstate.FormatTransfers) {
+		return nil
+	}
+	var best *Machine
+	bestSlots := 0
+	for _, m := range n.machinesOf(owned.id) {
+		if n.reservedFor(m) != "" || !n.isLendable(m, owned, demand, cpuOnly) || !n.isTransferable(m, owned) {
+			continue
+		}
+		slots := min(demand.Spec.Demand().Slots(n.freeCapacityOn(m, owned)), demand.Spec.Tasks)
+		if slots > bestSlots || best != nil && slots == bestSlots && len(n.state.PlacementsOn(m.ID)) < len(n.state.PlacementsOn(best.ID)) {
+			best, bestSlots = m, slots
+		}
+	}
+	return best
+}
+
+// isTransferable reports whether all that is on a machine can go with it: tasks that are known to
+// have arrived there, are not being stopped, and whose jobs neither hold units of pools nor have
+// to be stopped together.
+func (n *Controller) isTransferable(m *Machine, owned *ownedPartition) bool {
+	if m.hasUnknownTasks || m.untrackedUsage != (api.Resources{}) || m.uncertainToken != 0 {
+		return false
+	}
+	jobs := map[api.JobID]bool{}
+	for _, p := range n.state.PlacementsOn(m.ID) {
+		s := p.Job.Spec
+		if p.Partition != owned.id || p.Finishing || p.OwnerState.stopRequested || !p.OwnerState.reported || p.Job.Terminal() || s.Kind == api.Gang || len(s.Needs) > 0 {
+			return false
+		}
+		jobs[p.Job.ID] = true
+	}
+	return len(jobs) < n.roundConditionBudget()
+}
+
+// lendMachineWithTasks lends a machine to another part together with its tasks.
+func (n *Controller) lendMachineWithTasks(owned *ownedPartition, m *Machine, to api.PartitionID, jobID api.JobID) {
+	key := clusterstate.KeyLoan + string(m.ID)
+	value, err := json.Marshal(clusterstate.LoanValue{Partition: to, Job: jobID, Transferred: true, Tasks: n.state.StartsOn(m.ID)})
+	if err != nil || n.exceedsValueSize(value) {
+		return
+	}
+	round := &pendingRound{record: clusterstate.Record{Seq: n.state.Partitions[owned.id].RoundSeq + 1}, ends: map[*Placement]bool{}, transfer: true}
+	round.txn.If = []api.Condition{n.state.VersionCondition(key)}
+	round.txn.Writes = []api.Write{{Put: key, Value: value}}
+	use := map[api.Team]api.Resources{}
+	for _, p := range n.state.PlacementsOn(m.ID) {
+		team, demand := p.Job.Spec.Team, p.Job.Demand
+		use[team] = use[team].Plus(api.Resources{CPU: demand.CPU, GPU: demand.GPU})
+		c := api.Condition{Key: clusterstate.KeyJob + string(p.Job.ID), Version: p.Job.Version}
+		if !slices.Contains(round.txn.If, c) {
+			round.txn.If = append(round.txn.If, c)
+		}
+	}
+	round.record.QuotaTransfers = n.usedQuotaTransfers(to, use)
+	slog.Info("machine lent with running tasks", "machine", m.ID, "from", owned.id, "to", to, "for", jobID, "tasks", len(n.state.PlacementsOn(m.ID)))
+	n.metrics.MachinesTransferred++
+	n.commitRound(owned, round)
+}
+
+// usedQuotaTransfers gives another part what is used of teams' limits, of those that have one.
+func (n *Controller) usedQuotaTransfers(to api.PartitionID, used map[api.Team]api.Resources) []clusterstate.QuotaTransfer {
+	var out []clusterstate.QuotaTransfer
+	for team, amount := range used {
+		if amount = n.limitedResources(team, amount); amount != (api.Resources{}) {
+			out = append(out, clusterstate.QuotaTransfer{To: to, Team: team, Amount: amount})
+		}
+	}
+	slices.SortFunc(out, func(a, b clusterstate.QuotaTransfer) int { return cmp.Compare(a.Team, b.Team) })
+	return out
+}
+
+// adoptMachine takes in a machine that was lent to one of our parts with its tasks: it is called as
+// soon as its address is known, so that it learns our token and we learn what became of them.
+func (n *Controller) adoptMachine(id api.MachineID) {
+	m := n.ensureMachine(id)
+	m.discoveredAt, m.missedCalls = n.now, 0
+	if h, ok := n.fleet.listedMachines[id]; ok {
+		m.applyListing(h)
+	}
+	n.contactNow(m)
+}
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -4,60 +4,60 @@
 package flow
 
 type edge struct {
-	to   int32
-	cap  int32
-	cost int64
+	to       int32
+	residual int32
+	cost     int64
 }
 
 // Graph is a flow network. Edges come in pairs: an edge and its reverse.
 type Graph struct {
-	edges []edge
-	adj   [][]int32
+	edges     []edge
+	adjacency [][]int32
 }
 
 // New returns a network of n nodes without edges.
-func New(n int) *Graph { return &Graph{adj: make([][]int32, n)} }
+func New(n int) *Graph { return &Graph{adjacency: make([][]int32, n)} }
 
 // EdgeID names an edge for asking its flow.
 type EdgeID int32
 
-// Edge adds an edge.
-func (g *Graph) Edge(from, to, capacity int, cost int64) EdgeID {
+// AddEdge adds an edge.
+func (g *Graph) AddEdge(from, to, capacity int, cost int64) EdgeID {
 	id := EdgeID(len(g.edges))
 	g.edges = append(g.edges, edge{int32(to), int32(capacity), cost}, edge{int32(from), 0, -cost})
-	g.adj[from] = append(g.adj[from], int32(id))
-	g.adj[to] = append(g.adj[to], int32(id)+1)
+	g.adjacency[from] = append(g.adjacency[from], int32(id))
+	g.adjacency[to] = append(g.adjacency[to], int32(id)+1)
 	return id
 }
 
 // Flow is what an edge carries.
-func (g *Graph) Flow(id EdgeID) int { return int(g.edges[id+1].cap) }
+func (g *Graph) Flow(id EdgeID) int { return int(g.edges[id+1].residual) }
 
-const far = int64(1) << 60
+const infinity = int64(1) << 60
 
-type item struct {
+type heapItem struct {
 	dist int64
 	node int32
 }
 
-// queue is a binary heap of items. It is typed, since an interface would cost
+// priorityQueue is a binary heap of items. It is typed, since an interface would cost
 // an allocation for each of the many items of a round.
-type queue []item
+type priorityQueue []heapItem
 
-func (q *queue) push(x item) {
+func (q *priorityQueue) push(x heapItem) {
 	h := append(*q, x)
 	for i := len(h) - 1; i > 0; {
-		up := (i - 1) / 2
-		if h[up].dist <= h[i].dist {
+		parent := (i - 1) / 2
+		if h[parent].dist <= h[i].dist {
 			break
 		}
-		h[up], h[i] = h[i], h[up]
-		i = up
+		h[parent], h[i] = h[i], h[parent]
+		i = parent
 	}
 	*q = h
 }
 
-func (q *queue) pop() item {
+func (q *priorityQueue) pop() heapItem {
 	h := *q
 	top, last := h[0], len(h)-1
 	h[0] = h[last]
@@ -80,25 +80,25 @@
 }
 
 // potentials finds shortest distances from s with negative costs allowed.
-func (g *Graph) potentials(s int) []int64 {
-	dist := make([]int64, len(g.adj))
+func (g *Graph) potentials(source int) []int64 {
+	dist := make([]int64, len(g.adjacency))
 	for i := range dist {
-		dist[i] = far
+		dist[i] = infinity
 	}
-	dist[s] = 0
-	waiting := make([]bool, len(g.adj))
-	line := []int32{int32(s)}
-	for len(line) > 0 {
-		u := line[0]
-		line = line[1:]
-		waiting[u] = false
-		for _, id := range g.adj[u] {
+	dist[source] = 0
+	queued := make([]bool, len(g.adjacency))
+	fifo := []int32{int32(source)}
+	for len(fifo) > 0 {
+		u := fifo[0]
+		fifo = fifo[1:]
+		queued[u] = false
+		for _, id := range g.adjacency[u] {
 			e := g.edges[id]
-			if e.cap > 0 && dist[u]+e.cost < dist[e.to] {
+			if e.residual > 0 && dist[u]+e.cost < dist[e.to] {
 				dist[e.to] = dist[u] + e.cost
-				if !waiting[e.to] {
-					waiting[e.to] = true
-					line = append(line, e.to)
+				if !queued[e.to] {
+					queued[e.to] = true
+					fifo = append(fifo, e.to)
 				}
 			}
 		}
@@ -106,59 +106,59 @@
 	return dist
 }
 
-// Run sends up to limit units from s to t at least cost and returns how many
+// MinCostFlow sends up to limit units from s to t at least cost and returns how many
 // were sent and what they cost.
-func (g *Graph) Run(s, t, limit int) (sent int, cost int64) {
-	pot := g.potentials(s)
-	dist := make([]int64, len(g.adj))
-	via := make([]int32, len(g.adj))
-	q := make(queue, 0, len(g.adj))
+func (g *Graph) MinCostFlow(source, sink, limit int) (sent int, cost int64) {
+	potential := g.potentials(source)
+	dist := make([]int64, len(g.adjacency))
+	parentEdge := make([]int32, len(g.adjacency))
+	q := make(priorityQueue, 0, len(g.adjacency))
 	for sent < limit {
 		for i := range dist {
-			dist[i] = far
+			dist[i] = infinity
 		}
-		dist[s] = 0
-		q = append(q[:0], item{0, int32(s)})
+		dist[source] = 0
+		q = append(q[:0], heapItem{0, int32(source)})
 		for len(q) > 0 {
 			it := q.pop()
 			if it.dist > dist[it.node] {
 				continue
 			}
-			if int(it.node) == t {
+			if int(it.node) == sink {
 				break // what is farther needs no exact distance, see below
 			}
-			for _, id := range g.adj[it.node] {
+			for _, id := range g.adjacency[it.node] {
 				e := g.edges[id]
-				if e.cap == 0 || pot[e.to] >= far {
+				if e.residual == 0 || potential[e.to] >= infinity {
 					continue
 				}
-				if d := it.dist + e.cost + pot[it.node] - pot[e.to]; d < dist[e.to] {
+				if d := it.dist + e.cost + potential[it.node] - potential[e.to]; d < dist[e.to] {
 					dist[e.to] = d
-					via[e.to] = id
-					q.push(item{d, e.to})
+					parentEdge[e.to] = id
+					q.push(heapItem{d, e.to})
 				}
 			}
 		}
-		if dist[t] >= far {
+		if dist[sink] >= infinity {
 			return sent, cost
 		}
 		// Nodes at least as far as the sink move with it: reduced costs stay
 		// above zero, and the search can end at the sink.
-		for i := range pot {
-			if pot[i] < far {
-				pot[i] += min(dist[i], dist[t])
+		for i := range potential {
+			if potential[i] < infinity {
+				potential[i] += min(dist[i], dist[sink])
 			}
 		}
-		push := int32(limit - sent)
-		for v := t; v != s; v = int(g.edges[via[v]^1].to) {
-			push = min(push, g.edges[via[v]].cap)
+		amount := int32(limit - sent)
+		for v := sink; v != source; v = int(g.edges[parentEdge[v]^1].to) {
+			amount = min(amount, g.edges[parentEdge[v]].residual)
 		}
-		for v := t; v != s; v = int(g.edges[via[v]^1].to) {
-			g.edges[via[v]].cap -= push
-			g.edges[via[v]^1].cap += push
-			cost += int64(push) * g.edges[via[v]].cost
+		for v := sink; v != source; v = int(g.edges[parentEdge[v]^1].to) {
+			g.edges[parentEdge[v]].residual -= amount
+			g.edges[parentEdge[v]^1].residual += amount
+			cost += int64(amount) * g.edges[parentEdge[v]].cost
 		}
-		sent += int(push)
+		sent += int(amount)
 	}
 	return sent, cost
 }
--- a/pack/pack_test.go
+++ b/fragmentation/fragmentation_test.go
@@ -1,4 +1,4 @@
-package pack
+package fragmentation
 
 import (
 	"testing"
@@ -6,46 +6,46 @@
 	"pgregory.net/rapid"
 
 	"basaltwall/api"
-	_ "basaltwall/internal/seeded"
+	_ "basaltwall/internal/proptest"
 )
 
 func gpus(n float64) api.Resources {
-	return api.Resources{CPU: api.ToAmount(4 * n), GPU: api.ToAmount(n), Mem: api.ToAmount(40 * n)}
+	return api.Resources{CPU: api.ToQuantity(4 * n), GPU: api.ToQuantity(n), Mem: api.ToQuantity(40 * n)}
 }
 
 // Small models go where others are before they begin a machine that a large one could have, and
 // fill the fullest; without large work nothing is in pieces and it does not matter.
-func TestSmallOnesFillBegunMachines(t *testing.T) {
-	typical := Typical(map[api.Resources]int{gpus(1): 30, gpus(2): 10, gpus(8): 5, {CPU: 4e6}: 100})
+func TestSmallDemandsFillUsedMachines(t *testing.T) {
+	typical := TypicalDemands(map[api.Resources]int{gpus(1): 30, gpus(2): 10, gpus(8): 5, {CPU: 4e6}: 100})
 	if len(typical) != 3 {
 		t.Fatalf("%+v", typical)
 	}
-	whole, begun, last := Made(gpus(8), gpus(1), typical), Made(gpus(5), gpus(1), typical), Made(gpus(2), gpus(1), typical)
+	whole, begun, last := Increase(gpus(8), gpus(1), typical), Increase(gpus(5), gpus(1), typical), Increase(gpus(2), gpus(1), typical)
 	if !(begun < 0 && begun < whole && whole > 2 && last < whole) {
 		t.Errorf("whole %v, begun %v, the last of two %v", whole, begun, last)
 	}
-	if Lost(gpus(8), typical) != 0 || Lost(gpus(0), typical) != 0 || Lost(gpus(1), typical) <= Lost(gpus(1), typical[:1]) {
+	if Measure(gpus(8), typical) != 0 || Measure(gpus(0), typical) != 0 || Measure(gpus(1), typical) <= Measure(gpus(1), typical[:1]) {
 		t.Error("what is lost")
 	}
-	small := Typical(map[api.Resources]int{gpus(1): 3})
-	if Made(gpus(8), gpus(1), small) != 0 || InPieces(gpus(1), small) || !InPieces(gpus(8), typical) {
+	small := TypicalDemands(map[api.Resources]int{gpus(1): 3})
+	if Increase(gpus(8), gpus(1), small) != 0 || MayStrand(gpus(1), small) || !MayStrand(gpus(8), typical) {
 		t.Error("pieces where there is one size")
 	}
 	// Work without accelerators makes pieces where it takes what a model needs beside them.
-	if cpu := (api.Resources{CPU: api.ToAmount(2)}); Made(gpus(8), cpu, typical) <= 0 || Made(gpus(8).Plus(cpu), cpu, typical) != 0 {
+	if cpu := (api.Resources{CPU: api.ToQuantity(2)}); Increase(gpus(8), cpu, typical) <= 0 || Increase(gpus(8).Plus(cpu), cpu, typical) != 0 {
 		t.Error("CPU work")
 	}
 }
 
 // Of any demands: what is lost lies between nothing and all that is free, and of the places for a
 // task the one that makes least leaves no more in pieces than any other.
-func TestLeastMadeLeavesLeastInPieces(t *testing.T) {
+func TestLeastIncreaseLeavesLeastFragmentation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		asked := map[api.Resources]int{}
+		demandCounts := map[api.Resources]int{}
 		for range rapid.IntRange(1, 5).Draw(t, "kinds") {
-			asked[gpus(float64(rapid.IntRange(1, 8).Draw(t, "gpus")))] += rapid.IntRange(1, 20).Draw(t, "count")
+			demandCounts[gpus(float64(rapid.IntRange(1, 8).Draw(t, "gpus")))] += rapid.IntRange(1, 20).Draw(t, "count")
 		}
-		typical := Typical(asked)
+		typical := TypicalDemands(demandCounts)
 		task := gpus(float64(rapid.IntRange(1, 8).Draw(t, "task")))
 		var free []api.Resources
 		for range rapid.IntRange(2, 6).Draw(t, "machines") {
@@ -57,7 +57,7 @@
 				if i == on {
 					f = f.Minus(task)
 				}
-				l := Lost(f, typical)
+				l := Measure(f, typical)
 				if l < 0 || l > f.GPU.Float()+1e-9 {
 					t.Fatalf("%v of %v is lost", l, f.GPU.Float())
 				}
@@ -67,7 +67,7 @@
 		}
 		best, least := -1, 0.0
 		for i, f := range free {
-			if m := Made(f, task, typical); task.Fits(f) && (best < 0 || m < least) {
+			if m := Increase(f, task, typical); task.Fits(f) && (best < 0 || m < least) {
 				best, least = i, m
 			}
 		}
--- a/pack/model_test.go
+++ b/fragmentation/model_test.go
@@ -1,4 +1,4 @@
-package pack
+package fragmentation
 
 import (
 	"fmt"
@@ -14,33 +14,33 @@
 
 // modelState is what is recorded.
 type modelState struct {
-	replica uint8 // 0: waits, 1: on A, 2: on B
-	large   uint8 // 0: waits, 1: on A, 2: cancelled
-	kept    bool
+	replica  uint8 // 0: waits, 1: on A, 2: on B
+	large    uint8 // 0: waits, 1: on A, 2: cancelled
+	reserved bool
 }
 
 type modelChange uint8
 
 const (
 	changeNone modelChange = iota
-	changeKeep
+	changeReserve
 	changeEnd // of the replica on A
 	changeMove
 	changeBack // it starts on A again, where that is not kept any more
 	changeLarge
-	changeDrop
+	changeRelease
 )
 
 type modelOwner struct {
-	read          modelState
-	fresh, owns   bool // the record, and who owns the part, are as it read them
-	sent          modelChange
-	sFresh, sOwns bool // the same of what it has sent
-	knows         bool // that it kept A itself
+	read                modelState
+	fresh, owns         bool // the record, and who owns the part, are as it read them
+	sent                modelChange
+	sentFresh, sentOwns bool // the same of what it has sent
+	reservedBySelf      bool // that it kept A itself
 }
 
 type modelWorld struct {
-	rec    modelState
+	record modelState
 	a, b   bool     // the replica is on A, on B, in truth
 	onA    bool     // the large task is
 	stop   bool     // a stop of the replica is under way
@@ -50,14 +50,14 @@
 }
 
 type modelRules struct {
-	term     bool // records name the part's term
-	slot     bool // and follow the one that they were composed from
-	evidence bool // an end is recorded once the task is gone
-	anyone   bool // whoever owns the part ends what its record says is kept
-	empty    bool // the large task starts once nothing of the record is on A
+	term             bool // records name the part's term
+	version          bool // and follow the one that they were composed from
+	evidence         bool // an end is recorded once the task is gone
+	anyOwnerReleases bool // whoever owns the part ends what its record says is kept
+	requiresEmpty    bool // the large task starts once nothing of the record is on A
 }
 
-func (w modelWorld) wrong() string {
+func (w modelWorld) violation() string {
 	switch {
 	case w.a && w.b:
 		return "the replica is on two machines"
@@ -67,108 +67,108 @@
 	return ""
 }
 
-func (w modelWorld) next(r modelRules, do func(modelWorld)) {
+func (w modelWorld) next(r modelRules, visit func(modelWorld)) {
 	n := w
-	if w.rec.large == 0 { // the large job is cancelled
-		n.rec.large = 2
-		n.changed()
-		do(n)
+	if w.record.large == 0 { // the large job is cancelled
+		n.record.large = 2
+		n.invalidateReads()
+		visit(n)
 	}
-	if w.rec.large == 2 && w.onA {
+	if w.record.large == 2 && w.onA {
 		n = w
 		n.onA = false
-		do(n)
+		visit(n)
 	}
 	if w.stop { // a stop arrives, late perhaps
 		n = w
 		n.a, n.stop = false, false
-		do(n)
+		visit(n)
 	}
 	for i := range w.owners {
 		// It takes the part over, and reads.
 		n = w
 		n.owner = uint8(i)
 		for k := range n.owners {
-			n.owners[k].owns, n.owners[k].sOwns = false, false
+			n.owners[k].owns, n.owners[k].sentOwns = false, false
 		}
-		n.owners[i] = modelOwner{read: w.rec, fresh: true, owns: true, sent: w.owners[i].sent, sFresh: w.owners[i].sFresh}
-		do(n)
+		n.owners[i] = modelOwner{read: w.record, fresh: true, owns: true, sent: w.owners[i].sent, sentFresh: w.owners[i].sentFresh}
+		visit(n)
 		o := w.owners[i]
 		n = w // it reads again
-		n.owners[i].read, n.owners[i].fresh, n.owners[i].owns = w.rec, true, w.owner == uint8(i)
-		do(n)
+		n.owners[i].read, n.owners[i].fresh, n.owners[i].owns = w.record, true, w.owner == uint8(i)
+		visit(n)
 		// A start that was recorded is sent, and arrives or does not; one of a former owner is
 		// refused once the machine has heard the next.
 		if s := w.start[i]; s != 0 {
 			n = w
 			n.start[i] = 0
-			do(n)
-			if s == 1 && w.rec.replica == 2 {
+			visit(n)
+			if s == 1 && w.record.replica == 2 {
 				n.b = true
-				do(n)
+				visit(n)
 			}
-			if s == 3 && w.rec.replica == 1 {
+			if s == 3 && w.record.replica == 1 {
 				n.a = true
-				do(n)
+				visit(n)
 			}
-			if s == 2 && w.rec.large == 1 {
+			if s == 2 && w.record.large == 1 {
 				n.onA = true
-				do(n)
+				visit(n)
 			}
 		}
 		if !o.owns {
 			continue
 		}
-		kept := o.read.kept
-		if kept && o.read.replica == 1 && w.a && !w.stop {
+		reserved := o.read.reserved
+		if reserved && o.read.replica == 1 && w.a && !w.stop {
 			n = w
 			n.stop = true
-			do(n)
+			visit(n)
 		}
 		if o.read.replica == 2 && !w.b && w.start[i] == 0 {
 			n = w
 			n.start[i] = 1
-			do(n)
+			visit(n)
 		}
 		if o.read.large == 1 && !w.onA && w.start[i] == 0 {
 			n = w
 			n.start[i] = 2
-			do(n)
+			visit(n)
 		}
 		if o.sent != changeNone {
 			continue
 		}
 		send := func(c modelChange) {
 			n := w
-			n.owners[i].sent, n.owners[i].sFresh, n.owners[i].sOwns = c, o.fresh, true
-			if c == changeKeep {
-				n.owners[i].knows = true
+			n.owners[i].sent, n.owners[i].sentFresh, n.owners[i].sentOwns = c, o.fresh, true
+			if c == changeReserve {
+				n.owners[i].reservedBySelf = true
 			}
-			do(n)
+			visit(n)
 		}
-		if o.read.large == 0 && !kept {
-			send(changeKeep)
+		if o.read.large == 0 && !reserved {
+			send(changeReserve)
 		}
 		// Evidence: it is gone, and no start of it may still arrive.
-		if gone := !w.a && w.start[0] != 3 && w.start[1] != 3; o.read.replica == 1 && (gone || kept && !r.evidence) {
+		if gone := !w.a && w.start[0] != 3 && w.start[1] != 3; o.read.replica == 1 && (gone || reserved && !r.evidence) {
 			send(changeEnd)
 		}
 		if o.read.replica == 0 {
 			send(changeMove)
-			if !kept && o.read.large == 2 && !w.onA {
+			if !reserved && o.read.large == 2 && !w.onA {
 				send(changeBack)
 			}
 		}
 		if o.read.replica == 1 && !w.a && !w.stop && w.start[i] == 0 && o.read.large == 2 && o.sent != changeEnd {
 			n = w
 			n.start[i] = 3
-			do(n)
+			visit(n)
 		}
-		if o.read.large == 0 && kept && (o.read.replica != 1 || !r.empty) {
+		if o.read.large == 0 && reserved && (o.read.replica != 1 || !r.requiresEmpty) {
 			send(changeLarge)
 		}
-		if kept && o.read.large != 0 && (r.anyone || o.knows) {
-			send(changeDrop)
+		if reserved && o.read.large != 0 && (r.anyOwnerReleases || o.reservedBySelf) {
+			send(changeRelease)
 		}
 	}
 	// What was sent lands, or never does.
@@ -178,61 +178,61 @@
 		}
 		n = w
 		n.owners[i].sent = changeNone
-		do(n)
-		if !o.sFresh && r.slot || !o.sOwns && r.term {
+		visit(n)
+		if !o.sentFresh && r.version || !o.sentOwns && r.term {
 			continue
 		}
 		switch o.sent {
-		case changeKeep:
-			n.rec.kept = true
+		case changeReserve:
+			n.record.reserved = true
 		case changeEnd:
-			if n.rec.replica == 1 {
-				n.rec.replica = 0
+			if n.record.replica == 1 {
+				n.record.replica = 0
 			}
 		case changeMove:
-			n.rec.replica = 2
+			n.record.replica = 2
 		case changeBack:
-			n.rec.replica = 1
+			n.record.replica = 1
 		case changeLarge:
-			if n.rec.large == 0 {
-				n.rec.large = 1
+			if n.record.large == 0 {
+				n.record.large = 1
 			}
-		case changeDrop:
-			n.rec.kept = false
-			n.owners[i].knows = false
+		case changeRelease:
+			n.record.reserved = false
+			n.owners[i].reservedBySelf = false
 		}
-		n.changed()
-		n.owners[i].read, n.owners[i].fresh = n.rec, true
-		do(n)
+		n.invalidateReads()
+		n.owners[i].read, n.owners[i].fresh = n.record, true
+		visit(n)
 	}
 }
 
-// changed is when the record is another.
-func (w *modelWorld) changed() {
+// invalidateReads is when the record is another.
+func (w *modelWorld) invalidateReads() {
 	for i := range w.owners {
-		w.owners[i].fresh, w.owners[i].sFresh = false, false
+		w.owners[i].fresh, w.owners[i].sentFresh = false, false
 	}
 }
 
-// settled is the end: the replica runs, the large task does or was cancelled, and nothing is kept
+// converged is the end: the replica runs, the large task does or was cancelled, and nothing is kept
 // by anybody.
-func (w modelWorld) settled() bool {
-	if w.rec.kept || w.rec.replica == 0 || w.rec.large == 0 || w.rec.large == 1 && !w.onA {
+func (w modelWorld) converged() bool {
+	if w.record.reserved || w.record.replica == 0 || w.record.large == 0 || w.record.large == 1 && !w.onA {
 		return false
 	}
 	return w.a || w.b
 }
 
-// exploreMoves looks at all states there are, and says what goes wrong in one, or that from some
+// checkMoves looks at all states there are, and says what goes wrong in one, or that from some
 // no way leads to the end.
-func exploreMoves(r modelRules) (states int, wrong string) {
-	first := modelWorld{rec: modelState{replica: 1}, a: true}
+func checkMoves(r modelRules) (states int, violation string) {
+	first := modelWorld{record: modelState{replica: 1}, a: true}
 	index := map[modelWorld]int{first: 0}
 	all := []modelWorld{first}
 	var from [][]int32 // by state: those that lead to it
 	from = append(from, nil)
 	for i := 0; i < len(all); i++ {
-		if why := all[i].wrong(); why != "" {
+		if why := all[i].violation(); why != "" {
 			return len(all), why
 		}
 		all[i].next(r, func(n modelWorld) {
@@ -248,7 +248,7 @@
 	ends := make([]bool, len(all))
 	var todo []int32
 	for i := range all {
-		if all[i].settled() {
+		if all[i].converged() {
 			ends[i] = true
 			todo = append(todo, int32(i))
 		}
@@ -275,20 +275,20 @@
 // machines nor lost, A never holds both, and in the end nothing is kept; and each guard is needed.
 func TestEveryInterleavingOfAMove(t *testing.T) {
 	all := modelRules{true, true, true, true, true}
-	states, wrong := exploreMoves(all)
+	states, wrong := checkMoves(all)
 	t.Logf("%d states, all there are", states)
 	if wrong != "" || states < 5_000 {
 		t.Errorf("%q, %d states", wrong, states)
 	}
 	for what, drop := range map[string]func(*modelRules){
-		"the records' order": func(r *modelRules) { r.slot, r.term = false, false },
+		"the records' order": func(r *modelRules) { r.version, r.term = false, false },
 		"evidence of an end": func(r *modelRules) { r.evidence = false },
-		"what is on A":       func(r *modelRules) { r.empty = false },
-		"whoever owns it":    func(r *modelRules) { r.anyone = false },
+		"what is on A":       func(r *modelRules) { r.requiresEmpty = false },
+		"whoever owns it":    func(r *modelRules) { r.anyOwnerReleases = false },
 	} {
 		r := all
 		drop(&r)
-		if _, wrong := exploreMoves(r); wrong == "" {
+		if _, wrong := checkMoves(r); wrong == "" {
 			t.Errorf("without %s nothing goes wrong: the model does not see it", what)
 		}
 	}
--- a/httpx/client.go
+++ b/httpx/client.go
@@ -13,40 +13,40 @@
 type Client struct {
 	Auth string // sent with each request as the Authorization header, if any
 
-	maxBody, maxIdle, maxAll int
-	dialer                   net.Dialer
+	maxBody, maxIdlePerHost, maxIdleTotal int
+	dialer                                net.Dialer
 
-	mu   sync.Mutex
-	idle map[string][]idleConn
-	kept int // unused connections in all
+	mu        sync.Mutex
+	idle      map[string][]idleConn
+	idleCount int // unused connections in all
 }
 
 type idleConn struct {
 	net.Conn
-	since time.Time
+	idleSince time.Time
 }
 
-// idleFor is how long an unused connection is kept.
-const idleFor = 20 * time.Second
+// idleTimeout is how long an unused connection is kept.
+const idleTimeout = 20 * time.Second
 
 // NewClient returns a pool that accepts bodies up to maxBody and keeps up to
 // maxIdle unused connections to each address and maxAll to all together.
-func NewClient(maxBody, maxIdle, maxAll int) *Client {
-	return &Client{maxBody: maxBody, maxIdle: maxIdle, maxAll: maxAll, idle: map[string][]idleConn{}}
+func NewClient(maxBody, maxIdlePerHost, maxIdleTotal int) *Client {
+	return &Client{maxBody: maxBody, maxIdlePerHost: maxIdlePerHost, maxIdleTotal: maxIdleTotal, idle: map[string][]idleConn{}}
 }
 
-func (c *Client) take(addr string) net.Conn {
+func (c *Client) getIdle(addr string) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for l := c.idle[addr]; len(l) > 0; l = c.idle[addr] {
-		conn := l[len(l)-1]
-		if len(l) == 1 {
+	for conns := c.idle[addr]; len(conns) > 0; conns = c.idle[addr] {
+		conn := conns[len(conns)-1]
+		if len(conns) == 1 {
 			delete(c.idle, addr)
 		} else {
-			c.idle[addr] = l[:len(l)-1]
+			c.idle[addr] = conns[:len(conns)-1]
 		}
-		c.kept--
-		if time.Since(conn.since) < idleFor {
+		c.idleCount--
+		if time.Since(conn.idleSince) < idleTimeout {
 			return conn.Conn
 		}
 		conn.Close()
@@ -54,14 +54,14 @@
 	return nil
 }
 
-func (c *Client) give(addr string, conn net.Conn) {
+func (c *Client) putIdle(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= c.maxIdle || c.kept >= c.maxAll {
+	if len(c.idle[addr]) >= c.maxIdlePerHost || c.idleCount >= c.maxIdleTotal {
 		conn.Close()
 		return
 	}
-	c.kept++
+	c.idleCount++
 	c.idle[addr] = append(c.idle[addr], idleConn{conn, time.Now()})
 }
 
@@ -69,13 +69,13 @@
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for addr, l := range c.idle {
-		kept := l[:0]
-		for _, conn := range l {
-			if time.Since(conn.since) < idleFor {
+	for addr, conns := range c.idle {
+		kept := conns[:0]
+		for _, conn := range conns {
+			if time.Since(conn.idleSince) < idleTimeout {
 				kept = append(kept, conn)
 			} else {
-				c.kept--
+				c.idleCount--
 				conn.Close()
 			}
 		}
@@ -96,7 +96,7 @@
 // once: every request of this program may safely arrive twice.
 func (c *Client) Do(ctx context.Context, addr, method, target string, body []byte, timeout time.Duration) (Response, error) {
 	deadline := time.Now().Add(timeout)
-	if conn := c.take(addr); conn != nil {
+	if conn := c.getIdle(addr); conn != nil {
 		r, err := c.exchange(conn, addr, method, target, body, deadline)
 		if !errors.Is(err, errStale) {
 			return r, err
@@ -129,15 +129,15 @@
 		}
 		n, err := conn.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
-		r, used, perr := ParseResponse(buf, c.maxBody, err != nil && !isTimeout(err))
+		r, used, parseErr := ParseResponse(buf, c.maxBody, err != nil && !isTimeout(err))
 		switch {
-		case perr != nil:
-			return fail(perr)
+		case parseErr != nil:
+			return fail(parseErr)
 		case used > 0:
 			if r.Close || used < len(buf) || err != nil {
 				conn.Close()
 			} else {
-				c.give(addr, conn)
+				c.putIdle(addr, conn)
 			}
 			return r, nil
 		case err != nil && len(buf) == 0 && !isTimeout(err):
--- a/httpx/parse.go
+++ b/httpx/parse.go
@@ -42,13 +42,13 @@
 }
 
 type head struct {
-	line    string
-	length  int
-	chunked bool
-	close   bool
-	keep    bool
-	expect  bool
-	size    int
+	line          string
+	contentLength int
+	chunked       bool
+	close         bool
+	keepAlive     bool
+	expect        bool
+	headLength    int
 
 	auth, forwarded string
 	retryAfter      int
@@ -66,7 +66,7 @@
 	if end > maxHead {
 		return head{}, ErrTooLarge
 	}
-	h := head{size: end + 4, length: -1}
+	h := head{headLength: end + 4, contentLength: -1}
 	lines := string(buf[:end])
 	h.line, lines, _ = strings.Cut(lines, "\r\n")
 	for lines != "" {
@@ -80,10 +80,10 @@
 		switch {
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(value, 10, 62)
-			if err != nil || (h.length >= 0 && h.length != int(n)) {
+			if err != nil || (h.contentLength >= 0 && h.contentLength != int(n)) {
 				return head{}, ErrMalformed
 			}
-			h.length = int(n)
+			h.contentLength = int(n)
 		case strings.EqualFold(name, "Transfer-Encoding"):
 			if !strings.EqualFold(value, "chunked") {
 				return head{}, ErrMalformed
@@ -93,7 +93,7 @@
 			for tok := range strings.SplitSeq(value, ",") {
 				tok = strings.TrimSpace(tok)
 				h.close = h.close || strings.EqualFold(tok, "close")
-				h.keep = h.keep || strings.EqualFold(tok, "keep-alive")
+				h.keepAlive = h.keepAlive || strings.EqualFold(tok, "keep-alive")
 			}
 		case strings.EqualFold(name, "Authorization"):
 			if h.auth != "" {
@@ -113,10 +113,10 @@
 			h.expect = strings.EqualFold(value, "100-continue")
 		}
 	}
-	if h.chunked && h.length >= 0 {
+	if h.chunked && h.contentLength >= 0 {
 		return head{}, ErrMalformed
 	}
-	if h.length > maxBody {
+	if h.contentLength > maxBody {
 		return head{}, ErrTooLarge
 	}
 	return h, nil
@@ -125,13 +125,13 @@
 // parseBody reads what follows the head; n 0 means more is needed.
 func parseBody(buf []byte, h head, maxBody int) (body []byte, n int, err error) {
 	if !h.chunked {
-		need := h.size + max(h.length, 0)
+		need := h.headLength + max(h.contentLength, 0)
 		if len(buf) < need {
 			return nil, 0, nil
 		}
-		return bytes.Clone(buf[h.size:need]), need, nil
+		return bytes.Clone(buf[h.headLength:need]), need, nil
 	}
-	at := h.size
+	at := h.headLength
 	for {
 		eol := bytes.Index(buf[at:], []byte("\r\n"))
 		if eol < 0 {
@@ -147,7 +147,7 @@
 		}
 		at += eol + 2
 		if size == 0 {
-			return trailer(buf, at, body)
+			return skipTrailer(buf, at, body)
 		}
 		if len(body)+int(size) > maxBody {
 			return nil, 0, ErrTooLarge
@@ -164,8 +164,8 @@
 	}
 }
 
-// trailer skips the lines that may follow the last chunk.
-func trailer(buf []byte, at int, body []byte) ([]byte, int, error) {
+// skipTrailer skips the lines that may follow the last chunk.
+func skipTrailer(buf []byte, at int, body []byte) ([]byte, int, error) {
 	start := at
 	for {
 		eol := bytes.Index(buf[at:], []byte("\r\n"))
@@ -181,7 +181,7 @@
 	}
 }
 
-func wellFormedTarget(s string) bool {
+func validTarget(s string) bool {
 	if s == "" || s[0] != '/' {
 		return false
 	}
@@ -198,11 +198,11 @@
 // client waits for an interim answer before sending its body.
 func ParseRequest(buf []byte, maxBody int) (Request, int, error) {
 	h, err := parseHead(buf, maxBody)
-	if err != nil || h.size == 0 {
+	if err != nil || h.headLength == 0 {
 		return Request{}, 0, err
 	}
 	parts := strings.Split(h.line, " ")
-	if len(parts) != 3 || parts[0] == "" || !wellFormedTarget(parts[1]) {
+	if len(parts) != 3 || parts[0] == "" || !validTarget(parts[1]) {
 		return Request{}, 0, ErrMalformed
 	}
 	r := Request{Method: parts[0], Close: h.close, Expect: h.expect, Auth: h.auth, Forwarded: h.forwarded}
@@ -210,7 +210,7 @@
 	switch parts[2] {
 	case "HTTP/1.1":
 	case "HTTP/1.0":
-		r.Close = !h.keep
+		r.Close = !h.keepAlive
 	default:
 		return Request{}, 0, ErrMalformed
 	}
@@ -227,7 +227,7 @@
 func ParseResponse(buf []byte, maxBody int, eof bool) (Response, int, error) {
 	skipped := 0
 	for {
-		r, n, err := parseOne(buf[skipped:], maxBody, eof)
+		r, n, err := parseSingleResponse(buf[skipped:], maxBody, eof)
 		if err != nil || n == 0 {
 			return Response{}, 0, err
 		}
@@ -239,9 +239,9 @@
 	}
 }
 
-func parseOne(buf []byte, maxBody int, eof bool) (Response, int, error) {
+func parseSingleResponse(buf []byte, maxBody int, eof bool) (Response, int, error) {
 	h, err := parseHead(buf, maxBody)
-	if err != nil || h.size == 0 {
+	if err != nil || h.headLength == 0 {
 		return Response{}, 0, err
 	}
 	version, rest, ok := strings.Cut(h.line, " ")
@@ -252,18 +252,18 @@
 	if err != nil || status < 100 || status > 599 || (len(rest) > 3 && rest[3] != ' ') {
 		return Response{}, 0, ErrMalformed
 	}
-	r := Response{Status: status, RetryAfter: h.retryAfter, Close: h.close || (version == "HTTP/1.0" && !h.keep)}
+	r := Response{Status: status, RetryAfter: h.retryAfter, Close: h.close || (version == "HTTP/1.0" && !h.keepAlive)}
 	if status < 200 || status == 204 || status == 304 {
-		return r, h.size, nil
+		return r, h.headLength, nil
 	}
-	if h.length < 0 && !h.chunked {
-		if len(buf)-h.size > maxBody {
+	if h.contentLength < 0 && !h.chunked {
+		if len(buf)-h.headLength > maxBody {
 			return Response{}, 0, ErrTooLarge
 		}
 		if !eof {
 			return Response{}, 0, nil
 		}
-		h.length, r.Close = len(buf)-h.size, true
+		h.contentLength, r.Close = len(buf)-h.headLength, true
 	}
 	body, n, err := parseBody(buf, h, maxBody)
 	if err != nil {
--- a/httpx/server.go
+++ b/httpx/server.go
@@ -21,19 +21,19 @@
 type Handler func(id ConnID, listener int, r Request)
 
 type serverConn struct {
-	id      ConnID
-	evio    evio.Conn
-	in      []byte
-	busy    bool // a request is being worked on; its successor waits in in
-	closing bool // close after the answer
-	told    bool // 100 Continue was sent for the current request
-	refused bool // answered for good; what still comes is thrown away
-	thrown  int
-
-	mu  sync.Mutex
-	out []byte // written by Answer, taken by the loop
-	end bool   // the answer in out is complete
-	cut bool   // refused long enough ago to be closed
+	id           ConnID
+	evio         evio.Conn
+	inbuf        []byte
+	busy         bool // a request is being worked on; its successor waits in in
+	closing      bool // close after the answer
+	continueSent bool // 100 Continue was sent for the current request
+	refused      bool // answered for good; what still comes is thrown away
+	discarded    int
+
+	mu            sync.Mutex
+	outbuf        []byte // written by Answer, taken by the loop
+	responseReady bool   // the answer in out is complete
+	lingerExpired bool   // refused long enough ago to be closed
 }
 
 // A connection whose request was refused unread stays open for a while: to close
@@ -47,42 +47,42 @@
 type Server struct {
 	maxBody  []int // by listener
 	maxConns int
-	handle   Handler
-	stop     context.Context
+	handler  Handler
+	ctx      context.Context
 
 	mu       sync.Mutex
 	conns    map[ConnID]*serverConn
-	last     ConnID
-	refusals refusals
+	lastID   ConnID
+	refusals refusalCounter
 }
 
-// refusals counts refused connections, so that they are logged once a second: they come by the
+// refusalCounter counts refused connections, so that they are logged once a second: they come by the
 // thousand when all clients of others try this one.
-type refusals struct {
-	count int
-	said  time.Time
+type refusalCounter struct {
+	count    int
+	loggedAt time.Time
 }
 
-// next counts one more. Once a second it says that they are to be logged, and how many there were
+// record counts one more. Once a second it says that they are to be logged, and how many there were
 // since the last time.
-func (r *refusals) next(now time.Time) (count int, say bool) {
+func (r *refusalCounter) record(now time.Time) (count int, shouldLog bool) {
 	r.count++
-	if now.Sub(r.said) < time.Second {
+	if now.Sub(r.loggedAt) < time.Second {
 		return 0, false
 	}
-	count, r.count, r.said = r.count, 0, now
+	count, r.count, r.loggedAt = r.count, 0, now
 	return count, true
 }
 
 // NewServer returns a server that gives its requests to handle; maxBody bounds
 // them, for each of the addresses that it will listen on.
-func NewServer(maxBody []int, maxConns int, handle Handler) *Server {
-	return &Server{maxBody: maxBody, maxConns: maxConns, handle: handle, conns: map[ConnID]*serverConn{}}
+func NewServer(maxBody []int, maxConns int, handler Handler) *Server {
+	return &Server{maxBody: maxBody, maxConns: maxConns, handler: handler, conns: map[ConnID]*serverConn{}}
 }
 
 // Serve listens on the addresses until the context ends or listening fails.
 func (s *Server) Serve(ctx context.Context, addrs ...string) error {
-	s.stop = ctx
+	s.ctx = ctx
 	var ev evio.Events
 	ev.NumLoops = 1
 	ev.Opened = s.opened
@@ -102,13 +102,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) >= s.maxConns {
-		if count, say := s.refusals.next(time.Now()); say {
+		if count, shouldLog := s.refusals.record(time.Now()); shouldLog {
 			slog.Error("connections refused: too many", "open", len(s.conns), "refused", count)
 		}
 		return nil, opts, evio.Close
 	}
-	s.last++
-	sc := &serverConn{id: s.last, evio: c}
+	s.lastID++
+	sc := &serverConn{id: s.lastID, evio: c}
 	s.conns[sc.id] = sc
 	c.SetContext(sc)
 	return nil, opts, evio.None
@@ -120,7 +120,7 @@
 		delete(s.conns, sc.id)
 		s.mu.Unlock()
 	}
-	if s.stop.Err() != nil {
+	if s.ctx.Err() != nil {
 		return evio.Shutdown
 	}
 	return evio.None
@@ -128,7 +128,7 @@
 
 // data is called with new bytes, and with none after a Wake.
 func (s *Server) data(c evio.Conn, in []byte) (out []byte, action evio.Action) {
-	if s.stop.Err() != nil {
+	if s.ctx.Err() != nil {
 		return nil, evio.Shutdown
 	}
 	sc, ok := c.Context().(*serverConn)
@@ -137,17 +137,17 @@
 	}
 	sc.mu.Lock()
 	if sc.refused {
-		sc.thrown += len(in)
-		over := sc.cut || sc.thrown > lingerBytes
+		sc.discarded += len(in)
+		over := sc.lingerExpired || sc.discarded > lingerBytes
 		sc.mu.Unlock()
 		if over {
 			return nil, evio.Close
 		}
 		return nil, evio.None
 	}
-	if sc.end {
-		out, sc.out, sc.end = sc.out, nil, false
-		sc.busy, sc.told = false, false
+	if sc.responseReady {
+		out, sc.outbuf, sc.responseReady = sc.outbuf, nil, false
+		sc.busy, sc.continueSent = false, false
 		closing := sc.closing
 		sc.mu.Unlock()
 		if closing {
@@ -155,54 +155,54 @@
 		}
 		// evio replaces output that it has not written yet by that of a
 		// later wake, so a request that has already come waits for a turn.
-		if sc.in = append(sc.in, in...); len(sc.in) > 0 {
+		if sc.inbuf = append(sc.inbuf, in...); len(sc.inbuf) > 0 {
 			c.Wake()
 		} else {
-			sc.in = nil
+			sc.inbuf = nil
 		}
 		return out, evio.None
 	}
 	sc.mu.Unlock()
-	sc.in = append(sc.in, in...)
+	sc.inbuf = append(sc.inbuf, in...)
 	if sc.busy {
 		// Requests are never pipelined; a client that floods is cut off.
-		if len(sc.in) > maxHead+s.maxBody[c.AddrIndex()] {
+		if len(sc.inbuf) > maxHead+s.maxBody[c.AddrIndex()] {
 			return nil, evio.Close
 		}
 		return out, evio.None
 	}
-	if len(sc.in) == 0 {
-		sc.in = nil
+	if len(sc.inbuf) == 0 {
+		sc.inbuf = nil
 		return out, evio.None
 	}
-	r, n, err := ParseRequest(sc.in, s.maxBody[c.AddrIndex()])
+	r, n, err := ParseRequest(sc.inbuf, s.maxBody[c.AddrIndex()])
 	if err != nil {
 		status := 400
 		if errors.Is(err, ErrTooLarge) {
 			status = 413
 		}
-		sc.refused, sc.in = true, nil
+		sc.refused, sc.inbuf = true, nil
 		time.AfterFunc(lingerTime, func() {
 			sc.mu.Lock()
-			sc.cut = true
+			sc.lingerExpired = true
 			sc.mu.Unlock()
 			c.Wake()
 		})
 		return AppendResponse(out, status, []byte(`{"error":"`+err.Error()+`"}`), 0, true), evio.None
 	}
 	if n == 0 {
-		if r.Expect && !sc.told {
-			sc.told = true
+		if r.Expect && !sc.continueSent {
+			sc.continueSent = true
 			out = append(out, "HTTP/1.1 100 Continue\r\n\r\n"...)
 		}
 		return out, evio.None
 	}
-	sc.in = append([]byte(nil), sc.in[n:]...)
+	sc.inbuf = append([]byte(nil), sc.inbuf[n:]...)
 	sc.busy, sc.closing = true, r.Close
 	if a, ok := c.RemoteAddr().(*net.TCPAddr); ok {
 		r.From = a.AddrPort().Addr()
 	}
-	s.handle(sc.id, c.AddrIndex(), r)
+	s.handler(sc.id, c.AddrIndex(), r)
 	return out, evio.None
 }
 
@@ -216,8 +216,8 @@
 		return
 	}
 	sc.mu.Lock()
-	sc.out = AppendResponse(nil, status, body, retryAfter, sc.closing)
-	sc.end = true
+	sc.outbuf = AppendResponse(nil, status, body, retryAfter, sc.closing)
+	sc.responseReady = true
 	sc.mu.Unlock()
 	sc.evio.Wake()
 }
--- a/httpx/server_test.go
+++ b/httpx/server_test.go
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
-	"basaltwall/internal/loopback"
+	"basaltwall/internal/testport"
 )
 
-// serve starts a server that answers, from another goroutine, with what the
+// startServer starts a server that answers, from another goroutine, with what the
 // request carried.
-func serve(t *testing.T, maxConns int) string {
+func startServer(t *testing.T, maxConns int) string {
 	t.Helper()
-	addr, release, err := loopback.Reserve()
+	addr, release, err := testport.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 }
 
 func TestManyCallsAtOnce(t *testing.T) {
-	addr := serve(t, 100)
+	addr := startServer(t, 100)
 	c := NewClient(10_000, 4, 100)
 	var wg sync.WaitGroup
 	for g := range 8 {
@@ -61,7 +61,7 @@
 	wg.Wait()
 }
 
-func raw(t *testing.T, addr string, pieces ...string) string {
+func exchangeRaw(t *testing.T, addr string, pieces ...string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -89,7 +89,7 @@
 }
 
 func TestServerOnTheWire(t *testing.T) {
-	addr := serve(t, 100)
+	addr := startServer(t, 100)
 	const closing = "POST /b HTTP/1.1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"
 	cases := []struct {
 		name   string
@@ -104,7 +104,7 @@
 		{"asks before it sends", []string{"POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n", "x", closing}, []string{"100 Continue", "POST /a x"}},
 	}
 	for _, c := range cases {
-		got := raw(t, addr, c.pieces...)
+		got := exchangeRaw(t, addr, c.pieces...)
 		for _, w := range c.want {
 			if !strings.Contains(got, w) {
 				t.Errorf("%s: %q lacks %q", c.name, got, w)
@@ -115,17 +115,17 @@
 
 // Refused connections are logged once a second, with their count.
 func TestRefusalsAreCounted(t *testing.T) {
-	var r refusals
+	var r refusalCounter
 	at := time.Unix(1000, 0)
-	if count, say := r.next(at); !say || count != 1 {
+	if count, say := r.record(at); !say || count != 1 {
 		t.Errorf("the first: %d, %v", count, say)
 	}
 	for i := range 500 {
-		if _, say := r.next(at.Add(time.Duration(i) * time.Millisecond)); say {
+		if _, say := r.record(at.Add(time.Duration(i) * time.Millisecond)); say {
 			t.Fatalf("logged again after %d ms", i)
 		}
 	}
-	if count, say := r.next(at.Add(time.Second)); !say || count != 501 {
+	if count, say := r.record(at.Add(time.Second)); !say || count != 501 {
 		t.Errorf("a second later: %d, %v", count, say)
 	}
 }
--- /dev/null
+++ b/internal/emulator/checker_test.go
@@ -0,0 +1,252 @@
+package emulator
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/config"
+)
+
+// Each rule is broken on purpose: a checker that could not fail would prove
+// nothing in the scenarios.
+func TestCheckerFindsEveryBrokenRule(t *testing.T) {
+	cfg := &config.Config{}
+	cfg.Deployment.Teams = []config.Team{{Name: "red", CPUsMax: 4}}
+	cfg.Deployment.Workers.Cancel = 60
+	job := func(change func(*api.JobSpec)) *api.JobSpec {
+		s := &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Array, Tasks: 4, CPUs: 1}
+		if change != nil {
+			change(s)
+		}
+		return s
+	}
+	task := func(i int) api.TaskID { return api.TaskID{Job: "run-1", Index: i} }
+	start := func(c *Checker, s *api.JobSpec, i int, m api.MachineID, zone api.Zone) {
+		c.TaskStarted(time.Second, task(i), s, m, "c8", zone, true)
+	}
+	spot := func(s *api.JobSpec) { s.Spot = true }
+	cases := []struct {
+		rule string
+		bad  func(*Checker)
+	}{
+		{"ran_twice", func(c *Checker) { s := job(spot); start(c, s, 0, "i-1", "a"); start(c, s, 0, "i-2", "a") }},
+		{"quota", func(c *Checker) {
+			s := job(func(s *api.JobSpec) { s.Spot = true; s.CPUs = 3 })
+			start(c, s, 0, "i-1", "a")
+			start(c, s, 1, "i-1", "a")
+		}},
+		{"wrong_place", func(c *Checker) { start(c, job(nil), 0, "i-1", "a") }},
+		{"wrong_place", func(c *Checker) {
+			start(c, job(func(s *api.JobSpec) { s.Spot = true; s.Types = []api.MachineTypeName{"g8"} }), 0, "i-1", "a")
+		}},
+		{"wrong_place", func(c *Checker) {
+			start(c, job(func(s *api.JobSpec) { s.Spot = true; s.Zone = "b" }), 0, "i-1", "a")
+		}},
+		{"wrong_place", func(c *Checker) {
+			s := job(func(s *api.JobSpec) { s.Spot = true; s.OneZone = true })
+			start(c, s, 0, "i-1", "a")
+			start(c, s, 1, "i-2", "b")
+		}},
+		{"wrong_place", func(c *Checker) {
+			s := job(func(s *api.JobSpec) { s.Spot = true; s.Spread = true })
+			for i := range 3 {
+				start(c, s, i, "i-1", "a")
+			}
+		}},
+		{"ran_cancelled", func(c *Checker) {
+			s := job(spot)
+			c.JobSubmitted(0, s, 0)
+			c.CancelRequested(0, "run-1")
+			start(c, s, 0, "i-1", "a")
+			c.ResponseReceived(2*time.Second, "run-1", 200, api.JobCancelled, "")
+			c.CheckTimeouts(90 * time.Second)
+		}},
+		{"ran_cancelled", func(c *Checker) {
+			s := job(spot)
+			c.JobSubmitted(0, s, 0)
+			c.CancelRequested(0, "run-1")
+			c.ResponseReceived(2*time.Second, "run-1", 200, api.JobCancelled, "")
+			c.TaskStarted(90*time.Second, task(0), s, "i-1", "c8", "a", true)
+		}},
+		{"began_cancelled", func(c *Checker) {
+			s := job(spot)
+			c.JobSubmitted(0, s, 0)
+			c.CancelRequested(0, "run-1")
+			c.ResponseReceived(2*time.Second, "run-1", 200, api.JobCancelled, "")
+			start(c, s, 0, "i-1", "a")
+		}},
+		{"accepted_bad", func(c *Checker) { c.InvalidJobResponse(0, "run-9", "no cores", 201, "cores", "") }},
+		{"accepted_bad", func(c *Checker) {
+			c.InvalidJobResponse(0, "run-9", "no cores", 400, "cores", "gpus: missing or invalid")
+		}},
+		{"left_waiting", func(c *Checker) {
+			for at := time.Second; at < 100*time.Second; at += starvationCheckInterval {
+				c.recordFeasible(at, map[feasiblePlacement]bool{{"run-1", "i-1"}: true})
+			}
+		}},
+		{"forgotten", func(c *Checker) {
+			c.JobSubmitted(0, job(nil), 0)
+			c.ResponseReceived(time.Second, "run-1", 422, "", api.JobPending)
+		}},
+		{"went_back", func(c *Checker) {
+			c.JobSubmitted(0, job(nil), 0)
+			c.CancelRequested(0, "run-1")
+			c.ResponseReceived(time.Second, "run-1", 200, api.JobPending, api.JobCancelled)
+		}},
+		{"untold", func(c *Checker) {
+			c.JobSubmitted(0, job(nil), 0)
+			c.AwaitCancelAck(0, "run-1")
+			c.FaultUntil(20 * time.Second)
+			c.ResponseReceived(time.Second, "run-1", 200, api.JobRunning, "")
+			c.CheckTimeouts(96 * time.Second)
+		}},
+		{"forgotten", func(c *Checker) {
+			c.JobSubmitted(0, job(nil), 0)
+			c.ResponseReceived(time.Second, "run-1", 404, "", api.JobPending)
+		}},
+		{"invented", func(c *Checker) { c.ResponseReceived(time.Second, "run-9", 200, api.JobPending, "") }},
+		{"not_done", func(c *Checker) {
+			c.JobSubmitted(0, job(nil), 0)
+			c.ResponseReceived(time.Second, "run-1", 200, api.JobDone, "")
+		}},
+		{"went_back", func(c *Checker) {
+			c.JobSubmitted(0, job(nil), 0)
+			c.ResponseReceived(time.Second, "run-1", 200, api.JobRunning, api.JobDone)
+		}},
+		{"went_back", func(c *Checker) {
+			c.JobSubmitted(0, job(nil), 0)
+			c.ResponseReceived(time.Second, "run-1", 200, api.JobCancelled, "")
+		}},
+	}
+	for _, tc := range cases {
+		c := NewChecker(cfg)
+		tc.bad(c)
+		if len(c.Violations) == 0 || !strings.HasPrefix(c.Violations[0], tc.rule) {
+			t.Errorf("%s: found %q", tc.rule, c.Violations)
+		}
+	}
+}
+
+// A job of which no question is answered for long after the last trouble is forgotten; one whose
+// user has cancelled it, or that nobody asks about, is not.
+func TestCheckerFindsUnknownJobs(t *testing.T) {
+	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
+	countViolations := func(quiet, asked bool) int {
+		c := NewChecker(&config.Config{})
+		c.JobSubmitted(0, &api.JobSpec{Ref: "run-1", Tasks: 1}, 0)
+		c.ResponseReceived(at(1), "run-1", 201, api.JobPending, "")
+		c.FaultUntil(at(50))
+		for s := 2; s < 200; s++ {
+			if asked && s%5 == 0 {
+				c.QuerySent(at(s), "run-1")
+				if !quiet && s%60 == 0 {
+					c.ResponseReceived(at(s), "run-1", 200, api.JobPending, api.JobPending)
+				}
+			}
+			c.CheckTimeouts(at(s))
+		}
+		return len(c.Violations)
+	}
+	if countViolations(true, true) != 1 || countViolations(false, true) != 0 || countViolations(true, false) != 0 {
+		t.Errorf("%d for one that is not answered, %d for one that is, %d for one that nobody asks about", countViolations(true, true), countViolations(false, true), countViolations(true, false))
+	}
+}
+
+// The rule promised is broken on purpose: two told of one skip, a name told two numbers, a
+// promise that is in no record and one that the log holds beside another.
+func TestCheckerFindsDoubleReservations(t *testing.T) {
+	record := func(o *ReservationClients, name, state string, number uint64, until int64) *grant {
+		return o.recordResponse(name, 200, reservationResponse{Depot: "d", Skip: "s", Number: number, State: state, Site: name, From: formatDay(5), To: formatDay(8), Until: until})
+	}
+	cases := map[string]struct {
+		do   func(*Simulation)
+		want int
+	}{
+		"two promises": {func(sim *Simulation) {
+			record(sim.ReservationClients, "a", "promised", 1, 0)
+			record(sim.ReservationClients, "b", "promised", 2, 0)
+		}, 1},
+		"one that was released": {func(sim *Simulation) {
+			record(sim.ReservationClients, "a", "promised", 1, 0).released = true
+			record(sim.ReservationClients, "b", "promised", 2, 0)
+		}, 0},
+		"an offer beside a promise": {func(sim *Simulation) {
+			record(sim.ReservationClients, "a", "promised", 1, 0)
+			record(sim.ReservationClients, "b", "offered", 2, int64(sim.WallTime())+9000)
+		}, 1},
+		"after an offer's time": {func(sim *Simulation) {
+			record(sim.ReservationClients, "a", "offered", 1, int64(sim.WallTime())-1)
+			record(sim.ReservationClients, "b", "promised", 2, 0)
+		}, 0},
+		"a name told two numbers": {func(sim *Simulation) {
+			record(sim.ReservationClients, "a", "promised", 1, 0)
+			record(sim.ReservationClients, "a", "promised", 2, 0)
+		}, 1},
+		"in no record": {func(sim *Simulation) {
+			record(sim.ReservationClients, "a", "promised", 1, 0)
+			sim.ReservationClients.CheckLog()
+		}, 1},
+		"two in the log": {func(sim *Simulation) {
+			for i, name := range []string{"a", "b"} {
+				sim.Store.appendChange(api.Change{Put: fmt.Sprintf("s/r/0/%d", i+1), Version: api.Revision(i + 1),
+					Value: fmt.Appendf(nil, `{"q":%d,"ops":[{"o":"promise","d":"d","i":"s","w":%q,"s":"x","f":5,"t":8}]}`, i+1, name)}, 0)
+			}
+			sim.ReservationClients.CheckLog()
+		}, 1},
+		"released in the log": {func(sim *Simulation) {
+			for i, op := range []string{`{"o":"promise","d":"d","i":"s","f":5,"t":8}`, `{"o":"release","d":"d","i":"s","n":257}`, `{"o":"promise","d":"d","i":"s","f":5,"t":8}`} {
+				sim.Store.appendChange(api.Change{Put: fmt.Sprintf("s/r/0/%d", i+1), Version: api.Revision(i + 1), Value: fmt.Appendf(nil, `{"q":%d,"ops":[%s]}`, i+1, op)}, 0)
+			}
+			sim.ReservationClients.CheckLog()
+		}, 0},
+	}
+	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
+"external":{"cloud":"10.0.0.2:1","state":"10.0.0.3:1"},"deployment":{"initial_size":1,"zones":["a"],
+"teams":[{"name":"red"}],"workers":{"report_s":3,"lease_s":30,"cancel_s":60},
+"state":{"rps":100,"write_rps":50,"value_kb":8,"txn_ops":12},"cloud":{"rps":10}}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for what, tc := range cases {
+		sim := NewSimulation(1, []*config.Config{cfg})
+		if tc.do(sim); len(sim.Checker.Violations) != tc.want {
+			t.Errorf("%s: found %q", what, sim.Checker.Violations)
+		}
+	}
+}
+
+// A replica that was stopped and is not up again is missed; one that is, whose job was cancelled
+// or while there is trouble is not.
+func TestCheckerFindsReplicasLostByMove(t *testing.T) {
+	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
+	countViolations := func(then func(*Checker)) int {
+		c := NewChecker(&config.Config{})
+		s := &api.JobSpec{Ref: "run-1", Kind: api.Service, Priority: api.High, Tasks: 1}
+		c.JobSubmitted(0, s, 0)
+		c.TaskStarted(at(1), api.TaskID{Job: "run-1"}, s, "i-1", "c8", "a", false)
+		c.TaskStopped(at(50), api.TaskID{Job: "run-1"}, s, "i-1")
+		c.TaskEnded(at(50), api.TaskID{Job: "run-1"}, "i-1", false)
+		then(c)
+		for s := 51; s < 130; s++ {
+			c.CheckTimeouts(at(s))
+		}
+		return len(c.Violations)
+	}
+	again := func(c *Checker) {
+		c.TaskStarted(at(60), api.TaskID{Job: "run-1"}, &api.JobSpec{Ref: "run-1", Kind: api.Service, Tasks: 1}, "i-2", "c8", "a", false)
+	}
+	takes := func(p api.Priority, m api.MachineID) func(*Checker) {
+		return func(c *Checker) {
+			c.TaskStarted(at(52), api.TaskID{Job: "run-2"}, &api.JobSpec{Ref: "run-2", Kind: api.Array, Priority: p, Tasks: 1}, m, "c8", "a", false)
+		}
+	}
+	if countViolations(takes(api.Production, "i-1")) != 0 || countViolations(takes(api.High, "i-1")) != 1 || countViolations(takes(api.Production, "i-2")) != 1 {
+		t.Error("what made way for more urgent work is not told from what was moved")
+	}
+	if countViolations(func(*Checker) {}) != 1 || countViolations(again) != 0 || countViolations(func(c *Checker) { c.CancelRequested(at(55), "run-1") }) != 0 || countViolations(func(c *Checker) { c.FaultUntil(at(100)) }) != 0 {
+		t.Error("what is missing by a move is not told from what is not")
+	}
+}
--- a/internal/standin/live.go
+++ b/internal/emulator/live.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bytes"
@@ -14,31 +14,31 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
-	"basaltwall/control"
-	"basaltwall/internal/loopback"
+	"basaltwall/controller"
+	"basaltwall/internal/testport"
 )
 
 // Live runs the stand-ins in real time on loopback, for controllers that are
 // real processes. Its door takes users' requests to the controllers, as a load
 // balancer would, and remembers what they submit for the workers.
 type Live struct {
-	Configs []*config.Config
-	Files   [][]byte // the controllers' settings files
-	Door    string   // where users' requests go
+	Configs          []*config.Config
+	SettingsFiles    [][]byte // the controllers' settings files
+	LoadBalancerAddr string   // where users' requests go
 
-	mu     sync.Mutex
-	world  *World
-	client http.Client
-	turn   int
-	step   time.Duration // between looks at the clock
-	ctx    context.Context
+	mu            sync.Mutex
+	sim           *Simulation
+	client        http.Client
+	roundRobin    int
+	clockInterval time.Duration // between looks at the clock
+	ctx           context.Context
 }
 
-// liveStep is how often the world's clock is brought up to date.
-const liveStep = 5 * time.Millisecond
+// clockInterval is how often the world's clock is brought up to date.
+const clockInterval = 5 * time.Millisecond
 
-// listen finds a free port on loopback.
-func listen() (net.Listener, error) {
+// listenLocal finds a free port on loopback.
+func listenLocal() (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stand-in: %w", err)
@@ -46,63 +46,63 @@
 	return l, nil
 }
 
-// smallOnly is a cloud with one small type of machines.
-func smallOnly() []api.MachineType {
-	return []api.MachineType{{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 1, Price: 1, SpotPrice: 0.4, Boot: 5, Zones: []api.Zone{"a", "b"}}}
+// smallMachineTypes is a cloud with one small type of machines.
+func smallMachineTypes() []api.MachineType {
+	return []api.MachineType{{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootSeconds: 5, Zones: []api.Zone{"a", "b"}}}
 }
 
 // StartLive starts the stand-ins with a few machines of a small type.
 func StartLive(ctx context.Context, controllers, machines int) (*Live, error) {
-	l := &Live{ctx: ctx, step: liveStep, client: http.Client{Timeout: 4 * time.Second}}
+	l := &Live{ctx: ctx, clockInterval: clockInterval, client: http.Client{Timeout: 4 * time.Second}}
 	var open []net.Listener
 	for range 3 {
-		ln, err := listen()
+		ln, err := listenLocal()
 		if err != nil {
 			return nil, err
 		}
 		open = append(open, ln)
 	}
-	if err := l.settings(controllers, open[0].Addr().String(), open[1].Addr().String()); err != nil {
+	if err := l.writeSettings(controllers, open[0].Addr().String(), open[1].Addr().String()); err != nil {
 		return nil, err
 	}
-	l.Door = open[2].Addr().String()
-	w := NewWorld(1, l.Configs)
-	l.world = w
-	w.Cloud.Types = smallOnly()
-	w.Cloud.Capacity = 2 * machines
-	w.Deliver = l.deliver
+	l.LoadBalancerAddr = open[2].Addr().String()
+	sim := NewSimulation(1, l.Configs)
+	l.sim = sim
+	sim.Cloud.Types = smallMachineTypes()
+	sim.Cloud.Capacity = 2 * machines
+	sim.Deliver = l.deliver
 	workers := map[int]net.Listener{}
-	w.Address = func(number int) string {
-		ln, err := listen()
+	sim.Address = func(number int) string {
+		ln, err := listenLocal()
 		if err != nil {
 			return "127.0.0.1:1" // it will seem unreachable
 		}
 		workers[number] = ln
 		return ln.Addr().String()
 	}
-	w.OnWorker = func(wk *Worker) {
+	sim.OnWorker = func(wk *Worker) {
 		for n, ln := range workers {
 			if ln.Addr().String() == wk.addr {
 				delete(workers, n)
-				l.serve(ln, func(_, _, _ string, body []byte, answer func(int, []byte)) { wk.commands(body, answer) })
+				l.serve(ln, func(_, _, _ string, body []byte, answer func(int, []byte)) { wk.handleCommands(body, answer) })
 			}
 		}
 	}
 	for i := range machines {
-		w.Cloud.Rent("small", api.Zone([]string{"a", "b"}[i%2]), false, time.Second)
+		sim.Cloud.Launch("small", api.Zone([]string{"a", "b"}[i%2]), false, time.Second)
 	}
-	l.serve(open[0], w.State.Serve)
+	l.serve(open[0], sim.Store.Serve)
 	l.serve(open[1], func(_, method, target string, body []byte, answer func(int, []byte)) {
-		answer(w.Cloud.Serve(method, target, body))
+		answer(sim.Cloud.Serve(method, target, body))
 	})
-	l.door(open[2])
-	go l.run()
+	l.serveLoadBalancer(open[2])
+	go l.followClock()
 	return l, nil
 }
 
-// reserve keeps an address until the stand-ins end.
-func (l *Live) reserve() (string, error) {
-	addr, release, err := loopback.Reserve()
+// reserveAddr keeps an address until the stand-ins end.
+func (l *Live) reserveAddr() (string, error) {
+	addr, release, err := testport.Reserve()
 	if err != nil {
 		return "", fmt.Errorf("stand-in: %w", err)
 	}
@@ -120,18 +120,18 @@
 	if err != nil {
 		return fmt.Errorf("stand-in: %w", err)
 	}
-	l.Configs, l.Files = append(l.Configs, c), append(l.Files, data)
+	l.Configs, l.SettingsFiles = append(l.Configs, c), append(l.SettingsFiles, data)
 	return nil
 }
 
-func (l *Live) settings(controllers int, state, cloud string) error {
+func (l *Live) writeSettings(controllers int, state, cloud string) error {
 	type peer struct{ label, api, peer string }
 	var all []peer
 	for i := range controllers {
 		p := peer{label: "stone-" + strconv.Itoa(i)}
 		for _, addr := range []*string{&p.api, &p.peer} {
 			var err error
-			if *addr, err = l.reserve(); err != nil {
+			if *addr, err = l.reserveAddr(); err != nil {
 				return err
 			}
 		}
@@ -162,10 +162,10 @@
 	return nil
 }
 
-// run lets the world's clock follow the real one.
-func (l *Live) run() {
+// followClock lets the world's clock follow the real one.
+func (l *Live) followClock() {
 	start := time.Now()
-	tick := time.NewTicker(l.step)
+	tick := time.NewTicker(l.clockInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -173,37 +173,37 @@
 			return
 		case <-tick.C:
 			l.mu.Lock()
-			l.world.Run(time.Since(start))
+			l.sim.Run(time.Since(start))
 			l.mu.Unlock()
 		}
 	}
 }
 
-// Broken lists the broken rules that the checker has seen.
-func (l *Live) Broken() []string {
+// Violations lists the broken rules that the checker has seen.
+func (l *Live) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.world.Check.Broken...)
+	return append([]string(nil), l.sim.Checker.Violations...)
 }
 
-type answered struct {
+type response struct {
 	status int
 	body   []byte
 }
 
 // serve answers requests on a listener with a handler of the world.
-func (l *Live) serve(ln net.Listener, handle func(node, method, target string, body []byte, answer func(int, []byte))) {
-	l.http(ln, func(rw http.ResponseWriter, r *http.Request, body []byte) {
-		c := make(chan answered, 1)
+func (l *Live) serve(ln net.Listener, handle func(controllerName, method, target string, body []byte, answer func(int, []byte))) {
+	l.serveHTTP(ln, func(rw http.ResponseWriter, r *http.Request, body []byte) {
+		c := make(chan response, 1)
 		l.mu.Lock()
-		handle("", r.Method, r.URL.RequestURI(), body, func(status int, b []byte) { c <- answered{status, b} })
+		handle("", r.Method, r.URL.RequestURI(), body, func(status int, b []byte) { c <- response{status, b} })
 		l.mu.Unlock()
-		l.passAnswer(rw, r, c)
+		l.writeResponse(rw, r, c)
 	})
 }
 
-// passAnswer answers a request once there is an answer, unless its sender or the stand-ins end first.
-func (l *Live) passAnswer(rw http.ResponseWriter, r *http.Request, answer <-chan answered) {
+// writeResponse answers a request once there is an answer, unless its sender or the stand-ins end first.
+func (l *Live) writeResponse(rw http.ResponseWriter, r *http.Request, answer <-chan response) {
 	select {
 	case a := <-answer:
 		rw.WriteHeader(a.status)
@@ -213,7 +213,7 @@
 	}
 }
 
-func (l *Live) http(ln net.Listener, handle func(http.ResponseWriter, *http.Request, []byte)) {
+func (l *Live) serveHTTP(ln net.Listener, handle func(http.ResponseWriter, *http.Request, []byte)) {
 	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(io.LimitReader(r.Body, 1<<20))
 		if err != nil {
@@ -226,12 +226,12 @@
 }
 
 // deliver sends a worker's report to a controller.
-func (l *Live) deliver(name, method, path string, _ control.Caller, body []byte, answer func(int, []byte)) {
-	go l.exchange(&l.client, method, l.world.cfgs[name].APIAddr, path, body, answer)
+func (l *Live) deliver(name, method, path string, _ controller.Caller, body []byte, answer func(int, []byte)) {
+	go l.forward(&l.client, method, l.sim.configs[name].APIAddr, path, body, answer)
 }
 
-// exchange sends a request and passes its answer on to the world, if there is one.
-func (l *Live) exchange(client *http.Client, method, addr, path string, body []byte, answer func(int, []byte)) {
+// forward sends a request and passes its answer on to the world, if there is one.
+func (l *Live) forward(client *http.Client, method, addr, path string, body []byte, answer func(int, []byte)) {
 	status, b := l.send(client, method, addr, path, "", body)
 	if status == 0 {
 		return
@@ -262,16 +262,16 @@
 	return res.StatusCode, b
 }
 
-// door passes users' requests on to the controllers by turns.
-func (l *Live) door(ln net.Listener) {
-	l.http(ln, func(rw http.ResponseWriter, r *http.Request, body []byte) {
+// serveLoadBalancer passes users' requests on to the controllers by turns.
+func (l *Live) serveLoadBalancer(ln net.Listener) {
+	l.serveHTTP(ln, func(rw http.ResponseWriter, r *http.Request, body []byte) {
 		l.mu.Lock()
-		l.turn++
-		first := l.turn
+		l.roundRobin++
+		first := l.roundRobin
 		if r.Method == "POST" && r.URL.Path == api.PathJobs && r.Header.Get("Authorization") == "" {
-			if s, err := api.ParseJob(body); err == nil && l.world.Users.specs[s.Ref] == nil {
-				l.world.Users.specs[s.Ref], l.world.Users.runs[s.Ref] = s, api.Seconds(s.Estimate)
-				l.world.Check.Submitted(l.world.Now, s, api.Seconds(s.Estimate))
+			if s, err := api.ParseJob(body); err == nil && l.sim.Users.specs[s.Ref] == nil {
+				l.sim.Users.specs[s.Ref], l.sim.Users.runTimes[s.Ref] = s, api.Seconds(s.Estimate)
+				l.sim.Checker.JobSubmitted(l.sim.Now, s, api.Seconds(s.Estimate))
 			}
 		}
 		l.mu.Unlock()
--- a/internal/standin/live/main.go
+++ b/internal/emulator/live/main.go
@@ -12,7 +12,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"basaltwall/internal/standin"
+	"basaltwall/internal/emulator"
 )
 
 type cli struct {
@@ -22,8 +22,8 @@
 	Hosted      bool   `help:"Say how to try a hosted service with tenants."`
 }
 
-// hosted is what to do next with a hosted service.
-const hosted = `Add a tenant and make a key for it:
+// hostedInstructions is what to do next with a hosted service.
+const hostedInstructions = `Add a tenant and make a key for it:
   export BASALTWALL_KEY_FILE=%[2]s/admin.key
   target/basaltwall admin --addr %[1]s tenant add kipper --display "Kipper & Mulde" --team red --rate 5 --burst 20
   target/basaltwall admin --addr %[1]s tenant key add kipper laptop
@@ -52,7 +52,7 @@
 func run(c *cli) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	l, err := standin.StartLive(ctx, c.Controllers, c.Machines)
+	l, err := emulator.StartLive(ctx, c.Controllers, c.Machines)
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 		fmt.Printf("Make the operators' first key:\n  (umask 077; target/basaltwall new-key > %s)\n", filepath.Join(c.Dir, "admin.key"))
 	}
 	fmt.Println("Start each controller in a shell of its own:")
-	for i, f := range l.Files {
+	for i, f := range l.SettingsFiles {
 		name := filepath.Join(c.Dir, fmt.Sprintf("%s.json", l.Configs[i].Label))
 		if err := os.WriteFile(name, f, 0o644); err != nil {
 			return fmt.Errorf("settings files: %w", err)
@@ -73,7 +73,7 @@
 		fmt.Printf("  target/basaltwall %s %s\n", flags, name)
 	}
 	if c.Hosted {
-		fmt.Printf(hosted, l.Configs[0].APIAddr, c.Dir, l.Door)
+		fmt.Printf(hostedInstructions, l.Configs[0].APIAddr, c.Dir, l.LoadBalancerAddr)
 		<-ctx.Done()
 		return nil
 	}
@@ -82,9 +82,9 @@
   curl http://%[1]s/v1/jobs/run-1
   curl -X POST http://%[1]s/v1/jobs/run-1/withdraw
 End this with Ctrl-C.
-`, l.Door)
+`, l.LoadBalancerAddr)
 	<-ctx.Done()
-	for _, b := range l.Broken() {
+	for _, b := range l.Violations() {
 		fmt.Println("rule broken:", b)
 	}
 	return nil
--- a/internal/standin/main_test.go
+++ b/internal/emulator/main_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"io"
--- /dev/null
+++ b/internal/emulator/reservations.go
@@ -0,0 +1,332 @@
+package emulator
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"basaltwall/controller"
+)
+
+// ReservationClients stand in for those who promise skips to building sites, by phone and in the portal,
+// and hold what they were told against the rule: a skip promised for a building site is never
+// shown as free twice. Dates are days from 1 January 1970 here.
+type ReservationClients struct {
+	sim           *Simulation
+	grants        []*grant
+	numbersByName map[string]uint64 // the number told for a name
+	enquiryCount  int
+	Granted       int
+	Refused       int
+	Unanswered    int           // requests that were not answered at once
+	MaxLatency    time.Duration // of answers
+	totalLatency  time.Duration
+	Responses     int
+}
+
+// MeanLatency is how long an answer took.
+func (o *ReservationClients) MeanLatency() time.Duration {
+	return o.totalLatency / time.Duration(max(1, o.Responses))
+}
+
+// grant is an offer or promise as its asker was told.
+type grant struct {
+	depot, skip, name, site string
+	number                  uint64
+	from, to                int
+	grantedAt               time.Duration
+	expiresAt               time.Duration // of an offer; 0: it is a promise
+	released                bool          // its holder has asked for its end, or took it
+}
+
+type reservationResponse struct {
+	Depot  string `json:"depot"`
+	Skip   string `json:"skip"`
+	Number uint64 `json:"number"`
+	State  string `json:"state"`
+	Site   string `json:"site"`
+	From   string `json:"from"`
+	To     string `json:"to"`
+	Until  int64  `json:"until"`
+}
+
+func formatDay(day int) string {
+	return time.Unix(int64(day)*86400, 0).UTC().Format(time.DateOnly)
+}
+
+func (o *ReservationClients) recordViolation(format string, args ...any) {
+	o.sim.Checker.recordViolation(o.sim.Now, "promised", format, args...)
+}
+
+// sendRequest sends a request to any controller until it is answered for good; how is told of the last
+// answer.
+func (o *ReservationClients) sendRequest(depot, operation string, body map[string]any, handle func(status int, a reservationResponse)) {
+	o.sendRequestTo(o.sim.Users.anyController(), depot, operation, body, handle)
+}
+
+func (o *ReservationClients) sendRequestTo(controllerName, depot, operation string, body map[string]any, handle func(status int, a reservationResponse)) {
+	data, err := json.Marshal(body)
+	o.sim.must(err)
+	sentAt := o.sim.Now
+	o.sim.externalRequest(controllerName, 5*time.Second, func(answer func(int, []byte)) {
+		h := o.sim.controllers[controllerName]
+		if h == nil || h.controller == nil {
+			return
+		}
+		o.sim.callController(h, func(req controller.ReqID) controller.Command {
+			return controller.AdminRequest{Req: req, What: "skips-do", ID: depot, Sub: operation, Body: data}
+		}, answer)
+	}, func(status int, b []byte) {
+		var a reservationResponse
+		if status == 200 {
+			o.sim.must(json.Unmarshal(b, &a))
+		}
+		if status == 0 || status == 503 {
+			o.Unanswered++
+			o.sim.After(time.Second, func() { o.sendRequest(depot, operation, body, handle) })
+			return
+		}
+		elapsed := o.sim.Now - sentAt
+		o.totalLatency, o.Responses, o.MaxLatency = o.totalLatency+elapsed, o.Responses+1, max(o.MaxLatency, elapsed)
+		handle(status, a)
+	})
+}
+
+// Import adds skips of a kind to a depot.
+func (o *ReservationClients) Import(depot, kind string, n int) {
+	const page = 40
+	for from := 0; from < n; from += page {
+		var list []map[string]any
+		for i := from; i < min(n, from+page); i++ {
+			list = append(list, map[string]any{"skip": fmt.Sprintf("%s-%04d", kind, i), "kind": kind})
+		}
+		o.sendRequest(depot, "import", map[string]any{"skips": list}, func(status int, _ reservationResponse) {
+			if status != 200 {
+				o.recordViolation("an import into %s gets %d", depot, status)
+			}
+		})
+	}
+}
+
+// RequestReservation is one enquiry: by phone it is promised at once, in the portal offered first; then it
+// is released, or delivered and returned, or stays.
+func (o *ReservationClients) RequestReservation(depot, kind string, days int) {
+	o.enquiryCount++
+	r := o.sim.rand
+	name, site := fmt.Sprintf("ask-%d", o.enquiryCount), fmt.Sprintf("site-%d", o.enquiryCount)
+	from := 20_000 + r.IntN(days)
+	body := map[string]any{"name": name, "kind": kind, "from": formatDay(from), "to": formatDay(from + 1 + r.IntN(3))}
+	next := func(g *grant) {
+		if g == nil {
+			return
+		}
+		delay := time.Duration(1+r.IntN(20)) * time.Second
+		switch r.IntN(4) {
+		case 0, 1:
+			o.sim.After(delay, func() { o.endGrant(g, "release") })
+		case 2:
+			o.sim.After(delay, func() {
+				o.sendRequest(depot, "deliver", map[string]any{"skip": g.skip, "number": g.number}, func(status int, a reservationResponse) {
+					if status != 200 && status != 409 { // it may be out of service
+						o.recordViolation("%s of %s, promised to %s as %d, can't be delivered: %d", g.skip, depot, g.site, g.number, status)
+					}
+					if status != 200 {
+						return
+					}
+					o.sim.After(delay, func() { o.endGrant(g, "return") })
+				})
+			})
+		}
+	}
+	if r.IntN(2) == 0 { // by phone, and perhaps once more: the line was bad
+		body["site"] = site
+		told := func(status int, a reservationResponse) { next(o.recordResponse(name, status, a)) }
+		o.sendRequest(depot, "promise", body, told)
+		if r.IntN(4) == 0 {
+			o.sendRequest(depot, "promise", body, func(status int, a reservationResponse) { o.recordResponse(name, status, a) })
+		}
+		return
+	}
+	body["for_s"] = 5 + r.IntN(10)
+	o.sendRequest(depot, "offer", body, func(status int, a reservationResponse) {
+		g := o.recordResponse(name, status, a)
+		if g == nil || r.IntN(4) == 0 {
+			return // nobody comes back for it
+		}
+		o.sim.After(time.Duration(1+r.IntN(12))*time.Second, func() {
+			take := map[string]any{"name": name + "-take", "skip": g.skip, "number": g.number, "site": site}
+			o.sendRequest(depot, "promise", take, func(status int, a reservationResponse) {
+				if status == 200 {
+					g.released = true
+					next(o.recordResponse(name+"-take", status, a))
+				}
+			})
+		})
+	})
+}
+
+// ChangeAvailability has a skip go out of service or into it again.
+func (o *ReservationClients) ChangeAvailability(depot, operation, skip string) {
+	o.sendRequest(depot, operation, map[string]any{"skip": skip}, func(status int, _ reservationResponse) {
+		if status != 200 {
+			o.recordViolation("%s of %s can't be put %s: %d", skip, depot, operation, status)
+		}
+	})
+}
+
+// endGrant asks for the end of a promise. From then on its holder claims nothing.
+func (o *ReservationClients) endGrant(g *grant, operation string) {
+	g.released = true
+	body := map[string]any{"skip": g.skip, "number": g.number}
+	o.sendRequest(g.depot, operation, body, func(status int, a reservationResponse) {
+		if status != 200 {
+			o.recordViolation("%s of %s, promised to %s as %d: its %s gets %d", g.skip, g.depot, g.site, g.number, operation, status)
+		}
+		// Late and once more: by then it may be another's, which must not be touched.
+		o.sim.After(time.Duration(o.sim.rand.IntN(30))*time.Second, func() { o.sendRequest(g.depot, operation, body, func(int, reservationResponse) {}) })
+	})
+}
+
+// recordResponse notes an answer and holds it against all that others were told.
+func (o *ReservationClients) recordResponse(name string, status int, a reservationResponse) *grant {
+	if status != 200 {
+		o.Refused++
+		return nil
+	}
+	if before, ok := o.numbersByName[name]; ok && before != a.Number {
+		o.recordViolation("%s was told number %d and then %d", name, before, a.Number)
+	}
+	_, again := o.numbersByName[name]
+	o.numbersByName[name] = a.Number
+	if again || a.State != "offered" && a.State != "promised" && a.State != "delivered" {
+		return nil // it was told before, or has been ended since
+	}
+	o.Granted++
+	day := func(s string) int {
+		t, err := time.Parse(time.DateOnly, s)
+		o.sim.must(err)
+		return int(t.Unix() / 86400)
+	}
+	g := &grant{depot: a.Depot, skip: a.Skip, name: name, site: a.Site, number: a.Number, from: day(a.From), to: day(a.To), grantedAt: o.sim.Now}
+	if a.State == "offered" {
+		g.expiresAt = time.Duration(a.Until-int64(o.sim.WallTime()))*time.Millisecond + o.sim.Now
+	}
+	for _, h := range o.grants {
+		if h.depot == g.depot && h.skip == g.skip && h.number != g.number && h.from < g.to && g.from < h.to && o.inForce(h) && o.inForce(g) {
+			o.recordViolation("%s of %s is %s's (%d) and was told to be %s's (%d) for the same days", g.skip, g.depot, h.name, h.number, g.name, g.number)
+		}
+	}
+	o.grants = append(o.grants, g)
+	return g
+}
+
+// inForce reports whether who was granted it may count on it now.
+func (o *ReservationClients) inForce(g *grant) bool {
+	return !g.released && (g.expiresAt == 0 || o.sim.Now < g.expiresAt)
+}
+
+// CheckListed asks any controller for a depot's skips and misses none that was promised.
+func (o *ReservationClients) CheckListed(depot string) {
+	sentAt := o.sim.Now
+	o.listPage(depot, "", map[uint64]string{}, func(listed map[uint64]string) {
+		for _, g := range o.grants {
+			if g.depot == depot && g.expiresAt == 0 && !g.released && g.grantedAt < sentAt && listed[g.number] != g.skip+"/"+g.site {
+				o.recordViolation("%s of %s, promised to %s as %d, is not in the list", g.skip, depot, g.site, g.number)
+			}
+		}
+	})
+}
+
+func (o *ReservationClients) listPage(depot, after string, listed map[uint64]string, done func(map[uint64]string)) {
+	controllerName := o.sim.Users.anyController()
+	o.sim.externalRequest(controllerName, 5*time.Second, func(answer func(int, []byte)) {
+		h := o.sim.controllers[controllerName]
+		if h == nil || h.controller == nil {
+			return
+		}
+		o.sim.callController(h, func(req controller.ReqID) controller.Command {
+			return controller.AdminRequest{Req: req, What: "skips", ID: depot, After: after, Limit: 100}
+		}, answer)
+	}, func(status int, b []byte) {
+		if status != 200 {
+			o.sim.After(time.Second, func() { o.listPage(depot, after, listed, done) })
+			return
+		}
+		var v struct {
+			Skips []struct {
+				Skip  string                `json:"skip"`
+				Items []reservationResponse `json:"items"`
+			} `json:"skips"`
+			After string `json:"after"`
+		}
+		o.sim.must(json.Unmarshal(b, &v))
+		for _, s := range v.Skips {
+			for _, x := range s.Items {
+				listed[x.Number] = s.Skip + "/" + x.Site
+			}
+		}
+		if v.After != "" {
+			o.listPage(depot, v.After, listed, done)
+			return
+		}
+		done(listed)
+	})
+}
+
+// CheckLog goes through the records of the ledger as the state service was sent them, by themselves:
+// no skip is held by two for the same day, and every promise that somebody was told is there.
+func (o *ReservationClients) CheckLog() {
+	type held struct {
+		depot, skip string
+		from, to    int
+		site        string
+	}
+	active, ever := map[string]held{}, map[string]bool{}
+	for _, c := range o.sim.Store.changes {
+		shard, ok := strings.CutPrefix(c.Put, "s/r/")
+		if !ok {
+			continue
+		}
+		shard, _, _ = strings.Cut(shard, "/")
+		var r struct {
+			Seq uint64 `json:"q"`
+			Ops []struct {
+				Do    string `json:"o"`
+				Depot string `json:"d"`
+				Skip  string `json:"i"`
+				Num   uint64 `json:"n"`
+				Site  string `json:"s"`
+				From  int    `json:"f"`
+				To    int    `json:"t"`
+			} `json:"ops"`
+		}
+		o.sim.must(json.Unmarshal(c.Value, &r))
+		for i, op := range r.Ops {
+			key := fmt.Sprintf("%s/%d", shard, op.Num)
+			switch {
+			case (op.Do == "offer" || op.Do == "promise") && op.Num == 0:
+				num := r.Seq*256 + uint64(i+1)
+				for other, h := range active {
+					if h.depot == op.Depot && h.skip == op.Skip && h.from < op.To && op.From < h.to {
+						o.recordViolation("in the log %s of %s is held as %s and as %d for the same days", op.Skip, op.Depot, other, num)
+					}
+				}
+				active[fmt.Sprintf("%s/%d", shard, num)] = held{op.Depot, op.Skip, op.From, op.To, op.Site}
+				ever[fmt.Sprintf("%s/%s/%d", op.Depot, op.Skip, num)] = true
+			case slices.Contains([]string{"release", "return", "expire"}, op.Do):
+				delete(active, key)
+			}
+		}
+	}
+	for _, g := range o.grants {
+		if !ever[fmt.Sprintf("%s/%s/%d", g.depot, g.skip, g.number)] {
+			o.recordViolation("%s was told number %d of %s, which is in no record", g.name, g.number, g.skip)
+		}
+	}
+}
+
+func newReservationClients(sim *Simulation) *ReservationClients {
+	return &ReservationClients{sim: sim, numbersByName: map[string]uint64{}}
+}
--- a/internal/standin/restart_test.go
+++ b/internal/emulator/restart_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"encoding/json"
@@ -7,28 +7,28 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/tenant"
 )
 
-// large is a hosted service with many tenants and keys and so many finished jobs; each of
+// newLargeSimulation is a hosted service with many tenants and keys and so many finished jobs; each of
 // the first ten tenants has a key whose secret is known.
-func large(t *testing.T, tenants, keys, finished int) *World {
+func newLargeSimulation(t *testing.T, tenants, keys, finished int) *Simulation {
 	t.Helper()
 	l := &Live{ctx: t.Context()}
-	if err := l.settings(3, "10.0.0.1:1", "10.0.0.2:1"); err != nil {
+	if err := l.writeSettings(3, "10.0.0.1:1", "10.0.0.2:1"); err != nil {
 		t.Fatal(err)
 	}
-	w := NewWorld(1, l.Configs)
-	w.Host()
-	w.Cloud.Types = smallOnly()
+	sim := NewSimulation(1, l.Configs)
+	sim.EnableHosting()
+	sim.Cloud.Types = smallMachineTypes()
 	put := func(key string, v any) {
 		data, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.State.rev++
-		w.State.change(api.Change{Put: key, Value: data, Version: w.State.rev}, 0)
+		sim.Store.revision++
+		sim.Store.appendChange(api.Change{Put: key, Value: data, Version: sim.Store.revision}, 0)
 	}
 	for i := range tenants {
 		x := tenant.Tenant{Name: tenant.Name(fmt.Sprintf("tenant-%04d", i)), Display: "A company of some name & sons", Teams: []api.Team{"red"}, State: tenant.Active,
@@ -39,40 +39,40 @@
 				t.Fatal(err)
 			}
 			x.Keys = append(x.Keys, key)
-			w.Tenants.secrets[x.Name] = secret.String()
+			sim.Tenants.secrets[x.Name] = secret.String()
 		}
 		put("b/tenant/"+string(x.Name), x)
 	}
 	for i := range finished {
 		name := tenant.Name(fmt.Sprintf("tenant-%04d", i%tenants))
-		ref := api.JobRef(fmt.Sprintf("run-%d", i))
+		ref := api.JobID(fmt.Sprintf("run-%d", i))
 		put("final/"+string(tenant.JobID(name, ref)), api.JobDone)
-		put(fmt.Sprintf("history/%s/%013d-%s", name, 900_000+i, ref), control.Ended{Ref: ref, State: api.JobDone, Class: "try", Team: "red", Tasks: 3, Accepted: 800_000, Ended: 900_000})
+		put(fmt.Sprintf("history/%s/%013d-%s", name, 900_000+i, ref), controller.FinishedJob{JobID: ref, State: api.JobDone, Class: "try", Team: "red", Tasks: 3, AcceptedAt: 800_000, EndedAt: 900_000})
 	}
-	w.State.log, w.State.logAt = nil, nil // nobody reads that far back
-	return w
+	sim.Store.changes, sim.Store.changeTimes = nil, nil // nobody reads that far back
+	return sim
 }
 
 // What a restart of all controllers reads grows with the tenants and what is open, not with
 // what is over: 2,000 tenants with 5,000 keys are read by each in four pages, and 100,000
 // finished jobs add nothing.
-func TestRestartReadsNothingOfWhatIsOver(t *testing.T) {
+func TestRestartReadsNoFinishedJobs(t *testing.T) {
 	read := func(finished int) (pages, bytes, answered int) {
-		w := large(t, 2000, 5000, finished)
-		w.StartAll()
-		w.Run(2 * time.Second)
-		pages, bytes = w.State.Pages, w.State.PageBytes
+		sim := newLargeSimulation(t, 2000, 5000, finished)
+		sim.StartControllers()
+		sim.Run(2 * time.Second)
+		pages, bytes = sim.Store.PagesRead, sim.Store.PageBytesRead
 		for _, name := range []tenant.Name{"tenant-0000", "tenant-1999"} {
-			for _, node := range w.names {
-				caller := control.Caller{Auth: "Bearer " + w.Tenants.secrets[name]}
-				w.Users.Request(node, "GET", api.PathJobs+"/run-1", caller, nil, 2*time.Second, func(status int, _ []byte) {
+			for _, controllerName := range sim.controllerNames {
+				caller := controller.Caller{Auth: "Bearer " + sim.Tenants.secrets[name]}
+				sim.Users.Request(controllerName, "GET", api.PathJobs+"/run-1", caller, nil, 2*time.Second, func(status int, _ []byte) {
 					if status == 200 || status == 404 {
 						answered++
 					}
 				})
 			}
 		}
-		w.Run(5 * time.Second)
+		sim.Run(5 * time.Second)
 		return pages, bytes, answered
 	}
 	pages, bytes, answered := read(0)
@@ -92,24 +92,24 @@
 // An ordinary minute of 2,000 tenants, of whom sixty submit a job and look at it: by what a
 // hosted service writes more than one without. A finished job is one write more, and so is
 // each hour in which a key is used; nothing else is written for those who do nothing.
-func TestWritesOfAnOrdinaryMinute(t *testing.T) {
-	w := large(t, 2000, 5000, 0)
-	w.Cloud.Capacity = 6
+func TestStoreWritesPerMinute(t *testing.T) {
+	sim := newLargeSimulation(t, 2000, 5000, 0)
+	sim.Cloud.Capacity = 6
 	for range 6 {
-		w.Cloud.Rent("small", "a", false, time.Second)
+		sim.Cloud.Launch("small", "a", false, time.Second)
 	}
-	w.StartAll()
+	sim.StartControllers()
 	const jobs = 60
 	for i := range jobs {
-		w.After(time.Duration(3+i)*time.Second, func() {
+		sim.After(time.Duration(3+i)*time.Second, func() {
 			name := tenant.Name(fmt.Sprintf("tenant-%04d", i*31))
-			ref := w.Tenants.Own(name, "run-1")
-			w.Users.Submit(&api.JobSpec{Ref: ref, Class: "try", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 2, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1, Estimate: 2}, 2*time.Second, "")
+			ref := sim.Tenants.RegisterJob(name, "run-1")
+			sim.Users.Submit(&api.JobSpec{Ref: ref, Class: "try", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 2, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1, Estimate: 2}, 2*time.Second, "")
 		})
 	}
-	w.Run(100 * time.Second)
+	sim.Run(100 * time.Second)
 	kinds := map[string]int{}
-	for _, c := range w.State.log {
+	for _, c := range sim.Store.changes {
 		for _, k := range []string{"b/tenant/", "history/", "used/", "b/gate", "audit/", "final/"} {
 			if key := c.Put + c.Drop; len(key) >= len(k) && key[:len(k)] == k {
 				kinds[k]++
@@ -126,7 +126,7 @@
 	if n := kinds["b/tenant/"] + kinds["b/gate"] + kinds["audit/"]; n != 0 {
 		t.Errorf("%d records of tenants are written though none changed", n)
 	}
-	for _, x := range w.Check.Broken {
+	for _, x := range sim.Checker.Violations {
 		t.Error(x)
 	}
 }
@@ -134,26 +134,26 @@
 // A bound on open jobs holds against a burst that comes to all controllers at once: each
 // takes its part of what is left. Where every one counted for itself, all three took as
 // many as there might be together.
-func TestOpenJobsAreBounded(t *testing.T) {
-	w := large(t, 1, 1, 0)
+func TestOpenJobLimit(t *testing.T) {
+	sim := newLargeSimulation(t, 1, 1, 0)
 	const bound = 20
 	var x tenant.Tenant
-	w.must(json.Unmarshal(w.State.keys["b/tenant/tenant-0000"].value, &x))
+	sim.must(json.Unmarshal(sim.Store.entries["b/tenant/tenant-0000"].value, &x))
 	x.OpenJobs, x.Rate, x.Burst = bound, 0, 0
 	data, err := json.Marshal(x)
-	w.must(err)
-	w.State.rev++
-	w.State.change(api.Change{Put: "b/tenant/tenant-0000", Value: data, Version: w.State.rev}, 0)
-	w.StartAll()
+	sim.must(err)
+	sim.Store.revision++
+	sim.Store.appendChange(api.Change{Put: "b/tenant/tenant-0000", Value: data, Version: sim.Store.revision}, 0)
+	sim.StartControllers()
 	accepted, refused := 0, 0
 	send := func(from int) {
 		for i := range 100 {
-			ref := api.JobRef(fmt.Sprintf("run-%d", from+i))
-			w.Tenants.Own("tenant-0000", ref)
-			body, err := json.Marshal(submission(&api.JobSpec{Ref: ref, Class: "try", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1, Estimate: 2}))
-			w.must(err)
-			caller := control.Caller{Auth: "Bearer " + w.Tenants.secrets["tenant-0000"]}
-			w.Users.Request(w.names[i%3], "POST", api.PathJobs, caller, body, 5*time.Second, func(status int, _ []byte) {
+			ref := api.JobID(fmt.Sprintf("run-%d", from+i))
+			sim.Tenants.RegisterJob("tenant-0000", ref)
+			body, err := json.Marshal(submissionFields(&api.JobSpec{Ref: ref, Class: "try", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1, Estimate: 2}))
+			sim.must(err)
+			caller := controller.Caller{Auth: "Bearer " + sim.Tenants.secrets["tenant-0000"]}
+			sim.Users.Request(sim.controllerNames[i%3], "POST", api.PathJobs, caller, body, 5*time.Second, func(status int, _ []byte) {
 				switch status {
 				case 201:
 					accepted++
@@ -163,19 +163,19 @@
 			})
 		}
 	}
-	w.After(3*time.Second, func() { send(0) })
-	w.After(5*time.Second, func() { send(100) })
-	w.Run(10 * time.Second)
-	if accepted < bound || accepted >= bound+len(w.names) || accepted+refused != 200 {
+	sim.After(3*time.Second, func() { send(0) })
+	sim.After(5*time.Second, func() { send(100) })
+	sim.Run(10 * time.Second)
+	if accepted < bound || accepted >= bound+len(sim.controllerNames) || accepted+refused != 200 {
 		t.Errorf("%d accepted and %d refused of 200, of a bound of %d", accepted, refused, bound)
 	}
 	before := accepted
-	w.Cloud.Capacity = 3
+	sim.Cloud.Capacity = 3
 	for range 3 {
-		w.Cloud.Rent("small", "a", false, time.Second)
+		sim.Cloud.Launch("small", "a", false, time.Second)
 	}
-	w.After(30*time.Second, func() { send(200) })
-	w.Run(50 * time.Second)
+	sim.After(30*time.Second, func() { send(200) })
+	sim.Run(50 * time.Second)
 	if accepted < before+bound {
 		t.Errorf("%d more accepted once the first were over", accepted-before)
 	}
--- /dev/null
+++ b/internal/emulator/service_levels.go
@@ -0,0 +1,193 @@
+package emulator
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+)
+
+// ServiceLevel is what of a class's or a team's work was served: of a service the share of the
+// replica time due, of an array or gang all once it is done and none before. Jobs that
+// came too late to be done, and those that their users cancelled, are not counted; nor is
+// the time in which a service may still start.
+type ServiceLevel struct {
+	Jobs       int
+	TotalShare float64
+}
+
+// Share is the mean over the jobs, 1 where there were none.
+func (s ServiceLevel) Share() float64 {
+	if s.Jobs == 0 {
+		return 1
+	}
+	return s.TotalShare / float64(s.Jobs)
+}
+
+// startGrace is how long a service may take to start before its replicas are due, and
+// completionGrace what an array or gang may take beyond twice its run time.
+const (
+	startGrace      = 30 * time.Second
+	completionGrace = 60 * time.Second
+)
+
+// jobTracker is what the checker keeps of how jobs are served.
+type jobTracker struct {
+	jobs           map[api.JobID]*trackedJob
+	runningSince   map[api.TaskID]time.Duration // tasks of services that are on machines
+	uptime         map[api.JobID]time.Duration  // replica time, after the grace
+	completedCount map[api.JobID]int
+}
+
+type trackedJob struct {
+	spec        *api.JobSpec
+	submittedAt time.Duration
+	runTime     time.Duration
+	cancelledAt time.Duration // cancelled by its user; 0: not
+	startedAt   time.Duration // when it began: a task was on a machine, or all of a gang; 0: not yet
+	activeTasks int
+}
+
+func newJobTracker() jobTracker {
+	return jobTracker{jobs: map[api.JobID]*trackedJob{}, runningSince: map[api.TaskID]time.Duration{}, uptime: map[api.JobID]time.Duration{}, completedCount: map[api.JobID]int{}}
+}
+
+// submitted notes a job's first submission; it is repeated until it is answered.
+func (s *jobTracker) submitted(at time.Duration, spec *api.JobSpec, run time.Duration) {
+	if s.jobs[spec.Ref] == nil {
+		s.jobs[spec.Ref] = &trackedJob{spec: spec, submittedAt: at, runTime: run}
+	}
+}
+
+func (s *jobTracker) cancelled(at time.Duration, ref api.JobID) {
+	if j := s.jobs[ref]; j != nil && j.cancelledAt == 0 {
+		j.cancelledAt = at
+	}
+}
+
+// taskStarted and off note that a task is on some machine from now on, or on none.
+func (s *jobTracker) taskStarted(at time.Duration, id api.TaskID, spec *api.JobSpec) {
+	if spec.Kind == api.Service {
+		s.runningSince[id] = at
+	}
+	if j := s.jobs[id.Job]; j != nil {
+		if j.activeTasks++; j.startedAt == 0 && (spec.Kind != api.Gang || j.activeTasks == spec.Tasks) {
+			j.startedAt = at
+		}
+	}
+}
+
+func (s *jobTracker) taskStopped(at time.Duration, id api.TaskID) {
+	if j := s.jobs[id.Job]; j != nil {
+		j.activeTasks--
+	}
+	if from, ok := s.runningSince[id]; ok {
+		delete(s.runningSince, id)
+		s.uptime[id.Job] += s.expectedUptime(id.Job, from, at)
+	}
+}
+
+// expectedUptime is how much of a time a service's replicas were due.
+func (s *jobTracker) expectedUptime(ref api.JobID, from, to time.Duration) time.Duration {
+	j := s.jobs[ref]
+	if j == nil {
+		return 0
+	}
+	from = max(from, j.submittedAt+startGrace)
+	if j.cancelledAt != 0 {
+		to = min(to, j.cancelledAt)
+	}
+	return max(0, to-from)
+}
+
+// ServiceLevels tells, as of now, how each class and each team was served.
+func (c *Checker) ServiceLevels(now time.Duration) (classes map[api.Class]ServiceLevel, teams map[api.Team]ServiceLevel) {
+	classes, teams = map[api.Class]ServiceLevel{}, map[api.Team]ServiceLevel{}
+	for j, got := range c.jobTracker.servedShares(now) {
+		k, t := classes[j.spec.Class], teams[j.spec.Team]
+		classes[j.spec.Class] = ServiceLevel{k.Jobs + 1, k.TotalShare + got}
+		teams[j.spec.Team] = ServiceLevel{t.Jobs + 1, t.TotalShare + got}
+	}
+	return classes, teams
+}
+
+// LargestJobs tells how the largest tenth of each class's jobs was served, one at least, and
+// which of them waited longer than they may. Largest is what all tasks take together: first of
+// accelerators, then of CPUs, then of memory.
+func (c *Checker) LargestJobs(now, maxWait time.Duration) (classes map[api.Class]ServiceLevel, late []string) {
+	byClass := map[api.Class][]*trackedJob{}
+	for _, j := range c.jobTracker.jobs {
+		byClass[j.spec.Class] = append(byClass[j.spec.Class], j)
+	}
+	size := func(j *trackedJob) api.Resources { return j.spec.Demand().Times(j.spec.Tasks) }
+	shares := c.jobTracker.servedShares(now)
+	classes = map[api.Class]ServiceLevel{}
+	for class, jobs := range byClass {
+		slices.SortFunc(jobs, func(a, b *trackedJob) int {
+			x, y := size(a), size(b)
+			return cmp.Or(cmp.Compare(y.GPU, x.GPU), cmp.Compare(y.CPU, x.CPU), cmp.Compare(y.Mem, x.Mem), cmp.Compare(a.spec.Ref, b.spec.Ref))
+		})
+		last := (len(jobs) + 9) / 10
+		for last < len(jobs) && size(jobs[last]) == size(jobs[last-1]) {
+			last++ // as large
+		}
+		for _, j := range jobs[:last] {
+			if got, counted := shares[j]; counted {
+				classes[class] = ServiceLevel{classes[class].Jobs + 1, classes[class].TotalShare + got}
+			}
+			until := now
+			if j.cancelledAt != 0 {
+				until = min(until, j.cancelledAt)
+			}
+			if j.startedAt != 0 {
+				until = min(until, j.startedAt)
+			}
+			if maxWait > 0 && until-j.submittedAt > maxWait {
+				late = append(late, fmt.Sprintf("%s, of the largest of class %s, waited %.0f s to begin", j.spec.Ref, class, (until-j.submittedAt).Seconds()))
+			}
+		}
+	}
+	slices.Sort(late)
+	return classes, late
+}
+
+// servedShares is how much of each job that counts was served.
+func (s *jobTracker) servedShares(now time.Duration) map[*trackedJob]float64 {
+	up := map[api.JobID]time.Duration{}
+	for ref, d := range s.uptime {
+		up[ref] = d
+	}
+	for id, from := range s.runningSince {
+		up[id.Job] += s.expectedUptime(id.Job, from, now)
+	}
+	out := map[*trackedJob]float64{}
+	for ref, j := range s.jobs {
+		if j.spec.Kind == api.Service {
+			if due := s.expectedUptime(ref, 0, now) * time.Duration(j.spec.Tasks); due != 0 {
+				out[j] = float64(up[ref]) / float64(due)
+			}
+		} else if j.cancelledAt == 0 && j.submittedAt+2*j.runTime+completionGrace <= now {
+			if out[j] = 0; s.completedCount[ref] >= j.spec.Tasks {
+				out[j] = 1
+			}
+		}
+	}
+	return out
+}
+
+// ReplicaCounts counts the replicas of services that are up and those that are due, now.
+func (c *Checker) ReplicaCounts(now time.Duration) (up, due int) {
+	for _, j := range c.jobTracker.jobs {
+		if j.spec.Kind == api.Service && now > j.submittedAt+startGrace && (j.cancelledAt == 0 || now < j.cancelledAt) {
+			due += j.spec.Tasks
+		}
+	}
+	for id := range c.jobTracker.runningSince {
+		if j := c.jobTracker.jobs[id.Job]; j != nil && now > j.submittedAt+startGrace && (j.cancelledAt == 0 || now < j.cancelledAt) {
+			up++
+		}
+	}
+	return up, due
+}
--- a/internal/standin/served_test.go
+++ b/internal/emulator/service_levels_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"testing"
@@ -10,39 +10,39 @@
 
 // What is missing shows: a service's replica that is not up, an array that is not done; and
 // what came too late, was cancelled or may still start is held against nobody.
-func TestServedCountsWhatIsMissed(t *testing.T) {
+func TestServiceLevels(t *testing.T) {
 	c := NewChecker(&config.Config{})
 	at := func(s float64) time.Duration { return api.Seconds(s) }
-	job := func(ref api.JobRef, kind api.Kind, class api.Class, team api.Team, tasks int) *api.JobSpec {
+	job := func(ref api.JobID, kind api.Kind, class api.Class, team api.Team, tasks int) *api.JobSpec {
 		return &api.JobSpec{Ref: ref, Kind: kind, Class: class, Team: team, Tasks: tasks}
 	}
-	task := func(ref api.JobRef, i int) api.TaskID { return api.TaskID{Job: ref, Index: i} }
+	task := func(ref api.JobID, i int) api.TaskID { return api.TaskID{Job: ref, Index: i} }
 	run := func(from, to float64, s *api.JobSpec, i int, done bool) {
-		c.Started(at(from), task(s.Ref, i), s, "i-1", "c8", "a", false)
+		c.TaskStarted(at(from), task(s.Ref, i), s, "i-1", "c8", "a", false)
 		if to > 0 {
-			c.Ended(at(to), task(s.Ref, i), "i-1", done)
+			c.TaskEnded(at(to), task(s.Ref, i), "i-1", done)
 		}
 	}
 	web := job("run-1", api.Service, "web", "red", 2)
-	c.Submitted(0, web, 0)
+	c.JobSubmitted(0, web, 0)
 	run(10, 0, web, 0, false)
 	run(50, 70, web, 1, false) // due from 30 s on: of 70 s it had 20
 	gone := job("run-2", api.Service, "web", "blue", 1)
-	c.Submitted(at(1), gone, 0)
+	c.JobSubmitted(at(1), gone, 0)
 	run(5, 0, gone, 0, false)
-	c.AskedCancel(at(61), "run-2")
+	c.CancelRequested(at(61), "run-2")
 	a, b := job("run-3", api.Array, "batch", "red", 2), job("run-4", api.Array, "batch", "red", 1)
 	for _, s := range []*api.JobSpec{a, b, job("run-5", api.Array, "batch", "red", 1)} {
-		c.Submitted(0, s, at(10))
+		c.JobSubmitted(0, s, at(10))
 	}
 	run(5, 15, a, 0, true)
 	run(5, 15, a, 1, false) // lost, and never started again
 	run(5, 15, b, 0, true)
-	c.Submitted(0, b, at(10)) // the same once more
-	c.Submitted(at(60), job("run-6", api.Array, "batch", "red", 1), at(10))
-	c.AskedCancel(at(50), "run-5")
-	classes, teams := c.Served(at(100))
-	near := func(what string, got Served, jobs int, share float64) {
+	c.JobSubmitted(0, b, at(10)) // the same once more
+	c.JobSubmitted(at(60), job("run-6", api.Array, "batch", "red", 1), at(10))
+	c.CancelRequested(at(50), "run-5")
+	classes, teams := c.ServiceLevels(at(100))
+	near := func(what string, got ServiceLevel, jobs int, share float64) {
 		t.Helper()
 		if d := got.Share() - share; got.Jobs != jobs || d > 1e-9 || d < -1e-9 {
 			t.Errorf("%s: %.4f of %d jobs, expected %.4f of %d", what, got.Share(), got.Jobs, share, jobs)
