--- /dev/null
+++ b/internal/emulator/tenants.go
@@ -0,0 +1,245 @@
+package emulator
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/netip"
+	"strings"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/config"
+	"basaltwall/controller"
+	"basaltwall/tenant"
+)
+
+// Tenants stand in for the operator of a hosted service and for who serves as its tenants:
+// the operator asks until it is answered, and reads again before each try.
+type Tenants struct {
+	sim            *Simulation
+	adminSecret    string
+	secrets        map[tenant.Name]string
+	keyCount       int
+	jobs           map[api.JobID]tenantJob             // tenants' jobs by the id that workers know
+	suspended      map[tenant.Name]bool                // told suspended, and not asked to go on since
+	pendingChanges map[tenant.Name][]func(done func()) // that wait for the one before to be answered
+
+	acceptedAt map[tenant.Name][]time.Duration // when jobs were written
+	poolLedger poolLedger
+}
+
+type tenantJob struct {
+	name tenant.Name
+	ref  api.JobID
+}
+
+// EnableHosting makes the deployment a hosted service. It is to be called before anything starts.
+func (sim *Simulation) EnableHosting() {
+	_, secret, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
+	sim.must(err)
+	for _, c := range sim.configs {
+		c.Hosted = &config.Hosted{AdminKey: secret.Key("admin")}
+	}
+	sim.Tenants = &Tenants{sim: sim, adminSecret: secret.String(), secrets: map[tenant.Name]string{}, jobs: map[api.JobID]tenantJob{}, suspended: map[tenant.Name]bool{},
+		pendingChanges: map[tenant.Name][]func(func()){},
+		acceptedAt:     map[tenant.Name][]time.Duration{}, poolLedger: poolLedger{map[api.TaskID]api.MachineID{}, map[api.PoolName]int{}}}
+}
+
+// RegisterJob notes a tenant's job and returns the id under which it is known to workers.
+func (t *Tenants) RegisterJob(name tenant.Name, ref api.JobID) api.JobID {
+	id := tenant.JobID(name, ref)
+	t.jobs[id] = tenantJob{name, ref}
+	return id
+}
+
+// callerOf is what the user of a job brings with a request, and the reference it uses.
+func (sim *Simulation) callerOf(id api.JobID) (controller.Caller, api.JobID) {
+	if sim.Tenants == nil {
+		return controller.Caller{}, id
+	}
+	o := sim.Tenants.jobs[id]
+	return controller.Caller{Auth: "Bearer " + sim.Tenants.secrets[o.name], From: netip.MustParseAddr("192.0.2.1")}, o.ref
+}
+
+// adminRequest sends an operator's question or act to any controller; status 0 is no answer.
+func (t *Tenants) adminRequest(operation string, name tenant.Name, body any, answer func(int, []byte)) {
+	data, err := json.Marshal(body)
+	t.sim.must(err)
+	t.keyCount++
+	random := [tenant.RandomBytes]byte{2, byte(t.keyCount), byte(t.keyCount >> 8)}
+	controllerName := t.sim.Users.anyController()
+	t.sim.externalRequest(controllerName, 5*time.Second, func(answer func(int, []byte)) {
+		if h := t.sim.controllers[controllerName]; h != nil {
+			t.sim.callController(h, func(req controller.ReqID) controller.Command {
+				return controller.AdminRequest{Req: req, What: operation, ID: string(name), Body: data, Random: &random, Caller: controller.Caller{Auth: "Bearer " + t.adminSecret}}
+			}, answer)
+		}
+	}, answer)
+}
+
+// applyChange reads a tenant and does what make says, until it is answered with 200.
+func (t *Tenants) applyChange(name tenant.Name, operation string, body func(revision api.Revision) any, done func([]byte)) {
+	retry := func() { t.sim.After(time.Second, func() { t.applyChange(name, operation, body, done) }) }
+	t.adminRequest("tenant", name, nil, func(status int, b []byte) {
+		var at controller.TenantView
+		switch {
+		case status == 200:
+			t.sim.must(json.Unmarshal(b, &at))
+		case status == 404 && operation == "tenant-put":
+		default:
+			retry()
+			return
+		}
+		t.adminRequest(operation, name, body(at.Revision), func(status int, b []byte) {
+			if status != 200 {
+				retry()
+				return
+			}
+			done(b)
+		})
+	})
+}
+
+// enqueueChange does one act on a tenant after the other: what an operator has asked for that was
+// not answered may still happen, so the next act waits until it was.
+func (t *Tenants) enqueueChange(name tenant.Name, change func(done func())) {
+	t.pendingChanges[name] = append(t.pendingChanges[name], change)
+	if len(t.pendingChanges[name]) == 1 {
+		t.runNextChange(name)
+	}
+}
+
+func (t *Tenants) runNextChange(name tenant.Name) {
+	t.pendingChanges[name][0](func() {
+		if t.pendingChanges[name] = t.pendingChanges[name][1:]; len(t.pendingChanges[name]) > 0 {
+			t.runNextChange(name)
+		}
+	})
+}
+
+// Add makes a tenant and a key for it.
+func (t *Tenants) Add(name tenant.Name, teams []string, rate, burst float64) {
+	t.applyChange(name, "tenant-put", func(r api.Revision) any {
+		return map[string]any{"revision": r, "teams": teams, "rate": rate, "burst": burst, "retention_s": 3600}
+	}, func([]byte) {
+		t.applyChange(name, "key-add", func(r api.Revision) any {
+			return map[string]any{"revision": r, "name": fmt.Sprint("k", t.keyCount)}
+		}, func(b []byte) {
+			var k controller.NewKeyView
+			t.sim.must(json.Unmarshal(b, &k))
+			t.secrets[name] = k.Secret
+		})
+	})
+}
+
+// Suspend has a tenant suspended. From the answer on none of its tasks may be recorded as
+// started.
+func (t *Tenants) Suspend(name tenant.Name, drain float64) {
+	t.enqueueChange(name, func(done func()) {
+		t.applyChange(name, "suspend", func(r api.Revision) any {
+			return map[string]any{"revision": r, "why": "unpaid", "drain_s": drain}
+		}, func([]byte) {
+			t.suspended[name] = true
+			done()
+		})
+	})
+}
+
+// Resume lets it go on.
+func (t *Tenants) Resume(name tenant.Name) {
+	t.enqueueChange(name, func(done func()) {
+		t.suspended[name] = false
+		t.applyChange(name, "resume", func(r api.Revision) any { return map[string]any{"revision": r} }, func([]byte) { done() })
+	})
+}
+
+// Remove removes it, with its jobs if cancel says so.
+func (t *Tenants) Remove(name tenant.Name, cancel bool) {
+	t.enqueueChange(name, func(done func()) {
+		for id, o := range t.jobs {
+			if o.name == name && cancel {
+				t.sim.Checker.CancelRequested(t.sim.Now, id) // by the operator, in its place
+			}
+		}
+		t.applyChange(name, "remove", func(r api.Revision) any { return map[string]any{"revision": r, "cancel": cancel} }, func([]byte) { done() })
+	})
+}
+
+// CheckDrained requires that no task of a tenant is on a machine.
+func (t *Tenants) CheckDrained(name tenant.Name) {
+	for id, hosts := range t.sim.Checker.placements {
+		if o := t.jobs[id.Job]; o.name == name && len(hosts) > 0 {
+			t.sim.Checker.recordViolation(t.sim.Now, "held", "%s/%d of %s has not drained", o.ref, id.Index, name)
+		}
+	}
+}
+
+// RateExcess is by how many more than its rate a tenant's jobs were accepted, over whatever time
+// that is most.
+func (t *Tenants) RateExcess(name tenant.Name, rate float64) float64 {
+	excess := 0.0
+	for i, from := range t.acceptedAt[name] {
+		for j, to := range t.acceptedAt[name][i:] {
+			excess = max(excess, float64(j+1)-rate*(to-from).Seconds())
+		}
+	}
+	return excess
+}
+
+// State is a tenant's state by its record.
+func (t *Tenants) State(name string) tenant.State {
+	var v tenant.Tenant
+	if e, ok := t.sim.Store.entries["b/tenant/"+name]; ok {
+		t.sim.must(json.Unmarshal(e.value, &v))
+	}
+	return v.State
+}
+
+// observeWrite is told each key that has been written, before it is: rule held.
+func (t *Tenants) observeWrite(key string, value json.RawMessage) {
+	if t == nil {
+		return
+	}
+	if ref, ok := strings.CutPrefix(key, "b/job/"); ok {
+		o := t.jobs[api.JobID(ref)]
+		if _, known := t.sim.Store.entries[key]; known {
+			return
+		}
+		if t.suspended[o.name] {
+			t.sim.Checker.recordViolation(t.sim.Now, "held", "%s is accepted, whose tenant %s was told suspended", o.ref, o.name)
+		}
+		t.acceptedAt[o.name] = append(t.acceptedAt[o.name], t.sim.Now)
+		return
+	}
+	if !strings.HasPrefix(key, "b/round/") {
+		return
+	}
+	var r struct {
+		Jobs []struct {
+			Job    api.JobID `json:"j"`
+			Starts []struct {
+				Task    int           `json:"i"`
+				Machine api.MachineID `json:"m"`
+			} `json:"+"`
+			Done []int `json:"d"`
+			Lost []int `json:"l"`
+		} `json:"j"`
+	}
+	t.sim.must(json.Unmarshal(value, &r))
+	started := map[api.JobID]bool{}
+	for _, j := range r.Jobs {
+		if o := t.jobs[j.Job]; len(j.Starts) > 0 && t.suspended[o.name] {
+			t.sim.Checker.recordViolation(t.sim.Now, "held", "%d tasks of %s start, whose tenant %s was told suspended", len(j.Starts), o.ref, o.name)
+		}
+		for _, i := range append(j.Done, j.Lost...) {
+			delete(t.poolLedger.starts, api.TaskID{Job: j.Job, Index: i})
+		}
+		if len(j.Starts) > 0 {
+			started[j.Job] = !t.holdsUnits(j.Job)
+		}
+		for _, s := range j.Starts {
+			t.poolLedger.starts[api.TaskID{Job: j.Job, Index: s.Task}] = s.Machine
+		}
+	}
+	t.checkPoolSizes(started)
+}
--- a/internal/standin/writes_test.go
+++ b/internal/emulator/write_guards_test.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"strings"
@@ -32,7 +32,7 @@
 		{api.Txn{If: on("b/lend/i-1", "b/part/1", "b/job/run-2"), Writes: transfer}, "tasks of run-1"},
 		{api.Txn{If: on("b/new/1", "b/part/1"), Writes: put("b/new/1")}, "looked at"},
 	} {
-		if got := unguarded(&tc.t); tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
+		if got := missingGuard(&tc.t); tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
 			t.Errorf("%v: %q, expected %q", tc.t, got, tc.want)
 		}
 	}
--- a/internal/seeded/seeded.go
+++ b/internal/proptest/proptest.go
@@ -1,7 +1,7 @@
 // Package seeded is imported by tests for its effect: properties draw the same cases in
 // every run, so that CI gives the same verdict every time. With -rapid.seed=0 (or any other
 // number) a run draws others.
-package seeded
+package proptest
 
 import (
 	"flag"
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/fault_combinations_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// meetings draws two to four troubles that share a window, again and again, while long arrays,
+// faultCombinationScript draws two to four troubles that share a window, again and again, while long arrays,
 // services and gangs run on three to seven controllers' machines and many of them are
 // cancelled, by any controller. Who is served is not asked, as all of it may be out for most
 // of the time: only that no rule breaks, and that in the end every cancellation is told.
-func meetings(seed uint64) string {
-	r, pick, line, b := drawing(seed, 30)
+func faultCombinationScript(seed uint64) string {
+	r, pick, line, b := newScriptBuilder(seed, 30)
 	line("-- script --")
-	nodes := controllers(r, pick, line)
+	controllerCount := drawControllers(r, pick, line)
 	machines := 9 + r.IntN(16)
 	line("machines %d", machines)
 	line("machines %d spot", 1+r.IntN(4))
@@ -39,33 +39,33 @@
 		job++
 	}
 	for at := 8 + 10*r.Float64(); at < last-90; at += 30 + 60*r.Float64() {
-		node := fmt.Sprintf("stone-%d", r.IntN(nodes)) // more than one of them may be its
+		controllerName := fmt.Sprintf("stone-%d", r.IntN(controllerCount)) // more than one of them may be its
 		for range 2 + r.IntN(3) {
 			when, length := at+8*r.Float64()*r.Float64(), 3+float64(r.IntN(30))
 			if r.IntN(3) == 0 {
-				node = fmt.Sprintf("stone-%d", r.IntN(nodes))
+				controllerName = fmt.Sprintf("stone-%d", r.IntN(controllerCount))
 			}
 			machine := fmt.Sprintf("i-%06d", r.IntN(machines))
 			mode := pick("hold", "drop")
 			switch r.IntN(25) {
 			case 0, 1:
-				line("refuse %.2f %.2f %s", when, length, node)
-				line("outage %.2f %.2f", when+length*r.Float64(), pickTime(r.IntN(3), length))
+				line("refuse %.2f %.2f %s", when, length, controllerName)
+				line("outage %.2f %.2f", when+length*r.Float64(), outageLength(r.IntN(3), length))
 			case 2:
-				line("outage %.2f %.2f", when, pickTime(r.IntN(3), length))
+				line("outage %.2f %.2f", when, outageLength(r.IntN(3), length))
 			case 3:
-				line("cut %.2f %.2f %s state %s", when, length, node, mode)
-				line("cut %.2f %.2f %s peers %s", when, length, node, mode)
+				line("cut %.2f %.2f %s state %s", when, length, controllerName, mode)
+				line("cut %.2f %.2f %s peers %s", when, length, controllerName, mode)
 			case 4:
-				line("cut %.2f %.2f %s %s %s", when, length, node, pick("workers", "peers", "state", "users", "cloud", "all"), mode)
+				line("cut %.2f %.2f %s %s %s", when, length, controllerName, pick("workers", "peers", "state", "users", "cloud", "all"), mode)
 			case 5:
-				line("crash %.2f %s %s", when, node, pick("0.2", "0.2", "3", "15"))
+				line("crash %.2f %s %s", when, controllerName, pick("0.2", "0.2", "3", "15"))
 			case 6:
 				line("crash %.2f all %s", when, pick("0.2", "3"))
 			case 7:
-				line("crashes %.2f %s 0.2 %.1f 6", when, pick(node, "all"), 0.5+3*r.Float64())
+				line("crashes %.2f %s 0.2 %.1f 6", when, pick(controllerName, "all"), 0.5+3*r.Float64())
 			case 8:
-				line("freeze %.2f %.2f %s", when, length, node)
+				line("freeze %.2f %.2f %s", when, length, controllerName)
 			case 9:
 				line("delay %.2f %.2f %.2f", when, length, 0.1+0.5*r.Float64())
 			case 10:
@@ -90,7 +90,7 @@
 				line("cancelnow %.2f %d %s", when, 1+r.IntN(6), pick("0", "20", "35"))
 			case 20:
 				line("cancelnow %.2f %d %s", when, 1+r.IntN(6), pick("0", "35"))
-				line("refuse %.2f %.2f %s", when, length, node)
+				line("refuse %.2f %.2f %s", when, length, controllerName)
 				line("outage %.2f 70", when+1)
 			case 21:
 				line("cancelends %.2f %.2f %.2f", when, length, 0.3+0.6*r.Float64())
@@ -109,10 +109,10 @@
 	return b.String()
 }
 
-// pickTime is how long an outage lasts: as the trouble beside it, or longer than a lease, or
+// outageLength is how long an outage lasts: as the trouble beside it, or longer than a lease, or
 // than a cancellation may take.
-func pickTime(which int, length float64) float64 {
+func outageLength(which int, length float64) float64 {
 	return []float64{length, 30 + length, 60 + length}[which]
 }
 
-func TestDrawnMeetings(t *testing.T) { runs(t, meetings) }
+func TestRandomFaultCombinations(t *testing.T) { runDrawnScripts(t, faultCombinationScript) }
--- a/internal/scenario/pack_test.go
+++ b/internal/scenario/fragmentation_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// packScript draws small models that leave machines in pieces, large ones that need whole
+// fragmentationScript draws small models that leave machines in pieces, large ones that need whole
 // machines, and gangs beside them, with three to seven controllers and two or three faults while
 // machines are kept and models move. In the end all that is wanted is up.
-func packScript(seed uint64) string {
-	r, pick, line, b := drawing(seed, 31)
-	nodes, machines := 3+2*r.IntN(3), 12+r.IntN(25)
+func fragmentationScript(seed uint64) string {
+	r, pick, line, b := newScriptBuilder(seed, 31)
+	controllerCount, machines := 3+2*r.IntN(3), 12+r.IntN(25)
 	line("-- script --")
-	line("controllers %s", strings.TrimSpace(strings.Repeat("region ", nodes)))
+	line("controllers %s", strings.TrimSpace(strings.Repeat("region ", controllerCount)))
 	line("teams 2 60 200")
 	line("only g8")
 	line("machines %d g8", machines)
@@ -28,16 +28,16 @@
 	line("submit 90 run-300 service team=team-1 tasks=1 cpus=4 gpus=2 class=large priority=high times=%d every=1", max(1, machines/4))
 	line("submit 60 run-400 gang team=team-1 tasks=2 cpus=2 gpus=1 run=%d class=train priority=%s times=%d every=3", 10+r.IntN(30), pick("normal", "high"), 5+r.IntN(15))
 	for range 2 + r.IntN(2) {
-		at, node, length := 95+r.IntN(60), fmt.Sprintf("stone-%d", r.IntN(nodes)), 2+r.IntN(25)
+		at, controllerName, length := 95+r.IntN(60), fmt.Sprintf("stone-%d", r.IntN(controllerCount)), 2+r.IntN(25)
 		switch r.IntN(8) {
 		case 0:
-			line("crashes %d %s %.2f 1.5 %d", at, node, 0.05+0.5*r.Float64(), 2+r.IntN(6))
+			line("crashes %d %s %.2f 1.5 %d", at, controllerName, 0.05+0.5*r.Float64(), 2+r.IntN(6))
 		case 1:
 			line("crash %d all %.1f", at, 0.1+3*r.Float64())
 		case 2:
-			line("freeze %d %d %s", at, length, node)
+			line("freeze %d %d %s", at, length, controllerName)
 		case 3:
-			line("cut %d %d %s %s %s", at, length, node, pick("state", "workers", "peers", "all"), pick("hold", "drop"))
+			line("cut %d %d %s %s %s", at, length, controllerName, pick("state", "workers", "peers", "all"), pick("hold", "drop"))
 		case 4:
 			line("outage %d %d", at, 1+length/2)
 		case 5:
@@ -45,7 +45,7 @@
 		case 6:
 			line("late %d %d i-%06d", at, 2*length, r.IntN(machines))
 		case 7:
-			line("crash %d %s 50", at, node)
+			line("crash %d %s 50", at, controllerName)
 		}
 	}
 	line("floor 0.5")
@@ -55,5 +55,5 @@
 	return b.String()
 }
 
-// TestDrawnPacks plays some drawn days of models; see runs.
-func TestDrawnPacks(t *testing.T) { runs(t, packScript) }
+// TestRandomFragmentation plays some drawn days of models; see runs.
+func TestRandomFragmentation(t *testing.T) { runDrawnScripts(t, fragmentationScript) }
--- a/internal/scenario/size_skips_test.go
+++ b/internal/scenario/reservations_size_test.go
@@ -6,13 +6,13 @@
 	"strings"
 	"testing"
 
-	"basaltwall/internal/standin"
+	"basaltwall/internal/emulator"
 )
 
-// TestSkipsAtSize measures by hand, with BASALTWALL_SKIPS set, 20,000 skips of 200 depots and a
+// TestReservationsAtSize measures by hand, with BASALTWALL_SKIPS set, 20,000 skips of 200 depots and a
 // hundred enquiries a second for a minute, half of them for the same ten skips, beside a cluster
 // of 300 machines with work. It judges nothing but the rules.
-func TestSkipsAtSize(t *testing.T) {
+func TestReservationsAtSize(t *testing.T) {
 	if os.Getenv("BASALTWALL_SKIPS") == "" {
 		t.Skip("BASALTWALL_SKIPS is not set")
 	}
@@ -30,10 +30,12 @@
 	line("skips 1 hof-nord six 10\noffice 240 300 hof-nord six 0.02 30")
 	line("crash 330 all 0.2\nfloor 0\nend 400")
 	var before, during [4]int
-	res, err := run([]byte(b.String()), func(w *standin.World) {
-		w.After(240e9, func() { before = [4]int{w.State.Writes, w.State.Requests, w.Offices.Unknown, w.Offices.Answers} })
-		w.After(300e9, func() {
-			during = [4]int{w.State.Writes - before[0], w.State.Requests - before[1], w.Offices.Unknown - before[2], w.Offices.Answers - before[3]}
+	res, err := run([]byte(b.String()), func(sim *emulator.Simulation) {
+		sim.After(240e9, func() {
+			before = [4]int{sim.Store.Writes, sim.Store.Requests, sim.ReservationClients.Unanswered, sim.ReservationClients.Responses}
+		})
+		sim.After(300e9, func() {
+			during = [4]int{sim.Store.Writes - before[0], sim.Store.Requests - before[1], sim.ReservationClients.Unanswered - before[2], sim.ReservationClients.Responses - before[3]}
 		})
 	})
 	if err != nil {
@@ -42,7 +44,7 @@
 	for _, p := range res.Problems {
 		t.Log(p)
 	}
-	o, s := res.World.Offices, res.World.State
+	o, s := res.Simulation.ReservationClients, res.Simulation.Store
 	fmt.Printf("emulated: %d granted, %d refused, %v a request, the slowest %v; in the minute %.1f requests of offices answered and %.1f told to ask again, %.1f writes and %.1f requests a second; largest value %d, refused over limits %d, ledger's keys %d KB\n",
-		o.Granted, o.Refused, o.Mean(), o.Slowest, float64(during[3])/60, float64(during[2])/60, float64(during[0])/60, float64(during[1])/60, s.Largest, s.Over, s.Bytes("s/")>>10)
+		o.Granted, o.Refused, o.MeanLatency(), o.MaxLatency, float64(during[3])/60, float64(during[2])/60, float64(during[0])/60, float64(during[1])/60, s.LargestValue, s.ThrottledRequests, s.BytesUnder("s/")>>10)
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -103,12 +103,12 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
-	"basaltwall/control"
-	"basaltwall/internal/standin"
+	"basaltwall/controller"
+	"basaltwall/internal/emulator"
 	"basaltwall/tenant"
 )
 
-const settings = `{"label":"stone-%d","domain":%q,"api_addr":"10.0.0.%d:8080","peer_listen":"10.0.0.%d:8081",
+const settingsFormat = `{"label":"stone-%d","domain":%q,"api_addr":"10.0.0.%d:8080","peer_listen":"10.0.0.%d:8081",
 "peers":[%s],"external":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
 "deployment":{"initial_size":%d,"zones":["a","b","c"],
 "teams":[{"name":"red","cpus":16,"cpus_max":0,"gpus":2,"gpus_max":4},{"name":"blue","cpus":8,"cpus_max":0,"gpus":0,"gpus_max":0}],
@@ -117,8 +117,8 @@
 "state":{"rps":150,"write_rps":50,"value_kb":8,"txn_ops":12},"cloud":{"rps":10,"list_lag_s":5},
 "limits":{"cpu_share":0.36,"memory_mb":300,"fd_limit":2000},"clock_error_ms":250}}`
 
-// configs are the controllers' settings: a controller for each of the zones, which is in it.
-func configs(zones []string) ([]*config.Config, error) {
+// parseConfigs are the controllers' settings: a controller for each of the zones, which is in it.
+func parseConfigs(zones []string) ([]*config.Config, error) {
 	var out []*config.Config
 	for i := range zones {
 		var peers []string
@@ -127,7 +127,7 @@
 				peers = append(peers, fmt.Sprintf(`{"label":"stone-%d","domain":%q,"peer_addr":"10.0.0.%d:8081"}`, k, zones[k], k+1))
 			}
 		}
-		c, err := config.Parse(fmt.Appendf(nil, settings, i, zones[i], i+1, i+1, strings.Join(peers, ","), len(zones)))
+		c, err := config.Parse(fmt.Appendf(nil, settingsFormat, i, zones[i], i+1, i+1, strings.Join(peers, ","), len(zones)))
 		if err != nil {
 			return nil, err
 		}
@@ -136,71 +136,71 @@
 	return out, nil
 }
 
-// Trace makes Run write the controllers' logs with the scenario's time. It is
+// TraceLogs makes Run write the controllers' logs with the scenario's time. It is
 // for looking at one scenario alone.
-var Trace bool
+var TraceLogs bool
 
 type expectation struct {
-	ref   api.JobRef
+	ref   api.JobID
 	state api.JobState
 	by    time.Duration
 }
 
 type runner struct {
-	w       *standin.World
-	cfgs    []*config.Config
-	expects []expectation
-	end     time.Duration
-	min     int
-	max     int
-	delMin  int
-	delMax  int
-	refs    []api.JobRef // of work that ends
-	most    map[string]float64
-	floor   float64
-	begin   time.Duration // how long the largest may wait
-	up      int           // machines that are up at the start
-	states  [][2]string   // tenants, and the states they should end in
-	rates   []rated
-	held    map[api.PoolName]int // the most that should have been held of pools
-	uses    []used
-	depots  map[string]bool // that offices ask of
-	granted [2]int
-	files   map[string][]byte
-	served  map[api.Class]float64
-	quick   []quick
+	sim               *emulator.Simulation
+	configs           []*config.Config
+	expectations      []expectation
+	end               time.Duration
+	minStarts         int
+	maxStarts         int
+	minDeleted        int
+	maxDeleted        int
+	finiteJobs        []api.JobID // of work that ends
+	upperBounds       map[string]float64
+	minServed         float64
+	maxStartWait      time.Duration // how long the largest may wait
+	initialMachines   int           // machines that are up at the start
+	tenantStates      [][2]string   // tenants, and the states they should end in
+	rateBounds        []rateBound
+	maxHeldUnits      map[api.PoolName]int // the most that should have been held of pools
+	poolUses          []poolUse
+	depots            map[string]bool // that offices ask of
+	grantedRange      [2]int
+	files             map[string][]byte
+	minClassServed    map[api.Class]float64
+	completionTargets []completionTarget
 
 	problems []string
 }
 
-type quick struct {
+type completionTarget struct {
 	class  api.Class
 	within time.Duration
 	share  float64
 }
 
-type used struct {
-	name string
-	min  float64
-	got  func() float64
+type poolUse struct {
+	name     string
+	min      float64
+	measured func() float64
 }
 
-type rated struct {
+type rateBound struct {
 	name        tenant.Name
 	rate, burst float64
 }
 
 // Result is what a scenario came to.
 type Result struct {
-	Problems []string
-	World    *standin.World
+	Problems   []string
+	Simulation *emulator.Simulation
 }
 
 // Run plays a scenario.
 func Run(data []byte) (Result, error) { return run(data, nil) }
 
 // run plays a scenario; before it begins, ready is told of its world, if set.
-func run(data []byte, ready func(*standin.World)) (Result, error) {
+func run(data []byte, onReady func(*emulator.Simulation)) (Result, error) {
 	var lines [][]string
 	files := map[string][]byte{}
 	for _, f := range txtar.Parse(data).Files {
@@ -225,75 +225,75 @@
 			domains = l[1:]
 		}
 	}
-	cfgs, err := configs(domains)
+	configs, err := parseConfigs(domains)
 	if err != nil {
 		return Result{}, err
 	}
 	for _, l := range lines {
-		for _, c := range cfgs {
-			if err := adjust(&c.Deployment, l); err != nil {
+		for _, c := range configs {
+			if err := applySetting(&c.Deployment, l); err != nil {
 				return Result{}, fmt.Errorf("%s: %w", strings.Join(l, " "), err)
 			}
 		}
 	}
-	r := &runner{w: standin.NewWorld(1, cfgs), cfgs: cfgs, max: 1 << 30, delMax: 1 << 30, files: files, served: map[api.Class]float64{}, depots: map[string]bool{}, granted: [2]int{0, 1 << 30}, floor: usualFloor, begin: usualBegin, most: map[string]float64{}, held: map[api.PoolName]int{}}
+	r := &runner{sim: emulator.NewSimulation(1, configs), configs: configs, maxStarts: 1 << 30, maxDeleted: 1 << 30, files: files, minClassServed: map[api.Class]float64{}, depots: map[string]bool{}, grantedRange: [2]int{0, 1 << 30}, minServed: defaultMinServed, maxStartWait: defaultMaxStartWait, upperBounds: map[string]float64{}, maxHeldUnits: map[api.PoolName]int{}}
 	for _, l := range lines {
 		if l[0] == "tenant" {
-			r.w.Host()
+			r.sim.EnableHosting()
 			break
 		}
 	}
-	zones := cfgs[0].Deployment.Zones
-	r.w.Cloud.Types = []api.MachineType{
-		{Name: "c8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchRate: 1, Price: 1, SpotPrice: 0.4, Boot: 20, Zones: zones},
-		{Name: "g8", CPUs: 8, GPUs: 2, MemGB: 64, CacheGB: 20, FetchRate: 1, Price: 5, SpotPrice: 2, Boot: 20, Zones: zones},
+	zones := configs[0].Deployment.Zones
+	r.sim.Cloud.Types = []api.MachineType{
+		{Name: "c8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootSeconds: 20, Zones: zones},
+		{Name: "g8", CPUs: 8, GPUs: 2, MemGB: 64, CacheGB: 20, FetchRate: 1, Price: 5, SpotPrice: 2, BootSeconds: 20, Zones: zones},
 	}
 	for _, l := range lines {
 		if l[0] == "only" && len(l) == 2 {
-			r.w.Cloud.Types = slices.DeleteFunc(r.w.Cloud.Types, func(t api.MachineType) bool { return string(t.Name) != l[1] })
-			for i := range r.w.Cloud.Types {
-				r.w.Cloud.Types[i].Zones = []api.Zone{"a"}
+			r.sim.Cloud.Types = slices.DeleteFunc(r.sim.Cloud.Types, func(t api.MachineType) bool { return string(t.Name) != l[1] })
+			for i := range r.sim.Cloud.Types {
+				r.sim.Cloud.Types[i].Zones = []api.Zone{"a"}
 			}
 		}
 	}
-	if Trace {
+	if TraceLogs {
 		slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
 			if a.Key == slog.TimeKey {
-				return slog.Float64(slog.TimeKey, r.w.Now.Seconds())
+				return slog.Float64(slog.TimeKey, r.sim.Now.Seconds())
 			}
 			return a
 		}})))
 	}
 	for _, l := range lines {
-		if err := r.line(l); err != nil {
+		if err := r.addStep(l); err != nil {
 			return Result{}, fmt.Errorf("%s: %w", strings.Join(l, " "), err)
 		}
 	}
 	if r.end == 0 {
 		return Result{}, fmt.Errorf("no end")
 	}
-	if ready != nil {
-		ready(r.w)
+	if onReady != nil {
+		onReady(r.sim)
 	}
 	for _, depot := range slices.Sorted(maps.Keys(r.depots)) {
-		r.w.After(r.end-10*time.Second, func() { r.w.Offices.Look(depot) })
+		r.sim.After(r.end-10*time.Second, func() { r.sim.ReservationClients.CheckListed(depot) })
 	}
-	r.w.StartAll()
-	r.w.Run(r.end)
-	r.w.Offices.Log()
-	if n := r.w.Offices.Granted; n < r.granted[0] || n > r.granted[1] {
-		r.problems = append(r.problems, fmt.Sprintf("%d offers and promises were told, expected %d to %d", n, r.granted[0], r.granted[1]))
+	r.sim.StartControllers()
+	r.sim.Run(r.end)
+	r.sim.ReservationClients.CheckLog()
+	if n := r.sim.ReservationClients.Granted; n < r.grantedRange[0] || n > r.grantedRange[1] {
+		r.problems = append(r.problems, fmt.Sprintf("%d offers and promises were told, expected %d to %d", n, r.grantedRange[0], r.grantedRange[1]))
 	}
-	res := Result{Problems: append(r.problems, r.w.Check.Broken...), World: r.w}
+	res := Result{Problems: append(r.problems, r.sim.Checker.Violations...), Simulation: r.sim}
 	seconds := r.end.Seconds()
-	counts := map[string]float64{"state-rps": float64(r.w.State.Requests) / seconds, "state-writes": float64(r.w.State.Writes) / seconds,
-		"cloud-rps": float64(r.w.Cloud.Calls) / seconds, "value": float64(r.w.State.Largest),
-		"direct-calls": float64(r.w.Direct) / float64(max(1, r.w.Check.Starts)),
-		"shorts":       float64(r.w.State.Shorts),
-		"cancel":       r.w.Check.Longest.Seconds(),
-		"claims":       float64(r.w.State.Claims),
-		"rentals":      float64(r.w.Cloud.Rentals), "rented": float64(r.w.Cloud.Rented)}
-	for what, most := range r.most {
+	counts := map[string]float64{"state-rps": float64(r.sim.Store.Requests) / seconds, "state-writes": float64(r.sim.Store.Writes) / seconds,
+		"cloud-rps": float64(r.sim.Cloud.Calls) / seconds, "value": float64(r.sim.Store.LargestValue),
+		"direct-calls": float64(r.sim.DirectCommands) / float64(max(1, r.sim.Checker.StartCount)),
+		"shorts":       float64(r.sim.Store.ShortageWrites),
+		"cancel":       r.sim.Checker.MaxCancelWait.Seconds(),
+		"claims":       float64(r.sim.Store.OwnershipChanges),
+		"rentals":      float64(r.sim.Cloud.LaunchCalls), "rented": float64(r.sim.Cloud.LaunchedMachines)}
+	for what, most := range r.upperBounds {
 		got, ok := counts[what]
 		if !ok {
 			return Result{}, fmt.Errorf("most %s: no such count", what)
@@ -302,17 +302,17 @@
 			res.Problems = append(res.Problems, fmt.Sprintf("%s: %.2f, expected %.2f at most", what, got, most))
 		}
 	}
-	res.Problems = append(res.Problems, r.below()...)
-	for i := 0; i < len(r.expects); i++ {
-		e := r.expects[i]
+	res.Problems = append(res.Problems, r.checkServiceLevels()...)
+	for i := 0; i < len(r.expectations); i++ {
+		e := r.expectations[i]
 		if e.ref == "all" {
-			for _, ref := range r.refs {
-				r.expects = append(r.expects, expectation{ref, e.state, e.by})
+			for _, ref := range r.finiteJobs {
+				r.expectations = append(r.expectations, expectation{ref, e.state, e.by})
 			}
 			continue
 		}
-		got := r.w.Check.Known(e.ref)
-		at, done := r.w.Users.DoneAt[e.ref]
+		got := r.sim.Checker.ReportedState(e.ref)
+		at, done := r.sim.Users.DoneAt[e.ref]
 		switch {
 		case got != e.state:
 			res.Problems = append(res.Problems, fmt.Sprintf("%s is %q, expected %s", e.ref, got, e.state))
@@ -320,117 +320,117 @@
 			res.Problems = append(res.Problems, fmt.Sprintf("%s was done at %.1f s, expected by %.1f s", e.ref, at.Seconds(), e.by.Seconds()))
 		}
 	}
-	for _, x := range r.rates {
-		if over := r.w.Tenants.Over(x.name, x.rate); over > x.burst {
+	for _, x := range r.rateBounds {
+		if over := r.sim.Tenants.RateExcess(x.name, x.rate); over > x.burst {
 			res.Problems = append(res.Problems, fmt.Sprintf("tenant %s: %.1f more than its rate were accepted, expected %.1f at most", x.name, over, x.burst))
 		}
 	}
-	for _, u := range r.uses {
-		if got := u.got(); got < u.min {
+	for _, u := range r.poolUses {
+		if got := u.measured(); got < u.min {
 			res.Problems = append(res.Problems, fmt.Sprintf("pool %s: %.3f of it was used, expected %.3f at least", u.name, got, u.min))
 		}
 	}
-	for name, want := range r.held {
-		if _, most := r.w.Tenants.Held(name); most != want {
+	for name, want := range r.maxHeldUnits {
+		if _, most := r.sim.Tenants.HeldUnits(name); most != want {
 			res.Problems = append(res.Problems, fmt.Sprintf("pool %s: at most %d units were held, expected %d", name, most, want))
 		}
 	}
-	for _, s := range r.states {
-		if got := r.w.Tenants.State(s[0]); string(got) != s[1] {
+	for _, s := range r.tenantStates {
+		if got := r.sim.Tenants.State(s[0]); string(got) != s[1] {
 			res.Problems = append(res.Problems, fmt.Sprintf("tenant %s is %q, expected %s", s[0], got, s[1]))
 		}
 	}
-	if n := r.w.Check.Starts; n < r.min || n > r.max {
-		res.Problems = append(res.Problems, fmt.Sprintf("%d starts, expected %d to %d", n, r.min, r.max))
+	if n := r.sim.Checker.StartCount; n < r.minStarts || n > r.maxStarts {
+		res.Problems = append(res.Problems, fmt.Sprintf("%d starts, expected %d to %d", n, r.minStarts, r.maxStarts))
 	}
-	if n := r.w.Cloud.Deleted; n < r.delMin || n > r.delMax {
-		res.Problems = append(res.Problems, fmt.Sprintf("%d machines deleted, expected %d to %d", n, r.delMin, r.delMax))
+	if n := r.sim.Cloud.DeletedMachines; n < r.minDeleted || n > r.maxDeleted {
+		res.Problems = append(res.Problems, fmt.Sprintf("%d machines deleted, expected %d to %d", n, r.minDeleted, r.maxDeleted))
 	}
 	return res, nil
 }
 
-// usualFloor is the share to which every class and team is served in a scenario that names
+// defaultMinServed is the share to which every class and team is served in a scenario that names
 // no other.
-const usualFloor = 0.5
+const defaultMinServed = 0.5
 
-// usualBegin is how long the largest jobs of a class may wait to begin in one that says nothing else.
-const usualBegin = 240 * time.Second
+// defaultMaxStartWait is how long the largest jobs of a class may wait to begin in one that says nothing else.
+const defaultMaxStartWait = 240 * time.Second
 
-// below names the classes and teams that were served less than the floor.
-func (r *runner) below() []string {
+// checkServiceLevels names the classes and teams that were served less than the floor.
+func (r *runner) checkServiceLevels() []string {
 	var out []string
-	note := func(what, name string, s standin.Served) {
-		if s.Share() < r.floor {
-			out = append(out, fmt.Sprintf("floor: of %s %s %.3f was served of %d jobs, expected %.3f at least", what, name, s.Share(), s.Jobs, r.floor))
+	note := func(what, name string, s emulator.ServiceLevel) {
+		if s.Share() < r.minServed {
+			out = append(out, fmt.Sprintf("floor: of %s %s %.3f was served of %d jobs, expected %.3f at least", what, name, s.Share(), s.Jobs, r.minServed))
 		}
 	}
-	classes, teams := r.w.Check.Served(r.w.Now)
+	classes, teams := r.sim.Checker.ServiceLevels(r.sim.Now)
 	for _, c := range slices.Sorted(maps.Keys(classes)) {
 		note("class", string(c), classes[c])
-		if want, ok := r.served[c]; ok && classes[c].Share() < want {
+		if want, ok := r.minClassServed[c]; ok && classes[c].Share() < want {
 			out = append(out, fmt.Sprintf("class %s was served to %.3f, expected %.3f at least", c, classes[c].Share(), want))
 		}
 	}
-	for _, q := range r.quick {
-		if got := r.w.Users.Within(q.class, q.within); got < q.share {
+	for _, q := range r.completionTargets {
+		if got := r.sim.Users.CompletedWithin(q.class, q.within); got < q.share {
 			out = append(out, fmt.Sprintf("of class %s %.3f was done within %v, expected %.3f at least", q.class, got, q.within, q.share))
 		}
 	}
 	for _, t := range slices.Sorted(maps.Keys(teams)) {
 		note("team", string(t), teams[t])
 	}
-	largest, late := r.w.Check.Largest(r.w.Now, r.begin)
-	for _, c := range slices.Sorted(maps.Keys(largest)) {
-		note("the largest of class", string(c), largest[c])
+	largestJobs, late := r.sim.Checker.LargestJobs(r.sim.Now, r.maxStartWait)
+	for _, c := range slices.Sorted(maps.Keys(largestJobs)) {
+		note("the largest of class", string(c), largestJobs[c])
 	}
 	return append(out, late...)
 }
 
-// adjust changes the settings as a line says.
-func adjust(d *config.Deployment, l []string) error {
-	if l[0] == "zones" {
-		d.Zones = nil
-		for _, z := range l[1:] {
-			d.Zones = append(d.Zones, api.Zone(z))
+// applySetting changes the settings as a line says.
+func applySetting(deployment *config.Deployment, words []string) error {
+	if words[0] == "zones" {
+		deployment.Zones = nil
+		for _, z := range words[1:] {
+			deployment.Zones = append(deployment.Zones, api.Zone(z))
 		}
 		return nil
 	}
-	form, ok := map[string]string{"limit": "sn", "teams": "nnn", "aim": "ssn", "only": "s"}[l[0]]
+	form, ok := map[string]string{"limit": "sn", "teams": "nnn", "aim": "ssn", "only": "s"}[words[0]]
 	if !ok {
 		return nil
 	}
-	_, ns, ss, err := args(l[1:], form)
+	_, numbers, names, err := parseArgs(words[1:], form)
 	if err != nil {
 		return err
 	}
-	switch l[0] {
+	switch words[0] {
 	case "limit":
-		for i := range d.Teams {
-			if string(d.Teams[i].Name) == ss[0] {
-				d.Teams[i].CPUsMax = ns[0]
+		for i := range deployment.Teams {
+			if string(deployment.Teams[i].Name) == names[0] {
+				deployment.Teams[i].CPUsMax = numbers[0]
 			}
 		}
 	case "teams":
-		d.Teams = nil
-		for i := range int(ns[0]) {
-			d.Teams = append(d.Teams, config.Team{Name: api.Team(fmt.Sprintf("team-%d", i)), GPUs: ns[1], GPUsMax: ns[2]})
+		deployment.Teams = nil
+		for i := range int(numbers[0]) {
+			deployment.Teams = append(deployment.Teams, config.Team{Name: api.Team(fmt.Sprintf("team-%d", i)), GPUs: numbers[1], GPUsMax: numbers[2]})
 		}
 	case "aim":
-		d.Objectives = append(d.Objectives, config.Objective{Kind: ss[0], Class: api.Class(ss[1]), Within: ns[0], Share: 0.9})
+		deployment.Objectives = append(deployment.Objectives, config.Objective{Kind: names[0], Class: api.Class(names[1]), Within: numbers[0], Share: 0.9})
 	case "only":
-		d.Zones = []api.Zone{"a"}
+		deployment.Zones = []api.Zone{"a"}
 	}
 	return nil
 }
 
-// args reads a line's words by turns: d a duration in seconds, n a number, s a word.
-func args(words []string, form string) (ds []time.Duration, ns []float64, ss []string, err error) {
+// parseArgs reads a line's words by turns: d a duration in seconds, n a number, s a word.
+func parseArgs(words []string, form string) (durations []time.Duration, numbers []float64, names []string, err error) {
 	if len(words) != len(form) {
 		return nil, nil, nil, fmt.Errorf("%d words, expected %d", len(words), len(form))
 	}
 	for i, f := range form {
 		if f == 's' {
-			ss = append(ss, words[i])
+			names = append(names, words[i])
 			continue
 		}
 		v, err := strconv.ParseFloat(words[i], 64)
@@ -438,238 +438,238 @@
 			return nil, nil, nil, err
 		}
 		if f == 'd' {
-			ds = append(ds, api.Seconds(v))
+			durations = append(durations, api.Seconds(v))
 		} else {
-			ns = append(ns, v)
+			numbers = append(numbers, v)
 		}
 	}
-	return ds, ns, ss, nil
+	return durations, numbers, names, nil
 }
 
-func (r *runner) line(l []string) error {
-	w := r.w
-	rest := l[1:]
+func (r *runner) addStep(words []string) error {
+	sim := r.sim
+	arguments := words[1:]
 	forms := map[string]string{"cancelnow": "dnd", "cancelends": "ddn", "looks": "ddn", "odd": "dd", "slow": "ddd", "boots": "d", "mute": "dds", "keep": "ddn", "ask": "ds", "crash": "dsd", "freeze": "dds", "crashes": "dsddn", "skips": "dssn", "office": "ddssdn", "granted": "nn", "rules": "ds", "served": "sn", "quick": "snn", "skip": "dsss", "limits": "", "polls": "ddn", "begin": "d",
 		"cut": "ddsss", "cutzone": "ddss", "outage": "dd", "refuse": "dds", "lose": "ddn", "delay": "ddn", "cloud": "dd", "kill": "ds", "take": "dn",
 		"hang": "dds", "deaf": "dds", "stale": "ddn", "late": "dds", "sick": "dds", "random": "ndd", "end": "d", "floor": "n", "tenant": "dssnn", "suspend": "dsn", "resume": "ds", "pool": "dsn", "reclaim": "dsn", "guarantee": "dssn", "holds": "dsn", "held": "sn", "use": "ddsn", "gone": "ds", "finally": "ss", "rate": "snn", "sofar": "dsnn", "up": "dn", "starts": "nn", "deleted": "nn", "most": "sn"}
-	var ds []time.Duration
-	var ns []float64
-	var ss []string
-	if form, ok := forms[l[0]]; ok {
+	var durations []time.Duration
+	var numbers []float64
+	var names []string
+	if form, ok := forms[words[0]]; ok {
 		var err error
-		if ds, ns, ss, err = args(rest, form); err != nil {
+		if durations, numbers, names, err = parseArgs(arguments, form); err != nil {
 			return err
 		}
 	}
-	machine := func(i int) api.MachineID { return api.MachineID(ss[i]) }
-	switch l[0] {
+	machine := func(i int) api.MachineID { return api.MachineID(names[i]) }
+	switch words[0] {
 	case "limit", "teams", "aim", "only", "zones", "controllers":
 	case "machines":
-		return r.machines(rest)
+		return r.launchMachines(arguments)
 	case "capacity":
-		if len(rest) == 0 || len(rest) > 2 {
+		if len(arguments) == 0 || len(arguments) > 2 {
 			return fmt.Errorf("not understood")
 		}
-		n, err := strconv.Atoi(rest[0])
+		n, err := strconv.Atoi(arguments[0])
 		if err != nil {
 			return err
 		}
-		if len(rest) == 1 {
-			w.Cloud.Capacity = n
+		if len(arguments) == 1 {
+			sim.Cloud.Capacity = n
 		} else {
-			if w.Cloud.InZone == nil {
-				w.Cloud.InZone = map[api.Zone]int{}
+			if sim.Cloud.ZoneCapacity == nil {
+				sim.Cloud.ZoneCapacity = map[api.Zone]int{}
 			}
-			w.Cloud.InZone[api.Zone(rest[1])] = n
+			sim.Cloud.ZoneCapacity[api.Zone(arguments[1])] = n
 		}
 	case "submit":
-		return r.submit(rest)
+		return r.submit(arguments)
 	case "cancel":
-		if len(rest) == 2 {
-			rest = append(rest, "")
+		if len(arguments) == 2 {
+			arguments = append(arguments, "")
 		}
-		ds, _, ss, err := args(rest, "dss")
+		durations, _, names, err := parseArgs(arguments, "dss")
 		if err != nil {
 			return err
 		}
-		w.After(ds[0], func() { w.Users.Cancel(r.ref(ss[0]), ss[1]) })
+		sim.After(durations[0], func() { sim.Users.Cancel(r.jobRef(names[0]), names[1]) })
 	case "cancelnow":
-		w.After(ds[0], func() { w.Users.CancelNow(int(ns[0]), ds[1]) })
+		sim.After(durations[0], func() { sim.Users.CancelRunning(int(numbers[0]), durations[1]) })
 	case "cancelends":
-		w.After(ds[0], func() { w.Users.CancelEnds = ns[0] })
-		w.After(ds[0]+ds[1], func() { w.Users.CancelEnds = 0 })
+		sim.After(durations[0], func() { sim.Users.CancelAtEndShare = numbers[0] })
+		sim.After(durations[0]+durations[1], func() { sim.Users.CancelAtEndShare = 0 })
 	case "looks":
-		w.After(ds[0], func() { w.Users.Looks, w.Users.CancelNew = true, ns[0] })
-		w.After(ds[0]+ds[1], func() { w.Users.Looks = false })
+		sim.After(durations[0], func() { sim.Users.PollOnChange, sim.Users.CancelNewShare = true, numbers[0] })
+		sim.After(durations[0]+durations[1], func() { sim.Users.PollOnChange = false })
 	case "odd":
-		w.After(ds[0], func() { w.Users.Odd(ds[1]) })
+		sim.After(durations[0], func() { sim.Users.SendIrregularRequests(durations[1]) })
 	case "slow":
-		w.Check.Trouble(ds[0] + ds[1])
-		w.After(ds[0], func() { w.SlowLinks = ds[2] })
-		w.After(ds[0]+ds[1], func() { w.SlowLinks = 0 })
+		sim.Checker.FaultUntil(durations[0] + durations[1])
+		sim.After(durations[0], func() { sim.ExtraLatency = durations[2] })
+		sim.After(durations[0]+durations[1], func() { sim.ExtraLatency = 0 })
 	case "boots":
-		for i := range w.Cloud.Types {
-			w.Cloud.Types[i].Boot = ds[0].Seconds()
+		for i := range sim.Cloud.Types {
+			sim.Cloud.Types[i].BootSeconds = durations[0].Seconds()
 		}
 	case "mute":
-		w.After(ds[0], func() { r.eachMachine(ss[0], func(id api.MachineID) { w.Mute(id, ds[1]) }) })
+		sim.After(durations[0], func() { r.eachMachine(names[0], func(id api.MachineID) { sim.CutOutbound(id, durations[1]) }) })
 	case "keep":
-		w.After(ds[0], func() { w.KeepReports = ns[0] })
-		w.After(ds[0]+ds[1], func() { w.KeepReports = 0 })
+		sim.After(durations[0], func() { sim.HeldHeartbeatRate = numbers[0] })
+		sim.After(durations[0]+durations[1], func() { sim.HeldHeartbeatRate = 0 })
 	case "ask":
-		w.After(ds[0], func() { w.Users.Ask(r.ref(ss[0])) })
+		sim.After(durations[0], func() { sim.Users.PollOnce(r.jobRef(names[0])) })
 	case "crash":
-		w.After(ds[0], func() { r.eachNode(ss[0], func(n string) { w.Crash(n, ds[1]) }) })
+		sim.After(durations[0], func() { r.eachController(names[0], func(n string) { sim.CrashController(n, durations[1]) }) })
 	case "freeze":
-		w.After(ds[0], func() { r.eachNode(ss[0], func(n string) { w.Freeze(n, ds[1]) }) })
+		sim.After(durations[0], func() { r.eachController(names[0], func(n string) { sim.FreezeController(n, durations[1]) }) })
 	case "crashes":
-		for i := range int(ns[0]) {
-			w.After(ds[0]+time.Duration(i)*ds[2], func() { r.eachNode(ss[0], func(n string) { w.Crash(n, ds[1]) }) })
+		for i := range int(numbers[0]) {
+			sim.After(durations[0]+time.Duration(i)*durations[2], func() { r.eachController(names[0], func(n string) { sim.CrashController(n, durations[1]) }) })
 		}
 	case "roll":
-		if len(rest) == 2 {
-			rest = append(rest, "3")
+		if len(arguments) == 2 {
+			arguments = append(arguments, "3")
 		}
-		ds, _, _, err := args(rest, "ddd")
+		durations, _, _, err := parseArgs(arguments, "ddd")
 		if err != nil {
 			return err
 		}
-		for i, c := range r.cfgs {
-			w.After(ds[0]+time.Duration(i)*ds[1], func() { w.Crash(string(c.Label), ds[2]) })
+		for i, c := range r.configs {
+			sim.After(durations[0]+time.Duration(i)*durations[1], func() { sim.CrashController(string(c.Label), durations[2]) })
 		}
 	case "rules":
-		text, ok := r.files[ss[0]]
+		text, ok := r.files[names[0]]
 		if !ok {
-			return fmt.Errorf("no file %s", ss[0])
+			return fmt.Errorf("no file %s", names[0])
 		}
-		w.After(ds[0], func() { w.SetRules(text) })
+		sim.After(durations[0], func() { sim.SetPriorityRules(text) })
 	case "served":
-		r.served[api.Class(ss[0])] = ns[0]
+		r.minClassServed[api.Class(names[0])] = numbers[0]
 	case "quick":
-		r.quick = append(r.quick, quick{api.Class(ss[0]), api.Seconds(ns[0]), ns[1]})
+		r.completionTargets = append(r.completionTargets, completionTarget{api.Class(names[0]), api.Seconds(numbers[0]), numbers[1]})
 	case "skips":
-		w.After(ds[0], func() { w.Offices.Import(ss[0], ss[1], int(ns[0])) })
+		sim.After(durations[0], func() { sim.ReservationClients.Import(names[0], names[1], int(numbers[0])) })
 	case "office":
-		for at := ds[0]; at < ds[1]; at += ds[2] {
-			w.After(at, func() { w.Offices.Enquire(ss[0], ss[1], int(ns[0])) })
+		for at := durations[0]; at < durations[1]; at += durations[2] {
+			sim.After(at, func() { sim.ReservationClients.RequestReservation(names[0], names[1], int(numbers[0])) })
 		}
-		r.depots[ss[0]] = true
+		r.depots[names[0]] = true
 	case "skip":
-		w.After(ds[0], func() { w.Offices.Service(ss[0], ss[1], ss[2]) })
+		sim.After(durations[0], func() { sim.ReservationClients.ChangeAvailability(names[0], names[1], names[2]) })
 	case "granted":
-		r.granted = [2]int{int(ns[0]), int(ns[1])}
+		r.grantedRange = [2]int{int(numbers[0]), int(numbers[1])}
 	case "limits":
-		w.State.Limited = true
+		sim.Store.RateLimited = true
 	case "polls":
-		w.After(ds[0], func() { w.Users.Often = int(ns[0]) })
-		w.After(ds[0]+ds[1], func() { w.Users.Often = 0 })
+		sim.After(durations[0], func() { sim.Users.PollsPerInterval = int(numbers[0]) })
+		sim.After(durations[0]+durations[1], func() { sim.Users.PollsPerInterval = 0 })
 	case "begin":
-		r.begin = ds[0]
+		r.maxStartWait = durations[0]
 	case "cut":
-		w.After(ds[0], func() { r.cut(ss[0], ss[1], ds[1], ss[2] == "hold") })
+		sim.After(durations[0], func() { r.cutLinks(names[0], names[1], durations[1], names[2] == "hold") })
 	case "cutzone":
-		w.After(ds[0], func() { w.CutZone(api.Zone(ss[0]), ds[1], ss[1] == "hold") })
+		sim.After(durations[0], func() { sim.CutZone(api.Zone(names[0]), durations[1], names[1] == "hold") })
 	case "outage":
-		w.After(ds[0], func() { w.State.Outage(ds[1]) })
+		sim.After(durations[0], func() { sim.Store.Outage(durations[1]) })
 	case "refuse":
-		w.After(ds[0], func() { w.State.Refuse(ss[0], ds[1]) })
+		sim.After(durations[0], func() { sim.Store.RefuseController(names[0], durations[1]) })
 	case "lose":
-		w.Check.Trouble(ds[0] + ds[1])
-		w.After(ds[0], func() { w.LoseAnswers = ns[0] })
-		w.After(ds[0]+ds[1], func() { w.LoseAnswers = 0 })
+		sim.Checker.FaultUntil(durations[0] + durations[1])
+		sim.After(durations[0], func() { sim.ReplyLossRate = numbers[0] })
+		sim.After(durations[0]+durations[1], func() { sim.ReplyLossRate = 0 })
 	case "delay":
-		w.Check.Trouble(ds[0] + ds[1])
-		w.After(ds[0], func() { w.DelayState = ns[0] })
-		w.After(ds[0]+ds[1], func() { w.DelayState = 0 })
+		sim.Checker.FaultUntil(durations[0] + durations[1])
+		sim.After(durations[0], func() { sim.TransactionDelayRate = numbers[0] })
+		sim.After(durations[0]+durations[1], func() { sim.TransactionDelayRate = 0 })
 	case "cloud":
-		w.After(ds[0], func() { w.Cloud.Down = true })
-		w.After(ds[0]+ds[1], func() { w.Cloud.Down = false })
+		sim.After(durations[0], func() { sim.Cloud.Down = true })
+		sim.After(durations[0]+durations[1], func() { sim.Cloud.Down = false })
 	case "kill":
-		w.After(ds[0], func() { w.Kill(machine(0)) })
+		sim.After(durations[0], func() { sim.Kill(machine(0)) })
 	case "take":
-		w.After(ds[0], func() { r.take(ns[0]) })
+		sim.After(durations[0], func() { r.reclaimSpot(numbers[0]) })
 	case "hang":
-		w.After(ds[0], func() { w.Hang(machine(0), ds[1]) })
+		sim.After(durations[0], func() { sim.Hang(machine(0), durations[1]) })
 	case "deaf":
-		w.After(ds[0], func() { r.eachMachine(ss[0], func(id api.MachineID) { w.Deafen(id, ds[1]) }) })
+		sim.After(durations[0], func() { r.eachMachine(names[0], func(id api.MachineID) { sim.CutInbound(id, durations[1]) }) })
 	case "stale":
-		w.Check.Trouble(ds[0] + ds[1] + 2*r.cfgs[0].WorkerLease())
-		w.After(ds[0], func() { w.StaleReports = ns[0] })
-		w.After(ds[0]+ds[1], func() { w.StaleReports = 0 })
+		sim.Checker.FaultUntil(durations[0] + durations[1] + 2*r.configs[0].WorkerLease())
+		sim.After(durations[0], func() { sim.StaleHeartbeatRate = numbers[0] })
+		sim.After(durations[0]+durations[1], func() { sim.StaleHeartbeatRate = 0 })
 	case "late":
-		w.After(ds[0], func() { w.HoldDirect(machine(0), ds[1]) })
+		sim.After(durations[0], func() { sim.DelayCommands(machine(0), durations[1]) })
 	case "sick":
-		w.After(ds[0], func() { w.Sicken(machine(0), ds[1]) })
+		sim.After(durations[0], func() { sim.FailTasks(machine(0), durations[1]) })
 	case "random":
-		r.random(uint64(ns[0]), ds[0], ds[1])
+		r.scheduleRandomFaults(uint64(numbers[0]), durations[0], durations[1])
 	case "tenant":
-		w.After(ds[0], func() { w.Tenants.Add(tenant.Name(ss[0]), strings.Split(ss[1], ","), ns[0], ns[1]) })
+		sim.After(durations[0], func() { sim.Tenants.Add(tenant.Name(names[0]), strings.Split(names[1], ","), numbers[0], numbers[1]) })
 	case "suspend":
-		w.After(ds[0], func() { w.Tenants.Suspend(tenant.Name(ss[0]), ns[0]) })
+		sim.After(durations[0], func() { sim.Tenants.Suspend(tenant.Name(names[0]), numbers[0]) })
 	case "resume":
-		w.After(ds[0], func() { w.Tenants.Resume(tenant.Name(ss[0])) })
+		sim.After(durations[0], func() { sim.Tenants.Resume(tenant.Name(names[0])) })
 	case "pool", "reclaim":
-		w.After(ds[0], func() {
-			w.Tenants.Pool(api.PoolName(ss[0]), func(p *control.PoolView) { p.Size, p.Reclaim = int(ns[0]), l[0] == "reclaim" })
+		sim.After(durations[0], func() {
+			sim.Tenants.UpdatePool(api.PoolName(names[0]), func(p *controller.PoolView) { p.Size, p.Reclaim = int(numbers[0]), words[0] == "reclaim" })
 		})
 	case "guarantee":
-		w.After(ds[0], func() {
-			w.Tenants.Pool(api.PoolName(ss[0]), func(p *control.PoolView) { p.Guaranteed = map[api.Team]int{api.Team(ss[1]): int(ns[0])} })
+		sim.After(durations[0], func() {
+			sim.Tenants.UpdatePool(api.PoolName(names[0]), func(p *controller.PoolView) { p.Guaranteed = map[api.Team]int{api.Team(names[1]): int(numbers[0])} })
 		})
 	case "holds":
-		w.After(ds[0], func() {
-			if now, _ := w.Tenants.Held(api.PoolName(ss[0])); now != int(ns[0]) {
-				r.problems = append(r.problems, fmt.Sprintf("pool %s: %d units are held at %.0f s, expected %v", ss[0], now, w.Now.Seconds(), ns[0]))
+		sim.After(durations[0], func() {
+			if now, _ := sim.Tenants.HeldUnits(api.PoolName(names[0])); now != int(numbers[0]) {
+				r.problems = append(r.problems, fmt.Sprintf("pool %s: %d units are held at %.0f s, expected %v", names[0], now, sim.Now.Seconds(), numbers[0]))
 			}
 		})
 	case "use":
-		r.uses = append(r.uses, used{ss[0], ns[0], w.Tenants.Use(api.PoolName(ss[0]), ds[0], ds[1])})
+		r.poolUses = append(r.poolUses, poolUse{names[0], numbers[0], sim.Tenants.Utilization(api.PoolName(names[0]), durations[0], durations[1])})
 	case "held":
-		r.held[api.PoolName(ss[0])] = int(ns[0])
+		r.maxHeldUnits[api.PoolName(names[0])] = int(numbers[0])
 	case "gone":
-		w.After(ds[0], func() { w.Tenants.Gone(tenant.Name(ss[0])) })
+		sim.After(durations[0], func() { sim.Tenants.CheckDrained(tenant.Name(names[0])) })
 	case "remove":
-		if len(rest) < 2 || len(rest) > 3 || len(rest) == 3 && rest[2] != "cancel" {
+		if len(arguments) < 2 || len(arguments) > 3 || len(arguments) == 3 && arguments[2] != "cancel" {
 			return fmt.Errorf("not understood")
 		}
-		at, err := strconv.ParseFloat(rest[0], 64)
+		at, err := strconv.ParseFloat(arguments[0], 64)
 		if err != nil {
 			return err
 		}
-		w.After(api.Seconds(at), func() { w.Tenants.Remove(tenant.Name(rest[1]), len(rest) == 3) })
+		sim.After(api.Seconds(at), func() { sim.Tenants.Remove(tenant.Name(arguments[1]), len(arguments) == 3) })
 	case "rate":
-		r.rates = append(r.rates, rated{tenant.Name(ss[0]), ns[0], ns[1]})
+		r.rateBounds = append(r.rateBounds, rateBound{tenant.Name(names[0]), numbers[0], numbers[1]})
 	case "finally":
-		r.states = append(r.states, [2]string{ss[0], ss[1]})
+		r.tenantStates = append(r.tenantStates, [2]string{names[0], names[1]})
 	case "end":
-		r.end = ds[0]
+		r.end = durations[0]
 	case "floor":
-		r.floor = ns[0]
+		r.minServed = numbers[0]
 	case "most":
-		r.most[ss[0]] = ns[0]
+		r.upperBounds[names[0]] = numbers[0]
 	case "deleted":
-		r.delMin, r.delMax = int(ns[0]), int(ns[1])
+		r.minDeleted, r.maxDeleted = int(numbers[0]), int(numbers[1])
 	case "up":
-		w.After(ds[0], func() {
-			if up, due := w.Check.Replicas(w.Now); float64(up) < ns[0]*float64(due) {
-				r.problems = append(r.problems, fmt.Sprintf("%d of %d replicas are up at %.0f s, expected %v", up, due, ds[0].Seconds(), ns[0]))
+		sim.After(durations[0], func() {
+			if up, due := sim.Checker.ReplicaCounts(sim.Now); float64(up) < numbers[0]*float64(due) {
+				r.problems = append(r.problems, fmt.Sprintf("%d of %d replicas are up at %.0f s, expected %v", up, due, durations[0].Seconds(), numbers[0]))
 			}
 		})
 	case "sofar":
-		w.After(ds[0], func() {
-			got, ok := map[string]int{"calls": w.Cloud.Calls, "deleted": w.Cloud.Deleted, "rented": w.Cloud.Rented, "starts": w.Check.Starts}[ss[0]]
-			if !ok || float64(got) < ns[0] || float64(got) > ns[1] {
-				r.problems = append(r.problems, fmt.Sprintf("%d %s by %.0f s, expected %v to %v", got, ss[0], ds[0].Seconds(), ns[0], ns[1]))
+		sim.After(durations[0], func() {
+			got, ok := map[string]int{"calls": sim.Cloud.Calls, "deleted": sim.Cloud.DeletedMachines, "rented": sim.Cloud.LaunchedMachines, "starts": sim.Checker.StartCount}[names[0]]
+			if !ok || float64(got) < numbers[0] || float64(got) > numbers[1] {
+				r.problems = append(r.problems, fmt.Sprintf("%d %s by %.0f s, expected %v to %v", got, names[0], durations[0].Seconds(), numbers[0], numbers[1]))
 			}
 		})
 	case "starts":
-		r.min, r.max = int(ns[0]), int(ns[1])
+		r.minStarts, r.maxStarts = int(numbers[0]), int(numbers[1])
 	case "expect":
 		e := expectation{}
 		switch {
-		case len(rest) == 2:
-		case len(rest) == 4 && rest[2] == "by":
-			v, err := strconv.ParseFloat(rest[3], 64)
+		case len(arguments) == 2:
+		case len(arguments) == 4 && arguments[2] == "by":
+			v, err := strconv.ParseFloat(arguments[3], 64)
 			if err != nil {
 				return err
 			}
@@ -677,51 +677,51 @@
 		default:
 			return fmt.Errorf("not understood")
 		}
-		e.ref, e.state = r.ref(rest[0]), api.JobState(rest[1])
-		r.expects = append(r.expects, e)
+		e.ref, e.state = r.jobRef(arguments[0]), api.JobState(arguments[1])
+		r.expectations = append(r.expectations, e)
 	default:
 		return fmt.Errorf("no such step")
 	}
 	return nil
 }
 
-// ref is the id that a job is known by: NAME/REF is that of a tenant's.
-func (r *runner) ref(word string) api.JobRef {
+// jobRef is the id that a job is known by: NAME/REF is that of a tenant's.
+func (r *runner) jobRef(word string) api.JobID {
 	if name, ref, ok := strings.Cut(word, "/"); ok {
-		return r.w.Tenants.Own(tenant.Name(name), api.JobRef(ref))
+		return r.sim.Tenants.RegisterJob(tenant.Name(name), api.JobID(ref))
 	}
-	return api.JobRef(word)
+	return api.JobID(word)
 }
 
-func (r *runner) eachNode(name string, do func(string)) {
-	for _, c := range r.cfgs {
+func (r *runner) eachController(name string, callback func(string)) {
+	for _, c := range r.configs {
 		if name == "all" || name == string(c.Label) {
-			do(string(c.Label))
+			callback(string(c.Label))
 		}
 	}
 }
 
-func (r *runner) eachMachine(name string, do func(api.MachineID)) {
+func (r *runner) eachMachine(name string, callback func(api.MachineID)) {
 	if name != "all" {
-		do(api.MachineID(name))
+		callback(api.MachineID(name))
 		return
 	}
-	for _, id := range r.w.Machines() {
-		do(id)
+	for _, id := range r.sim.Machines() {
+		callback(id)
 	}
 }
 
-func (r *runner) cut(node, side string, length time.Duration, hold bool) {
-	r.eachNode(node, func(n string) {
-		for _, s := range []standin.Side{standin.SideState, standin.SideWorkers, standin.SidePeers, standin.SideCloud, standin.SideUsers} {
+func (r *runner) cutLinks(controllerName, side string, length time.Duration, hold bool) {
+	r.eachController(controllerName, func(n string) {
+		for _, s := range []emulator.Endpoint{emulator.EndpointStore, emulator.EndpointWorkers, emulator.EndpointPeers, emulator.EndpointCloud, emulator.EndpointUsers} {
 			if side == "all" || side == string(s) {
-				r.w.Cut(n, s, length, hold)
+				r.sim.CutLink(n, s, length, hold)
 			}
 		}
 	})
 }
 
-func (r *runner) machines(rest []string) error {
+func (r *runner) launchMachines(rest []string) error {
 	if len(rest) == 0 {
 		return fmt.Errorf("how many?")
 	}
@@ -729,24 +729,24 @@
 	if err != nil {
 		return err
 	}
-	typ, spot, zones := api.TypeName("c8"), false, r.w.Cloud.Types[0].Zones
+	typ, spot, zones := api.MachineTypeName("c8"), false, r.sim.Cloud.Types[0].Zones
 	for _, x := range rest[1:] {
 		if z, ok := strings.CutPrefix(x, "in="); ok {
 			zones = []api.Zone{api.Zone(z)}
 		} else if x == "spot" {
 			spot = true
 		} else {
-			typ = api.TypeName(x)
+			typ = api.MachineTypeName(x)
 		}
 	}
-	lag := r.w.Cloud.Lag
-	r.w.Cloud.Lag = 0
+	lag := r.sim.Cloud.ListLag
+	r.sim.Cloud.ListLag = 0
 	for i := range n {
-		r.w.Cloud.Rent(typ, zones[i%len(zones)], spot, 10*time.Millisecond)
+		r.sim.Cloud.Launch(typ, zones[i%len(zones)], spot, 10*time.Millisecond)
 	}
-	r.w.Cloud.Lag = lag
-	r.up += n
-	r.w.Cloud.Capacity = max(r.w.Cloud.Capacity, r.up)
+	r.sim.Cloud.ListLag = lag
+	r.initialMachines += n
+	r.sim.Cloud.Capacity = max(r.sim.Cloud.Capacity, r.initialMachines)
 	return nil
 }
 
@@ -763,13 +763,13 @@
 		return err
 	}
 	kinds := map[string]api.Kind{"array": api.Array, "gang": api.Gang, "service": api.Service}
-	s := &api.JobSpec{Ref: api.JobRef(rest[1]), Kind: kinds[rest[2]], Class: "batch", Team: "red", Priority: api.Normal,
+	s := &api.JobSpec{Ref: api.JobID(rest[1]), Kind: kinds[rest[2]], Class: "batch", Team: "red", Priority: api.Normal,
 		Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1}
 	if s.Kind == "" {
 		return fmt.Errorf("no such kind")
 	}
-	run, node := 10.0, ""
-	var whose tenant.Name
+	run, controllerName := 10.0, ""
+	var tenantName tenant.Name
 	times, every := 1, 0.0
 	for _, x := range rest[3:] {
 		k, v, _ := strings.Cut(x, "=")
@@ -798,14 +798,14 @@
 			numeric = false
 			switch k {
 			case "tenant":
-				whose = tenant.Name(v)
+				tenantName = tenant.Name(v)
 			case "needs", "job-needs": // POOL:UNITS, of each task or of the job
 				name, units, _ := strings.Cut(v, ":")
 				u, err := strconv.Atoi(units)
 				if err != nil {
 					return err
 				}
-				need := api.Need{Pool: api.PoolName(name), Task: u}
+				need := api.PoolRequest{Pool: api.PoolName(name), Task: u}
 				if k == "job-needs" {
 					need.Task, need.Job = 0, u
 				}
@@ -819,11 +819,11 @@
 			case "priority":
 				s.Priority = api.Priority(v)
 			case "types":
-				s.Types = []api.TypeName{api.TypeName(v)}
+				s.Types = []api.MachineTypeName{api.MachineTypeName(v)}
 			case "zone":
 				s.Zone = api.Zone(v)
 			case "at":
-				node = v
+				controllerName = v
 			case "together":
 				s.OneZone = true
 			case "scatter":
@@ -847,102 +847,105 @@
 	}
 	for i := range times {
 		one := *s
-		one.Ref = api.JobRef(fmt.Sprintf("run-%d", number+i))
-		if whose != "" {
-			one.Ref = r.w.Tenants.Own(whose, one.Ref)
+		one.Ref = api.JobID(fmt.Sprintf("run-%d", number+i))
+		if tenantName != "" {
+			one.Ref = r.sim.Tenants.RegisterJob(tenantName, one.Ref)
 		}
 		if s.Team == "each" { // in turn
-			teams := r.cfgs[0].Deployment.Teams
+			teams := r.configs[0].Deployment.Teams
 			one.Team = teams[i%len(teams)].Name
 		}
 		if one.Kind != api.Service {
-			r.refs = append(r.refs, one.Ref)
+			r.finiteJobs = append(r.finiteJobs, one.Ref)
 		}
-		r.w.After(api.Seconds(at+float64(i)*every), func() { r.w.Users.Submit(&one, api.Seconds(run), node) })
+		r.sim.After(api.Seconds(at+float64(i)*every), func() { r.sim.Users.Submit(&one, api.Seconds(run), controllerName) })
 	}
 	return nil
 }
 
-// take has the cloud take back every so many'th of the spot machines, unannounced.
-func (r *runner) take(share float64) {
+// reclaimSpot has the cloud take back every so many'th of the spot machines, unannounced.
+func (r *runner) reclaimSpot(share float64) {
 	seen := 0.0
-	for _, id := range r.w.Cloud.SpotMachines() {
+	for _, id := range r.sim.Cloud.SpotMachines() {
 		if seen += share; seen >= 1 {
 			seen--
-			r.w.Kill(id)
+			r.sim.Kill(id)
 		}
 	}
 }
 
-// random draws faults of every kind between two times.
-func (r *runner) random(seed uint64, from, to time.Duration) {
-	rnd := rand.New(rand.NewPCG(seed, 3))
+// scheduleRandomFaults draws faults of every kind between two times.
+func (r *runner) scheduleRandomFaults(seed uint64, from, to time.Duration) {
+	rng := rand.New(rand.NewPCG(seed, 3))
 	at := from
 	for at < to {
-		node := string(r.cfgs[rnd.IntN(len(r.cfgs))].Label)
-		length := time.Duration(1+rnd.IntN(25)) * time.Second
-		machine := api.MachineID(fmt.Sprintf("i-%06d", rnd.IntN(8)))
-		hold := rnd.IntN(2) == 0
-		share := 0.1 + 0.4*rnd.Float64()
-		zones := r.cfgs[0].Deployment.Zones
-		zone := zones[rnd.IntN(len(zones))]
+		controllerName := string(r.configs[rng.IntN(len(r.configs))].Label)
+		length := time.Duration(1+rng.IntN(25)) * time.Second
+		machine := api.MachineID(fmt.Sprintf("i-%06d", rng.IntN(8)))
+		hold := rng.IntN(2) == 0
+		share := 0.1 + 0.4*rng.Float64()
+		zones := r.configs[0].Deployment.Zones
+		zone := zones[rng.IntN(len(zones))]
 		faults := []func(){
-			func() { r.w.Crash(node, time.Duration(1+rnd.IntN(8))*time.Second) },
-			func() { r.eachNode("all", func(n string) { r.w.Crash(n, 3*time.Second) }) },
-			func() { r.w.Freeze(node, length) },
-			func() { r.cut(node, "state", length, hold) },
-			func() { r.cut(node, "workers", length, hold) },
-			func() { r.cut(node, "all", length, hold) },
-			func() { r.cut(node, "peers", length, hold) },
-			func() { r.w.State.Outage(length / 2) },
-			func() { r.w.State.Refuse(node, length) },
+			func() { r.sim.CrashController(controllerName, time.Duration(1+rng.IntN(8))*time.Second) },
+			func() { r.eachController("all", func(n string) { r.sim.CrashController(n, 3*time.Second) }) },
+			func() { r.sim.FreezeController(controllerName, length) },
+			func() { r.cutLinks(controllerName, "state", length, hold) },
+			func() { r.cutLinks(controllerName, "workers", length, hold) },
+			func() { r.cutLinks(controllerName, "all", length, hold) },
+			func() { r.cutLinks(controllerName, "peers", length, hold) },
+			func() { r.sim.Store.Outage(length / 2) },
+			func() { r.sim.Store.RefuseController(controllerName, length) },
 			func() {
-				r.w.Check.Trouble(r.w.Now + length)
-				r.w.LoseAnswers = share
-				r.w.After(length, func() { r.w.LoseAnswers = 0 })
+				r.sim.Checker.FaultUntil(r.sim.Now + length)
+				r.sim.ReplyLossRate = share
+				r.sim.After(length, func() { r.sim.ReplyLossRate = 0 })
 			},
 			func() {
-				r.w.Check.Trouble(r.w.Now + length)
-				r.w.DelayState = share
-				r.w.After(length, func() { r.w.DelayState = 0 })
+				r.sim.Checker.FaultUntil(r.sim.Now + length)
+				r.sim.TransactionDelayRate = share
+				r.sim.After(length, func() { r.sim.TransactionDelayRate = 0 })
 			},
-			func() { r.w.Kill(machine) },
-			func() { r.w.Hang(machine, length) },
-			func() { r.w.Sicken(machine, length) },
-			func() { r.w.HoldDirect(machine, 2*length) },
-			func() { r.w.CutZone(zone, 2*length, hold) },
-			func() { r.w.Deafen(machine, 2*length) },
-			func() { r.cut(node, "state", 2*length, hold); r.cut(node, "peers", 2*length, hold) },
+			func() { r.sim.Kill(machine) },
+			func() { r.sim.Hang(machine, length) },
+			func() { r.sim.FailTasks(machine, length) },
+			func() { r.sim.DelayCommands(machine, 2*length) },
+			func() { r.sim.CutZone(zone, 2*length, hold) },
+			func() { r.sim.CutInbound(machine, 2*length) },
 			func() {
-				r.w.Check.Trouble(r.w.Now + length + 2*r.cfgs[0].WorkerLease())
-				r.w.StaleReports = share
-				r.w.After(length, func() { r.w.StaleReports = 0 })
+				r.cutLinks(controllerName, "state", 2*length, hold)
+				r.cutLinks(controllerName, "peers", 2*length, hold)
 			},
 			func() {
-				r.w.State.Refuse(node, length)
-				r.w.After(length/2, func() { r.w.State.Outage(3 * length) })
+				r.sim.Checker.FaultUntil(r.sim.Now + length + 2*r.configs[0].WorkerLease())
+				r.sim.StaleHeartbeatRate = share
+				r.sim.After(length, func() { r.sim.StaleHeartbeatRate = 0 })
 			},
-			func() { r.w.Mute(machine, 2*length) },
 			func() {
-				r.w.KeepReports = share
-				r.w.After(length, func() { r.w.KeepReports = 0 })
+				r.sim.Store.RefuseController(controllerName, length)
+				r.sim.After(length/2, func() { r.sim.Store.Outage(3 * length) })
 			},
+			func() { r.sim.CutOutbound(machine, 2*length) },
 			func() {
-				r.w.Users.Looks = true
-				r.w.After(length, func() { r.w.Users.Looks = false })
+				r.sim.HeldHeartbeatRate = share
+				r.sim.After(length, func() { r.sim.HeldHeartbeatRate = 0 })
 			},
 			func() {
-				if r.w.Tenants == nil {
-					r.w.Users.Odd(length)
+				r.sim.Users.PollOnChange = true
+				r.sim.After(length, func() { r.sim.Users.PollOnChange = false })
+			},
+			func() {
+				if r.sim.Tenants == nil {
+					r.sim.Users.SendIrregularRequests(length)
 				}
 			},
 			func() {
-				r.w.Check.Trouble(r.w.Now + length)
-				r.w.SlowLinks = 100 * time.Millisecond
-				r.w.After(length, func() { r.w.SlowLinks = 0 })
+				r.sim.Checker.FaultUntil(r.sim.Now + length)
+				r.sim.ExtraLatency = 100 * time.Millisecond
+				r.sim.After(length, func() { r.sim.ExtraLatency = 0 })
 			},
 		}
-		r.w.After(at, faults[rnd.IntN(len(faults))])
-		at += time.Duration(1+rnd.IntN(12)) * time.Second
+		r.sim.After(at, faults[rng.IntN(len(faults))])
+		at += time.Duration(1+rng.IntN(12)) * time.Second
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestMain(m *testing.M) {
-	if Trace = os.Getenv("LOG_LEVEL") != ""; !Trace {
+	if TraceLogs = os.Getenv("LOG_LEVEL") != ""; !TraceLogs {
 		slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}
 	os.Exit(m.Run())
@@ -29,12 +29,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			play(t, data)
+			playScenario(t, data)
 		})
 	}
 }
 
-func play(t *testing.T, data []byte) {
+func playScenario(t *testing.T, data []byte) {
 	t.Helper()
 	res, err := Run(data)
 	if err != nil {
@@ -51,7 +51,7 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, fmt.Appendf(nil, script, seed))
+			playScenario(t, fmt.Appendf(nil, script, seed))
 		})
 	}
 }
--- a/internal/scenario/zones_test.go
+++ b/internal/scenario/zone_loss_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// zoneScript draws a loss of one zone or of two after one another, with 60 to 200 machines
+// zoneLossScript draws a loss of one zone or of two after one another, with 60 to 200 machines
 // and three to seven controllers inside and outside, and two further faults in some phase
 // of it. All that is lost must start again, and nobody go unserved.
-func zoneScript(seed uint64) string {
-	r, pick, line, b := drawing(seed, 21)
+func zoneLossScript(seed uint64) string {
+	r, pick, line, b := newScriptBuilder(seed, 21)
 	line("-- script --")
-	nodes := controllers(r, pick, line)
+	controllerCount := drawControllers(r, pick, line)
 	machines := 60 + r.IntN(141)
 	line("machines %d", machines)
 	line("machines 8 g8")
@@ -35,27 +35,27 @@
 	}
 	for range 2 {
 		when := at - 5 + r.IntN(length+15)
-		node := fmt.Sprintf("stone-%d", r.IntN(nodes))
-		for_ := 2 + r.IntN(25)
+		controllerName := fmt.Sprintf("stone-%d", r.IntN(controllerCount))
+		duration := 2 + r.IntN(25)
 		switch r.IntN(9) {
 		case 0:
-			line("crash %d %s %d", when, node, 1+r.IntN(8))
+			line("crash %d %s %d", when, controllerName, 1+r.IntN(8))
 		case 1:
 			line("crash %d all 3", when)
 		case 2:
-			line("freeze %d %d %s", when, for_, node)
+			line("freeze %d %d %s", when, duration, controllerName)
 		case 3:
-			line("cut %d %d %s %s %s", when, for_, node, pick("state", "workers", "peers", "cloud", "all"), pick("hold", "drop"))
+			line("cut %d %d %s %s %s", when, duration, controllerName, pick("state", "workers", "peers", "cloud", "all"), pick("hold", "drop"))
 		case 4:
-			line("outage %d %d", when, 1+for_/2)
+			line("outage %d %d", when, 1+duration/2)
 		case 5:
-			line("refuse %d %d %s", when, for_, node)
+			line("refuse %d %d %s", when, duration, controllerName)
 		case 6:
-			line("cloud %d %d", when, for_)
+			line("cloud %d %d", when, duration)
 		case 7:
 			line("roll %d %d", when, 4+r.IntN(6))
 		case 8:
-			line("delay %d %d 0.2", when, for_)
+			line("delay %d %d 0.2", when, duration)
 		}
 	}
 	line("cancel %d run-%d", at+r.IntN(length), 1+r.IntN(services))
@@ -65,8 +65,8 @@
 	return b.String()
 }
 
-// controllers draws three, five or seven of them and where they are.
-func controllers(r *rand.Rand, pick func(...string) string, line func(string, ...any)) int {
+// drawControllers draws three, five or seven of them and where they are.
+func drawControllers(r *rand.Rand, pick func(...string) string, line func(string, ...any)) int {
 	domains := make([]string, 3+2*r.IntN(3))
 	for i := range domains {
 		domains[i] = pick("a", "b", "c", "region")
@@ -75,12 +75,12 @@
 	return len(domains)
 }
 
-// TestDrawnZoneLosses plays some drawn losses; see runs.
-func TestDrawnZoneLosses(t *testing.T) { runs(t, zoneScript) }
+// TestRandomZoneLosses plays some drawn losses; see runs.
+func TestRandomZoneLosses(t *testing.T) { runDrawnScripts(t, zoneLossScript) }
 
-// runs plays twelve scripts that are drawn; BASALTWALL_RUNS=N plays so many by hand, from
+// runDrawnScripts plays twelve scripts that are drawn; BASALTWALL_RUNS=N plays so many by hand, from
 // BASALTWALL_FROM on.
-func runs(t *testing.T, draw func(seed uint64) string) {
+func runDrawnScripts(t *testing.T, draw func(seed uint64) string) {
 	count, from := 12, 0
 	for name, to := range map[string]*int{"BASALTWALL_RUNS": &count, "BASALTWALL_FROM": &from} {
 		if v := os.Getenv(name); v != "" {
@@ -95,7 +95,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			script := draw(uint64(seed))
-			play(t, []byte(script))
+			playScenario(t, []byte(script))
 			if t.Failed() {
 				t.Log(script)
 			}
@@ -103,8 +103,8 @@
 	}
 }
 
-// drawing is what a drawn script is made with: chance, one of some words, and a line more.
-func drawing(seed, stream uint64) (r *rand.Rand, pick func(of ...string) string, line func(format string, args ...any), b *strings.Builder) {
+// newScriptBuilder is what a drawn script is made with: chance, one of some words, and a line more.
+func newScriptBuilder(seed, stream uint64) (r *rand.Rand, pick func(of ...string) string, line func(format string, args ...any), b *strings.Builder) {
 	r, b = rand.New(rand.NewPCG(seed, stream)), &strings.Builder{}
 	pick = func(of ...string) string { return of[r.IntN(len(of))] }
 	line = func(format string, args ...any) { fmt.Fprintf(b, format+"\n", args...) }
--- a/internal/loopback/loopback.go
+++ b/internal/testport/testport.go
@@ -1,6 +1,6 @@
 // Package loopback keeps ports of 127.0.0.1 for servers that are told their
 // address before they listen.
-package loopback
+package testport
 
 import (
 	"fmt"
--- a/internal/loopback/loopback_test.go
+++ b/internal/testport/testport_test.go
@@ -1,4 +1,4 @@
-package loopback
+package testport
 
 import (
 	"net"
@@ -8,7 +8,7 @@
 // A server can listen at a reserved address, and no connection is made from it.
 // CI once failed because a port that was found free and let go had meanwhile
 // become the near end of another test's connection.
-func TestReserved(t *testing.T) {
+func TestReservedPort(t *testing.T) {
 	addr, release, err := Reserve()
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/membership/restarts_test.go
@@ -0,0 +1,30 @@
+package membership
+
+import (
+	"testing"
+	"time"
+
+	"basaltwall/api"
+)
+
+// One restart and another cost no trust; who keeps ending waits longer and longer, and is
+// trusted again when it has lived for a while.
+func TestFailbackDelayGrowsWithRestarts(t *testing.T) {
+	var tracker RestartTracker
+	at := func(s int) api.Time { return api.Time(time.Duration(s) * time.Second) }
+	if !tracker.Observe("a", 1, at(0)) || tracker.Observe("a", 1, at(1)) || !tracker.Observe("a", 2, at(10)) {
+		t.Error("lives are not told apart")
+	}
+	for i, want := range []int{5, 10, 20, 40, 60, 60} {
+		if got := tracker.FailbackDelay("a", at(10+i), 5*time.Second); got != time.Duration(want)*time.Second {
+			t.Errorf("after %d lives: %v, expected %d s", i+2, got, want)
+		}
+		tracker.Observe("a", int64(3+i), at(10+i))
+	}
+	if got := tracker.FailbackDelay("a", at(200), 5*time.Second); got != 5*time.Second {
+		t.Errorf("two minutes later: %v", got)
+	}
+	if got := tracker.FailbackDelay("b", at(0), 5*time.Second); got != 5*time.Second {
+		t.Errorf("of one never seen: %v", got)
+	}
+}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -8,7 +8,7 @@
 	"encoding/json"
 	"fmt"
 
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/httpx"
 )
 
@@ -25,8 +25,8 @@
 }
 
 // ParseMessage reads a message.
-func ParseMessage(body []byte) (control.PeerMessage, error) {
-	var m control.PeerMessage
+func ParseMessage(body []byte) (controller.PeerMessage, error) {
+	var m controller.PeerMessage
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&m); err != nil {
 		return m, fmt.Errorf("peer message: %w", err)
 	}
@@ -34,36 +34,36 @@
 }
 
 // Request is the HTTP request for a call.
-func Request(c control.PeerCall) (method, target string, body []byte, err error) {
+func Request(c controller.PeerCall) (method, target string, body []byte, err error) {
 	body, err = Encode(c.Message)
 	return "POST", Path, body, err
 }
 
 // Encoder writes requests. News that goes to many is written once.
 type Encoder struct {
-	news *control.Gossip
-	body []byte
+	lastGossip *controller.Gossip
+	lastBody   []byte
 }
 
 // Request is the HTTP request for a call.
-func (e *Encoder) Request(c control.PeerCall) (method, target string, body []byte, err error) {
+func (e *Encoder) Request(c controller.PeerCall) (method, target string, body []byte, err error) {
 	if c.Message.Gossip == nil {
 		return Request(c)
 	}
-	if c.Message.Gossip != e.news {
-		if e.body, err = Encode(c.Message); err != nil {
-			e.news = nil
+	if c.Message.Gossip != e.lastGossip {
+		if e.lastBody, err = Encode(c.Message); err != nil {
+			e.lastGossip = nil
 			return "", "", nil, err
 		}
-		e.news = c.Message.Gossip
+		e.lastGossip = c.Message.Gossip
 	}
-	return "POST", Path, e.body, nil
+	return "POST", Path, e.lastBody, nil
 }
 
-// Answer is the owner's answer for a response.
-func Answer(c control.PeerCall, r httpx.Response, failed error) control.PeerAnswer {
-	a := control.PeerAnswer{ID: c.ID}
-	if failed != nil || r.Status != 200 {
+// ParseReply is the owner's answer for a response.
+func ParseReply(c controller.PeerCall, r httpx.Response, callErr error) controller.PeerResponse {
+	a := controller.PeerResponse{ID: c.ID}
+	if callErr != nil || r.Status != 200 {
 		return a
 	}
 	if err := gob.NewDecoder(bytes.NewReader(r.Body)).Decode(&a.Reply); err != nil {
@@ -74,31 +74,31 @@
 }
 
 // Command is what a message asks of the owner, as request req.
-func Command(m control.PeerMessage, req control.ReqID, report func([]byte) control.Command) control.Command {
+func Command(m controller.PeerMessage, req controller.ReqID, parseHeartbeat func([]byte) controller.Command) controller.Command {
 	switch {
 	case m.Gossip != nil:
-		return control.Hear{Req: req, Gossip: m.Gossip}
+		return controller.PeerGossip{Req: req, Gossip: m.Gossip}
 	case m.ReadLog != nil:
-		return control.ReadLog{Req: req, Ask: m.ReadLog}
+		return controller.ReadLog{Req: req, Request: m.ReadLog}
 	case m.Forward != nil:
 		switch f := m.Forward; f.Kind {
 		case "submit":
-			return control.Submit{Req: req, Body: f.Body, Forwarded: true}
+			return controller.Submit{Req: req, Body: f.Body, Forwarded: true}
 		case "poll":
-			return control.Poll{Req: req, Ref: f.Ref, Forwarded: true}
+			return controller.Poll{Req: req, Ref: f.Ref, Forwarded: true}
 		case "cancel":
-			return control.Cancel{Req: req, Ref: f.Ref, Forwarded: true}
+			return controller.Cancel{Req: req, Ref: f.Ref, Forwarded: true}
 		case "checkin":
-			return report(f.Body)
-		case control.ForwardSkips:
-			var c control.Ask
-			if json.Unmarshal(f.Body, &c) != nil {
+			return parseHeartbeat(f.Body)
+		case controller.ForwardSkips:
+			var ask controller.AdminRequest
+			if json.Unmarshal(f.Body, &ask) != nil {
 				return nil
 			}
-			c.Req, c.Forwarded = req, true
-			return c
-		case control.ForwardHosted:
-			return control.Unwrap(f.Body, req)
+			ask.Req, ask.Forwarded = req, true
+			return ask
+		case controller.ForwardHosted:
+			return controller.DecodeHostedForward(f.Body, req)
 		}
 	}
 	return nil
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -48,21 +48,21 @@
 )
 
 func invalid(field, why string, args ...any) error {
-	return &tenant.Error{Status: 400, Field: field, Why: fmt.Sprintf(why, args...)}
+	return &tenant.Error{Status: 400, Field: field, Reason: fmt.Sprintf(why, args...)}
 }
 
-// Check says what is wrong with a record, naming the field.
-func (p *Pool) Check(parts int) error {
+// Validate says what is wrong with a record, naming the field.
+func (p *Pool) Validate(partitions int) error {
 	if err := tenant.CheckName("name", string(p.Name)); err != nil {
 		return err
 	}
-	sum, below := 0, false
+	sum, negative := 0, false
 	for _, s := range p.Shares {
-		sum, below = sum+s, below || s < 0
+		sum, negative = sum+s, negative || s < 0
 	}
-	guaranteed, least := 0, 0
+	guaranteed, minGuarantee := 0, 0
 	for _, g := range p.Guaranteed {
-		guaranteed, least = guaranteed+min(g, maxSize), min(least, g)
+		guaranteed, minGuarantee = guaranteed+min(g, maxSize), min(minGuarantee, g)
 	}
 	switch {
 	case len(p.Unit) > maxText || !utf8.ValidString(p.Unit) || !printable(p.Unit):
@@ -73,13 +73,13 @@
 		return invalid("largest", "must be between the size and %d", maxSize)
 	case len(p.Teams) > maxUsers:
 		return invalid("teams", "at most %d", maxUsers)
-	case len(p.Guaranteed) > maxUsers || guaranteed > p.Largest || least < 0:
+	case len(p.Guaranteed) > maxUsers || guaranteed > p.Largest || minGuarantee < 0:
 		return invalid("guaranteed", "at most %d teams, none below 0, and together the largest size at most", maxUsers)
 	case len(p.Tenants) > maxUsers:
 		return invalid("tenants", "at most %d", maxUsers)
 	case !slices.Contains([]State{Active, Frozen, Removed}, p.State):
 		return invalid("state", "%q is none", p.State)
-	case len(p.Shares) != parts || sum > p.Size || below:
+	case len(p.Shares) != partitions || sum > p.Size || negative:
 		return invalid("shares", "must be one for each part, none below 0, and the size at most together")
 	}
 	return nil
@@ -99,7 +99,7 @@
 	return len(p.Teams)+len(p.Tenants) == 0 || slices.Contains(p.Teams, team) || name != "" && slices.Contains(p.Tenants, name)
 }
 
-// Free is how many units a part may hand out that holds as many as held says, exactly;
+// Available is how many units a part may hand out that holds as many as held says, exactly;
 // what the other parts hold may be more by now than it says, or less.
 //
 // It is to be used under the version of the record that was read together with held, or
@@ -109,92 +109,92 @@
 // handed out here, within our share. A share below what is held, after the pool was made
 // smaller or its shares were moved on old knowledge, so keeps all from handing out anything
 // until there is room again.
-func (p *Pool) Free(part api.PartID, held []int) int {
+func (p *Pool) Available(partition api.PartitionID, held []int) int {
 	if p.State != Active {
 		return 0
 	}
 	others := 0
-	for q, h := range held {
-		if q != int(part) {
-			others += max(h, p.Shares[q])
+	for other, h := range held {
+		if other != int(partition) {
+			others += max(h, p.Shares[other])
 		}
 	}
-	own := held[part]
-	return max(0, min(p.Shares[part]-own, p.Size-others-own))
+	own := held[partition]
+	return max(0, min(p.Shares[partition]-own, p.Size-others-own))
 }
 
-// Ask is work that waits for units: so many starts, each of which takes so many at once.
-type Ask struct {
-	Part    api.PartID
-	Units   int // of one start
-	Starts  int
-	Reserve bool // it has waited for long enough: nobody after it takes what it lacks
+// Demand is work that waits for units: so many starts, each of which takes so many at once.
+type Demand struct {
+	Partition api.PartitionID
+	Units     int // of one start
+	Starts    int
+	Reserves  bool // it has waited for long enough: nobody after it takes what it lacks
 }
 
-// Divide shares a pool out: to each part what it holds, then to those who ask, in their
+// AllocateShares shares a pool out: to each part what it holds, then to those who ask, in their
 // order, and what is left to all alike, so that whoever asks next need not wait for a
 // share. An ask of which not even one start fits is passed over unless it reserves.
-func Divide(size int, held []int, asks []Ask) []int {
+func AllocateShares(size int, held []int, demands []Demand) []int {
 	shares := slices.Clone(held)
-	rest := size
+	remaining := size
 	for _, h := range held {
-		rest -= h
+		remaining -= h
 	}
 	// More is held than there is: the shares are cut, the largest first, and nothing is
 	// handed out until that many have ended.
-	for ; rest < 0; rest++ {
+	for ; remaining < 0; remaining++ {
 		shares[slices.Index(shares, slices.Max(shares))]--
 	}
-	for _, a := range asks {
-		if a.Units <= 0 || a.Units > size {
+	for _, demand := range demands {
+		if demand.Units <= 0 || demand.Units > size {
 			continue
 		}
-		starts := min(a.Starts, rest/a.Units)
-		shares[a.Part] += starts * a.Units
-		rest -= starts * a.Units
-		if starts < a.Starts && a.Reserve {
-			shares[a.Part] += rest
-			rest = 0
+		starts := min(demand.Starts, remaining/demand.Units)
+		shares[demand.Partition] += starts * demand.Units
+		remaining -= starts * demand.Units
+		if starts < demand.Starts && demand.Reserves {
+			shares[demand.Partition] += remaining
+			remaining = 0
 		}
 	}
-	for q := range shares {
-		shares[q] += rest / len(shares)
-		if q < rest%len(shares) {
-			shares[q]++
+	for partition := range shares {
+		shares[partition] += remaining / len(shares)
+		if partition < remaining%len(shares) {
+			shares[partition]++
 		}
 	}
 	return shares
 }
 
-// Served is how many units of what is asked for the parts could hand out under shares, those
+// SatisfiedUnits is how many units of what is asked for the parts could hand out under shares, those
 // with it that are gathered for an ask that reserves.
-func Served(p *Pool, held []int, asks []Ask) int {
+func SatisfiedUnits(p *Pool, held []int, demands []Demand) int {
 	free := make([]int, len(held))
-	for q := range held {
-		free[q] = p.Free(api.PartID(q), held)
+	for partition := range held {
+		free[partition] = p.Available(api.PartitionID(partition), held)
 	}
 	served := 0
-	for _, a := range asks {
-		if a.Units <= 0 {
+	for _, demand := range demands {
+		if demand.Units <= 0 {
 			continue
 		}
-		starts := min(a.Starts, free[a.Part]/a.Units)
-		free[a.Part] -= starts * a.Units
-		served += starts * a.Units
-		if starts < a.Starts && a.Reserve {
-			return served + free[a.Part] // gathered for it
+		starts := min(demand.Starts, free[demand.Partition]/demand.Units)
+		free[demand.Partition] -= starts * demand.Units
+		served += starts * demand.Units
+		if starts < demand.Starts && demand.Reserves {
+			return served + free[demand.Partition] // gathered for it
 		}
 	}
 	return served
 }
 
-// Patience is for how long work that needs several units may be overtaken by work that needs
+// ReservationInterval is for how long work that needs several units may be overtaken by work that needs
 // fewer. After that it reserves what comes free for as long, and so on by turns: work that
 // can't start for another reason then takes half of the pool's use from others at most.
-const Patience = time.Minute
+const ReservationInterval = time.Minute
 
-// Reserves reports whether work that has waited so long reserves what comes free.
-func Reserves(waited time.Duration) bool { return waited/Patience%2 == 1 }
+// ShouldReserve reports whether work that has waited so long reserves what comes free.
+func ShouldReserve(waited time.Duration) bool { return waited/ReservationInterval%2 == 1 }
 
 // Entry is a pool's record with the revision that a change must name.
 type Entry struct {
@@ -204,22 +204,22 @@
 
 // Table is the pools as the state service's log tells of them.
 type Table struct {
-	parts   int
-	entries map[api.PoolName]*Entry
+	partitions int
+	entries    map[api.PoolName]*Entry
 }
 
 // NewTable returns a table without pools.
-func NewTable(parts int) *Table {
-	return &Table{parts: parts, entries: map[api.PoolName]*Entry{}}
+func NewTable(partitions int) *Table {
+	return &Table{partitions: partitions, entries: map[api.PoolName]*Entry{}}
 }
 
 // Put takes in a record.
-func (t *Table) Put(name string, value json.RawMessage, ver api.Revision) error {
-	e := &Entry{Revision: ver}
+func (t *Table) Put(name string, value json.RawMessage, version api.Revision) error {
+	e := &Entry{Revision: version}
 	if err := json.Unmarshal(value, &e.Pool); err != nil {
 		return err
 	}
-	if err := e.Check(t.parts); err != nil {
+	if err := e.Validate(t.partitions); err != nil {
 		return err
 	}
 	if string(e.Name) != name {
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -8,35 +8,35 @@
 	"pgregory.net/rapid"
 
 	"basaltwall/api"
-	_ "basaltwall/internal/seeded"
+	_ "basaltwall/internal/proptest"
 	"basaltwall/tenant"
 )
 
 // However a pool is divided, the shares are one for each part, none below 0, together the
 // size; what is held stays with its holder as far as there is enough; and all parts
 // together may hand out no more than is free.
-func TestDivide(t *testing.T) {
+func TestAllocateShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		parts := rapid.IntRange(1, 5).Draw(t, "parts")
+		partitions := rapid.IntRange(1, 5).Draw(t, "parts")
 		size := rapid.IntRange(0, 30).Draw(t, "size")
-		held, total := make([]int, parts), 0
+		held, total := make([]int, partitions), 0
 		for q := range held {
 			held[q] = rapid.IntRange(0, 12).Draw(t, "held")
 			total += held[q]
 		}
-		asks := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Ask {
-			return Ask{Part: api.PartID(rapid.IntRange(0, parts-1).Draw(t, "part")), Units: rapid.IntRange(0, 8).Draw(t, "units"),
-				Starts: rapid.IntRange(1, 5).Draw(t, "starts"), Reserve: rapid.Bool().Draw(t, "reserve")}
+		demands := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Demand {
+			return Demand{Partition: api.PartitionID(rapid.IntRange(0, partitions-1).Draw(t, "part")), Units: rapid.IntRange(0, 8).Draw(t, "units"),
+				Starts: rapid.IntRange(1, 5).Draw(t, "starts"), Reserves: rapid.Bool().Draw(t, "reserve")}
 		}), 0, 8).Draw(t, "asks")
-		shares := Divide(size, held, asks)
+		shares := AllocateShares(size, held, demands)
 		p := Pool{Name: "routing", Size: size, Largest: size, State: Active, Shares: shares}
-		if err := p.Check(parts); err != nil {
+		if err := p.Validate(partitions); err != nil {
 			t.Fatalf("%v: %v", shares, err)
 		}
 		sum, free := 0, 0
 		for q, s := range shares {
 			sum += s
-			f := p.Free(api.PartID(q), held)
+			f := p.Available(api.PartitionID(q), held)
 			free += f
 			if total <= size && s < held[q] || total > size && s > held[q] {
 				t.Fatalf("part %d holds %d of %d in all, its share is %d of %d", q, held[q], total, s, size)
@@ -47,16 +47,16 @@
 		}
 		// The first who asks has what it needs if there is enough, or all there is if it
 		// reserves.
-		if len(asks) > 0 && asks[0].Units > 0 && asks[0].Units <= size && total <= size {
-			a, rest := asks[0], size-total
-			if got := shares[a.Part] - held[a.Part]; rest >= a.Units && got < a.Units || a.Reserve && got < min(rest, a.Units*a.Starts) {
+		if len(demands) > 0 && demands[0].Units > 0 && demands[0].Units <= size && total <= size {
+			a, rest := demands[0], size-total
+			if got := shares[a.Partition] - held[a.Partition]; rest >= a.Units && got < a.Units || a.Reserves && got < min(rest, a.Units*a.Starts) {
 				t.Fatalf("%+v is first of %d and gets %d", a, rest, got)
 			}
 		}
 		frozen := p
 		frozen.State = Frozen
 		for q := range shares {
-			if frozen.Free(api.PartID(q), held) != 0 {
+			if frozen.Available(api.PartitionID(q), held) != 0 {
 				t.Fatal("a frozen pool hands out units")
 			}
 		}
@@ -64,9 +64,9 @@
 }
 
 // Work that waits reserves by turns, never in its first minute.
-func TestReservesByTurns(t *testing.T) {
-	for waited, want := range map[time.Duration]bool{0: false, Patience - 1: false, Patience: true, 2*Patience - 1: true, 2 * Patience: false, 3 * Patience: true} {
-		if Reserves(waited) != want {
+func TestReservationIntervalsAlternate(t *testing.T) {
+	for waited, want := range map[time.Duration]bool{0: false, ReservationInterval - 1: false, ReservationInterval: true, 2*ReservationInterval - 1: true, 2 * ReservationInterval: false, 3 * ReservationInterval: true} {
+		if ShouldReserve(waited) != want {
 			t.Errorf("after %v: %v", waited, !want)
 		}
 	}
@@ -74,19 +74,19 @@
 
 func TestCheckNamesTheField(t *testing.T) {
 	good := Pool{Name: "routing", Size: 3, Largest: 5, State: Active, Shares: []int{2, 1}}
-	if err := good.Check(2); err != nil {
+	if err := good.Validate(2); err != nil {
 		t.Fatal(err)
 	}
-	for field, spoil := range map[string]func(*Pool){
+	for field, corrupt := range map[string]func(*Pool){
 		"name": func(p *Pool) { p.Name = "Routing/1" }, "size": func(p *Pool) { p.Size = -1 }, "largest": func(p *Pool) { p.Largest = 2 },
 		"unit": func(p *Pool) { p.Unit = "a\nb" }, "state": func(p *Pool) { p.State = "" }, "shares": func(p *Pool) { p.Shares = []int{3, 1} },
 		"guaranteed": func(p *Pool) { p.Guaranteed = map[api.Team]int{"red": 3, "blue": 3} },
 		"teams":      func(p *Pool) { p.Teams = make([]api.Team, maxUsers+1) }, "tenants": func(p *Pool) { p.Tenants = make([]tenant.Name, maxUsers+1) },
 	} {
 		p := good
-		spoil(&p)
+		corrupt(&p)
 		var e *tenant.Error
-		if err := p.Check(2); !errors.As(err, &e) || e.Field != field {
+		if err := p.Validate(2); !errors.As(err, &e) || e.Field != field {
 			t.Errorf("%s spoilt: %v", field, err)
 		}
 	}
@@ -104,7 +104,7 @@
 }
 
 // A record that makes no sense leaves the one before in force.
-func TestTableKeepsWhatItUnderstood(t *testing.T) {
+func TestTableKeepsLastValidRecord(t *testing.T) {
 	table := NewTable(2)
 	if err := table.Put("routing", []byte(`{"name":"routing","size":3,"largest":3,"state":"active","shares":[2,1]}`), 5); err != nil {
 		t.Fatal(err)
--- a/precedence/model_test.go
+++ b/priority/model_test.go
@@ -1,11 +1,11 @@
-package precedence
+package priority
 
 import (
 	"testing"
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/internal/explore"
+	"basaltwall/internal/modelcheck"
 )
 
 // The model: one machine type, whose shortage two controllers write, the holder of the duty and
@@ -17,48 +17,48 @@
 // holder. So all controllers order by one story, and nobody ends a shortage, or begins one, by
 // what was so before another's record.
 
-type shortRead struct{ short, fresh, holds bool }
+type shortRead struct{ short, fresh, leads bool }
 
-type shortWrite struct{ sent, to, fresh, holds bool }
+type shortWrite struct{ sent, to, fresh, leads bool }
 
 type shortWorld struct {
-	short, lacked bool
-	reads         [2]shortRead
-	writes        [2]shortWrite
+	short, demandUnmet bool
+	reads              [2]shortRead
+	writes             [2]shortWrite
 }
 
-type shortRules struct{ namesRecord, namesDuty bool }
+type shortRules struct{ checksVersion, checksTerm bool }
 
-func (w shortWorld) next(r shortRules, do func(shortWorld)) (wrong bool) {
+func (w shortWorld) next(r shortRules, visit func(shortWorld)) (wrong bool) {
 	n := w
-	n.lacked = !w.lacked
-	do(n)
+	n.demandUnmet = !w.demandUnmet
+	visit(n)
 	n = w // the duty is taken, by the other or by the same anew
 	for i := range n.reads {
-		n.reads[i].holds, n.writes[i].holds = false, false
+		n.reads[i].leads, n.writes[i].leads = false, false
 	}
-	do(n)
+	visit(n)
 	for i := range w.reads {
 		n := w
 		n.reads[i] = shortRead{w.short, true, true}
-		do(n)
-		if v := w.reads[i]; v.holds && !w.writes[i].sent {
+		visit(n)
+		if v := w.reads[i]; v.leads && !w.writes[i].sent {
 			old := Shortage{}
 			if v.short {
-				old.Types = []api.TypeName{"g8"}
+				old.Types = []api.MachineTypeName{"g8"}
 			}
-			var watch Watch // it has looked for long enough
-			lacked := map[api.TypeName]bool{}
-			if w.lacked {
+			var watch ShortageTracker // it has looked for long enough
+			lacked := map[api.MachineTypeName]bool{}
+			if w.demandUnmet {
 				lacked["g8"] = true
 			}
-			watch.See(lacked, api.Time(time.Second))
-			now := api.Time(time.Second + ShortKept + 1)
-			watch.See(lacked, now)
-			if next := watch.Next(old, now, api.Time(time.Second)-1, 1); !next.Same(old) {
+			watch.Observe(lacked, api.Time(time.Second))
+			now := api.Time(time.Second + ShortageHold + 1)
+			watch.Observe(lacked, now)
+			if next := watch.Next(old, now, api.Time(time.Second)-1, 1); !next.Equal(old) {
 				n := w
-				n.writes[i] = shortWrite{true, next.Of("g8"), v.fresh, v.holds}
-				do(n)
+				n.writes[i] = shortWrite{true, next.Includes("g8"), v.fresh, v.leads}
+				visit(n)
 			}
 		}
 		x := w.writes[i]
@@ -67,29 +67,29 @@
 		}
 		n = w
 		n.writes[i] = shortWrite{}
-		if (x.fresh || !r.namesRecord) && (x.holds || !r.namesDuty) {
-			wrong = wrong || !x.fresh || !x.holds
+		if (x.fresh || !r.checksVersion) && (x.leads || !r.checksTerm) {
+			wrong = wrong || !x.fresh || !x.leads
 			n.short = x.to
 			for k := range n.reads {
 				n.reads[k].fresh, n.writes[k].fresh = false, false
 			}
 		}
-		do(n)
+		visit(n)
 	}
 	return wrong
 }
 
-func TestOneStoryOfAShortage(t *testing.T) {
-	look := func(r shortRules) (states int, wrong bool) {
-		return explore.All(shortWorld{}, 0, func(w shortWorld, do func(shortWorld)) bool { return w.next(r, do) })
+func TestShortageRecordsAreSequential(t *testing.T) {
+	check := func(r shortRules) (states int, wrong bool) {
+		return modelcheck.Explore(shortWorld{}, 0, func(w shortWorld, do func(shortWorld)) bool { return w.next(r, do) })
 	}
-	states, wrong := look(shortRules{true, true})
+	states, wrong := check(shortRules{true, true})
 	t.Logf("%d states, all there are", states)
 	if wrong || states < 300 {
 		t.Errorf("wrong %v, %d states", wrong, states)
 	}
 	for what, r := range map[string]shortRules{"the record's version": {false, true}, "the duty's term": {true, false}} {
-		if _, wrong := look(r); !wrong {
+		if _, wrong := check(r); !wrong {
 			t.Errorf("without %s nothing goes wrong: the model does not see it", what)
 		}
 	}
--- a/precedence/precedence_test.go
+++ b/priority/priority_test.go
@@ -1,4 +1,4 @@
-package precedence
+package priority
 
 import (
 	"encoding/json"
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 
 	"basaltwall/api"
-	_ "basaltwall/internal/seeded"
+	_ "basaltwall/internal/proptest"
 )
 
-func table(t testing.TB, text string) Table {
+func parseRules(t testing.TB, text string) Rules {
 	t.Helper()
-	var out Table
+	var out Rules
 	if err := json.Unmarshal([]byte(text), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -42,86 +42,86 @@
 		`[{"name":"x","work":{"class":"a"},"before":{"class":"b"}},{"name":"y","work":{"class":"b"},"before":{"class":"c"}},{"name":"z","work":{"class":"c"},"before":{"class":"a*"}}]`: "circle by way of y, z, x",
 		`[{"name":"x","work":{"class":"a"},"before":{"class":"b"}},{"name":"y","work":{"class":"b"},"before":{"class":"c"}}]`:                                                           "",
 	} {
-		err := table(t, text).Check()
+		err := parseRules(t, text).Validate()
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, expected %q", text, err, want)
 		}
 	}
-	many := make(Table, maxRules+1)
-	if many.Check() == nil {
+	many := make(Rules, maxRules+1)
+	if many.Validate() == nil {
 		t.Error("any number of rules")
 	}
 }
 
-const market = `[{"name":"shop front","work":{"class":"vetrina"},"before":{"class":"listini*"},"when":"short"},
+const exampleRules = `[{"name":"shop front","work":{"class":"vetrina"},"before":{"class":"listini*"},"when":"short"},
 {"name":"listings","work":{"class":"listini*"},"before":{"class":"foto"},"when":"short","floor":0.4},
 {"name":"then sorting","work":{"class":"foto"},"before":{"class":"catalogo"},"when":"controller-out"}]`
 
-func kind(class api.Class, p api.Priority) Kind {
-	return Kind{Class: class, Team: "t", Form: api.Array, Priority: p, Short: true}
+func workload(class api.Class, p api.Priority) Workload {
+	return Workload{Class: class, Team: "t", Form: api.Array, Priority: p, CapacityShort: true}
 }
 
 // While room is short the shop front goes before the listings and these before the photo work,
 // whatever they call themselves; otherwise priorities alone count.
-func TestTheMarketsRules(t *testing.T) {
-	rules := table(t, market)
-	if err := rules.Check(); err != nil {
+func TestExampleRules(t *testing.T) {
+	rules := parseRules(t, exampleRules)
+	if err := rules.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	shop, list, foto, sorts := kind("vetrina", api.Production), kind("listini-notte", api.Normal), kind("foto", api.High), kind("catalogo", api.High)
-	all := []Kind{sorts, foto, list, shop}
-	o := rules.Of(all, Conditions{ControllerOut: true})
+	shop, list, foto, sorts := workload("vetrina", api.Production), workload("listini-notte", api.Normal), workload("foto", api.High), workload("catalogo", api.High)
+	all := []Workload{sorts, foto, list, shop}
+	o := rules.Resolve(all, ActiveConditions{ControllerDown: true})
 	if !(o.Level(shop) > o.Level(list) && o.Level(list) > o.Level(foto) && o.Level(foto) > o.Level(sorts)) {
 		t.Errorf("levels %v %v %v %v", o.Level(shop), o.Level(list), o.Level(foto), o.Level(sorts))
 	}
-	if o.Level(list)-o.Level(foto) < 1 || o.By(foto) != "listings" || o.By(shop) != "" {
-		t.Errorf("%v apart, by %q", o.Level(list)-o.Level(foto), o.By(foto))
+	if o.Level(list)-o.Level(foto) < 1 || o.OutrankedBy(foto) != "listings" || o.OutrankedBy(shop) != "" {
+		t.Errorf("%v apart, by %q", o.Level(list)-o.Level(foto), o.OutrankedBy(foto))
 	}
 	if f, ok := o.Floor(foto); !ok || f != 0.4 {
 		t.Errorf("floor %v", f)
 	}
 	for i := range all {
-		all[i].Short = false
+		all[i].CapacityShort = false
 	}
-	o = rules.Of(all, Conditions{})
+	o = rules.Resolve(all, ActiveConditions{})
 	if o.Level(all[0]) != 2 || o.Level(all[1]) != 2 || o.Level(all[2]) != 1 || o.Level(all[3]) != 3 {
 		t.Error("rules hold though nothing is short")
 	}
 	// A rule for work that nobody submits, or before work that there is none of, does nothing.
-	if o = rules.Of([]Kind{list}, Conditions{}); o.Level(list) != 1 {
+	if o = rules.Resolve([]Workload{list}, ActiveConditions{}); o.Level(list) != 1 {
 		t.Errorf("level %v", o.Level(list))
 	}
 }
 
 // Of any table that passes its check, each rule that holds is kept for all work there is, and
 // what no rule names keeps the order of its priorities.
-func TestEveryRuleIsKept(t *testing.T) {
+func TestEveryRuleHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := []string{"a", "ab", "b", "c"}
 		ranks := []api.Priority{api.Low, api.Normal, api.High, api.Production}
-		var rules Table
+		var rules Rules
 		for i := range rapid.IntRange(0, 5).Draw(t, "rules") {
-			r := Rule{Name: string(rune('p' + i)), Work: Work{Class: rapid.SampledFrom([]string{"a", "a*", "ab", "b", "c"}).Draw(t, "work")}}
-			r.Before = &Work{Class: rapid.SampledFrom([]string{"a", "b", "b*", "c"}).Draw(t, "before")}
+			r := Rule{Name: string(rune('p' + i)), Selector: Selector{Class: rapid.SampledFrom([]string{"a", "a*", "ab", "b", "c"}).Draw(t, "work")}}
+			r.Before = &Selector{Class: rapid.SampledFrom([]string{"a", "b", "b*", "c"}).Draw(t, "before")}
 			if rapid.Bool().Draw(t, "short") {
-				r.When = Short
+				r.Condition = CapacityShort
 			}
 			rules = append(rules, r)
 		}
-		if rules.Check() != nil {
+		if rules.Validate() != nil {
 			return
 		}
-		var kinds []Kind
+		var kinds []Workload
 		for _, c := range classes {
-			k := kind(api.Class(c), rapid.SampledFrom(ranks).Draw(t, "priority"))
-			k.Short = rapid.Bool().Draw(t, "short of room")
+			k := workload(api.Class(c), rapid.SampledFrom(ranks).Draw(t, "priority"))
+			k.CapacityShort = rapid.Bool().Draw(t, "short of room")
 			kinds = append(kinds, k)
 		}
-		o := rules.Of(kinds, Conditions{})
+		o := rules.Resolve(kinds, ActiveConditions{})
 		for _, r := range rules {
 			for _, a := range kinds {
 				for _, b := range kinds {
-					if r.Work.names(&a) && r.Before.names(&b) && r.holds(&a, Conditions{}) && o.Level(a) < o.Level(b)+0.99 {
+					if r.Selector.selects(&a) && r.Before.selects(&b) && r.applies(&a, ActiveConditions{}) && o.Level(a) < o.Level(b)+0.99 {
 						t.Fatalf("rule %+v: %+v at %v, %+v at %v", r, a, o.Level(a), b, o.Level(b))
 					}
 				}
@@ -139,19 +139,19 @@
 
 // A shortage begins within two seconds, one that comes and goes is one, it ends when nobody has
 // lacked room for a while, and a new writer does not end it for not having seen it.
-func TestAShortageIsOne(t *testing.T) {
+func TestShortageHysteresis(t *testing.T) {
 	at := func(s float64) api.Time { return api.Time(api.Seconds(s)) }
-	var w Watch
+	var w ShortageTracker
 	now := Shortage{}
 	changes := 0
 	see := func(s float64, lacked bool) {
-		m := map[api.TypeName]bool{}
+		m := map[api.MachineTypeName]bool{}
 		if lacked {
 			m["g8"] = true
 		}
-		w.See(m, at(s))
-		next := w.Next(now, at(s), 0, api.Wall(s*1000))
-		if !next.Same(now) {
+		w.Observe(m, at(s))
+		next := w.Next(now, at(s), 0, api.WallTime(s*1000))
+		if !next.Equal(now) {
 			changes++
 		}
 		now = next
@@ -159,7 +159,7 @@
 	for s := 100.0; s <= 102; s += 0.25 {
 		see(s, true)
 	}
-	if !now.Of("g8") || now.Of("c8") {
+	if !now.Includes("g8") || now.Includes("c8") {
 		t.Fatal("not short after two seconds")
 	}
 	for s := 102.25; s < 160; s += 0.25 { // it flaps every three seconds
@@ -168,17 +168,17 @@
 	if changes != 1 {
 		t.Errorf("%d changes while it flaps", changes)
 	}
-	var fresh Watch // a takeover
-	if next := fresh.Next(now, at(165), at(160), 0); !next.Of("g8") {
+	var fresh ShortageTracker // a takeover
+	if next := fresh.Next(now, at(165), at(160), 0); !next.Includes("g8") {
 		t.Error("a new writer ends what it has not watched")
 	}
 	for s := 160.0; s < 181; s += 0.25 {
 		see(s, false)
 	}
-	if now.Of("g8") || changes != 2 {
+	if now.Includes("g8") || changes != 2 {
 		t.Error("it does not end")
 	}
-	if ShortAfter+500*time.Millisecond > 2*time.Second {
+	if ShortageOnset+500*time.Millisecond > 2*time.Second {
 		t.Error("it begins too late")
 	}
 }
--- /dev/null
+++ b/relay/changelog.go
@@ -0,0 +1,95 @@
+package relay
+
+import (
+	"errors"
+	"slices"
+
+	"basaltwall/api"
+)
+
+// Bounds of what a relay retains.
+const (
+	maxChanges = 4096
+	maxBytes   = 8 << 20
+)
+
+// ChangeLog is the latest part of the state service's log, without gaps: all changes after one revision
+// up to another.
+type ChangeLog struct {
+	startRevision, endRevision api.Revision
+	changes                    []api.Change
+	bytes                      int
+}
+
+// Reset forgets all changes: the log begins after a revision.
+func (l *ChangeLog) Reset(startRevision api.Revision) {
+	*l = ChangeLog{startRevision: startRevision, endRevision: startRevision}
+}
+
+// Append takes in all changes after the log's end up to a revision, in their order. Changes that
+// it has already are passed over.
+func (l *ChangeLog) Append(changes []api.Change, endRevision api.Revision) {
+	for _, c := range changes {
+		if c.Version <= l.endRevision {
+			continue
+		}
+		l.changes = append(l.changes, c)
+		l.bytes += changeSize(c)
+	}
+	l.endRevision = max(l.endRevision, endRevision)
+	l.trim()
+}
+
+// trim forgets the oldest changes beyond the bounds. Changes of one revision go together.
+func (l *ChangeLog) trim() {
+	cut := 0
+	for cut < len(l.changes) && (len(l.changes)-cut > maxChanges || l.bytes > maxBytes) {
+		rev := l.changes[cut].Version
+		for cut < len(l.changes) && l.changes[cut].Version == rev {
+			l.bytes -= changeSize(l.changes[cut])
+			cut++
+		}
+		l.startRevision = rev
+	}
+	if cut > 0 {
+		l.changes = slices.Clone(l.changes[cut:])
+	}
+}
+
+func changeSize(c api.Change) int { return len(c.Put) + len(c.Drop) + len(c.Value) }
+
+// Since are all changes after a revision, and up to which they reach; ok is false where the log
+// does not reach back so far, or not up to there.
+func (l *ChangeLog) Since(rev api.Revision) (changes api.Changes, ok bool) {
+	if rev < l.startRevision || rev > l.endRevision {
+		return api.Changes{}, false
+	}
+	from, _ := slices.BinarySearchFunc(l.changes, rev+1, func(c api.Change, rev api.Revision) int {
+		switch {
+		case c.Version < rev:
+			return -1
+		case c.Version > rev:
+			return 1
+		}
+		return 0
+	})
+	return api.Changes{Revision: l.endRevision, Log: l.changes[from:len(l.changes):len(l.changes)]}, true
+}
+
+// errInvalidResponse is what is wrong with an answer that no relay in its right mind gives.
+var errInvalidResponse = errors.New("the relay's answer is not a part of the log after what was asked")
+
+// Validate finds answers to a question for the changes after a revision that can't be.
+func Validate(since api.Revision, response *api.Changes) error {
+	if response == nil || response.Revision < since {
+		return errInvalidResponse
+	}
+	last := since + 1
+	for _, c := range response.Log {
+		if c.Version < last || c.Version > response.Revision || (c.Put == "") == (c.Drop == "") {
+			return errInvalidResponse
+		}
+		last = c.Version
+	}
+	return nil
+}
--- a/relay/model_test.go
+++ b/relay/model_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"basaltwall/internal/explore"
+	"basaltwall/internal/modelcheck"
 )
 
 // The model: a state service whose log grows, a relay, and a controller that reads through it for a
@@ -14,132 +14,134 @@
 
 // readGuards are what a read through a relay rests on.
 type readGuards struct {
-	after    bool // the relay begins its read after the question has come
-	reaches  bool // it answers only where its log reaches back to what was asked
-	matching bool // an answer counts only for the question that it answers
+	readsAfterRequest bool // the relay begins its read after the question has come
+	checksRetention   bool // it answers only where its log reaches back to what was asked
+	matchesRequest    bool // an answer counts only for the question that it answers
 }
 
 const modelChanges = 4
 
-// question is one on its way to the relay, or waiting there.
-type question struct {
-	on      bool
-	number  int8
-	since   int8
-	arrived bool
-	reading bool // a read was begun for it
-	read    int8 // and what that read found, -1: not yet
+// request is one on its way to the relay, or waiting there.
+type request struct {
+	active       bool
+	number       int8
+	since        int8
+	arrived      bool
+	reading      bool // a read was begun for it
+	readRevision int8 // and what that read found, -1: not yet
 }
 
-type answer struct {
-	on     bool
+type response struct {
+	active bool
 	number int8
 	after  int8 // the changes begin after this
 	upTo   int8
 }
 
 type readWorld struct {
-	durable   int8 // changes so far
-	relay     int8 // folded by the relay
-	retained  int8 // its log begins after this
-	have      int8 // folded by the controller
-	missed    bool // it has a gap
-	asked     bool // a user waits
-	then      int8 // what was durable when the user asked
-	sent      bool // a question was sent for that user
-	number    int8 // of the last question
-	q         question
-	a, copied answer // on their way back; copied is one that comes again
-	told      int8   // what the user was told, -1: not yet
-	rounds    int8
+	durable             int8 // changes so far
+	relay               int8 // folded by the relay
+	retained            int8 // its log begins after this
+	followed            int8 // folded by the controller
+	gap                 bool // it has a gap
+	userWaiting         bool // a user waits
+	durableAtRequest    int8 // what was durable when the user asked
+	sent                bool // a question was sent for that user
+	number              int8 // of the last question
+	request             request
+	response, duplicate response // on their way back; copied is one that comes again
+	returned            int8     // what the user was told, -1: not yet
+	rounds              int8
 }
 
-func (w readWorld) next(g readGuards, do func(readWorld)) bool {
-	if w.missed || w.told >= 0 && w.told < w.then {
+func (w readWorld) next(g readGuards, visit func(readWorld)) bool {
+	if w.gap || w.returned >= 0 && w.returned < w.durableAtRequest {
 		return true
 	}
 	step := func(f func(n *readWorld)) {
 		n := w
 		f(&n)
-		do(n)
+		visit(n)
 	}
 	if w.durable < modelChanges {
 		step(func(n *readWorld) { n.durable++ })
 	}
 	// The relay reads by itself, is started anew, or forgets the oldest it retains.
 	step(func(n *readWorld) { n.relay = n.durable })
-	step(func(n *readWorld) { n.relay, n.retained, n.q = n.durable, n.durable, question{} })
+	step(func(n *readWorld) { n.relay, n.retained, n.request = n.durable, n.durable, request{} })
 	if w.retained < w.relay {
 		step(func(n *readWorld) { n.retained++ })
 	}
-	w.controller(step, g)
-	w.serve(step, g)
+	w.followerSteps(step, g)
+	w.relaySteps(step, g)
 	return false
 }
 
-// controller are the steps of the one that asks.
-func (w readWorld) controller(step func(func(*readWorld)), g readGuards) {
-	if !w.asked && w.rounds < 2 {
-		step(func(n *readWorld) { n.asked, n.then, n.sent, n.told, n.rounds = true, n.durable, false, -1, n.rounds+1 })
+// followerSteps are the steps of the one that asks.
+func (w readWorld) followerSteps(step func(func(*readWorld)), g readGuards) {
+	if !w.userWaiting && w.rounds < 2 {
+		step(func(n *readWorld) {
+			n.userWaiting, n.durableAtRequest, n.sent, n.returned, n.rounds = true, n.durable, false, -1, n.rounds+1
+		})
 	}
-	if w.asked && !w.sent {
+	if w.userWaiting && !w.sent {
 		step(func(n *readWorld) {
 			n.sent, n.number = true, n.number+1
-			n.q = question{on: true, number: n.number, since: n.have, read: -1}
+			n.request = request{active: true, number: n.number, since: n.followed, readRevision: -1}
 		})
 	}
-	if w.asked && w.sent { // no answer in time: it reads for itself
-		step(func(n *readWorld) { n.have, n.told, n.asked = n.durable, n.durable, false })
+	if w.userWaiting && w.sent { // no answer in time: it reads for itself
+		step(func(n *readWorld) { n.followed, n.returned, n.userWaiting = n.durable, n.durable, false })
 	}
-	for _, a := range []answer{w.a, w.copied} {
-		if !a.on {
+	for _, a := range []response{w.response, w.duplicate} {
+		if !a.active {
 			continue
 		}
 		step(func(n *readWorld) {
-			if a == n.a {
-				n.a = answer{}
+			if a == n.response {
+				n.response = response{}
 			} else {
-				n.copied = answer{}
+				n.duplicate = response{}
 			}
-			if g.matching && a.number != n.number {
+			if g.matchesRequest && a.number != n.number {
 				return
 			}
-			if a.after > n.have {
-				n.missed = true // what lies between is not in it
+			if a.after > n.followed {
+				n.gap = true // what lies between is not in it
 			}
-			n.have = max(n.have, a.upTo)
-			if n.asked && n.sent {
-				n.told, n.asked = n.have, false
+			n.followed = max(n.followed, a.upTo)
+			if n.userWaiting && n.sent {
+				n.returned, n.userWaiting = n.followed, false
 			}
 		})
 	}
 }
 
-// serve are the relay's steps for a question.
-func (w readWorld) serve(step func(func(*readWorld)), g readGuards) {
-	if !w.q.on {
+// relaySteps are the relay's steps for a question.
+func (w readWorld) relaySteps(step func(func(*readWorld)), g readGuards) {
+	if !w.request.active {
 		return
 	}
-	if !w.q.arrived {
-		step(func(n *readWorld) { n.q.arrived = true })
+	if !w.request.arrived {
+		step(func(n *readWorld) { n.request.arrived = true })
 		return
 	}
-	if !w.q.reading && g.after {
-		step(func(n *readWorld) { n.q.reading = true })
+	if !w.request.reading && g.readsAfterRequest {
+		step(func(n *readWorld) { n.request.reading = true })
 		return
 	}
-	if g.after && w.q.read < 0 {
-		step(func(n *readWorld) { n.relay, n.q.read = n.durable, n.durable })
+	if g.readsAfterRequest && w.request.readRevision < 0 {
+		step(func(n *readWorld) { n.relay, n.request.readRevision = n.durable, n.durable })
 		return
 	}
-	if g.reaches && w.q.since < w.retained {
-		step(func(n *readWorld) { n.q = question{} }) // refused: it reads for itself
+	if g.checksRetention && w.request.since < w.retained {
+		step(func(n *readWorld) { n.request = request{} }) // refused: it reads for itself
 		return
 	}
 	step(func(n *readWorld) {
-		n.copied = n.a
-		n.a = answer{true, n.q.number, max(n.q.since, n.retained), n.relay}
-		n.q = question{}
+		n.duplicate = n.response
+		n.response = response{true, n.request.number, max(n.request.since, n.retained), n.relay}
+		n.request = request{}
 	})
 }
 
@@ -148,9 +150,9 @@
 // guards one of these happens.
 func TestEveryInterleavingOfARelayedRead(t *testing.T) {
 	all := readGuards{true, true, true}
-	first := readWorld{told: -1, q: question{read: -1}}
+	first := readWorld{returned: -1, request: request{readRevision: -1}}
 	search := func(g readGuards) (int, bool) {
-		return explore.All(first, 0, func(w readWorld, do func(readWorld)) bool { return w.next(g, do) })
+		return modelcheck.Explore(first, 0, func(w readWorld, do func(readWorld)) bool { return w.next(g, do) })
 	}
 	states, wrong := search(all)
 	t.Logf("%d states", states)
@@ -161,9 +163,9 @@
 		t.Errorf("%d states: the model does not move", states)
 	}
 	for what, without := range map[string]func(*readGuards){
-		"reading after the question":   func(g *readGuards) { g.after = false },
-		"a log that reaches back":      func(g *readGuards) { g.reaches = false },
-		"the question that it answers": func(g *readGuards) { g.matching = false },
+		"reading after the question":   func(g *readGuards) { g.readsAfterRequest = false },
+		"a log that reaches back":      func(g *readGuards) { g.checksRetention = false },
+		"the question that it answers": func(g *readGuards) { g.matchesRequest = false },
 	} {
 		g := all
 		without(&g)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -15,30 +15,30 @@
 	"basaltwall/api"
 )
 
-// Gap is the time between two reads of a relay, and so about what a read through it takes.
-const Gap = 100 * time.Millisecond
+// ReadInterval is the time between two reads of a relay, and so about what a read through it takes.
+const ReadInterval = 100 * time.Millisecond
 
 // readShare is the share of the state service's requests that reads of the log may take.
 const readShare = 1.0 / 3
 
-// fewest is how many controllers read for themselves whatever the limit: two may end at once and
+// minReaders is how many controllers read for themselves whatever the limit: two may end at once and
 // one still reads.
-const fewest = 3
+const minReaders = 3
 
-// Most is how many relays the state service's limit on requests carries.
-func Most(requestsPerSecond float64) int {
-	return max(fewest, int(requestsPerSecond*readShare*Gap.Seconds()))
+// MaxRelays is how many relays the state service's limit on requests carries.
+func MaxRelays(requestsPerSecond float64) int {
+	return max(minReaders, int(requestsPerSecond*readShare*ReadInterval.Seconds()))
 }
 
 // Member is a living controller and the zone it is in.
 type Member struct {
-	Label api.Label
-	Zone  api.Zone
+	ID   api.ControllerID
+	Zone api.Zone
 }
 
 // weight is a member's weight for a purpose: the highest wins (rendezvous hashing), so that one
 // member's end or return moves nothing but what was its own.
-func weight(purpose, label api.Label) uint64 {
+func weight(purpose, label api.ControllerID) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(purpose))
 	h.Write([]byte{0})
@@ -50,69 +50,69 @@
 }
 
 // byWeight orders members by weight for a purpose.
-func byWeight(purpose api.Label, members []Member) []Member {
+func byWeight(purpose api.ControllerID, members []Member) []Member {
 	return slices.SortedFunc(slices.Values(members), func(a, b Member) int {
-		return cmp.Or(cmp.Compare(weight(purpose, b.Label), weight(purpose, a.Label)), cmp.Compare(a.Label, b.Label))
+		return cmp.Or(cmp.Compare(weight(purpose, b.ID), weight(purpose, a.ID)), cmp.Compare(a.ID, b.ID))
 	})
 }
 
-// Choose picks the relays among the living members, so many at most and over as many zones as
+// Select picks the relays among the living members, so many at most and over as many zones as
 // possible. All controllers that see the same members pick the same.
-func Choose(members []Member, most int) []Member {
+func Select(members []Member, limit int) []Member {
 	rest := byWeight("", members)
-	if len(rest) <= most {
+	if len(rest) <= limit {
 		return rest
 	}
 	var out []Member
-	for len(out) < most {
-		taken := map[api.Zone]bool{}
-		var later []Member
+	for len(out) < limit {
+		usedZones := map[api.Zone]bool{}
+		var remaining []Member
 		for _, m := range rest { // one of each zone, then again
-			if len(out) < most && !taken[m.Zone] {
-				taken[m.Zone] = true
+			if len(out) < limit && !usedZones[m.Zone] {
+				usedZones[m.Zone] = true
 				out = append(out, m)
 				continue
 			}
-			later = append(later, m)
+			remaining = append(remaining, m)
 		}
-		rest = later
+		rest = remaining
 	}
 	return out
 }
 
-// Order is the order in which a controller asks the relays: those of its own zone first.
-func Order(of Member, relays []Member) []api.Label {
-	var out []api.Label
+// PreferenceOrder is the order in which a controller asks the relays: those of its own zone first.
+func PreferenceOrder(member Member, relays []Member) []api.ControllerID {
+	var out []api.ControllerID
 	for _, same := range []bool{true, false} {
-		for _, r := range byWeight(of.Label, relays) {
-			if (r.Zone == of.Zone) == same && r.Label != of.Label {
-				out = append(out, r.Label)
+		for _, r := range byWeight(member.ID, relays) {
+			if (r.Zone == member.Zone) == same && r.ID != member.ID {
+				out = append(out, r.ID)
 			}
 		}
 	}
 	return out
 }
 
-// Link is which relay a controller reads through. One that fails is left alone for a while.
-type Link struct {
-	avoided map[api.Label]api.Time
+// Selector is which relay a controller reads through. One that fails is left alone for a while.
+type Selector struct {
+	backoffUntil map[api.ControllerID]api.Time
 }
 
-// avoidFor is how long a relay that failed is not asked again.
-const avoidFor = 5 * time.Second
+// failureBackoff is how long a relay that failed is not asked again.
+const failureBackoff = 5 * time.Second
 
-// Failed notes that a relay did not answer in time, refused, or gave an answer that can't be.
-func (l *Link) Failed(relay api.Label, now api.Time) {
-	if l.avoided == nil {
-		l.avoided = map[api.Label]api.Time{}
+// MarkFailed notes that a relay did not answer in time, refused, or gave an answer that can't be.
+func (l *Selector) MarkFailed(relay api.ControllerID, now api.Time) {
+	if l.backoffUntil == nil {
+		l.backoffUntil = map[api.ControllerID]api.Time{}
 	}
-	l.avoided[relay] = now.Add(avoidFor)
+	l.backoffUntil[relay] = now.Add(failureBackoff)
 }
 
 // Next is the relay to ask, of those in the given order; none if all have failed of late.
-func (l *Link) Next(order []api.Label, now api.Time) (api.Label, bool) {
+func (l *Selector) Next(order []api.ControllerID, now api.Time) (api.ControllerID, bool) {
 	for _, r := range order {
-		if l.avoided[r] <= now {
+		if l.backoffUntil[r] <= now {
 			return r, true
 		}
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -13,28 +13,28 @@
 func members(n, zones int) []Member {
 	var out []Member
 	for i := range n {
-		out = append(out, Member{api.Label(fmt.Sprintf("stone-%d", i)), api.Zone(fmt.Sprint("zone-", i%zones))})
+		out = append(out, Member{api.ControllerID(fmt.Sprintf("stone-%d", i)), api.Zone(fmt.Sprint("zone-", i%zones))})
 	}
 	return out
 }
 
 // As many controllers as the limit carries all read for themselves.
-func TestFewReadForThemselves(t *testing.T) {
+func TestFewControllersReadDirectly(t *testing.T) {
 	for rps, want := range map[float64]int{1: 3, 50: 3, 150: 5, 200: 6, 1500: 50} {
-		if got := Most(rps); got != want {
+		if got := MaxRelays(rps); got != want {
 			t.Errorf("%v requests a second carry %d relays, expected %d", rps, got, want)
 		}
 	}
-	if got := Choose(members(3, 3), Most(150)); len(got) != 3 {
+	if got := Select(members(3, 3), MaxRelays(150)); len(got) != 3 {
 		t.Errorf("%d relays of three controllers", len(got))
 	}
 }
 
 // Relays lie in as many zones as there are, whoever lists the members; the end of a member that is
 // none changes nothing, that of a relay no more than one other.
-func TestRelaysChangeByDegrees(t *testing.T) {
+func TestRelaySelectionIsStable(t *testing.T) {
 	all := members(23, 8)
-	before := Choose(all, 5)
+	before := Select(all, 5)
 	zones := map[api.Zone]bool{}
 	for _, m := range before {
 		zones[m.Zone] = true
@@ -42,75 +42,75 @@
 	if len(before) != 5 || len(zones) != 5 {
 		t.Fatalf("%v", before)
 	}
-	mixed := slices.Clone(all)
-	rand.New(rand.NewPCG(1, 2)).Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-	if got := Choose(mixed, 5); !slices.Equal(got, before) {
+	shuffled := slices.Clone(all)
+	rand.New(rand.NewPCG(1, 2)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+	if got := Select(shuffled, 5); !slices.Equal(got, before) {
 		t.Errorf("%v in another order, %v before", got, before)
 	}
-	for i, gone := range all {
-		after := Choose(slices.Delete(slices.Clone(all), i, i+1), 5)
+	for i, removed := range all {
+		after := Select(slices.Delete(slices.Clone(all), i, i+1), 5)
 		kept := 0
 		for _, m := range before {
 			if slices.Contains(after, m) {
 				kept++
 			}
 		}
-		if was := slices.Contains(before, gone); kept < 4 || !was && kept != 5 {
-			t.Errorf("%s ends, a relay before: %v; %d of 5 stay", gone.Label, was, kept)
+		if wasRelay := slices.Contains(before, removed); kept < 4 || !wasRelay && kept != 5 {
+			t.Errorf("%s ends, a relay before: %v; %d of 5 stay", removed.ID, wasRelay, kept)
 		}
 	}
 }
 
 // Those who ask are spread over the relays of their zone, or over all.
-func TestOrder(t *testing.T) {
+func TestPreferenceOrder(t *testing.T) {
 	all := members(60, 3)
-	relays := Choose(all, 6)
-	asked := map[api.Label]int{}
+	relays := Select(all, 6)
+	asked := map[api.ControllerID]int{}
 	for _, m := range all {
-		order := Order(m, relays)
+		order := PreferenceOrder(m, relays)
 		for i, l := range order {
-			r := relays[slices.IndexFunc(relays, func(r Member) bool { return r.Label == l })]
+			r := relays[slices.IndexFunc(relays, func(r Member) bool { return r.ID == l })]
 			if i == 0 && r.Zone != m.Zone {
 				t.Errorf("%v asks %v first", m, r)
 			}
-			if l == m.Label {
+			if l == m.ID {
 				t.Errorf("%s asks itself", l)
 			}
 		}
-		if !slices.ContainsFunc(relays, func(r Member) bool { return r.Label == m.Label }) {
+		if !slices.ContainsFunc(relays, func(r Member) bool { return r.ID == m.ID }) {
 			asked[order[0]]++
 		}
 	}
 	for _, r := range relays {
-		if asked[r.Label] == 0 || asked[r.Label] > 20 {
-			t.Errorf("%s is asked first by %d of %d", r.Label, asked[r.Label], 54)
+		if asked[r.ID] == 0 || asked[r.ID] > 20 {
+			t.Errorf("%s is asked first by %d of %d", r.ID, asked[r.ID], 54)
 		}
 	}
 }
 
 // A relay that fails is left alone for a while.
-func TestLink(t *testing.T) {
-	var l Link
-	order := []api.Label{"a", "b"}
-	next := func(now api.Time, want api.Label) {
+func TestSelector(t *testing.T) {
+	var l Selector
+	order := []api.ControllerID{"a", "b"}
+	next := func(now api.Time, want api.ControllerID) {
 		t.Helper()
 		if got, ok := l.Next(order, now); got != want || ok != (want != "") {
 			t.Errorf("%q, %v at %v", got, ok, now)
 		}
 	}
 	next(1, "a")
-	l.Failed("a", 1)
+	l.MarkFailed("a", 1)
 	next(2, "b")
-	l.Failed("b", 2)
+	l.MarkFailed("b", 2)
 	next(3, "")
-	next(1+api.Time(avoidFor), "a")
+	next(1+api.Time(failureBackoff), "a")
 }
 
 // A log retains what follows a revision, without gaps, and says so when it does not reach back.
 func TestLogHasNoGaps(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	var all []api.Change
-	var l Log
+	var l ChangeLog
 	l.Reset(0)
 	rev := api.Revision(0)
 	for range 3000 {
@@ -125,13 +125,13 @@
 		overlap := min(len(all), len(batch)+r.IntN(5))
 		l.Append(all[len(all)-overlap:], rev)
 	}
-	if len(l.changes) > maxChanges || l.after == 0 {
-		t.Fatalf("%d changes after %d", len(l.changes), l.after)
+	if len(l.changes) > maxChanges || l.startRevision == 0 {
+		t.Fatalf("%d changes after %d", len(l.changes), l.startRevision)
 	}
 	for since := api.Revision(0); since <= rev+1; since++ {
 		got, ok := l.Since(since)
-		if ok != (since >= l.after && since <= rev) {
-			t.Fatalf("after %d: %v, the log begins after %d", since, ok, l.after)
+		if ok != (since >= l.startRevision && since <= rev) {
+			t.Fatalf("after %d: %v, the log begins after %d", since, ok, l.startRevision)
 		}
 		if !ok {
 			continue
@@ -142,14 +142,14 @@
 				want = append(want, c)
 			}
 		}
-		if len(got.Log) != len(want) || got.Revision != rev || Check(since, &got) != nil {
-			t.Fatalf("after %d: %d changes up to %d, expected %d up to %d: %v", since, len(got.Log), got.Revision, len(want), rev, Check(since, &got))
+		if len(got.Log) != len(want) || got.Revision != rev || Validate(since, &got) != nil {
+			t.Fatalf("after %d: %d changes up to %d, expected %d up to %d: %v", since, len(got.Log), got.Revision, len(want), rev, Validate(since, &got))
 		}
 	}
 }
 
 // Answers that can't be are found.
-func TestImpossibleAnswers(t *testing.T) {
+func TestInvalidResponses(t *testing.T) {
 	c := func(rev api.Revision) api.Change { return api.Change{Put: "k", Version: rev} }
 	for what, tc := range map[string]struct {
 		a  *api.Changes
@@ -164,7 +164,7 @@
 		"beyond its revision": {&api.Changes{Revision: 8, Log: []api.Change{c(9)}}, false},
 		"no key":              {&api.Changes{Revision: 8, Log: []api.Change{{Version: 8}}}, false},
 	} {
-		if err := Check(7, tc.a); (err == nil) != tc.ok {
+		if err := Validate(7, tc.a); (err == nil) != tc.ok {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
--- a/skips/model_test.go
+++ b/reservation/model_test.go
@@ -1,9 +1,9 @@
-package skips
+package reservation
 
 import (
 	"testing"
 
-	"basaltwall/internal/explore"
+	"basaltwall/internal/modelcheck"
 )
 
 // The model: one skip, the same days, two sites and two controllers. Site 0 is offered the skip
@@ -33,41 +33,41 @@
 	never uint8 = iota
 	isOffered
 	isPromised
-	isOver
+	isClosed
 )
 
 func (l ledgerState) held() bool {
 	return l[0] == isOffered || l[0] == isPromised || l[1] == isPromised
 }
 
-// sent is a record on its way: composed when so many were read.
-type sent struct {
+// modelWrite is a record on its way: composed when so many were read.
+type modelWrite struct {
 	op   modelOp
 	base uint8
 }
 
 type modelController struct {
-	read   ledgerState
-	seq    uint8
-	writes [2]sent // by it or by its former life
-	waits  modelOp // whose outcome its asker waits for
+	read     ledgerState
+	seq      uint8
+	writes   [2]modelWrite // by it or by its former life
+	awaiting modelOp       // whose outcome its asker waits for
 }
 
 type modelWorld struct {
-	now   ledgerState
-	seq   uint8
-	nodes [2]modelController
-	told  [2]uint8 // never, isOffered, isPromised, or isOver once its end was asked for
+	ledger      ledgerState
+	seq         uint8
+	controllers [2]modelController
+	answered    [2]uint8 // never, isOffered, isPromised, or isOver once its end was asked for
 }
 
 // modelRules are the guards; without any one the model must go wrong.
 type modelRules struct {
-	slot    bool // a record lands only if none has since it was composed
-	durable bool // an answer is given once the record is there
-	current bool // what needs no write is answered by a current read
-	number  bool // a release names its promise
-	names   bool // a name asked again promises nothing new
-	written bool // an offer ends by a record
+	checksVersion       bool // a record lands only if none has since it was composed
+	respondsWhenDurable bool // an answer is given once the record is there
+	readsCurrent        bool // what needs no write is answered by a current read
+	namesBooking        bool // a release names its promise
+	idempotentKeys      bool // a name asked again promises nothing new
+	expiresByRecord     bool // an offer ends by a record
 }
 
 // after is the state with a change made; ok is false where it changes nothing.
@@ -84,20 +84,20 @@
 		l[1] = isPromised
 	case opRelease0:
 		if l[0] == isPromised {
-			l[0] = isOver
+			l[0] = isClosed
 		}
 	case opRelease1:
 		if l[1] == isPromised {
-			l[1] = isOver
+			l[1] = isClosed
 		}
 	case opExpire:
 		if l[0] == isOffered {
-			l[0] = isOver
+			l[0] = isClosed
 		}
 	case opFree:
 		for i := range l {
 			if l[i] == isPromised {
-				l[i] = isOver
+				l[i] = isClosed
 			}
 		}
 	}
@@ -109,7 +109,7 @@
 	l := c.read
 	switch op {
 	case opOffer:
-		if l.held() || l[0] != never && r.names {
+		if l.held() || l[0] != never && r.idempotentKeys {
 			return noOp
 		}
 	case opTake:
@@ -118,70 +118,70 @@
 		}
 	case opPromise:
 		free := !l.held()
-		if !r.written && l[0] == isOffered && l[1] != isPromised {
+		if !r.expiresByRecord && l[0] == isOffered && l[1] != isPromised {
 			free = true // its clock says that the offer is over
 		}
-		if !free || l[1] != never && r.names {
+		if !free || l[1] != never && r.idempotentKeys {
 			return noOp
 		}
 	case opExpire:
-		if l[0] != isOffered || !r.written {
+		if l[0] != isOffered || !r.expiresByRecord {
 			return noOp
 		}
 	case opRelease0, opRelease1:
-		if !r.number {
+		if !r.namesBooking {
 			return opFree
 		}
 	}
 	return op
 }
 
-// tell is when somebody is told what became of a request, by a state of the ledger.
-func (w *modelWorld) tell(op modelOp, l ledgerState) (wrong bool) {
+// respond is when somebody is told what became of a request, by a state of the ledger.
+func (w *modelWorld) respond(op modelOp, l ledgerState) (wrong bool) {
 	site, stage := 0, l[0]
 	if op == opPromise {
 		site, stage = 1, l[1]
 	}
-	if op != opOffer && op != opTake && op != opPromise || stage != isOffered && stage != isPromised || w.told[site] == isOver {
+	if op != opOffer && op != opTake && op != opPromise || stage != isOffered && stage != isPromised || w.answered[site] == isClosed {
 		return false
 	}
-	if stage == isOffered && (op == opTake || w.told[site] == isPromised) {
+	if stage == isOffered && (op == opTake || w.answered[site] == isPromised) {
 		return false
 	}
-	w.told[site] = stage
+	w.answered[site] = stage
 	// It is shown free, or promised, and is another's.
-	return w.told[1-site] == isPromised
+	return w.answered[1-site] == isPromised
 }
 
-func (w modelWorld) next(r modelRules, do func(modelWorld)) (wrong bool) {
+func (w modelWorld) next(r modelRules, visit func(modelWorld)) (wrong bool) {
 	// What somebody counts on is gone.
-	for i := range w.told {
-		if w.told[i] == isPromised && w.now[i] != isPromised {
+	for i := range w.answered {
+		if w.answered[i] == isPromised && w.ledger[i] != isPromised {
 			return true
 		}
 	}
-	for i := range w.nodes {
-		c := &w.nodes[i]
+	for i := range w.controllers {
+		c := &w.controllers[i]
 		if c.seq != w.seq { // it reads
 			n := w
-			n.nodes[i].read, n.nodes[i].seq = w.now, w.seq
-			do(n)
+			n.controllers[i].read, n.controllers[i].seq = w.ledger, w.seq
+			visit(n)
 		}
 		// It is asked.
 		for op := opOffer; op <= opExpire; op++ {
-			if op == opTake && w.told[0] == never || op == opRelease0 && w.told[0] < isPromised || op == opRelease1 && w.told[1] < isPromised {
+			if op == opTake && w.answered[0] == never || op == opRelease0 && w.answered[0] < isPromised || op == opRelease1 && w.answered[1] < isPromised {
 				continue
 			}
 			n := w
-			nc := &n.nodes[i]
+			nc := &n.controllers[i]
 			if op == opRelease0 || op == opRelease1 {
-				n.told[op-opRelease0] = isOver
+				n.answered[op-opRelease0] = isClosed
 			}
 			made := nc.compose(op, r)
 			if made == noOp {
-				if c.seq == w.seq || !r.current {
-					wrong = n.tell(op, nc.read) || wrong
-					do(n)
+				if c.seq == w.seq || !r.readsCurrent {
+					wrong = n.respond(op, nc.read) || wrong
+					visit(n)
 				}
 				continue
 			}
@@ -189,15 +189,15 @@
 			if nc.writes[0].op != noOp {
 				slot = 1
 			}
-			if nc.writes[slot].op != noOp || nc.waits != noOp {
+			if nc.writes[slot].op != noOp || nc.awaiting != noOp {
 				continue
 			}
-			nc.writes[slot], nc.waits = sent{made, c.seq}, op
-			if !r.durable {
+			nc.writes[slot], nc.awaiting = modelWrite{made, c.seq}, op
+			if !r.respondsWhenDurable {
 				l, _ := nc.read.after(made, r)
-				wrong = n.tell(op, l) || wrong
+				wrong = n.respond(op, l) || wrong
 			}
-			do(n)
+			visit(n)
 		}
 		// A write lands, and is perhaps sent once more; or it never does.
 		for k, x := range c.writes {
@@ -207,38 +207,38 @@
 			for _, twice := range []bool{false, true} {
 				n := w
 				if !twice {
-					n.nodes[i].writes[k] = sent{}
+					n.controllers[i].writes[k] = modelWrite{}
 				}
-				if x.base == w.seq || !r.slot {
-					if l, ok := w.now.after(x.op, r); ok {
-						n.now, n.seq = l, w.seq+1
-						if !r.names && w.told[1] == isOver && w.now[1] == isOver && l[1] == isPromised {
+				if x.base == w.seq || !r.checksVersion {
+					if l, ok := w.ledger.after(x.op, r); ok {
+						n.ledger, n.seq = l, w.seq+1
+						if !r.idempotentKeys && w.answered[1] == isClosed && w.ledger[1] == isClosed && l[1] == isPromised {
 							wrong = true // a repeat of a request whose promise is over promises anew
 						}
 					}
-					if op := c.waits; op != noOp && k == latest(c) {
-						n.nodes[i].waits, n.nodes[i].read, n.nodes[i].seq = noOp, n.now, n.seq
-						wrong = n.tell(op, n.now) || wrong
+					if op := c.awaiting; op != noOp && k == latestWrite(c) {
+						n.controllers[i].awaiting, n.controllers[i].read, n.controllers[i].seq = noOp, n.ledger, n.seq
+						wrong = n.respond(op, n.ledger) || wrong
 					}
 				}
-				do(n)
+				visit(n)
 			}
 			n := w
-			n.nodes[i].writes[k] = sent{}
-			n.nodes[i].waits = noOp
-			do(n)
+			n.controllers[i].writes[k] = modelWrite{}
+			n.controllers[i].awaiting = noOp
+			visit(n)
 		}
 		// It ends, and begins anew: what it has sent stays under way.
 		n := w
-		n.nodes[i].waits = noOp
-		n.nodes[i].read, n.nodes[i].seq = w.now, w.seq
-		do(n)
+		n.controllers[i].awaiting = noOp
+		n.controllers[i].read, n.controllers[i].seq = w.ledger, w.seq
+		visit(n)
 	}
 	return wrong
 }
 
-// latest is the write whose outcome is waited for.
-func latest(c *modelController) int {
+// latestWrite is the write whose outcome is waited for.
+func latestWrite(c *modelController) int {
 	if c.writes[1].op != noOp {
 		return 1
 	}
@@ -246,7 +246,7 @@
 }
 
 func exploreLedger(r modelRules, steps int) (states int, wrong bool) {
-	return explore.All(modelWorld{}, steps, func(w modelWorld, do func(modelWorld)) bool { return w.next(r, do) })
+	return modelcheck.Explore(modelWorld{}, steps, func(w modelWorld, do func(modelWorld)) bool { return w.next(r, do) })
 }
 
 // No sequence of requests, repeats, reads, writes that land late or twice, and ends tells a site
@@ -262,12 +262,12 @@
 		t.Errorf("%d states: the model does not move", states)
 	}
 	for what, drop := range map[string]func(*modelRules){
-		"the slot's version":           func(r *modelRules) { r.slot = false },
-		"waiting for the record":       func(r *modelRules) { r.durable = false },
-		"a current read":               func(r *modelRules) { r.current = false },
-		"the promise's number":         func(r *modelRules) { r.number = false },
-		"names":                        func(r *modelRules) { r.names = false },
-		"a record for an offer's end ": func(r *modelRules) { r.written = false },
+		"the slot's version":           func(r *modelRules) { r.checksVersion = false },
+		"waiting for the record":       func(r *modelRules) { r.respondsWhenDurable = false },
+		"a current read":               func(r *modelRules) { r.readsCurrent = false },
+		"the promise's number":         func(r *modelRules) { r.namesBooking = false },
+		"names":                        func(r *modelRules) { r.idempotentKeys = false },
+		"a record for an offer's end ": func(r *modelRules) { r.expiresByRecord = false },
 	} {
 		r := all
 		drop(&r)
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -11,130 +11,130 @@
 
 	"basaltwall/api"
 	"basaltwall/flow"
-	"basaltwall/pack"
+	"basaltwall/fragmentation"
 )
 
 // Machine is a machine that may take tasks.
 type Machine struct {
-	ID     api.MachineID
-	Type   api.TypeName
-	Zone   api.Zone
-	Spot   bool
-	Free   api.Resources
-	GPU    bool    // the type has accelerators
-	Closed bool    // only for work that needs its accelerators
-	Prompt bool    // such as prompt work needs
-	Spare  bool    // more than the load needs: used last, so that it can be returned
-	Pace   float64 // how much longer tasks take here than elsewhere; 0: not known
-	Images map[api.Image]Cached
-	Fetch  float64    // GB per second
-	Coming []Image    // that it is fetching: they may share the rate
-	Kept   api.JobRef // only for this job, for which others made way or room is gathered
-	Soft   bool       // work of a higher rank than KeptOf may use it all the same
-	KeptOf int
+	ID              api.MachineID
+	Type            api.MachineTypeName
+	Zone            api.Zone
+	Spot            bool
+	Free            api.Resources
+	GPU             bool    // the type has accelerators
+	AcceleratorOnly bool    // only for work that needs its accelerators
+	FastStart       bool    // such as prompt work needs
+	Surplus         bool    // more than the load needs: used last, so that it can be returned
+	Slowdown        float64 // how much longer tasks take here than elsewhere; 0: not known
+	CachedImages    map[api.Image]CachedImage
+	FetchRate       float64      // GB per second
+	FetchingImages  []ImageFetch // that it is fetching: they may share the rate
+	ReservedFor     api.JobID    // only for this job, for which others made way or room is gathered
+	SoftReservation bool         // work of a higher rank than KeptOf may use it all the same
+	ReservationRank int
 }
 
-// Stage is how far a job is in the time in which it must begin; see package due.
-type Stage int
+// AgingStage is how far a job is in the time in which it must begin; see package due.
+type AgingStage int
 
 // The stages. A patient one takes its turn by rank, guarantee and urgency.
 const (
-	Patient Stage = iota
-	Next          // before its equals
-	First         // before all
+	NotAged            AgingStage = iota
+	AgedWithinPriority            // before its equals
+	AgedAboveAll                  // before all
 )
 
-// Image is an image that a machine fetches: its size, and for how long it has been fetched,
+// ImageFetch is an image that a machine fetches: its size, and for how long it has been fetched,
 // in seconds.
-type Image struct {
-	Name  api.Image
-	GB    float64
-	Begun float64
+type ImageFetch struct {
+	Name           api.Image
+	SizeGB         float64
+	ElapsedSeconds float64
 }
 
-// Cached is an image that a machine holds, as far as is known.
-type Cached struct {
-	GB   float64
-	Used api.Time
+// CachedImage is an image that a machine holds, as far as is known.
+type CachedImage struct {
+	SizeGB   float64
+	LastUsed api.Time
 }
 
-// Open reports whether a job may use the machine at all: it may be kept for
+// Eligible reports whether a job may use the machine at all: it may be kept for
 // another, be allowed to none but work that needs its accelerators, or have seen
 // the job fail. Work without an end would block an accelerator for good.
-func (m *Machine) Open(j *Job) bool {
-	return (m.Kept == "" || m.Kept == j.Spec.Ref || m.Soft && j.Spec.Priority.Rank() > m.KeptOf) && !(j.Plain && m.GPU && (m.Closed || j.Spec.Kind == api.Service)) &&
-		!j.AvoidedBy[m.ID] && Allowed(j.Spec, m.Type, m.Zone, m.Spot)
+func (m *Machine) Eligible(j *Job) bool {
+	return (m.ReservedFor == "" || m.ReservedFor == j.Spec.Ref || m.SoftReservation && j.Spec.Priority.Rank() > m.ReservationRank) && !(j.AcceleratorOptional && m.GPU && (m.AcceleratorOnly || j.Spec.Kind == api.Service)) &&
+		!j.ExcludedMachines[m.ID] && Feasible(j.Spec, m.Type, m.Zone, m.Spot)
 }
 
-// Has reports whether the machine holds an image.
-func (m *Machine) Has(img api.Image) bool {
-	_, ok := m.Images[img]
+// HasImage reports whether the machine holds an image.
+func (m *Machine) HasImage(img api.Image) bool {
+	_, ok := m.CachedImages[img]
 	return ok
 }
 
 // FetchTime is how long an image is away from being on the machine, in seconds: as
 // long as all that the machine fetches, for they may share the rate.
 func (m *Machine) FetchTime(s *api.JobSpec) float64 {
-	if m.Fetch <= 0 || m.Has(s.Image) {
+	if m.FetchRate <= 0 || m.HasImage(s.Image) {
 		return 0
 	}
 	gb, begun := s.ImageGB, 0.0
-	for _, other := range m.Coming {
+	for _, other := range m.FetchingImages {
 		if other.Name == s.Image {
-			begun = other.Begun
+			begun = other.ElapsedSeconds
 		} else {
-			gb += other.GB
+			gb += other.SizeGB
 		}
 	}
-	return max(0, gb/m.Fetch-begun)
+	return max(0, gb/m.FetchRate-begun)
 }
 
 // Job is a job with pending tasks.
 type Job struct {
-	Spec      *api.JobSpec
-	Demand    api.Resources
-	Pending   []int            // task numbers that wait
-	Zones     map[api.Zone]int // where its other tasks are
-	Urgency   float64          // orders jobs of equal rank, between 0 and 1
-	Raised    float64          // by so many priorities rules put it above its own, or below
-	Stage     Stage            // of a job that has not begun
-	Waited    float64          // for so many seconds, if it is not patient any more
-	Reserve   bool             // what it lacks of its team's limit is left to it as it comes free
-	Entitled  bool             // within its team's guarantee
-	Holds     bool             // what the job takes of pools for itself is held already
-	Within    float64          // seconds in which a start is hoped for, 0: no such aim
-	Fresh     float64          // seconds until a machine that boots now would have the image; 0: none does
-	AvoidedBy map[api.MachineID]bool
-	Prompt    bool    // should start sooner than a machine boots
-	Plain     bool    // some type without accelerators can take its tasks
-	SpotRisk  float64 // how much it would suffer from being taken with a spot machine, between 0 and 1
+	Spec                *api.JobSpec
+	Demand              api.Resources
+	Pending             []int            // task numbers that wait
+	PlacedByZone        map[api.Zone]int // where its other tasks are
+	Urgency             float64          // orders jobs of equal rank, between 0 and 1
+	PriorityBoost       float64          // by so many priorities rules put it above its own, or below
+	AgingStage          AgingStage       // of a job that has not begun
+	WaitedSeconds       float64          // for so many seconds, if it is not patient any more
+	ReservesQuota       bool             // what it lacks of its team's limit is left to it as it comes free
+	WithinGuarantee     bool             // within its team's guarantee
+	HoldsJobUnits       bool             // what the job takes of pools for itself is held already
+	StartSLO            float64          // seconds in which a start is hoped for, 0: no such aim
+	NewMachineSeconds   float64          // seconds until a machine that boots now would have the image; 0: none does
+	ExcludedMachines    map[api.MachineID]bool
+	FastStart           bool    // should start sooner than a machine boots
+	AcceleratorOptional bool    // some type without accelerators can take its tasks
+	SpotRisk            float64 // how much it would suffer from being taken with a spot machine, between 0 and 1
 }
 
 // Input is everything a round looks at.
 type Input struct {
-	Machines []Machine
-	Jobs     []Job
-	Left     map[api.Team]api.Resources // what each team may still start here
-	Largest  api.Resources              // the largest capacity of any type
-	Typical  []pack.Demand              // what work asks for that needs accelerators
-	Units    map[api.PoolName]int       // what the part may hand out of pools that jobs need
-	Most     int                        // starts at most
+	Machines        []Machine
+	Jobs            []Job
+	RemainingQuota  map[api.Team]api.Resources // what each team may still start here
+	LargestCapacity api.Resources              // the largest capacity of any type
+	TypicalDemands  []fragmentation.Demand     // what work asks for that needs accelerators
+	AvailableUnits  map[api.PoolName]int       // what the part may hand out of pools that jobs need
+	MaxStarts       int                        // starts at most
 }
 
-// Placement puts a task on a machine.
-type Placement struct {
-	Job, Task, Machine int // indices into Input.Jobs, a task number, into Input.Machines
+// Assignment puts a task on a machine.
+type Assignment struct {
+	JobIndex, Task, MachineIndex int // indices into Input.Jobs, a task number, into Input.Machines
 }
 
-// Allowed reports whether the job may use the machine at all, the job's other
+// Feasible reports whether the job may use the machine at all, the job's other
 // tasks aside.
-func Allowed(s *api.JobSpec, typ api.TypeName, zone api.Zone, spot bool) bool {
+func Feasible(s *api.JobSpec, typ api.MachineTypeName, zone api.Zone, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, typ)) &&
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// ZoneOpen reports whether one more task of the job may go into the zone.
-func ZoneOpen(s *api.JobSpec, zones map[api.Zone]int, z api.Zone) bool {
+// ZoneFeasible reports whether one more task of the job may go into the zone.
+func ZoneFeasible(s *api.JobSpec, zones map[api.Zone]int, z api.Zone) bool {
 	if s.OneZone {
 		for other, n := range zones {
 			if n > 0 && other != z {
@@ -148,24 +148,24 @@
 // Weights of the edge cost, relative to the dot product, which lies between 0
 // and the number of resources. docs/design.md gives the reasons.
 const (
-	costScale     = 1e6
-	baseBonus     = 16.0 // being placed always beats waiting
-	rankBonus     = 32.0 // a higher priority outweighs every other term
-	nextBonus     = 8.0  // before its equals: more than guarantee and urgency together
-	firstBonus    = 5 * rankBonus
-	entitledBonus = 4.0
-	urgencyBonus  = 2.0
-	spotPenalty   = 2.0 // being late for certain outweighs that the machines left are for prompt work
-	spotBonus     = 0.3 // what loses little there leaves the other machines to what would lose much
-	scarcePenalty = 2.0 // accelerators are kept for work that needs them
-	promptPenalty = 0.7 // room for prompt work is left free while there is other
-	pieceWeight   = 4.0 // a whole machine that is begun outweighs any dot product, and a fetch
-	sparePenalty  = 2.0 // more than any dot product is likely to gain
-	slowPace      = 1.3 // machines of a type differ by a tenth; beyond this one is slow
-	imageWeight   = 2.0 // a fetch, as a share of what the task takes in all
+	costScale           = 1e6
+	scheduledBonus      = 16.0 // being placed always beats waiting
+	rankBonus           = 32.0 // a higher priority outweighs every other term
+	agedBonus           = 8.0  // before its equals: more than guarantee and urgency together
+	agedAboveAllBonus   = 5 * rankBonus
+	guaranteeBonus      = 4.0
+	urgencyBonus        = 2.0
+	spotPenalty         = 2.0 // being late for certain outweighs that the machines left are for prompt work
+	spotBonus           = 0.3 // what loses little there leaves the other machines to what would lose much
+	acceleratorPenalty  = 2.0 // accelerators are kept for work that needs them
+	fastStartPenalty    = 0.7 // room for prompt work is left free while there is other
+	fragmentationWeight = 4.0 // a whole machine that is begun outweighs any dot product, and a fetch
+	surplusPenalty      = 2.0 // more than any dot product is likely to gain
+	slowdownThreshold   = 1.3 // machines of a type differ by a tenth; beyond this one is slow
+	imageFetchWeight    = 2.0 // a fetch, as a share of what the task takes in all
 )
 
-func share(a, of api.Amount) float64 {
+func ratio(a, of api.Quantity) float64 {
 	if of <= 0 {
 		return 0
 	}
@@ -174,161 +174,161 @@
 
 // edgeCost is the paper's dot product with the users' world added as terms.
 func edgeCost(in *Input, j *Job, m *Machine, free api.Resources) int64 {
-	dp := share(j.Demand.CPU, in.Largest.CPU)*share(free.CPU, in.Largest.CPU) +
-		share(j.Demand.GPU, in.Largest.GPU)*share(free.GPU, in.Largest.GPU) +
-		share(j.Demand.Mem, in.Largest.Mem)*share(free.Mem, in.Largest.Mem)
-	gain := dp + baseBonus + rankBonus*j.level() + urgencyBonus*j.Urgency
-	if j.Entitled {
-		gain += entitledBonus
+	dotProduct := ratio(j.Demand.CPU, in.LargestCapacity.CPU)*ratio(free.CPU, in.LargestCapacity.CPU) +
+		ratio(j.Demand.GPU, in.LargestCapacity.GPU)*ratio(free.GPU, in.LargestCapacity.GPU) +
+		ratio(j.Demand.Mem, in.LargestCapacity.Mem)*ratio(free.Mem, in.LargestCapacity.Mem)
+	score := dotProduct + scheduledBonus + rankBonus*j.effectivePriority() + urgencyBonus*j.Urgency
+	if j.WithinGuarantee {
+		score += guaranteeBonus
 	}
-	switch j.Stage {
-	case Next:
-		gain += nextBonus
-	case First:
-		gain += firstBonus
+	switch j.AgingStage {
+	case AgedWithinPriority:
+		score += agedBonus
+	case AgedAboveAll:
+		score += agedAboveAllBonus
 	}
-	if m.Pace > slowPace {
-		gain -= m.Pace - 1
+	if m.Slowdown > slowdownThreshold {
+		score -= m.Slowdown - 1
 	}
-	if m.GPU && j.Plain {
-		gain -= scarcePenalty
+	if m.GPU && j.AcceleratorOptional {
+		score -= acceleratorPenalty
 	}
-	if m.Prompt && !j.Prompt && !j.Plain {
-		gain -= promptPenalty
+	if m.FastStart && !j.FastStart && !j.AcceleratorOptional {
+		score -= fastStartPenalty
 	}
-	if m.GPU && len(in.Typical) > 0 {
-		gain -= pieceWeight * pack.Made(free, j.Demand, in.Typical) / max(1, in.Largest.GPU.Float())
+	if m.GPU && len(in.TypicalDemands) > 0 {
+		score -= fragmentationWeight * fragmentation.Increase(free, j.Demand, in.TypicalDemands) / max(1, in.LargestCapacity.GPU.Float())
 	}
-	if m.Spare {
-		gain -= sparePenalty
+	if m.Surplus {
+		score -= surplusPenalty
 	}
 	if m.Spot {
-		gain += spotBonus - spotPenalty*j.SpotRisk
+		score += spotBonus - spotPenalty*j.SpotRisk
 	}
 	if fetch := m.FetchTime(j.Spec); fetch > 0 {
-		if late := fetch / j.Within; j.Within > 0 {
+		if late := fetch / j.StartSLO; j.StartSLO > 0 {
 			// Late is late, but what should always run is missed for as long as it fetches.
-			gain -= min(1, late) + math.Log(max(1, late))
+			score -= min(1, late) + math.Log(max(1, late))
 		} else {
-			gain -= imageWeight * fetch / (fetch + j.Spec.Estimate + 1)
+			score -= imageFetchWeight * fetch / (fetch + j.Spec.Estimate + 1)
 		}
 	}
-	return -int64(gain * costScale)
+	return -int64(score * costScale)
 }
 
-// InUnits is how many tasks of the job, so many at most, what is left of pools allows: of a
+// TasksWithinUnits is how many tasks of the job, so many at most, what is left of pools allows: of a
 // gang all or none.
-func (j *Job) InUnits(units map[api.PoolName]int, tasks int) int {
-	most := tasks
+func (j *Job) TasksWithinUnits(units map[api.PoolName]int, tasks int) int {
+	requested := tasks
 	for _, n := range j.Spec.Needs {
-		left := units[n.Pool]
-		if !j.Holds {
-			left -= n.Job
+		available := units[n.Pool]
+		if !j.HoldsJobUnits {
+			available -= n.Job
 		}
-		if left < 0 || n.Task > 0 && left < n.Task {
+		if available < 0 || n.Task > 0 && available < n.Task {
 			return 0
 		}
 		if n.Task > 0 {
-			tasks = min(tasks, left/n.Task)
+			tasks = min(tasks, available/n.Task)
 		}
 	}
-	if j.Spec.Kind == api.Gang && tasks < most {
+	if j.Spec.Kind == api.Gang && tasks < requested {
 		return 0
 	}
 	return max(0, tasks)
 }
 
-// TakeUnits takes what so many tasks of the job need off what is left of pools.
-func (j *Job) TakeUnits(units map[api.PoolName]int, tasks int) {
+// ConsumeUnits takes what so many tasks of the job need off what is left of pools.
+func (j *Job) ConsumeUnits(units map[api.PoolName]int, tasks int) {
 	for _, n := range j.Spec.Needs {
-		units[n.Pool] -= n.Units(tasks, j.Holds)
+		units[n.Pool] -= n.Units(tasks, j.HoldsJobUnits)
 	}
 }
 
-// Round plans a round.
-func Round(in *Input) []Placement {
-	var plan []Placement
+// PlanRound plans a round.
+func PlanRound(in *Input) []Assignment {
+	var plan []Assignment
 	free := make([]api.Resources, len(in.Machines))
 	for i, m := range in.Machines {
 		free[i] = m.Free
 	}
-	left := make(map[api.Team]api.Resources, len(in.Left))
-	for t, l := range in.Left {
-		left[t] = l
+	remainingQuota := make(map[api.Team]api.Resources, len(in.RemainingQuota))
+	for t, l := range in.RemainingQuota {
+		remainingQuota[t] = l
 	}
-	units := maps.Clone(in.Units)
+	units := maps.Clone(in.AvailableUnits)
 	order := make([]int, len(in.Jobs))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return before(&in.Jobs[a], &in.Jobs[b]) })
-	groups := in.groups(order)
+	slices.SortStableFunc(order, func(a, b int) int { return compareJobs(&in.Jobs[a], &in.Jobs[b]) })
+	groups := in.priorityGroups(order)
 	if len(groups) > 1 {
-		in = in.closed()
+		in = in.withAcceleratorsReserved()
 	}
 	for _, group := range groups {
-		for _, ji := range group {
-			if j := &in.Jobs[ji]; j.Spec.Kind == api.Gang && len(j.Pending) > 0 && len(plan)+len(j.Pending) <= in.Most {
-				plan = append(plan, gang(in, ji, free, left, units)...)
+		for _, jobIndex := range group {
+			if j := &in.Jobs[jobIndex]; j.Spec.Kind == api.Gang && len(j.Pending) > 0 && len(plan)+len(j.Pending) <= in.MaxStarts {
+				plan = append(plan, placeGang(in, jobIndex, free, remainingQuota, units)...)
 			}
 		}
-		placed := flowRound(in, group, free, left, units, in.Most-len(plan))
-		for _, p := range placed {
-			free[p.Machine] = free[p.Machine].Minus(in.Jobs[p.Job].Demand)
+		assignments := placeByFlow(in, group, free, remainingQuota, units, in.MaxStarts-len(plan))
+		for _, p := range assignments {
+			free[p.MachineIndex] = free[p.MachineIndex].Minus(in.Jobs[p.JobIndex].Demand)
 		}
-		plan = append(plan, placed...)
+		plan = append(plan, assignments...)
 	}
 	return plan
 }
 
-// closed is the input with the machines closed that have accelerators free for which work waits:
+// withAcceleratorsReserved is the input with the machines closed that have accelerators free for which work waits:
 // what rules put before that, and could go elsewhere, would take their room else.
-func (in *Input) closed() *Input {
+func (in *Input) withAcceleratorsReserved() *Input {
 	out := *in
 	out.Machines = slices.Clone(in.Machines)
 	for i := range out.Machines {
 		m := &out.Machines[i]
-		m.Closed = m.Closed || m.GPU && slices.ContainsFunc(in.Jobs, func(j Job) bool {
-			return len(j.Pending) > 0 && !j.Plain && j.Demand.GPU > 0 && j.Demand.GPU <= m.Free.GPU && Allowed(j.Spec, m.Type, m.Zone, m.Spot)
+		m.AcceleratorOnly = m.AcceleratorOnly || m.GPU && slices.ContainsFunc(in.Jobs, func(j Job) bool {
+			return len(j.Pending) > 0 && !j.AcceleratorOptional && j.Demand.GPU > 0 && j.Demand.GPU <= m.Free.GPU && Feasible(j.Spec, m.Type, m.Zone, m.Spot)
 		})
 	}
 	return &out
 }
 
-// groups are the jobs that are placed together: all, gangs before the flow, but where rules say
+// priorityGroups are the jobs that are placed together: all, gangs before the flow, but where rules say
 // what goes first those of one level after those of another, or a gang would take the room of
 // what goes before it.
-func (in *Input) groups(order []int) [][]int {
-	if !slices.ContainsFunc(in.Jobs, func(j Job) bool { return j.Raised != 0 }) {
+func (in *Input) priorityGroups(order []int) [][]int {
+	if !slices.ContainsFunc(in.Jobs, func(j Job) bool { return j.PriorityBoost != 0 }) {
 		return [][]int{order}
 	}
 	var out [][]int
-	for i, ji := range order {
-		if j := &in.Jobs[ji]; i == 0 || j.level() != in.Jobs[order[i-1]].level() {
+	for i, jobIndex := range order {
+		if j := &in.Jobs[jobIndex]; i == 0 || j.effectivePriority() != in.Jobs[order[i-1]].effectivePriority() {
 			out = append(out, nil)
 		}
-		out[len(out)-1] = append(out[len(out)-1], ji)
+		out[len(out)-1] = append(out[len(out)-1], jobIndex)
 	}
 	return out
 }
 
-// level is the job's place in the order: its priority, or what rules make of it.
-func (j *Job) level() float64 { return float64(j.Spec.Priority.Rank()) + j.Raised }
+// effectivePriority is the job's place in the order: its priority, or what rules make of it.
+func (j *Job) effectivePriority() float64 { return float64(j.Spec.Priority.Rank()) + j.PriorityBoost }
 
 // Descending compares so that the larger comes first.
 func Descending(a, b float64) int { return cmp.Compare(b, a) }
 
-// before orders jobs for gangs' first fit and for a team's share.
-func before(a, b *Job) int {
-	if first := cmp.Or(boolOrder(a.Stage == First, b.Stage == First), Descending(a.level(), b.level()),
-		cmp.Compare(b.Stage, a.Stage), cmp.Compare(b.Waited, a.Waited)); first != 0 {
+// compareJobs orders jobs for gangs' first fit and for a team's share.
+func compareJobs(a, b *Job) int {
+	if first := cmp.Or(compareTrueFirst(a.AgingStage == AgedAboveAll, b.AgingStage == AgedAboveAll), Descending(a.effectivePriority(), b.effectivePriority()),
+		cmp.Compare(b.AgingStage, a.AgingStage), cmp.Compare(b.WaitedSeconds, a.WaitedSeconds)); first != 0 {
 		return first
 	}
-	return cmp.Or(boolOrder(a.Entitled, b.Entitled), cmp.Compare(b.Urgency, a.Urgency))
+	return cmp.Or(compareTrueFirst(a.WithinGuarantee, b.WithinGuarantee), cmp.Compare(b.Urgency, a.Urgency))
 }
 
-// boolOrder puts what holds first.
-func boolOrder(a, b bool) int {
+// compareTrueFirst puts what holds first.
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -338,29 +338,29 @@
 	return 1
 }
 
-// gang places all tasks of a gang first-fit, or none.
-func gang(in *Input, ji int, free []api.Resources, left map[api.Team]api.Resources, units map[api.PoolName]int) []Placement {
-	j := &in.Jobs[ji]
-	if j.InUnits(units, len(j.Pending)) == 0 {
+// placeGang places all tasks of a gang first-fit, or none.
+func placeGang(in *Input, jobIndex int, free []api.Resources, remainingQuota map[api.Team]api.Resources, units map[api.PoolName]int) []Assignment {
+	j := &in.Jobs[jobIndex]
+	if j.TasksWithinUnits(units, len(j.Pending)) == 0 {
 		return nil
 	}
-	if !j.Demand.Times(len(j.Pending)).Fits(left[j.Spec.Team]) {
-		if j.Reserve {
-			left[j.Spec.Team] = api.Resources{}
+	if !j.Demand.Times(len(j.Pending)).Fits(remainingQuota[j.Spec.Team]) {
+		if j.ReservesQuota {
+			remainingQuota[j.Spec.Team] = api.Resources{}
 		}
 		return nil
 	}
 	// Machines with the image first, and those with least to spare: whole
 	// pieces stay whole.
 	var order []int
-	for mi := range in.Machines {
-		m := &in.Machines[mi]
-		if j.Demand.Fits(free[mi]) && m.Open(j) {
-			order = append(order, mi)
+	for machineIndex := range in.Machines {
+		m := &in.Machines[machineIndex]
+		if j.Demand.Fits(free[machineIndex]) && m.Eligible(j) {
+			order = append(order, machineIndex)
 		}
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		ia, ib := in.Machines[a].Has(j.Spec.Image), in.Machines[b].Has(j.Spec.Image)
+		ia, ib := in.Machines[a].HasImage(j.Spec.Image), in.Machines[b].HasImage(j.Spec.Image)
 		if ia != ib {
 			if ia {
 				return -1
@@ -371,8 +371,8 @@
 	})
 	var zones []api.Zone
 	if j.Spec.OneZone {
-		for _, mi := range order {
-			if z := in.Machines[mi].Zone; !slices.Contains(zones, z) {
+		for _, machineIndex := range order {
+			if z := in.Machines[machineIndex].Zone; !slices.Contains(zones, z) {
 				zones = append(zones, z)
 			}
 		}
@@ -381,43 +381,43 @@
 	}
 	for _, zone := range zones {
 		counts := map[api.Zone]int{}
-		for z, n := range j.Zones {
+		for z, n := range j.PlacedByZone {
 			counts[z] = n
 		}
-		var got []Placement
-		for _, mi := range order {
-			m := &in.Machines[mi]
+		var assignments []Assignment
+		for _, machineIndex := range order {
+			m := &in.Machines[machineIndex]
 			if zone != "" && m.Zone != zone {
 				continue
 			}
-			room := free[mi]
-			for len(got) < len(j.Pending) && j.Demand.Fits(room) && ZoneOpen(j.Spec, counts, m.Zone) {
-				got = append(got, Placement{ji, j.Pending[len(got)], mi})
-				room = room.Minus(j.Demand)
+			available := free[machineIndex]
+			for len(assignments) < len(j.Pending) && j.Demand.Fits(available) && ZoneFeasible(j.Spec, counts, m.Zone) {
+				assignments = append(assignments, Assignment{jobIndex, j.Pending[len(assignments)], machineIndex})
+				available = available.Minus(j.Demand)
 				counts[m.Zone]++
 			}
 		}
-		if len(got) == len(j.Pending) {
-			for _, p := range got {
-				free[p.Machine] = free[p.Machine].Minus(j.Demand)
+		if len(assignments) == len(j.Pending) {
+			for _, p := range assignments {
+				free[p.MachineIndex] = free[p.MachineIndex].Minus(j.Demand)
 			}
-			left[j.Spec.Team] = left[j.Spec.Team].Minus(j.Demand.Times(len(got)))
-			j.TakeUnits(units, len(got))
-			return got
+			remainingQuota[j.Spec.Team] = remainingQuota[j.Spec.Team].Minus(j.Demand.Times(len(assignments)))
+			j.ConsumeUnits(units, len(assignments))
+			return assignments
 		}
 	}
-	if j.Reserve { // it lacks machines now, and must not lack the limit when they are there
-		left[j.Spec.Team] = left[j.Spec.Team].Minus(j.Demand.Times(len(j.Pending)))
+	if j.ReservesQuota { // it lacks machines now, and must not lack the limit when they are there
+		remainingQuota[j.Spec.Team] = remainingQuota[j.Spec.Team].Minus(j.Demand.Times(len(j.Pending)))
 	}
 	return nil
 }
 
-// link is an edge from a job, or from a job's tasks of one zone, to a machine.
-type link struct {
-	cost int64
-	mi   int
-	job  int
-	edge flow.EdgeID
+// candidateEdge is an edge from a job, or from a job's tasks of one zone, to a machine.
+type candidateEdge struct {
+	cost    int64
+	machine int
+	job     int
+	edge    flow.EdgeID
 }
 
 // flowNode is a node that tasks flow through: a job, or what a job that is
@@ -425,10 +425,10 @@
 type flowNode struct {
 	supply int
 	parent int // the job's node, or -1 for a job's own
-	links  []link
+	edges  []candidateEdge
 }
 
-// flowRound places tasks by min-cost flow, one per machine. Tasks of one job are
+// placeByFlow places tasks by min-cost flow, one per machine. Tasks of one job are
 // alike, so a job is one node with as many units of supply: the optimum is that
 // of one node per task.
 //
@@ -436,42 +436,42 @@
 // more than that many of its cheapest machines: were one beyond them used, one
 // among them would be free, and no dearer. So the other edges are left out and
 // the optimum stays the same.
-func flowRound(in *Input, order []int, free []api.Resources, left map[api.Team]api.Resources, units map[api.PoolName]int, most int) []Placement {
-	if most <= 0 || len(in.Machines) == 0 {
+func placeByFlow(in *Input, order []int, free []api.Resources, remainingQuota map[api.Team]api.Resources, units map[api.PoolName]int, maxStarts int) []Assignment {
+	if maxStarts <= 0 || len(in.Machines) == 0 {
 		return nil
 	}
 	var nodes []flowNode
 	total := 0
-	for _, ji := range order {
-		j := &in.Jobs[ji]
+	for _, jobIndex := range order {
+		j := &in.Jobs[jobIndex]
 		if j.Spec.Kind == api.Gang {
 			continue
 		}
-		supply := min(len(j.Pending), j.Demand.Slots(left[j.Spec.Team]), most)
-		if supply == 0 && j.Reserve {
-			left[j.Spec.Team] = api.Resources{}
+		supply := min(len(j.Pending), j.Demand.Slots(remainingQuota[j.Spec.Team]), maxStarts)
+		if supply == 0 && j.ReservesQuota {
+			remainingQuota[j.Spec.Team] = api.Resources{}
 		}
-		if j.Spec.OneZone && !occupied(j.Zones) {
+		if j.Spec.OneZone && !anyOccupied(j.PlacedByZone) {
 			supply = min(supply, 1) // the first start decides where the others may go
 		}
-		supply = j.InUnits(units, supply)
+		supply = j.TasksWithinUnits(units, supply)
 		if supply <= 0 {
 			continue
 		}
-		added := jobNodes(in, ji, free, supply, most, len(nodes))
-		reach := 0
+		added := jobNodes(in, jobIndex, free, supply, maxStarts, len(nodes))
+		edgeCount := 0
 		for i := range added {
-			reach += len(added[i].links)
+			edgeCount += len(added[i].edges)
 		}
-		supply = min(supply, reach)
+		supply = min(supply, edgeCount)
 		if supply == 0 {
 			continue
 		}
 		added[0].supply = supply
-		left[j.Spec.Team] = left[j.Spec.Team].Minus(j.Demand.Times(supply))
-		j.TakeUnits(units, supply)
+		remainingQuota[j.Spec.Team] = remainingQuota[j.Spec.Team].Minus(j.Demand.Times(supply))
+		j.ConsumeUnits(units, supply)
 		nodes = append(nodes, added...)
-		if total += supply; total >= 4*min(most, len(in.Machines))+64 {
+		if total += supply; total >= 4*min(maxStarts, len(in.Machines))+64 {
 			break // enough to fill the round; the others come after these
 		}
 	}
@@ -479,42 +479,42 @@
 		return nil
 	}
 	// Machines without an edge need no node.
-	at := make(map[int]int)
+	machineNodes := make(map[int]int)
 	for i := range nodes {
-		for _, l := range nodes[i].links {
-			if _, ok := at[l.mi]; !ok {
-				at[l.mi] = len(nodes) + len(at)
+		for _, l := range nodes[i].edges {
+			if _, ok := machineNodes[l.machine]; !ok {
+				machineNodes[l.machine] = len(nodes) + len(machineNodes)
 			}
 		}
 	}
-	n := len(nodes) + len(at)
+	n := len(nodes) + len(machineNodes)
 	g := flow.New(n + 3)
 	source, unscheduled, sink := n, n+1, n+2
-	g.Edge(unscheduled, sink, total, 0)
+	g.AddEdge(unscheduled, sink, total, 0)
 	for node := len(nodes); node < n; node++ {
-		g.Edge(node, sink, 1, 0)
+		g.AddEdge(node, sink, 1, 0)
 	}
 	for i := range nodes {
-		nd := &nodes[i]
-		if nd.parent < 0 {
-			g.Edge(source, i, nd.supply, 0)
-			g.Edge(i, unscheduled, nd.supply, 0)
+		node := &nodes[i]
+		if node.parent < 0 {
+			g.AddEdge(source, i, node.supply, 0)
+			g.AddEdge(i, unscheduled, node.supply, 0)
 		} else {
-			g.Edge(nd.parent, i, nd.supply, 0)
+			g.AddEdge(node.parent, i, node.supply, 0)
 		}
-		for k := range nd.links {
-			l := &nd.links[k]
-			l.edge = g.Edge(i, at[l.mi], 1, l.cost)
+		for k := range node.edges {
+			l := &node.edges[k]
+			l.edge = g.AddEdge(i, machineNodes[l.machine], 1, l.cost)
 		}
 	}
-	g.Run(source, sink, min(total, most))
-	var plan []Placement
+	g.MinCostFlow(source, sink, min(total, maxStarts))
+	var plan []Assignment
 	next := map[int]int{}
 	for i := range nodes {
-		for _, l := range nodes[i].links {
+		for _, l := range nodes[i].edges {
 			if g.Flow(l.edge) > 0 {
 				j := &in.Jobs[l.job]
-				plan = append(plan, Placement{l.job, j.Pending[next[l.job]], l.mi})
+				plan = append(plan, Assignment{l.job, j.Pending[next[l.job]], l.machine})
 				next[l.job]++
 			}
 		}
@@ -522,7 +522,7 @@
 	return plan
 }
 
-func occupied(zones map[api.Zone]int) bool {
+func anyOccupied(zones map[api.Zone]int) bool {
 	for _, n := range zones {
 		if n > 0 {
 			return true
@@ -534,85 +534,85 @@
 // jobNodes are the nodes of one job, its own first. A job that is spread has one
 // more for each zone, with as much capacity as the zone may still take: so
 // several of its tasks can be placed in a round and the bound still holds.
-func jobNodes(in *Input, ji int, free []api.Resources, supply, most, base int) []flowNode {
-	j := &in.Jobs[ji]
+func jobNodes(in *Input, jobIndex int, free []api.Resources, supply, maxStarts, parent int) []flowNode {
+	j := &in.Jobs[jobIndex]
 	nodes := []flowNode{{supply: supply, parent: -1}}
 	byZone := map[api.Zone]int{}
-	var open []int // machines
-	for mi := range in.Machines {
-		if m := &in.Machines[mi]; j.Demand.Fits(free[mi]) && m.Open(j) && ZoneOpen(j.Spec, j.Zones, m.Zone) {
-			open = append(open, mi)
+	var eligible []int // machines
+	for machineIndex := range in.Machines {
+		if m := &in.Machines[machineIndex]; j.Demand.Fits(free[machineIndex]) && m.Eligible(j) && ZoneFeasible(j.Spec, j.PlacedByZone, m.Zone) {
+			eligible = append(eligible, machineIndex)
 		}
 	}
-	if j.Spec.Kind == api.Service && j.Within > 0 {
-		open = soonEnough(in, j, free, open)
+	if j.Spec.Kind == api.Service && j.StartSLO > 0 {
+		eligible = limitByFetchTime(in, j, free, eligible)
 	}
-	for _, mi := range open {
-		m := &in.Machines[mi]
+	for _, machineIndex := range eligible {
+		m := &in.Machines[machineIndex]
 		to := 0
 		if j.Spec.Spread {
 			var ok bool
 			if to, ok = byZone[m.Zone]; !ok {
 				to = len(nodes)
 				byZone[m.Zone] = to
-				nodes = append(nodes, flowNode{supply: min(supply, (j.Spec.Tasks+1)/2-j.Zones[m.Zone]), parent: base})
+				nodes = append(nodes, flowNode{supply: min(supply, (j.Spec.Tasks+1)/2-j.PlacedByZone[m.Zone]), parent: parent})
 			}
 		}
-		nodes[to].links = append(nodes[to].links, link{cost: edgeCost(in, j, m, free[mi]), mi: mi, job: ji})
+		nodes[to].edges = append(nodes[to].edges, candidateEdge{cost: edgeCost(in, j, m, free[machineIndex]), machine: machineIndex, job: jobIndex})
 	}
 	for i := range nodes {
-		if l := nodes[i].links; len(l) > most {
-			slices.SortStableFunc(l, func(a, b link) int { return cmp.Compare(a.cost, b.cost) })
-			nodes[i].links = l[:most]
+		if l := nodes[i].edges; len(l) > maxStarts {
+			slices.SortStableFunc(l, func(a, b candidateEdge) int { return cmp.Compare(a.cost, b.cost) })
+			nodes[i].edges = l[:maxStarts]
 		}
 	}
 	return nodes
 }
 
-// soonEnough chooses, of the machines that are open to a service's replicas, those that are
+// limitByFetchTime chooses, of the machines that are open to a service's replicas, those that are
 // looked at in this round: whose fetch is as short as it must be for all that wait to find
 // room within some rounds, but no longer than a machine that boots would take. A round puts
 // one task on a machine, so when a zone is lost the machines that hold an image are soon used
 // up in it; the next round, a tenth of a second later, has more of their room, and a fetch
 // on a slow machine takes a hundred times that.
-func soonEnough(in *Input, j *Job, free []api.Resources, open []int) []int {
+func limitByFetchTime(in *Input, j *Job, free []api.Resources, eligible []int) []int {
 	type room struct {
 		mi    int
 		fetch float64
 	}
-	rooms := make([]room, len(open))
-	for i, mi := range open {
-		rooms[i] = room{mi, in.Machines[mi].FetchTime(j.Spec)}
+	candidates := make([]room, len(eligible))
+	for i, machineIndex := range eligible {
+		candidates[i] = room{machineIndex, in.Machines[machineIndex].FetchTime(j.Spec)}
 	}
-	byFetch := slices.Clone(rooms)
+	byFetch := slices.Clone(candidates)
 	slices.SortFunc(byFetch, func(a, b room) int { return cmp.Compare(a.fetch, b.fetch) })
-	most := math.Inf(1)
-	if j.Fresh > 0 {
-		most = j.Fresh
+	maxFetch := math.Inf(1)
+	if j.NewMachineSeconds > 0 {
+		maxFetch = j.NewMachineSeconds
 	}
-	left := len(j.Pending)
+	remaining := len(j.Pending)
 	for _, r := range byFetch {
-		if left -= min(someRounds, j.Demand.Slots(free[r.mi])); left <= 0 {
-			most = min(most, max(r.fetch, j.Within/3))
+		if remaining -= min(maxImageWaitRounds, j.Demand.Slots(free[r.mi])); remaining <= 0 {
+			maxFetch = min(maxFetch, max(r.fetch, j.StartSLO/3))
 			break
 		}
 	}
-	open = open[:0]
-	for _, r := range rooms {
-		if r.fetch <= most {
-			open = append(open, r.mi)
+	eligible = eligible[:0]
+	for _, r := range candidates {
+		if r.fetch <= maxFetch {
+			eligible = append(eligible, r.mi)
 		}
 	}
-	return open
+	return eligible
 }
 
-// someRounds is how many rounds a replica may wait for a machine that has its image: they
+// maxImageWaitRounds is how many rounds a replica may wait for a machine that has its image: they
 // take a second or less.
-const someRounds = 8
+const maxImageWaitRounds = 8
 
-// Holds reports whether the machines have room for all of a job's tasks
+// FitsAll reports whether the machines have room for all of a job's tasks
 // together, by first fit.
-func Holds(machines []Machine, s *api.JobSpec) bool {
+func FitsAll(machines []Machine, s *api.JobSpec) bool {
 	bare := *s
 	bare.Needs = nil // machines are asked for, not pools
 	in := &Input{Machines: machines}
@@ -622,7 +622,7 @@
 	for i, m := range machines {
 		free[i] = m.Free
 	}
-	const plenty = api.Amount(1) << 52
-	left := map[api.Team]api.Resources{s.Team: {CPU: plenty, GPU: plenty, Mem: plenty}}
-	return len(gang(in, 0, free, left, nil)) == s.Tasks
+	const unlimited = api.Quantity(1) << 52
+	remainingQuota := map[api.Team]api.Resources{s.Team: {CPU: unlimited, GPU: unlimited, Mem: unlimited}}
+	return len(placeGang(in, 0, free, remainingQuota, nil)) == s.Tasks
 }
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -8,20 +8,20 @@
 
 	"basaltwall/api"
 	"basaltwall/flow"
-	"basaltwall/pack"
+	"basaltwall/fragmentation"
 )
 
-// crowd is a round with many machines, partly taken, and many waiting jobs.
-func crowd(machines, jobs int) *Input {
+// loadedInput is a round with many machines, partly taken, and many waiting jobs.
+func loadedInput(machines, jobs int) *Input {
 	r := rand.New(rand.NewPCG(5, 6))
-	in := &Input{Largest: api.Resources{CPU: 16e6, Mem: 64e6}, Most: 1 << 20,
-		Left: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}}}
+	in := &Input{LargestCapacity: api.Resources{CPU: 16e6, Mem: 64e6}, MaxStarts: 1 << 20,
+		RemainingQuota: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}}}
 	for i := range machines {
 		in.Machines = append(in.Machines, Machine{ID: api.MachineID(fmt.Sprintf("i-%d", i)), Type: "t", Zone: api.Zone(fmt.Sprint(i % 3)),
-			Free: api.Resources{CPU: api.Amount(r.IntN(17)) * 1e6, Mem: api.Amount(r.IntN(65)) * 1e6}, Fetch: 1})
+			Free: api.Resources{CPU: api.Quantity(r.IntN(17)) * 1e6, Mem: api.Quantity(r.IntN(65)) * 1e6}, FetchRate: 1})
 	}
 	for i := range jobs {
-		s := &api.JobSpec{Ref: api.JobRef(fmt.Sprintf("run-%d", i)), Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 1000,
+		s := &api.JobSpec{Ref: api.JobID(fmt.Sprintf("run-%d", i)), Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 1000,
 			CPUs: float64(1 + r.IntN(4)), MemGB: float64(1 + r.IntN(8)), Image: "img", ImageGB: 1}
 		j := Job{Spec: s, Demand: s.Demand(), Urgency: r.Float64()}
 		for t := range machines {
@@ -32,25 +32,25 @@
 	return in
 }
 
-func TestRoundKeepsItsBounds(t *testing.T) {
-	in := crowd(50, 60)
-	in.Left["red"] = api.Resources{CPU: 60e6, GPU: 1 << 50, Mem: 1 << 50}
-	plan := Round(in)
+func TestPlanRoundRespectsLimits(t *testing.T) {
+	in := loadedInput(50, 60)
+	in.RemainingQuota["red"] = api.Resources{CPU: 60e6, GPU: 1 << 50, Mem: 1 << 50}
+	plan := PlanRound(in)
 	if len(plan) == 0 {
 		t.Fatal("nothing placed")
 	}
-	var cpu api.Amount
+	var cpu api.Quantity
 	seen := map[int]bool{}
 	for _, p := range plan {
-		j, m := in.Jobs[p.Job], in.Machines[p.Machine]
+		j, m := in.Jobs[p.JobIndex], in.Machines[p.MachineIndex]
 		cpu += j.Demand.CPU
 		if !j.Demand.Fits(m.Free) {
 			t.Errorf("%v does not fit %v", j.Demand, m.Free)
 		}
-		if seen[p.Machine] {
-			t.Errorf("machine %d twice in a round", p.Machine)
+		if seen[p.MachineIndex] {
+			t.Errorf("machine %d twice in a round", p.MachineIndex)
 		}
-		seen[p.Machine] = true
+		seen[p.MachineIndex] = true
 	}
 	if cpu > 60e6 {
 		t.Errorf("%v CPUs placed, 60 left", cpu.Float())
@@ -58,55 +58,55 @@
 }
 
 func TestHigherPriorityFirst(t *testing.T) {
-	in := crowd(1, 3)
+	in := loadedInput(1, 3)
 	in.Machines[0].Free = in.Jobs[2].Demand
 	in.Jobs[2].Spec.Priority = api.Production
 	for i := range 2 {
 		in.Jobs[i].Demand = in.Jobs[2].Demand
 		in.Jobs[i].Urgency = 1
 	}
-	if plan := Round(in); len(plan) != 1 || plan[0].Job != 2 {
+	if plan := PlanRound(in); len(plan) != 1 || plan[0].JobIndex != 2 {
 		t.Errorf("placed %v", plan)
 	}
 }
 
 // Equal but for one thing: the quicker machine, the one with the image and the
 // plain one are preferred, and a service keeps off accelerators.
-func TestMachineIsChosenByItsTerms(t *testing.T) {
+func TestMachineScoring(t *testing.T) {
 	cases := map[string]func(other *Machine, j *Job){
-		"slow":        func(m *Machine, _ *Job) { m.Pace = 2 },
-		"no image":    func(m *Machine, j *Job) { m.Images = nil },
+		"slow":        func(m *Machine, _ *Job) { m.Slowdown = 2 },
+		"no image":    func(m *Machine, j *Job) { m.CachedImages = nil },
 		"accelerator": func(m *Machine, _ *Job) { m.GPU = true },
 		"less room":   func(m *Machine, _ *Job) { m.Free.CPU -= 4e6 },
-		"avoided":     func(m *Machine, j *Job) { j.AvoidedBy = map[api.MachineID]bool{m.ID: true} },
+		"avoided":     func(m *Machine, j *Job) { j.ExcludedMachines = map[api.MachineID]bool{m.ID: true} },
 		"other zone":  func(m *Machine, j *Job) { m.Zone, j.Spec.Zone = "x", "z" },
 		"spot":        func(m *Machine, _ *Job) { m.Spot = true },
 	}
-	for name, spoil := range cases {
+	for name, degrade := range cases {
 		for worse := range 2 {
-			in := crowd(2, 1)
+			in := loadedInput(2, 1)
 			for i := range in.Machines {
 				in.Machines[i].Free = api.Resources{CPU: 8e6, Mem: 32e6}
 				in.Machines[i].Zone = "z"
-				in.Machines[i].Images = map[api.Image]Cached{"img": {}}
+				in.Machines[i].CachedImages = map[api.Image]CachedImage{"img": {}}
 			}
-			in.Jobs[0].Pending, in.Jobs[0].Plain = []int{0}, true
-			spoil(&in.Machines[worse], &in.Jobs[0])
-			if plan := Round(in); len(plan) != 1 || plan[0].Machine == worse {
+			in.Jobs[0].Pending, in.Jobs[0].AcceleratorOptional = []int{0}, true
+			degrade(&in.Machines[worse], &in.Jobs[0])
+			if plan := PlanRound(in); len(plan) != 1 || plan[0].MachineIndex == worse {
 				t.Errorf("%s: placed %v, the worse machine is %d", name, plan, worse)
 			}
 		}
 	}
-	in := crowd(1, 1)
+	in := loadedInput(1, 1)
 	in.Machines[0].Free, in.Machines[0].GPU = api.Resources{CPU: 8e6, Mem: 32e6}, true
-	in.Jobs[0].Plain, in.Jobs[0].Spec.Kind = true, api.Service
-	if plan := Round(in); len(plan) != 0 {
+	in.Jobs[0].AcceleratorOptional, in.Jobs[0].Spec.Kind = true, api.Service
+	if plan := PlanRound(in); len(plan) != 0 {
 		t.Errorf("a service on an accelerator machine: %v", plan)
 	}
 }
 
-func TestGangWholeOrNot(t *testing.T) {
-	in := crowd(3, 1)
+func TestGangAllOrNothing(t *testing.T) {
+	in := loadedInput(3, 1)
 	for i := range in.Machines {
 		in.Machines[i].Free = api.Resources{CPU: 8e6, Mem: 32e6}
 	}
@@ -118,14 +118,14 @@
 		for i := range tasks {
 			in.Jobs[0].Pending = append(in.Jobs[0].Pending, i)
 		}
-		if plan := Round(in); len(plan) != want {
+		if plan := PlanRound(in); len(plan) != want {
 			t.Errorf("gang of %d: %d placed, expected %d", tasks, len(plan), want)
 		}
 	}
 	s.OneZone, in.Jobs[0].Pending = true, []int{0, 1}
 	zones := map[api.Zone]bool{}
-	for _, p := range Round(in) {
-		zones[in.Machines[p.Machine].Zone] = true
+	for _, p := range PlanRound(in) {
+		zones[in.Machines[p.MachineIndex].Zone] = true
 	}
 	if len(zones) != 1 {
 		t.Errorf("a gang that must be together lies in %d zones", len(zones))
@@ -136,9 +136,9 @@
 // grows with the machines, not with the queue. The count of allocations stands
 // for work here, since it does not depend on the machine that runs the test.
 func TestRoundIsBounded(t *testing.T) {
-	few, many := crowd(50, 400), crowd(50, 4000)
-	a := testing.AllocsPerRun(3, func() { Round(few) })
-	b := testing.AllocsPerRun(3, func() { Round(many) })
+	few, many := loadedInput(50, 400), loadedInput(50, 4000)
+	a := testing.AllocsPerRun(3, func() { PlanRound(few) })
+	b := testing.AllocsPerRun(3, func() { PlanRound(many) })
 	if b > 1.2*a {
 		t.Errorf("%v allocations for 400 jobs, %v for 4000", a, b)
 	}
@@ -149,29 +149,29 @@
 
 func BenchmarkRound(b *testing.B) {
 	for _, size := range []int{1, 10, 100} {
-		in := crowd(16*size, 20*size)
+		in := loadedInput(16*size, 20*size)
 		b.Run(fmt.Sprintf("%dx", size), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				Round(in)
+				PlanRound(in)
 			}
 		})
 	}
 }
 
-// inPieces is a cluster of machines with eight accelerators, some of them in use, and models of
+// fragmentedInput is a cluster of machines with eight accelerators, some of them in use, and models of
 // one and of eight that wait.
-func inPieces(machines, jobs int, typical bool) *Input {
+func fragmentedInput(machines, jobs int, typical bool) *Input {
 	r := rand.New(rand.NewPCG(8, 9))
-	in := &Input{Largest: api.Resources{CPU: 96e6, GPU: 8e6, Mem: 768e6}, Most: 60,
-		Left: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}}}
+	in := &Input{LargestCapacity: api.Resources{CPU: 96e6, GPU: 8e6, Mem: 768e6}, MaxStarts: 60,
+		RemainingQuota: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}}}
 	for i := range machines {
-		used := api.Amount(r.IntN(9))
-		in.Machines = append(in.Machines, Machine{ID: api.MachineID(fmt.Sprintf("i-%d", i)), Type: "m8", Zone: "a", GPU: true, Fetch: 1,
+		used := api.Quantity(r.IntN(9))
+		in.Machines = append(in.Machines, Machine{ID: api.MachineID(fmt.Sprintf("i-%d", i)), Type: "m8", Zone: "a", GPU: true, FetchRate: 1,
 			Free: api.Resources{CPU: 96e6 - 12e6*used, GPU: 8e6 - 1e6*used, Mem: 768e6 - 90e6*used}})
 	}
 	for i := range jobs {
-		s := &api.JobSpec{Ref: api.JobRef(fmt.Sprintf("run-%d", i)), Team: "red", Kind: api.Service, Priority: api.High, Tasks: 3, CPUs: 4, GPUs: 1, MemGB: 40}
+		s := &api.JobSpec{Ref: api.JobID(fmt.Sprintf("run-%d", i)), Team: "red", Kind: api.Service, Priority: api.High, Tasks: 3, CPUs: 4, GPUs: 1, MemGB: 40}
 		if i%8 == 0 {
 			s.GPUs, s.CPUs, s.MemGB, s.Tasks = 8, 48, 300, 1
 		}
@@ -183,18 +183,18 @@
 		for _, j := range in.Jobs {
 			asked[j.Demand] += len(j.Pending)
 		}
-		in.Typical = pack.Typical(asked)
+		in.TypicalDemands = fragmentation.TypicalDemands(asked)
 	}
 	return in
 }
 
 // Small models fill what is begun: none begins a whole machine while pieces are left, as the dot
 // product by itself would have it.
-func TestSmallModelsLeaveWholeMachines(t *testing.T) {
+func TestSmallTasksKeepWholeMachinesFree(t *testing.T) {
 	begun := func(typical bool) (whole int) {
-		in := inPieces(200, 40, typical)
-		for _, p := range Round(in) {
-			if in.Jobs[p.Job].Spec.GPUs == 1 && in.Machines[p.Machine].Free.GPU == 8e6 {
+		in := fragmentedInput(200, 40, typical)
+		for _, p := range PlanRound(in) {
+			if in.Jobs[p.JobIndex].Spec.GPUs == 1 && in.Machines[p.MachineIndex].Free.GPU == 8e6 {
 				whole++
 			}
 		}
@@ -207,16 +207,16 @@
 
 // What is left whole after small models that come a few at a time, against the best that an
 // exhaustive search finds that knows all of them at once. Where a task finds no room, none count.
-func TestPiecesNearTheBest(t *testing.T) {
-	sizes := []api.Amount{1e6, 2e6, 4e6}
-	demand := func(gpus api.Amount) api.Resources {
+func TestFragmentationNearOptimum(t *testing.T) {
+	sizes := []api.Quantity{1e6, 2e6, 4e6}
+	demand := func(gpus api.Quantity) api.Resources {
 		return api.Resources{CPU: 12 * gpus, GPU: gpus, Mem: 90 * gpus}
 	}
 	// best is the most machines that can be left with all eight free.
-	var best func(free []api.Amount, tasks []api.Amount) int
-	best = func(free, tasks []api.Amount) int {
+	var best func(free []api.Quantity, tasks []api.Quantity) int
+	best = func(free, tasks []api.Quantity) int {
 		if len(tasks) == 0 {
-			return whole(free)
+			return countWhole(free)
 		}
 		most := -1
 		for i := range free {
@@ -232,11 +232,11 @@
 	ideal := 0
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		start := make([]api.Amount, 5)
+		start := make([]api.Quantity, 5)
 		for i := range start {
-			start[i] = 1e6 * api.Amount([]int{8, 8, 8, 5, 3}[r.IntN(5)])
+			start[i] = 1e6 * api.Quantity([]int{8, 8, 8, 5, 3}[r.IntN(5)])
 		}
-		tasks := make([]api.Amount, 6)
+		tasks := make([]api.Quantity, 6)
 		for i := range tasks {
 			tasks[i] = sizes[r.IntN(len(sizes))]
 		}
@@ -249,26 +249,26 @@
 			asked[demand(gpus)]++
 		}
 		ideal += most
-		for way, typical := range [][]pack.Demand{nil, pack.Typical(asked)} {
+		for variant, typical := range [][]fragmentation.Demand{nil, fragmentation.TypicalDemands(asked)} {
 			free, unplaced := slices.Clone(start), 0
 			for i := 0; i < len(tasks); i += 2 {
-				in := &Input{Largest: demand(8e6), Most: 60, Typical: typical, Left: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}}}
+				in := &Input{LargestCapacity: demand(8e6), MaxStarts: 60, TypicalDemands: typical, RemainingQuota: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}}}
 				for m, gpus := range free {
-					in.Machines = append(in.Machines, Machine{ID: api.MachineID(fmt.Sprint("i-", m)), Type: "m8", Zone: "a", GPU: true, Fetch: 1, Free: demand(gpus)})
+					in.Machines = append(in.Machines, Machine{ID: api.MachineID(fmt.Sprint("i-", m)), Type: "m8", Zone: "a", GPU: true, FetchRate: 1, Free: demand(gpus)})
 				}
 				for n, gpus := range tasks[i : i+2] {
-					s := &api.JobSpec{Ref: api.JobRef(fmt.Sprint("run-", n)), Team: "red", Kind: api.Service, Priority: api.High, Tasks: 1}
+					s := &api.JobSpec{Ref: api.JobID(fmt.Sprint("run-", n)), Team: "red", Kind: api.Service, Priority: api.High, Tasks: 1}
 					in.Jobs = append(in.Jobs, Job{Spec: s, Demand: demand(gpus), Pending: []int{0}})
 				}
-				placed := Round(in)
+				placed := PlanRound(in)
 				for _, p := range placed {
-					free[p.Machine] -= in.Jobs[p.Job].Demand.GPU
+					free[p.MachineIndex] -= in.Jobs[p.JobIndex].Demand.GPU
 				}
 				unplaced += len(in.Jobs) - len(placed)
 			}
-			waiting[way] += unplaced
+			waiting[variant] += unplaced
 			if unplaced == 0 {
-				left[way] += whole(free)
+				left[variant] += countWhole(free)
 			}
 		}
 	}
@@ -278,7 +278,7 @@
 	}
 }
 
-func whole(free []api.Amount) (count int) {
+func countWhole(free []api.Quantity) (count int) {
 	for _, f := range free {
 		if f == 8e6 {
 			count++
@@ -289,10 +289,10 @@
 
 func BenchmarkRoundInPieces(b *testing.B) {
 	for _, typical := range []bool{false, true} {
-		in := inPieces(2500, 300, typical)
+		in := fragmentedInput(2500, 300, typical)
 		b.Run(fmt.Sprintf("typical=%v", typical), func(b *testing.B) {
 			for b.Loop() {
-				Round(in)
+				PlanRound(in)
 			}
 		})
 	}
@@ -303,8 +303,8 @@
 func TestCutEdgesKeepTheOptimum(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 9))
-		in := crowd(30+r.IntN(40), 2+r.IntN(6))
-		in.Most = 3 + r.IntN(12)
+		in := loadedInput(30+r.IntN(40), 2+r.IntN(6))
+		in.MaxStarts = 3 + r.IntN(12)
 		supply := 0
 		for i := range in.Jobs {
 			in.Jobs[i].Pending = in.Jobs[i].Pending[:1+r.IntN(8)]
@@ -315,21 +315,21 @@
 		g := flow.New(n + k + 2)
 		for i := range in.Jobs {
 			j := &in.Jobs[i]
-			g.Edge(n+k, i, len(j.Pending), 0)
-			for mi := range in.Machines {
-				if m := &in.Machines[mi]; j.Demand.Fits(m.Free) {
-					g.Edge(i, n+mi, 1, edgeCost(in, j, m, m.Free))
+			g.AddEdge(n+k, i, len(j.Pending), 0)
+			for machineIndex := range in.Machines {
+				if m := &in.Machines[machineIndex]; j.Demand.Fits(m.Free) {
+					g.AddEdge(i, n+machineIndex, 1, edgeCost(in, j, m, m.Free))
 				}
 			}
 		}
-		for mi := range in.Machines {
-			g.Edge(n+mi, n+k+1, 1, 0)
+		for machineIndex := range in.Machines {
+			g.AddEdge(n+machineIndex, n+k+1, 1, 0)
 		}
-		sent, want := g.Run(n+k, n+k+1, min(supply, in.Most))
-		plan := Round(in)
+		sent, want := g.MinCostFlow(n+k, n+k+1, min(supply, in.MaxStarts))
+		plan := PlanRound(in)
 		got := int64(0)
 		for _, p := range plan {
-			got += edgeCost(in, &in.Jobs[p.Job], &in.Machines[p.Machine], in.Machines[p.Machine].Free)
+			got += edgeCost(in, &in.Jobs[p.JobIndex], &in.Machines[p.MachineIndex], in.Machines[p.MachineIndex].Free)
 		}
 		if len(plan) != sent || got != want {
 			t.Fatalf("seed %d: %d placed at %d, all edges give %d at %d", seed, len(plan), got, sent, want)
@@ -339,23 +339,23 @@
 
 // Several tasks of a job that is spread start in one round, within its bound.
 func TestSpreadInOneRound(t *testing.T) {
-	in := crowd(30, 1)
+	in := loadedInput(30, 1)
 	for i := range in.Machines {
 		in.Machines[i].Free = api.Resources{CPU: 8e6, Mem: 32e6}
 	}
 	j := &in.Jobs[0]
 	j.Spec.Spread, j.Spec.Kind, j.Spec.Tasks = true, api.Service, 9
 	j.Pending = []int{2, 3, 4, 5, 6, 7, 8}
-	j.Zones = map[api.Zone]int{"0": 2}
+	j.PlacedByZone = map[api.Zone]int{"0": 2}
 	zones := map[api.Zone]int{"0": 2}
 	for i := range in.Machines {
 		if in.Machines[i].Zone == "0" {
 			in.Machines[i].Free.CPU += 4e6 // all would rather be there
 		}
 	}
-	plan := Round(in)
+	plan := PlanRound(in)
 	for _, p := range plan {
-		zones[in.Machines[p.Machine].Zone]++
+		zones[in.Machines[p.MachineIndex].Zone]++
 	}
 	if len(plan) != 7 || zones["0"] != 5 {
 		t.Errorf("%d of 7 placed, by zone %v; at most 5 may be in one", len(plan), zones)
@@ -363,12 +363,12 @@
 }
 
 // A machine that others made way on is left to the job it is kept for.
-func TestKeptMachine(t *testing.T) {
-	in := crowd(1, 2)
+func TestReservedMachine(t *testing.T) {
+	in := loadedInput(1, 2)
 	in.Machines[0].Free = api.Resources{CPU: 16e6, Mem: 64e6}
-	in.Machines[0].Kept = in.Jobs[1].Spec.Ref
+	in.Machines[0].ReservedFor = in.Jobs[1].Spec.Ref
 	in.Jobs[0].Spec.Priority = api.Production
-	if plan := Round(in); len(plan) != 1 || plan[0].Job != 1 {
+	if plan := PlanRound(in); len(plan) != 1 || plan[0].JobIndex != 1 {
 		t.Errorf("placed %v on a machine kept for job 1", plan)
 	}
 }
@@ -377,50 +377,50 @@
 // be sent to machines that fetch for long while the one that has the image has room for them
 // in the next rounds; but if it has not, the slow ones are better than none. Work without an
 // aim for its start waits for nothing.
-func TestReplicasWaitSomeRoundsForTheirImage(t *testing.T) {
-	round := func(kind api.Kind, room api.Amount) (near, far int) {
+func TestReplicasWaitForCachedImage(t *testing.T) {
+	round := func(kind api.Kind, freeCPU api.Quantity) (cached, uncached int) {
 		s := &api.JobSpec{Ref: "run-1", Team: "red", Kind: kind, Priority: api.Production, Tasks: 4, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 3}
-		in := &Input{Largest: api.Resources{CPU: 16e6, Mem: 64e6}, Most: 100, Left: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}},
-			Jobs: []Job{{Spec: s, Demand: s.Demand(), Pending: []int{0, 1, 2, 3}, Within: 3}}}
+		in := &Input{LargestCapacity: api.Resources{CPU: 16e6, Mem: 64e6}, MaxStarts: 100, RemainingQuota: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}},
+			Jobs: []Job{{Spec: s, Demand: s.Demand(), Pending: []int{0, 1, 2, 3}, StartSLO: 3}}}
 		for i := range 5 {
-			m := Machine{ID: api.MachineID(fmt.Sprintf("i-%d", i)), Type: "t", Zone: "a", Free: api.Resources{CPU: 16e6, Mem: 64e6}, Fetch: 0.2}
+			m := Machine{ID: api.MachineID(fmt.Sprintf("i-%d", i)), Type: "t", Zone: "a", Free: api.Resources{CPU: 16e6, Mem: 64e6}, FetchRate: 0.2}
 			if i == 0 {
-				m.Free.CPU, m.Images = room, map[api.Image]Cached{"img": {GB: 3}}
+				m.Free.CPU, m.CachedImages = freeCPU, map[api.Image]CachedImage{"img": {SizeGB: 3}}
 			}
 			in.Machines = append(in.Machines, m)
 		}
-		for _, p := range Round(in) {
-			if p.Machine == 0 {
-				near++
+		for _, p := range PlanRound(in) {
+			if p.MachineIndex == 0 {
+				cached++
 			} else {
-				far++
+				uncached++
 			}
 		}
-		return near, far
+		return cached, uncached
 	}
-	if near, far := round(api.Service, 16e6); near != 1 || far != 0 {
-		t.Errorf("with room where the image is: %d there, %d elsewhere", near, far)
+	if cached, uncached := round(api.Service, 16e6); cached != 1 || uncached != 0 {
+		t.Errorf("with room where the image is: %d there, %d elsewhere", cached, uncached)
 	}
-	if near, far := round(api.Service, 2e6); near != 1 || far != 3 {
-		t.Errorf("without: %d there, %d elsewhere", near, far)
+	if cached, uncached := round(api.Service, 2e6); cached != 1 || uncached != 3 {
+		t.Errorf("without: %d there, %d elsewhere", cached, uncached)
 	}
-	if near, far := round(api.Array, 16e6); near+far != 4 {
-		t.Errorf("an array: %d there, %d elsewhere", near, far)
+	if cached, uncached := round(api.Array, 16e6); cached+uncached != 4 {
+		t.Errorf("an array: %d there, %d elsewhere", cached, uncached)
 	}
 }
 
 // An image that is being fetched already is nearer than one that is not.
 func TestFetchTime(t *testing.T) {
 	s := &api.JobSpec{Image: "img", ImageGB: 2}
-	m := Machine{Fetch: 0.5, Coming: []Image{{Name: "other", GB: 1, Begun: 1}}}
+	m := Machine{FetchRate: 0.5, FetchingImages: []ImageFetch{{Name: "other", SizeGB: 1, ElapsedSeconds: 1}}}
 	if got := m.FetchTime(s); got != 6 {
 		t.Errorf("beside another: %v s", got)
 	}
-	m.Coming = append(m.Coming, Image{Name: "img", GB: 2, Begun: 4})
+	m.FetchingImages = append(m.FetchingImages, ImageFetch{Name: "img", SizeGB: 2, ElapsedSeconds: 4})
 	if got := m.FetchTime(s); got != 2 {
 		t.Errorf("begun 4 s ago: %v s", got)
 	}
-	m.Coming[1].Begun = 60
+	m.FetchingImages[1].ElapsedSeconds = 60
 	if got := m.FetchTime(s); got != 0 {
 		t.Errorf("overdue: %v s", got)
 	}
@@ -428,16 +428,16 @@
 
 // Replicas wait for a machine that boots rather than for a fetch that takes longer; where
 // none boots a late place is better than none.
-func TestReplicasWaitForAMachineThatBoots(t *testing.T) {
+func TestReplicasWaitForBootingMachine(t *testing.T) {
 	for _, tc := range []struct {
 		fresh float64
 		want  int
 	}{{0, 1}, {30, 0}, {60, 1}} {
 		s := &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Service, Priority: api.Production, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 2}
-		in := &Input{Largest: api.Resources{CPU: 16e6, Mem: 64e6}, Most: 100, Left: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}},
-			Machines: []Machine{{ID: "i-1", Type: "t", Zone: "a", Free: api.Resources{CPU: 16e6, Mem: 64e6}, Fetch: 0.2, Coming: []Image{{Name: "other", GB: 8}}}},
-			Jobs:     []Job{{Spec: s, Demand: s.Demand(), Pending: []int{0}, Within: 3, Fresh: tc.fresh}}}
-		if got := len(Round(in)); got != tc.want {
+		in := &Input{LargestCapacity: api.Resources{CPU: 16e6, Mem: 64e6}, MaxStarts: 100, RemainingQuota: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}},
+			Machines: []Machine{{ID: "i-1", Type: "t", Zone: "a", Free: api.Resources{CPU: 16e6, Mem: 64e6}, FetchRate: 0.2, FetchingImages: []ImageFetch{{Name: "other", SizeGB: 8}}}},
+			Jobs:     []Job{{Spec: s, Demand: s.Demand(), Pending: []int{0}, StartSLO: 3, NewMachineSeconds: tc.fresh}}}
+		if got := len(PlanRound(in)); got != tc.want {
 			t.Errorf("50 s away, with a machine up in %v s: %d placed", tc.fresh, got)
 		}
 	}
--- a/node/openapi_test.go
+++ b/server/openapi_test.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"encoding/json"
@@ -62,13 +62,13 @@
 }
 
 // Every request that the document names is understood, and no other of its paths.
-func TestDocumentNamesTheRequests(t *testing.T) {
+func TestRequestsMatchOpenAPI(t *testing.T) {
 	d := readDocument(t)
-	n := &Node{cfg: &config.Config{Hosted: &config.Hosted{}}}
+	s := &Server{config: &config.Config{Hosted: &config.Hosted{}}}
 	for template, item := range d.doc.Paths.Map() {
 		path := strings.NewReplacer("{ref}", "run-1", "{name}", "kipper", "{key}", "first", "{team}", "dispo", "{depot}", "hof-nord").Replace(template)
 		for _, method := range []string{"GET", "PUT", "POST", "DELETE", "PATCH"} {
-			c, status := n.route(1, httpx.Request{Method: method, Path: path, Body: []byte("{}")})
+			c, status := s.route(1, httpx.Request{Method: method, Path: path, Body: []byte("{}")})
 			if named := item.GetOperation(method) != nil; named != (c != nil) {
 				t.Errorf("%s %s: named %v, answered %v (%d)", method, path, named, c != nil, status)
 			} else if !named && status != 405 {
@@ -78,19 +78,19 @@
 	}
 	for _, path := range []string{"/admin/v1/tenants/kipper/forget", "/admin/v1/tenants/", "/admin/v1/audit/x", "/v1/history/x", "/v1/usage/x",
 		"/admin/v1/operators/x", "/admin/v1/operators/keys/a/b", "/admin/v1/teams/dispo/x", "/admin/v1/teams/"} {
-		if c, status := n.route(1, httpx.Request{Method: "GET", Path: path}); c != nil || status != 404 {
+		if c, status := s.route(1, httpx.Request{Method: "GET", Path: path}); c != nil || status != 404 {
 			t.Errorf("%s: %d", path, status)
 		}
 	}
 }
 
 // A service without tenants answers the paths of a hosted one as any that it does not know.
-func TestWithoutTenantsNoPathOfTheirs(t *testing.T) {
-	n := &Node{cfg: &config.Config{}}
+func TestTenantPathsAbsentWithoutHosting(t *testing.T) {
+	s := &Server{config: &config.Config{}}
 	for _, method := range []string{"GET", "PUT", "POST"} {
 		for _, path := range []string{"/admin/v1/tenants", "/admin/v1/tenants/kipper", "/admin/v1/tenants/kipper/suspend", "/admin/v1/audit", "/v1/history", "/v1/usage",
 			"/admin/v1/operators", "/admin/v1/operators/keys", "/admin/v1/teams/red", "/admin/v1/pools", "/admin/v1/pools/x"} {
-			if c, status := n.route(1, httpx.Request{Method: method, Path: path, Body: []byte("{}")}); c != nil || status != 404 {
+			if c, status := s.route(1, httpx.Request{Method: method, Path: path, Body: []byte("{}")}); c != nil || status != 404 {
 				t.Errorf("%s %s: %d", method, path, status)
 			}
 		}
