--- a/node/node_test.go
+++ b/server/server_test.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
-	"basaltwall/control"
-	"basaltwall/internal/standin"
+	"basaltwall/controller"
+	"basaltwall/internal/emulator"
 	"basaltwall/tenant"
 )
 
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-func request(t *testing.T, method, url string, body []byte) (int, api.JobStatus) {
+func doRequest(t *testing.T, method, url string, body []byte) (int, api.JobStatus) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, bytes.NewReader(body))
 	if err != nil {
@@ -58,7 +58,7 @@
 	t.Fatalf("%s: never", what)
 }
 
-const job = `{"ref":"%s","mestiere":"try","bottega":"red","forma":"%s","urgenza":"normal","pezzi":%d,"cores":1,"gpus":0,
+const jobTemplate = `{"ref":"%s","mestiere":"try","bottega":"red","forma":"%s","urgenza":"normal","pezzi":%d,"cores":1,"gpus":0,
 "ram_gb":1,"stampo":"img","image_gb":1,"together":false,"scatter":false,"avanzi":false,"stima_s":%d,"tappa_s":0,"salvo_s":0}`
 
 // Real controllers on real sockets: jobs are accepted, run, polled, cancelled,
@@ -66,7 +66,7 @@
 func TestControllersOnLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l, err := standin.StartLive(ctx, 3, 4)
+	l, err := emulator.StartLive(ctx, 3, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,50 +83,50 @@
 	stop := start(0)
 	start(1)
 	start(2)
-	base := "http://" + l.Door + api.PathJobs
+	base := "http://" + l.LoadBalancerAddr + api.PathJobs
 	eventually(t, "an array accepted", func() bool {
-		code, _ := request(t, "POST", base, fmt.Appendf(nil, job, "run-1", "sweep", 6, 1))
+		code, _ := doRequest(t, "POST", base, fmt.Appendf(nil, jobTemplate, "run-1", "sweep", 6, 1))
 		return code == 201 || code == 200
 	})
 	eventually(t, "a service accepted", func() bool {
-		code, _ := request(t, "POST", base, fmt.Appendf(nil, job, "run-2", "daemon", 2, 0))
+		code, _ := doRequest(t, "POST", base, fmt.Appendf(nil, jobTemplate, "run-2", "daemon", 2, 0))
 		return code == 201 || code == 200
 	})
 	eventually(t, "the array done", func() bool {
-		_, s := request(t, "GET", base+"/run-1", nil)
+		_, s := doRequest(t, "GET", base+"/run-1", nil)
 		return s.State == api.JobDone
 	})
 	stop()
 	eventually(t, "a gang done without the first controller", func() bool {
-		request(t, "POST", base, fmt.Appendf(nil, job, "run-3", "ensemble", 2, 1))
-		_, s := request(t, "GET", base+"/run-3", nil)
+		doRequest(t, "POST", base, fmt.Appendf(nil, jobTemplate, "run-3", "ensemble", 2, 1))
+		_, s := doRequest(t, "GET", base+"/run-3", nil)
 		return s.State == api.JobDone
 	})
 	eventually(t, "the service cancelled", func() bool {
-		code, s := request(t, "POST", base+"/run-2/"+api.EndCancel, nil)
+		code, s := doRequest(t, "POST", base+"/run-2/"+api.PathSuffixCancel, nil)
 		return code == 200 && s.State == api.JobCancelled
 	})
-	for url, want := range map[string]int{base + "/run-77": 404, base + "/x": 404, base: 405, "http://" + l.Door + "/nothing": 404} {
-		if code, _ := request(t, "GET", url, nil); code != want {
+	for url, want := range map[string]int{base + "/run-77": 404, base + "/x": 404, base: 405, "http://" + l.LoadBalancerAddr + "/nothing": 404} {
+		if code, _ := doRequest(t, "GET", url, nil); code != want {
 			t.Errorf("GET %s: %d, expected %d", url, code, want)
 		}
 	}
-	if code, _ := request(t, "POST", base, []byte(`{"ref":"run-9"}`)); code != 400 {
+	if code, _ := doRequest(t, "POST", base, []byte(`{"ref":"run-9"}`)); code != 400 {
 		t.Errorf("a malformed job gets %d", code)
 	}
-	if code, _ := request(t, "POST", base, bytes.Repeat([]byte(" "), 70_000)); code != 413 {
+	if code, _ := doRequest(t, "POST", base, bytes.Repeat([]byte(" "), 70_000)); code != 413 {
 		t.Errorf("an over-long body gets %d", code)
 	}
-	operate(t, "http://"+l.Configs[1].APIAddr+"/admin/v1/", "http://"+l.Configs[2].APIAddr+"/admin/v1/")
-	for _, b := range l.Broken() {
+	exerciseAdminAPI(t, "http://"+l.Configs[1].APIAddr+"/admin/v1/", "http://"+l.Configs[2].APIAddr+"/admin/v1/")
+	for _, b := range l.Violations() {
 		t.Error(b)
 	}
 	cancel()
 	wg.Wait()
 }
 
-// operate uses the administration API of two controllers as an operator would.
-func operate(t *testing.T, one, other string) {
+// exerciseAdminAPI uses the administration API of two controllers as an operator would.
+func exerciseAdminAPI(t *testing.T, one, other string) {
 	t.Helper()
 	call := func(method, url, body string) (int, string) {
 		req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -184,7 +184,7 @@
 func TestHostedOnLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l, err := standin.StartLive(ctx, 2, 4)
+	l, err := emulator.StartLive(ctx, 2, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 	}
 	var wg sync.WaitGroup
 	for _, c := range l.Configs {
-		c.Hosted = &config.Hosted{Admin: admin.Key("admin")}
+		c.Hosted = &config.Hosted{AdminKey: admin.Key("admin")}
 		wg.Go(func() {
 			if err := New(c).Run(ctx); err != nil {
 				t.Errorf("controller: %v", err)
@@ -222,9 +222,9 @@
 		doc.check(t, method, path, res.StatusCode, string(data))
 		return res.StatusCode, string(data)
 	}
-	expect := expecting(t)
+	expect := newExpect(t)
 	revision := func(name string) string {
-		var at control.TenantAt
+		var at controller.TenantView
 		if _, body := call(0, admin.String(), "GET", "/admin/v1/tenants/"+name, ""); json.Unmarshal([]byte(body), &at) != nil {
 			t.Fatalf("tenant %s: %s", name, body)
 		}
@@ -259,7 +259,7 @@
 		put := `{"revision":0,"teams":["` + team + `"],"retention_s":60}`
 		expect("a tenant", 200, `"state":"active"`)(call(0, root, "PUT", "/admin/v1/tenants/"+name, put))
 		expect("the same again", 200, `"state":"active"`)(call(1, root, "PUT", "/admin/v1/tenants/"+name, put))
-		var k control.NewKeyView
+		var k controller.NewKeyView
 		body := expect("a key", 200, `"secret"`)(call(1, root, "POST", "/admin/v1/tenants/"+name+"/keys", `{"revision":`+revision(name)+`,"name":"first"}`))
 		if err := json.Unmarshal([]byte(body), &k); err != nil {
 			t.Fatal(err)
@@ -269,7 +269,7 @@
 	}
 	expect("another's team", 422, "another tenant")(call(0, root, "PUT", "/admin/v1/tenants/lopresti", `{"revision":`+revision("lopresti")+`,"teams":["blue","red"]}`))
 	expect("a tenant's key for operators", 401, "")(call(0, keys["kipper"], "GET", "/admin/v1/tenants", ""))
-	run := fmt.Sprintf(job, "run-1", "sweep", 4, 1)
+	run := fmt.Sprintf(jobTemplate, "run-1", "sweep", 4, 1)
 	eventually(t, "a submission accepted", func() bool {
 		code, _ := call(0, keys["kipper"], "POST", api.PathJobs, run)
 		return code == 201 || code == 200
@@ -277,7 +277,7 @@
 	expect("no key", 401, "")(call(0, "", "POST", api.PathJobs, run))
 	expect("not its team", 422, "unknown team")(call(0, keys["lopresti"], "POST", api.PathJobs, run))
 	expect("another's job", 404, "no such job")(call(1, keys["lopresti"], "GET", api.PathJobs+"/run-1", ""))
-	expect("another's job, cancelled", 404, "no such job")(call(1, keys["lopresti"], "POST", api.PathJobs+"/run-1/"+api.EndCancel, ""))
+	expect("another's job, cancelled", 404, "no such job")(call(1, keys["lopresti"], "POST", api.PathJobs+"/run-1/"+api.PathSuffixCancel, ""))
 	eventually(t, "its own job done", func() bool {
 		_, body := call(1, keys["kipper"], "GET", api.PathJobs+"/run-1", "")
 		return strings.Contains(body, `"ref":"run-1","stato":"done"`)
@@ -291,7 +291,7 @@
 	expect("a cursor out of it", 400, "")(call(0, keys["lopresti"], "GET", api.PathHistory+"?after=../kipper/", ""))
 	// A long job of kipper's stays in its list, and in nobody else's.
 	eventually(t, "a long job accepted", func() bool {
-		code, _ := call(0, keys["kipper"], "POST", api.PathJobs, fmt.Sprintf(job, "run-7", "sweep", 40, 60))
+		code, _ := call(0, keys["kipper"], "POST", api.PathJobs, fmt.Sprintf(jobTemplate, "run-7", "sweep", 40, 60))
 		return code == 201 || code == 200
 	})
 	expect("the list", 200, `"open":1,"jobs":[{"ref":"run-7"`)(call(1, keys["kipper"], "GET", api.PathJobs, ""))
@@ -303,14 +303,14 @@
 		t.Errorf("usage of another: %s", body)
 	}
 	expect("usage for operators", 200, `"submissions":{"accepted":2`)(call(0, root, "GET", "/admin/v1/tenants/kipper/usage", ""))
-	expect("the job cancelled", 200, `"run-7"`)(call(0, keys["kipper"], "POST", api.PathJobs+"/run-7/"+api.EndCancel, ""))
+	expect("the job cancelled", 200, `"run-7"`)(call(0, keys["kipper"], "POST", api.PathJobs+"/run-7/"+api.PathSuffixCancel, ""))
 	eventually(t, "the key's last use is shown", func() bool {
 		_, body := call(1, root, "GET", "/admin/v1/tenants/kipper", "")
 		return strings.Contains(body, `"used":`)
 	})
-	operateHosted(t, root, call, expect)
+	exerciseHostedAdminAPI(t, root, call, expect)
 	licensed := func(ref string, units int) string {
-		return strings.TrimSuffix(fmt.Sprintf(job, ref, "sweep", 3, 1), "}") + fmt.Sprintf(`,"gettoni":[{"nome":"routing","a_pezzo":%d}]}`, units)
+		return strings.TrimSuffix(fmt.Sprintf(jobTemplate, ref, "sweep", 3, 1), "}") + fmt.Sprintf(`,"gettoni":[{"nome":"routing","a_pezzo":%d}]}`, units)
 	}
 	expect("more units than there may be", 422, "never more than 2")(call(0, keys["kipper"], "POST", api.PathJobs, licensed("run-8", 3)))
 	expect("units of no pool of its", 422, "no pool")(call(0, keys["lopresti"], "POST", api.PathJobs, strings.Replace(licensed("run-8", 1), `"red"`, `"blue"`, 1)))
@@ -324,7 +324,7 @@
 		return strings.Contains(body, `"stato":"done"`)
 	})
 	poolAt := func() string {
-		var v control.PoolView
+		var v controller.PoolView
 		if _, body := call(0, root, "GET", "/admin/v1/pools/routing", ""); json.Unmarshal([]byte(body), &v) != nil {
 			t.Fatalf("pool: %s", body)
 		}
@@ -336,7 +336,7 @@
 	})
 	expect("units of a removed pool", 422, "no pool")(call(1, keys["kipper"], "POST", api.PathJobs, licensed("run-9", 1)))
 	expect("suspended", 200, `"state":"suspended"`)(call(0, root, "POST", "/admin/v1/tenants/kipper/suspend", `{"revision":`+revision("kipper")+`,"why":"unpaid"}`))
-	expect("a submission then", 403, "unpaid")(call(1, keys["kipper"], "POST", api.PathJobs, fmt.Sprintf(job, "run-2", "sweep", 1, 1)))
+	expect("a submission then", 403, "unpaid")(call(1, keys["kipper"], "POST", api.PathJobs, fmt.Sprintf(jobTemplate, "run-2", "sweep", 1, 1)))
 	expect("a job done before", 200, `"done"`)(call(1, keys["kipper"], "POST", api.PathJobs, run))
 	expect("a poll then", 200, `"done"`)(call(0, keys["kipper"], "GET", api.PathJobs+"/run-1", ""))
 	expect("a key revoked", 200, `"keys":[]`)(call(0, root, "POST", "/admin/v1/tenants/lopresti/keys/first/revoke", `{"revision":`+revision("lopresti")+`}`))
@@ -353,42 +353,42 @@
 	expect("a page of it", 200, `"after":"`)(call(0, root, "GET", "/admin/v1/audit?limit=1", ""))
 	expect("the name again", 409, "removed")(call(0, root, "PUT", "/admin/v1/tenants/kipper", `{"revision":`+revision("kipper")+`,"teams":["red"]}`))
 	expect("the key of a removed tenant", 401, "")(call(0, keys["kipper"], "GET", api.PathJobs+"/run-1", ""))
-	retire(t, root, call, expect)
+	rotateAdminKey(t, root, call, expect)
 	cancel()
 	wg.Wait()
 }
 
 type (
-	caller  func(node int, key, method, path, body string) (int, string)
-	checker func(what string, code int, part string) func(int, string) string
+	callFunc   func(node int, key, method, path, body string) (int, string)
+	expectFunc func(what string, code int, part string) func(int, string) string
 )
 
-// made reads a key's secret from the answer that makes it.
-func made(t *testing.T, body string) string {
+// createdSecret reads a key's secret from the answer that makes it.
+func createdSecret(t *testing.T, body string) string {
 	t.Helper()
-	var k control.NewKeyView
+	var k controller.NewKeyView
 	if err := json.Unmarshal([]byte(body), &k); err != nil {
 		t.Fatalf("%s: %v", body, err)
 	}
 	return k.Secret
 }
 
-// operatorsAt is the revision of the operators' record.
-func operatorsAt(t *testing.T, key string, call caller) string {
+// operatorsRevision is the revision of the operators' record.
+func operatorsRevision(t *testing.T, key string, call callFunc) string {
 	t.Helper()
-	var at control.OperatorsAt
+	var at controller.OperatorsView
 	if _, body := call(0, key, "GET", "/admin/v1/operators", ""); json.Unmarshal([]byte(body), &at) != nil {
 		t.Fatalf("operators: %s", body)
 	}
 	return fmt.Sprint(at.Revision)
 }
 
-// operateHosted uses what operators of a hosted service have for themselves: keys of two
+// exerciseHostedAdminAPI uses what operators of a hosted service have for themselves: keys of two
 // roles, networks and proxies, and teams beside the platform's.
-func operateHosted(t *testing.T, root string, call caller, expect checker) {
+func exerciseHostedAdminAPI(t *testing.T, root string, call callFunc, expect expectFunc) {
 	t.Helper()
-	at := func() string { return `{"revision":` + operatorsAt(t, root, call) + "," }
-	reader := made(t, expect("a key to read", 200, `"secret"`)(call(0, root, "POST", "/admin/v1/operators/keys", at()+`"name":"watch","role":"read"}`)))
+	at := func() string { return `{"revision":` + operatorsRevision(t, root, call) + "," }
+	reader := createdSecret(t, expect("a key to read", 200, `"secret"`)(call(0, root, "POST", "/admin/v1/operators/keys", at()+`"name":"watch","role":"read"}`)))
 	expect("no role", 400, "role:")(call(0, root, "POST", "/admin/v1/operators/keys", at()+`"name":"other","role":"all"}`))
 	expect("its name again", 409, "name:")(call(0, root, "POST", "/admin/v1/operators/keys", at()+`"name":"watch","role":"read"}`))
 	expect("it reads at the other controller", 200, "")(call(1, reader, "GET", "/admin/v1/tenants", ""))
@@ -405,7 +405,7 @@
 	expect("a limit below", 400, "cpus_max:")(call(0, root, "PUT", "/admin/v1/teams/dispo", `{"revision":0,"cpus":3,"cpus_max":2}`))
 	expect("the platform's", 409, "name:")(call(0, root, "PUT", "/admin/v1/teams/red", `{"revision":0,"cpus":1}`))
 	expect("no such team", 404, "name:")(call(0, root, "POST", "/admin/v1/teams/dispo/remove", `{"revision":0}`))
-	var team control.TeamAt
+	var team controller.TeamRecordView
 	body := expect("a team", 200, `"name":"dispo"`)(call(0, root, "PUT", "/admin/v1/teams/dispo", `{"revision":0,"cpus":3,"cpus_max":6}`))
 	if err := json.Unmarshal([]byte(body), &team); err != nil {
 		t.Fatal(err)
@@ -418,7 +418,7 @@
 	expect("it is not removed then", 409, "belongs to sortier")(call(0, root, "POST", "/admin/v1/teams/dispo/remove", fmt.Sprintf(`{"revision":%d}`, team.Revision)))
 	expect("a pool of nothing", 400, "size:")(call(0, root, "PUT", "/admin/v1/pools/routing", `{"revision":0,"size":-1}`))
 	expect("a pool of a team that is not there", 422, "teams:")(call(0, root, "PUT", "/admin/v1/pools/routing", `{"revision":0,"size":2,"teams":["green"]}`))
-	var view control.PoolView
+	var view controller.PoolView
 	body = expect("a pool", 200, `"size":2`)(call(0, root, "PUT", "/admin/v1/pools/routing", `{"revision":0,"size":2,"unit":"licences","tenants":["kipper"]}`))
 	if err := json.Unmarshal([]byte(body), &view); err != nil {
 		t.Fatal(err)
@@ -433,13 +433,13 @@
 	}
 }
 
-// retire replaces the operators' first key by another and checks that nobody is shut out
+// rotateAdminKey replaces the operators' first key by another and checks that nobody is shut out
 // by a mistake.
-func retire(t *testing.T, root string, call caller, expect checker) {
+func rotateAdminKey(t *testing.T, root string, call callFunc, expect expectFunc) {
 	t.Helper()
-	at := func() string { return `{"revision":` + operatorsAt(t, root, call) }
+	at := func() string { return `{"revision":` + operatorsRevision(t, root, call) }
 	expect("the only key that changes", 409, "must be left")(call(0, root, "POST", "/admin/v1/operators/keys/first/revoke", at()+`}`))
-	next := made(t, expect("another", 200, `"secret"`)(call(0, root, "POST", "/admin/v1/operators/keys", at()+`,"name":"next","role":"change"}`)))
+	next := createdSecret(t, expect("another", 200, `"secret"`)(call(0, root, "POST", "/admin/v1/operators/keys", at()+`,"name":"next","role":"change"}`)))
 	expect("the first retired", 200, `"first_retired":true`)(call(1, next, "POST", "/admin/v1/operators/keys/first/revoke", at()+`}`))
 	expect("it opens nothing", 401, "")(call(0, root, "GET", "/admin/v1/tenants", ""))
 	expect("the other does", 200, "")(call(0, next, "GET", "/admin/v1/tenants", ""))
@@ -452,7 +452,7 @@
 func TestSkipsOnLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l, err := standin.StartLive(ctx, 2, 2)
+	l, err := emulator.StartLive(ctx, 2, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -477,7 +477,7 @@
 		data, _ := io.ReadAll(res.Body)
 		return res.StatusCode, string(data)
 	}
-	expect := expecting(t)
+	expect := newExpect(t)
 	for node := range l.Configs {
 		eventually(t, "skips are imported", func() bool {
 			code, _ := call(node, "POST", "/hof/import", `{"skips":[{"skip":"six-1","kind":"six"},{"skip":"six-2","kind":"six"}]}`)
@@ -517,8 +517,8 @@
 	wg.Wait()
 }
 
-// expecting makes the check of an answer: its status, and what its body holds.
-func expecting(t *testing.T) func(what string, code int, part string) func(int, string) string {
+// newExpect makes the check of an answer: its status, and what its body holds.
+func newExpect(t *testing.T) func(what string, code int, part string) func(int, string) string {
 	return func(what string, code int, part string) func(int, string) string {
 		return func(got int, body string) string {
 			t.Helper()
--- a/state/state.go
+++ b/state/state.go
@@ -9,15 +9,15 @@
 	"strconv"
 
 	"basaltwall/api"
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/httpx"
 )
 
-// root is the prefix that controllers follow.
-const root = "b/"
+// watchedPrefix is the prefix that controllers follow.
+const watchedPrefix = "b/"
 
 // Request is the HTTP request for a call.
-func Request(c control.StateCall) (method, target string, body []byte, err error) {
+func Request(c controller.StoreCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Txn != nil:
 		t := *c.Txn
@@ -28,18 +28,18 @@
 			t.Writes = []api.Write{}
 		}
 		body, err = json.Marshal(t)
-		return "POST", api.PathMulti, body, err
+		return "POST", api.PathTxn, body, err
 	case c.Changes != nil:
-		q := url.Values{"under": {root}, "since": {strconv.FormatUint(uint64(c.Changes.Since), 10)},
+		q := url.Values{"under": {watchedPrefix}, "since": {strconv.FormatUint(uint64(c.Changes.Since), 10)},
 			"wait_ms": {strconv.FormatInt(c.Changes.Wait.Milliseconds(), 10)}}
-		if c.Changes.Under != "" {
-			q.Set("under", c.Changes.Under)
+		if c.Changes.Prefix != "" {
+			q.Set("under", c.Changes.Prefix)
 		}
 		return "GET", api.PathChanges + "?" + query(q), nil, nil
 	case c.Page != nil:
-		q := url.Values{"under": {root}, "limit": {"500"}}
-		if c.Page.Under != "" {
-			q.Set("under", c.Page.Under)
+		q := url.Values{"under": {watchedPrefix}, "limit": {"500"}}
+		if c.Page.Prefix != "" {
+			q.Set("under", c.Page.Prefix)
 		}
 		if c.Page.Limit > 0 {
 			q.Set("limit", strconv.Itoa(min(500, c.Page.Limit)))
@@ -50,11 +50,11 @@
 		return "GET", api.PathKeys + "?" + query(q), nil, nil
 	case c.Get != "":
 		return "GET", api.PathKeys + "/" + c.Get, nil, nil
-	case c.Lease > 0:
-		body, err = json.Marshal(api.LeaseAsk{TTL: c.Lease.Milliseconds()})
+	case c.GrantLease > 0:
+		body, err = json.Marshal(api.LeaseRequest{TTL: c.GrantLease.Milliseconds()})
 		return "POST", api.PathLeases, body, err
-	case c.Renew != 0:
-		return "POST", fmt.Sprintf("%s/%d/%s", api.PathLeases, c.Renew, api.EndRenew), nil, nil
+	case c.RenewLease != 0:
+		return "POST", fmt.Sprintf("%s/%d/%s", api.PathLeases, c.RenewLease, api.PathSuffixRenew), nil, nil
 	}
 	return "", "", nil, fmt.Errorf("state call %d asks for nothing", c.ID)
 }
@@ -68,28 +68,28 @@
 	return s
 }
 
-// Answer is the owner's answer for a response; a failed exchange or a body
+// ParseResponse is the owner's answer for a response; a failed exchange or a body
 // that makes no sense is no answer.
-func Answer(c control.StateCall, r httpx.Response, failed error) control.StateAnswer {
-	a := control.StateAnswer{ID: c.ID}
-	if failed != nil {
+func ParseResponse(c controller.StoreCall, r httpx.Response, callErr error) controller.StoreResponse {
+	a := controller.StoreResponse{ID: c.ID}
+	if callErr != nil {
 		return a
 	}
 	a.Status = r.Status
-	var into any
+	var target any
 	switch {
 	case c.Txn != nil && (r.Status == 200 || r.Status == 409):
-		into = &a.Txn
+		target = &a.Txn
 	case r.Status != 200:
 		return a
 	case c.Changes != nil:
-		into = &a.Changes
+		target = &a.Changes
 	case c.Page != nil:
-		into = &a.Page
+		target = &a.Page
 	case c.Get != "":
-		into = &a.Pair
-	case c.Lease > 0:
-		var l api.LeaseAnswer
+		target = &a.Pair
+	case c.GrantLease > 0:
+		var l api.LeaseResponse
 		if json.Unmarshal(r.Body, &l) != nil || l.Lease == 0 {
 			a.Status = 0
 		}
@@ -98,7 +98,7 @@
 	default:
 		return a
 	}
-	if json.Unmarshal(r.Body, into) != nil {
+	if json.Unmarshal(r.Body, target) != nil {
 		a.Status = 0
 	}
 	return a
--- a/tenant/networks.go
+++ b/tenant/networks.go
@@ -92,13 +92,13 @@
 // Prefixes are the networks, in order.
 func (n Networks) Prefixes() []netip.Prefix { return slices.Clone(n.list) }
 
-// Has reports whether an address lies in one of the networks.
-func (n Networks) Has(a netip.Addr) bool {
+// Contains reports whether an address lies in one of the networks.
+func (n Networks) Contains(a netip.Addr) bool {
 	return n.table != nil && a.IsValid() && n.table.Contains(a.Unmap().WithZone(""))
 }
 
 // Allows reports whether an address may come: where there are no networks, any may.
-func (n Networks) Allows(a netip.Addr) bool { return n.IsZero() || n.Has(a) }
+func (n Networks) Allows(a netip.Addr) bool { return n.IsZero() || n.Contains(a) }
 
 // MarshalJSON writes the networks as a list of texts, an empty one for none.
 func (n Networks) MarshalJSON() ([]byte, error) {
@@ -119,23 +119,23 @@
 	return nil
 }
 
-// Origin is the address that a request comes from. What a proxy says in X-Forwarded-For is
+// ClientAddr is the address that a request comes from. What a proxy says in X-Forwarded-For is
 // believed only if the connection comes from a proxy, and from its end on only as long as
 // each one named is a proxy too: the first that is none is the origin.
-func Origin(conn netip.Addr, forwarded string, proxies Networks) netip.Addr {
-	at := conn.Unmap()
-	if !proxies.Has(at) || forwarded == "" {
-		return at
+func ClientAddr(conn netip.Addr, forwarded string, proxies Networks) netip.Addr {
+	addr := conn.Unmap()
+	if !proxies.Contains(addr) || forwarded == "" {
+		return addr
 	}
 	hops := strings.Split(forwarded, ",")
 	for _, hop := range slices.Backward(hops) {
 		a, err := netip.ParseAddr(strings.TrimSpace(hop))
 		if err != nil {
-			return at // what can't be read is no proxy's word
+			return addr // what can't be read is no proxy's word
 		}
-		if at = a.Unmap().WithZone(""); !proxies.Has(at) {
-			return at
+		if addr = a.Unmap().WithZone(""); !proxies.Contains(addr) {
+			return addr
 		}
 	}
-	return at
+	return addr
 }
--- a/tenant/operators.go
+++ b/tenant/operators.go
@@ -26,20 +26,20 @@
 
 // Operators is the record of who runs the service and of what they decide for all tenants.
 type Operators struct {
-	Keys     []OperatorKey `json:"keys,omitempty"`
-	Networks Networks      `json:"networks,omitzero"` // from where operators may come; none: from anywhere
-	Proxies  Networks      `json:"proxies,omitzero"`  // whose word on where a request comes from is believed
-	CPUs     float64       `json:"cpus,omitempty"`    // what teams made here may be guaranteed together
-	GPUs     float64       `json:"gpus,omitempty"`
-	Retired  []KeyID       `json:"retired,omitempty"` // first keys, of files, that open nothing any more
+	Keys             []OperatorKey `json:"keys,omitempty"`
+	Networks         Networks      `json:"networks,omitzero"` // from where operators may come; none: from anywhere
+	Proxies          Networks      `json:"proxies,omitzero"`  // whose word on where a request comes from is believed
+	CPUs             float64       `json:"cpus,omitempty"`    // what teams made here may be guaranteed together
+	GPUs             float64       `json:"gpus,omitempty"`
+	RetiredAdminKeys []KeyID       `json:"retired,omitempty"` // first keys, of files, that open nothing any more
 }
 
-// FirstKey is the name under which the key of the file is retired.
-const FirstKey = "first"
+// AdminKeyName is the name under which the key of the file is retired.
+const AdminKeyName = "first"
 
 const (
-	maxRetired = 16
-	maxAmount  = 1e7
+	maxRetiredAdminKeys = 16
+	maxAmount           = 1e7
 )
 
 // Check says what is wrong with the record, naming the field.
@@ -47,11 +47,11 @@
 	switch {
 	case len(o.Keys) > maxKeys:
 		return invalid("keys", "at most %d", maxKeys)
-	case len(o.Retired) > maxRetired:
-		return invalid("retired", "at most %d", maxRetired)
-	case !within(o.CPUs, 0, maxAmount):
+	case len(o.RetiredAdminKeys) > maxRetiredAdminKeys:
+		return invalid("retired", "at most %d", maxRetiredAdminKeys)
+	case !inRange(o.CPUs, 0, maxAmount):
 		return invalid("cpus", "must be between 0 and %v", maxAmount)
-	case !within(o.GPUs, 0, maxAmount):
+	case !inRange(o.GPUs, 0, maxAmount):
 		return invalid("gpus", "must be between 0 and %v", maxAmount)
 	}
 	for i, k := range o.Keys {
@@ -61,8 +61,8 @@
 		if k.Role != RoleRead && k.Role != RoleChange {
 			return invalid("role", "must be %s or %s", RoleRead, RoleChange)
 		}
-		if k.Name == FirstKey {
-			return invalid("name", "%s is the key of the file", FirstKey)
+		if k.Name == AdminKeyName {
+			return invalid("name", "%s is the key of the file", AdminKeyName)
 		}
 		if slices.ContainsFunc(o.Keys[:i], func(p OperatorKey) bool { return p.ID == k.ID || p.Name == k.Name }) {
 			return invalid("keys", "%q is there twice", k.Name)
@@ -71,14 +71,14 @@
 	return nil
 }
 
-// Opens finds what a secret opens: a key of the record, or the first one, of the file,
+// Authenticate finds what a secret opens: a key of the record, or the first one, of the file,
 // unless it was retired.
-func (o *Operators) Opens(first Key, s Secret, now api.Wall, clockError time.Duration) (Role, bool) {
-	if first.Opens(s, now, clockError) && !slices.Contains(o.Retired, first.ID) {
+func (o *Operators) Authenticate(adminKey Key, s Secret, now api.WallTime, clockError time.Duration) (Role, bool) {
+	if adminKey.Verify(s, now, clockError) && !slices.Contains(o.RetiredAdminKeys, adminKey.ID) {
 		return RoleChange, true
 	}
 	for _, k := range o.Keys {
-		if k.Opens(s, now, clockError) {
+		if k.Verify(s, now, clockError) {
 			return k.Role, true
 		}
 	}
@@ -96,10 +96,10 @@
 
 // Revoke makes a key open nothing any more; the one called FirstKey is that of the file. One
 // that changes things and does not expire must be left, or nobody could come in again.
-func (o Operators) Revoke(first Key, name string) (Operators, error) {
-	if name == FirstKey {
-		if !slices.Contains(o.Retired, first.ID) {
-			o.Retired = append(slices.Clone(o.Retired), first.ID)
+func (o Operators) Revoke(adminKey Key, name string) (Operators, error) {
+	if name == AdminKeyName {
+		if !slices.Contains(o.RetiredAdminKeys, adminKey.ID) {
+			o.RetiredAdminKeys = append(slices.Clone(o.RetiredAdminKeys), adminKey.ID)
 		}
 	} else {
 		o.Keys = slices.DeleteFunc(slices.Clone(o.Keys), func(k OperatorKey) bool { return k.Name == name })
@@ -107,18 +107,18 @@
 			o.Keys = nil
 		}
 	}
-	lasts := func(k OperatorKey) bool { return k.Role == RoleChange && k.Expires == 0 }
-	if slices.Contains(o.Retired, first.ID) && !slices.ContainsFunc(o.Keys, lasts) {
+	permanentWriter := func(k OperatorKey) bool { return k.Role == RoleChange && k.Expires == 0 }
+	if slices.Contains(o.RetiredAdminKeys, adminKey.ID) && !slices.ContainsFunc(o.Keys, permanentWriter) {
 		return o, conflict("key: a key with the role %s that never expires must be left", RoleChange)
 	}
 	return o, o.Check()
 }
 
-// Within decides whether operators may come from where an act came from after it: one
+// CheckAccessFrom decides whether operators may come from where an act came from after it: one
 // that shuts its own sender out is a mistake.
-func (o *Operators) Within(from netip.Addr) error {
+func (o *Operators) CheckAccessFrom(from netip.Addr) error {
 	if !o.Networks.Allows(from) {
-		return &Error{Status: 422, Field: "networks", Why: fmt.Sprintf("%v, from where this comes, is not in them", from)}
+		return &Error{Status: 422, Field: "networks", Reason: fmt.Sprintf("%v, from where this comes, is not in them", from)}
 	}
 	return nil
 }
@@ -133,8 +133,8 @@
 	Removed bool     `json:"removed,omitempty"` // its name stays taken
 }
 
-// Given is what all teams that the operators made are guaranteed together.
-type Given struct {
+// GuaranteedTotal is what all teams that the operators made are guaranteed together.
+type GuaranteedTotal struct {
 	CPUs float64 `json:"cpus"`
 	GPUs float64 `json:"gpus"`
 }
@@ -149,9 +149,9 @@
 		least, max float64
 	}{{"cpus", t.CPUs, t.CPUsMax}, {"gpus", t.GPUs, t.GPUsMax}} {
 		switch {
-		case !within(f.least, 0, maxAmount):
+		case !inRange(f.least, 0, maxAmount):
 			return invalid(f.field, "must be between 0 and %v", maxAmount)
-		case !within(f.max, 0, maxAmount) || f.max > 0 && f.max < f.least:
+		case !inRange(f.max, 0, maxAmount) || f.max > 0 && f.max < f.least:
 			return invalid(f.field+"_max", "must be 0, for no limit, or between %s and %v", f.field, maxAmount)
 		}
 	}
@@ -187,24 +187,24 @@
 	return Team{Name: t.Name, Removed: true}, nil
 }
 
-// Within says which of what the operators have set aside for teams is less than what is
+// CheckBudget says which of what the operators have set aside for teams is less than what is
 // given of it.
-func (g Given) Within(aside Operators) error {
-	const hair = 1e-6 // sums of many amounts
+func (g GuaranteedTotal) CheckBudget(budget Operators) error {
+	const epsilon = 1e-6 // sums of many amounts
 	for _, f := range []struct {
 		field        string
 		given, aside float64
-	}{{"cpus", g.CPUs, aside.CPUs}, {"gpus", g.GPUs, aside.GPUs}} {
-		if f.given > f.aside+hair {
-			return &Error{Status: 422, Field: f.field, Why: fmt.Sprintf("teams would be guaranteed %v of the %v that are set aside for them", f.given, f.aside)}
+	}{{"cpus", g.CPUs, budget.CPUs}, {"gpus", g.GPUs, budget.GPUs}} {
+		if f.given > f.aside+epsilon {
+			return &Error{Status: 422, Field: f.field, Reason: fmt.Sprintf("teams would be guaranteed %v of the %v that are set aside for them", f.given, f.aside)}
 		}
 	}
 	return nil
 }
 
-// Move is what all are given after one changed, if it stays within what the operators
+// Adjust is what all are given after one changed, if it stays within what the operators
 // have set aside.
-func (g Given) Move(from, to Team, aside Operators) (Given, error) {
-	next := Given{max(0, g.CPUs-from.CPUs+to.CPUs), max(0, g.GPUs-from.GPUs+to.GPUs)}
-	return next, next.Within(aside)
+func (g GuaranteedTotal) Adjust(from, to Team, budget Operators) (GuaranteedTotal, error) {
+	next := GuaranteedTotal{max(0, g.CPUs-from.CPUs+to.CPUs), max(0, g.GPUs-from.GPUs+to.GPUs)}
+	return next, next.CheckBudget(budget)
 }
--- a/tenant/operators_test.go
+++ b/tenant/operators_test.go
@@ -14,7 +14,7 @@
 
 // Whatever operators do to their keys, one that changes things and does not expire is left,
 // and each opens what it was made for until it is revoked.
-func TestOperatorsAreNeverShutOut(t *testing.T) {
+func TestOperatorsNeverLockedOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		secret := func(b byte) Secret {
 			return Secret{ID: KeyID("00112233445566" + string("0123456789abcdef"[b%16]) + "0"), data: [secretBytes]byte{b}}
@@ -40,18 +40,18 @@
 				}
 			default:
 				if rapid.IntRange(0, 4).Draw(t, "first") == 0 {
-					name = FirstKey
+					name = AdminKeyName
 				}
 				next, err := o.Revoke(first.Key("admin"), name)
 				if err == nil {
 					o = next
 					delete(model, name)
-					retired = retired || name == FirstKey
+					retired = retired || name == AdminKeyName
 				}
 			}
 			opens := 0
 			for i, name := range names {
-				role, ok := o.Opens(first.Key("admin"), secret(byte(i)), 1000, 0)
+				role, ok := o.Authenticate(first.Key("admin"), secret(byte(i)), 1000, 0)
 				if want := model[name]; role != want || ok != (want != "") {
 					t.Fatalf("%s opens %q, expected %q", name, role, want)
 				}
@@ -59,7 +59,7 @@
 					opens++
 				}
 			}
-			if _, ok := o.Opens(first.Key("admin"), first, 1000, 0); ok == retired {
+			if _, ok := o.Authenticate(first.Key("admin"), first, 1000, 0); ok == retired {
 				t.Fatalf("the first key opens %v, retired %v", ok, retired)
 			}
 			if retired && opens == 0 {
@@ -72,8 +72,8 @@
 func TestOperatorsCheckNamesTheField(t *testing.T) {
 	k := Secret{ID: "0011223344556677"}.Key("watch")
 	for field, o := range map[string]Operators{
-		"cpus": {CPUs: math.NaN()}, "gpus": {GPUs: -1}, "role": {Keys: []OperatorKey{{k, "all"}}}, "name": {Keys: []OperatorKey{{func() Key { x := k; x.Name = FirstKey; return x }(), RoleRead}}},
-		"keys": {Keys: []OperatorKey{{k, RoleRead}, {k, RoleRead}}}, "retired": {Retired: make([]KeyID, maxRetired+1)},
+		"cpus": {CPUs: math.NaN()}, "gpus": {GPUs: -1}, "role": {Keys: []OperatorKey{{k, "all"}}}, "name": {Keys: []OperatorKey{{func() Key { x := k; x.Name = AdminKeyName; return x }(), RoleRead}}},
+		"keys": {Keys: []OperatorKey{{k, RoleRead}, {k, RoleRead}}}, "retired": {RetiredAdminKeys: make([]KeyID, maxRetiredAdminKeys+1)},
 	} {
 		e, ok := o.Check().(*Error)
 		if !ok || e.Field != field || e.Status != 400 {
@@ -85,18 +85,18 @@
 		t.Fatal(err)
 	}
 	o := Operators{Networks: inside}
-	if o.Within(netip.MustParseAddr("10.1.2.3")) != nil || o.Within(netip.MustParseAddr("11.1.2.3")) == nil {
+	if o.CheckAccessFrom(netip.MustParseAddr("10.1.2.3")) != nil || o.CheckAccessFrom(netip.MustParseAddr("11.1.2.3")) == nil {
 		t.Error("who may come is not told from who may not")
 	}
 }
 
 // What teams are guaranteed together stays within what is set aside, by any sequence of
 // changes; and the sum that is kept is the sum of the teams.
-func TestGivenIsTheSum(t *testing.T) {
+func TestGuaranteedTotalIsTheSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		aside := Operators{CPUs: float64(rapid.IntRange(0, 20).Draw(t, "aside")), GPUs: 3}
+		budget := Operators{CPUs: float64(rapid.IntRange(0, 20).Draw(t, "aside")), GPUs: 3}
 		teams := map[api.Team]Team{}
-		var given Given
+		var given GuaranteedTotal
 		for range rapid.IntRange(1, 30).Draw(t, "acts") {
 			name := rapid.SampledFrom([]api.Team{"x", "y", "z"}).Draw(t, "team")
 			was := teams[name]
@@ -115,22 +115,22 @@
 			if err != nil {
 				continue
 			}
-			if next, err := given.Move(was, now, aside); err == nil {
+			if next, err := given.Adjust(was, now, budget); err == nil {
 				given, teams[name] = next, now
 			}
-			var sum Given
+			var sum GuaranteedTotal
 			for _, x := range teams {
 				sum.CPUs, sum.GPUs = sum.CPUs+x.CPUs, sum.GPUs+x.GPUs
 			}
-			if sum != given || sum.CPUs > aside.CPUs || sum.GPUs > aside.GPUs {
-				t.Fatalf("teams are given %v, kept is %v, set aside %v", sum, given, aside)
+			if sum != given || sum.CPUs > budget.CPUs || sum.GPUs > budget.GPUs {
+				t.Fatalf("teams are given %v, kept is %v, set aside %v", sum, given, budget)
 			}
 		}
 	})
 }
 
 // A limit lies in shares of the parts, some of them given away, and can't be taken back.
-func TestATeamsLimitDoesNotShrink(t *testing.T) {
+func TestTeamLimitNeverShrinks(t *testing.T) {
 	team := Team{Name: "dispo", CPUs: 2, CPUsMax: 4}
 	for max, ok := range map[float64]bool{3: false, 4: true, 9: true, 0: true} {
 		if _, err := team.Change(Team{Name: "dispo", CPUs: 2, CPUsMax: max}); (err == nil) != ok {
@@ -162,13 +162,13 @@
 
 // A window never holds more than it may, always the most urgent ones, and in as many turns
 // as Turns says each of the others once.
-func TestWindowGivesEachATurn(t *testing.T) {
+func TestWindowCoversAllJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(2, 40).Draw(t, "most")
 		n := rapid.IntRange(0, 300).Draw(t, "n")
 		from := rapid.IntRange(0, 1000).Draw(t, "turn")
 		seen := map[int]bool{}
-		for turn := range Turns(n, most) {
+		for turn := range RoundsToCoverAll(n, most) {
 			w := Window(n, most, from+turn)
 			if len(w) != min(n, most) {
 				t.Fatalf("%d of %d, at most %d", len(w), n, most)
@@ -193,7 +193,7 @@
 }
 
 // Lists of no networks are written as lists: a client reads them without a special case.
-func TestNoNetworksAreAList(t *testing.T) {
+func TestEmptyNetworksEncodeAsList(t *testing.T) {
 	data, err := json.Marshal(Networks{})
 	if err != nil || string(data) != "[]" {
 		t.Errorf("%s, %v", data, err)
--- a/tenant/table.go
+++ b/tenant/table.go
@@ -25,8 +25,8 @@
 func NewTable() *Table { return &Table{entries: map[Name]*Entry{}, keys: map[KeyID]*Entry{}} }
 
 // Put takes in a record.
-func (t *Table) Put(name string, value json.RawMessage, ver api.Revision) error {
-	e := &Entry{Revision: ver}
+func (t *Table) Put(name string, value json.RawMessage, version api.Revision) error {
+	e := &Entry{Revision: version}
 	if err := json.Unmarshal(value, &e.Tenant); err != nil {
 		return err
 	}
@@ -80,9 +80,9 @@
 	return e, &e.Keys[i]
 }
 
-// Starts reports whether what waits of a tenant may be started; a tenant that is not
+// MayStartTasks reports whether what waits of a tenant may be started; a tenant that is not
 // known starts nothing.
-func (t *Table) Starts(name Name) bool {
+func (t *Table) MayStartTasks(name Name) bool {
 	e := t.entries[name]
-	return e != nil && e.Starts()
+	return e != nil && e.MayStartTasks()
 }
--- a/tenant/table_test.go
+++ b/tenant/table_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	out := map[string]json.RawMessage{}
 	for i := range 2000 {
-		x := kipper()
+		x := testTenant()
 		x.Name = Name(fmt.Sprintf("tenant-%04d", i))
 		for k := i; k < 5000; k += 2000 {
 			key, _, err := NewKey([RandomBytes]byte{byte(k), byte(k >> 8)}, fmt.Sprintf("k%d", k/2000), 1000, 0)
@@ -32,7 +32,7 @@
 }
 
 // A key opens what the record says that was read last, and nothing that an earlier one did.
-func TestTableFollowsItsRecords(t *testing.T) {
+func TestTableAppliesRecords(t *testing.T) {
 	table := NewTable()
 	for name, data := range records(t) {
 		if err := table.Put(name, data, 5); err != nil {
--- a/tenant/tenant.go
+++ b/tenant/tenant.go
@@ -43,10 +43,10 @@
 	Networks  Networks   `json:"networks,omitzero"`   // from where it may come; none: from anywhere
 	Retention float64    `json:"retention_s"`         // for how long its history is kept, in seconds
 
-	Why         string   `json:"why,omitempty"`          // it is suspended
-	SuspendedAt api.Wall `json:"suspended_at,omitempty"` // in milliseconds since 1970
-	Drain       float64  `json:"drain_s,omitempty"`      // its services go on for so many seconds then
-	CancelJobs  bool     `json:"cancel_jobs,omitempty"`  // removal does not wait for its jobs
+	SuspendReason string       `json:"why,omitempty"`          // it is suspended
+	SuspendedAt   api.WallTime `json:"suspended_at,omitempty"` // in milliseconds since 1970
+	Drain         float64      `json:"drain_s,omitempty"`      // its services go on for so many seconds then
+	CancelJobs    bool         `json:"cancel_jobs,omitempty"`  // removal does not wait for its jobs
 
 	Keys []Key `json:"keys,omitempty"`
 }
@@ -67,22 +67,22 @@
 type Error struct {
 	Status int
 	Field  string // at fault, if one is
-	Why    string
+	Reason string
 }
 
 func (e *Error) Error() string {
 	if e.Field == "" {
-		return e.Why
+		return e.Reason
 	}
-	return e.Field + ": " + e.Why
+	return e.Field + ": " + e.Reason
 }
 
-func invalid(field, why string, args ...any) *Error {
-	return &Error{Status: 400, Field: field, Why: fmt.Sprintf(why, args...)}
+func invalid(field, format string, args ...any) *Error {
+	return &Error{Status: 400, Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-func conflict(why string, args ...any) *Error {
-	return &Error{Status: 409, Why: fmt.Sprintf(why, args...)}
+func conflict(format string, args ...any) *Error {
+	return &Error{Status: 409, Reason: fmt.Sprintf(format, args...)}
 }
 
 // CheckName accepts lower-case letters, digits and hyphens, beginning with a letter: what
@@ -107,15 +107,15 @@
 	return nil
 }
 
-// within reports whether a number lies between two; not a number does not.
-func within(v, low, high float64) bool { return v >= low && v <= high }
+// inRange reports whether a number lies between two; not a number does not.
+func inRange(v, low, high float64) bool { return v >= low && v <= high }
 
 // Check says what is wrong with a record, naming the field.
 func (t *Tenant) Check() error {
 	if err := CheckName("name", string(t.Name)); err != nil {
 		return err
 	}
-	for _, f := range []struct{ field, text string }{{"display", t.Display}, {"why", t.Why}} {
+	for _, f := range []struct{ field, text string }{{"display", t.Display}, {"why", t.SuspendReason}} {
 		if err := checkText(f.field, f.text); err != nil {
 			return err
 		}
@@ -135,15 +135,15 @@
 		return invalid("state", "%q is none", t.State)
 	}
 	switch {
-	case !within(t.Rate, 0, maxRate):
+	case !inRange(t.Rate, 0, maxRate):
 		return invalid("rate", "must be between 0 and %v a second", maxRate)
-	case !within(t.Burst, 0, maxRate) || t.Rate > 0 && t.Burst < 1:
+	case !inRange(t.Burst, 0, maxRate) || t.Rate > 0 && t.Burst < 1:
 		return invalid("burst", "must be between 1 and %v where there is a rate", maxRate)
 	case t.OpenJobs < 0 || t.OpenJobs > maxOpenJobs:
 		return invalid("open_jobs", "must be between 0 and %d", maxOpenJobs)
-	case !within(t.Drain, 0, maxDrain.Seconds()):
+	case !inRange(t.Drain, 0, maxDrain.Seconds()):
 		return invalid("drain_s", "must be between 0 and %v", maxDrain.Seconds())
-	case !within(t.Retention, 0, maxRetention.Seconds()):
+	case !inRange(t.Retention, 0, maxRetention.Seconds()):
 		return invalid("retention_s", "must be between 0 and %v", maxRetention.Seconds())
 	case len(t.Keys) > maxKeys:
 		return invalid("keys", "at most %d", maxKeys)
@@ -163,19 +163,19 @@
 // is read at every takeover and looked at in every round.
 const DefaultOpenJobs = 2000
 
-// Bound is how many of its jobs may be open.
-func (t *Tenant) Bound() int {
+// OpenJobLimit is how many of its jobs may be open.
+func (t *Tenant) OpenJobLimit() int {
 	if t.OpenJobs > 0 {
 		return t.OpenJobs
 	}
 	return DefaultOpenJobs
 }
 
-// Starts reports whether tasks of the tenant that wait may be started.
-func (t *Tenant) Starts() bool { return t.State == Active }
+// MayStartTasks reports whether tasks of the tenant that wait may be started.
+func (t *Tenant) MayStartTasks() bool { return t.State == Active }
 
 // Suspend has what waits wait, and what runs drain. A repetition changes nothing.
-func (t Tenant) Suspend(why string, drain float64, now api.Wall) (Tenant, error) {
+func (t Tenant) Suspend(reason string, drain float64, now api.WallTime) (Tenant, error) {
 	switch t.State {
 	case Suspended:
 		return t, nil
@@ -183,7 +183,7 @@
 	default:
 		return t, conflict("%s is %s", t.Name, t.State)
 	}
-	t.State, t.Why, t.Drain, t.SuspendedAt = Suspended, why, drain, now
+	t.State, t.SuspendReason, t.Drain, t.SuspendedAt = Suspended, reason, drain, now
 	return t, t.Check()
 }
 
@@ -196,7 +196,7 @@
 	default:
 		return t, conflict("%s is %s", t.Name, t.State)
 	}
-	t.State, t.Why, t.Drain, t.SuspendedAt = Active, "", 0, 0
+	t.State, t.SuspendReason, t.Drain, t.SuspendedAt = Active, "", 0, 0
 	return t, nil
 }
 
@@ -215,9 +215,9 @@
 	return t, nil
 }
 
-// Finish ends the removal once no job is left. The name stays taken, and the history as
+// FinishRemoval ends the removal once no job is left. The name stays taken, and the history as
 // long as it was to be kept; keys open nothing any more.
-func (t Tenant) Finish(open int) (Tenant, error) {
+func (t Tenant) FinishRemoval(open int) (Tenant, error) {
 	switch {
 	case t.State == Removed:
 		return t, nil
@@ -230,15 +230,15 @@
 	return t, nil
 }
 
-// jobDigits is how long a job's id is that is made of its tenant's: some 119 bits.
-const jobDigits = 36
+// jobIDDigits is how long a job's id is that is made of its tenant's: some 119 bits.
+const jobIDDigits = 36
 
 // JobID is the id under which a tenant's job is kept and known to workers. It has the
 // protocol's form; equal references of two tenants are different jobs, and neither tells
 // of the other.
-func JobID(name Name, ref api.JobRef) api.JobRef {
-	sum := sha256.Sum256([]byte(string(name) + "\x00" + string(ref)))
+func JobID(name Name, tenantJobID api.JobID) api.JobID {
+	sum := sha256.Sum256([]byte(string(name) + "\x00" + string(tenantJobID)))
 	digits := new(big.Int).SetBytes(sum[:]).String()
-	digits = strings.Repeat("0", max(0, jobDigits-len(digits))) + digits
-	return api.JobRef("run-" + digits[len(digits)-jobDigits:])
+	digits = strings.Repeat("0", max(0, jobIDDigits-len(digits))) + digits
+	return api.JobID("run-" + digits[len(digits)-jobIDDigits:])
 }
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -13,15 +13,15 @@
 	"pgregory.net/rapid"
 
 	"basaltwall/api"
-	_ "basaltwall/internal/seeded"
+	_ "basaltwall/internal/proptest"
 )
 
-func kipper() Tenant {
+func testTenant() Tenant {
 	return Tenant{Name: "kipper", Display: "Kipper & Mulde", Teams: []api.Team{"dispo"}, State: Active, Rate: 2, Burst: 10, OpenJobs: 100, Retention: 3600}
 }
 
 func TestCheckNamesTheField(t *testing.T) {
-	good := kipper()
+	good := testTenant()
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		"keys.name":   func(x *Tenant) { x.Keys = []Key{{ID: "0011223344556677", Name: "1st", Hash: make([]byte, 32)}} },
 		"keys":        func(x *Tenant) { x.Keys = []Key{{ID: "00", Name: "first", Hash: make([]byte, 32)}} },
 	} {
-		x := kipper()
+		x := testTenant()
 		spoil(&x)
 		var e *Error
 		if err := x.Check(); !errors.As(err, &e) || e.Field != field || e.Status != 400 {
@@ -64,7 +64,7 @@
 		{"resume", func(x Tenant, _ int) (Tenant, error) { return x.Resume() }},
 		{"remove", func(x Tenant, open int) (Tenant, error) { return x.Remove(open, false) }},
 		{"cancel", func(x Tenant, open int) (Tenant, error) { return x.Remove(open, true) }},
-		{"finish", func(x Tenant, open int) (Tenant, error) { return x.Finish(open) }},
+		{"finish", func(x Tenant, open int) (Tenant, error) { return x.FinishRemoval(open) }},
 	}
 	// From a state by an act: without open jobs, with some. "" is a refusal.
 	leads := map[State]map[string][2]State{
@@ -74,7 +74,7 @@
 		Removed:   {"suspend": {}, "resume": {}, "remove": {Removed, Removed}, "cancel": {Removed, Removed}, "finish": {Removed, Removed}},
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		x := kipper()
+		x := testTenant()
 		for range rapid.IntRange(1, 12).Draw(t, "acts") {
 			a := acts[rapid.IntRange(0, len(acts)-1).Draw(t, "act")]
 			open := rapid.IntRange(0, 1).Draw(t, "open")
@@ -89,8 +89,8 @@
 					t.Fatalf("%s leaves a record that is refused: %v", a.name, x.Check())
 				}
 			}
-			if x.Starts() != (x.State == Active) {
-				t.Fatalf("%s starts: %v", x.State, x.Starts())
+			if x.MayStartTasks() != (x.State == Active) {
+				t.Fatalf("%s starts: %v", x.State, x.MayStartTasks())
 			}
 		}
 	})
@@ -114,12 +114,12 @@
 		const off = 250 * time.Millisecond
 		_, other, _ := NewKey(b, "other", 1000, 0)
 		other.ID = k.ID // one who knows the public part
-		for now, open := range map[api.Wall]bool{1000: true, 4749: true, 4750: false, 5000: false, 9000: false} {
-			if k.Opens(s, now, off) != open {
+		for now, open := range map[api.WallTime]bool{1000: true, 4749: true, 4750: false, 5000: false, 9000: false} {
+			if k.Verify(s, now, off) != open {
 				t.Errorf("at %d: opens %v", now, !open)
 			}
 		}
-		if a != b && string(a[idBytes:]) != string(b[idBytes:]) && k.Opens(other, 1000, off) {
+		if a != b && string(a[keyIDBytes:]) != string(b[keyIDBytes:]) && k.Verify(other, 1000, off) {
 			t.Error("opened by another's secret")
 		}
 		data, err := json.Marshal(k)
@@ -130,7 +130,7 @@
 		text := []byte(s.String())
 		i := rapid.IntRange(0, len(text)-1).Draw(t, "at")
 		text[i] ^= byte(rapid.IntRange(1, 127).Draw(t, "by"))
-		if c, err := ParseSecret(string(text)); err == nil && k.Opens(c, 1000, off) {
+		if c, err := ParseSecret(string(text)); err == nil && k.Verify(c, 1000, off) {
 			t.Errorf("%q opens what %q opens", text, s)
 		}
 	})
@@ -148,7 +148,7 @@
 }
 
 // The table says the same as looking at each network.
-func TestNetworksAgainstALook(t *testing.T) {
+func TestNetworksAgainstLinearScan(t *testing.T) {
 	addr := rapid.Custom(func(t *rapid.T) netip.Addr {
 		if rapid.Bool().Draw(t, "six") {
 			var a [16]byte
@@ -189,8 +189,8 @@
 				want = want || p.Contains(a)
 			}
 			mapped := netip.AddrFrom16(a.As16())
-			if n.Has(a) != want || back.Has(a) != want || a.Is4() && n.Has(mapped) != want {
-				t.Errorf("%v in %v: %v, expected %v", a, list, n.Has(a), want)
+			if n.Contains(a) != want || back.Contains(a) != want || a.Is4() && n.Contains(mapped) != want {
+				t.Errorf("%v in %v: %v, expected %v", a, list, n.Contains(a), want)
 			}
 			if n.Allows(a) != (want || len(list) == 0) {
 				t.Errorf("%v is allowed: %v", a, n.Allows(a))
@@ -199,9 +199,9 @@
 	})
 }
 
-func TestNetworksInTheFormOfIPv6(t *testing.T) {
+func TestIPv4MappedNetworks(t *testing.T) {
 	n, err := ParseNetworks([]string{"::ffff:10.0.0.0/104"})
-	if err != nil || !n.Has(netip.MustParseAddr("10.1.2.3")) || n.Has(netip.MustParseAddr("11.1.2.3")) {
+	if err != nil || !n.Contains(netip.MustParseAddr("10.1.2.3")) || n.Contains(netip.MustParseAddr("11.1.2.3")) {
 		t.Errorf("%v: %v", n.Prefixes(), err)
 	}
 }
@@ -235,17 +235,17 @@
 		{"10.0.0.1", "unknown, 10.0.0.2", "10.0.0.2"},
 		{"10.0.0.1", "203.0.113.9:443", "10.0.0.1"},
 	} {
-		if got := Origin(netip.MustParseAddr(c.conn), c.forwarded, proxies); got != netip.MustParseAddr(c.want) {
+		if got := ClientAddr(netip.MustParseAddr(c.conn), c.forwarded, proxies); got != netip.MustParseAddr(c.want) {
 			t.Errorf("%s by way of %q: %v, expected %s", c.forwarded, c.conn, got, c.want)
 		}
 	}
 }
 
 // Over any time a bucket gives no more than its burst and its rate.
-func TestBucketKeepsItsRate(t *testing.T) {
+func TestTokenBucketRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(0.01, 50).Draw(t, "rate"), rapid.Float64Range(1, 30).Draw(t, "burst")
-		var b Bucket
+		var b TokenBucket
 		var taken []api.Time
 		now := api.Time(1)
 		for range rapid.IntRange(1, 300).Draw(t, "calls") {
@@ -272,12 +272,12 @@
 
 // A tenant's first submission is not refused for being the first, unless the process has
 // just begun.
-func TestBucketOfANewTenant(t *testing.T) {
-	var b Bucket
+func TestTokenBucketOfNewTenant(t *testing.T) {
+	var b TokenBucket
 	if ok, _ := b.Take(api.Time(time.Minute), 0.5, 3); !ok {
 		t.Error("the first is refused after a minute")
 	}
-	var c Bucket
+	var c TokenBucket
 	if ok, wait := c.Take(api.Time(time.Second), 0.5, 3); ok || wait != time.Second {
 		t.Errorf("a second after the beginning: taken %v, wait %v", ok, wait)
 	}
@@ -285,11 +285,11 @@
 
 // The rate is that of the whole service: over all controllers no more is taken than the
 // rate and the burst allow, and a bound for the times in which they count members unlike.
-func TestSharesOfARateThroughChanges(t *testing.T) {
+func TestRateShareAcrossMembershipChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, burst = 20.0, 12.0
 		now, total := api.Time(1), 0
-		alive := []*Bucket{{}, {}, {}}
+		alive := []*TokenBucket{{}, {}, {}}
 		changes, extra := 0, 0.0
 		begun := now
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
@@ -308,13 +308,13 @@
 			case 1:
 				if len(alive) < 5 {
 					// One begins; the others count it a moment later, it counts all.
-					alive = append(alive, &Bucket{})
+					alive = append(alive, &TokenBucket{})
 					extra += rate * 0.02
 					changes++
 				}
 			}
 			for _, b := range alive {
-				r, k := Share(rate, burst, counted)
+				r, k := RateShare(rate, burst, counted)
 				for {
 					if ok, _ := b.Take(now, r, k); !ok {
 						break
@@ -334,17 +334,17 @@
 
 // However many tenants flood, one that stays within its part is never refused, and all
 // together get no more than there is.
-func TestFairToTheWellBehaved(t *testing.T) {
+func TestFairLimiterIsolatesTenants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(4, 80).Draw(t, "rate")
 		floods := rapid.IntRange(1, 6).Draw(t, "floods")
 		// Its part while all want to submit, less what a step takes.
 		part := rate / float64(floods+1)
 		every := api.Seconds(1.05 / part)
-		if every > lately {
-			every = lately // it has to come to be counted
+		if every > activeWindow {
+			every = activeWindow // it has to come to be counted
 		}
-		var f Fair
+		var f FairLimiter
 		now := api.Time(1)
 		next := now.Add(every)
 		taken, end := 0.0, now.Add(20*time.Second)
@@ -366,19 +366,19 @@
 			ok, _ := f.Take(now, "calm", rate)
 			if ok {
 				taken++
-			} else if now.Sub(begun) > 2*every && part >= 1/lately.Seconds() {
+			} else if now.Sub(begun) > 2*every && part >= 1/activeWindow.Seconds() {
 				t.Fatalf("refused at %v though within its part of %.2f a second", now.Sub(begun), part)
 			}
 		}
-		if most := rate*now.Sub(begun).Seconds() + 2*max(1, rate*ahead) + float64(floods+1); taken > most {
+		if most := rate*now.Sub(begun).Seconds() + 2*max(1, rate*maxCreditSeconds) + float64(floods+1); taken > most {
 			t.Fatalf("%v taken of %v", taken, most)
 		}
 	})
 }
 
 // What nobody has used for long is not there all at once.
-func TestFairAfterAPause(t *testing.T) {
-	var f Fair
+func TestFairLimiterAfterIdle(t *testing.T) {
+	var f FairLimiter
 	f.Take(1, "calm", 10)
 	now := api.Time(1).Add(time.Hour)
 	taken := 0
@@ -394,7 +394,7 @@
 
 func TestJobIDs(t *testing.T) {
 	a, b := JobID("kipper", "run-1"), JobID("lopresti", "run-1")
-	if a == b || !api.ValidRef(string(a)) || a != JobID("kipper", "run-1") {
+	if a == b || !api.ValidJobID(string(a)) || a != JobID("kipper", "run-1") {
 		t.Errorf("%s and %s", a, b)
 	}
 	// No tenant's name and reference run into one another.
--- a/tools/regress/grow.go
+++ b/tools/regress/grow.go
@@ -8,12 +8,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// grow writes a copy of a deployment into a folder, with so many times the machines, the
+// growDeployment writes a copy of a deployment into a folder, with so many times the machines, the
 // work and the teams' limits, and processes that are back so many seconds after they end.
 // What the controllers and the state service may use stays. It returns the copy's path.
-func grow(file, dir string, by, back float64) (string, error) {
-	var site map[string]any
-	if _, err := toml.DecodeFile(file, &site); err != nil {
+func growDeployment(file, dir string, factor, restartDelay float64) (string, error) {
+	var deployment map[string]any
+	if _, err := toml.DecodeFile(file, &deployment); err != nil {
 		return "", fmt.Errorf("%s: %w", file, err)
 	}
 	grown := func(table any, fields ...string) {
@@ -23,19 +23,19 @@
 		}
 		for _, row := range rows {
 			for _, f := range fields {
-				scale(row, f, by)
+				scaleField(row, f, factor)
 			}
 		}
 	}
-	grown(site["capacity"], "count", "spot")
-	grown(site["machines"], "count")
-	grown(site["teams"], "cpus", "cpus_max", "gpus", "gpus_max")
-	grown(site["jobs"], "initial")
-	jobs, _ := site["jobs"].([]map[string]any)
+	grown(deployment["capacity"], "count", "spot")
+	grown(deployment["machines"], "count")
+	grown(deployment["teams"], "cpus", "cpus_max", "gpus", "gpus_max")
+	grown(deployment["jobs"], "initial")
+	jobs, _ := deployment["jobs"].([]map[string]any)
 	for _, j := range jobs {
 		grown(j["arrivals"], "rate")
 	}
-	days, _ := site["day"].([]map[string]any)
+	days, _ := deployment["day"].([]map[string]any)
 	for _, d := range days {
 		faults, _ := d["faults"].([]any) // tables in a line
 		for _, f := range faults {
@@ -45,10 +45,10 @@
 			}
 		}
 	}
-	if nodes, ok := site["nodes"].(map[string]any); ok {
-		nodes["restart_delay_s"] = back
+	if nodes, ok := deployment["nodes"].(map[string]any); ok {
+		nodes["restart_delay_s"] = restartDelay
 	}
-	name := strings.TrimSuffix(filepath.Base(file), ".toml") + fmt.Sprintf("-x%g", by)
-	site["name"] = name
-	return writeCopy(site, file, dir, name)
+	name := strings.TrimSuffix(filepath.Base(file), ".toml") + fmt.Sprintf("-x%g", factor)
+	deployment["name"] = name
+	return writeDeployment(deployment, file, dir, name)
 }
--- a/tools/regress/largest.go
+++ b/tools/regress/largest_jobs.go
@@ -11,22 +11,22 @@
 	"strings"
 )
 
-// latestBegin is how long one of a class's largest jobs may wait to begin, in seconds: well
+// maxStartWait is how long one of a class's largest jobs may wait to begin, in seconds: well
 // within the four minutes after which a day fails.
-const latestBegin = 200.0
+const maxStartWait = 200.0
 
 // loggedJob is what controllers' logs tell of a job.
 type loggedJob struct {
 	class              string
 	gpus, cpus, memory float64 // of all its tasks
-	at                 float64 // accepted, as far as is known
-	began              float64 // seconds after that, infinite: not at all
+	acceptedAt         float64 // accepted, as far as is known
+	startDelay         float64 // seconds after that, infinite: not at all
 	done, cancelled    bool
 }
 
-// readLog gathers the jobs from lines of a day's log: the simulated time, the controller, and
+// parseJobLog gathers the jobs from lines of a day's log: the simulated time, the controller, and
 // what it wrote.
-func readLog(r io.Reader) map[string]*loggedJob {
+func parseJobLog(r io.Reader) map[string]*loggedJob {
 	jobs := map[string]*loggedJob{}
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, 1<<20)
@@ -51,7 +51,7 @@
 		}
 		j := jobs[f["job"]]
 		if j == nil {
-			j = &loggedJob{at: at - number("after"), began: math.Inf(1)}
+			j = &loggedJob{acceptedAt: at - number("after"), startDelay: math.Inf(1)}
 			jobs[f["job"]] = j
 		}
 		if class := f["asks.class"]; class != "" {
@@ -60,7 +60,7 @@
 		}
 		switch what {
 		case "starts":
-			j.began = min(j.began, number("after"))
+			j.startDelay = min(j.startDelay, number("after"))
 		case "done":
 			j.done = true
 		case "cancelled":
@@ -70,23 +70,23 @@
 	return jobs
 }
 
-// ofLargest is how the largest tenth of a class's jobs was served that was served least, and
+// largestJobs is how the largest tenth of a class's jobs was served that was served least, and
 // which of any class's waited longest to begin.
-type ofLargest struct {
-	class  string
-	share  float64
-	late   string
-	latest float64 // seconds
+type largestJobs struct {
+	class         string
+	share         float64
+	slowestJob    string
+	maxStartDelay float64 // seconds
 }
 
-// workGrace is what an array or gang that came late may still take when the day ends, beyond
+// completionGrace is what an array or gang that came late may still take when the day ends, beyond
 // the time for which its like ran: it is held against nobody.
-const workGrace = 240.0
+const completionGrace = 240.0
 
-// largest looks at the largest tenth of each class's jobs, one at least, by what all their
+// findLargestJobs looks at the largest tenth of each class's jobs, one at least, by what all their
 // tasks take. Of a class of which none is ever done, services, those count that began; of the
 // others those that were done, if they came well before the end.
-func largest(jobs map[string]*loggedJob, end float64) ofLargest {
+func findLargestJobs(jobs map[string]*loggedJob, end float64) largestJobs {
 	byClass := map[string][]string{}
 	ends := map[string]bool{}
 	for _, ref := range slices.Sorted(maps.Keys(jobs)) {
@@ -95,7 +95,7 @@
 			ends[j.class] = ends[j.class] || j.done
 		}
 	}
-	out := ofLargest{share: 1}
+	out := largestJobs{share: 1}
 	for _, class := range slices.Sorted(maps.Keys(byClass)) {
 		refs := byClass[class]
 		slices.SortStableFunc(refs, func(a, b string) int {
@@ -105,15 +105,15 @@
 		served, of := 0.0, 0.0
 		for _, ref := range refs[:(len(refs)+9)/10] {
 			j := jobs[ref]
-			waited := min(j.began, end-j.at)
-			if waited > out.latest {
-				out.late, out.latest = ref, waited
+			waited := min(j.startDelay, end-j.acceptedAt)
+			if waited > out.maxStartDelay {
+				out.slowestJob, out.maxStartDelay = ref, waited
 			}
-			if ends[class] && !j.done && j.at > end-workGrace || math.IsInf(j.began, 1) && j.at > end-latestBegin {
+			if ends[class] && !j.done && j.acceptedAt > end-completionGrace || math.IsInf(j.startDelay, 1) && j.acceptedAt > end-maxStartWait {
 				continue
 			}
 			of++
-			if j.done || !ends[class] && !math.IsInf(j.began, 1) {
+			if j.done || !ends[class] && !math.IsInf(j.startDelay, 1) {
 				served++
 			}
 		}
--- a/tools/regress/main.go
+++ b/tools/regress/main.go
@@ -31,8 +31,8 @@
 	"hunt":    {"more/hunt/kippermulde-hunt.toml", "more/hunt/lopresti-mercato-hunt.toml"},
 }
 
-// noise is by how much a deployment's figure may differ with nothing changed.
-const noise = 0.03
+// scoreNoise is by how much a deployment's figure may differ with nothing changed.
+const scoreNoise = 0.03
 
 var cli struct {
 	Bench   string  `required:"" type:"existingfile" help:"The bench's program."`
@@ -48,20 +48,20 @@
 	Set     string  `arg:"" enum:"landing,state,full,hunt,scale" help:"scale: days of copies of the hunt sites at the size to come, for their rules; landing: every change; state: also what touches storage, membership, timers or messages; full: all days of all deployments; hunt: days drawn and days of the project's own, for broken rules."`
 }
 
-// entry is what the tool reads of an entry in the journal.
-type entry struct {
-	ID    string   `json:"id"`
-	At    []string `json:"at"`
-	Cmd   string   `json:"cmd"`
-	Argv  []string `json:"argv"`
-	Site  string   `json:"site"`
-	OK    bool     `json:"ok"`
-	Error string   `json:"error"`
-	Score *float64 `json:"score"`
-	Days  []day    `json:"days"`
+// journalEntry is what the tool reads of an entry in the journal.
+type journalEntry struct {
+	ID    string      `json:"id"`
+	At    []string    `json:"at"`
+	Cmd   string      `json:"cmd"`
+	Argv  []string    `json:"argv"`
+	Site  string      `json:"site"`
+	OK    bool        `json:"ok"`
+	Error string      `json:"error"`
+	Score *float64    `json:"score"`
+	Days  []dayResult `json:"days"`
 }
 
-type day struct {
+type dayResult struct {
 	Name     string         `json:"name"`
 	Score    float64        `json:"score"`
 	Rules    map[string]int `json:"rules"`
@@ -69,10 +69,10 @@
 	Restarts float64        `json:"restarts"`
 }
 
-func (e *entry) quick() bool { return slices.Contains(e.Argv, "--quick") }
+func (e *journalEntry) quick() bool { return slices.Contains(e.Argv, "--quick") }
 
-// trouble lists what must never be: a broken rule, a failed day, a process that ended.
-func (e *entry) trouble() []string {
+// failures lists what must never be: a broken rule, a failed day, a process that ended.
+func (e *journalEntry) failures() []string {
 	var out []string
 	for _, d := range e.Days {
 		for _, rule := range slices.Sorted(maps.Keys(d.Rules)) {
@@ -92,13 +92,13 @@
 }
 
 // readJournal reads all entries, the oldest first.
-func readJournal(dir string) ([]*entry, error) {
+func readJournal(dir string) ([]*journalEntry, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
 	slices.Sort(names) // they begin with the time
-	var out []*entry
+	var out []*journalEntry
 	for _, name := range names {
 		data, err := os.ReadFile(name)
 		if errors.Is(err, fs.ErrNotExist) {
@@ -107,7 +107,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("journal: %w", err)
 		}
-		e := &entry{}
+		e := &journalEntry{}
 		if err := json.Unmarshal(data, e); err != nil {
 			return nil, fmt.Errorf("journal: %s: %w", filepath.Base(name), err)
 		}
@@ -116,12 +116,12 @@
 	return out, nil
 }
 
-// last is the newest score of a deployment; a quick one estimates one of all days, and is
+// lastScore is the newest score of a deployment; a quick one estimates one of all days, and is
 // compared with such where there is none of its kind.
-func last(journal []*entry, site string, quick bool) *entry {
-	var other *entry
+func lastScore(journal []*journalEntry, deployment string, quick bool) *journalEntry {
+	var other *journalEntry
 	for _, e := range slices.Backward(journal) {
-		if e.Cmd != "score" || e.Site != site || e.Score == nil {
+		if e.Cmd != "score" || e.Site != deployment || e.Score == nil {
 			continue
 		}
 		if e.quick() == quick {
@@ -134,26 +134,26 @@
 	return other
 }
 
-// best is the highest score of a deployment: many small falls in a row show against it.
-func best(journal []*entry, site string) float64 {
+// bestScore is the highest score of a deployment: many small falls in a row show against it.
+func bestScore(journal []*journalEntry, deployment string) float64 {
 	top := 0.0
 	for _, e := range journal {
-		if e.Cmd == "score" && e.Site == site && e.Score != nil {
+		if e.Cmd == "score" && e.Site == deployment && e.Score != nil {
 			top = max(top, *e.Score)
 		}
 	}
 	return top
 }
 
-func bench(out, errs io.Writer, args ...string) error {
+func runBench(out, errs io.Writer, args ...string) error {
 	c := exec.Command(cli.Bench, args...)
 	c.Stdout, c.Stderr = out, errs
 	return c.Run()
 }
 
-// served is what a day's report tells of how classes and teams were served. Of teams it
+// dayReport is what a day's report tells of how classes and teams were served. Of teams it
 // counts the jobs that started and no more.
-type served struct {
+type dayReport struct {
 	Duration float64 `json:"duration_s"`
 	Classes  map[string]struct {
 		Jobs      int      `json:"jobs"`
@@ -168,8 +168,8 @@
 	} `json:"teams"`
 }
 
-// least names the class and the team that were served least, and to which share.
-func (r *served) least() (class string, classShare float64, team string, teamShare float64) {
+// leastServed names the class and the team that were served least, and to which share.
+func (r *dayReport) leastServed() (class string, classShare float64, team string, teamShare float64) {
 	classShare, teamShare = 2, 2
 	share := func(got, of int) float64 {
 		if of <= 0 {
@@ -197,49 +197,49 @@
 	return class, classShare, team, teamShare
 }
 
-// leastServed is the share under which no class and no team may fall on any day.
-const leastServed = 0.6
+// minServedShare is the share under which no class and no team may fall on any day.
+const minServedShare = 0.6
 
-// playServed plays days once more for their reports, which a score does not give, and
+// checkServed plays days once more for their reports, which a score does not give, and
 // tells who was served least. It returns what is wrong.
-func playServed(days [][2]string) []string {
+func checkServed(days [][2]string) []string {
 	dir, err := os.MkdirTemp("", "regress")
 	if err != nil {
 		return []string{err.Error()}
 	}
 	defer os.RemoveAll(dir)
-	lines, bad := make([]string, len(days)), make([]string, len(days))
+	lines, problems := make([]string, len(days)), make([]string, len(days))
 	var wait sync.WaitGroup
-	turns := make(chan struct{}, cli.Jobs)
+	semaphore := make(chan struct{}, cli.Jobs)
 	for i, d := range days {
 		wait.Go(func() {
-			turns <- struct{}{}
-			defer func() { <-turns }()
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
 			report, name := filepath.Join(dir, fmt.Sprintf("%d.json", i)), strings.TrimSuffix(filepath.Base(d[0]), ".toml")+", day "+d[1]
 			// A day that misses its aims is no news here, so what counts is the report.
 			var log bytes.Buffer
-			_ = bench(io.Discard, &log, "run", d[0], d[1], "--no-cpu", "--log", "info", "--report", report, "--why", cli.Why)
-			var r served
+			_ = runBench(io.Discard, &log, "run", d[0], d[1], "--no-cpu", "--log", "info", "--report", report, "--why", cli.Why)
+			var r dayReport
 			data, err := os.ReadFile(report)
 			if err == nil {
 				err = json.Unmarshal(data, &r)
 			}
 			if err != nil || len(r.Classes) == 0 || len(r.Teams) == 0 {
-				bad[i] = fmt.Sprintf("%s: no report of classes and teams: %v", name, err)
+				problems[i] = fmt.Sprintf("%s: no report of classes and teams: %v", name, err)
 				return
 			}
-			class, cs, team, ts := r.least()
-			l := largest(readLog(&log), r.Duration)
-			lines[i] = fmt.Sprintf("%-40s %-16s %6.3f   %-16s %6.3f   %-16s %6.3f %6.0f s", name, class, cs, team, ts, l.class, l.share, l.latest)
-			var why []string
-			if min(cs, ts, l.share) < leastServed {
-				why = append(why, fmt.Sprintf("class %s was served to %.3f, team %s to %.3f, the largest of %s to %.3f, at least %.1f is expected", class, cs, team, ts, l.class, l.share, leastServed))
+			class, classShare, team, teamShare := r.leastServed()
+			l := findLargestJobs(parseJobLog(&log), r.Duration)
+			lines[i] = fmt.Sprintf("%-40s %-16s %6.3f   %-16s %6.3f   %-16s %6.3f %6.0f s", name, class, classShare, team, teamShare, l.class, l.share, l.maxStartDelay)
+			var reasons []string
+			if min(classShare, teamShare, l.share) < minServedShare {
+				reasons = append(reasons, fmt.Sprintf("class %s was served to %.3f, team %s to %.3f, the largest of %s to %.3f, at least %.1f is expected", class, classShare, team, teamShare, l.class, l.share, minServedShare))
 			}
-			if l.latest > latestBegin {
-				why = append(why, fmt.Sprintf("%s, of the largest of its class, waited %.0f s to begin, %.0f s at most is expected", l.late, l.latest, latestBegin))
+			if l.maxStartDelay > maxStartWait {
+				reasons = append(reasons, fmt.Sprintf("%s, of the largest of its class, waited %.0f s to begin, %.0f s at most is expected", l.slowestJob, l.maxStartDelay, maxStartWait))
 			}
-			if len(why) > 0 {
-				bad[i] = name + ": " + strings.Join(why, "; ")
+			if len(reasons) > 0 {
+				problems[i] = name + ": " + strings.Join(reasons, "; ")
 			}
 		})
 	}
@@ -250,7 +250,7 @@
 			fmt.Println(l)
 		}
 	}
-	return slices.DeleteFunc(bad, func(b string) bool { return b == "" })
+	return slices.DeleteFunc(problems, func(b string) bool { return b == "" })
 }
 
 func run() error {
@@ -272,15 +272,15 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	if files, err = copies(files, dir); err != nil {
+	if files, err = grownCopies(files, dir); err != nil {
 		return err
 	}
-	before, err := readJournal(cli.Journal)
+	entriesBefore, err := readJournal(cli.Journal)
 	if err != nil {
 		return err
 	}
 	known := map[string]bool{}
-	for _, e := range before {
+	for _, e := range entriesBefore {
 		known[e.ID] = true
 	}
 	var failed error
@@ -290,25 +290,25 @@
 		if quick {
 			args = append(args, "--quick")
 		}
-		failed = bench(os.Stdout, os.Stderr, append(args, "--jobs", fmt.Sprint(cli.Jobs), "--why", cli.Why)...)
+		failed = runBench(os.Stdout, os.Stderr, append(args, "--jobs", fmt.Sprint(cli.Jobs), "--why", cli.Why)...)
 	} else if cli.Set == "hunt" {
-		cli.Hunt = cmp.Or(cli.Hunt, usualHunt)
+		cli.Hunt = cmp.Or(cli.Hunt, defaultHuntDays)
 	}
 	if cli.Hunt > 0 {
 		for _, f := range files {
-			if err := bench(os.Stdout, os.Stderr, "hunt", f, "--days", fmt.Sprint(cli.Hunt), "--jobs", fmt.Sprint(cli.Jobs), "--why", cli.Why); err != nil {
+			if err := runBench(os.Stdout, os.Stderr, "hunt", f, "--days", fmt.Sprint(cli.Hunt), "--jobs", fmt.Sprint(cli.Jobs), "--why", cli.Why); err != nil {
 				failed = errors.Join(failed, err)
 			}
 		}
 	}
-	var bad []string
+	var problems []string
 	switch cli.Set {
 	case "hunt":
-		bad = playOwn(files)
+		problems = runProjectDays(files)
 	case "scale":
-		bad = playScale(files, dir)
+		problems = runScaleDays(files, dir)
 	}
-	after, err := readJournal(cli.Journal)
+	entriesAfter, err := readJournal(cli.Journal)
 	if err != nil {
 		return err
 	}
@@ -318,11 +318,11 @@
 	}
 	var days [][2]string // that were played
 	fmt.Printf("\n%-26s %8s %8s %8s %8s  (simulated)\n", "deployment", "best", "before", "now", "change")
-	for _, e := range after {
+	for _, e := range entriesAfter {
 		if known[e.ID] || !slices.Contains([]string{"score", "hunt", "run"}, e.Cmd) {
 			continue
 		}
-		bad = append(bad, e.trouble()...)
+		problems = append(problems, e.failures()...)
 		if e.Cmd != "score" || e.Score == nil {
 			continue
 		}
@@ -332,52 +332,52 @@
 				days = append(days, [2]string{f, d.Name})
 			}
 		}
-		old := last(before, e.Site, quick)
-		if old == nil {
+		previous := lastScore(entriesBefore, e.Site, quick)
+		if previous == nil {
 			fmt.Printf("%-26s %8s %8s %8.3f\n", e.Site, "-", "-", *e.Score)
 			continue
 		}
-		change := *e.Score - *old.Score
-		fmt.Printf("%-26s %8.3f %8.3f %8.3f %+8.3f  against %s\n", e.Site, best(before, e.Site), *old.Score, *e.Score, change, old.ID)
-		if change < -noise {
-			bad = append(bad, fmt.Sprintf("%s fell by %.3f: repeat it, or with --no-cpu, then trace it", e.Site, -change))
+		change := *e.Score - *previous.Score
+		fmt.Printf("%-26s %8.3f %8.3f %8.3f %+8.3f  against %s\n", e.Site, bestScore(entriesBefore, e.Site), *previous.Score, *e.Score, change, previous.ID)
+		if change < -scoreNoise {
+			problems = append(problems, fmt.Sprintf("%s fell by %.3f: repeat it, or with --no-cpu, then trace it", e.Site, -change))
 		}
 	}
 	for _, f := range files {
 		if !scored {
 			break
 		}
-		if site := strings.TrimSuffix(filepath.Base(f), ".toml"); !seen[site] {
-			bad = append(bad, site+": no score was written")
+		if deployment := strings.TrimSuffix(filepath.Base(f), ".toml"); !seen[deployment] {
+			problems = append(problems, deployment+": no score was written")
 		}
 	}
 	if scored {
-		bad = append(bad, playServed(days)...)
+		problems = append(problems, checkServed(days)...)
 	}
-	if len(bad) > 0 {
-		return errors.New(strings.Join(bad, "\n"))
+	if len(problems) > 0 {
+		return errors.New(strings.Join(problems, "\n"))
 	}
 	return failed
 }
 
-// usualGrowth is how many times the machines the copies of the fleets have in the set state.
-const usualGrowth = 1.5
+// defaultGrowth is how many times the machines the copies of the fleets have in the set state.
+const defaultGrowth = 1.5
 
-// copies makes of the deployments what is to be played: grown copies in their stead, or beside
+// grownCopies makes of the deployments what is to be played: grown copies in their stead, or beside
 // the fleets.
-func copies(files []string, dir string) ([]string, error) {
-	by, of := cli.Grow, files
+func grownCopies(files []string, dir string) ([]string, error) {
+	factor, originals := cli.Grow, files
 	switch {
-	case by == 1 || by == 0 && cli.Set != "state":
+	case factor == 1 || factor == 0 && cli.Set != "state":
 		return files, nil
-	case by == 0:
-		by, of = usualGrowth, files[len(sets["landing"]):][:len(sets["state"])]
+	case factor == 0:
+		factor, originals = defaultGrowth, files[len(sets["landing"]):][:len(sets["state"])]
 	default:
 		files = nil
 	}
 	out := slices.Clone(files)
-	for _, f := range of {
-		grown, err := grow(f, dir, by, cli.Back)
+	for _, f := range originals {
+		grown, err := growDeployment(f, dir, factor, cli.Back)
 		if err != nil {
 			return nil, err
 		}
--- a/tools/regress/main_test.go
+++ b/tools/regress/main_test.go
@@ -14,13 +14,13 @@
 // The least served are found by what is missing: replica time, jobs that did not end, jobs
 // of a team that never started. Cancelled work is held against nobody.
 func TestLeastServed(t *testing.T) {
-	var r served
+	var r dayReport
 	if err := json.Unmarshal([]byte(`{"classes":{"web":{"jobs":10,"started":10,"done":0,"cancelled":7,"up":0.97},
 		"batch":{"jobs":20,"started":20,"done":9,"cancelled":2}},
 		"teams":{"a":{"jobs":5,"started":5},"b":{"jobs":8,"started":2},"c":{"jobs":0,"started":0}}}`), &r); err != nil {
 		t.Fatal(err)
 	}
-	class, cs, team, ts := r.least()
+	class, cs, team, ts := r.leastServed()
 	if class != "batch" || cs != 0.5 || team != "b" || ts != 0.25 {
 		t.Errorf("least served: class %s %.3f, team %s %.3f", class, cs, team, ts)
 	}
@@ -28,7 +28,7 @@
 
 // The largest of a class are found by what all tasks take; one that never began has waited
 // until the end, also where nobody logged that it was accepted before it began elsewhere.
-func TestLargestAreReadFromTheLog(t *testing.T) {
+func TestLargestJobsFromLog(t *testing.T) {
 	var b strings.Builder
 	line := func(at float64, what, ref string, tasks int, rest string) {
 		fmt.Fprintf(&b, "%10.4f stone-0 time=x level=INFO msg=\"job %s\" job=%s asks.class=batch asks.team=a asks.tasks=%d asks.cpus=2 asks.gpus=0 asks.mem_gb=1 %s\n", at, what, ref, tasks, rest)
@@ -43,23 +43,23 @@
 		}
 	}
 	b.WriteString("  5.0000 stone-1 time=x level=INFO msg=\"part taken\" part=1\n")
-	l := largest(readLog(strings.NewReader(b.String())), 500)
-	if l.class != "batch" || l.share != 0.5 || l.late != "run-10" || l.latest != 490 {
+	l := findLargestJobs(parseJobLog(strings.NewReader(b.String())), 500)
+	if l.class != "batch" || l.share != 0.5 || l.slowestJob != "run-10" || l.maxStartDelay != 490 {
 		t.Errorf("%+v", l)
 	}
 }
 
 // A grown copy has so many times the machines, the work and the limits, and nothing else is
 // another but the name and how soon a process is back.
-func TestGrow(t *testing.T) {
+func TestGrowDeployment(t *testing.T) {
 	dir := t.TempDir()
-	site := "name = \"a\"\n[nodes]\ncount = 3\nrestart_delay_s = 3.0\n[state]\nrps = 150.0\n[[capacity]]\ncount = 5\nspot = 3\n[[machines]]\ncount = 4\n" +
+	deployment := "name = \"a\"\n[nodes]\ncount = 3\nrestart_delay_s = 3.0\n[state]\nrps = 150.0\n[[capacity]]\ncount = 5\nspot = 3\n[[machines]]\ncount = 4\n" +
 		"[[teams]]\nname = \"t\"\ncpus_max = 10.0\n[[jobs]]\ninitial = 7\narrivals = { rate = 0.5 }\n[[day]]\nfaults = [{ kind = \"machine_die\", count = 4 }, { kind = \"node_crash\", count = 2 }]\n"
 	file := filepath.Join(dir, "a.toml")
-	if err := os.WriteFile(file, []byte(site), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(deployment), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, err := grow(file, t.TempDir(), 1.5, 0.2)
+	out, err := growDeployment(file, t.TempDir(), 1.5, 0.2)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tools/regress/own_test.go
+++ b/tools/regress/project_days_test.go
@@ -9,13 +9,13 @@
 
 // Each deployment of the set hunt has days of the project's own, which can be read and name
 // troubles, and a grown copy has those of its original.
-func TestOwnDays(t *testing.T) {
+func TestProjectDays(t *testing.T) {
 	for _, f := range sets["hunt"] {
-		days, err := ownDays("days", f)
+		days, err := projectDays("days", f)
 		if err != nil || len(days) < 12 {
 			t.Errorf("%s: %d days, %v", f, len(days), err)
 		}
-		grown, err := ownDays("days", filepath.Join("x", filepath.Base(f[:len(f)-len(".toml")])+"-x1.5.toml"))
+		grown, err := projectDays("days", filepath.Join("x", filepath.Base(f[:len(f)-len(".toml")])+"-x1.5.toml"))
 		if err != nil || len(grown) != len(days) {
 			t.Errorf("grown %s: %d days, %v", f, len(grown), err)
 		}
--- a/tools/regress/enlarge_test.go
+++ b/tools/regress/resize_test.go
@@ -8,7 +8,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-const smallSite = `name = "a"
+const smallDeployment = `name = "a"
 [nodes]
 count = 3
 zones = ["x", "y"]
@@ -47,27 +47,27 @@
 
 // A copy at another size has what is asked for, and no more work or limits for a machine than the
 // deployment.
-func TestEnlarge(t *testing.T) {
+func TestResizeDeployment(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "a.toml")
-	if err := os.WriteFile(file, []byte(smallSite), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(smallDeployment), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, err := enlarge(file, dir, shape{Machines: 400, Controllers: 7, Zones: 5, Teams: 5})
+	out, err := resizeDeployment(file, dir, deploymentSize{Machines: 400, Controllers: 7, Zones: 5, Teams: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var site row
-	if _, err := toml.DecodeFile(out, &site); err != nil {
+	var deployment tomlTable
+	if _, err := toml.DecodeFile(out, &deployment); err != nil {
 		t.Fatal(err)
 	}
-	machines, _ := site["machines"].([]row)
-	capacity, _ := site["capacity"].([]row)
-	teams, _ := site["teams"].([]row)
-	jobs, _ := site["jobs"].([]row)
-	nodes, _ := site["nodes"].(row)
-	if total(machines) != 400 || total(capacity) != 600 || len(zonesOf(site)) != 5 || nodes["count"] != int64(7) || len(teams) != 5 {
-		t.Errorf("%d machines of %d in %d zones, %v controllers, %d teams", total(machines), total(capacity), len(zonesOf(site)), nodes["count"], len(teams))
+	machines, _ := deployment["machines"].([]tomlTable)
+	capacity, _ := deployment["capacity"].([]tomlTable)
+	teams, _ := deployment["teams"].([]tomlTable)
+	jobs, _ := deployment["jobs"].([]tomlTable)
+	nodes, _ := deployment["nodes"].(tomlTable)
+	if machineCount(machines) != 400 || machineCount(capacity) != 600 || len(zonesOf(deployment)) != 5 || nodes["count"] != int64(7) || len(teams) != 5 {
+		t.Errorf("%d machines of %d in %d zones, %v controllers, %d teams", machineCount(machines), machineCount(capacity), len(zonesOf(deployment)), nodes["count"], len(teams))
 	}
 	limits, names := 0.0, map[any]bool{}
 	for _, team := range teams {
@@ -76,7 +76,7 @@
 		names[team["name"]] = true
 	}
 	of, _ := jobs[0]["teams"].([]any)
-	arrivals, _ := jobs[0]["arrivals"].(row)
+	arrivals, _ := jobs[0]["arrivals"].(tomlTable)
 	if limits < 1999.9 || limits > 2000.1 || len(names) != 5 || len(of) != 3 || jobs[0]["initial"] != int64(40) || arrivals["rate"] != 5.0 {
 		t.Errorf("limits of %v CPUs for %d teams, jobs %v", limits, len(names), jobs[0])
 	}
--- a/tools/scale/experiment.go
+++ b/tools/scale/experiment.go
@@ -14,31 +14,31 @@
 // experiment is a file that says what is played and measured. With vary it is played once for
 // each value.
 type experiment struct {
-	Name        string       `toml:"name"`
-	What        string       `toml:"what"` // in a sentence
-	Seed        uint64       `toml:"seed"`
-	Controllers int          `toml:"controllers"`
-	Machines    int          `toml:"machines"`
-	Zones       int          `toml:"zones"`
-	Regions     int          `toml:"regions"`
-	Teams       int          `toml:"teams"`
-	RegionDelay float64      `toml:"region_delay_ms"`
-	Settle      float64      `toml:"settle_s"`  // after the fill, before counting begins
-	Measure     float64      `toml:"measure_s"` // for how long it is counted
-	FillWithin  float64      `toml:"fill_within_s"`
-	Machine     machineSpec  `toml:"machine"`
-	Workers     workerTimes  `toml:"workers"`
-	State       stateLimits  `toml:"state"`
-	Cloud       cloudLimits  `toml:"cloud"`
-	Limits      controlLimit `toml:"limits"`
-	Loads       []load       `toml:"load"`
-	Faults      []fault      `toml:"fault"`
-	Changes     float64      `toml:"settings_changes_per_s"`
-	Vary        *vary        `toml:"vary"`
+	Name               string           `toml:"name"`
+	What               string           `toml:"what"` // in a sentence
+	Seed               uint64           `toml:"seed"`
+	Controllers        int              `toml:"controllers"`
+	Machines           int              `toml:"machines"`
+	Zones              int              `toml:"zones"`
+	Regions            int              `toml:"regions"`
+	Teams              int              `toml:"teams"`
+	RegionDelay        float64          `toml:"region_delay_ms"`
+	Settle             float64          `toml:"settle_s"`  // after the fill, before counting begins
+	Measure            float64          `toml:"measure_s"` // for how long it is counted
+	FillWithin         float64          `toml:"fill_within_s"`
+	Machine            machineSpec      `toml:"machine"`
+	Workers            workerTimes      `toml:"workers"`
+	State              storeLimits      `toml:"state"`
+	Cloud              cloudLimits      `toml:"cloud"`
+	Limits             controllerLimits `toml:"limits"`
+	Loads              []jobLoad        `toml:"load"`
+	Faults             []faultSpec      `toml:"fault"`
+	SettingsChangeRate float64          `toml:"settings_changes_per_s"`
+	Vary               *variation       `toml:"vary"`
 }
 
-// vary is one thing that differs between the runs of an experiment.
-type vary struct {
+// variation is one thing that differs between the runs of an experiment.
+type variation struct {
 	Key    string `toml:"key"` // machines, controllers or running
 	Values []int  `toml:"values"`
 }
@@ -58,7 +58,7 @@
 	Cancel   float64 `toml:"cancel_s" json:"cancel_s"`
 }
 
-type stateLimits struct {
+type storeLimits struct {
 	RPS      float64 `toml:"rps" json:"rps"`
 	WriteRPS float64 `toml:"write_rps" json:"write_rps"`
 	ValueKB  float64 `toml:"value_kb" json:"value_kb"`
@@ -70,14 +70,14 @@
 	ListLag float64 `toml:"list_lag_s" json:"list_lag_s"`
 }
 
-type controlLimit struct {
+type controllerLimits struct {
 	CPUShare float64 `toml:"cpu_share" json:"cpu_share"`
 	MemoryMB float64 `toml:"memory_mb" json:"memory_mb"`
 	FDLimit  int     `toml:"fd_limit" json:"fd_limit"`
 }
 
-// load is a stream of jobs that are alike.
-type load struct {
+// jobLoad is a stream of jobs that are alike.
+type jobLoad struct {
 	Name     string  `toml:"name"`
 	Kind     string  `toml:"kind"` // array, gang or service
 	Priority string  `toml:"priority"`
@@ -88,16 +88,16 @@
 	Together bool    `toml:"together"`
 	Scatter  bool    `toml:"scatter"`
 	Images   int     `toml:"images"` // how many images its jobs have among them
-	// Fill is how many of its tasks are to run before it is counted; they are submitted over
+	// FillTasks is how many of its tasks are to run before it is counted; they are submitted over
 	// FillOver seconds. Every is the time between its jobs from then on, 0: none.
-	Fill     int     `toml:"fill"`
-	FillOver float64 `toml:"fill_over_s"`
-	Every    float64 `toml:"every_s"`
-	Cancel   float64 `toml:"cancel_share"` // of its jobs, cancelled halfway
+	FillTasks   int     `toml:"fill"`
+	FillOver    float64 `toml:"fill_over_s"`
+	Interval    float64 `toml:"every_s"`
+	CancelShare float64 `toml:"cancel_share"` // of its jobs, cancelled halfway
 }
 
-// fault is something that goes wrong, at a time counted from the begin of the measurement.
-type fault struct {
+// faultSpec is something that goes wrong, at a time counted from the begin of the measurement.
+type faultSpec struct {
 	At     float64 `toml:"at_s"`
 	What   string  `toml:"what"` // end, cut_region
 	Count  int     `toml:"count"`
@@ -111,7 +111,7 @@
 var kinds = map[string]api.Kind{"array": api.Array, "gang": api.Gang, "service": api.Service}
 
 const (
-	faultEnd       = "end"
+	faultCrash     = "end"
 	faultCutRegion = "cut_region"
 
 	varyMachines    = "machines"
@@ -136,14 +136,14 @@
 	if left := meta.Undecoded(); len(left) > 0 {
 		return nil, fmt.Errorf("%s: %s: no such field", path, left[0])
 	}
-	if err := e.check(); err != nil {
+	if err := e.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return e, nil
 }
 
-// check finds the first field that is wrong.
-func (e *experiment) check() error {
+// validate finds the first field that is wrong.
+func (e *experiment) validate() error {
 	within := func(name string, v, low, high float64) error {
 		if v < low || v > high {
 			return fmt.Errorf("%s: %v: must be between %v and %v", name, v, low, high)
@@ -165,20 +165,20 @@
 		within("fill_within_s", e.FillWithin, 1, maxSeconds),
 		within("machine.cpus", e.Machine.CPUs, 0.1, 1024),
 		within("machine.ram_gb", e.Machine.MemGB, 0.1, 1<<20),
-		within("settings_changes_per_s", e.Changes, 0, 20),
+		within("settings_changes_per_s", e.SettingsChangeRate, 0, 20),
 	)
 	if err != nil {
 		return err
 	}
 	for i := range e.Loads {
-		if err := e.Loads[i].check(); err != nil {
+		if err := e.Loads[i].validate(); err != nil {
 			return fmt.Errorf("load[%d].%w", i, err)
 		}
 	}
 	for i, f := range e.Faults {
 		switch {
-		case f.What != faultEnd && f.What != faultCutRegion:
-			return fmt.Errorf("fault[%d].what: %q: must be %s or %s", i, f.What, faultEnd, faultCutRegion)
+		case f.What != faultCrash && f.What != faultCutRegion:
+			return fmt.Errorf("fault[%d].what: %q: must be %s or %s", i, f.What, faultCrash, faultCutRegion)
 		case f.At < 0 || f.At > e.Measure:
 			return fmt.Errorf("fault[%d].at_s: %v: must be within measure_s", i, f.At)
 		case f.What == faultCutRegion && (f.Region < 0 || f.Region >= e.Regions):
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func (l *load) check() error {
+func (l *jobLoad) validate() error {
 	switch {
 	case l.Name == "":
 		return errors.New("name: must be there")
@@ -208,16 +208,16 @@
 		return fmt.Errorf("tasks: %d: must be between 1 and 100000", l.Tasks)
 	case l.CPUs <= 0:
 		return fmt.Errorf("cpus: %v: must be above 0", l.CPUs)
-	case l.Run < 0 || l.Every < 0 || l.FillOver < 0:
+	case l.Run < 0 || l.Interval < 0 || l.FillOver < 0:
 		return errors.New("run_s, every_s, fill_over_s: must not be negative")
-	case l.Cancel < 0 || l.Cancel > 1:
-		return fmt.Errorf("cancel_share: %v: must be between 0 and 1", l.Cancel)
+	case l.CancelShare < 0 || l.CancelShare > 1:
+		return fmt.Errorf("cancel_share: %v: must be between 0 and 1", l.CancelShare)
 	}
 	return nil
 }
 
-// runs are the experiment's runs, one for each value that it varies.
-func (e *experiment) runs() []*experiment {
+// variants are the experiment's runs, one for each value that it varies.
+func (e *experiment) variants() []*experiment {
 	if e.Vary == nil {
 		return []*experiment{e}
 	}
@@ -225,25 +225,25 @@
 	for _, v := range e.Vary.Values {
 		c := *e
 		c.Name = fmt.Sprintf("%s-%d", e.Name, v)
-		c.Loads = append([]load(nil), e.Loads...)
+		c.Loads = append([]jobLoad(nil), e.Loads...)
 		switch e.Vary.Key {
 		case varyMachines:
 			c.Machines = v
 		case varyControllers:
 			c.Controllers = v
 		case varyRunning:
-			c.Loads[0].Fill = v
+			c.Loads[0].FillTasks = v
 		}
 		out = append(out, &c)
 	}
 	return out
 }
 
-// running is how many tasks run at once when the fill is over.
-func (e *experiment) running() int {
+// targetTasks is how many tasks run at once when the fill is over.
+func (e *experiment) targetTasks() int {
 	sum := 0
 	for _, l := range e.Loads {
-		sum += l.Fill
+		sum += l.FillTasks
 	}
 	return sum
 }
--- a/tools/scale/main.go
+++ b/tools/scale/main.go
@@ -30,8 +30,8 @@
 	Files   []string `arg:"" type:"existingfile" help:"Experiments (TOML)."`
 }
 
-// errBroken ends a run in which a rule was broken.
-var errBroken = errors.New("a rule was broken")
+// errViolation ends a run in which a rule was broken.
+var errViolation = errors.New("a rule was broken")
 
 // Run plays the experiments one after the other.
 func (c *runCmd) Run(ctx context.Context) error {
@@ -45,8 +45,8 @@
 	}
 	var failed error
 	for _, e := range all {
-		for i, one := range e.runs() {
-			res, err := play(ctx, one, c.Program, c.Label)
+		for i, one := range e.variants() {
+			res, err := runExperiment(ctx, one, c.Program, c.Label)
 			if res == nil {
 				return fmt.Errorf("%s: %w", one.Name, err)
 			}
@@ -57,12 +57,12 @@
 			if saveErr != nil {
 				return saveErr
 			}
-			slog.Info("run over", "experiment", one.Name, "result", name, "cores", res.CPU, "starts", res.Starts, "broken", len(res.Broken), "failed", res.Failed)
+			slog.Info("run finished", "experiment", one.Name, "result", name, "cores", res.CPU, "starts", res.Starts, "broken", len(res.Violations), "failed", res.Failed)
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			if len(res.Broken) > 0 {
-				return fmt.Errorf("%s: %w: %s", one.Name, errBroken, res.Broken[0])
+			if len(res.Violations) > 0 {
+				return fmt.Errorf("%s: %w: %s", one.Name, errViolation, res.Violations[0])
 			}
 			failed = errors.Join(failed, err)
 		}
--- a/tools/scale/metric.go
+++ b/tools/scale/metric.go
@@ -3,35 +3,39 @@
 import (
 	"slices"
 
-	"basaltwall/internal/standin"
+	"basaltwall/internal/emulator"
 )
 
 // metric is a figure that a result holds.
 type metric struct {
-	name string
-	what string
-	unit string
-	of   func(r *result) float64
+	name        string
+	description string
+	unit        string
+	value       func(r *result) float64
 }
 
 // metrics are the figures that the page shows, in its order.
 var metrics = []metric{
 	{"cpu_total", "processor time of all controllers", "cores", func(r *result) float64 { return r.CPU }},
-	{"cpu_most", "of the busiest controller", "cores", func(r *result) float64 { return most(r, func(c controllerUse) float64 { return c.Cores }) }},
-	{"memory_most", "memory of the largest controller, at its peak", "MB", func(r *result) float64 { return most(r, func(c controllerUse) float64 { return c.PeakMB }) }},
-	{"peer_messages", "messages between controllers", "1/s", func(r *result) float64 { return messages(r, r.Traffic.Peers) }},
-	{"peer_bytes", "bytes between controllers", "KB/s", func(r *result) float64 { return bytesOf(r, r.Traffic.Peers) / 1000 }},
-	{"state_requests", "requests to the state service", "1/s", func(r *result) float64 { return per(r, float64(r.State.Requests)) }},
-	{"state_writes", "writes to the state service", "1/s", func(r *result) float64 { return per(r, float64(r.State.Writes)) }},
-	{"state_refused", "requests that it refused for its limits", "1/s", func(r *result) float64 { return per(r, float64(r.State.Over)) }},
-	{"state_bytes", "bytes from and to the state service", "KB/s", func(r *result) float64 { return bytesOf(r, r.Traffic.State) / 1000 }},
-	{"state_keys", "keys that it holds", "", func(r *result) float64 { return float64(stored(r).Keys) }},
-	{"state_stored", "what it holds", "KB", func(r *result) float64 { return float64(stored(r).Bytes) / 1000 }},
-	{"cloud_calls", "calls to the cloud", "1/s", func(r *result) float64 { return per(r, float64(r.Traffic.Flows[standin.FlowCloud].Messages)) }},
-	{"worker_reports", "reports of a worker", "1/s", func(r *result) float64 { return r.Worker.Reports }},
+	{"cpu_most", "of the busiest controller", "cores", func(r *result) float64 {
+		return maxOverControllers(r, func(c controllerUsage) float64 { return c.Cores })
+	}},
+	{"memory_most", "memory of the largest controller, at its peak", "MB", func(r *result) float64 {
+		return maxOverControllers(r, func(c controllerUsage) float64 { return c.PeakMB })
+	}},
+	{"peer_messages", "messages between controllers", "1/s", func(r *result) float64 { return messageRate(r, r.Traffic.Peers) }},
+	{"peer_bytes", "bytes between controllers", "KB/s", func(r *result) float64 { return byteRate(r, r.Traffic.Peers) / 1000 }},
+	{"state_requests", "requests to the state service", "1/s", func(r *result) float64 { return perSecond(r, float64(r.StoreCounts.Requests)) }},
+	{"state_writes", "writes to the state service", "1/s", func(r *result) float64 { return perSecond(r, float64(r.StoreCounts.Writes)) }},
+	{"state_refused", "requests that it refused for its limits", "1/s", func(r *result) float64 { return perSecond(r, float64(r.StoreCounts.Over)) }},
+	{"state_bytes", "bytes from and to the state service", "KB/s", func(r *result) float64 { return byteRate(r, r.Traffic.StoreByKind) / 1000 }},
+	{"state_keys", "keys that it holds", "", func(r *result) float64 { return float64(totalStored(r).Keys) }},
+	{"state_stored", "what it holds", "KB", func(r *result) float64 { return float64(totalStored(r).Bytes) / 1000 }},
+	{"cloud_calls", "calls to the cloud", "1/s", func(r *result) float64 { return perSecond(r, float64(r.Traffic.Flows[emulator.FlowCloud].Messages)) }},
+	{"worker_reports", "reports of a worker", "1/s", func(r *result) float64 { return r.Worker.Heartbeats }},
 	{"worker_direct", "direct commands to a worker", "1/s", func(r *result) float64 { return r.Worker.Direct }},
 	{"worker_bytes", "bytes of a worker, both ways", "KB/s", func(r *result) float64 { return r.Worker.Bytes / 1000 }},
-	{"starts", "task starts", "1/s", func(r *result) float64 { return per(r, float64(r.Starts)) }},
+	{"starts", "task starts", "1/s", func(r *result) float64 { return perSecond(r, float64(r.Starts)) }},
 	{"accepted_p50", "acceptance, median", "s", func(r *result) float64 { return r.Latency["accepted"].P50 }},
 	{"accepted_p99", "acceptance, p99", "s", func(r *result) float64 { return r.Latency["accepted"].P99 }},
 	{"poll_p50", "answer to a question, median", "s", func(r *result) float64 { return r.Latency["poll"].P50 }},
@@ -43,11 +47,11 @@
 	{"batch_p99", "start of arrays' tasks, p99", "s", func(r *result) float64 { return r.Latency["start batch"].P99 }},
 	{"settings_p50", "settings in force everywhere, median", "s", func(r *result) float64 { return r.Latency["settings in force everywhere"].P50 }},
 	{"settings_max", "settings in force everywhere, worst", "s", func(r *result) float64 { return r.Latency["settings in force everywhere"].Max }},
-	{"hollow_cpu", "processor time of all that is hollow", "cores", func(r *result) float64 { return r.Hollow }},
+	{"hollow_cpu", "processor time of all that is hollow", "cores", func(r *result) float64 { return r.EmulatorCPU }},
 }
 
-// metricNamed finds a metric.
-func metricNamed(name string) (metric, bool) {
+// findMetric finds a metric.
+func findMetric(name string) (metric, bool) {
 	i := slices.IndexFunc(metrics, func(m metric) bool { return m.name == name })
 	if i < 0 {
 		return metric{}, false
@@ -55,38 +59,38 @@
 	return metrics[i], true
 }
 
-func per(r *result, count float64) float64 {
+func perSecond(r *result, count float64) float64 {
 	if r.Window == 0 {
 		return 0
 	}
 	return count / r.Window
 }
 
-func most(r *result, of func(controllerUse) float64) float64 {
+func maxOverControllers(r *result, of func(controllerUsage) float64) float64 {
 	best := 0.0
-	for _, c := range r.Control {
+	for _, c := range r.ControllerUsage {
 		best = max(best, of(c))
 	}
 	return best
 }
 
-func messages(r *result, flows map[string]standin.Flow) float64 {
+func messageRate(r *result, flows map[string]emulator.Flow) float64 {
 	sum := int64(0)
 	for _, f := range flows {
 		sum += f.Messages
 	}
-	return per(r, float64(sum))
+	return perSecond(r, float64(sum))
 }
 
-func bytesOf(r *result, flows map[string]standin.Flow) float64 {
+func byteRate(r *result, flows map[string]emulator.Flow) float64 {
 	sum := int64(0)
 	for _, f := range flows {
 		sum += f.Sent + f.Received
 	}
-	return per(r, float64(sum))
+	return perSecond(r, float64(sum))
 }
 
-func stored(r *result) (sum standin.Stored) {
+func totalStored(r *result) (sum emulator.StoredSize) {
 	for _, s := range r.Stored {
 		sum.Keys += s.Keys
 		sum.Bytes += s.Bytes
--- a/tools/scale/page.go
+++ b/tools/scale/page.go
@@ -32,8 +32,8 @@
 	markEnd   = "<!-- scale: end -->"
 )
 
-// shades are the colours of the sources in a plot.
-var shades = []color.Color{color.RGBA{R: 31, G: 119, B: 180, A: 255}, color.RGBA{R: 214, G: 39, B: 40, A: 255}, color.RGBA{R: 44, G: 160, B: 44, A: 255}}
+// sourceColors are the colours of the sources in a plot.
+var sourceColors = []color.Color{color.RGBA{R: 31, G: 119, B: 180, A: 255}, color.RGBA{R: 214, G: 39, B: 40, A: 255}, color.RGBA{R: 44, G: 160, B: 44, A: 255}}
 
 // errStale is returned when the page is not what the results give.
 var errStale = errors.New("the page is not what the results give: run scale page")
@@ -73,7 +73,7 @@
 	if err := os.WriteFile(c.Page, []byte(page), 0o644); err != nil {
 		return err
 	}
-	return plots(results, c.Results)
+	return writePlots(results, c.Results)
 }
 
 // replacePart replaces what lies between a part's markers.
@@ -112,15 +112,15 @@
 		return nil, fmt.Errorf("%s: %s: no such field", path, left[0])
 	}
 	for i, r := range file.Rows {
-		if _, ok := metricNamed(r.Metric); !ok {
+		if _, ok := findMetric(r.Metric); !ok {
 			return nil, fmt.Errorf("%s: row[%d].metric: %q: no such metric", path, i, r.Metric)
 		}
 	}
 	return file.Rows, nil
 }
 
-// labels are the sources that were measured, in the order of time.
-func labels(results []*result) []string {
+// sourceLabels are the sources that were measured, in the order of time.
+func sourceLabels(results []*result) []string {
 	sorted := slices.Clone(results)
 	slices.SortStableFunc(sorted, func(a, b *result) int { return strings.Compare(a.At, b.At) })
 	var out []string
@@ -132,8 +132,8 @@
 	return out
 }
 
-// find is a run's result, nil if there is none that ended well.
-func find(results []*result, label, name string) *result {
+// findResult is a run's result, nil if there is none that ended well.
+func findResult(results []*result, label, name string) *result {
 	for _, r := range results {
 		if r.Label == label && r.Name == name && r.Failed == "" {
 			return r
@@ -146,78 +146,78 @@
 func roleTable(rows []role, results []*result) string {
 	var b strings.Builder
 	b.WriteString("| role | what | at the target, by sources | a machine more | 1,000 tasks more | a controller more | budget | left | carried by |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	all := labels(results)
+	all := sourceLabels(results)
 	for _, row := range rows {
-		m, _ := metricNamed(row.Metric)
+		m, _ := findMetric(row.Metric)
 		share := func(r *result) float64 {
 			if row.Share == "controller" {
-				return m.of(r) / float64(r.Controllers)
+				return m.value(r) / float64(r.Controllers)
 			}
-			return m.of(r)
+			return m.value(r)
 		}
 		values, last, newest := []string{}, math.NaN(), ""
 		for _, label := range all {
-			if r := find(results, label, row.From); r != nil {
+			if r := findResult(results, label, row.From); r != nil {
 				last, newest = share(r), label
-				values = append(values, fmt.Sprintf("%s %s", label, figure(last)))
+				values = append(values, fmt.Sprintf("%s %s", label, formatFigure(last)))
 			}
 		}
 		slope := func(key string, times float64) string {
-			f, ok := fit(results, newest, key, share)
+			f, ok := fitLine(results, newest, key, share)
 			if !ok {
 				return "-"
 			}
-			return fmt.Sprintf("%s (±%.0f %%)", figure(f.slope*times), 100*f.residual)
+			return fmt.Sprintf("%s (±%.0f %%)", formatFigure(f.slope*times), 100*f.residual)
 		}
 		budget, left := "-", "-"
 		if row.Budget > 0 {
-			budget = figure(row.Budget)
+			budget = formatFigure(row.Budget)
 			if !math.IsNaN(last) {
 				left = fmt.Sprintf("%.0f %%", 100*(row.Budget-last)/row.Budget)
 			}
 		}
-		fmt.Fprintf(&b, "| %s | %s, %s | %s | %s | %s | %s | %s | %s | %s |\n", row.Role, m.what, m.unit, strings.Join(values, ", "),
+		fmt.Fprintf(&b, "| %s | %s, %s | %s | %s | %s | %s | %s | %s | %s |\n", row.Role, m.description, m.unit, strings.Join(values, ", "),
 			slope(varyMachines, 1), slope(varyRunning, 1000), slope(varyControllers, 1), budget, left, row.Mechanism)
 	}
 	return b.String()
 }
 
-// line is a fitted line and how far the points lie from it at most, as a share of the largest.
-type line struct {
-	at, slope, residual float64
-	points              plotter.XYs
+// fittedLine is a fitted line and how far the points lie from it at most, as a share of the largest.
+type fittedLine struct {
+	intercept, slope, residual float64
+	points                     plotter.XYs
 }
 
-// center is the run that all series share.
-const center = "slope-center"
+// centerRun is the run that all series share.
+const centerRun = "slope-center"
 
-// series are the runs of some sources in which one thing was varied, the one that all share
+// variedRuns are the runs of some sources in which one thing was varied, the one that all share
 // included, in the order of its value.
-func series(results []*result, label, key string) []*result {
+func variedRuns(results []*result, label, key string) []*result {
 	var out []*result
 	for _, r := range results {
-		if r.Label == label && r.Failed == "" && (r.Vary == key || r.Name == center) {
+		if r.Label == label && r.Failed == "" && (r.Vary == key || r.Name == centerRun) {
 			out = append(out, r)
 		}
 	}
 	slices.SortFunc(out, func(a, b *result) int { return a.valueOf(key) - b.valueOf(key) })
-	if len(out) == 1 && out[0].Name == center {
+	if len(out) == 1 && out[0].Name == centerRun {
 		return nil
 	}
 	return out
 }
 
-// fit fits a line through the runs in which one thing was varied.
-func fit(results []*result, label, key string, of func(*result) float64) (line, bool) {
+// fitLine fits a line through the runs in which one thing was varied.
+func fitLine(results []*result, label, key string, of func(*result) float64) (fittedLine, bool) {
 	var x, y []float64
-	for _, r := range series(results, label, key) {
+	for _, r := range variedRuns(results, label, key) {
 		x, y = append(x, float64(r.valueOf(key))), append(y, of(r))
 	}
 	if len(x) < 3 {
-		return line{}, false
+		return fittedLine{}, false
 	}
-	var f line
-	f.at, f.slope = stat.LinearRegression(x, y, nil, false)
+	var f fittedLine
+	f.intercept, f.slope = stat.LinearRegression(x, y, nil, false)
 	largest := 0.0
 	for i := range x {
 		f.points = append(f.points, plotter.XY{X: x[i], Y: y[i]})
@@ -225,7 +225,7 @@
 	}
 	for i := range x {
 		if largest > 0 {
-			f.residual = math.Max(f.residual, math.Abs(y[i]-f.at-f.slope*x[i])/largest)
+			f.residual = math.Max(f.residual, math.Abs(y[i]-f.intercept-f.slope*x[i])/largest)
 		}
 	}
 	slices.SortFunc(f.points, func(a, b plotter.XY) int { return int(a.X - b.X) })
@@ -237,8 +237,8 @@
 	var b strings.Builder
 	for _, key := range []string{varyMachines, varyRunning, varyControllers} {
 		var of []*result
-		for _, label := range labels(results) {
-			of = append(of, series(results, label, key)...)
+		for _, label := range sourceLabels(results) {
+			of = append(of, variedRuns(results, label, key)...)
 		}
 		if len(of) == 0 {
 			continue
@@ -249,9 +249,9 @@
 		}
 		b.WriteString("\n| --- |" + strings.Repeat(" --- |", len(of)) + "\n")
 		for _, m := range metrics {
-			fmt.Fprintf(&b, "| %s |", titled(m))
+			fmt.Fprintf(&b, "| %s |", metricTitle(m))
 			for _, r := range of {
-				fmt.Fprintf(&b, " %s |", figure(m.of(r)))
+				fmt.Fprintf(&b, " %s |", formatFigure(m.value(r)))
 			}
 			b.WriteString("\n")
 		}
@@ -260,18 +260,18 @@
 	return b.String()
 }
 
-func titled(m metric) string {
+func metricTitle(m metric) string {
 	if m.unit == "" {
-		return m.what
+		return m.description
 	}
-	return m.what + ", " + m.unit
+	return m.description + ", " + m.unit
 }
 
 // runTable shows the runs in which nothing was varied.
 func runTable(results []*result) string {
 	var b strings.Builder
 	b.WriteString("| run | sources | controllers | tasks running | fill, s | window, s | starts a second; best second; best ten | controllers' cores | rules broken | failed |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, label := range labels(results) {
+	for _, label := range sourceLabels(results) {
 		for _, r := range results {
 			if r.Label != label {
 				continue
@@ -281,7 +281,7 @@
 				failed = "no"
 			}
 			fmt.Fprintf(&b, "| %s | %s | %d | %d | %.0f | %.0f | %s; %d; %s | %s | %d | %s |\n", r.Name, r.Label, r.Controllers, r.Running, r.FillSeconds, r.Window,
-				figure(per(r, float64(r.Starts))), r.BestSecond, figure(r.BestTen), figure(r.CPU), len(r.Broken), failed)
+				formatFigure(perSecond(r, float64(r.Starts))), r.BestSecond, formatFigure(r.BestTen), formatFigure(r.CPU), len(r.Violations), failed)
 		}
 	}
 	return b.String()
@@ -291,13 +291,13 @@
 func faultTable(results []*result) string {
 	var b strings.Builder
 	b.WriteString("| run | sources | fault | half, nine tenths, all machines commanded after, s | first urgent start of a job that came later, s |\n| --- | --- | --- | --- | --- |\n")
-	for _, label := range labels(results) {
+	for _, label := range sourceLabels(results) {
 		for _, r := range results {
 			if r.Label != label {
 				continue
 			}
 			for _, f := range r.Faults {
-				fmt.Fprintf(&b, "| %s | %s | %s at %.0f s | %s, %s, %s | %s |\n", r.Name, r.Label, f.What, f.At, known(f.Half), known(f.Most), known(f.All), known(f.First))
+				fmt.Fprintf(&b, "| %s | %s | %s at %.0f s | %s, %s, %s | %s |\n", r.Name, r.Label, f.What, f.At, formatOptional(f.HalfCommanded), formatOptional(f.MostCommanded), formatOptional(f.AllCommanded), formatOptional(f.FirstUrgentStart))
 			}
 		}
 	}
@@ -312,18 +312,18 @@
 		return "Not measured.\n"
 	}
 	return fmt.Sprintf("| one worker alone, %d tasks, %s starts a second, %.0f s | measured | budget |\n| --- | --- | --- |\n| processor time, cores | %s | 0.026 |\n| resident memory at its peak, MB | %s | 32 |\n| reports a second | %s | - |\n| bytes a second, bodies and about what headers take | %s | 3000 |\n",
-		r.Tasks, figure(r.Starts), r.Window, figure(r.Cores), figure(r.MB), figure(r.Reports), figure(r.Bytes))
+		r.Tasks, formatFigure(r.Starts), r.Window, formatFigure(r.Cores), formatFigure(r.ResidentMB), formatFigure(r.Heartbeats), formatFigure(r.Bytes))
 }
 
-func known(v float64) string {
+func formatOptional(v float64) string {
 	if v == 0 {
 		return "-"
 	}
-	return figure(v)
+	return formatFigure(v)
 }
 
-// figure writes a number with three digits.
-func figure(v float64) string {
+// formatFigure writes a number with three digits.
+func formatFigure(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
 		return "-"
@@ -339,18 +339,18 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-// plots draws each slope of processor time, memory and messages.
-func plots(results []*result, dir string) error {
+// writePlots draws each slope of processor time, memory and messages.
+func writePlots(results []*result, dir string) error {
 	for _, key := range []string{varyMachines, varyRunning, varyControllers} {
 		for _, name := range []string{"cpu_total", "memory_most", "peer_messages", "urgent_p99"} {
-			m, _ := metricNamed(name)
+			m, _ := findMetric(name)
 			p := plot.New()
-			p.Title.Text = m.what + ", measured on loopback"
+			p.Title.Text = m.description + ", measured on loopback"
 			p.X.Label.Text, p.Y.Label.Text = key, m.unit
 			p.Y.Min = 0
 			drawn := false
-			for i, label := range labels(results) {
-				f, ok := fit(results, label, key, m.of)
+			for i, label := range sourceLabels(results) {
+				f, ok := fitLine(results, label, key, m.value)
 				if !ok {
 					continue
 				}
@@ -359,8 +359,8 @@
 				if err != nil {
 					return err
 				}
-				points.Color = shades[i%len(shades)]
-				fitted := plotter.NewFunction(func(x float64) float64 { return f.at + f.slope*x })
+				points.Color = sourceColors[i%len(sourceColors)]
+				fitted := plotter.NewFunction(func(x float64) float64 { return f.intercept + f.slope*x })
 				fitted.Color = points.Color
 				p.Add(points, fitted)
 				p.Legend.Add(label, points)
@@ -372,7 +372,7 @@
 			if err := p.Save(12*vg.Centimeter, 8*vg.Centimeter, file); err != nil {
 				return err
 			}
-			slog.Info("plot", "file", file)
+			slog.Info("plot written", "file", file)
 		}
 	}
 	return nil
--- a/tools/scale/page_test.go
+++ b/tools/scale/page_test.go
@@ -10,7 +10,7 @@
 )
 
 // The capacity page is what the kept results give, so that no figure on it is written by hand.
-func TestPageIsWhatTheResultsGive(t *testing.T) {
+func TestPageMatchesResults(t *testing.T) {
 	check := &pageCmd{Results: "../../docs/capacity", Page: "../../docs/CAPACITY.md", Check: true}
 	if err := check.Run(); err != nil {
 		t.Fatal(err)
@@ -38,16 +38,16 @@
 	for i, cpu := range []float64{1, 2, 3.3} {
 		results = append(results, &result{Label: "x", Name: "s", Vary: varyControllers, Controllers: 10 * (i + 1), CPU: cpu})
 	}
-	cpu, _ := metricNamed("cpu_total")
-	f, ok := fit(results, "x", varyControllers, cpu.of)
+	cpu, _ := findMetric("cpu_total")
+	f, ok := fitLine(results, "x", varyControllers, cpu.value)
 	if !ok || math.Abs(f.slope-0.115) > 1e-9 || math.Abs(f.residual-0.1/3.3) > 1e-9 {
 		t.Errorf("%+v, %v", f, ok)
 	}
-	if _, ok := fit(results[:2], "x", varyControllers, cpu.of); ok {
+	if _, ok := fitLine(results[:2], "x", varyControllers, cpu.value); ok {
 		t.Error("two points give a slope")
 	}
 	results[0].Failed = "it did"
-	if _, ok := fit(results, "x", varyControllers, cpu.of); ok {
+	if _, ok := fitLine(results, "x", varyControllers, cpu.value); ok {
 		t.Error("a run that failed counts")
 	}
 }
--- a/tools/scale/process.go
+++ b/tools/scale/process.go
@@ -19,22 +19,22 @@
 
 // process is a controller that runs as the shipped program.
 type process struct {
-	label, program, settings, logs string
+	label, program, settingsPath, logDir string
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	spent time.Duration // processor time of former lives
-	ends  int           // that nobody asked for
-	asked bool          // its end was asked for
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	pastCPU         time.Duration // processor time of former lives
+	unexpectedExits int           // that nobody asked for
+	killRequested   bool          // its end was asked for
 }
 
 // start starts the program. It ends with this process at the latest.
 func (p *process) start() error {
-	log, err := os.OpenFile(filepath.Join(p.logs, p.label+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	log, err := os.OpenFile(filepath.Join(p.logDir, p.label+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(p.program, "--config", p.settings)
+	cmd := exec.Command(p.program, "--config", p.settingsPath)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL="+logLevel())
 	cmd.Stderr = log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -42,7 +42,7 @@
 		return errors.Join(fmt.Errorf("%s: %w", p.label, err), log.Close())
 	}
 	p.mu.Lock()
-	p.cmd, p.asked = cmd, false
+	p.cmd, p.killRequested = cmd, false
 	p.mu.Unlock()
 	go func() {
 		cmd.Wait()
@@ -51,9 +51,9 @@
 		defer p.mu.Unlock()
 		if p.cmd == cmd {
 			p.cmd = nil
-			p.spent += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-			if !p.asked {
-				p.ends++
+			p.pastCPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+			if !p.killRequested {
+				p.unexpectedExits++
 			}
 		}
 	}()
@@ -68,31 +68,31 @@
 	return "error"
 }
 
-// end kills the process.
-func (p *process) end() {
+// kill kills the process.
+func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		p.asked = true
+		p.killRequested = true
 		p.cmd.Process.Kill()
 	}
 }
 
 // usage is what a process has used.
 type usage struct {
-	CPU  time.Duration
-	Peak int64 // bytes of resident memory at most
-	Now  int64
+	CPU     time.Duration
+	PeakRSS int64 // bytes of resident memory at most
+	RSS     int64
 }
 
 // usage reads the kernel's account of the process and what its former lives used.
 func (p *process) usage() usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	u := usage{CPU: p.spent}
+	u := usage{CPU: p.pastCPU}
 	if p.cmd != nil {
 		v := usageOf(p.cmd.Process.Pid)
-		u = usage{u.CPU + v.CPU, v.Peak, v.Now}
+		u = usage{u.CPU + v.CPU, v.PeakRSS, v.RSS}
 	}
 	return u
 }
@@ -116,9 +116,9 @@
 			kb, _ := strconv.ParseInt(f[1], 10, 64)
 			switch f[0] {
 			case "VmHWM:":
-				u.Peak = kb << 10
+				u.PeakRSS = kb << 10
 			case "VmRSS:":
-				u.Now = kb << 10
+				u.RSS = kb << 10
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 // What a run may use of this machine.
 const (
 	maxProcesses  = 300
-	memoryShare   = 2 // of the machine's memory, at most one part of so many
+	memoryDivisor = 2 // of the machine's memory, at most one part of so many
 	baseMemory    = 64 << 20
 	memoryPerTask = 3 << 10 // in each controller, and in the stand-ins
 )
@@ -156,15 +156,15 @@
 	if err != nil {
 		return 0, fmt.Errorf("/proc/meminfo: %w", err)
 	}
-	return kb << 10 / memoryShare, nil
+	return kb << 10 / memoryDivisor, nil
 }
 
-// mayStart refuses a run that would take more of the machine than it may.
-func mayStart(e *experiment, limit int64) error {
+// checkResources refuses a run that would take more of the machine than it may.
+func checkResources(e *experiment, limit int64) error {
 	if e.Controllers+1 > maxProcesses {
 		return fmt.Errorf("controllers: %d: more than %d processes", e.Controllers, maxProcesses)
 	}
-	need := int64(e.Controllers+4) * (baseMemory + memoryPerTask*int64(e.running()))
+	need := int64(e.Controllers+4) * (baseMemory + memoryPerTask*int64(e.targetTasks()))
 	if need > limit {
 		return fmt.Errorf("it would take about %d MB, more than half of the machine's memory (%d MB)", need>>20, limit>>20)
 	}
@@ -180,9 +180,9 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			sum := usageOf(os.Getpid()).Now
+			sum := usageOf(os.Getpid()).RSS
 			for _, p := range all {
-				sum += p.usage().Now
+				sum += p.usage().RSS
 			}
 			if sum > limit {
 				stop(fmt.Errorf("the run takes %d MB, more than half of the machine's memory (%d MB)", sum>>20, limit>>20))
--- a/tools/scale/result.go
+++ b/tools/scale/result.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"basaltwall/internal/standin"
+	"basaltwall/internal/emulator"
 )
 
 // result is what a run measured.
@@ -28,7 +28,7 @@
 	Machines    int     `json:"machines"`
 	Controllers int     `json:"controllers"`
 	Teams       int     `json:"teams"`
-	Filled      int     `json:"tasks_filled"` // that were to run before it was counted
+	TargetTasks int     `json:"tasks_filled"` // that were to run before it was counted
 	Running     int     `json:"tasks_running"`
 	FillSeconds float64 `json:"fill_s"`
 	Window      float64 `json:"window_s"`
@@ -37,34 +37,34 @@
 	BestTen     float64 `json:"starts_a_second_in_best_ten"`
 	Jobs        int     `json:"jobs_submitted"`
 
-	Control  []controllerUse           `json:"controllers_use"`
-	CPU      float64                   `json:"controllers_cpu_cores"` // all together
-	Hollow   float64                   `json:"hollow_cpu_cores"`
-	HollowMB float64                   `json:"hollow_mb"`
-	Traffic  standin.Counted           `json:"traffic"`
-	Stored   map[string]standin.Stored `json:"state_stored"`
-	State    standin.StateCounts       `json:"state_counts"`
-	Worker   workerUse                 `json:"a_worker"`
-	Latency  map[string]latency        `json:"latency"`
-	Faults   []faultResult             `json:"faults,omitempty"`
-	Broken   []string                  `json:"rules_broken"`
-	Ends     int                       `json:"controllers_that_ended"`
+	ControllerUsage []controllerUsage              `json:"controllers_use"`
+	CPU             float64                        `json:"controllers_cpu_cores"` // all together
+	EmulatorCPU     float64                        `json:"hollow_cpu_cores"`
+	EmulatorMB      float64                        `json:"hollow_mb"`
+	Traffic         emulator.TrafficSnapshot       `json:"traffic"`
+	Stored          map[string]emulator.StoredSize `json:"state_stored"`
+	StoreCounts     emulator.StoreCounts           `json:"state_counts"`
+	Worker          workerTraffic                  `json:"a_worker"`
+	Latency         map[string]latency             `json:"latency"`
+	Faults          []faultResult                  `json:"faults,omitempty"`
+	Violations      []string                       `json:"rules_broken"`
+	UnexpectedExits int                            `json:"controllers_that_ended"`
 }
 
-// controllerUse is what a controller used in the window.
-type controllerUse struct {
-	Label  string             `json:"label"`
-	Cores  float64            `json:"cores"`
-	PeakMB float64            `json:"peak_mb"`
-	Parts  int                `json:"parts"`
-	Work   map[string]float64 `json:"work_s,omitempty"` // by kind, since it began
+// controllerUsage is what a controller used in the window.
+type controllerUsage struct {
+	Label      string             `json:"label"`
+	Cores      float64            `json:"cores"`
+	PeakMB     float64            `json:"peak_mb"`
+	Partitions int                `json:"parts"`
+	Work       map[string]float64 `json:"work_s,omitempty"` // by kind, since it began
 }
 
-// workerUse is what one worker sends and gets for control, on average.
-type workerUse struct {
-	Reports float64 `json:"reports_a_second"`
-	Direct  float64 `json:"direct_commands_a_second"`
-	Bytes   float64 `json:"bytes_a_second"`
+// workerTraffic is what one worker sends and gets for control, on average.
+type workerTraffic struct {
+	Heartbeats float64 `json:"reports_a_second"`
+	Direct     float64 `json:"direct_commands_a_second"`
+	Bytes      float64 `json:"bytes_a_second"`
 }
 
 // latency describes a histogram, in seconds.
@@ -78,26 +78,26 @@
 
 // faultResult is how long it took after a fault until machines were commanded again.
 type faultResult struct {
-	What  string  `json:"what"`
-	At    float64 `json:"at_s"`
-	Half  float64 `json:"half_s,omitempty"` // of the machines commanded
-	Most  float64 `json:"nine_tenths_s,omitempty"`
-	All   float64 `json:"all_s,omitempty"`
-	First float64 `json:"first_urgent_start_s,omitempty"`
+	What             string  `json:"what"`
+	At               float64 `json:"at_s"`
+	HalfCommanded    float64 `json:"half_s,omitempty"` // of the machines commanded
+	MostCommanded    float64 `json:"nine_tenths_s,omitempty"`
+	AllCommanded     float64 `json:"all_s,omitempty"`
+	FirstUrgentStart float64 `json:"first_urgent_start_s,omitempty"`
 }
 
 // latencies are histograms of microseconds by name.
 type latencies map[string]*hdrhistogram.Histogram
 
-const longest = int64(20 * time.Minute / time.Microsecond)
+const maxLatencyMicros = int64(20 * time.Minute / time.Microsecond)
 
 func (l latencies) add(name string, d time.Duration) {
 	h := l[name]
 	if h == nil {
-		h = hdrhistogram.New(1, longest, 3)
+		h = hdrhistogram.New(1, maxLatencyMicros, 3)
 		l[name] = h
 	}
-	h.RecordValue(min(longest, max(1, d.Microseconds())))
+	h.RecordValue(min(maxLatencyMicros, max(1, d.Microseconds())))
 }
 
 func (l latencies) describe() map[string]latency {
@@ -109,10 +109,10 @@
 	return out
 }
 
-// rates are starts by the second.
-type rates map[int]int
+// startsBySecond are starts by the second.
+type startsBySecond map[int]int
 
-func (r rates) best() (second int, ten float64) {
+func (r startsBySecond) best() (second int, ten float64) {
 	for at := range r {
 		second = max(second, r[at])
 		sum := 0
@@ -126,7 +126,7 @@
 
 func newResult(e *experiment, label string) *result {
 	return &result{Name: e.Name, What: e.What, Label: label, At: time.Now().UTC().Format(time.RFC3339), Cores: runtime.NumCPU(),
-		Machines: e.Machines, Controllers: e.Controllers, Teams: e.Teams, Filled: e.running(), Broken: []string{}}
+		Machines: e.Machines, Controllers: e.Controllers, Teams: e.Teams, TargetTasks: e.targetTasks(), Violations: []string{}}
 }
 
 // valueOf is what the run had of a thing that is varied.
@@ -137,7 +137,7 @@
 	case varyControllers:
 		return r.Controllers
 	}
-	return r.Filled
+	return r.TargetTasks
 }
 
 // save writes the result to a folder.
--- a/tools/scale/scale_test.go
+++ b/tools/scale/scale_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"basaltwall/internal/standin"
+	"basaltwall/internal/emulator"
 )
 
 // build builds the shipped program as the deploy file says.
@@ -32,18 +32,18 @@
 		t.Fatal(err)
 	}
 	program := build(t)
-	r, err := play(context.Background(), e, program, "test")
+	r, err := runExperiment(context.Background(), e, program, "test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Broken) > 0 || r.Ends > 0 {
-		t.Errorf("%d controllers ended, rules broken: %v", r.Ends, r.Broken)
+	if len(r.Violations) > 0 || r.UnexpectedExits > 0 {
+		t.Errorf("%d controllers ended, rules broken: %v", r.UnexpectedExits, r.Violations)
 	}
-	if r.Running < e.running()*9/10 {
-		t.Errorf("%d of %d tasks run", r.Running, e.running())
+	if r.Running < e.targetTasks()*9/10 {
+		t.Errorf("%d of %d tasks run", r.Running, e.targetTasks())
 	}
-	for _, c := range r.Control {
-		if c.Parts != 1 || c.PeakMB == 0 {
+	for _, c := range r.ControllerUsage {
+		if c.Partitions != 1 || c.PeakMB == 0 {
 			t.Errorf("%+v", c)
 		}
 	}
@@ -53,12 +53,12 @@
 		}
 	}
 	flows := r.Traffic.Flows
-	for _, f := range []standin.FlowName{standin.FlowReports, standin.FlowDirect, standin.FlowState, standin.FlowCloud, standin.FlowUsers} {
-		if flows[f].Messages == 0 && f != standin.FlowState || flows[f].Sent == 0 || flows[f].Received == 0 {
+	for _, f := range []emulator.FlowName{emulator.FlowHeartbeats, emulator.FlowCommands, emulator.FlowStore, emulator.FlowCloud, emulator.FlowUsers} {
+		if flows[f].Messages == 0 && f != emulator.FlowStore || flows[f].Sent == 0 || flows[f].Received == 0 {
 			t.Errorf("%s: %+v", f, flows[f])
 		}
 	}
-	if r.Traffic.Peers["news"].Messages == 0 || r.Traffic.State["write round"].Messages == 0 || r.Starts == 0 || r.Stored["job"].Keys == 0 {
+	if r.Traffic.Peers["news"].Messages == 0 || r.Traffic.StoreByKind["write round"].Messages == 0 || r.Starts == 0 || r.Stored["job"].Keys == 0 {
 		t.Errorf("not counted: %+v", r.Traffic)
 	}
 	if files, err := filepath.Glob("/proc/[0-9]*/cmdline"); err == nil {
@@ -74,7 +74,7 @@
 // A process that was started ends with the run, and its use is read.
 func TestProcessEnds(t *testing.T) {
 	dir := t.TempDir()
-	p := &process{label: "x", program: build(t), settings: filepath.Join(dir, "none.json"), logs: dir}
+	p := &process{label: "x", program: build(t), settingsPath: filepath.Join(dir, "none.json"), logDir: dir}
 	if err := p.start(); err != nil {
 		t.Fatal(err)
 	}
@@ -89,25 +89,25 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd != nil || p.ends != 1 {
-		t.Errorf("it runs: %v, %d ends", p.cmd != nil, p.ends)
+	if p.cmd != nil || p.unexpectedExits != 1 {
+		t.Errorf("it runs: %v, %d ends", p.cmd != nil, p.unexpectedExits)
 	}
-	if usageOf(syscall.Getpid()).Now == 0 {
+	if usageOf(syscall.Getpid()).RSS == 0 {
 		t.Error("no use of memory is read")
 	}
 }
 
 // A run that would take more than half of the machine's memory is refused before it starts.
 func TestRefusesTooLarge(t *testing.T) {
-	e := &experiment{Controllers: 23, Loads: []load{{Fill: 74_000}}}
-	if err := mayStart(e, 1<<40); err != nil {
+	e := &experiment{Controllers: 23, Loads: []jobLoad{{FillTasks: 74_000}}}
+	if err := checkResources(e, 1<<40); err != nil {
 		t.Error(err)
 	}
-	if err := mayStart(e, 1<<30); err == nil || !strings.Contains(err.Error(), "memory") {
+	if err := checkResources(e, 1<<30); err == nil || !strings.Contains(err.Error(), "memory") {
 		t.Errorf("%v", err)
 	}
 	e.Controllers = maxProcesses
-	if err := mayStart(e, 1<<50); err == nil || !strings.Contains(err.Error(), "processes") {
+	if err := checkResources(e, 1<<50); err == nil || !strings.Contains(err.Error(), "processes") {
 		t.Errorf("%v", err)
 	}
 	if limit, err := memoryLimit(); err != nil || limit <= 0 {
--- a/tools/scale/tenants.go
+++ b/tools/scale/tenants.go
@@ -17,8 +17,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"basaltwall/api"
-	"basaltwall/control"
-	"basaltwall/internal/standin"
+	"basaltwall/controller"
+	"basaltwall/internal/emulator"
 	"basaltwall/tenant"
 )
 
@@ -33,41 +33,41 @@
 	Polls   float64       `default:"300" help:"Polls a second when the cost of a request is measured, 1000 at most."`
 }
 
-// service is three controllers as processes.
-type service struct {
-	live   *standin.Live
-	root   string // the operators' key; "" without tenants
-	client *http.Client
-	number atomic.Int64
+// hostedDeployment is three controllers as processes.
+type hostedDeployment struct {
+	live      *emulator.Live
+	adminKey  string // the operators' key; "" without tenants
+	client    *http.Client
+	jobNumber atomic.Int64
 }
 
-func (s *service) do(node int, key, method, path string, body []byte) (int, []byte, error) {
+func (s *hostedDeployment) request(index int, key, method, path string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	return request(ctx, s.client, method, s.live.Configs[node%len(s.live.Configs)].APIAddr+path, key, body)
+	return request(ctx, s.client, method, s.live.Configs[index%len(s.live.Configs)].APIAddr+path, key, body)
 }
 
-// start starts the stand-ins and the controllers and waits until they answer.
-func start(ctx context.Context, c *tenantsCmd, dir string, hosted bool) (*service, error) {
-	l, err := standin.StartLive(ctx, 3, 8)
+// startDeployment starts the stand-ins and the controllers and waits until they answer.
+func startDeployment(ctx context.Context, c *tenantsCmd, dir string, hosted bool) (*hostedDeployment, error) {
+	l, err := emulator.StartLive(ctx, 3, 8)
 	if err != nil {
 		return nil, err
 	}
-	s := &service{live: l, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+	s := &hostedDeployment{live: l, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 	args := []string{}
 	if hosted {
 		_, secret, err := tenant.NewKey([tenant.RandomBytes]byte{3}, "admin", 0, 0)
 		if err != nil {
 			return nil, err
 		}
-		s.root = secret.String()
+		s.adminKey = secret.String()
 		name := filepath.Join(dir, "admin.key")
-		if err := os.WriteFile(name, []byte(s.root), 0o600); err != nil {
+		if err := os.WriteFile(name, []byte(s.adminKey), 0o600); err != nil {
 			return nil, err
 		}
 		args = append(args, "--hosted", "--admin-key-file", name)
 	}
-	for i, f := range l.Files {
+	for i, f := range l.SettingsFiles {
 		name := filepath.Join(dir, fmt.Sprintf("%d.json", i))
 		if err := os.WriteFile(name, f, 0o600); err != nil {
 			return nil, err
@@ -83,7 +83,7 @@
 	for range 200 {
 		ready := 0
 		for i := range l.Configs {
-			if code, _, err := s.do(i, "", "GET", api.PathReady, nil); err == nil && code == 200 {
+			if code, _, err := s.request(i, "", "GET", api.PathReady, nil); err == nil && code == 200 {
 				ready++
 			}
 		}
@@ -96,51 +96,51 @@
 	return nil, errors.New("the controllers do not get ready")
 }
 
-// tenant makes a tenant with a key.
-func (s *service) tenant(c *tenantsCmd, name, team string) (string, error) {
+// createTenant makes a tenant with a key.
+func (s *hostedDeployment) createTenant(c *tenantsCmd, name, team string) (string, error) {
 	put, err := json.Marshal(map[string]any{"revision": 0, "teams": []string{team}, "rate": c.Rate, "burst": 2 * c.Rate, "retention_s": 60})
 	if err != nil {
 		return "", err
 	}
-	code, body, err := s.do(0, s.root, "PUT", "/admin/v1/tenants/"+name, put)
-	var at control.TenantAt
+	code, body, err := s.request(0, s.adminKey, "PUT", "/admin/v1/tenants/"+name, put)
+	var at controller.TenantView
 	if err != nil || code != 200 || json.Unmarshal(body, &at) != nil {
 		return "", fmt.Errorf("tenant %s: %d %s %w", name, code, body, err)
 	}
-	code, body, err = s.do(0, s.root, "POST", "/admin/v1/tenants/"+name+"/keys", fmt.Appendf(nil, `{"revision":%d,"name":"load"}`, at.Revision))
-	var k control.NewKeyView
+	code, body, err = s.request(0, s.adminKey, "POST", "/admin/v1/tenants/"+name+"/keys", fmt.Appendf(nil, `{"revision":%d,"name":"load"}`, at.Revision))
+	var k controller.NewKeyView
 	if err != nil || code != 200 || json.Unmarshal(body, &k) != nil {
 		return "", fmt.Errorf("key of %s: %d %s %w", name, code, body, err)
 	}
 	return k.Secret, nil
 }
 
-// seen is what a tenant has seen in a phase.
-type seen struct {
-	mu                                 sync.Mutex
-	accept, begin                      *hdrhistogram.Histogram // microseconds
-	sent, accepted, refused, otherwise int
+// phaseStats is what a tenant has seen in a phase.
+type phaseStats struct {
+	mu                              sync.Mutex
+	acceptLatency, startLatency     *hdrhistogram.Histogram // microseconds
+	sent, accepted, refused, failed int
 }
 
-func newSeen() *seen {
-	return &seen{accept: hdrhistogram.New(1, 60_000_000, 3), begin: hdrhistogram.New(1, 60_000_000, 3)}
+func newPhaseStats() *phaseStats {
+	return &phaseStats{acceptLatency: hdrhistogram.New(1, 60_000_000, 3), startLatency: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
-func (v *seen) String() string {
+func (v *phaseStats) String() string {
 	return fmt.Sprintf("sent %d, accepted %d, refused 429 %d, otherwise %d; accepted in p50 %.1f ms, p99 %.1f ms; started in p50 %.0f ms, p99 %.0f ms (%d)",
-		v.sent, v.accepted, v.refused, v.otherwise, ms(v.accept, 50), ms(v.accept, 99), ms(v.begin, 50), ms(v.begin, 99), v.begin.TotalCount())
+		v.sent, v.accepted, v.refused, v.failed, quantileMillis(v.acceptLatency, 50), quantileMillis(v.acceptLatency, 99), quantileMillis(v.startLatency, 50), quantileMillis(v.startLatency, 99), v.startLatency.TotalCount())
 }
 
-func ms(h *hdrhistogram.Histogram, quantile float64) float64 {
+func quantileMillis(h *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
 
-const job = `{"ref":"run-%d","mestiere":"load","bottega":"%s","forma":"sweep","urgenza":"normal","pezzi":1,"cores":0.1,"gpus":0,"ram_gb":0.1,
+const jobTemplate = `{"ref":"run-%d","mestiere":"load","bottega":"%s","forma":"sweep","urgenza":"normal","pezzi":1,"cores":0.1,"gpus":0,"ram_gb":0.1,
 "stampo":"img","image_gb":0.1,"together":false,"scatter":false,"avanzi":false,"stima_s":1,"tappa_s":0,"salvo_s":0}`
 
 // submit submits at a rate for a while; with follow each job is polled until it has begun.
-func (s *service) submit(key, team string, rate float64, phase time.Duration, follow bool) *seen {
-	v := newSeen()
+func (s *hostedDeployment) submit(key, team string, rate float64, phase time.Duration, waitForStart bool) *phaseStats {
+	v := newPhaseStats()
 	var wg sync.WaitGroup
 	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer tick.Stop()
@@ -152,32 +152,32 @@
 		default:
 			continue
 		}
-		n := s.number.Add(1)
+		n := s.jobNumber.Add(1)
 		wg.Go(func() {
 			defer func() { <-slots }()
 			begun := time.Now()
-			code, _, err := s.do(int(n), key, "POST", api.PathJobs, fmt.Appendf(nil, job, n, team))
+			code, _, err := s.request(int(n), key, "POST", api.PathJobs, fmt.Appendf(nil, jobTemplate, n, team))
 			v.mu.Lock()
 			v.sent++
 			switch {
 			case err == nil && code == 201:
 				v.accepted++
-				v.accept.RecordValue(max(1, time.Since(begun).Microseconds()))
+				v.acceptLatency.RecordValue(max(1, time.Since(begun).Microseconds()))
 			case code == 429:
 				v.refused++
 			default:
-				v.otherwise++
+				v.failed++
 			}
 			v.mu.Unlock()
-			if !follow || code != 201 {
+			if !waitForStart || code != 201 {
 				return
 			}
 			for range 200 {
-				_, body, err := s.do(int(n)+1, key, "GET", fmt.Sprintf("%s/run-%d", api.PathJobs, n), nil)
+				_, body, err := s.request(int(n)+1, key, "GET", fmt.Sprintf("%s/run-%d", api.PathJobs, n), nil)
 				var st api.JobStatus
 				if err == nil && json.Unmarshal(body, &st) == nil && (st.State == api.JobRunning || st.State == api.JobDone) {
 					v.mu.Lock()
-					v.begin.RecordValue(max(1, time.Since(begun).Microseconds()))
+					v.startLatency.RecordValue(max(1, time.Since(begun).Microseconds()))
 					v.mu.Unlock()
 					return
 				}
@@ -189,11 +189,11 @@
 	return v
 }
 
-// processor is the processor time of all controllers, in seconds.
-func (s *service) processor() float64 {
+// cpuSeconds is the processor time of all controllers, in seconds.
+func (s *hostedDeployment) cpuSeconds() float64 {
 	sum := 0.0
 	for i := range s.live.Configs {
-		_, body, err := s.do(i, s.root, "GET", "/admin/v1/metrics", nil)
+		_, body, err := s.request(i, s.adminKey, "GET", "/admin/v1/metrics", nil)
 		var m struct {
 			Processor float64 `json:"processor_s"`
 		}
@@ -204,18 +204,18 @@
 	return sum
 }
 
-// cost polls a job that is running and reports requests a second and what one costs.
-func (s *service) cost(c *tenantsCmd, key string) (string, error) {
-	n := s.number.Add(1)
-	code, body, err := s.do(0, key, "POST", api.PathJobs, []byte(strings.Replace(fmt.Sprintf(job, n, "red"), `"sweep"`, `"daemon"`, 1)))
+// measurePollCost polls a job that is running and reports requests a second and what one costs.
+func (s *hostedDeployment) measurePollCost(c *tenantsCmd, key string) (string, error) {
+	n := s.jobNumber.Add(1)
+	code, body, err := s.request(0, key, "POST", api.PathJobs, []byte(strings.Replace(fmt.Sprintf(jobTemplate, n, "red"), `"sweep"`, `"daemon"`, 1)))
 	if err != nil || code != 201 {
 		return "", fmt.Errorf("service: %d %s %w", code, body, err)
 	}
 	time.Sleep(6 * time.Second) // the account of processor time is brought up to date every five
-	before := s.processor()
+	before := s.cpuSeconds()
 	time.Sleep(c.Phase)
-	idle := s.processor() - before
-	before = s.processor()
+	idle := s.cpuSeconds() - before
+	before = s.cpuSeconds()
 	var wg sync.WaitGroup
 	var done, failed atomic.Int64
 	lat := hdrhistogram.New(1, 10_000_000, 3)
@@ -227,7 +227,7 @@
 		<-tick.C
 		wg.Go(func() {
 			at := time.Now()
-			code, _, err := s.do(i, key, "GET", fmt.Sprintf("%s/run-%d", api.PathJobs, n), nil)
+			code, _, err := s.request(i, key, "GET", fmt.Sprintf("%s/run-%d", api.PathJobs, n), nil)
 			if err != nil || code != 200 {
 				failed.Add(1)
 				return
@@ -241,9 +241,9 @@
 	wg.Wait()
 	took := time.Since(begun).Seconds()
 	time.Sleep(6 * time.Second)
-	each := (s.processor() - before - idle) / float64(max(1, done.Load()))
+	each := (s.cpuSeconds() - before - idle) / float64(max(1, done.Load()))
 	return fmt.Sprintf("%.0f polls a second, %d failed; p50 %.1f ms, p99 %.1f ms; %.0f microseconds of processor each", float64(done.Load())/took, failed.Load(),
-		ms(lat, 50), ms(lat, 99), each*1e6), nil
+		quantileMillis(lat, 50), quantileMillis(lat, 99), each*1e6), nil
 }
 
 // Run measures without tenants and with them.
@@ -258,17 +258,17 @@
 	for _, hosted := range []bool{false, true} {
 		ctx, stop := context.WithCancel(context.Background())
 		err := func() error {
-			s, err := start(ctx, c, dir, hosted)
+			s, err := startDeployment(ctx, c, dir, hosted)
 			if err != nil {
 				return err
 			}
 			key := ""
 			if hosted {
-				if key, err = s.tenant(c, "calm", "red"); err != nil {
+				if key, err = s.createTenant(c, "calm", "red"); err != nil {
 					return err
 				}
 			}
-			line, err := s.cost(c, key)
+			line, err := s.measurePollCost(c, key)
 			if err != nil {
 				return err
 			}
@@ -276,13 +276,13 @@
 			if !hosted {
 				return nil
 			}
-			loud, err := s.tenant(c, "loud", "blue")
+			floodKey, err := s.createTenant(c, "loud", "blue")
 			if err != nil {
 				return err
 			}
 			fmt.Println("alone:       ", s.submit(key, "red", 0.8*c.Rate, c.Phase, true))
-			flood := make(chan *seen)
-			go func() { flood <- s.submit(loud, "blue", c.Rate*c.Flood, c.Phase+2*time.Second, false) }()
+			flood := make(chan *phaseStats)
+			go func() { flood <- s.submit(floodKey, "blue", c.Rate*c.Flood, c.Phase+2*time.Second, false) }()
 			time.Sleep(time.Second)
 			fmt.Println("beside flood:", s.submit(key, "red", 0.8*c.Rate, c.Phase, true))
 			fmt.Println("the flood:   ", <-flood)
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -7,38 +7,38 @@
 	"fmt"
 
 	"basaltwall/api"
-	"basaltwall/control"
+	"basaltwall/controller"
 	"basaltwall/httpx"
 )
 
-// ParseReport reads a report and checks what the owner relies on.
-func ParseReport(body []byte) (*api.Report, error) {
-	r := &api.Report{}
+// ParseHeartbeat reads a report and checks what the owner relies on.
+func ParseHeartbeat(body []byte) (*api.Heartbeat, error) {
+	r := &api.Heartbeat{}
 	if err := json.Unmarshal(body, r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
-	if r.Machine == "" || r.Session == 0 {
+	if r.Machine == "" || r.Epoch == 0 {
 		return nil, errors.New("report: tornio or turno is missing")
 	}
 	return r, nil
 }
 
 // Request is the HTTP request for a call.
-func Request(c control.WorkerCall) (method, target string, body []byte, err error) {
-	body, err = json.Marshal(c.Orders)
+func Request(c controller.WorkerCall) (method, target string, body []byte, err error) {
+	body, err = json.Marshal(c.Commands)
 	return "POST", api.PathCommands, body, err
 }
 
-// Answer is the owner's answer for a response.
-func Answer(c control.WorkerCall, r httpx.Response, failed error) control.WorkerAnswer {
-	a := control.WorkerAnswer{ID: c.ID}
-	if failed != nil || r.Status != 200 && r.Status != 409 {
+// ParseResponse is the owner's answer for a response.
+func ParseResponse(c controller.WorkerCall, r httpx.Response, callErr error) controller.WorkerResponse {
+	a := controller.WorkerResponse{ID: c.ID}
+	if callErr != nil || r.Status != 200 && r.Status != 409 {
 		return a
 	}
-	rep, err := ParseReport(r.Body)
+	heartbeat, err := ParseHeartbeat(r.Body)
 	if err != nil {
 		return a
 	}
-	a.Status, a.Report = r.Status, rep
+	a.Status, a.Heartbeat = r.Status, heartbeat
 	return a
 }
--- a/zone/model_test.go
+++ b/zonehealth/model_test.go
@@ -1,4 +1,4 @@
-package zone
+package zonehealth
 
 import (
 	"testing"
@@ -20,58 +20,58 @@
 type modelRead struct {
 	state State
 	fresh bool // the record has not changed since
-	holds bool // the duty has not changed hands since
+	leads bool // the duty has not changed hands since
 }
 
 type modelWrite struct {
 	sent         bool
 	from, to     State
-	fresh, holds bool
+	fresh, leads bool
 }
 
 type modelWorld struct {
-	state  State
-	mute   bool
-	reads  [2]modelRead
-	writes [2]modelWrite
+	state       State
+	unreachable bool
+	reads       [2]modelRead
+	writes      [2]modelWrite
 }
 
-type modelRules struct{ namesRecord, namesDuty bool }
+type modelRules struct{ checksVersion, checksTerm bool }
 
 // next calls do with each state that may follow, and reports whether a write took effect
 // that must not.
-func (w modelWorld) next(r modelRules, do func(modelWorld)) (wrong bool) {
+func (w modelWorld) next(r modelRules, visit func(modelWorld)) (wrong bool) {
 	n := w
-	n.mute = !w.mute
-	do(n)
+	n.unreachable = !w.unreachable
+	visit(n)
 	// The duty is taken: by the other or by the same, anew.
 	n = w
 	for i := range n.reads {
-		n.reads[i].holds, n.writes[i].holds = false, false
+		n.reads[i].leads, n.writes[i].leads = false, false
 	}
-	do(n)
+	visit(n)
 	for i := range w.reads {
 		n := w
 		n.reads[i] = modelRead{w.state, true, true}
-		do(n)
-		if v := w.reads[i]; v.holds && !w.writes[i].sent {
-			sight := Sight{Count: Count{All: 9}, Known: true, Mute: w.mute}
-			if w.mute {
-				sight.Silent, sight.Heard = 9, 1
+		visit(n)
+		if v := w.reads[i]; v.leads && !w.writes[i].sent {
+			assessment := Assessment{MachineCount: MachineCount{All: 9}, Observed: true, Unreachable: w.unreachable}
+			if w.unreachable {
+				assessment.Silent, assessment.Heard = 9, 1
 			}
 			const long = 1_000_000
-			next := Record{State: v.state, Since: 1, Heard: 1}.Next(api.Wall(long), sight, time.Hour, times, nil)
+			next := Record{State: v.state, Since: 1, LastHeartbeat: 1}.Next(api.WallTime(long), assessment, time.Hour, thresholds, nil)
 			if next.State != v.state {
 				n := w
-				n.writes[i] = modelWrite{true, v.state, next.State, v.fresh, v.holds}
-				do(n)
+				n.writes[i] = modelWrite{true, v.state, next.State, v.fresh, v.leads}
+				visit(n)
 			}
 		}
 		if x := w.writes[i]; x.sent {
 			n := w
 			n.writes[i] = modelWrite{}
-			if (x.fresh || !r.namesRecord) && (x.holds || !r.namesDuty) {
-				if x.from != w.state || !x.holds {
+			if (x.fresh || !r.checksVersion) && (x.leads || !r.checksTerm) {
+				if x.from != w.state || !x.leads {
 					wrong = true
 				}
 				n.state = x.to
@@ -79,13 +79,13 @@
 					n.reads[k].fresh, n.writes[k].fresh = false, false
 				}
 			}
-			do(n)
+			visit(n)
 		}
 	}
 	return wrong
 }
 
-func modelExplore(r modelRules) (states int, wrong bool, reached map[State]bool) {
+func exploreModel(r modelRules) (states int, wrong bool, reached map[State]bool) {
 	reached = map[State]bool{}
 	seen := map[modelWorld]bool{{}: true}
 	for now := []modelWorld{{}}; len(now) > 0; {
@@ -108,8 +108,8 @@
 
 // In every interleaving of reads, late writes and changes of hands the records follow one
 // another; and each condition of a write is needed for that.
-func TestOneStoryOfAZone(t *testing.T) {
-	states, wrong, reached := modelExplore(modelRules{true, true})
+func TestZoneRecordsAreSequential(t *testing.T) {
+	states, wrong, reached := exploreModel(modelRules{true, true})
 	t.Logf("%d states", states)
 	if wrong {
 		t.Error("a record is written over one that its writer did not read, or by who was replaced")
@@ -118,7 +118,7 @@
 		t.Errorf("%d states, %v: the model does not move", states, reached)
 	}
 	for what, r := range map[string]modelRules{"without the record's version": {false, true}, "without the duty's term": {true, false}} {
-		if _, wrong, _ := modelExplore(r); !wrong {
+		if _, wrong, _ := exploreModel(r); !wrong {
 			t.Errorf("%s nothing goes wrong: the model does not see it", what)
 		}
 	}
