--- a/controller/admin.go
+++ b/controller/admin.go
@@ -13,6 +13,12 @@
 	"basaltwall/priority"
 )
 
+// AdminService answers administration requests.
+type AdminService struct {
+	core *Core
+	c    *Controller
+}
+
 // Settings are what operators decide, beyond the platform's file. They live in
 // the state service and reach every controller by its watch.
 type Settings struct {
@@ -107,120 +113,120 @@
 	}
 )
 
-// handleAdmin answers an operator.
-func (n *Controller) handleAdmin(c AdminRequest) {
-	if !n.loaded {
-		n.replyError(c.Req, 503, "starting")
+// HandleAdmin answers an operator.
+func (ad *AdminService) HandleAdmin(c AdminRequest) {
+	if !ad.core.loaded {
+		ad.core.ReplyError(c.Req, 503, "starting")
 		return
 	}
-	if n.hosted != nil && !c.Forwarded {
-		n.withOperator(c, n.handleHostedAdmin)
+	if ad.c.tenancy.hosted != nil && !c.Forwarded {
+		ad.c.tenancy.WithOperator(c, ad.handleHostedAdmin)
 		return
 	}
-	n.handleCommonAdmin(c)
+	ad.handleCommonAdmin(c)
 }
 
 // handleHostedAdmin answers an operator of a hosted service.
-func (n *Controller) handleHostedAdmin(c AdminRequest) {
+func (ad *AdminService) handleHostedAdmin(c AdminRequest) {
 	var err error
 	switch c.What {
 	case "tenants", "tenant", "usage", "tenant-put", "suspend", "resume", "remove", "key-add", "key-revoke":
-		err = n.handleTenantRequest(c)
+		err = ad.c.tenancy.HandleTenantRequest(c)
 	case "operators", "operators-put", "operators-key-add", "operators-key-revoke":
-		err = n.handleOperatorsRequest(c)
+		err = ad.c.tenancy.HandleOperatorsRequest(c)
 	case "team-put", "team-remove":
-		err = n.handleTeamRequest(c)
+		err = ad.c.tenancy.HandleTeamRequest(c)
 	case "pools", "pool", "pool-put", "pool-remove":
-		err = n.handlePoolRequest(c)
+		err = ad.c.pools.HandlePoolRequest(c)
 	case "audit":
-		n.listAudit(c)
+		ad.c.tenancy.ListAudit(c)
 	default:
-		n.handleCommonAdmin(c)
+		ad.handleCommonAdmin(c)
 	}
 	if err != nil {
-		n.refuseError(c.Req, err)
+		ad.c.tenancy.RefuseError(c.Req, err)
 	}
 }
 
 // handleCommonAdmin answers an operator of any service.
-func (n *Controller) handleCommonAdmin(c AdminRequest) {
+func (ad *AdminService) handleCommonAdmin(c AdminRequest) {
 	switch c.What {
 	case "metrics":
-		n.reply(c.Req, 200, n.viewMetrics(), 0)
+		ad.core.Reply(c.Req, 200, ad.c.reporter.ViewMetrics(), 0)
 	case "members":
-		n.reply(c.Req, 200, n.viewMembers(), 0)
+		ad.core.Reply(c.Req, 200, ad.viewMembers(), 0)
 	case "parts":
-		n.reply(c.Req, 200, n.viewPartitions(), 0)
+		ad.core.Reply(c.Req, 200, ad.viewPartitions(), 0)
 	case "machines":
-		n.reply(c.Req, 200, n.viewMachines(), 0)
+		ad.core.Reply(c.Req, 200, ad.viewMachines(), 0)
 	case "teams":
-		n.reply(c.Req, 200, n.viewTeams(), 0)
+		ad.core.Reply(c.Req, 200, ad.viewTeams(), 0)
 	case "jobs":
-		if _, known := n.teams[api.Team(c.Team)]; c.Team != "" && !known {
-			n.replyError(c.Req, 404, fmt.Sprintf("team: there is no team %q", c.Team))
+		if _, known := ad.core.teams[api.Team(c.Team)]; c.Team != "" && !known {
+			ad.core.ReplyError(c.Req, 404, fmt.Sprintf("team: there is no team %q", c.Team))
 			return
 		}
-		n.reply(c.Req, 200, n.viewJobs(api.Team(c.Team), c.Limit), 0)
+		ad.core.Reply(c.Req, 200, ad.c.jobs.ViewJobs(api.Team(c.Team), c.Limit), 0)
 	case "job":
-		j := n.state.Jobs[api.JobID(c.ID)]
+		j := ad.core.state.Jobs[api.JobID(c.ID)]
 		if j == nil {
-			n.replyError(c.Req, 404, "no such job, or it is over")
+			ad.core.ReplyError(c.Req, 404, "no such job, or it is over")
 			return
 		}
-		n.reply(c.Req, 200, n.viewJob(j, n.freeCapacityGroups()), 0)
+		ad.core.Reply(c.Req, 200, ad.c.jobs.ViewJob(j, ad.c.jobs.FreeCapacityGroups()), 0)
 	case "skips", "skips-do":
-		n.handleSkipsRequest(c)
+		ad.c.reservations.HandleSkipsRequest(c)
 	case "settings":
-		n.reply(c.Req, 200, n.currentSettings(), 0)
+		ad.core.Reply(c.Req, 200, ad.currentSettings(), 0)
 	case "set":
 		s, err := ParseSettings(c.Body)
 		if err != nil {
-			n.replyError(c.Req, 400, err.Error())
+			ad.core.ReplyError(c.Req, 400, err.Error())
 			return
 		}
-		n.updateSettings(c, s)
+		ad.updateSettings(c, s)
 	case "drain", "undrain":
-		s := n.currentSettings()
+		s := ad.currentSettings()
 		id := api.MachineID(c.ID)
 		s.Drained = slices.DeleteFunc(slices.Clone(s.Drained), func(x api.MachineID) bool { return x == id })
 		if c.What == "drain" {
 			s.Drained = append(s.Drained, id)
 		}
-		n.updateSettings(c, s)
+		ad.updateSettings(c, s)
 	default:
-		n.replyError(c.Req, 404, "no such path")
+		ad.core.ReplyError(c.Req, 404, "no such path")
 	}
 }
 
-func (n *Controller) currentSettings() VersionedSettings {
-	return VersionedSettings{n.settings, n.state.Version(settingsKey)}
+func (ad *AdminService) currentSettings() VersionedSettings {
+	return VersionedSettings{ad.core.settings, ad.core.state.Version(settingsKey)}
 }
 
 // updateSettings writes settings; it must name the revision that it replaces.
-func (n *Controller) updateSettings(c AdminRequest, s VersionedSettings) {
+func (ad *AdminService) updateSettings(c AdminRequest, s VersionedSettings) {
 	req := c.Req
 	v, err := json.Marshal(s.Settings)
-	if err != nil || n.exceedsValueSize(v) {
-		n.replyError(req, 400, "drained, precedence: more than a record holds")
+	if err != nil || ad.core.ExceedsValueSize(v) {
+		ad.core.ReplyError(req, 400, "drained, precedence: more than a record holds")
 		return
 	}
 	tx := api.Txn{If: []api.Condition{{Key: settingsKey, Version: s.Revision}}, Writes: []api.Write{{Put: settingsKey, Value: v}}}
-	if n.hosted != nil {
-		tx.Writes = append(tx.Writes, n.auditWrite(c, "settings", settingsAuditView(n.settings), settingsAuditView(s.Settings)))
+	if ad.c.tenancy.hosted != nil {
+		tx.Writes = append(tx.Writes, ad.c.tenancy.AuditWrite(c, "settings", settingsAuditView(ad.core.settings), settingsAuditView(s.Settings)))
 	}
-	n.callStoreTxn(tx, func(a StoreResponse) {
-		n.replyChange(req, a.Status, a.Txn.Revision, "the settings have", func(rev api.Revision) any {
+	ad.core.CallStoreTxn(tx, func(a StoreResponse) {
+		ad.c.tenancy.ReplyChange(req, a.Status, a.Txn.Revision, "the settings have", func(rev api.Revision) any {
 			s.Revision = rev
 			return s
 		})
 	})
 }
 
-func (n *Controller) viewMembers() []MemberView {
+func (ad *AdminService) viewMembers() []MemberView {
 	out := []MemberView{}
-	for _, l := range n.controllers {
-		v := MemberView{Label: l, Live: n.isLive(l), Partitions: []api.PartitionID{}, Self: l == n.config.Label}
-		for i, p := range n.state.Partitions {
+	for _, l := range ad.core.controllers {
+		v := MemberView{Label: l, Live: ad.core.IsLive(l), Partitions: []api.PartitionID{}, Self: l == ad.core.config.Label}
+		for i, p := range ad.core.state.Partitions {
 			if p.Owner == l {
 				v.Partitions = append(v.Partitions, api.PartitionID(i))
 			}
@@ -230,11 +236,11 @@
 	return out
 }
 
-func (n *Controller) viewPartitions() []PartitionView {
+func (ad *AdminService) viewPartitions() []PartitionView {
 	out := []PartitionView{}
-	for i, p := range n.state.Partitions {
-		v := PartitionView{Partition: api.PartitionID(i), Owner: p.Owner, Term: p.Term, Rounds: p.RoundSeq, Tasks: len(n.state.PlacementsByPartition[i])}
-		for _, j := range n.state.Jobs {
+	for i, p := range ad.core.state.Partitions {
+		v := PartitionView{Partition: api.PartitionID(i), Owner: p.Owner, Term: p.Term, Rounds: p.RoundSeq, Tasks: len(ad.core.state.PlacementsByPartition[i])}
+		for _, j := range ad.core.state.Jobs {
 			if !j.Terminal() {
 				v.PendingTasks += j.PendingTasks(v.Partition)
 			}
@@ -244,12 +250,12 @@
 	return out
 }
 
-func (n *Controller) viewMachines() []MachineView {
+func (ad *AdminService) viewMachines() []MachineView {
 	out := []MachineView{}
-	for _, p := range slices.Sorted(maps.Keys(n.partitions)) {
-		for _, m := range n.machinesOf(p) {
-			v := MachineView{ID: m.ID, Partition: p, Type: m.machineType, Zone: m.zone, Spot: m.spot, Tasks: []string{}, UnschedulableReason: n.unschedulableReason(m, n.partitions[p])}
-			for _, placement := range n.state.PlacementsOn(m.ID) {
+	for _, p := range slices.Sorted(maps.Keys(ad.c.scheduler.partitions)) {
+		for _, m := range ad.c.agents.MachinesOf(p) {
+			v := MachineView{ID: m.ID, Partition: p, Type: m.machineType, Zone: m.zone, Spot: m.spot, Tasks: []string{}, UnschedulableReason: ad.UnschedulableReason(m, ad.c.scheduler.partitions[p])}
+			for _, placement := range ad.core.state.PlacementsOn(m.ID) {
 				v.Tasks = append(v.Tasks, placement.Task.String())
 			}
 			out = append(out, v)
@@ -262,34 +268,34 @@
 // term yet: it will within a moment.
 const tokenNotAnnounced = "our term has not been announced to it"
 
-// unschedulableReason says why a machine gets no new tasks, or nothing.
-func (n *Controller) unschedulableReason(m *Machine, owned *ownedPartition) string {
+// UnschedulableReason says why a machine gets no new tasks, or nothing.
+func (ad *AdminService) UnschedulableReason(m *Machine, owned *ownedPartition) string {
 	switch {
 	case m.deleting:
 		return "is being returned"
-	case slices.Contains(n.settings.Drained, m.ID):
+	case slices.Contains(ad.core.settings.Drained, m.ID):
 		return "drained by an operator"
 	case m.lastHeartbeat == 0:
 		return "has not been heard yet"
 	case m.reclaimNotice:
 		return "the cloud takes it back"
-	case n.machineTypes[m.machineType] == nil:
+	case ad.core.machineTypes[m.machineType] == nil:
 		return "of an unknown type"
-	case m.quarantinedUntil >= n.now:
+	case m.quarantinedUntil >= ad.core.now:
 		return "different jobs fail on it"
-	case m.fullUntil >= n.now:
+	case m.fullUntil >= ad.core.now:
 		return "it refused a task for want of room"
-	case n.now.Sub(m.lastHeartbeat) >= 2*n.config.HeartbeatInterval()+2*time.Second:
+	case ad.core.now.Sub(m.lastHeartbeat) >= 2*ad.core.config.HeartbeatInterval()+2*time.Second:
 		return "is silent"
-	case m.missedCalls > 0 && n.now.Sub(m.lastHeartbeat) > time.Second:
+	case m.missedCalls > 0 && ad.core.now.Sub(m.lastHeartbeat) > time.Second:
 		return "does not answer"
 	case m.suspectSince != 0:
 		return "it was silent, and its report may be an old one"
-	case n.zoneUnavailable(m.zone) && n.now.Sub(m.lastHeartbeat) > n.config.HeartbeatInterval()*5/4:
+	case ad.c.health.ZoneUnavailable(m.zone) && ad.core.now.Sub(m.lastHeartbeat) > ad.core.config.HeartbeatInterval()*5/4:
 		return "its zone is cut off"
-	case n.outboundCutOff(m, owned):
+	case ad.outboundCutOff(m, owned):
 		return "its reports do not reach us, so its lease will end"
-	case m.reportedToken < n.minToken(owned, m.ID):
+	case m.reportedToken < ad.c.agents.MinToken(owned, m.ID):
 		return tokenNotAnnounced
 	}
 	return ""
@@ -297,26 +303,26 @@
 
 // outboundCutOff reports whether a machine answers calls while no report of its own comes, though there was
 // time for some: nobody renews its lease, and what is started there dies with it.
-func (n *Controller) outboundCutOff(m *Machine, owned *ownedPartition) bool {
-	since := max(m.leaseRenewedAt, m.firstHeartbeat, m.discoveredAt, owned.ownedSince, n.machineLoans[m.ID].knownAt)
-	return n.now.Sub(since) >= 2*n.config.HeartbeatInterval()+2*time.Second
+func (ad *AdminService) outboundCutOff(m *Machine, owned *ownedPartition) bool {
+	since := max(m.leaseRenewedAt, m.firstHeartbeat, m.discoveredAt, owned.ownedSince, ad.c.agents.machineLoans[m.ID].knownAt)
+	return ad.core.now.Sub(since) >= 2*ad.core.config.HeartbeatInterval()+2*time.Second
 }
 
-func (n *Controller) viewTeams() []TeamView {
+func (ad *AdminService) viewTeams() []TeamView {
 	out := []TeamView{}
-	usage, owners := n.teamUsage(), n.teamOwners()
-	for _, name := range slices.Sorted(maps.Keys(n.teams)) {
-		team := n.teams[name]
+	usage, owners := ad.c.scheduler.TeamUsage(), ad.c.tenancy.TeamOwners()
+	for _, name := range slices.Sorted(maps.Keys(ad.core.teams)) {
+		team := ad.core.teams[name]
 		v := TeamView{Team: name, UsedCPUs: usage[name].CPU.Float(), UsedGPUs: usage[name].GPU.Float(), GuaranteedCPUs: team.CPUs,
 			GuaranteedGPUs: team.GPUs, MaxCPUs: team.CPUsMax, MaxGPUs: team.GPUsMax}
-		if n.hosted != nil {
-			definition, ok := n.hosted.teams[name]
+		if ad.c.tenancy.hosted != nil {
+			definition, ok := ad.c.tenancy.hosted.teams[name]
 			v.OperatorDefined, v.Revision, v.Tenant = ok, definition.Revision, string(owners[name])
 		}
 		if team.CPUsMax > 0 || team.GPUsMax > 0 {
-			v.Shares = slices.Grow(v.Shares, len(n.state.Partitions))[:len(n.state.Partitions)]
-			for i := range n.state.Partitions {
-				s := n.state.QuotaShare(api.PartitionID(i), name, quotaLimit(team))
+			v.Shares = slices.Grow(v.Shares, len(ad.core.state.Partitions))[:len(ad.core.state.Partitions)]
+			for i := range ad.core.state.Partitions {
+				s := ad.core.state.QuotaShare(api.PartitionID(i), name, quotaLimit(team))
 				v.Shares[i].Part = api.PartitionID(i)
 				if team.CPUsMax > 0 {
 					v.Shares[i].UsedCPUs = s.CPU.Float()
--- a/controller/backfill_test.go
+++ b/controller/backfill_test.go
@@ -19,12 +19,12 @@
 // told all the same: it costs nothing.
 func TestPollsAreServedFairly(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
-	n.storeHealthy = true
-	n.state.SetJobResult("run-77", api.JobDone)
+	n.core.storeHealthy = true
+	n.core.state.SetJobResult("run-77", api.JobDone)
 	ask := func(ref string) (status, retry int) {
-		n.effects = nil
+		n.core.effects = nil
 		n.dispatch(Poll{Req: 5, Ref: ref})
-		for _, e := range n.effects {
+		for _, e := range n.core.effects {
 			if r, ok := e.(Reply); ok {
 				return r.Status, r.RetryAfter
 			}
@@ -34,7 +34,7 @@
 	n.dispatch(ResourceUsage{QueuedRequests: 8 * overloadQueueLength})
 	served := map[string]bool{}
 	for w := range 8 {
-		n.wallClock = api.WallTime(w * 7000)
+		n.core.wallClock = api.WallTime(w * 7000)
 		for i := range 40 {
 			ref := fmt.Sprintf("run-%d", 1000+i)
 			switch status, retry := ask(ref); {
@@ -62,20 +62,20 @@
 func TestForwardingRotatesPeers(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	for _, l := range []api.ControllerID{"x", "y"} {
-		n.peers[l] = &peerStatus{gossip: Gossip{From: l, StateOK: true}, receivedAt: n.now}
+		n.gossiper.peers[l] = &peerStatus{gossip: Gossip{From: l, StateOK: true}, receivedAt: n.core.now}
 	}
-	n.storeHealthy = false
+	n.core.storeHealthy = false
 	firstAsked := map[api.ControllerID]int{}
 	for i := range 4 {
-		n.effects = nil
+		n.core.effects = nil
 		n.dispatch(Poll{Req: ReqID(i), Ref: "run-5"})
-		call := n.effects[0].(PeerCall)
+		call := n.core.effects[0].(PeerCall)
 		firstAsked[call.To]++
-		n.effects = nil
+		n.core.effects = nil
 		n.dispatch(PeerResponse{ID: call.ID})
-		again, ok := n.effects[0].(PeerCall)
+		again, ok := n.core.effects[0].(PeerCall)
 		if !ok || again.To == call.To || call.Timeout >= 2*time.Second {
-			t.Fatalf("after %s did not answer within %v: %v", call.To, call.Timeout, n.effects)
+			t.Fatalf("after %s did not answer within %v: %v", call.To, call.Timeout, n.core.effects)
 		}
 	}
 	if firstAsked["x"] != 2 || firstAsked["y"] != 2 {
@@ -86,18 +86,18 @@
 // A job whose record just fits could never be cancelled: the cancellation is written into it.
 func TestRecordReservesBytesForCancellation(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
-	n.wallClock = 1_900_000_000_000
-	limit := int(n.config.Deployment.State.ValueKB * 1024)
+	n.core.wallClock = 1_900_000_000_000
+	limit := int(n.core.config.Deployment.State.ValueKB * 1024)
 	for pad := 0; pad < 200; pad++ {
 		s := testSpec(1)
-		v := clusterstate.JobValue{Spec: s, Split: []clusterstate.TaskRange{{To: 1}}, AcceptedAt: n.wallClock}
+		v := clusterstate.JobValue{Spec: s, Split: []clusterstate.TaskRange{{To: 1}}, AcceptedAt: n.core.wallClock}
 		data, _ := json.Marshal(v)
 		s.Types = []api.MachineTypeName{api.MachineTypeName(strings.Repeat("t", limit-len(data)-pad))}
 		data, _ = json.Marshal(v)
-		if n.jobExceedsValueSize(data) {
+		if n.core.JobExceedsValueSize(data) {
 			continue
 		}
-		v.Cancelled, v.CancelledAt = true, n.wallClock
+		v.Cancelled, v.CancelledAt = true, n.core.wallClock
 		if data, _ = json.Marshal(v); len(data) > limit {
 			t.Fatalf("accepted, and %d bytes once cancelled, of %d", len(data), limit)
 		}
@@ -110,12 +110,12 @@
 // would take it along when it ends.
 func TestMemberKeyOfOldIncarnationIsRewritten(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
-	n.storeHealthy, n.leaseID, n.registered = true, 9, true
-	n.now = n.now.Add(10 * time.Second)
+	n.core.storeHealthy, n.membership.leaseID, n.membership.registered = true, 9, true
+	n.core.now = n.core.now.Add(10 * time.Second)
 	writes := func() bool {
-		n.effects, n.leaseCallInFlight, n.nextLeaseCallAt = nil, false, 0
-		n.maintainMembership()
-		for _, e := range n.effects {
+		n.core.effects, n.membership.leaseCallInFlight, n.membership.nextLeaseCallAt = nil, false, 0
+		n.membership.MaintainMembership()
+		for _, e := range n.core.effects {
 			if c, ok := e.(StoreCall); ok && c.Txn != nil && c.Txn.Writes[0].Put == clusterstate.KeyMember+"n" && c.Txn.Writes[0].Lease == 9 {
 				return true
 			}
@@ -124,7 +124,7 @@
 	}
 	put := func(born int64, ver api.Revision) {
 		data, _ := json.Marshal(clusterstate.MemberValue{Incarnation: born})
-		if err := n.state.Put(clusterstate.KeyMember+"n", data, ver); err != nil {
+		if err := n.core.state.Put(clusterstate.KeyMember+"n", data, ver); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -139,19 +139,19 @@
 // Limits of a team's that others' services hold are not waited for.
 func TestQuotaIsReservedOnlyIfAttainable(t *testing.T) {
 	n, _, _, j := newTestOwner(t, testSpec(4))
-	n.teams["red"] = config.Team{Name: "red", CPUsMax: 4 * j.Spec.CPUs}
-	if !n.fitsAttainableQuota(j, 4) || n.fitsAttainableQuota(j, 5) {
+	n.core.teams["red"] = config.Team{Name: "red", CPUsMax: 4 * j.Spec.CPUs}
+	if !n.backfiller.FitsAttainableQuota(j, 4) || n.backfiller.FitsAttainableQuota(j, 5) {
 		t.Error("the limit itself")
 	}
 	s := *j.Spec
 	s.Ref, s.Kind = "run-50", api.Service
 	data, _ := json.Marshal(clusterstate.JobValue{Spec: &s, Split: []clusterstate.TaskRange{{To: s.Tasks}}})
-	if err := n.state.Put(clusterstate.KeyJob+"run-50", data, 8); err != nil {
+	if err := n.core.state.Put(clusterstate.KeyJob+"run-50", data, 8); err != nil {
 		t.Fatal(err)
 	}
-	o := n.state.Jobs["run-50"]
-	n.state.AddPlacement(&Placement{Task: api.TaskID{Job: "run-50", Index: 0}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: o})
-	if n.fitsAttainableQuota(j, 4) || !n.fitsAttainableQuota(j, 3) {
+	o := n.core.state.Jobs["run-50"]
+	n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: "run-50", Index: 0}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: o})
+	if n.backfiller.FitsAttainableQuota(j, 4) || !n.backfiller.FitsAttainableQuota(j, 3) {
 		t.Error("a service's part of the limit does not come free by itself")
 	}
 }
@@ -163,34 +163,34 @@
 	spec.Ref = "run-7"
 	n, owned, m, j := newTestOwner(t, spec)
 	applyRecord := func(reservations ...clusterstate.Reservation) {
-		n.state.ApplyRecord(0, &clusterstate.Record{Seq: n.state.Partitions[0].RoundSeq + 1, Reservations: reservations})
+		n.core.state.ApplyRecord(0, &clusterstate.Record{Seq: n.core.state.Partitions[0].RoundSeq + 1, Reservations: reservations})
 	}
-	n.reserve(owned, m, j.ID, j.Spec.Priority.Rank(), sched.AgedWithinPriority)
-	reservations := n.reservationChanges(owned)
+	n.backfiller.Reserve(owned, m, j.ID, j.Spec.Priority.Rank(), sched.AgedWithinPriority)
+	reservations := n.backfiller.ReservationChanges(owned)
 	if len(reservations) != 1 || reservations[0].Machine != m.ID || reservations[0].Job != j.ID {
 		t.Fatalf("recorded: %+v", reservations)
 	}
 	applyRecord(reservations...)
-	if again := n.reservationChanges(owned); len(again) != 0 {
+	if again := n.backfiller.ReservationChanges(owned); len(again) != 0 {
 		t.Fatalf("recorded once more: %+v", again)
 	}
 	m.reservedFor, m.reservedUntil, m.consolidated = "", 0, false // another owner knows nothing but the record
-	n.beginOwnership(0, 8)
-	if n.reservedFor(m) != j.ID || !m.consolidated {
+	n.scheduler.BeginOwnership(0, 8)
+	if n.preemptor.ReservedFor(m) != j.ID || !m.consolidated {
 		t.Error("a new owner forgets what is kept")
 	}
-	if len(n.reservationChanges(n.partitions[0])) != 0 {
+	if len(n.backfiller.ReservationChanges(n.scheduler.partitions[0])) != 0 {
 		t.Error("a new owner records it anew")
 	}
 	for i := range spec.Tasks {
-		n.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j})
+		n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j})
 	}
-	if ends := n.reservationChanges(n.partitions[0]); len(ends) != 1 || ends[0] != (clusterstate.Reservation{Machine: m.ID}) {
+	if ends := n.backfiller.ReservationChanges(n.scheduler.partitions[0]); len(ends) != 1 || ends[0] != (clusterstate.Reservation{Machine: m.ID}) {
 		t.Errorf("its end is not recorded: %+v", ends)
 	}
 	applyRecord(clusterstate.Reservation{Machine: m.ID}, clusterstate.Reservation{Machine: "i-000009", Job: "run-99"})
-	n.beginOwnership(0, 9)
-	if n.machines["i-000009"] != nil && n.reservedFor(n.machines["i-000009"]) != "" {
+	n.scheduler.BeginOwnership(0, 9)
+	if n.agents.machines["i-000009"] != nil && n.preemptor.ReservedFor(n.agents.machines["i-000009"]) != "" {
 		t.Error("kept for a job that there is none of")
 	}
 }
@@ -200,14 +200,14 @@
 	spec := testSpec(1)
 	spec.GPUs, spec.CPUs = 4, 4
 	n, _, m, _ := newTestOwner(t, spec)
-	n.addMachineTypes([]api.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, Zones: []api.Zone{"a", "b"}}})
+	n.core.AddMachineTypes([]api.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, Zones: []api.Zone{"a", "b"}}})
 	m.machineType = "g4"
 	m.untrackedUsage = api.Resources{GPU: api.ToQuantity(3)}
 	for i, zone := range []api.Zone{"b", "a"} {
-		o := n.ensureMachine(api.MachineID(fmt.Sprint("i-00000", i+1)))
-		o.machineType, o.zone, o.lastHeartbeat, o.epoch, o.reportedToken = "g4", zone, n.now, 1, 7
+		o := n.agents.EnsureMachine(api.MachineID(fmt.Sprint("i-00000", i+1)))
+		o.machineType, o.zone, o.lastHeartbeat, o.epoch, o.reportedToken = "g4", zone, n.core.now, 1, 7
 	}
-	got := n.fragmentedCapacity()
+	got := n.backfiller.FragmentedCapacity()
 	want := []FragmentationView{{Type: "g4", Zone: "a", Free: 5, Unusable: 1}, {Type: "g4", Zone: "b", Free: 4}}
 	if !slices.Equal(got, want) {
 		t.Errorf("%+v, not %+v", got, want)
--- a/controller/cancel.go
+++ b/controller/cancel.go
@@ -16,22 +16,22 @@
 // the task, or nobody, and then its lease ends; neither needs the state service.
 // docs/cancellations.md weighs this against other ways.
 
-// canAcknowledgeCancellation reports whether the part's owner is to record that it knows of a job's cancellation.
+// CanAcknowledgeCancellation reports whether the part's owner is to record that it knows of a job's cancellation.
 // It may once it alone commands the machines that hold the job's tasks, no launch of one is
 // still on its way, and none has still to begin: a machine that has not shown our token may be
 // renewed by a former owner that knows nothing, a launch that comes later starts a task whatever
 // we know, and one that fetches its image or waits for its gang begins by itself unless the halt
 // comes before, which may be held up.
-func (n *Controller) canAcknowledgeCancellation(owned *ownedPartition, j *Job) bool {
-	if j.PlacementCounts[owned.id] == 0 || j.CancellationAcknowledged(owned.id) || !n.leaseCoversCancellation {
+func (js *JobService) CanAcknowledgeCancellation(owned *ownedPartition, j *Job) bool {
+	if j.PlacementCounts[owned.id] == 0 || j.CancellationAcknowledged(owned.id) || !js.core.leaseCoversCancellation {
 		return false
 	}
 	for _, p := range j.Placements {
 		if p.Partition != owned.id || p.Finishing {
 			continue
 		}
-		m := n.machines[p.Machine]
-		if m == nil || m.reportedToken < n.minToken(owned, m.ID) || !p.OwnerState.reported || !taskStarted(p.OwnerState.state) {
+		m := js.c.agents.machines[p.Machine]
+		if m == nil || m.reportedToken < js.c.agents.MinToken(owned, m.ID) || !p.OwnerState.reported || !taskStarted(p.OwnerState.state) {
 			return false
 		}
 	}
@@ -41,18 +41,18 @@
 // taskStarted reports whether a task in that state has started, so that it can't do so any more.
 func taskStarted(s api.TaskState) bool { return s != api.TaskFetching && s != api.TaskWaiting }
 
-// stopCancelledTasks has the machines called that hold a cancelled job's tasks, once, as soon as the
+// StopCancelledTasks has the machines called that hold a cancelled job's tasks, once, as soon as the
 // cancellation is read: their next reports may be seconds away, and what has still to begin keeps
 // the cancellation from being told.
-func (n *Controller) stopCancelledTasks(owned *ownedPartition, j *Job) {
+func (js *JobService) StopCancelledTasks(owned *ownedPartition, j *Job) {
 	if j.PlacementCounts[owned.id] == 0 {
 		return
 	}
 	for _, i := range slices.Sorted(maps.Keys(j.Placements)) { // in order: the calls are made in it
 		p := j.Placements[i]
-		if m := n.machines[p.Machine]; p.Partition == owned.id && !p.Finishing && !p.OwnerState.haltRequested && m != nil {
+		if m := js.c.agents.machines[p.Machine]; p.Partition == owned.id && !p.Finishing && !p.OwnerState.haltRequested && m != nil {
 			p.OwnerState.haltRequested = true
-			n.contactNow(m)
+			js.c.agents.ContactNow(m)
 		}
 	}
 }
@@ -74,19 +74,19 @@
 
 const cancellationPending = "recorded, but a controller that commands machines of its tasks may not know yet"
 
-// respondWhenAcknowledged answers with a final state: at once, or when the book comes to it. Otherwise the
+// RespondWhenAcknowledged answers with a final state: at once, or when the book comes to it. Otherwise the
 // user is to ask again later.
-func (n *Controller) respondWhenAcknowledged(forwarded bool, respond func(api.JobStatus), retryLater func()) func(api.JobStatus) {
+func (js *JobService) RespondWhenAcknowledged(forwarded bool, respond func(api.JobStatus), retryLater func()) func(api.JobStatus) {
 	wait := cancellationWait
 	if forwarded {
 		wait = cancellationWaitForwarded
 	}
-	requestedAt := n.now
+	requestedAt := js.core.now
 	finish := func(s api.JobStatus) {
-		n.metrics.observeLatency("cancelled", n.now.Sub(requestedAt))
-		elapsed := n.now.Sub(requestedAt)
-		if j := n.state.Jobs[s.JobID]; j != nil && j.Cancelled {
-			elapsed = max(elapsed, time.Duration(n.wallClock-j.CancelledAt)*time.Millisecond)
+		js.core.metrics.observeLatency("cancelled", js.core.now.Sub(requestedAt))
+		elapsed := js.core.now.Sub(requestedAt)
+		if j := js.core.state.Jobs[s.JobID]; j != nil && j.Cancelled {
+			elapsed = max(elapsed, time.Duration(js.core.wallClock-j.CancelledAt)*time.Millisecond)
 		}
 		slog.Info("job cancelled", "job", s.JobID, "state", s.State, "after", elapsed.Seconds())
 		respond(s)
@@ -96,44 +96,44 @@
 			finish(s)
 			return
 		}
-		n.pendingCancellations = append(n.pendingCancellations, pendingCancellation{s.JobID, n.now.Add(wait), finish, retryLater})
+		js.pendingCancellations = append(js.pendingCancellations, pendingCancellation{s.JobID, js.core.now.Add(wait), finish, retryLater})
 	}
 }
 
-// answerCancellations answers requests whose cancellation the book now lets be told.
-func (n *Controller) answerCancellations() {
-	if len(n.pendingCancellations) == 0 {
+// AnswerCancellations answers requests whose cancellation the book now lets be told.
+func (js *JobService) AnswerCancellations() {
+	if len(js.pendingCancellations) == 0 {
 		return
 	}
-	waiting := n.pendingCancellations
-	n.pendingCancellations = nil
+	waiting := js.pendingCancellations
+	js.pendingCancellations = nil
 	for _, pending := range waiting {
-		s, ok := n.finalStatus(pending.jobID)
+		s, ok := js.finalStatus(pending.jobID)
 		switch {
 		case ok:
 			pending.respond(s)
-		case n.now >= pending.deadline:
-			n.logPendingCancellation(pending.jobID)
+		case js.core.now >= pending.deadline:
+			js.logPendingCancellation(pending.jobID)
 			pending.retryLater()
 		default:
-			n.pendingCancellations = append(n.pendingCancellations, pending)
+			js.pendingCancellations = append(js.pendingCancellations, pending)
 		}
 	}
 }
 
 // logPendingCancellation names whom a cancellation waits for.
-func (n *Controller) logPendingCancellation(jobID api.JobID) {
-	j := n.state.Jobs[jobID]
+func (js *JobService) logPendingCancellation(jobID api.JobID) {
+	j := js.core.state.Jobs[jobID]
 	if j == nil {
 		return
 	}
 	var partitions []api.PartitionID
 	var owners []api.ControllerID
-	for p := range n.state.Partitions {
+	for p := range js.core.state.Partitions {
 		if id := api.PartitionID(p); j.PlacementCounts[id] > 0 && !j.CancellationAcknowledged(id) {
-			partitions, owners = append(partitions, id), append(owners, n.state.Partitions[p].Owner)
+			partitions, owners = append(partitions, id), append(owners, js.core.state.Partitions[p].Owner)
 		}
 	}
 	slog.Info("cancellation pending", tenantAttr(j), "job", jobID, "for_parts", partitions, "owners", owners,
-		"since_s", float64(n.wallClock-j.CancelledAt)/1000)
+		"since_s", float64(js.core.wallClock-j.CancelledAt)/1000)
 }
--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -13,7 +13,7 @@
 // the job's cancellation read.
 func newCancelledJob(t *testing.T) (*Controller, *ownedPartition, *Machine, *Job) {
 	n, owned, m, j := newTestOwner(t, testSpec(2))
-	n.state.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}, {Task: 1, Machine: m.ID, Epoch: 1}}}}})
+	n.core.state.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}, {Task: 1, Machine: m.ID, Epoch: 1}}}}})
 	for _, p := range j.Placements {
 		p.OwnerState.reported, p.OwnerState.state = true, api.TaskRunning
 	}
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.state.Put(clusterstate.KeyJob+string(j.ID), data, 9); err != nil {
+	if err := n.core.state.Put(clusterstate.KeyJob+string(j.ID), data, 9); err != nil {
 		t.Fatal(err)
 	}
 	return n, owned, m, j
@@ -38,32 +38,32 @@
 	}{
 		"as it should be":                {func(*Controller, *Machine, *Job) {}, true},
 		"a former owner's token":         {func(_ *Controller, m *Machine, _ *Job) { m.reportedToken = 6 }, false},
-		"lent, and not heard since":      {func(n *Controller, m *Machine, _ *Job) { n.state.Loans[m.ID] = clusterstate.Loan{Revision: 8} }, false},
-		"a machine that is not known":    {func(n *Controller, m *Machine, _ *Job) { n.forgetMachine(m.ID) }, false},
+		"lent, and not heard since":      {func(n *Controller, m *Machine, _ *Job) { n.core.state.Loans[m.ID] = clusterstate.Loan{Revision: 8} }, false},
+		"a machine that is not known":    {func(n *Controller, m *Machine, _ *Job) { n.agents.ForgetMachine(m.ID) }, false},
 		"a launch on its way":            {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.reported = false }, false},
 		"a task that fetches its image":  {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.state = api.TaskFetching }, false},
 		"a task that waits for its gang": {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.state = api.TaskWaiting }, false},
 		"a task that saves":              {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.state = api.TaskCheckpointing }, true},
 		"that one is over": {func(n *Controller, _ *Machine, j *Job) {
 			j.Placements[1].OwnerState.reported = false
-			n.state.SetFinishing(j.Placements[1], true)
+			n.core.state.SetFinishing(j.Placements[1], true)
 		}, true},
-		"leases longer than a cancellation": {func(n *Controller, _ *Machine, _ *Job) { n.leaseCoversCancellation = false }, false},
+		"leases longer than a cancellation": {func(n *Controller, _ *Machine, _ *Job) { n.core.leaseCoversCancellation = false }, false},
 	} {
 		n, owned, m, j := newCancelledJob(t)
-		if s, _ := n.jobStatus(j.ID); s.State != api.JobRunning || *s.Running != 2 {
+		if s, _ := n.jobs.JobStatus(j.ID); s.State != api.JobRunning || *s.Running != 2 {
 			t.Errorf("%s: the job is called %s with %d tasks before its owner knows", what, s.State, *s.Running)
 		}
 		tc.change(n, m, j)
-		n.runPartition(owned)
+		n.scheduler.RunPartition(owned)
 		acknowledged := false
 		if owned.inFlight != nil {
 			for _, d := range owned.inFlight.record.Jobs {
 				acknowledged = acknowledged || d.CancellationAcknowledged
 			}
-			n.applyCommittedRound(owned, 10)
+			n.scheduler.applyCommittedRound(owned, 10)
 		}
-		s, _ := n.jobStatus(j.ID)
+		s, _ := n.jobs.JobStatus(j.ID)
 		if acknowledged != tc.want || s.Terminal() != tc.want {
 			t.Errorf("%s: said %v, the job is called %s; expected %v", what, acknowledged, s.State, tc.want)
 		}
@@ -76,7 +76,7 @@
 	n, _, _, j := newCancelledJob(t)
 	retried, answered := 0, 0
 	ask := func(forwarded bool) {
-		n.respondWhenAcknowledged(forwarded, func(s api.JobStatus) {
+		n.jobs.RespondWhenAcknowledged(forwarded, func(s api.JobStatus) {
 			if answered++; s.State != api.JobCancelled {
 				t.Errorf("%s is told", s.State)
 			}
@@ -84,15 +84,15 @@
 	}
 	ask(true)
 	ask(false)
-	n.now = n.now.Add(time.Second)
-	if n.answerCancellations(); retried != 1 || answered != 0 {
+	n.core.now = n.core.now.Add(time.Second)
+	if n.jobs.AnswerCancellations(); retried != 1 || answered != 0 {
 		t.Errorf("after a second %d were told, %d are to come again", answered, retried)
 	}
-	n.state.ApplyRecord(0, &clusterstate.Record{Seq: 2, Jobs: []clusterstate.JobDelta{{Job: j.ID, CancellationAcknowledged: true}}})
-	if n.answerCancellations(); retried != 1 || answered != 1 || len(n.pendingCancellations) != 0 {
-		t.Errorf("%d were told, %d are to come again, %d wait", answered, retried, len(n.pendingCancellations))
+	n.core.state.ApplyRecord(0, &clusterstate.Record{Seq: 2, Jobs: []clusterstate.JobDelta{{Job: j.ID, CancellationAcknowledged: true}}})
+	if n.jobs.AnswerCancellations(); retried != 1 || answered != 1 || len(n.jobs.pendingCancellations) != 0 {
+		t.Errorf("%d were told, %d are to come again, %d wait", answered, retried, len(n.jobs.pendingCancellations))
 	}
-	if v := n.viewMetrics(); v.PendingCancellations != 0 {
+	if v := n.reporter.ViewMetrics(); v.PendingCancellations != 0 {
 		t.Errorf("%d cancellations wait", v.PendingCancellations)
 	}
 }
@@ -102,10 +102,10 @@
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	n.dispatch(MalformedMessage{Req: 1, From: "10.0.0.9:1"})
 	n.dispatch(PeerGossip{Req: 2, Gossip: &Gossip{From: "nobody", Rented: []RecentScaleOut{{Machines: []api.MachineID{"i-9"}}}}})
-	if n.metrics.MalformedMessages != 2 || len(n.fleet.provisioned) != 0 {
-		t.Errorf("%d counted, %d rentals believed", n.metrics.MalformedMessages, len(n.fleet.provisioned))
+	if n.core.metrics.MalformedMessages != 2 || len(n.autoscaler.fleet.provisioned) != 0 {
+		t.Errorf("%d counted, %d rentals believed", n.core.metrics.MalformedMessages, len(n.autoscaler.fleet.provisioned))
 	}
-	for _, e := range n.effects {
+	for _, e := range n.core.effects {
 		if r, ok := e.(Reply); ok && r.Status != 400 {
 			t.Errorf("answered with %d", r.Status)
 		}
@@ -116,9 +116,9 @@
 // called cancelled must not become done.
 func TestNoCompletionAfterACancellation(t *testing.T) {
 	n, owned, _, j := newCancelledJob(t)
-	n.recordTaskEnd(owned, j.Placements[0], true, "done")
-	n.recordTaskEnd(owned, j.Placements[1], true, "done")
-	n.runPartition(owned)
+	n.scheduler.RecordTaskEnd(owned, j.Placements[0], true, "done")
+	n.scheduler.RecordTaskEnd(owned, j.Placements[1], true, "done")
+	n.scheduler.RunPartition(owned)
 	if owned.inFlight == nil {
 		t.Fatal("no round is written")
 	}
@@ -131,8 +131,8 @@
 	if lost != 2 {
 		t.Errorf("%d are recorded as lost, expected 2", lost)
 	}
-	n.applyCommittedRound(owned, 10)
-	if s, _ := n.jobStatus(j.ID); s.State != api.JobCancelled {
+	n.scheduler.applyCommittedRound(owned, 10)
+	if s, _ := n.jobs.JobStatus(j.ID); s.State != api.JobCancelled {
 		t.Errorf("the job is called %s", s.State)
 	}
 }
@@ -146,8 +146,8 @@
 		m.reportedTasks[attemptKey{p.Task, p.Attempt}] = api.TaskStatus{Task: p.Task.String(), Attempt: p.Attempt, State: api.TaskRunning}
 	}
 	calls := func() (count, stops int) {
-		n.reconcileMachines()
-		for _, e := range n.effects {
+		n.agents.ReconcileMachines()
+		for _, e := range n.core.effects {
 			if c, ok := e.(WorkerCall); ok {
 				count++
 				for _, command := range c.Commands.Commands {
@@ -159,12 +159,12 @@
 		}
 		return count, stops
 	}
-	n.runPartition(owned)
+	n.scheduler.RunPartition(owned)
 	if count, stops := calls(); count != 1 || stops != 2 {
 		t.Errorf("%d calls with %d halts, expected 1 with 2", count, stops)
 	}
-	n.stopCancelledTasks(owned, j)
-	if len(n.pendingContacts) != 0 {
+	n.jobs.StopCancelledTasks(owned, j)
+	if len(n.agents.pendingContacts) != 0 {
 		t.Error("it is called again for the same")
 	}
 }
--- a/controller/capacitytarget.go
+++ b/controller/capacitytarget.go
@@ -21,16 +21,16 @@
 // work that they are kept for and that does not end soon: services and gangs.
 type AcceleratorCount struct{ Up, Lasting int }
 
-// countAccelerators counts a part's machines with accelerators.
-func (n *Controller) countAccelerators(p api.PartitionID) map[AcceleratorKind]AcceleratorCount {
+// CountAccelerators counts a part's machines with accelerators.
+func (as *Autoscaler) CountAccelerators(p api.PartitionID) map[AcceleratorKind]AcceleratorCount {
 	counts := map[AcceleratorKind]AcceleratorCount{}
-	for _, m := range n.machinesOf(p) {
-		if m.lastHeartbeat == 0 || m.deleting || !n.hasAccelerators(m.machineType) {
+	for _, m := range as.c.agents.MachinesOf(p) {
+		if m.lastHeartbeat == 0 || m.deleting || !as.c.jobs.HasAccelerators(m.machineType) {
 			continue
 		}
 		c := counts[AcceleratorKind{m.machineType, m.spot}]
 		c.Up++
-		if n.hasLongRunningWork(m.ID) {
+		if as.hasLongRunningWork(m.ID) {
 			c.Lasting++
 		}
 		counts[AcceleratorKind{m.machineType, m.spot}] = c
@@ -40,9 +40,9 @@
 
 // hasLongRunningWork reports whether a machine with accelerators has a service or a gang
 // that needs them.
-func (n *Controller) hasLongRunningWork(id api.MachineID) bool {
-	for _, p := range n.state.PlacementsOn(id) {
-		if p.Job.Spec.Kind != api.Array && !n.isCPUOnly(p.Job.Spec) {
+func (as *Autoscaler) hasLongRunningWork(id api.MachineID) bool {
+	for _, p := range as.core.state.PlacementsOn(id) {
+		if p.Job.Spec.Kind != api.Array && !as.c.scheduler.IsCPUOnly(p.Job.Spec) {
 			return true
 		}
 	}
@@ -50,16 +50,16 @@
 }
 
 // acceleratorsByPartition is what is known of all parts' machines with accelerators.
-func (n *Controller) acceleratorsByPartition() map[api.PartitionID]map[AcceleratorKind]AcceleratorCount {
+func (as *Autoscaler) acceleratorsByPartition() map[api.PartitionID]map[AcceleratorKind]AcceleratorCount {
 	out := map[api.PartitionID]map[AcceleratorKind]AcceleratorCount{}
-	for p := range n.partitions {
-		out[p] = n.countAccelerators(p)
+	for p := range as.c.scheduler.partitions {
+		out[p] = as.CountAccelerators(p)
 	}
-	for _, status := range n.peerPartitionStatuses() {
+	for _, status := range as.c.gossiper.PeerPartitionStatuses() {
 		out[status.Part] = status.Accelerated
 	}
-	n.eachUnreportedMachine(func(p api.PartitionID, h api.Instance) {
-		if !n.hasAccelerators(h.Type) {
+	as.c.gossiper.EachUnreportedMachine(func(p api.PartitionID, h api.Instance) {
+		if !as.c.jobs.HasAccelerators(h.Type) {
 			return
 		}
 		if out[p] == nil {
@@ -67,7 +67,7 @@
 		}
 		c := out[p][AcceleratorKind{h.Type, h.Spot}]
 		c.Up++
-		if n.hasLongRunningWork(h.ID) {
+		if as.hasLongRunningWork(h.ID) {
 			c.Lasting++
 		}
 		out[p][AcceleratorKind{h.Type, h.Spot}] = c
@@ -115,24 +115,24 @@
 // machines would otherwise keep all of them though it never needs them at once.
 // Those are the dear ones; of the others a few more do not matter, and rounds of
 // short tasks miss them (docs/measurements.md).
-func (n *Controller) updateCapacityTargets() {
-	n.fleet.nextDemandSample = n.now.Add(demandSampleInterval)
-	n.recordSpotUptime()
+func (as *Autoscaler) updateCapacityTargets() {
+	as.fleet.nextDemandSample = as.core.now.Add(demandSampleInterval)
+	as.recordSpotUptime()
 	samples := map[api.MachineTypeName]demandSample{}
-	for _, j := range n.state.Jobs {
-		if j.Terminal() || n.isCPUOnly(j.Spec) || n.startsBlocked(j) {
+	for _, j := range as.core.state.Jobs {
+		if j.Terminal() || as.c.scheduler.IsCPUOnly(j.Spec) || as.c.tenancy.StartsBlocked(j) {
 			continue
 		}
-		typ := n.cheapestType(j.Spec)
+		typ := as.CheapestType(j.Spec)
 		if typ == nil {
 			continue
 		}
 		sample := samples[typ.Name]
 		machines := float64(j.Spec.Tasks-j.CompletedCount) / float64(max(1, j.Demand.Slots(typ.Capacity())))
 		sample.total += machines
-		target := n.capacityTargetOf(typ.Name)
+		target := as.capacityTargetOf(typ.Name)
 		switch {
-		case !n.isLatencySensitive(j.Spec):
+		case !as.IsLatencySensitive(j.Spec):
 			if target.batchSpec == nil || !target.batchSpec.Spot && j.Spec.Spot {
 				target.batchSpec = j.Spec
 			}
@@ -142,45 +142,45 @@
 		default:
 			sample.latencySensitive += machines
 		}
-		if !n.isLatencySensitive(j.Spec) && n.spotRisk(j) > 0.3 {
+		if !as.IsLatencySensitive(j.Spec) && as.c.scheduler.SpotRisk(j) > 0.3 {
 			sample.latencySensitive += machines
 		}
 		samples[typ.Name] = sample
 	}
-	counts := n.acceleratorsByPartition()
-	for _, name := range slices.Sorted(maps.Keys(n.machineTypes)) {
-		if typ := n.machineTypes[name]; typ.GPUs > 0 {
-			target := n.capacityTargetOf(name)
+	counts := as.acceleratorsByPartition()
+	for _, name := range slices.Sorted(maps.Keys(as.core.machineTypes)) {
+		if typ := as.core.machineTypes[name]; typ.GPUs > 0 {
+			target := as.capacityTargetOf(name)
 			sample := samples[name]
-			sample.sampledAt = n.now
-			target.addSample(sample, api.Time(n.idleTimeout(name)+2*demandSampleInterval), api.Time(api.Seconds(typ.BootSeconds)))
-			n.markSurplus(name, target, counts)
+			sample.sampledAt = as.core.now
+			target.addSample(sample, api.Time(as.idleTimeout(name)+2*demandSampleInterval), api.Time(api.Seconds(typ.BootSeconds)))
+			as.markSurplus(name, target, counts)
 		}
 	}
 }
 
-// isLatencySensitive reports whether work should start sooner than a machine for it boots:
+// IsLatencySensitive reports whether work should start sooner than a machine for it boots:
 // booting takes up to half as long again as the type's time.
-func (n *Controller) isLatencySensitive(s *api.JobSpec) bool {
-	within, typ := n.startObjective(s.Class), n.cheapestType(s)
+func (as *Autoscaler) IsLatencySensitive(s *api.JobSpec) bool {
+	within, typ := as.c.scheduler.StartObjective(s.Class), as.CheapestType(s)
 	return within > 0 && typ != nil && within < slowBootFactor*typ.BootSeconds
 }
 
-// suitsLatencySensitive reports whether a machine is such as prompt work needs: other work
+// SuitsLatencySensitive reports whether a machine is such as prompt work needs: other work
 // leaves room there if it can, or it would have to make way.
-func (n *Controller) suitsLatencySensitive(m *Machine) bool {
-	target := n.fleet.capacityTargets[m.machineType]
+func (as *Autoscaler) SuitsLatencySensitive(m *Machine) bool {
+	target := as.fleet.capacityTargets[m.machineType]
 	return target != nil && target.latencySensitiveSpec != nil && (target.latencySensitiveSpec.Spot || !m.spot)
 }
 
 // demandSampleInterval is how often the load is looked at.
 const demandSampleInterval = time.Second
 
-func (n *Controller) capacityTargetOf(name api.MachineTypeName) *capacityTarget {
-	target := n.fleet.capacityTargets[name]
+func (as *Autoscaler) capacityTargetOf(name api.MachineTypeName) *capacityTarget {
+	target := as.fleet.capacityTargets[name]
 	if target == nil {
 		target = &capacityTarget{}
-		n.fleet.capacityTargets[name] = target
+		as.fleet.capacityTargets[name] = target
 	}
 	return target
 }
@@ -207,11 +207,11 @@
 	target.total = target.latencySensitive + withHeadroom(max(mean.total-mean.latencySensitive, sample.total-sample.latencySensitive))
 }
 
-// cheapestType is the cheapest type that can take a job's tasks.
-func (n *Controller) cheapestType(s *api.JobSpec) *api.MachineType {
+// CheapestType is the cheapest type that can take a job's tasks.
+func (as *Autoscaler) CheapestType(s *api.JobSpec) *api.MachineType {
 	var best *api.MachineType
-	for _, name := range slices.Sorted(maps.Keys(n.machineTypes)) {
-		t := n.machineTypes[name]
+	for _, name := range slices.Sorted(maps.Keys(as.core.machineTypes)) {
+		t := as.core.machineTypes[name]
 		if s.Demand().Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, name)) && (best == nil || t.Price < best.Price) {
 			best = t
 		}
@@ -224,7 +224,7 @@
 // may use as many stay as it needs. They get work last and are returned when they
 // are idle. Every owner reckons alike from the same counts, so that together they
 // choose about as many as there are too many.
-func (n *Controller) markSurplus(name api.MachineTypeName, target *capacityTarget, countsByPartition map[api.PartitionID]map[AcceleratorKind]AcceleratorCount) {
+func (as *Autoscaler) markSurplus(name api.MachineTypeName, target *capacityTarget, countsByPartition map[api.PartitionID]map[AcceleratorKind]AcceleratorCount) {
 	totals := map[AcceleratorKind]AcceleratorCount{}
 	surplus := -target.total
 	for _, counts := range countsByPartition {
@@ -237,9 +237,9 @@
 	}
 	price := func(s AcceleratorKind) float64 {
 		if s.Spot {
-			return n.machineTypes[name].SpotPrice
+			return as.core.machineTypes[name].SpotPrice
 		}
-		return n.machineTypes[name].Price
+		return as.core.machineTypes[name].Price
 	}
 	supplies := slices.SortedFunc(maps.Keys(totals), func(a, b AcceleratorKind) int { return cmp.Compare(price(b), price(a)) })
 	for _, s := range supplies {
@@ -258,10 +258,10 @@
 				take = surplusOfKind*(freeBefore+c.Up-c.Lasting)/free - surplusOfKind*freeBefore/free
 			}
 			freeBefore += c.Up - c.Lasting
-			if owned := n.partitions[p]; owned != nil {
-				n.selectSurplus(p, s, take)
+			if owned := as.c.scheduler.partitions[p]; owned != nil {
+				as.selectSurplus(p, s, take)
 				if target.latencySensitiveSpec != nil && (excess-free)/len(countsByPartition) > 0 {
-					n.consolidate(owned, s)
+					as.consolidate(owned, s)
 				}
 			}
 		}
@@ -270,22 +270,22 @@
 
 // selectSurplus marks so many of a part's machines: those marked before, then
 // those with least work, then the newest.
-func (n *Controller) selectSurplus(p api.PartitionID, s AcceleratorKind, take int) {
+func (as *Autoscaler) selectSurplus(p api.PartitionID, s AcceleratorKind, take int) {
 	var free []*Machine
-	for _, m := range n.machinesOf(p) {
+	for _, m := range as.c.agents.MachinesOf(p) {
 		switch {
 		case m.machineType != s.Type || m.spot != s.Spot:
-		case m.lastHeartbeat != 0 && !m.deleting && !n.hasLongRunningWork(m.ID):
+		case m.lastHeartbeat != 0 && !m.deleting && !as.hasLongRunningWork(m.ID):
 			free = append(free, m)
 		default:
 			m.surplus = false
 		}
 	}
 	rank := func(m *Machine) int {
-		if m.surplus || n.now < m.consolidatingUntil {
+		if m.surplus || as.core.now < m.consolidatingUntil {
 			return 0
 		}
-		return 1 + len(n.state.PlacementsOn(m.ID))
+		return 1 + len(as.core.state.PlacementsOn(m.ID))
 	}
 	slices.SortStableFunc(free, func(a, b *Machine) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(b.ID, a.ID))
@@ -302,44 +302,46 @@
 // have room and their image, so that it can be returned: services that came while there
 // was much other work are spread over many machines when that is gone. The cost is a
 // moment without the replica.
-func (n *Controller) consolidate(owned *ownedPartition, s AcceleratorKind) {
-	if n.now.Sub(owned.ownedSince) < n.idleTimeout(s.Type) {
+func (as *Autoscaler) consolidate(owned *ownedPartition, s AcceleratorKind) {
+	if as.core.now.Sub(owned.ownedSince) < as.idleTimeout(s.Type) {
 		return
 	}
 	var from, to []*Machine
-	for _, m := range n.machinesOf(owned.id) {
-		if m.machineType != s.Type || m.spot != s.Spot || m.surplus || n.now < m.consolidatingUntil || !n.isSchedulable(m, owned) || len(n.state.PlacementsOn(m.ID)) == 0 {
+	for _, m := range as.c.agents.MachinesOf(owned.id) {
+		if m.machineType != s.Type || m.spot != s.Spot || m.surplus || as.core.now < m.consolidatingUntil || !as.c.scheduler.IsSchedulable(m, owned) || len(as.core.state.PlacementsOn(m.ID)) == 0 {
 			continue
 		}
-		if n.reservedFor(m) == "" {
+		if as.c.preemptor.ReservedFor(m) == "" {
 			to = append(to, m)
 		}
-		if n.allServicesMovable(m, owned) {
+		if as.allServicesMovable(m, owned) {
 			from = append(from, m)
 		}
 	}
 	if len(from) == 0 {
 		return
 	}
-	m := slices.MinFunc(from, func(a, b *Machine) int { return len(n.state.PlacementsOn(a.ID)) - len(n.state.PlacementsOn(b.ID)) })
-	if !n.fitsElsewhere(m, owned, to) {
+	m := slices.MinFunc(from, func(a, b *Machine) int {
+		return len(as.core.state.PlacementsOn(a.ID)) - len(as.core.state.PlacementsOn(b.ID))
+	})
+	if !as.fitsElsewhere(m, owned, to) {
 		return
 	}
-	m.consolidatingUntil = n.now.Add(reservationTTL)
-	slog.Info("services relocated", "machine", m.ID, "tasks", len(n.state.PlacementsOn(m.ID)))
-	for _, p := range slices.Clone(n.state.PlacementsOn(m.ID)) {
-		n.stopTask(p)
+	m.consolidatingUntil = as.core.now.Add(reservationTTL)
+	slog.Info("services relocated", "machine", m.ID, "tasks", len(as.core.state.PlacementsOn(m.ID)))
+	for _, p := range slices.Clone(as.core.state.PlacementsOn(m.ID)) {
+		as.c.scheduler.StopTask(p)
 	}
 }
 
 // fitsElsewhere reports whether others that have the images have room for all that a
 // machine holds.
-func (n *Controller) fitsElsewhere(from *Machine, owned *ownedPartition, to []*Machine) bool {
+func (as *Autoscaler) fitsElsewhere(from *Machine, owned *ownedPartition, to []*Machine) bool {
 	taken := map[*Machine]api.Resources{}
-	for _, p := range n.state.PlacementsOn(from.ID) {
+	for _, p := range as.core.state.PlacementsOn(from.ID) {
 		i := slices.IndexFunc(to, func(m *Machine) bool {
 			_, has := m.cachedImages[p.Job.Spec.Image]
-			return has && m != from && p.Job.Demand.Fits(n.freeCapacityOn(m, owned).Minus(taken[m]))
+			return has && m != from && p.Job.Demand.Fits(as.c.scheduler.FreeCapacityOn(m, owned).Minus(taken[m]))
 		})
 		if i < 0 {
 			return false
@@ -350,11 +352,11 @@
 }
 
 // allServicesMovable reports whether all that a machine holds are services that may move.
-func (n *Controller) allServicesMovable(m *Machine, owned *ownedPartition) bool {
-	for _, p := range n.state.PlacementsOn(m.ID) {
+func (as *Autoscaler) allServicesMovable(m *Machine, owned *ownedPartition) bool {
+	for _, p := range as.core.state.PlacementsOn(m.ID) {
 		s := p.Job.Spec
 		if s.Kind != api.Service || s.Spread || s.OneZone || p.Partition != owned.id || p.Finishing || p.OwnerState.stopRequested || p.Job.Terminal() ||
-			p.OwnerState.runningSince == 0 || n.now.Sub(p.OwnerState.runningSince) < minServiceRuntime {
+			p.OwnerState.runningSince == 0 || as.core.now.Sub(p.OwnerState.runningSince) < minServiceRuntime {
 			return false
 		}
 	}
@@ -363,10 +365,10 @@
 
 // scaleOutAhead adds the machines that should be up before the work comes that will
 // need them.
-func (n *Controller) scaleOutAhead(need, incoming map[machineOffer]int) {
-	counts := n.acceleratorsByPartition()
-	for _, name := range slices.Sorted(maps.Keys(n.fleet.capacityTargets)) {
-		target := n.fleet.capacityTargets[name]
+func (as *Autoscaler) scaleOutAhead(need, incoming map[machineOffer]int) {
+	counts := as.acceleratorsByPartition()
+	for _, name := range slices.Sorted(maps.Keys(as.fleet.capacityTargets)) {
+		target := as.fleet.capacityTargets[name]
 		if target.latencySensitiveSpec == nil {
 			continue
 		}
@@ -390,7 +392,7 @@
 		}
 		add := func(s *api.JobSpec, missing int) {
 			for ; missing > 0; missing-- {
-				o, ok := n.cheapestOffer(s, need, incoming, func(api.Zone) bool { return true })
+				o, ok := as.cheapestOffer(s, need, incoming, func(api.Zone) bool { return true })
 				if !ok {
 					break
 				}
--- a/controller/capacitytarget_test.go
+++ b/controller/capacitytarget_test.go
@@ -40,14 +40,14 @@
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	accepted := 0
 	for range 10 * 20 { // ten seconds, a thousand submissions
-		n.now = n.now.Add(50 * time.Millisecond)
+		n.core.now = n.core.now.Add(50 * time.Millisecond)
 		for range 5 {
-			if n.allowSubmission() {
+			if n.jobs.allowSubmission() {
 				accepted++
 			}
 		}
 	}
-	if most := int(submissionWriteShare * n.config.Deployment.State.WriteRPS * 11); accepted > most || accepted < most/2 {
+	if most := int(submissionWriteShare * n.core.config.Deployment.State.WriteRPS * 11); accepted > most || accepted < most/2 {
 		t.Errorf("%d of 1000 submissions in ten seconds are written, expected %d at most and not much less", accepted, most)
 	}
 }
@@ -56,14 +56,14 @@
 // the same.
 func TestOverloadShedsOnlyOptionalWork(t *testing.T) {
 	n, owned, _, _ := newTestOwner(t, testSpec(2))
-	n.teams["red"] = config.Team{Name: "red"}
+	n.core.teams["red"] = config.Team{Name: "red"}
 	n.dispatch(ResourceUsage{QueueLength: 10 * overloadQueueLength})
-	n.fleet.nextDemandSample = 0
-	n.reconcileFleet()
-	if n.fleet.nextDemandSample != 0 {
+	n.autoscaler.fleet.nextDemandSample = 0
+	n.autoscaler.ReconcileFleet()
+	if n.autoscaler.fleet.nextDemandSample != 0 {
 		t.Error("the load was reckoned")
 	}
-	n.runPartition(owned)
+	n.scheduler.RunPartition(owned)
 	if owned.nextMove != 0 || owned.nextLoan != 0 {
 		t.Error("moves and lending were looked at")
 	}
@@ -71,8 +71,8 @@
 		t.Error("no start was planned")
 	}
 	n.dispatch(ResourceUsage{QueueLength: 0})
-	n.reconcileFleet()
-	if n.fleet.nextDemandSample == 0 {
+	n.autoscaler.ReconcileFleet()
+	if n.autoscaler.fleet.nextDemandSample == 0 {
 		t.Error("the load was not reckoned when there was time again")
 	}
 }
--- a/controller/deletions.go
+++ b/controller/deletions.go
@@ -9,11 +9,11 @@
 	"basaltwall/zonehealth"
 )
 
-// scheduleDeletion has the cloud delete a machine; its answer proves the tasks over.
-func (n *Controller) scheduleDeletion(m *Machine, owned *ownedPartition, reason string) {
+// ScheduleDeletion has the cloud delete a machine; its answer proves the tasks over.
+func (as *Autoscaler) ScheduleDeletion(m *Machine, owned *ownedPartition, reason string) {
 	m.deleting = true
 	m.unreachable = reason == deleteReasonUnreachable || reason == deleteReasonCancelled || reason == deleteReasonZoneLost
-	n.pendingDeletions = append(n.pendingDeletions, pendingDeletion{m, owned, reason})
+	as.pendingDeletions = append(as.pendingDeletions, pendingDeletion{m, owned, reason})
 }
 
 // pendingDeletion is a machine that is to be deleted.
@@ -23,80 +23,80 @@
 	reason    string
 }
 
-// processDeletions deletes what is to be deleted, many by one call. That the parts
+// ProcessDeletions deletes what is to be deleted, many by one call. That the parts
 // are still ours is read first: a deposed owner, cut off perhaps, must not delete
 // what another has put to use.
-func (n *Controller) processDeletions() {
-	if n.deletionInFlight || len(n.pendingDeletions) == 0 || n.now < n.nextDeletionAt {
+func (as *Autoscaler) ProcessDeletions() {
+	if as.deletionInFlight || len(as.pendingDeletions) == 0 || as.core.now < as.nextDeletionAt {
 		return
 	}
-	n.deletionInFlight = true
+	as.deletionInFlight = true
 	// What a rule wants gone in time first, then a lost zone's in the order of the plan,
 	// then work that should never stop or that others of its gang wait for.
 	rank := func(deletion pendingDeletion) int {
 		return slices.Index([]string{deleteReasonCancelled, deleteReasonZoneLost, deletion.reason}, deletion.reason)
 	}
-	slices.SortStableFunc(n.pendingDeletions, func(a, b pendingDeletion) int {
+	slices.SortStableFunc(as.pendingDeletions, func(a, b pendingDeletion) int {
 		if c := rank(a) - rank(b); c != 0 || a.reason == deleteReasonZoneLost {
 			return c
 		}
-		return n.nonArrayTasks(b.machine) - n.nonArrayTasks(a.machine)
+		return as.nonArrayTasks(b.machine) - as.nonArrayTasks(a.machine)
 	})
-	batch := slices.Clone(n.pendingDeletions[:min(len(n.pendingDeletions), maxDeletionBatch)])
-	n.pendingDeletions = slices.Clone(n.pendingDeletions[len(batch):])
+	batch := slices.Clone(as.pendingDeletions[:min(len(as.pendingDeletions), maxDeletionBatch)])
+	as.pendingDeletions = slices.Clone(as.pendingDeletions[len(batch):])
 	finish := func(ok bool) {
-		if n.deletionInFlight = false; ok {
-			n.deletionFailures, n.nextDeletionAt = 0, n.now.Add(n.cloudCallInterval)
+		if as.deletionInFlight = false; ok {
+			as.deletionFailures, as.nextDeletionAt = 0, as.core.now.Add(as.core.cloudCallInterval)
 			return
 		}
 		// Twice as long each time, and not in step with the other owners: all of them have
 		// much to delete when a zone is lost, and the cloud may be down just then.
-		n.deletionFailures++
-		backoff := min(maxDeletionBackoff, n.cloudCallInterval<<min(n.deletionFailures, 16))
-		n.nextDeletionAt = n.now.Add(backoff/2 + time.Duration(n.rng.Int64N(int64(backoff/2)+1)))
+		as.deletionFailures++
+		backoff := min(maxDeletionBackoff, as.core.cloudCallInterval<<min(as.deletionFailures, 16))
+		as.nextDeletionAt = as.core.now.Add(backoff/2 + time.Duration(as.rng.Int64N(int64(backoff/2)+1)))
 	}
 	cancelDeletion := func(deletion pendingDeletion) {
 		deletion.machine.deleting = false
-		deletion.machine.nextCallAt = n.now.Add(time.Second)
+		deletion.machine.nextCallAt = as.core.now.Add(time.Second)
 	}
-	n.linearizableRead(func() {
+	as.c.follower.LinearizableRead(func() {
 		var ids []api.MachineID
 		var confirmed []pendingDeletion
 		for _, deletion := range batch {
-			if n.partitions[deletion.partition.id] != deletion.partition || n.partitionOf(deletion.machine.ID) != deletion.partition.id || deletion.reason == deleteReasonIdle && len(n.state.PlacementsOn(deletion.machine.ID)) > 0 ||
-				deletion.reason == deleteReasonZoneLost && n.zones.records[deletion.machine.zone].State != zonehealth.Failed {
+			if as.c.scheduler.partitions[deletion.partition.id] != deletion.partition || as.c.agents.PartitionOf(deletion.machine.ID) != deletion.partition.id || deletion.reason == deleteReasonIdle && len(as.core.state.PlacementsOn(deletion.machine.ID)) > 0 ||
+				deletion.reason == deleteReasonZoneLost && as.c.health.zones.records[deletion.machine.zone].State != zonehealth.Failed {
 				cancelDeletion(deletion) // what was decided is not so any more
 				continue
 			}
-			slog.Info("deleting machine", "machine", deletion.machine.ID, "why", deletion.reason, "tasks", len(n.state.PlacementsOn(deletion.machine.ID)))
+			slog.Info("deleting machine", "machine", deletion.machine.ID, "why", deletion.reason, "tasks", len(as.core.state.PlacementsOn(deletion.machine.ID)))
 			ids, confirmed = append(ids, deletion.machine.ID), append(confirmed, deletion)
 		}
 		if len(ids) == 0 {
 			finish(true)
 			return
 		}
-		n.callCloud(CloudCall{Delete: ids}, func(a CloudResponse) {
+		as.core.CallCloud(CloudCall{Delete: ids}, func(a CloudResponse) {
 			finish(a.Status == 200)
 			for _, deletion := range confirmed {
 				if a.Status != 200 {
 					cancelDeletion(deletion)
 					continue
 				}
-				n.fleet.deletedAt[deletion.machine.ID] = n.now
-				delete(n.fleet.offerBackoff, machineOffer{deletion.machine.machineType, deletion.machine.zone, deletion.machine.spot}) // there may be room again
+				as.fleet.deletedAt[deletion.machine.ID] = as.core.now
+				delete(as.fleet.offerBackoff, machineOffer{deletion.machine.machineType, deletion.machine.zone, deletion.machine.spot}) // there may be room again
 				if deletion.machine.spot && (deletion.reason == deleteReasonUnreachable || deletion.reason == deleteReasonCancelled || deletion.machine.reclaimNotice) {
-					n.fleet.spotPreemptions++
+					as.fleet.spotPreemptions++
 				}
-				n.dropLoanRecord(deletion.partition, deletion.machine.ID)
-				if n.partitions[deletion.partition.id] == deletion.partition {
-					for _, p := range n.state.PlacementsOn(deletion.machine.ID) {
+				as.c.balancer.DropLoanRecord(deletion.partition, deletion.machine.ID)
+				if as.c.scheduler.partitions[deletion.partition.id] == deletion.partition {
+					for _, p := range as.core.state.PlacementsOn(deletion.machine.ID) {
 						if p.Partition == deletion.partition.id && !p.Finishing {
-							n.recordTaskEnd(deletion.partition, p, false, reasonMachineDeleted)
+							as.c.scheduler.RecordTaskEnd(deletion.partition, p, false, reasonMachineDeleted)
 						}
 					}
 					deletion.partition.dirty = true
 				}
-				n.forgetMachine(deletion.machine.ID)
+				as.c.agents.ForgetMachine(deletion.machine.ID)
 			}
 		})
 	}, func() {
@@ -108,9 +108,9 @@
 }
 
 // nonArrayTasks counts the tasks on a machine that are not of an array.
-func (n *Controller) nonArrayTasks(m *Machine) int {
+func (as *Autoscaler) nonArrayTasks(m *Machine) int {
 	count := 0
-	for _, p := range n.state.PlacementsOn(m.ID) {
+	for _, p := range as.core.state.PlacementsOn(m.ID) {
 		if p.Job.Spec.Kind != api.Array && !p.Job.Terminal() {
 			count++
 		}
--- a/controller/gossip.go
+++ b/controller/gossip.go
@@ -10,56 +10,67 @@
 	"basaltwall/relay"
 )
 
-// sendGossip tells the others about our parts. Of many controllers most tell a relay, and relays pass
+// Gossiper exchanges the status of partitions with the other controllers.
+type Gossiper struct {
+	core *Core
+	c    *Controller
+
+	peers        map[api.ControllerID]*peerStatus
+	nextGossipAt api.Time
+	gossipNumber uint64
+	lastGossipAt api.Time // when news was last told
+}
+
+// SendGossip tells the others about our parts. Of many controllers most tell a relay, and relays pass
 // on what they were told, so that the messages grow with the controllers and not with their square.
-func (n *Controller) sendGossip() {
+func (gs *Gossiper) SendGossip() {
 	// News is believed for some seconds: a controller that is behind tells less often.
-	if n.now < n.nextGossipAt || n.overloaded() && n.now < n.nextGossipAt.Add(4*gossipInterval) {
+	if gs.core.now < gs.nextGossipAt || gs.core.Overloaded() && gs.core.now < gs.nextGossipAt.Add(4*gossipInterval) {
 		return
 	}
-	previousGossipAt := n.lastGossipAt
-	n.nextGossipAt, n.lastGossipAt = n.now.Add(gossipInterval), n.now
-	for id, r := range n.redirects {
-		if n.now.Sub(r.at) > n.redirectTTL {
-			delete(n.redirects, id)
+	previousGossipAt := gs.lastGossipAt
+	gs.nextGossipAt, gs.lastGossipAt = gs.core.now.Add(gossipInterval), gs.core.now
+	for id, r := range gs.c.agents.redirects {
+		if gs.core.now.Sub(r.at) > gs.core.redirectTTL {
+			delete(gs.c.agents.redirects, id)
 		}
 	}
-	n.gossipNumber++
-	g := &Gossip{From: n.config.Label, Born: n.incarnation, Number: n.gossipNumber, StateOK: !n.storeUnreachable()}
-	for _, p := range slices.Sorted(maps.Keys(n.partitions)) {
-		g.Parts = append(g.Parts, n.partitionStatus(n.partitions[p]))
-		n.recordDemand(p, n.partitions[p].quotaDemand)
+	gs.gossipNumber++
+	g := &Gossip{From: gs.core.config.Label, Born: gs.core.incarnation, Number: gs.gossipNumber, StateOK: !gs.core.StoreUnreachable()}
+	for _, p := range slices.Sorted(maps.Keys(gs.c.scheduler.partitions)) {
+		g.Parts = append(g.Parts, gs.partitionStatus(gs.c.scheduler.partitions[p]))
+		gs.recordDemand(p, gs.c.scheduler.partitions[p].quotaDemand)
 	}
-	if n.partitions[0] != nil {
-		g.Rented = n.fleet.provisionedNotListed()
+	if gs.c.scheduler.partitions[0] != nil {
+		g.Rented = gs.c.autoscaler.fleet.provisionedNotListed()
 	}
-	if !n.usesRelays() {
-		n.gossipTo(slices.Sorted(maps.Keys(n.peers)), g)
+	if !gs.c.follower.UsesRelays() {
+		gs.gossipTo(slices.Sorted(maps.Keys(gs.peers)), g)
 		return
 	}
-	n.gossipThroughRelays(g, previousGossipAt)
+	gs.gossipThroughRelays(g, previousGossipAt)
 }
 
 // gossipThroughRelays tells our news where there are relays: to one, if we are none, else to the other
 // relays with what controllers that are none have told us since the last time, and to those
 // controllers with all that we were told.
-func (n *Controller) gossipThroughRelays(ownGossip *Gossip, since api.Time) {
-	relays := n.currentRelays()
-	if !isRelay(relays, n.config.Label) {
-		targets := slices.Sorted(maps.Keys(n.peers)) // no relay answers
-		if via := n.nextRelay(); via != "" {
+func (gs *Gossiper) gossipThroughRelays(ownGossip *Gossip, since api.Time) {
+	relays := gs.c.follower.CurrentRelays()
+	if !isRelay(relays, gs.core.config.Label) {
+		targets := slices.Sorted(maps.Keys(gs.peers)) // no relay answers
+		if via := gs.c.follower.NextRelay(); via != "" {
 			targets = []api.ControllerID{via}
 		}
-		n.gossipTo(targets, ownGossip)
+		gs.gossipTo(targets, ownGossip)
 		return
 	}
 	toRelays, toOthers := *ownGossip, *ownGossip
 	var others []api.ControllerID
-	for _, l := range slices.Sorted(maps.Keys(n.peers)) {
+	for _, l := range slices.Sorted(maps.Keys(gs.peers)) {
 		if !isRelay(relays, l) {
 			others = append(others, l)
 		}
-		p := n.peers[l]
+		p := gs.peers[l]
 		if p.receivedAt == 0 || p.receivedAt < since {
 			continue
 		}
@@ -71,100 +82,100 @@
 	}
 	var peers []api.ControllerID
 	for _, r := range relays {
-		if r.ID != n.config.Label {
+		if r.ID != gs.core.config.Label {
 			peers = append(peers, r.ID)
 		}
 	}
-	n.gossipTo(peers, &toRelays)
-	n.gossipTo(n.relayClients(relays, others), &toOthers)
+	gs.gossipTo(peers, &toRelays)
+	gs.gossipTo(gs.relayClients(relays, others), &toOthers)
 }
 
 // relayClients are the controllers that we tell as a relay: those that ask us first, and those that
 // are not known to live, of which nobody knows whom they ask.
-func (n *Controller) relayClients(relays []relay.Member, others []api.ControllerID) []api.ControllerID {
+func (gs *Gossiper) relayClients(relays []relay.Member, others []api.ControllerID) []api.ControllerID {
 	return slices.DeleteFunc(others, func(l api.ControllerID) bool {
-		order := relay.PreferenceOrder(relay.Member{ID: l, Zone: n.zoneOfController(l)}, relays)
-		contactsUs := n.peers[l].receivedDirectly && n.peers[l].recent(n.now) // it has chosen us, though others come first
-		return n.isLive(l) && order[0] != n.config.Label && !contactsUs
+		order := relay.PreferenceOrder(relay.Member{ID: l, Zone: gs.c.follower.ZoneOfController(l)}, relays)
+		contactsUs := gs.peers[l].receivedDirectly && gs.peers[l].recent(gs.core.now) // it has chosen us, though others come first
+		return gs.core.IsLive(l) && order[0] != gs.core.config.Label && !contactsUs
 	})
 }
 
 // gossipTo sends news to peers, none of which is told twice at a time.
-func (n *Controller) gossipTo(targets []api.ControllerID, g *Gossip) {
+func (gs *Gossiper) gossipTo(targets []api.ControllerID, g *Gossip) {
 	for _, l := range targets {
-		p := n.peers[l]
+		p := gs.peers[l]
 		if p == nil || p.sendInFlight {
 			continue
 		}
 		p.sendInFlight = true
-		n.callPeer(l, peerTimeout, PeerMessage{Gossip: g}, func(a PeerResponse) {
+		gs.core.CallPeer(l, peerTimeout, PeerMessage{Gossip: g}, func(a PeerResponse) {
 			p.sendInFlight = false
-			if !a.OK && n.usesRelays() {
-				n.relayLink.MarkFailed(l, n.now)
+			if !a.OK && gs.c.follower.UsesRelays() {
+				gs.c.follower.relayLink.MarkFailed(l, gs.core.now)
 			}
 		})
 	}
 }
 
-// handleGossip takes in another controller's news, and what it passes on as a relay.
-func (n *Controller) handleGossip(c PeerGossip) {
-	if n.peers[c.Gossip.From] == nil {
-		n.rejectMalformed(c.Req, string(c.Gossip.From))
+// HandleGossip takes in another controller's news, and what it passes on as a relay.
+func (gs *Gossiper) HandleGossip(c PeerGossip) {
+	if gs.peers[c.Gossip.From] == nil {
+		gs.RejectMalformed(c.Req, string(c.Gossip.From))
 		return
 	}
-	n.mergeGossip(c.Gossip, true)
+	gs.mergeGossip(c.Gossip, true)
 	for _, g := range c.Gossip.Passed {
-		n.mergeGossip(g, false)
+		gs.mergeGossip(g, false)
 	}
-	n.reply(c.Req, 200, struct{}{}, 0)
+	gs.core.Reply(c.Req, 200, struct{}{}, 0)
 }
 
 // mergeGossip takes in what a controller tells of itself, unless it has told something newer.
-func (n *Controller) mergeGossip(g *Gossip, direct bool) {
-	p := n.peers[g.From]
+func (gs *Gossiper) mergeGossip(g *Gossip, direct bool) {
+	p := gs.peers[g.From]
 	if p == nil {
 		return
 	}
 	if g.Born == p.gossip.Born && g.Number != 0 && g.Number <= p.gossip.Number {
 		return // known, or older
 	}
-	if g.Born != p.gossip.Born && !direct && p.receivedDirectly && p.recent(n.now) {
+	if g.Born != p.gossip.Born && !direct && p.receivedDirectly && p.recent(gs.core.now) {
 		return // of a former life of its process
 	}
-	p.gossip, p.receivedAt, p.receivedDirectly = *g, n.now, direct
+	p.gossip, p.receivedAt, p.receivedDirectly = *g, gs.core.now, direct
 	p.gossip.Passed = nil
 	for _, r := range g.Rented {
 		for _, id := range r.Machines {
-			if _, known := n.fleet.provisioned[id]; !known {
-				n.fleet.provisioned[id] = provisionedMachine{machineOffer{r.Type, r.Zone, r.Spot}, n.now}
+			if _, known := gs.c.autoscaler.fleet.provisioned[id]; !known {
+				gs.c.autoscaler.fleet.provisioned[id] = provisionedMachine{machineOffer{r.Type, r.Zone, r.Spot}, gs.core.now}
 			}
 		}
 	}
 	for _, status := range g.Parts {
-		n.recordDemand(status.Part, status.Want)
+		gs.recordDemand(status.Part, status.Want)
 	}
 }
 
 // partitionStatus describes one of our parts to the others: machines that are alike are
 // counted, since there may be very many.
-func (n *Controller) partitionStatus(owned *ownedPartition) PartitionStatus {
-	status := PartitionStatus{Part: owned.id, Want: owned.quotaDemand, Due: owned.mustStartQuotaDemand, Starved: owned.quotaStarvedDemand, Short: slices.Sorted(maps.Keys(owned.shortTypes)), Spare: n.remainingQuota(owned.id), Waiting: owned.pendingTaskCount, Lack: owned.unmetDemands,
-		Accelerated: n.countAccelerators(owned.id), Zones: n.silentByZone(owned)}
+func (gs *Gossiper) partitionStatus(owned *ownedPartition) PartitionStatus {
+	status := PartitionStatus{Part: owned.id, Want: owned.quotaDemand, Due: owned.mustStartQuotaDemand, Starved: owned.quotaStarvedDemand, Short: slices.Sorted(maps.Keys(owned.shortTypes)), Spare: gs.c.scheduler.RemainingQuota(owned.id), Waiting: owned.pendingTaskCount, Lack: owned.unmetDemands,
+		Accelerated: gs.c.autoscaler.CountAccelerators(owned.id), Zones: gs.c.health.SilentByZone(owned)}
 	classIndex := map[MachineClass]int{}
 	capacityIndex := map[FreeCapacity]int{}
-	for _, m := range n.machinesOf(owned.id) {
+	for _, m := range gs.c.agents.MachinesOf(owned.id) {
 		if m.lastHeartbeat == 0 || m.deleting {
 			continue
 		}
-		if n.now.Sub(m.lastHeartbeat) > n.heartbeatTimeout {
+		if gs.core.now.Sub(m.lastHeartbeat) > gs.core.heartbeatTimeout {
 			if len(status.Silent) < maxSilentMachines {
 				status.Silent = append(status.Silent, m.ID)
 			}
 		}
-		if n.now.Sub(m.firstHeartbeat) < max(time.Minute, api.Seconds(2*n.bootSeconds(m.machineType))) && len(status.Fresh) < maxSilentMachines {
+		if gs.core.now.Sub(m.firstHeartbeat) < max(time.Minute, api.Seconds(2*gs.c.autoscaler.BootSeconds(m.machineType))) && len(status.Fresh) < maxSilentMachines {
 			status.Fresh = append(status.Fresh, m.ID)
 		}
-		class := n.machineClassOf(m, owned)
+		class := gs.machineClassOf(m, owned)
 		i, ok := classIndex[class]
 		if !ok {
 			i = len(status.Kinds)
@@ -173,7 +184,7 @@
 		}
 		capacity := FreeCapacity{Kind: i}
 		if class.Usable {
-			capacity.Free, capacity.Could = n.freeCapacityOn(m, owned), n.preemptibleCapacity(m, owned)
+			capacity.Free, capacity.Could = gs.c.scheduler.FreeCapacityOn(m, owned), gs.PreemptibleCapacity(m, owned)
 		}
 		j, ok := capacityIndex[capacity]
 		if !ok {
@@ -190,140 +201,148 @@
 // are compared.
 var preemptorRank = api.High.Rank()
 
-// preemptibleCapacity is what would be free on a machine if all work below urgentRank made
+// PreemptibleCapacity is what would be free on a machine if all work below urgentRank made
 // way.
-func (n *Controller) preemptibleCapacity(m *Machine, owned *ownedPartition) api.Resources {
-	return n.withPreemptibleFreed(m.ID, n.freeCapacityOn(m, owned))
+func (gs *Gossiper) PreemptibleCapacity(m *Machine, owned *ownedPartition) api.Resources {
+	return gs.withPreemptibleFreed(m.ID, gs.c.scheduler.FreeCapacityOn(m, owned))
 }
 
-func (n *Controller) withPreemptibleFreed(id api.MachineID, free api.Resources) api.Resources {
+func (gs *Gossiper) withPreemptibleFreed(id api.MachineID, free api.Resources) api.Resources {
 	capacity := free
-	for _, p := range n.state.PlacementsOn(id) {
-		if !p.Finishing && p.Job.Spec.Kind != api.Gang && p.Job.Spec.Priority.Rank() < preemptorRank && n.isPreemptible(p) {
+	for _, p := range gs.core.state.PlacementsOn(id) {
+		if !p.Finishing && p.Job.Spec.Kind != api.Gang && p.Job.Spec.Priority.Rank() < preemptorRank && gs.c.health.IsPreemptible(p) {
 			capacity = capacity.Plus(p.Job.Demand)
 		}
 	}
 	return capacity
 }
 
-func (n *Controller) machineClassOf(m *Machine, owned *ownedPartition) MachineClass {
-	reason := n.unschedulableReason(m, owned)
-	reserved := m.consolidated && n.reservedFor(m) != "" // its room is spoken for
+func (gs *Gossiper) machineClassOf(m *Machine, owned *ownedPartition) MachineClass {
+	reason := gs.c.admin.UnschedulableReason(m, owned)
+	reserved := m.consolidated && gs.c.preemptor.ReservedFor(m) != "" // its room is spoken for
 	return MachineClass{m.machineType, m.zone, m.spot, (reason == "" || reason == tokenNotAnnounced) && !reserved, m.scaleInCandidate}
 }
 
-// rejectMalformed refuses a message that is not understood or comes from nobody we know: it changes
+// RejectMalformed refuses a message that is not understood or comes from nobody we know: it changes
 // nothing but a count.
-func (n *Controller) rejectMalformed(req ReqID, from string) {
-	n.metrics.MalformedMessages++
+func (gs *Gossiper) RejectMalformed(req ReqID, from string) {
+	gs.core.metrics.MalformedMessages++
 	slog.Warn("invalid peer message", "from", from)
-	n.replyError(req, 400, "malformed")
+	gs.core.ReplyError(req, 400, "malformed")
 }
 
 // recordDemand has our other parts run a round in which they may give of their shares.
-func (n *Controller) recordDemand(by api.PartitionID, demand map[api.Team]api.Resources) {
+func (gs *Gossiper) recordDemand(by api.PartitionID, demand map[api.Team]api.Resources) {
 	if len(demand) == 0 {
 		return
 	}
-	for p, owned := range n.partitions {
+	for p, owned := range gs.c.scheduler.partitions {
 		owned.dirty = owned.dirty || p != by
 	}
 }
 
-// eachFreeCapacity visits the machines of all parts by what is free on them: others' as
+// EachFreeCapacity visits the machines of all parts by what is free on them: others' as
 // their owners tell, a number that are alike at once.
-func (n *Controller) eachFreeCapacity(visit func(p api.PartitionID, class MachineClass, capacity FreeCapacity)) {
-	for _, p := range slices.Sorted(maps.Keys(n.partitions)) {
-		owned := n.partitions[p]
-		for _, m := range n.machinesOf(p) {
+func (gs *Gossiper) EachFreeCapacity(visit func(p api.PartitionID, class MachineClass, capacity FreeCapacity)) {
+	for _, p := range slices.Sorted(maps.Keys(gs.c.scheduler.partitions)) {
+		owned := gs.c.scheduler.partitions[p]
+		for _, m := range gs.c.agents.MachinesOf(p) {
 			if m.lastHeartbeat == 0 || m.deleting {
 				continue
 			}
-			class, capacity := n.machineClassOf(m, owned), FreeCapacity{Count: 1}
+			class, capacity := gs.machineClassOf(m, owned), FreeCapacity{Count: 1}
 			if class.Usable {
-				capacity.Free, capacity.Could = n.freeCapacityOn(m, owned), n.preemptibleCapacity(m, owned)
+				capacity.Free, capacity.Could = gs.c.scheduler.FreeCapacityOn(m, owned), gs.PreemptibleCapacity(m, owned)
 			}
 			visit(p, class, capacity)
 		}
 	}
-	for _, status := range n.peerPartitionStatuses() {
+	for _, status := range gs.PeerPartitionStatuses() {
 		for _, capacity := range status.Rooms {
 			if capacity.Kind >= 0 && capacity.Kind < len(status.Kinds) {
 				visit(status.Part, status.Kinds[capacity.Kind], capacity)
 			}
 		}
 	}
-	n.eachUnreportedMachine(func(p api.PartitionID, h api.Instance) {
-		free := n.machineTypes[h.Type].Capacity().Minus(n.state.Allocated(h.ID))
-		visit(p, MachineClass{h.Type, h.Zone, h.Spot, true, false}, FreeCapacity{Count: 1, Free: free, Could: n.withPreemptibleFreed(h.ID, free)})
+	gs.EachUnreportedMachine(func(p api.PartitionID, h api.Instance) {
+		free := gs.core.machineTypes[h.Type].Capacity().Minus(gs.core.state.Allocated(h.ID))
+		visit(p, MachineClass{h.Type, h.Zone, h.Spot, true, false}, FreeCapacity{Count: 1, Free: free, Could: gs.withPreemptibleFreed(h.ID, free)})
 	})
 }
 
-// eachUnreportedMachine visits the machines that are up but that nobody tells of, as the list
+// EachUnreportedMachine visits the machines that are up but that nobody tells of, as the list
 // has them: those of parts whose owners have not been heard lately, and ours that
 // have not reported since we took them over. What they hold is in the book. Without
 // them a cut between controllers or a takeover would look like a loss of machines.
-func (n *Controller) eachUnreportedMachine(visit func(p api.PartitionID, h api.Instance)) {
-	reported := make([]bool, len(n.state.Partitions))
+func (gs *Gossiper) EachUnreportedMachine(visit func(p api.PartitionID, h api.Instance)) {
+	reported := make([]bool, len(gs.core.state.Partitions))
 	allReported := true
-	for _, status := range n.peerPartitionStatuses() {
+	for _, status := range gs.PeerPartitionStatuses() {
 		reported[status.Part] = true
 	}
 	for p := range reported {
-		owned := n.partitions[api.PartitionID(p)]
-		reported[p] = reported[p] || owned != nil && n.now.Sub(owned.ownedSince) > n.heartbeatTimeout
+		owned := gs.c.scheduler.partitions[api.PartitionID(p)]
+		reported[p] = reported[p] || owned != nil && gs.core.now.Sub(owned.ownedSince) > gs.core.heartbeatTimeout
 		allReported = allReported && reported[p]
 	}
 	if allReported {
 		return
 	}
-	for _, id := range n.fleet.listedOrder {
-		h, listed := n.fleet.listedMachines[id]
-		if !listed || h.State != api.MachineRunning || n.machineTypes[h.Type] == nil || n.fleet.deletedAt[id] != 0 {
+	for _, id := range gs.c.autoscaler.fleet.listedOrder {
+		h, listed := gs.c.autoscaler.fleet.listedMachines[id]
+		if !listed || h.State != api.MachineRunning || gs.core.machineTypes[h.Type] == nil || gs.c.autoscaler.fleet.deletedAt[id] != 0 {
 			continue
 		}
-		p := n.partitionOf(id)
+		p := gs.c.agents.PartitionOf(id)
 		if reported[p] {
 			continue
 		}
-		if m := n.machines[id]; n.partitions[p] != nil && m != nil && (m.lastHeartbeat != 0 || m.deleting) {
+		if m := gs.c.agents.machines[id]; gs.c.scheduler.partitions[p] != nil && m != nil && (m.lastHeartbeat != 0 || m.deleting) {
 			continue // told of as ours
 		}
 		visit(p, h)
 	}
 }
 
-// peerPartitionStatuses is what the owners of parts that are not ours have lately told.
-func (n *Controller) peerPartitionStatuses() []PartitionStatus {
+// PeerPartitionStatuses is what the owners of parts that are not ours have lately told.
+func (gs *Gossiper) PeerPartitionStatuses() []PartitionStatus {
 	var out []PartitionStatus
-	for _, l := range slices.Sorted(maps.Keys(n.peers)) {
-		out = append(out, n.partitionStatusesOf(l)...)
+	for _, l := range slices.Sorted(maps.Keys(gs.peers)) {
+		out = append(out, gs.PartitionStatusesOf(l)...)
 	}
 	return out
 }
 
-// partitionStatusesOf is what a peer has lately told of the parts that it owns.
-func (n *Controller) partitionStatusesOf(l api.ControllerID) []PartitionStatus {
+// PartitionStatusesOf is what a peer has lately told of the parts that it owns.
+func (gs *Gossiper) PartitionStatusesOf(l api.ControllerID) []PartitionStatus {
 	var out []PartitionStatus
-	p := n.peers[l]
-	if !p.recent(n.now) {
+	p := gs.peers[l]
+	if !p.recent(gs.core.now) {
 		return nil
 	}
 	for _, status := range p.gossip.Parts {
-		if int(status.Part) < len(n.state.Partitions) && status.Part >= 0 && n.state.Partitions[status.Part].Owner == l {
+		if int(status.Part) < len(gs.core.state.Partitions) && status.Part >= 0 && gs.core.state.Partitions[status.Part].Owner == l {
 			out = append(out, status)
 		}
 	}
 	return out
 }
 
-// otherPartitionStatuses is what is known of all parts but one.
-func (n *Controller) otherPartitionStatuses(owned *ownedPartition) []PartitionStatus {
-	out := n.peerPartitionStatuses()
-	for _, p := range slices.Sorted(maps.Keys(n.partitions)) {
-		if other := n.partitions[p]; other != owned {
+// OtherPartitionStatuses is what is known of all parts but one.
+func (gs *Gossiper) OtherPartitionStatuses(owned *ownedPartition) []PartitionStatus {
+	out := gs.PeerPartitionStatuses()
+	for _, p := range slices.Sorted(maps.Keys(gs.c.scheduler.partitions)) {
+		if other := gs.c.scheduler.partitions[p]; other != owned {
 			out = append(out, PartitionStatus{Part: p, Want: other.quotaDemand, Due: other.mustStartQuotaDemand, Starved: other.quotaStarvedDemand, Lack: other.unmetDemands})
 		}
 	}
 	return out
 }
+
+func newGossiper(c *Controller) *Gossiper {
+	gs := &Gossiper{core: c.core, c: c, peers: map[api.ControllerID]*peerStatus{}}
+	for _, p := range c.core.config.Peers {
+		gs.peers[p.Label] = &peerStatus{}
+	}
+	return gs
+}
--- a/controller/history.go
+++ b/controller/history.go
@@ -59,17 +59,17 @@
 // timeKey is a time as part of a key, so that keys are in order of time.
 func timeKey(at api.WallTime) string { return fmt.Sprintf("%013d", max(0, at)) }
 
-// historyWrite is the record of a tenant's job that is put away.
-func (n *Controller) historyWrite(j *Job) api.Write {
-	v, _ := json.Marshal(FinishedJob{JobID: j.TenantJobID, State: j.State(), Class: j.Spec.Class, Team: j.Spec.Team, Tasks: j.Spec.Tasks, AcceptedAt: j.AcceptedAt, EndedAt: n.wallClock})
-	return api.Write{Put: keyHistory + j.Tenant + "/" + timeKey(n.wallClock) + "-" + string(j.TenantJobID), Value: v}
+// HistoryWrite is the record of a tenant's job that is put away.
+func (ts *TenantService) HistoryWrite(j *Job) api.Write {
+	v, _ := json.Marshal(FinishedJob{JobID: j.TenantJobID, State: j.State(), Class: j.Spec.Class, Team: j.Spec.Team, Tasks: j.Spec.Tasks, AcceptedAt: j.AcceptedAt, EndedAt: ts.core.wallClock})
+	return api.Write{Put: keyHistory + j.Tenant + "/" + timeKey(ts.core.wallClock) + "-" + string(j.TenantJobID), Value: v}
 }
 
-// auditWrite is the record of an operator's change, written with it: what was and is, as
+// AuditWrite is the record of an operator's change, written with it: what was and is, as
 // it may be shown.
-func (n *Controller) auditWrite(c AdminRequest, subject string, before, after any) api.Write {
-	entry := AuditEntry{Time: n.wallClock, Key: c.keyID, Action: c.What, KeyName: c.Sub, Subject: subject}
-	if from := n.clientAddr(c.Caller); from.IsValid() {
+func (ts *TenantService) AuditWrite(c AdminRequest, subject string, before, after any) api.Write {
+	entry := AuditEntry{Time: ts.core.wallClock, Key: c.keyID, Action: c.What, KeyName: c.Sub, Subject: subject}
+	if from := ts.clientAddr(c.Caller); from.IsValid() {
 		entry.From = from.String()
 	}
 	if before != nil {
@@ -77,8 +77,8 @@
 	}
 	entry.After, _ = json.Marshal(after)
 	v, _ := json.Marshal(entry)
-	n.hosted.auditSequence++
-	return api.Write{Put: fmt.Sprintf("%s%s-%s-%d", keyAudit, timeKey(n.wallClock), n.config.Label, n.hosted.auditSequence), Value: v}
+	ts.hosted.auditSequence++
+	return api.Write{Put: fmt.Sprintf("%s%s-%s-%d", keyAudit, timeKey(ts.core.wallClock), ts.core.config.Label, ts.hosted.auditSequence), Value: v}
 }
 
 // readPage reads a page of what is kept under a prefix, and what to ask for next.
@@ -87,7 +87,7 @@
 	if after != "" {
 		start = prefix + after
 	}
-	n.callStore(StoreCall{Page: &PageRequest{Prefix: prefix, After: start, Limit: limit}}, func(a StoreResponse) {
+	n.core.CallStore(StoreCall{Page: &PageRequest{Prefix: prefix, After: start, Limit: limit}}, func(a StoreResponse) {
 		if a.Status != 200 {
 			fail()
 			return
@@ -117,19 +117,19 @@
 	Caller Caller
 }
 
-func (n *Controller) listHistory(c ListHistory) {
-	fail := func() { n.replyError(c.Req, 503, "state service not reachable") }
-	n.withTenant(c.Req, c.Caller, func(e *tenant.Entry) {
-		readPage(n, keyHistory+string(e.Name)+"/", c.After, c.Limit, func(jobs []FinishedJob, next string) {
-			n.reply(c.Req, 200, HistoryView{jobs, next}, 0)
+func (ts *TenantService) ListHistory(c ListHistory) {
+	fail := func() { ts.core.ReplyError(c.Req, 503, "state service not reachable") }
+	ts.withTenant(c.Req, c.Caller, func(e *tenant.Entry) {
+		readPage(ts.c, keyHistory+string(e.Name)+"/", c.After, c.Limit, func(jobs []FinishedJob, next string) {
+			ts.core.Reply(c.Req, 200, HistoryView{jobs, next}, 0)
 		}, fail)
 	}, fail)
 }
 
-func (n *Controller) listAudit(c AdminRequest) {
-	readPage(n, keyAudit, c.After, c.Limit, func(entries []AuditEntry, next string) {
-		n.reply(c.Req, 200, AuditView{entries, next}, 0)
-	}, func() { n.replyError(c.Req, 503, "state service not reachable") })
+func (ts *TenantService) ListAudit(c AdminRequest) {
+	readPage(ts.c, keyAudit, c.After, c.Limit, func(entries []AuditEntry, next string) {
+		ts.core.Reply(c.Req, 200, AuditView{entries, next}, 0)
+	}, func() { ts.core.ReplyError(c.Req, 503, "state service not reachable") })
 }
 
 // historySweepInterval is how often one list of what is kept is looked through for what is old:
@@ -138,12 +138,12 @@
 
 // sweepHistory deletes what has been kept for long enough, the oldest first, a transaction
 // at a time. The owner of part 0 does.
-func (n *Controller) sweepHistory() {
-	service, owned := n.hosted, n.partitions[0]
-	if service == nil || owned == nil || service.sweeping || n.now.Sub(service.sweptAt) < historySweepInterval || n.overloaded() {
+func (ts *TenantService) sweepHistory() {
+	service, owned := ts.hosted, ts.c.scheduler.partitions[0]
+	if service == nil || owned == nil || service.sweeping || ts.core.now.Sub(service.sweptAt) < historySweepInterval || ts.core.Overloaded() {
 		return
 	}
-	service.sweptAt, service.sweeping = n.now, true
+	service.sweptAt, service.sweeping = ts.core.now, true
 	prefix, retention := keyAudit, auditRetention
 	if names := service.tenants.Names(); service.sweepNext < len(names) {
 		e := service.tenants.Get(names[service.sweepNext])
@@ -152,14 +152,14 @@
 	} else {
 		service.sweepNext = 0
 	}
-	n.sweepPrefix(owned, prefix, retention, func() { service.sweeping = false })
+	ts.SweepPrefix(owned, prefix, retention, func() { service.sweeping = false })
 }
 
-// sweepPrefix deletes some of the keys under a prefix that have been kept for long enough; a time
+// SweepPrefix deletes some of the keys under a prefix that have been kept for long enough; a time
 // follows the prefix.
-func (n *Controller) sweepPrefix(owned *ownedPartition, prefix string, retention time.Duration, done func()) {
-	cutoff := timeKey(n.wallClock - api.WallTime(retention.Milliseconds()))
-	n.callStore(StoreCall{Page: &PageRequest{Prefix: prefix, Limit: n.config.Deployment.State.TxnOps}}, func(a StoreResponse) {
+func (ts *TenantService) SweepPrefix(owned *ownedPartition, prefix string, retention time.Duration, done func()) {
+	cutoff := timeKey(ts.core.wallClock - api.WallTime(retention.Milliseconds()))
+	ts.core.CallStore(StoreCall{Page: &PageRequest{Prefix: prefix, Limit: ts.core.config.Deployment.State.TxnOps}}, func(a StoreResponse) {
 		tx := api.Txn{If: []api.Condition{owned.ownershipCondition()}}
 		if a.Status == 200 {
 			for _, p := range a.Page.Pairs {
@@ -172,6 +172,6 @@
 			done()
 			return
 		}
-		n.callStoreTxn(tx, func(StoreResponse) { done() })
+		ts.core.CallStoreTxn(tx, func(StoreResponse) { done() })
 	})
 }
--- a/controller/hosted.go
+++ b/controller/hosted.go
@@ -19,6 +19,14 @@
 	"basaltwall/tenant"
 )
 
+// TenantService serves a hosted cluster's tenants, keys and teams.
+type TenantService struct {
+	core *Core
+	c    *Controller
+
+	hosted *hostedService // nil: one operator's own service
+}
+
 // Keys of a hosted service's records.
 const (
 	keyTenant = clusterstate.Root + "tenant/"
@@ -54,23 +62,23 @@
 	sweeping      bool
 }
 
-func (n *Controller) initHosted() {
-	if h := n.config.Hosted; h != nil {
-		n.hosted = &hostedService{adminKey: h.AdminKey, rateBuckets: map[tenant.Name]*tenant.TokenBucket{}, pendingSubmissions: map[tenant.Name]map[api.JobID]bool{}, openJobLimitReachedAt: map[tenant.Name]api.Time{},
+func (ts *TenantService) InitHosted() {
+	if h := ts.core.config.Hosted; h != nil {
+		ts.hosted = &hostedService{adminKey: h.AdminKey, rateBuckets: map[tenant.Name]*tenant.TokenBucket{}, pendingSubmissions: map[tenant.Name]map[api.JobID]bool{}, openJobLimitReachedAt: map[tenant.Name]api.Time{},
 			submissions: map[tenant.Name]*submissionCounts{}, roundTurns: map[tenantPartition]int{}}
 	}
 }
 
-// hostedRecordKinds are the records that a hosted service follows beside the others.
-func (n *Controller) hostedRecordKinds() []clusterstate.RecordKind {
-	if n.hosted == nil {
+// HostedRecordKinds are the records that a hosted service follows beside the others.
+func (ts *TenantService) HostedRecordKinds() []clusterstate.RecordKind {
+	if ts.hosted == nil {
 		return nil
 	}
-	tenants, service := tenant.NewTable(), n.hosted
+	tenants, service := tenant.NewTable(), ts.hosted
 	service.tenants, service.operators, service.teams, service.guaranteed = tenants, tenant.Operators{}, map[api.Team]TeamRecordView{}, tenant.GuaranteedTotal{}
-	service.pools.table, service.pools.shareWrites = pool.NewTable(n.config.Deployment.InitialSize), map[api.PoolName]bool{}
-	n.resetPlatformTeams()
-	return []clusterstate.RecordKind{{Prefix: keyPool, Put: service.pools.table.Put}, {Prefix: keyTenant, Put: tenants.Put, Delete: tenants.Drop}, {Prefix: keyTeam, Put: n.applyTeam},
+	service.pools.table, service.pools.shareWrites = pool.NewTable(ts.core.config.Deployment.InitialSize), map[api.PoolName]bool{}
+	ts.ResetPlatformTeams()
+	return []clusterstate.RecordKind{{Prefix: keyPool, Put: service.pools.table.Put}, {Prefix: keyTenant, Put: tenants.Put, Delete: tenants.Drop}, {Prefix: keyTeam, Put: ts.applyTeam},
 		clusterstate.SingleKey(keyOperators, &service.operators), clusterstate.SingleKey(keyGuaranteedTotal, &service.guaranteed)}
 }
 
@@ -83,8 +91,8 @@
 
 // clientAddr is where a request comes from: what a proxy says is believed from those only that
 // the operators have named.
-func (n *Controller) clientAddr(c Caller) netip.Addr {
-	return tenant.ClientAddr(c.From, c.Forwarded, n.hosted.operators.Proxies)
+func (ts *TenantService) clientAddr(c Caller) netip.Addr {
+	return tenant.ClientAddr(c.From, c.Forwarded, ts.hosted.operators.Proxies)
 }
 
 // bearerSecret reads a caller's key.
@@ -96,47 +104,47 @@
 	return tenant.ParseSecret(strings.TrimSpace(text))
 }
 
-func (n *Controller) maxClockError() time.Duration {
-	return time.Duration(n.config.Deployment.ClockErrorMS * float64(time.Millisecond))
+func (ts *TenantService) MaxClockError() time.Duration {
+	return time.Duration(ts.core.config.Deployment.ClockErrorMS * float64(time.Millisecond))
 }
 
 // errInvalidKey says as little of a key that opens nothing as of one that is not there.
 var errInvalidKey = &tenant.Error{Status: 401, Reason: "not a key that opens anything"}
 
 // authenticateTenant finds the tenant whose key a caller brings, as far as the book has been read.
-func (n *Controller) authenticateTenant(c Caller) (*tenant.Entry, error) {
+func (ts *TenantService) authenticateTenant(c Caller) (*tenant.Entry, error) {
 	secret, err := c.bearerSecret()
 	if err != nil {
 		return nil, err
 	}
-	entry, key := n.hosted.tenants.Find(secret.ID)
-	if entry == nil || !key.Verify(secret, n.wallClock, n.maxClockError()) {
+	entry, key := ts.hosted.tenants.Find(secret.ID)
+	if entry == nil || !key.Verify(secret, ts.core.wallClock, ts.MaxClockError()) {
 		return nil, errInvalidKey
 	}
-	if !entry.Networks.Allows(n.clientAddr(c)) {
+	if !entry.Networks.Allows(ts.clientAddr(c)) {
 		return nil, &tenant.Error{Status: 403, Reason: "not from this address"}
 	}
-	n.recordKeyUse(entry.Name, key.ID)
+	ts.recordKeyUse(entry.Name, key.ID)
 	return entry, nil
 }
 
-// refuseError refuses with the status and the words of an error.
-func (n *Controller) refuseError(req ReqID, err error) {
+// RefuseError refuses with the status and the words of an error.
+func (ts *TenantService) RefuseError(req ReqID, err error) {
 	status := 400
 	if e, ok := err.(*tenant.Error); ok {
 		status = e.Status
 	}
-	n.replyError(req, status, err.Error())
+	ts.core.ReplyError(req, status, err.Error())
 }
 
 // withTenant does something for the tenant whose key a caller brings, by what is current
 // now: a revoked key opens nothing on any controller that answers, and one that can't know
 // passes the request on or says so.
-func (n *Controller) withTenant(req ReqID, c Caller, callback func(*tenant.Entry), forward func()) {
-	n.linearizableRead(func() {
-		entry, err := n.authenticateTenant(c)
+func (ts *TenantService) withTenant(req ReqID, c Caller, callback func(*tenant.Entry), forward func()) {
+	ts.c.follower.LinearizableRead(func() {
+		entry, err := ts.authenticateTenant(c)
 		if err != nil {
-			n.refuseError(req, err)
+			ts.RefuseError(req, err)
 			return
 		}
 		callback(entry)
@@ -176,25 +184,25 @@
 	return nil
 }
 
-func (n *Controller) forwardHosted(req ReqID, f hostedForward, forwarded bool) {
+func (ts *TenantService) forwardHosted(req ReqID, f hostedForward, forwarded bool) {
 	wrapped, err := encodeHostedForward(f)
 	if err != nil {
-		n.replyError(req, 503, "not passed on")
+		ts.core.ReplyError(req, 503, "not passed on")
 		return
 	}
-	n.forward(req, wrapped, forwarded)
+	ts.c.jobs.Forward(req, wrapped, forwarded)
 }
 
 // withTenantJob does something with the job that a tenant's request names: do is given the id under
 // which it is kept, and elsewhere for when this controller can't answer.
-func (n *Controller) withTenantJob(req ReqID, f hostedForward, forwarded bool, callback func(id api.JobID, notFound, forward func())) {
-	forward := func() { n.forwardHosted(req, f, forwarded) }
-	if n.shouldForward(forwarded) {
+func (ts *TenantService) withTenantJob(req ReqID, f hostedForward, forwarded bool, callback func(id api.JobID, notFound, forward func())) {
+	forward := func() { ts.forwardHosted(req, f, forwarded) }
+	if ts.c.jobs.ShouldForward(forwarded) {
 		forward()
 		return
 	}
-	notFound := func() { n.replyError(req, 404, "no such job") }
-	n.withTenant(req, f.Caller, func(entry *tenant.Entry) {
+	notFound := func() { ts.core.ReplyError(req, 404, "no such job") }
+	ts.withTenant(req, f.Caller, func(entry *tenant.Entry) {
 		if !api.ValidJobID(f.Ref) {
 			notFound()
 			return
@@ -203,31 +211,31 @@
 	}, forward)
 }
 
-func (n *Controller) pollHosted(c Poll) {
-	n.withTenantJob(c.Req, hostedForward{Kind: "poll", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
-		n.findJob(id, func(s api.JobStatus) {
+func (ts *TenantService) PollHosted(c Poll) {
+	ts.withTenantJob(c.Req, hostedForward{Kind: "poll", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
+		ts.c.jobs.FindJob(id, func(s api.JobStatus) {
 			s.JobID = api.JobID(c.Ref)
-			n.reply(c.Req, 200, s, 0)
+			ts.core.Reply(c.Req, 200, s, 0)
 		}, notFound, forward)
 	})
 }
 
-func (n *Controller) cancelHosted(c Cancel) {
-	n.withTenantJob(c.Req, hostedForward{Kind: "cancel", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
-		n.recordCancellation(id, 5, n.respondWhenAcknowledged(c.Forwarded, func(s api.JobStatus) {
-			n.reply(c.Req, 200, api.JobStatus{JobID: api.JobID(c.Ref), State: s.State}, 0)
-		}, func() { n.replyError(c.Req, 503, cancellationPending) }), notFound, forward)
+func (ts *TenantService) CancelHosted(c Cancel) {
+	ts.withTenantJob(c.Req, hostedForward{Kind: "cancel", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
+		ts.c.jobs.RecordCancellation(id, 5, ts.c.jobs.RespondWhenAcknowledged(c.Forwarded, func(s api.JobStatus) {
+			ts.core.Reply(c.Req, 200, api.JobStatus{JobID: api.JobID(c.Ref), State: s.State}, 0)
+		}, func() { ts.core.ReplyError(c.Req, 503, cancellationPending) }), notFound, forward)
 	})
 }
 
-// submitHosted takes a tenant's submission. It is written on the condition that the
+// SubmitHosted takes a tenant's submission. It is written on the condition that the
 // tenant's record is as it was read: whatever is decided here by an older one, a
 // suspension or a revoked key that this controller has not heard of, is not written.
-func (n *Controller) submitHosted(c Submit, tries int) {
+func (ts *TenantService) SubmitHosted(c Submit, tries int) {
 	forward := func() {
-		n.forwardHosted(c.Req, hostedForward{Kind: "submit", Body: c.Body, Caller: c.Caller}, c.Forwarded)
+		ts.forwardHosted(c.Req, hostedForward{Kind: "submit", Body: c.Body, Caller: c.Caller}, c.Forwarded)
 	}
-	if n.shouldForward(c.Forwarded) || len(n.machineTypes) == 0 {
+	if ts.c.jobs.ShouldForward(c.Forwarded) || len(ts.core.machineTypes) == 0 {
 		forward()
 		return
 	}
@@ -237,35 +245,35 @@
 			refuse()
 			return
 		}
-		n.linearizableRead(func() { n.submitHosted(c, tries-1) }, forward)
+		ts.c.follower.LinearizableRead(func() { ts.SubmitHosted(c, tries-1) }, forward)
 	}
-	entry, err := n.authenticateTenant(c.Caller)
+	entry, err := ts.authenticateTenant(c.Caller)
 	if err != nil {
-		retry(func() { n.refuseError(c.Req, err) })
+		retry(func() { ts.RefuseError(c.Req, err) })
 		return
 	}
 	spec, err := api.ParseJob(c.Body)
 	if err != nil {
-		n.replyError(c.Req, 400, err.Error())
+		ts.core.ReplyError(c.Req, 400, err.Error())
 		return
 	}
 	tenantJobID := spec.Ref
 	spec.Ref = tenant.JobID(entry.Name, tenantJobID)
-	replyKnown := func(s api.JobStatus) { n.reply(c.Req, 200, api.JobStatus{JobID: tenantJobID, State: s.State}, 0) }
-	if _, ok := n.jobStatus(spec.Ref); ok {
-		n.lookupJob(spec.Ref, replyKnown, forward, forward)
+	replyKnown := func(s api.JobStatus) { ts.core.Reply(c.Req, 200, api.JobStatus{JobID: tenantJobID, State: s.State}, 0) }
+	if _, ok := ts.c.jobs.JobStatus(spec.Ref); ok {
+		ts.c.jobs.LookupJob(spec.Ref, replyKnown, forward, forward)
 		return
 	}
 	// A job that was accepted is never refused, whatever holds by now.
 	refuse := func(status int, reason string, wait time.Duration) {
-		n.lookupJob(spec.Ref, replyKnown, func() {
-			n.reply(c.Req, status, api.ErrorBody{Error: reason}, int(math.Ceil(wait.Seconds())))
+		ts.c.jobs.LookupJob(spec.Ref, replyKnown, func() {
+			ts.core.Reply(c.Req, status, api.ErrorBody{Error: reason}, int(math.Ceil(wait.Seconds())))
 		}, forward)
 	}
 	switch {
 	case entry.State != tenant.Active:
 		retry(func() {
-			n.countSubmission(entry.Name, "suspended")
+			ts.countSubmission(entry.Name, "suspended")
 			refuse(403, "suspended: "+entry.SuspendReason, 0)
 		})
 		return
@@ -273,61 +281,61 @@
 		retry(func() { refuse(422, "bottega: unknown team", 0) })
 		return
 	}
-	if reason := n.infeasibleReason(spec); reason != "" {
+	if reason := ts.c.jobs.InfeasibleReason(spec); reason != "" {
 		refuse(422, reason, 0)
 		return
 	}
-	if reason := n.checkPoolNeeds(spec, entry.Name); reason != "" {
+	if reason := ts.c.pools.CheckPoolNeeds(spec, entry.Name); reason != "" {
 		retry(func() { refuse(422, reason, 0) })
 		return
 	}
-	if ok, wait, field, reason := n.admit(entry); !ok {
-		n.countSubmission(entry.Name, field)
+	if ok, wait, field, reason := ts.admit(entry); !ok {
+		ts.countSubmission(entry.Name, field)
 		refuse(429, field+": "+reason, max(wait, time.Second))
 		return
 	}
-	value := clusterstate.JobValue{Spec: spec, Split: n.splitAcrossPartitions(spec), AcceptedAt: n.wallClock, Tenant: string(entry.Name), TenantJobID: tenantJobID}
+	value := clusterstate.JobValue{Spec: spec, Split: ts.c.jobs.SplitAcrossPartitions(spec), AcceptedAt: ts.core.wallClock, Tenant: string(entry.Name), TenantJobID: tenantJobID}
 	data, err := json.Marshal(value)
-	if err != nil || n.jobExceedsValueSize(data) {
+	if err != nil || ts.core.JobExceedsValueSize(data) {
 		refuse(400, specTooLarge, 0)
 		return
 	}
 	jobKey := clusterstate.KeyJob + string(spec.Ref)
-	tx := api.Txn{If: []api.Condition{{Key: jobKey}, {Key: clusterstate.KeyJobResult + string(spec.Ref)}, n.state.VersionCondition(keyTenant + string(entry.Name))},
+	tx := api.Txn{If: []api.Condition{{Key: jobKey}, {Key: clusterstate.KeyJobResult + string(spec.Ref)}, ts.core.state.VersionCondition(keyTenant + string(entry.Name))},
 		Writes: []api.Write{{Put: jobKey, Value: data}}}
 	for _, need := range spec.Needs { // or it would wait for a pool that was removed meanwhile
-		tx.If = append(tx.If, n.state.VersionCondition(keyPool+string(need.Pool)))
+		tx.If = append(tx.If, ts.core.state.VersionCondition(keyPool+string(need.Pool)))
 	}
-	n.addPendingSubmission(entry.Name, spec.Ref)
-	n.callStoreTxn(tx, func(a StoreResponse) {
+	ts.addPendingSubmission(entry.Name, spec.Ref)
+	ts.core.CallStoreTxn(tx, func(a StoreResponse) {
 		switch a.Status {
 		case 200:
-			n.countSubmission(entry.Name, "")
-			n.reply(c.Req, 201, api.JobStatus{JobID: tenantJobID, State: api.JobPending}, 0)
+			ts.countSubmission(entry.Name, "")
+			ts.core.Reply(c.Req, 201, api.JobStatus{JobID: tenantJobID, State: api.JobPending}, 0)
 			slog.Info("job accepted", "job", spec.Ref, specAttr(spec))
-			written := func() { n.removePendingSubmission(entry.Name, spec.Ref) }
-			n.linearizableRead(written, written)
+			written := func() { ts.removePendingSubmission(entry.Name, spec.Ref) }
+			ts.c.follower.LinearizableRead(written, written)
 			return
 		case 409:
-			retry(func() { n.lookupJob(spec.Ref, replyKnown, forward, forward) })
+			retry(func() { ts.c.jobs.LookupJob(spec.Ref, replyKnown, forward, forward) })
 		case 429:
-			n.replyError(c.Req, 503, "the state service is at its limit")
+			ts.core.ReplyError(c.Req, 503, "the state service is at its limit")
 		default:
 			forward()
 		}
-		n.removePendingSubmission(entry.Name, spec.Ref)
+		ts.removePendingSubmission(entry.Name, spec.Ref)
 	})
 }
 
 // admit decides whether one more submission of a tenant is taken: by the number of its
 // jobs, by its rate, and by what this controller may write. Where it is not, field is what
 // is at fault.
-func (n *Controller) admit(entry *tenant.Entry) (ok bool, wait time.Duration, field, reason string) {
-	service := n.hosted
-	if n.atOpenJobLimit(entry) {
+func (ts *TenantService) admit(entry *tenant.Entry) (ok bool, wait time.Duration, field, reason string) {
+	service := ts.hosted
+	if ts.atOpenJobLimit(entry) {
 		return false, 2 * time.Second, "open_jobs", "as many of your jobs are not over as may be"
 	}
-	members := len(n.state.Members)
+	members := len(ts.core.state.Members)
 	if entry.Rate > 0 {
 		bucket := service.rateBuckets[entry.Name]
 		if bucket == nil {
@@ -335,11 +343,11 @@
 			service.rateBuckets[entry.Name] = bucket
 		}
 		rate, burst := tenant.RateShare(entry.Rate, entry.Burst, members)
-		if ok, wait := bucket.Take(n.now, rate, burst); !ok {
+		if ok, wait := bucket.Take(ts.core.now, rate, burst); !ok {
 			return false, wait, "rate", "more submissions than agreed"
 		}
 	}
-	if ok, wait := service.fairLimiter.Take(n.now, entry.Name, submissionWriteShare*n.config.Deployment.State.WriteRPS/float64(max(1, members))); !ok {
+	if ok, wait := service.fairLimiter.Take(ts.core.now, entry.Name, submissionWriteShare*ts.core.config.Deployment.State.WriteRPS/float64(max(1, members))); !ok {
 		return false, wait, "writes", "more submissions at once than can be written"
 	}
 	return true, 0, "", ""
@@ -349,9 +357,9 @@
 // over, and tasks on machines.
 type tenantCounts struct{ jobs, open, tasks int }
 
-func (n *Controller) countTenant(name tenant.Name) tenantCounts {
+func (ts *TenantService) countTenant(name tenant.Name) tenantCounts {
 	var counts tenantCounts
-	for _, j := range n.state.JobsByTenant[string(name)] {
+	for _, j := range ts.core.state.JobsByTenant[string(name)] {
 		counts.jobs++
 		if !j.Terminal() {
 			counts.open++
@@ -366,16 +374,16 @@
 // more than its part of what the book leaves: with one book they come to less than their
 // number too much together, and with news under way to what those are about. For a while a
 // tenant that was full is taken to be: it may ask often, and have very many.
-func (n *Controller) atOpenJobLimit(entry *tenant.Entry) bool {
-	service, jobs := n.hosted, n.state.JobsByTenant[string(entry.Name)]
-	members := max(1, len(n.state.Members))
+func (ts *TenantService) atOpenJobLimit(entry *tenant.Entry) bool {
+	service, jobs := ts.hosted, ts.core.state.JobsByTenant[string(entry.Name)]
+	members := max(1, len(ts.core.state.Members))
 	if len(jobs)+members*len(service.pendingSubmissions[entry.Name]) < entry.OpenJobLimit() {
 		return false
 	}
-	if reachedAt, ok := service.openJobLimitReachedAt[entry.Name]; ok && n.now.Sub(reachedAt) < openJobLimitTTL {
+	if reachedAt, ok := service.openJobLimitReachedAt[entry.Name]; ok && ts.core.now.Sub(reachedAt) < openJobLimitTTL {
 		return true
 	}
-	open := n.countTenant(entry.Name).open
+	open := ts.countTenant(entry.Name).open
 	for ref := range service.pendingSubmissions[entry.Name] {
 		if jobs[ref] == nil {
 			open += members
@@ -384,7 +392,7 @@
 	if open < entry.OpenJobLimit() {
 		return false
 	}
-	service.openJobLimitReachedAt[entry.Name] = n.now
+	service.openJobLimitReachedAt[entry.Name] = ts.core.now
 	return true
 }
 
@@ -392,17 +400,17 @@
 const openJobLimitTTL = 250 * time.Millisecond
 
 // addPendingSubmission notes a job that is being written, goes that it is not or that the book has it.
-func (n *Controller) addPendingSubmission(name tenant.Name, jobID api.JobID) {
-	if n.hosted.pendingSubmissions[name] == nil {
-		n.hosted.pendingSubmissions[name] = map[api.JobID]bool{}
+func (ts *TenantService) addPendingSubmission(name tenant.Name, jobID api.JobID) {
+	if ts.hosted.pendingSubmissions[name] == nil {
+		ts.hosted.pendingSubmissions[name] = map[api.JobID]bool{}
 	}
-	n.hosted.pendingSubmissions[name][jobID] = true
+	ts.hosted.pendingSubmissions[name][jobID] = true
 }
 
-func (n *Controller) removePendingSubmission(name tenant.Name, jobID api.JobID) {
-	if pending := n.hosted.pendingSubmissions[name]; pending != nil {
+func (ts *TenantService) removePendingSubmission(name tenant.Name, jobID api.JobID) {
+	if pending := ts.hosted.pendingSubmissions[name]; pending != nil {
 		if delete(pending, jobID); len(pending) == 0 {
-			delete(n.hosted.pendingSubmissions, name)
+			delete(ts.hosted.pendingSubmissions, name)
 		}
 	}
 }
@@ -420,12 +428,12 @@
 	partition api.PartitionID
 }
 
-// limitTenantJobs leaves out of a round what is more than so many jobs of one tenant: half of
+// LimitTenantJobs leaves out of a round what is more than so many jobs of one tenant: half of
 // those that stay are its most urgent ones, the others take turns. The order of the rest
 // is kept.
-func (n *Controller) limitTenantJobs(owned *ownedPartition, jobs []*Job) []*Job {
+func (ts *TenantService) LimitTenantJobs(owned *ownedPartition, jobs []*Job) []*Job {
 	owned.unexaminedJobs = 0
-	if n.hosted == nil || len(jobs) <= maxTenantJobsPerRound {
+	if ts.hosted == nil || len(jobs) <= maxTenantJobsPerRound {
 		return jobs
 	}
 	byTenant := map[string][]*Job{}
@@ -444,18 +452,18 @@
 			deferred[j] = true
 		}
 		key := tenantPartition{name, owned.id}
-		for _, i := range tenant.Window(len(tenantJobs), maxTenantJobsPerRound, n.hosted.roundTurns[key]) {
+		for _, i := range tenant.Window(len(tenantJobs), maxTenantJobsPerRound, ts.hosted.roundTurns[key]) {
 			delete(deferred, tenantJobs[i])
 		}
-		n.hosted.roundTurns[key]++
+		ts.hosted.roundTurns[key]++
 	}
 	owned.unexaminedJobs = len(deferred)
 	return slices.DeleteFunc(jobs, func(j *Job) bool { return deferred[j] })
 }
 
-// startsBlocked reports whether what waits of a job may not be started.
-func (n *Controller) startsBlocked(j *Job) bool {
-	return n.hosted != nil && j.Tenant != "" && !n.hosted.tenants.MayStartTasks(tenant.Name(j.Tenant))
+// StartsBlocked reports whether what waits of a job may not be started.
+func (ts *TenantService) StartsBlocked(j *Job) bool {
+	return ts.hosted != nil && j.Tenant != "" && !ts.hosted.tenants.MayStartTasks(tenant.Name(j.Tenant))
 }
 
 // Draining and cancelling are bounded: so many tasks and jobs of a part a second.
@@ -465,19 +473,19 @@
 	tenantReconcileInterval = time.Second
 )
 
-// reconcileTenants goes on with what suspensions and removals have begun.
-func (n *Controller) reconcileTenants() {
-	service := n.hosted
-	if service == nil || !n.loaded || n.now.Sub(service.reconciledAt) < tenantReconcileInterval {
+// ReconcileTenants goes on with what suspensions and removals have begun.
+func (ts *TenantService) ReconcileTenants() {
+	service := ts.hosted
+	if service == nil || !ts.core.loaded || ts.core.now.Sub(service.reconciledAt) < tenantReconcileInterval {
 		return
 	}
-	n.flushKeyUses()
-	if len(n.partitions) == 0 {
+	ts.flushKeyUses()
+	if len(ts.c.scheduler.partitions) == 0 {
 		return
 	}
-	service.reconciledAt = n.now
-	n.reconcilePools()
-	n.sweepHistory()
+	service.reconciledAt = ts.core.now
+	ts.c.pools.ReconcilePools()
+	ts.sweepHistory()
 	draining := map[tenant.Name][]*Placement{} // services whose time is up
 	var removing []*tenant.Entry
 	for _, name := range service.tenants.Names() {
@@ -485,27 +493,27 @@
 		if entry.State != tenant.Suspended && entry.State != tenant.Removing {
 			continue
 		}
-		if float64(n.wallClock-entry.SuspendedAt)/1000 >= entry.Drain {
+		if float64(ts.core.wallClock-entry.SuspendedAt)/1000 >= entry.Drain {
 			draining[name] = nil
 		}
 		if entry.State == tenant.Removing {
 			removing = append(removing, entry)
 		}
 	}
-	n.drainServices(draining)
+	ts.drainServices(draining)
 	for _, entry := range removing {
-		n.continueRemoval(entry)
+		ts.continueRemoval(entry)
 	}
 }
 
 // drainServices stops services of tenants, of each the least urgent and youngest first.
 // Whatever else runs of them ends by itself.
-func (n *Controller) drainServices(byTenant map[tenant.Name][]*Placement) {
+func (ts *TenantService) drainServices(byTenant map[tenant.Name][]*Placement) {
 	if len(byTenant) == 0 {
 		return
 	}
-	for p := range n.partitions {
-		for placement := range n.state.PlacementsByPartition[p] {
+	for p := range ts.c.scheduler.partitions {
+		for placement := range ts.core.state.PlacementsByPartition[p] {
 			name := tenant.Name(placement.Job.Tenant)
 			if running, drains := byTenant[name]; drains && placement.Job.Spec.Kind == api.Service && !placement.Finishing && !placement.OwnerState.stopRequested && !placement.Job.Terminal() {
 				byTenant[name] = append(running, placement)
@@ -519,46 +527,46 @@
 				cmp.Compare(a.Job.ID, b.Job.ID), b.Task.Index-a.Task.Index)
 		})
 		for _, placement := range running[:min(maxDrainedTasks, len(running))] {
-			n.stopTask(placement)
+			ts.c.scheduler.StopTask(placement)
 		}
 	}
 }
 
 // continueRemoval cancels jobs of a tenant that is being removed, each by the owner of its
 // first task, and ends the removal when none is left.
-func (n *Controller) continueRemoval(entry *tenant.Entry) {
+func (ts *TenantService) continueRemoval(entry *tenant.Entry) {
 	var open []*Job
 	remaining := 0
-	for _, j := range n.state.JobsByTenant[string(entry.Name)] {
+	for _, j := range ts.core.state.JobsByTenant[string(entry.Name)] {
 		remaining++
-		if owned := n.partitions[j.Split[0].Partition]; owned != nil && !j.Terminal() {
+		if owned := ts.c.scheduler.partitions[j.Split[0].Partition]; owned != nil && !j.Terminal() {
 			open = append(open, j)
 		}
 	}
 	if entry.CancelJobs {
 		slices.SortFunc(open, func(a, b *Job) int { return strings.Compare(string(a.ID), string(b.ID)) })
-		for _, j := range open[:min(maxCancelledJobs*len(n.partitions), len(open))] {
-			n.recordCancellation(j.ID, 1, func(api.JobStatus) {}, func() {}, func() {})
+		for _, j := range open[:min(maxCancelledJobs*len(ts.c.scheduler.partitions), len(open))] {
+			ts.c.jobs.RecordCancellation(j.ID, 1, func(api.JobStatus) {}, func() {}, func() {})
 		}
 	}
-	if remaining > 0 || n.partitions[0] == nil || n.hosted.finishingRemoval {
+	if remaining > 0 || ts.c.scheduler.partitions[0] == nil || ts.hosted.finishingRemoval {
 		return
 	}
-	n.hosted.finishingRemoval = true
-	release := func() { n.hosted.finishingRemoval = false }
+	ts.hosted.finishingRemoval = true
+	release := func() { ts.hosted.finishingRemoval = false }
 	name, revision := entry.Name, entry.Revision
-	n.linearizableRead(func() {
-		entry := n.hosted.tenants.Get(name)
+	ts.c.follower.LinearizableRead(func() {
+		entry := ts.hosted.tenants.Get(name)
 		if entry == nil || entry.Revision != revision {
 			release()
 			return
 		}
-		done, err := entry.FinishRemoval(n.countTenant(name).jobs)
+		done, err := entry.FinishRemoval(ts.countTenant(name).jobs)
 		if err != nil {
 			release()
 			return
 		}
-		n.writeTenant(done, entry, nil, func(int, api.Revision) {
+		ts.writeTenant(done, entry, nil, func(int, api.Revision) {
 			slog.Info("tenant removed", "tenant", name)
 			release()
 		})
@@ -567,10 +575,10 @@
 
 // writeTenant writes a tenant's record in place of what was read of it, nil if it is new,
 // with whatever else is to be written at once.
-func (n *Controller) writeTenant(t tenant.Tenant, old *tenant.Entry, extraWrites []api.Write, respond func(status int, revision api.Revision)) {
+func (ts *TenantService) writeTenant(t tenant.Tenant, old *tenant.Entry, extraWrites []api.Write, respond func(status int, revision api.Revision)) {
 	key := keyTenant + string(t.Name)
 	data, err := json.Marshal(t)
-	if err != nil || n.exceedsValueSize(data) {
+	if err != nil || ts.core.ExceedsValueSize(data) {
 		respond(400, 0)
 		return
 	}
@@ -584,7 +592,7 @@
 	for _, team := range t.Teams {
 		if !slices.Contains(teams, team) {
 			claim, _ := json.Marshal(t.Name)
-			tx.If = append(tx.If, api.Condition{Key: keyTeamOf + string(team)}, n.state.VersionCondition(keyTeam+string(team)))
+			tx.If = append(tx.If, api.Condition{Key: keyTeamOf + string(team)}, ts.core.state.VersionCondition(keyTeam+string(team)))
 			tx.Writes = append(tx.Writes, api.Write{Put: keyTeamOf + string(team), Value: claim})
 		}
 	}
@@ -593,11 +601,11 @@
 			tx.Writes = append(tx.Writes, api.Write{Drop: keyTeamOf + string(team)})
 		}
 	}
-	if len(tx.Writes) > n.config.Deployment.State.TxnOps {
+	if len(tx.Writes) > ts.core.config.Deployment.State.TxnOps {
 		respond(413, 0)
 		return
 	}
-	n.callStoreTxn(tx, func(a StoreResponse) {
+	ts.core.CallStoreTxn(tx, func(a StoreResponse) {
 		status := a.Status
 		if status == 409 && slices.ContainsFunc(a.Txn.Failed, func(k string) bool { return strings.HasPrefix(k, keyTeamOf) }) {
 			status = 422
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -23,9 +23,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.config.Hosted = &config.Hosted{AdminKey: admin.Key("admin")}
-	n.initHosted()
-	n.hostedRecordKinds()
+	n.core.config.Hosted = &config.Hosted{AdminKey: admin.Key("admin")}
+	n.tenancy.InitHosted()
+	n.tenancy.HostedRecordKinds()
 	k, s, err := tenant.NewKey([tenant.RandomBytes]byte{2}, "first", 1000, 60_000)
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.hosted.tenants.Put(string(x.Name), data, 8); err != nil {
+	if err := n.tenancy.hosted.tenants.Put(string(x.Name), data, 8); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -57,21 +57,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.state.Put(clusterstate.KeyJob+string(spec.Ref), data, 9); err != nil {
+	if err := n.core.state.Put(clusterstate.KeyJob+string(spec.Ref), data, 9); err != nil {
 		t.Fatal(err)
 	}
-	return n.state.Jobs[spec.Ref]
+	return n.core.state.Jobs[spec.Ref]
 }
 
 // stateCalls are the calls to the state service that were wanted since the last time.
 func stateCalls(n *Controller) []StoreCall {
 	var out []StoreCall
-	for _, e := range n.effects {
+	for _, e := range n.core.effects {
 		if c, ok := e.(StoreCall); ok {
 			out = append(out, c)
 		}
 	}
-	n.effects = nil
+	n.core.effects = nil
 	return out
 }
 
@@ -79,7 +79,7 @@
 // that a hosted service's rounds differ by.
 func TestRoundNamesTheGate(t *testing.T) {
 	gate := func(n *Controller, owned *ownedPartition) (int, bool) {
-		n.runPartition(owned)
+		n.scheduler.RunPartition(owned)
 		for _, c := range stateCalls(n) {
 			if c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
 				return len(c.Txn.If), slices.ContainsFunc(c.Txn.If, func(x api.Condition) bool { return x.Key == keyGate })
@@ -105,16 +105,16 @@
 	for state, starts := range map[tenant.State]bool{tenant.Active: true, tenant.Suspended: false, tenant.Removing: false, "": false} {
 		n, owned, j, _ := hostedOwner(t)
 		if state == "" {
-			n.hosted.tenants.Drop("kipper")
+			n.tenancy.hosted.tenants.Drop("kipper")
 		} else {
-			e := n.hosted.tenants.Get("kipper").Tenant
+			e := n.tenancy.hosted.tenants.Get("kipper").Tenant
 			e.State = state
 			putTenant(t, n, e)
 		}
-		if got := len(n.planRound(owned).starts) > 0; got != starts || n.startsBlocked(j) == starts {
-			t.Errorf("%q: starts %v, held %v", state, got, n.startsBlocked(j))
+		if got := len(n.scheduler.planRound(owned).starts) > 0; got != starts || n.tenancy.StartsBlocked(j) == starts {
+			t.Errorf("%q: starts %v, held %v", state, got, n.tenancy.StartsBlocked(j))
 		}
-		if waiting := n.pendingTasksIn(0, j.Spec); (waiting > 0) != starts {
+		if waiting := n.jobs.PendingTasksIn(0, j.Spec); (waiting > 0) != starts {
 			t.Errorf("%q: %d tasks count as waiting", state, waiting)
 		}
 	}
@@ -131,10 +131,10 @@
 
 func TestTenantAuthentication(t *testing.T) {
 	n, _, _, s := hostedOwner(t)
-	n.wallClock = 2000
+	n.core.wallClock = 2000
 	at := func(auth, from string) int {
 		c := Caller{Auth: auth, From: mustAddr(t, from)}
-		if _, err := n.authenticateTenant(c); err != nil {
+		if _, err := n.tenancy.authenticateTenant(c); err != nil {
 			return err.(*tenant.Error).Status
 		}
 		return 200
@@ -149,7 +149,7 @@
 			t.Errorf("%q from %s: %d, expected %d", c.auth, c.from, got, c.want)
 		}
 	}
-	n.wallClock = 60_000
+	n.core.wallClock = 60_000
 	if got := at(good, "192.0.2.7"); got != 401 {
 		t.Errorf("an expired key: %d", got)
 	}
@@ -158,9 +158,9 @@
 // What is older than it is to be kept goes, and nothing else, under the term of part 0.
 func TestHistorySweep(t *testing.T) {
 	n, _, _, _ := hostedOwner(t)
-	n.wallClock = 1_000_000
-	n.now = n.now.Add(time.Minute)
-	n.sweepHistory()
+	n.core.wallClock = 1_000_000
+	n.core.now = n.core.now.Add(time.Minute)
+	n.tenancy.sweepHistory()
 	calls := stateCalls(n)
 	if len(calls) != 1 || calls[0].Page == nil || calls[0].Page.Prefix != "history/kipper/" {
 		t.Fatalf("asked for %+v", calls)
@@ -186,7 +186,7 @@
 func TestLongQueueRotatesAcrossRounds(t *testing.T) {
 	n, owned, j, _ := hostedOwner(t)
 	putTenant(t, n, tenant.Tenant{Name: "flood", State: tenant.Active, Teams: []api.Team{"blue"}, Retention: 100})
-	n.teams["blue"] = config.Team{Name: "blue"}
+	n.core.teams["blue"] = config.Team{Name: "blue"}
 	const queue = 5000
 	put := func(ref int, cpus float64, accepted api.WallTime) *Job {
 		spec := testSpec(1)
@@ -201,17 +201,17 @@
 	starts := func(round *pendingRound, j *Job) bool {
 		return slices.ContainsFunc(round.starts, func(p *Placement) bool { return p.Job == j })
 	}
-	round := n.planRound(owned)
+	round := n.scheduler.planRound(owned)
 	if !starts(round, j) {
 		t.Error("another tenant's job waits behind the queue")
 	}
-	if examined, limit := n.metrics.FlowTasks, maxTenantJobsPerRound+j.Spec.Tasks; examined > limit {
+	if examined, limit := n.core.metrics.FlowTasks, maxTenantJobsPerRound+j.Spec.Tasks; examined > limit {
 		t.Errorf("a round looks at %d tasks, expected %d at most", examined, limit)
 	}
-	delete(n.state.PendingJobs, j.ID) // a round places one task on each machine
+	delete(n.core.state.PendingJobs, j.ID) // a round places one task on each machine
 	rounds := 1
 	for !starts(round, fits) && rounds <= queue {
-		round = n.planRound(owned)
+		round = n.scheduler.planRound(owned)
 		rounds++
 	}
 	if limit := tenant.RoundsToCoverAll(queue, maxTenantJobsPerRound); rounds > limit {
@@ -219,11 +219,11 @@
 	}
 	// A round comes by itself for those who were left out.
 	owned.dirty, owned.nextRound = false, 0
-	owned.plannedAt = n.now
-	n.now = n.now.Add(deferredJobsInterval)
-	before := n.hosted.roundTurns[tenantPartition{"flood", 0}]
-	n.runPartition(owned)
-	if n.hosted.roundTurns[tenantPartition{"flood", 0}] == before {
+	owned.plannedAt = n.core.now
+	n.core.now = n.core.now.Add(deferredJobsInterval)
+	before := n.tenancy.hosted.roundTurns[tenantPartition{"flood", 0}]
+	n.scheduler.RunPartition(owned)
+	if n.tenancy.hosted.roundTurns[tenantPartition{"flood", 0}] == before {
 		t.Error("nobody has a turn when nothing else happens")
 	}
 }
@@ -241,17 +241,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.hosted.operators.Keys = []tenant.OperatorKey{{Key: watch, Role: tenant.RoleRead}}
-	n.lastReadAt = n.now
+	n.tenancy.hosted.operators.Keys = []tenant.OperatorKey{{Key: watch, Role: tenant.RoleRead}}
+	n.follower.lastReadAt = n.core.now
 	asks := func(key tenant.Secret, what string) int {
-		n.effects = nil
+		n.core.effects = nil
 		n.dispatch(AdminRequest{Req: 1, What: what, Caller: Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
-		waiting := n.readWaiters
-		n.readWaiters = nil
+		waiting := n.follower.readWaiters
+		n.follower.readWaiters = nil
 		for _, w := range waiting {
 			w.onFailure() // the state service does not answer
 		}
-		for _, e := range n.effects {
+		for _, e := range n.core.effects {
 			if r, ok := e.(Reply); ok {
 				return r.Status
 			}
@@ -265,12 +265,12 @@
 		want  int
 	}{{0, secret, "metrics", 200}, {0, secret, "tenants", 503}, {0, secret, "drain", 503}, {0, first, "set", 503}, {0, first, "members", 200},
 		{operatorKeyCacheTTL - time.Second, secret, "machines", 200}, {2 * time.Second, secret, "machines", 503}, {0, first, "machines", 200}, {0, first, "operators", 503}} {
-		n.now = n.now.Add(c.after)
+		n.core.now = n.core.now.Add(c.after)
 		if got := asks(c.key, c.what); got != c.want {
-			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.now.Sub(n.lastReadAt), got, c.want)
+			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.core.now.Sub(n.follower.lastReadAt), got, c.want)
 		}
 	}
-	n.hosted.operators.RetiredAdminKeys = []tenant.KeyID{first.ID}
+	n.tenancy.hosted.operators.RetiredAdminKeys = []tenant.KeyID{first.ID}
 	if got := asks(first, "metrics"); got != 401 {
 		t.Errorf("the retired key of the file: %d", got)
 	}
--- a/controller/intervals_test.go
+++ b/controller/intervals_test.go
@@ -63,7 +63,7 @@
 		if got := asked + perSecond(controllers-readers, tt.directReadInterval); got > slack*0.6*d.State.RPS && tt.leaseRenewInterval < maxLeaseRenewInterval {
 			t.Errorf("%.2f a second of %.2f when nobody has a relay", got, d.State.RPS)
 		}
-		if got := perSecond(controllers, tt.leaseRenewInterval) + perSecond(controllers, New(c, 1).pageReadInterval()); got > slack*0.4*d.State.RPS && tt.leaseRenewInterval < maxLeaseRenewInterval {
+		if got := perSecond(controllers, tt.leaseRenewInterval) + perSecond(controllers, New(c, 1).follower.PageReadInterval()); got > slack*0.4*d.State.RPS && tt.leaseRenewInterval < maxLeaseRenewInterval {
 			t.Errorf("%.2f a second of %.2f while versions change", got, d.State.RPS)
 		}
 		if got := perSecond(float64(d.InitialSize), tt.roundInterval); got > slack*0.5*d.State.WriteRPS {
@@ -94,7 +94,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		n := New(c, 1)
-		if room, conditions := n.roundByteBudget(), n.roundConditionBudget(); room < 64 || conditions < 2 {
+		if room, conditions := n.scheduler.roundByteBudget(), n.scheduler.RoundConditionBudget(); room < 64 || conditions < 2 {
 			t.Errorf("%.2f KB and %d writes leave %d bytes and %d conditions", c.Deployment.State.ValueKB, c.Deployment.State.TxnOps, room, conditions)
 		}
 	})
--- a/controller/jobs.go
+++ b/controller/jobs.go
@@ -35,21 +35,21 @@
 	}
 )
 
-// viewJobs shows up to limit jobs, of one team or of all. There may be very many:
+// ViewJobs shows up to limit jobs, of one team or of all. There may be very many:
 // each is looked at once to put them in order, and only those that are shown are
 // looked into, with the machines counted once for all of them.
-func (n *Controller) viewJobs(team api.Team, limit int) JobsView {
+func (js *JobService) ViewJobs(team api.Team, limit int) JobsView {
 	type entry struct {
 		j    *Job
 		late float64
 	}
 	v := JobsView{Jobs: []JobView{}}
-	entries := make([]entry, 0, len(n.state.Jobs))
-	for _, j := range n.state.Jobs {
+	entries := make([]entry, 0, len(js.core.state.Jobs))
+	for _, j := range js.core.state.Jobs {
 		if j.Terminal() || team != "" && j.Spec.Team != team {
 			continue
 		}
-		tardiness := n.tardiness(j)
+		tardiness := js.tardiness(j)
 		if tardiness > 0 {
 			v.LateCount++
 		}
@@ -59,20 +59,20 @@
 	slices.SortFunc(entries, func(a, b entry) int {
 		return cmp.Or(cmp.Compare(b.late, a.late), cmp.Compare(a.j.AcceptedAt, b.j.AcceptedAt), cmp.Compare(a.j.ID, b.j.ID))
 	})
-	capacityGroups := n.freeCapacityGroups()
+	capacityGroups := js.FreeCapacityGroups()
 	for _, e := range entries[:min(limit, len(entries))] {
-		v.Jobs = append(v.Jobs, n.viewJob(e.j, capacityGroups))
+		v.Jobs = append(v.Jobs, js.ViewJob(e.j, capacityGroups))
 	}
 	return v
 }
 
 // tardiness is by how much a job is or will be later than it should, in seconds; 0
 // if it can still be in time.
-func (n *Controller) tardiness(j *Job) float64 {
-	elapsed := max(0, float64(n.wallClock-j.AcceptedAt)/1000)
+func (js *JobService) tardiness(j *Job) float64 {
+	elapsed := max(0, float64(js.core.wallClock-j.AcceptedAt)/1000)
 	hasPending := j.CompletedCount+len(j.Placements)-j.FinishingCount < j.Spec.Tasks
 	if j.Spec.Kind != api.Array { // what counts is when all of it runs
-		if startObjective := n.startObjective(j.Spec.Class); startObjective > 0 && hasPending {
+		if startObjective := js.c.scheduler.StartObjective(j.Spec.Class); startObjective > 0 && hasPending {
 			return max(0, elapsed-startObjective)
 		}
 		if j.Spec.Kind == api.Service {
@@ -83,7 +83,7 @@
 	if hasPending {
 		remaining = j.Spec.Estimate
 	}
-	if limits := n.completionObjectives(j.Spec); len(limits) > 0 {
+	if limits := js.c.scheduler.CompletionObjectives(j.Spec); len(limits) > 0 {
 		return max(0, elapsed+remaining-limits[0])
 	}
 	return 0
@@ -98,11 +98,11 @@
 	FreeCapacity
 }
 
-// freeCapacityGroups counts the machines by what they have free.
-func (n *Controller) freeCapacityGroups() []freeCapacityGroup {
+// FreeCapacityGroups counts the machines by what they have free.
+func (js *JobService) FreeCapacityGroups() []freeCapacityGroup {
 	var groups []freeCapacityGroup
 	index := map[freeCapacityGroup]int{}
-	n.eachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
 		count := r.Count
 		r.Kind, r.Count, r.Could = 0, 0, api.Resources{}
 		key := freeCapacityGroup{p, k, r}
@@ -117,9 +117,9 @@
 	return groups
 }
 
-func (n *Controller) viewJob(j *Job, capacityGroups []freeCapacityGroup) JobView {
+func (js *JobService) ViewJob(j *Job, capacityGroups []freeCapacityGroup) JobView {
 	v := JobView{JobID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, State: j.State(), Tasks: j.Spec.Tasks, Completed: j.CompletedCount,
-		Placed: len(j.Placements), Partitions: []api.PartitionID{}, Elapsed: roundToTenth(float64(n.wallClock-j.AcceptedAt) / 1000)}
+		Placed: len(j.Placements), Partitions: []api.PartitionID{}, Elapsed: roundToTenth(float64(js.core.wallClock-j.AcceptedAt) / 1000)}
 	for _, r := range j.Split {
 		if !slices.Contains(v.Partitions, r.Partition) {
 			v.Partitions = append(v.Partitions, r.Partition)
@@ -128,13 +128,13 @@
 	if j.Terminal() {
 		return v
 	}
-	v.Tardiness = roundToTenth(n.tardiness(j))
-	if rule := n.pendingReasonPriority(j.Spec); rule != "" && j.HasPendingTasks() {
+	v.Tardiness = roundToTenth(js.tardiness(j))
+	if rule := js.c.priorities.PendingReasonPriority(j.Spec); rule != "" && j.HasPendingTasks() {
 		v.Reasons = append(v.Reasons, fmt.Sprintf("rule %q puts other work before it", rule))
 	}
 	for _, p := range v.Partitions {
 		if w := j.PendingTasks(p); w > 0 {
-			v.Reasons = append(v.Reasons, fmt.Sprintf("part %d: %d tasks wait: %s", p, w, n.pendingReason(j, p, capacityGroups)))
+			v.Reasons = append(v.Reasons, fmt.Sprintf("part %d: %d tasks wait: %s", p, w, js.PendingReason(j, p, capacityGroups)))
 		}
 	}
 	fetching := 0
@@ -156,14 +156,14 @@
 	return v
 }
 
-// pendingReason says what keeps a job's tasks from starting in a part.
-func (n *Controller) pendingReason(j *Job, p api.PartitionID, capacityGroups []freeCapacityGroup) string {
-	owner := n.state.Partitions[p].Owner
+// PendingReason says what keeps a job's tasks from starting in a part.
+func (js *JobService) PendingReason(j *Job, p api.PartitionID, capacityGroups []freeCapacityGroup) string {
+	owner := js.core.state.Partitions[p].Owner
 	switch {
-	case !n.isLive(owner):
+	case !js.core.IsLive(owner):
 		return "the part has no living owner"
-	case j.OwnerState.backoffUntil > n.now:
-		return fmt.Sprintf("backs off for another %.0f s after failures", j.OwnerState.backoffUntil.Sub(n.now).Seconds())
+	case j.OwnerState.backoffUntil > js.core.now:
+		return fmt.Sprintf("backs off for another %.0f s after failures", j.OwnerState.backoffUntil.Sub(js.core.now).Seconds())
 	case j.Spec.Kind == api.Gang && len(j.Placements) > 0:
 		return "the gang's last attempt has not ended everywhere"
 	}
@@ -171,15 +171,15 @@
 	if j.Spec.Kind == api.Gang {
 		demand = demand.Times(j.Spec.Tasks)
 	}
-	quotaLeft := n.remainingQuota(p)[j.Spec.Team]
+	quotaLeft := js.c.scheduler.RemainingQuota(p)[j.Spec.Team]
 	demand.Mem = 0
 	if !demand.Fits(quotaLeft) {
 		return fmt.Sprintf("limit: team %s has %.1f CPUs and %.1f GPUs left here", j.Spec.Team, quotaLeft.CPU.Float(), quotaLeft.GPU.Float())
 	}
-	if reason := n.pendingReasonPool(j, p); reason != "" {
+	if reason := js.c.pools.PendingReasonPool(j, p); reason != "" {
 		return reason
 	}
-	if owned := n.partitions[p]; owned != nil && n.hasReservationFor(owned, j.ID) {
+	if owned := js.c.scheduler.partitions[p]; owned != nil && js.c.balancer.HasReservationFor(owned, j.ID) {
 		return "room is gathered for it on machines that are kept"
 	}
 	allowed, usable, free := 0, 0, 0
@@ -188,7 +188,7 @@
 			continue
 		}
 		allowed += r.Count
-		if r.machineKind.Usable && !(r.machineKind.Closed && n.isCPUOnly(j.Spec)) {
+		if r.machineKind.Usable && !(r.machineKind.Closed && js.c.scheduler.IsCPUOnly(j.Spec)) {
 			usable += r.Count
 			free += r.Count * j.Demand.Slots(r.Free)
 		}
--- a/controller/jobs_test.go
+++ b/controller/jobs_test.go
@@ -17,8 +17,8 @@
 	t.Helper()
 	spec := testSpec(3)
 	n, _, _, first := newTestOwner(t, spec)
-	n.teams["blue"] = config.Team{Name: "blue"}
-	n.wallClock = first.AcceptedAt + api.WallTime(1000*jobs)
+	n.core.teams["blue"] = config.Team{Name: "blue"}
+	n.core.wallClock = first.AcceptedAt + api.WallTime(1000*jobs)
 	for i := range jobs {
 		s := *spec
 		limit := 100.0
@@ -26,11 +26,11 @@
 		if i%2 == 1 {
 			s.Team = "blue"
 		}
-		data, err := json.Marshal(clusterstate.JobValue{Spec: &s, Split: []clusterstate.TaskRange{{From: 0, To: s.Tasks}}, AcceptedAt: n.wallClock - api.WallTime(1000*i)})
+		data, err := json.Marshal(clusterstate.JobValue{Spec: &s, Split: []clusterstate.TaskRange{{From: 0, To: s.Tasks}}, AcceptedAt: n.core.wallClock - api.WallTime(1000*i)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := n.state.Put(clusterstate.KeyJob+string(s.Ref), data, 7); err != nil {
+		if err := n.core.state.Put(clusterstate.KeyJob+string(s.Ref), data, 7); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -41,7 +41,7 @@
 // with their team, by how much, and why.
 func TestLateJobsFirst(t *testing.T) {
 	n := manyJobs(t, 200)
-	v := n.viewJobs("", 5)
+	v := n.jobs.ViewJobs("", 5)
 	if v.OpenCount != 201 || v.LateCount != 109 || len(v.Jobs) != 5 {
 		t.Fatalf("%d open, %d late, %d shown", v.OpenCount, v.LateCount, len(v.Jobs))
 	}
@@ -51,7 +51,7 @@
 	if !slices.IsSortedFunc(v.Jobs, func(a, b JobView) int { return int(b.Tardiness - a.Tardiness) }) {
 		t.Errorf("not by lateness: %+v", v.Jobs)
 	}
-	for _, j := range n.viewJobs("blue", 1000).Jobs {
+	for _, j := range n.jobs.ViewJobs("blue", 1000).Jobs {
 		if j.Team != "blue" {
 			t.Errorf("blue is shown %s of %s", j.JobID, j.Team)
 		}
@@ -63,7 +63,7 @@
 func TestListingJobsAllocatesLittle(t *testing.T) {
 	count := func(jobs int) float64 {
 		n := manyJobs(t, jobs)
-		return testing.AllocsPerRun(3, func() { n.viewJobs("", 50) })
+		return testing.AllocsPerRun(3, func() { n.jobs.ViewJobs("", 50) })
 	}
 	few, many := count(500), count(10_000)
 	if perJob := (many - few) / 9500; perJob > 3 {
--- a/controller/loan.go
+++ b/controller/loan.go
@@ -11,32 +11,32 @@
 	"basaltwall/sched"
 )
 
-// lendMachines gives a free machine to a part that can't hold a job whole. The write
+// LendMachines gives a free machine to a part that can't hold a job whole. The write
 // raises the token under which the machine is commanded, so nothing that this
 // part has sent it can take effect any more. Where none is free, one is cleared
 // of lower work first.
-func (n *Controller) lendMachines(owned *ownedPartition) {
-	if owned.loanInFlight || owned.releasing || owned.inFlight != nil || n.now < owned.nextLoan {
+func (bl *Balancer) LendMachines(owned *ownedPartition) {
+	if owned.loanInFlight || owned.releasing || owned.inFlight != nil || bl.core.now < owned.nextLoan {
 		return
 	}
-	owned.nextLoan = n.now.Add(2 * gossipInterval)
-	for _, status := range n.otherPartitionStatuses(owned) {
+	owned.nextLoan = bl.core.now.Add(2 * gossipInterval)
+	for _, status := range bl.c.gossiper.OtherPartitionStatuses(owned) {
 		for _, demand := range status.Lack {
 			if demand.Spec == nil || len(owned.unmetDemands) > 0 && status.Part > owned.id {
 				continue // of two that lack something, one must give
 			}
-			cpuOnly := n.isCPUOnly(demand.Spec)
+			cpuOnly := bl.c.scheduler.IsCPUOnly(demand.Spec)
 			if cpuOnly && owned.pendingTaskCount > 0 && demand.Stage == sched.NotAged && !slices.Contains(demand.Lenders, owned.id) {
 				continue // our own tasks can use what is free
 			}
 			var best preemptionPlan
-			for _, m := range n.machinesOf(owned.id) {
-				if reservedJob := n.reservedFor(m); reservedJob != "" && reservedJob != demand.Spec.Ref || !n.isLendable(m, owned, &demand, cpuOnly) {
+			for _, m := range bl.c.agents.MachinesOf(owned.id) {
+				if reservedJob := bl.c.preemptor.ReservedFor(m); reservedJob != "" && reservedJob != demand.Spec.Ref || !bl.isLendable(m, owned, &demand, cpuOnly) {
 					continue
 				}
-				if len(n.state.PlacementsOn(m.ID)) == 0 && !m.hasUnknownTasks && m.untrackedUsage == (api.Resources{}) {
-					if demand.Spec.Demand().Fits(n.freeCapacityOn(m, owned)) {
-						n.lendMachine(owned, m.ID, status.Part, demand.Spec.Ref)
+				if len(bl.core.state.PlacementsOn(m.ID)) == 0 && !m.hasUnknownTasks && m.untrackedUsage == (api.Resources{}) {
+					if demand.Spec.Demand().Fits(bl.c.scheduler.FreeCapacityOn(m, owned)) {
+						bl.lendMachine(owned, m.ID, status.Part, demand.Spec.Ref)
 						return
 					}
 					continue
@@ -44,80 +44,80 @@
 				if cpuOnly && demand.Stage == sched.NotAged {
 					continue
 				}
-				plan := n.planPreemption(m, owned, demand.Spec, demand.Spec.Tasks, false)
-				if plan.tasks > 0 && len(plan.victims) == len(n.state.PlacementsOn(m.ID)) && (best.machine == nil || plan.cost < best.cost) {
+				plan := bl.c.preemptor.PlanPreemption(m, owned, demand.Spec, demand.Spec.Tasks, false)
+				if plan.tasks > 0 && len(plan.victims) == len(bl.core.state.PlacementsOn(m.ID)) && (best.machine == nil || plan.cost < best.cost) {
 					best = plan
 				}
 			}
 			if best.machine != nil {
-				n.reserveExclusively(best.machine, demand.Spec.Ref)
-				n.executePreemption(best, demand.Spec.Ref)
-			} else if m := n.selectTransferMachine(owned, &demand, cpuOnly); m != nil {
-				n.lendMachineWithTasks(owned, m, status.Part, demand.Spec.Ref)
+				bl.c.preemptor.ReserveExclusively(best.machine, demand.Spec.Ref)
+				bl.c.preemptor.ExecutePreemption(best, demand.Spec.Ref)
+			} else if m := bl.selectTransferMachine(owned, &demand, cpuOnly); m != nil {
+				bl.lendMachineWithTasks(owned, m, status.Part, demand.Spec.Ref)
 				return
 			} else if demand.Stage != sched.NotAged {
-				n.reserveForLoan(owned, demand)
+				bl.reserveForLoan(owned, demand)
 			}
 		}
 	}
 }
 
 // isLendable reports whether a machine may be lent, as it is, to a job that lacks room.
-func (n *Controller) isLendable(m *Machine, owned *ownedPartition, demand *UnmetDemand, cpuOnly bool) bool {
-	return n.isSchedulable(m, owned) && !m.callInFlight && (demand.Zone == "" || m.zone == demand.Zone) && n.isEligible(demand.Spec, cpuOnly, m.machineType, m.zone, m.spot) &&
+func (bl *Balancer) isLendable(m *Machine, owned *ownedPartition, demand *UnmetDemand, cpuOnly bool) bool {
+	return bl.c.scheduler.IsSchedulable(m, owned) && !m.callInFlight && (demand.Zone == "" || m.zone == demand.Zone) && bl.c.scheduler.IsEligible(demand.Spec, cpuOnly, m.machineType, m.zone, m.spot) &&
 		sched.ZoneFeasible(demand.Spec, demand.Zones, m.zone)
 }
 
 // reserveForLoan keeps the machine that is empty soonest for another part's job that must begin.
-func (n *Controller) reserveForLoan(owned *ownedPartition, demand UnmetDemand) {
+func (bl *Balancer) reserveForLoan(owned *ownedPartition, demand UnmetDemand) {
 	var candidates []*Machine
-	for _, m := range n.machinesOf(owned.id) {
-		if n.isSchedulable(m, owned) && (demand.Zone == "" || m.zone == demand.Zone) && sched.ZoneFeasible(demand.Spec, demand.Zones, m.zone) {
+	for _, m := range bl.c.agents.MachinesOf(owned.id) {
+		if bl.c.scheduler.IsSchedulable(m, owned) && (demand.Zone == "" || m.zone == demand.Zone) && sched.ZoneFeasible(demand.Spec, demand.Zones, m.zone) {
 			candidates = append(candidates, m)
 		}
 	}
-	ms, hosts := n.reservableHosts(owned, demand.Spec, nil, candidates, map[*Machine][]backfill.Release{}, nil)
+	ms, hosts := bl.c.backfiller.ReservableHosts(owned, demand.Spec, nil, candidates, map[*Machine][]backfill.Release{}, nil)
 	if i, _ := backfill.SoonestEmpty(hosts, demand.Spec.Demand()); i >= 0 {
-		n.reserve(owned, ms[i], demand.Spec.Ref, demand.Spec.Priority.Rank(), demand.Stage)
+		bl.c.backfiller.Reserve(owned, ms[i], demand.Spec.Ref, demand.Spec.Priority.Rank(), demand.Stage)
 	}
 }
 
-func (n *Controller) lendMachine(owned *ownedPartition, id api.MachineID, to api.PartitionID, jobID api.JobID) {
+func (bl *Balancer) lendMachine(owned *ownedPartition, id api.MachineID, to api.PartitionID, jobID api.JobID) {
 	owned.loanInFlight = true
 	key := clusterstate.KeyLoan + string(id)
-	v, _ := json.Marshal(clusterstate.LoanValue{Partition: to, Job: jobID, Transferred: n.state.Loans[id].Transferred})
-	tx := api.Txn{If: []api.Condition{owned.ownershipCondition(), n.state.VersionCondition(key)},
+	v, _ := json.Marshal(clusterstate.LoanValue{Partition: to, Job: jobID, Transferred: bl.core.state.Loans[id].Transferred})
+	tx := api.Txn{If: []api.Condition{owned.ownershipCondition(), bl.core.state.VersionCondition(key)},
 		Writes: []api.Write{{Put: key, Value: v}}}
 	// No round is planned before the outcome is known: a late write must not
 	// give away a machine that has got a task meanwhile.
 	var attempt func()
 	settle := func() { owned.loanInFlight, owned.dirty = false, true }
 	attempt = func() {
-		n.callStoreTxn(tx, func(a StoreResponse) {
-			if n.partitions[owned.id] != owned {
+		bl.core.CallStoreTxn(tx, func(a StoreResponse) {
+			if bl.c.scheduler.partitions[owned.id] != owned {
 				return
 			}
 			switch a.Status {
 			case 200, 409:
 				if a.Status == 200 {
-					n.metrics.MachinesLoaned++
+					bl.core.metrics.MachinesLoaned++
 					slog.Info("machine lent", "machine", id, "from", owned.id, "to", to, "for", jobID)
 				}
-				n.linearizableRead(settle, func() { n.deferCall(attempt) })
+				bl.c.follower.LinearizableRead(settle, func() { bl.core.DeferCall(attempt) })
 			default:
-				n.deferCall(attempt)
+				bl.core.DeferCall(attempt)
 			}
 		})
 	}
 	attempt()
 }
 
-// dropLoanRecord forgets that a machine was lent once it is gone and no checkpoint names tasks that it
+// DropLoanRecord forgets that a machine was lent once it is gone and no checkpoint names tasks that it
 // took along.
-func (n *Controller) dropLoanRecord(owned *ownedPartition, id api.MachineID) {
-	if _, ok := n.state.Loans[id]; !ok || !n.state.LoanCheckpointed(id) {
+func (bl *Balancer) DropLoanRecord(owned *ownedPartition, id api.MachineID) {
+	if _, ok := bl.core.state.Loans[id]; !ok || !bl.core.state.LoanCheckpointed(id) {
 		return
 	}
 	key := clusterstate.KeyLoan + string(id)
-	n.callStoreTxn(api.Txn{If: []api.Condition{owned.ownershipCondition(), n.state.VersionCondition(key)}, Writes: []api.Write{{Drop: key}}}, func(StoreResponse) {})
+	bl.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.ownershipCondition(), bl.core.state.VersionCondition(key)}, Writes: []api.Write{{Drop: key}}}, func(StoreResponse) {})
 }
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -13,6 +13,23 @@
 	"basaltwall/sched"
 )
 
+// AgentManager manages the machines of owned partitions through their agents.
+type AgentManager struct {
+	core *Core
+	c    *Controller
+
+	machines                            map[api.MachineID]*Machine
+	sortedMachines                      []*Machine   // all of them in order; nil: to be listed anew
+	machinesByPartition                 [][]*Machine // the same by part
+	sortedLoanVersion                   int
+	machineLoans                        map[api.MachineID]machineLoan
+	pendingContacts                     []*Machine // to be called at once
+	sweepIndex                          int        // the next machine to look at
+	lastSweepAt                         api.Time
+	directCallsInFlight, maxDirectCalls int // direct calls under way, and at most
+	redirects                           map[api.MachineID]redirect
+}
+
 type attemptKey struct {
 	task    api.TaskID
 	attempt api.Attempt
@@ -82,26 +99,26 @@
 	return api.PartitionID(h.Sum32() % uint32(parts))
 }
 
-func (n *Controller) partitionOf(id api.MachineID) api.PartitionID {
-	if loan, ok := n.state.Loans[id]; ok {
+func (am *AgentManager) PartitionOf(id api.MachineID) api.PartitionID {
+	if loan, ok := am.core.state.Loans[id]; ok {
 		return loan.Partition
 	}
-	return hashPartition(id, len(n.state.Partitions))
+	return hashPartition(id, len(am.core.state.Partitions))
 }
 
-// minToken is the lowest token under which the owner of a part may command a
+// MinToken is the lowest token under which the owner of a part may command a
 // machine: its term or, for a machine lent to it since, the lending's revision.
-func (n *Controller) minToken(owned *ownedPartition, id api.MachineID) api.FencingToken {
-	return api.FencingToken(max(owned.term, n.state.Loans[id].Revision))
+func (am *AgentManager) MinToken(owned *ownedPartition, id api.MachineID) api.FencingToken {
+	return api.FencingToken(max(owned.term, am.core.state.Loans[id].Revision))
 }
 
-func (n *Controller) ensureMachine(id api.MachineID) *Machine {
-	m := n.machines[id]
+func (am *AgentManager) EnsureMachine(id api.MachineID) *Machine {
+	m := am.machines[id]
 	if m == nil {
-		m = &Machine{ID: id, discoveredAt: n.now, idleSince: n.now, reportedTasks: map[attemptKey]api.TaskStatus{},
+		m = &Machine{ID: id, discoveredAt: am.core.now, idleSince: am.core.now, reportedTasks: map[attemptKey]api.TaskStatus{},
 			cachedImages: map[api.Image]sched.CachedImage{}, recentFailures: map[api.JobID]api.Time{}}
-		n.machines[id] = m
-		n.sortedMachines = nil
+		am.machines[id] = m
+		am.sortedMachines = nil
 	}
 	return m
 }
@@ -113,96 +130,96 @@
 	}
 }
 
-// handleHeartbeat answers a worker's report.
-func (n *Controller) handleHeartbeat(c WorkerHeartbeat) {
+// HandleHeartbeat answers a worker's report.
+func (am *AgentManager) HandleHeartbeat(c WorkerHeartbeat) {
 	heartbeat := c.Heartbeat
-	n.metrics.WorkerHeartbeats++
-	if !n.loaded {
-		n.replyError(c.Req, 503, "starting")
+	am.core.metrics.WorkerHeartbeats++
+	if !am.core.loaded {
+		am.core.ReplyError(c.Req, 503, "starting")
 		return
 	}
-	p := n.partitionOf(heartbeat.Machine)
-	owned := n.partitions[p]
+	p := am.PartitionOf(heartbeat.Machine)
+	owned := am.c.scheduler.partitions[p]
 	if owned == nil {
-		n.redirectHeartbeat(c, n.state.Partitions[p].Owner)
+		am.redirectHeartbeat(c, am.core.state.Partitions[p].Owner)
 		return
 	}
-	if n.fleet.deletedAt[heartbeat.Machine] != 0 {
-		n.replyError(c.Req, 503, "machine was returned")
+	if am.c.autoscaler.fleet.deletedAt[heartbeat.Machine] != 0 {
+		am.core.ReplyError(c.Req, 503, "machine was returned")
 		return
 	}
-	m := n.ensureMachine(heartbeat.Machine)
+	m := am.EnsureMachine(heartbeat.Machine)
 	if m.deleting {
-		n.replyError(c.Req, 503, "machine is being returned")
+		am.core.ReplyError(c.Req, 503, "machine is being returned")
 		return
 	}
-	m.commandToken = max(m.commandToken, n.minToken(owned, m.ID))
+	m.commandToken = max(m.commandToken, am.MinToken(owned, m.ID))
 	m.heartbeatForwarded = c.Forwarded
 	if heartbeat.Token > m.commandToken {
 		// Somebody commands it under a later term: we were deposed for it.
-		n.reply(c.Req, 421, api.Redirect{}, 0)
-		n.linearizableRead(func() {}, func() {})
+		am.core.Reply(c.Req, 421, api.Redirect{}, 0)
+		am.c.follower.LinearizableRead(func() {}, func() {})
 		return
 	}
-	newer := n.applyHeartbeat(m, heartbeat, owned)
+	newer := am.applyHeartbeat(m, heartbeat, owned)
 	if newer {
-		m.leaseRenewedAt = n.now
+		m.leaseRenewedAt = am.core.now
 	}
 	if c.Forwarded {
 		// It comes by way of a peer because it could not reach us. Once a
 		// direct call gets through again, it is sent back to us.
-		if m.lastDirectReply != 0 && n.now.Sub(m.lastDirectReply) < n.config.HeartbeatInterval() {
-			n.reply(c.Req, 421, api.Redirect{Owner: n.config.Label}, 0)
+		if m.lastDirectReply != 0 && am.core.now.Sub(m.lastDirectReply) < am.core.config.HeartbeatInterval() {
+			am.core.Reply(c.Req, 421, api.Redirect{Owner: am.core.config.Label}, 0)
 			return
 		}
-		n.contactNow(m)
+		am.ContactNow(m)
 	} else if m.suspectSince != 0 {
-		n.contactNow(m)
+		am.ContactNow(m)
 	} else if newer {
 		// The answer carries all that a direct call would. An older report may be a copy that
 		// comes late, whose answer nobody waits for.
 		m.contactPending = false
 	}
-	n.reply(c.Req, 200, api.CommandBatch{Token: m.commandToken, Commands: n.commandsFor(m, owned)}, 0)
+	am.core.Reply(c.Req, 200, api.CommandBatch{Token: m.commandToken, Commands: am.commandsFor(m, owned)}, 0)
 }
 
-// contactNow has a machine told its orders at once.
-func (n *Controller) contactNow(m *Machine) {
+// ContactNow has a machine told its orders at once.
+func (am *AgentManager) ContactNow(m *Machine) {
 	if !m.contactPending {
 		m.contactPending = true
-		n.pendingContacts = append(n.pendingContacts, m)
+		am.pendingContacts = append(am.pendingContacts, m)
 	}
 }
 
-// forgetMachine drops a machine of which nothing is left to know.
-func (n *Controller) forgetMachine(id api.MachineID) {
-	delete(n.machines, id)
-	n.sortedMachines = nil
+// ForgetMachine drops a machine of which nothing is left to know.
+func (am *AgentManager) ForgetMachine(id api.MachineID) {
+	delete(am.machines, id)
+	am.sortedMachines = nil
 }
 
 // sortMachines lists the machines in order, all and by part, anew when some came or
 // went or changed parts.
-func (n *Controller) sortMachines() {
-	if n.sortedMachines != nil && n.sortedLoanVersion == n.state.LoanGeneration {
+func (am *AgentManager) sortMachines() {
+	if am.sortedMachines != nil && am.sortedLoanVersion == am.core.state.LoanGeneration {
 		return
 	}
-	if n.sortedLoanVersion != n.state.LoanGeneration {
-		n.recordLoans()
+	if am.sortedLoanVersion != am.core.state.LoanGeneration {
+		am.recordLoans()
 	}
-	n.sortedLoanVersion = n.state.LoanGeneration
-	n.sortedMachines = make([]*Machine, 0, len(n.machines))
-	for _, m := range n.machines {
-		n.sortedMachines = append(n.sortedMachines, m)
+	am.sortedLoanVersion = am.core.state.LoanGeneration
+	am.sortedMachines = make([]*Machine, 0, len(am.machines))
+	for _, m := range am.machines {
+		am.sortedMachines = append(am.sortedMachines, m)
 	}
-	slices.SortFunc(n.sortedMachines, func(a, b *Machine) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	n.machinesByPartition = make([][]*Machine, len(n.state.Partitions))
-	for _, m := range n.sortedMachines {
-		p := n.partitionOf(m.ID)
-		n.machinesByPartition[p] = append(n.machinesByPartition[p], m)
-		if loan := n.state.Loans[m.ID]; loan.Revision != m.loanRevision {
+	slices.SortFunc(am.sortedMachines, func(a, b *Machine) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	am.machinesByPartition = make([][]*Machine, len(am.core.state.Partitions))
+	for _, m := range am.sortedMachines {
+		p := am.PartitionOf(m.ID)
+		am.machinesByPartition[p] = append(am.machinesByPartition[p], m)
+		if loan := am.core.state.Loans[m.ID]; loan.Revision != m.loanRevision {
 			// It came for a job: until that has it, it is no one else's.
 			m.loanRevision = loan.Revision
-			n.reserveExclusively(m, loan.Job)
+			am.c.preemptor.ReserveExclusively(m, loan.Job)
 		}
 	}
 }
@@ -213,43 +230,43 @@
 	knownAt  api.Time
 }
 
-func (n *Controller) recordLoans() {
-	for id, loan := range n.state.Loans {
-		if n.machineLoans[id].revision != loan.Revision {
-			n.machineLoans[id] = machineLoan{loan.Revision, n.now}
-			if loan.Transferred && n.partitions[loan.Partition] != nil {
-				n.adoptMachine(id)
+func (am *AgentManager) recordLoans() {
+	for id, loan := range am.core.state.Loans {
+		if am.machineLoans[id].revision != loan.Revision {
+			am.machineLoans[id] = machineLoan{loan.Revision, am.core.now}
+			if loan.Transferred && am.c.scheduler.partitions[loan.Partition] != nil {
+				am.c.balancer.AdoptMachine(id)
 			}
 		}
 	}
-	for id := range n.machineLoans {
-		if _, ok := n.state.Loans[id]; !ok {
-			delete(n.machineLoans, id)
+	for id := range am.machineLoans {
+		if _, ok := am.core.state.Loans[id]; !ok {
+			delete(am.machineLoans, id)
 		}
 	}
 }
 
-// loanInTransit reports whether a machine was lent just now and its new owner is not
+// LoanInTransit reports whether a machine was lent just now and its new owner is not
 // likely to have heard it yet: it is in nobody's account of what is free.
-func (n *Controller) loanInTransit(id api.MachineID) bool {
-	loan, ok := n.machineLoans[id]
-	if !ok || n.now.Sub(loan.knownAt) > n.heartbeatTimeout || len(n.state.PlacementsOn(id)) > 0 || n.fleet.deletedAt[id] != 0 {
+func (am *AgentManager) LoanInTransit(id api.MachineID) bool {
+	loan, ok := am.machineLoans[id]
+	if !ok || am.core.now.Sub(loan.knownAt) > am.core.heartbeatTimeout || len(am.core.state.PlacementsOn(id)) > 0 || am.c.autoscaler.fleet.deletedAt[id] != 0 {
 		return false
 	}
-	m, owned := n.machines[id], n.partitions[n.partitionOf(id)]
-	return owned == nil || m == nil || m.lastHeartbeat == 0 || !n.isSchedulable(m, owned)
+	m, owned := am.machines[id], am.c.scheduler.partitions[am.PartitionOf(id)]
+	return owned == nil || m == nil || m.lastHeartbeat == 0 || !am.c.scheduler.IsSchedulable(m, owned)
 }
 
-// machinesOf lists a part's machines that are known here, in order.
-func (n *Controller) machinesOf(p api.PartitionID) []*Machine {
-	n.sortMachines()
-	return n.machinesByPartition[p]
+// MachinesOf lists a part's machines that are known here, in order.
+func (am *AgentManager) MachinesOf(p api.PartitionID) []*Machine {
+	am.sortMachines()
+	return am.machinesByPartition[p]
 }
 
 // reportedSilent reports whether a machine's owner says that it does not hear it.
-func (n *Controller) reportedSilent(owner api.ControllerID, id api.MachineID) bool {
-	p := n.peers[owner]
-	if p == nil || !p.recent(n.now) {
+func (am *AgentManager) reportedSilent(owner api.ControllerID, id api.MachineID) bool {
+	p := am.c.gossiper.peers[owner]
+	if p == nil || !p.recent(am.core.now) {
 		return false
 	}
 	for _, status := range p.gossip.Parts {
@@ -262,61 +279,61 @@
 
 // redirectHeartbeat directs a worker to the owner of its part. A worker that comes back
 // soon can't reach the owner; its reports are then passed on.
-func (n *Controller) redirectHeartbeat(c WorkerHeartbeat, owner api.ControllerID) {
-	if c.Forwarded || owner == n.config.Label || owner == "" {
-		n.replyError(c.Req, 503, "part is changing hands")
+func (am *AgentManager) redirectHeartbeat(c WorkerHeartbeat, owner api.ControllerID) {
+	if c.Forwarded || owner == am.core.config.Label || owner == "" {
+		am.core.ReplyError(c.Req, 503, "part is changing hands")
 		return
 	}
-	previous := n.redirects[c.Heartbeat.Machine]
-	if (previous.to == owner && n.now.Sub(previous.at) < n.redirectTTL || n.reportedSilent(owner, c.Heartbeat.Machine)) && n.peers[owner] != nil {
-		n.redirects[c.Heartbeat.Machine] = redirect{owner, n.now}
-		n.callPeer(owner, peerTimeout, PeerMessage{Forward: &Forward{Kind: "checkin", Body: c.Body}}, func(a PeerResponse) {
+	previous := am.redirects[c.Heartbeat.Machine]
+	if (previous.to == owner && am.core.now.Sub(previous.at) < am.core.redirectTTL || am.reportedSilent(owner, c.Heartbeat.Machine)) && am.c.gossiper.peers[owner] != nil {
+		am.redirects[c.Heartbeat.Machine] = redirect{owner, am.core.now}
+		am.core.CallPeer(owner, peerTimeout, PeerMessage{Forward: &Forward{Kind: "checkin", Body: c.Body}}, func(a PeerResponse) {
 			if !a.OK || a.Reply.Status == 0 {
-				n.replyError(c.Req, 503, "the machine's owner does not answer")
+				am.core.ReplyError(c.Req, 503, "the machine's owner does not answer")
 				return
 			}
-			n.emit(Reply{Req: c.Req, Status: a.Reply.Status, Body: a.Reply.Body})
+			am.core.Emit(Reply{Req: c.Req, Status: a.Reply.Status, Body: a.Reply.Body})
 		})
 		return
 	}
-	if !n.isLive(owner) {
-		n.replyError(c.Req, 503, "the machine's owner is gone")
+	if !am.core.IsLive(owner) {
+		am.core.ReplyError(c.Req, 503, "the machine's owner is gone")
 		return
 	}
-	n.redirects[c.Heartbeat.Machine] = redirect{owner, n.now}
-	n.reply(c.Req, 421, api.Redirect{Owner: owner}, 0)
+	am.redirects[c.Heartbeat.Machine] = redirect{owner, am.core.now}
+	am.core.Reply(c.Req, 421, api.Redirect{Owner: owner}, 0)
 }
 
 // latestLaunchToken is the highest token under which a launch of the place may still
 // be on its way. Launches by former owners carry less than our term or, if the machine was
 // lent to our part since, than the lending's revision.
-func (n *Controller) latestLaunchToken(p *Placement, owned *ownedPartition) api.FencingToken {
-	return max(p.OwnerState.launchToken, n.minToken(owned, p.Machine)-1)
+func (am *AgentManager) latestLaunchToken(p *Placement, owned *ownedPartition) api.FencingToken {
+	return max(p.OwnerState.launchToken, am.MinToken(owned, p.Machine)-1)
 }
 
 // applyHeartbeat takes in a report if it is newer than what is known, and reports whether it was.
 // A new owner that has heard nothing yet may get an old one first. What it concludes holds all
 // the same: sessions and ends that were reported are past for good, and that a task is missing
 // counts only under a token that was first sent under its own term.
-func (n *Controller) applyHeartbeat(m *Machine, heartbeat *api.Heartbeat, owned *ownedPartition) bool {
+func (am *AgentManager) applyHeartbeat(m *Machine, heartbeat *api.Heartbeat, owned *ownedPartition) bool {
 	if heartbeat.Epoch < m.epoch || (heartbeat.Epoch == m.epoch && heartbeat.Seq <= m.sequence) {
 		return false
 	}
-	if !n.isSchedulable(m, owned) {
+	if !am.c.scheduler.IsSchedulable(m, owned) {
 		owned.dirty = true // it may be from now on
 	}
 	if m.lastHeartbeat == 0 {
-		m.firstHeartbeat = n.now
+		m.firstHeartbeat = am.core.now
 	}
 	switch {
-	case heartbeat.Token > 0 && (m.lastHeartbeat == 0 || n.now.Sub(m.lastHeartbeat) > n.heartbeatTimeout):
+	case heartbeat.Token > 0 && (m.lastHeartbeat == 0 || am.core.now.Sub(m.lastHeartbeat) > am.core.heartbeatTimeout):
 		// Packets may have been held for minutes: the machine may be gone, by another's
 		// deletion. It is called before anything is started there.
-		m.suspectSince = n.now
-	case m.suspectSince != 0 && n.now.Sub(m.suspectSince) > n.config.HeartbeatInterval()/2:
+		m.suspectSince = am.core.now
+	case m.suspectSince != 0 && am.core.now.Sub(m.suspectSince) > am.core.config.HeartbeatInterval()/2:
 		m.suspectSince = 0 // what was held comes all at once
 	}
-	m.epoch, m.sequence, m.reportedToken, m.lastHeartbeat = heartbeat.Epoch, heartbeat.Seq, heartbeat.Token, n.now
+	m.epoch, m.sequence, m.reportedToken, m.lastHeartbeat = heartbeat.Epoch, heartbeat.Seq, heartbeat.Token, am.core.now
 	m.address, m.machineType, m.zone, m.spot, m.reclaimNotice = heartbeat.Address, heartbeat.Type, heartbeat.Zone, heartbeat.Spot, heartbeat.PreemptionNotice != nil
 	if heartbeat.Token > m.uncertainToken {
 		m.uncertainToken = 0
@@ -329,12 +346,12 @@
 		}
 		m.reportedTasks[attemptKey{id, taskReport.Attempt}] = taskReport
 	}
-	for _, p := range n.state.PlacementsOn(m.ID) {
+	for _, p := range am.core.state.PlacementsOn(m.ID) {
 		if p.Partition != owned.id || p.Finishing {
 			continue
 		}
 		if p.Epoch < m.epoch {
-			n.recordTaskEnd(owned, p, false, reasonEpochOver)
+			am.c.scheduler.RecordTaskEnd(owned, p, false, reasonEpochOver)
 			continue
 		}
 		taskReport, ok := m.reportedTasks[attemptKey{p.Task, p.Attempt}]
@@ -342,59 +359,59 @@
 		case !ok:
 			p.OwnerState.reported = false
 			if p.Job.Terminal() || p.OwnerState.stopRequested {
-				if m.reportedToken > n.latestLaunchToken(p, owned) {
-					n.recordTaskEnd(owned, p, false, "never started")
+				if m.reportedToken > am.latestLaunchToken(p, owned) {
+					am.c.scheduler.RecordTaskEnd(owned, p, false, "never started")
 				} else {
-					m.uncertainToken = max(m.uncertainToken, n.latestLaunchToken(p, owned))
+					m.uncertainToken = max(m.uncertainToken, am.latestLaunchToken(p, owned))
 				}
 			}
 		case taskReport.State == api.TaskExited:
-			n.handleExit(owned, m, p, taskReport)
+			am.handleExit(owned, m, p, taskReport)
 		default:
 			if taskReport.State == api.TaskRunning && p.OwnerState.state != api.TaskRunning {
-				p.OwnerState.runningSince = n.now
+				p.OwnerState.runningSince = am.core.now
 			}
 			if taskReport.State != api.TaskFetching {
-				n.cacheImage(m, p.Job.Spec)
+				am.cacheImage(m, p.Job.Spec)
 			}
 			owned.dirty = owned.dirty || p.Job.Cancelled && !(p.OwnerState.reported && taskStarted(p.OwnerState.state)) // takesIn may hold now
 			p.OwnerState.reported, p.OwnerState.state = true, taskReport.State
 		}
 	}
 	if heartbeat.PreemptionNotice != nil {
-		n.stopBeforeReclaim(m, owned, *heartbeat.PreemptionNotice)
+		am.stopBeforeReclaim(m, owned, *heartbeat.PreemptionNotice)
 	}
-	n.countUntrackedUsage(m)
+	am.countUntrackedUsage(m)
 	return true
 }
 
 // stopBeforeReclaim stops what can't end before the cloud takes its machine: it is lost
 // there, and the sooner it runs again elsewhere the better. What is likely to end
 // is left alone.
-func (n *Controller) stopBeforeReclaim(m *Machine, owned *ownedPartition, notice float64) {
-	for _, p := range n.state.PlacementsOn(m.ID) {
+func (am *AgentManager) stopBeforeReclaim(m *Machine, owned *ownedPartition, notice float64) {
+	for _, p := range am.core.state.PlacementsOn(m.ID) {
 		if p.Partition != owned.id || p.Finishing || p.Job.Spec.Kind == api.Gang {
 			continue
 		}
 		remaining := p.Job.Spec.Estimate
 		if p.OwnerState.runningSince != 0 {
-			remaining -= n.now.Sub(p.OwnerState.runningSince).Seconds()
+			remaining -= am.core.now.Sub(p.OwnerState.runningSince).Seconds()
 		}
 		if p.Job.Spec.Kind == api.Service || remaining > notice {
-			n.stopTask(p)
+			am.c.scheduler.StopTask(p)
 		}
 	}
 }
 
 // countUntrackedUsage notes what a machine's tasks take that the book has no place
 // for: they must be stopped, and until they are gone they hold their room.
-func (n *Controller) countUntrackedUsage(m *Machine) {
+func (am *AgentManager) countUntrackedUsage(m *Machine) {
 	m.untrackedUsage, m.hasUnknownTasks = api.Resources{}, false
 	for k, taskReport := range m.reportedTasks {
-		if taskReport.State == api.TaskExited || n.placementOf(m.ID, k) != nil {
+		if taskReport.State == api.TaskExited || am.placementOf(m.ID, k) != nil {
 			continue
 		}
-		if j := n.state.Jobs[k.task.Job]; j != nil {
+		if j := am.core.state.Jobs[k.task.Job]; j != nil {
 			m.untrackedUsage = m.untrackedUsage.Plus(j.Demand)
 		} else {
 			m.hasUnknownTasks = true
@@ -403,8 +420,8 @@
 }
 
 // placementOf finds the place of an attempt on a machine.
-func (n *Controller) placementOf(id api.MachineID, k attemptKey) *Placement {
-	for _, p := range n.state.PlacementsOn(id) {
+func (am *AgentManager) placementOf(id api.MachineID, k attemptKey) *Placement {
+	for _, p := range am.core.state.PlacementsOn(id) {
 		if p.Task == k.task && p.Attempt == k.attempt {
 			return p
 		}
@@ -413,17 +430,17 @@
 }
 
 // handleExit handles a task that ended on its machine.
-func (n *Controller) handleExit(owned *ownedPartition, m *Machine, p *Placement, taskReport api.TaskStatus) {
+func (am *AgentManager) handleExit(owned *ownedPartition, m *Machine, p *Placement, taskReport api.TaskStatus) {
 	j := p.Job
 	switch taskReport.Reason {
 	case api.ReasonDone:
-		n.cacheImage(m, j.Spec)
+		am.cacheImage(m, j.Spec)
 		delete(m.recentFailures, j.ID)
 		j.OwnerState.failures = 0
 		if p.OwnerState.runningSince != 0 {
-			n.estimateRate(m, j, n.now.Sub(p.OwnerState.runningSince).Seconds())
+			am.estimateRate(m, j, am.core.now.Sub(p.OwnerState.runningSince).Seconds())
 		}
-		n.recordTaskEnd(owned, p, true, "done")
+		am.c.scheduler.RecordTaskEnd(owned, p, true, "done")
 		return
 	case api.ReasonError:
 		j.OwnerState.failures++
@@ -431,19 +448,19 @@
 			j.OwnerState.failedOn = map[api.MachineID]bool{}
 		}
 		j.OwnerState.failedOn[m.ID] = true
-		m.recentFailures[j.ID] = n.now
-		n.attributeFailure(m, j)
+		m.recentFailures[j.ID] = am.core.now
+		am.attributeFailure(m, j)
 	case api.ReasonNoCapacity:
-		m.fullUntil = n.now.Add(2 * time.Second)
+		m.fullUntil = am.core.now.Add(2 * time.Second)
 	case api.ReasonUnknown:
-		j.OwnerState.backoffUntil = n.now.Add(time.Second)
+		j.OwnerState.backoffUntil = am.core.now.Add(time.Second)
 	}
-	n.recordTaskEnd(owned, p, false, string(taskReport.Reason))
+	am.c.scheduler.RecordTaskEnd(owned, p, false, string(taskReport.Reason))
 }
 
 // estimateRate compares how long a task took with the others of its job: the same
 // work, so that what differs is the machine.
-func (n *Controller) estimateRate(m *Machine, j *Job, seconds float64) {
+func (am *AgentManager) estimateRate(m *Machine, j *Job, seconds float64) {
 	if j.Spec.Kind != api.Array {
 		return
 	}
@@ -459,31 +476,31 @@
 }
 
 // attributeFailure decides whether a failure speaks against the machine or the job.
-func (n *Controller) attributeFailure(m *Machine, j *Job) {
+func (am *AgentManager) attributeFailure(m *Machine, j *Job) {
 	recent := 0
 	for ref, at := range m.recentFailures {
-		if n.now.Sub(at) > time.Minute {
+		if am.core.now.Sub(at) > time.Minute {
 			delete(m.recentFailures, ref)
 			continue
 		}
 		recent++
 	}
-	if recent >= 2 && m.quarantinedUntil < n.now {
-		m.quarantinedUntil = n.now.Add(10 * time.Minute)
+	if recent >= 2 && m.quarantinedUntil < am.core.now {
+		m.quarantinedUntil = am.core.now.Add(10 * time.Minute)
 		slog.Info("machine quarantined: failures of different jobs", "machine", m.ID)
 	}
 	// A job that fails on several machines is more likely at fault itself: it
 	// backs off, so that it neither wins the same machines every round nor
 	// condemns them.
 	if len(j.OwnerState.failedOn) >= 2 {
-		j.OwnerState.backoffUntil = n.now.Add(min(30*time.Second, time.Second<<min(j.OwnerState.failures, 5)))
+		j.OwnerState.backoffUntil = am.core.now.Add(min(30*time.Second, time.Second<<min(j.OwnerState.failures, 5)))
 	}
 }
 
 // cacheImage notes that a machine holds an image and what it must have dropped.
-func (n *Controller) cacheImage(m *Machine, s *api.JobSpec) {
-	m.cachedImages[s.Image] = sched.CachedImage{SizeGB: s.ImageGB, LastUsed: n.now}
-	typ := n.machineTypes[m.machineType]
+func (am *AgentManager) cacheImage(m *Machine, s *api.JobSpec) {
+	m.cachedImages[s.Image] = sched.CachedImage{SizeGB: s.ImageGB, LastUsed: am.core.now}
+	typ := am.core.machineTypes[m.machineType]
 	if typ == nil {
 		return
 	}
@@ -505,13 +522,13 @@
 
 // commandsFor are the commands a machine should have now, by the durable record and
 // its last report. Composing them again is harmless.
-func (n *Controller) commandsFor(m *Machine, owned *ownedPartition) []api.Command {
+func (am *AgentManager) commandsFor(m *Machine, owned *ownedPartition) []api.Command {
 	out := []api.Command{}
-	if m.reportedToken < n.minToken(owned, m.ID) {
+	if m.reportedToken < am.MinToken(owned, m.ID) {
 		return out // the term is announced first
 	}
 	var launches []api.Command
-	for _, p := range n.state.PlacementsOn(m.ID) {
+	for _, p := range am.core.state.PlacementsOn(m.ID) {
 		if p.Partition != owned.id || p.Finishing || p.Epoch != m.epoch {
 			continue
 		}
@@ -538,7 +555,7 @@
 		if taskReport.State == api.TaskExited && !settled {
 			continue
 		}
-		if p := n.placementOf(m.ID, k); p != nil && p.Partition == owned.id {
+		if p := am.placementOf(m.ID, k); p != nil && p.Partition == owned.id {
 			continue
 		}
 		if taskReport.State != api.TaskExited {
@@ -565,54 +582,54 @@
 // sweepInterval is how often each machine is looked at when nothing calls for it.
 const sweepInterval = time.Second
 
-// reconcileMachines calls those that are to be told something, and looks at a share
+// ReconcileMachines calls those that are to be told something, and looks at a share
 // of the others each time, so that every one gets its turn and no step looks at
 // all of them.
-func (n *Controller) reconcileMachines() {
-	n.sortMachines()
-	pending := n.pendingContacts
-	n.pendingContacts = nil
+func (am *AgentManager) ReconcileMachines() {
+	am.sortMachines()
+	pending := am.pendingContacts
+	am.pendingContacts = nil
 	for _, m := range pending {
-		if !m.contactPending || n.machines[m.ID] != m {
+		if !m.contactPending || am.machines[m.ID] != m {
 			continue
 		}
 		m.contactPending = false
-		owned := n.partitions[n.partitionOf(m.ID)]
+		owned := am.c.scheduler.partitions[am.PartitionOf(m.ID)]
 		if owned == nil || m.deleting {
 			continue
 		}
-		if m.callInFlight || n.now < m.nextCallAt || n.directCallsInFlight >= n.maxDirectCalls {
-			n.contactNow(m) // a little later
+		if m.callInFlight || am.core.now < m.nextCallAt || am.directCallsInFlight >= am.maxDirectCalls {
+			am.ContactNow(m) // a little later
 			continue
 		}
-		n.reconcileMachine(m, owned, true)
+		am.reconcileMachine(m, owned, true)
 	}
-	sweepCount := int(int64(len(n.sortedMachines)) * int64(min(n.now.Sub(n.lastSweepAt), sweepInterval)) / int64(sweepInterval))
-	if sweepCount == 0 && n.now.Sub(n.lastSweepAt) < sweepInterval {
+	sweepCount := int(int64(len(am.sortedMachines)) * int64(min(am.core.now.Sub(am.lastSweepAt), sweepInterval)) / int64(sweepInterval))
+	if sweepCount == 0 && am.core.now.Sub(am.lastSweepAt) < sweepInterval {
 		return
 	}
-	n.lastSweepAt = n.now
-	for range min(max(sweepCount, 1), len(n.sortedMachines)) {
-		n.sortMachines()
-		if len(n.sortedMachines) == 0 {
+	am.lastSweepAt = am.core.now
+	for range min(max(sweepCount, 1), len(am.sortedMachines)) {
+		am.sortMachines()
+		if len(am.sortedMachines) == 0 {
 			return
 		}
-		if n.sweepIndex >= len(n.sortedMachines) {
-			n.sweepIndex = 0
+		if am.sweepIndex >= len(am.sortedMachines) {
+			am.sweepIndex = 0
 		}
-		m := n.sortedMachines[n.sweepIndex]
-		n.sweepIndex++
-		owned := n.partitions[n.partitionOf(m.ID)]
+		m := am.sortedMachines[am.sweepIndex]
+		am.sweepIndex++
+		owned := am.c.scheduler.partitions[am.PartitionOf(m.ID)]
 		if owned != nil && !m.deleting {
-			n.reconcileMachine(m, owned, false)
+			am.reconcileMachine(m, owned, false)
 		}
-		n.evaluateScaleIn(m, owned)
+		am.c.autoscaler.EvaluateScaleIn(m, owned)
 	}
 }
 
 // reconcileMachine does what is due for one machine.
-func (n *Controller) reconcileMachine(m *Machine, owned *ownedPartition, urgent bool) {
-	m.commandToken = max(m.commandToken, n.minToken(owned, m.ID))
+func (am *AgentManager) reconcileMachine(m *Machine, owned *ownedPartition, urgent bool) {
+	m.commandToken = max(m.commandToken, am.MinToken(owned, m.ID))
 	if m.uncertainToken != 0 && m.commandToken <= m.uncertainToken {
 		if api.FencingToken(owned.lastRevision) > m.uncertainToken {
 			m.commandToken, urgent = api.FencingToken(owned.lastRevision), true
@@ -620,34 +637,34 @@
 			owned.needsNewToken = true
 		}
 	}
-	needsAnnouncement := m.reportedToken < n.minToken(owned, m.ID)
-	silent := n.now.Sub(m.lastHeartbeat) > n.heartbeatTimeout
+	needsAnnouncement := m.reportedToken < am.MinToken(owned, m.ID)
+	silent := am.core.now.Sub(m.lastHeartbeat) > am.core.heartbeatTimeout
 	// Calls on suspicion leave half of the calls to those that are known to
 	// answer, or a cut would hold up every start.
-	maxProbes := n.maxDirectCalls / 2
-	if n.zoneUnavailable(m.zone) {
-		maxProbes = n.maxDirectCalls / 8 // its own reports tell when it is back
+	maxProbes := am.maxDirectCalls / 2
+	if am.c.health.ZoneUnavailable(m.zone) {
+		maxProbes = am.maxDirectCalls / 8 // its own reports tell when it is back
 	}
-	if !m.callInFlight && m.address != "" && n.now >= m.nextCallAt &&
-		(urgent && n.directCallsInFlight < n.maxDirectCalls || (needsAnnouncement || silent) && n.directCallsInFlight < maxProbes) {
-		n.sendCommands(m, owned)
+	if !m.callInFlight && m.address != "" && am.core.now >= m.nextCallAt &&
+		(urgent && am.directCallsInFlight < am.maxDirectCalls || (needsAnnouncement || silent) && am.directCallsInFlight < maxProbes) {
+		am.sendCommands(m, owned)
 	}
-	n.checkLiveness(m, owned)
+	am.c.health.CheckLiveness(m, owned)
 }
 
 // sendCommands sends a machine its orders without waiting for its report.
-func (n *Controller) sendCommands(m *Machine, owned *ownedPartition) {
-	commands := api.CommandBatch{Token: m.commandToken, Epoch: max(m.epoch, 1), Commands: n.commandsFor(m, owned)}
+func (am *AgentManager) sendCommands(m *Machine, owned *ownedPartition) {
+	commands := api.CommandBatch{Token: m.commandToken, Epoch: max(m.epoch, 1), Commands: am.commandsFor(m, owned)}
 	hasLaunch := false
 	for _, command := range commands.Commands {
 		hasLaunch = hasLaunch || command.Op == api.OpStart
 	}
 	m.callInFlight = true
-	n.directCallsInFlight++
-	m.nextCallAt = n.now.Add(100 * time.Millisecond)
-	n.callWorker(m.address, commands, func(a WorkerResponse) {
+	am.directCallsInFlight++
+	m.nextCallAt = am.core.now.Add(100 * time.Millisecond)
+	am.core.CallWorker(m.address, commands, func(a WorkerResponse) {
 		m.callInFlight = false
-		n.directCallsInFlight--
+		am.directCallsInFlight--
 		if a.Heartbeat != nil && a.Heartbeat.Machine != m.ID {
 			a.Status, a.Heartbeat = 0, nil // the address belongs to another machine now
 		}
@@ -656,26 +673,37 @@
 				m.uncertainToken = max(m.uncertainToken, commands.Token)
 			}
 			m.missedCalls++
-			m.nextCallAt = n.now.Add(500 * time.Millisecond)
+			m.nextCallAt = am.core.now.Add(500 * time.Millisecond)
 			return
 		}
-		if n.partitions[owned.id] != owned || m.deleting {
+		if am.c.scheduler.partitions[owned.id] != owned || m.deleting {
 			return
 		}
-		m.lastDirectReply, m.missedCalls, m.suspectSince = n.now, 0, 0
+		m.lastDirectReply, m.missedCalls, m.suspectSince = am.core.now, 0, 0
 		if a.Heartbeat.Token > m.commandToken {
-			n.linearizableRead(func() {}, func() {}) // deposed, as the book will tell
+			am.c.follower.LinearizableRead(func() {}, func() {}) // deposed, as the book will tell
 			return
 		}
-		n.applyHeartbeat(m, a.Heartbeat, owned)
+		am.applyHeartbeat(m, a.Heartbeat, owned)
 		if m.suspectSince != 0 {
 			m.suspectSince, owned.dirty = 0, true // it has just answered
 		}
-		for _, command := range n.commandsFor(m, owned) {
+		for _, command := range am.commandsFor(m, owned) {
 			if command.Op == api.OpStart || command.Op == api.OpStop && command.GracePeriod == 0 {
-				n.contactNow(m) // decided meanwhile, or the machine had to learn our token first
+				am.ContactNow(m) // decided meanwhile, or the machine had to learn our token first
 				break
 			}
 		}
 	})
 }
+
+func newAgentManager(c *Controller) *AgentManager {
+	am := &AgentManager{core: c.core, c: c, machines: map[api.MachineID]*Machine{},
+		machineLoans: map[api.MachineID]machineLoan{}, redirects: map[api.MachineID]redirect{}}
+	// Sockets are for workers' and users' connections in the first place.
+	am.maxDirectCalls = 64
+	if fds := c.core.config.Deployment.Limits.FDLimit; fds > 0 {
+		am.maxDirectCalls = max(4, min(am.maxDirectCalls, fds/16))
+	}
+	return am
+}
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -12,6 +12,12 @@
 	"basaltwall/zonehealth"
 )
 
+// MetricsReporter composes the metrics that administration requests show.
+type MetricsReporter struct {
+	core *Core
+	c    *Controller
+}
+
 // metrics are what an operator may want to see of the past: counts since the
 // process began and how long things took, in microseconds.
 type metrics struct {
@@ -78,10 +84,10 @@
 	return WorkOperators
 }
 
-// startWork tells whoever has a clock which kind of work comes next.
-func (n *Controller) startWork(w WorkKind) {
-	if n.OnWorkStart != nil {
-		n.OnWorkStart(w)
+// StartWork tells whoever has a clock which kind of work comes next.
+func (mr *MetricsReporter) StartWork(w WorkKind) {
+	if mr.c.OnWorkStart != nil {
+		mr.c.OnWorkStart(w)
 	}
 }
 
@@ -211,18 +217,18 @@
 )
 
 // longPendingJobs counts the jobs of our parts that have waited for long without a task there, by reason.
-func (n *Controller) longPendingJobs() map[string]int {
-	out, rooms, budget := map[string]int{}, n.freeCapacityGroups(), maxLongPending
-	for _, ref := range slices.Sorted(maps.Keys(n.state.PendingJobs)) {
-		j := n.state.PendingJobs[ref]
-		for _, p := range slices.Sorted(maps.Keys(n.partitions)) {
-			if waited := time.Duration(n.wallClock-j.AcceptedAt) * time.Millisecond; waited < longPendingThreshold || j.PlacementCounts[p] > 0 || j.PendingTasks(p) == 0 {
+func (mr *MetricsReporter) longPendingJobs() map[string]int {
+	out, rooms, budget := map[string]int{}, mr.c.jobs.FreeCapacityGroups(), maxLongPending
+	for _, ref := range slices.Sorted(maps.Keys(mr.core.state.PendingJobs)) {
+		j := mr.core.state.PendingJobs[ref]
+		for _, p := range slices.Sorted(maps.Keys(mr.c.scheduler.partitions)) {
+			if waited := time.Duration(mr.core.wallClock-j.AcceptedAt) * time.Millisecond; waited < longPendingThreshold || j.PlacementCounts[p] > 0 || j.PendingTasks(p) == 0 {
 				continue
 			}
 			if budget--; budget < 0 {
 				return out
 			}
-			out[pendingReasonCategory(n.pendingReason(j, p, rooms))]++
+			out[pendingReasonCategory(mr.c.jobs.PendingReason(j, p, rooms))]++
 		}
 	}
 	return out
@@ -241,58 +247,58 @@
 // maxPoolMetrics bounds the pools that metrics name.
 const maxPoolMetrics = 200
 
-func (n *Controller) viewMetrics() MetricsView {
-	m := &n.metrics
-	v := MetricsView{UpSeconds: n.now.Sub(n.startedAt).Seconds(), Rounds: m.Rounds, Starts: m.Starts, Ends: m.Ends,
+func (mr *MetricsReporter) ViewMetrics() MetricsView {
+	m := &mr.core.metrics
+	v := MetricsView{UpSeconds: mr.core.now.Sub(mr.core.startedAt).Seconds(), Rounds: m.Rounds, Starts: m.Starts, Ends: m.Ends,
 		Completions: m.Completions, Takeovers: m.Takeovers, PreemptedTasks: m.PreemptedTasks, MachinesReserved: m.MachinesReserved, ReplicasMoved: m.ReplicasMoved, PollsDeferred: m.PollsDeferred, TaskMoves: m.TaskMoves, MachinesLoaned: m.MachinesLoaned, MachinesTransferred: m.MachinesTransferred,
 		StoreRequests: m.StoreRequests, StoreWrites: m.StoreWrites, StoreFailures: m.StoreFailures,
-		StoreRPSLimit: n.config.Deployment.State.RPS, StoreWriteRPSLimit: n.config.Deployment.State.WriteRPS,
+		StoreRPSLimit: mr.core.config.Deployment.State.RPS, StoreWriteRPSLimit: mr.core.config.Deployment.State.WriteRPS,
 		ReadsRelayed: m.ReadsRelayed, ReadsServed: m.ReadsServed, ReadFallbacks: m.ReadFallbacks, ReadsInvalid: m.ReadsInvalid,
-		IsRelay:       n.usesRelays() && isRelay(n.currentRelays(), n.config.Label),
-		CloudRequests: m.CloudRequests, CloudRPSLimit: n.config.Deployment.Cloud.RPS, WorkerCalls: m.WorkerCalls, WorkerHeartbeats: m.WorkerHeartbeats,
-		FlowTasks: m.FlowTasks, FlowMachines: m.FlowMachines, Jobs: len(n.state.Jobs), PendingCalls: len(n.pendingCalls),
-		RequestsWithoutRead: m.RequestsWithoutRead, IndeterminateWrites: m.IndeterminateWrites, IndeterminateWritten: m.IndeterminateWritten, IndeterminateUnwritten: m.IndeterminateUnwritten, LongPendingJobs: n.longPendingJobs(),
+		IsRelay:       mr.c.follower.UsesRelays() && isRelay(mr.c.follower.CurrentRelays(), mr.core.config.Label),
+		CloudRequests: m.CloudRequests, CloudRPSLimit: mr.core.config.Deployment.Cloud.RPS, WorkerCalls: m.WorkerCalls, WorkerHeartbeats: m.WorkerHeartbeats,
+		FlowTasks: m.FlowTasks, FlowMachines: m.FlowMachines, Jobs: len(mr.core.state.Jobs), PendingCalls: len(mr.core.pendingCalls),
+		RequestsWithoutRead: m.RequestsWithoutRead, IndeterminateWrites: m.IndeterminateWrites, IndeterminateWritten: m.IndeterminateWritten, IndeterminateUnwritten: m.IndeterminateUnwritten, LongPendingJobs: mr.longPendingJobs(),
 		Latencies: map[string]latencySummary{}, WorkSeconds: map[string]float64{}, ProcessSeconds: m.usage.ProcessTime.Seconds(), QueueLength: m.usage.QueueLength, OptionalWorkShed: m.OptionalWorkShed, MalformedMessages: m.MalformedMessages}
 	for w, d := range m.usage.WorkTime {
 		v.WorkSeconds[workKindNames[w]] = d.Seconds()
 	}
-	for _, j := range n.state.PendingJobs {
-		for p := range n.state.Partitions {
+	for _, j := range mr.core.state.PendingJobs {
+		for p := range mr.core.state.Partitions {
 			v.PendingTasks += j.PendingTasks(api.PartitionID(p))
 		}
 	}
-	for _, j := range n.state.CancellingJobs {
+	for _, j := range mr.core.state.CancellingJobs {
 		if !j.CancellationConfirmed() {
 			v.PendingCancellations++
-			v.OldestPendingCancellationSeconds = max(v.OldestPendingCancellationSeconds, float64(n.wallClock-j.CancelledAt)/1000)
+			v.OldestPendingCancellationSeconds = max(v.OldestPendingCancellationSeconds, float64(mr.core.wallClock-j.CancelledAt)/1000)
 		}
 	}
-	for p, owned := range n.partitions {
-		for _, m := range n.machinesOf(p) {
-			if m.lastHeartbeat != 0 && m.reportedToken < n.minToken(owned, m.ID) {
+	for p, owned := range mr.c.scheduler.partitions {
+		for _, m := range mr.c.agents.MachinesOf(p) {
+			if m.lastHeartbeat != 0 && m.reportedToken < mr.c.agents.MinToken(owned, m.ID) {
 				v.MachinesNotResumed++
 			}
 		}
 	}
-	for _, name := range n.config.Deployment.Zones {
-		s := n.zoneState(name)
+	for _, name := range mr.core.config.Deployment.Zones {
+		s := mr.c.health.ZoneState(name)
 		if s == zonehealth.Healthy {
 			continue
 		}
 		if v.Zones == nil {
 			v.Zones = map[api.Zone]ZoneView{}
 		}
-		sight := n.zones.observations[name]
-		v.Zones[name] = ZoneView{State: string(s), SilentSeconds: n.zoneSilenceSeconds(name), Machines: sight.All, SilentMachines: sight.Silent,
-			PartitionsInside: n.zones.records[name].PartitionsInside, PendingTasks: n.zones.expiredLeaseTasks[name]}
+		sight := mr.c.health.zones.observations[name]
+		v.Zones[name] = ZoneView{State: string(s), SilentSeconds: mr.c.health.ZoneSilenceSeconds(name), Machines: sight.All, SilentMachines: sight.Silent,
+			PartitionsInside: mr.c.health.zones.records[name].PartitionsInside, PendingTasks: mr.c.health.zones.expiredLeaseTasks[name]}
 	}
-	v.Reservations, v.Fragmentation = n.viewSkips(), n.fragmentedCapacity()
-	if h := n.hosted; h != nil && h.pools.table.Len() > 0 {
+	v.Reservations, v.Fragmentation = mr.c.reservations.ViewSkips(), mr.c.backfiller.FragmentedCapacity()
+	if h := mr.c.tenancy.hosted; h != nil && h.pools.table.Len() > 0 {
 		v.Pools, v.PoolShareMoves = map[api.PoolName]PoolMetrics{}, h.pools.shareMoves
 		names := h.pools.table.Names()
 		for _, name := range names[:min(maxPoolMetrics, len(names))] {
-			p := PoolMetrics{Size: h.pools.table.Get(name).Size, Held: n.poolHeldTotal(name)}
-			p.PendingUnits, p.OldestWaitSeconds = n.poolBacklog(name)
+			p := PoolMetrics{Size: h.pools.table.Get(name).Size, Held: mr.c.pools.PoolHeldTotal(name)}
+			p.PendingUnits, p.OldestWaitSeconds = mr.c.pools.PoolBacklog(name)
 			v.Pools[name] = p
 		}
 	}
--- a/controller/metrics_test.go
+++ b/controller/metrics_test.go
@@ -13,10 +13,10 @@
 func TestIndeterminateRoundsAreCounted(t *testing.T) {
 	for _, written := range []bool{true, false} {
 		n, owned, _, _ := newTestOwner(t, testSpec(2))
-		n.runPartition(owned)
+		n.scheduler.RunPartition(owned)
 		send := func(a StoreResponse) {
-			for _, e := range n.effects {
-				if c, ok := e.(StoreCall); ok && c.Txn != nil && n.pendingCalls[c.ID] != nil {
+			for _, e := range n.core.effects {
+				if c, ok := e.(StoreCall); ok && c.Txn != nil && n.core.pendingCalls[c.ID] != nil {
 					a.ID = c.ID
 					n.dispatch(a)
 					return
@@ -25,8 +25,8 @@
 			t.Fatal("no write is under way")
 		}
 		send(StoreResponse{Status: 0})
-		n.now = n.now.Add(time.Second)
-		for _, p := range n.deferredCalls {
+		n.core.now = n.core.now.Add(time.Second)
+		for _, p := range n.core.deferredCalls {
 			p.callback()
 		}
 		if written {
@@ -35,7 +35,7 @@
 			send(StoreResponse{Status: 409, Txn: api.TxnResponse{Failed: []string{"b/job/run-1"}}})
 			answerRead(t, n)
 		}
-		v := n.viewMetrics()
+		v := n.reporter.ViewMetrics()
 		if v.IndeterminateWrites != 1 || (v.IndeterminateWritten == 1) != written || (v.IndeterminateUnwritten == 1) == written {
 			t.Errorf("written %v: %d unanswered, %d found written, %d found not to be", written, v.IndeterminateWrites, v.IndeterminateWritten, v.IndeterminateUnwritten)
 		}
@@ -48,20 +48,20 @@
 		"has room": func(*Controller, *Machine, *Job) {},
 		"no room":  func(n *Controller, m *Machine, _ *Job) { m.lastHeartbeat = 0 },
 		"limit": func(n *Controller, _ *Machine, _ *Job) {
-			n.teams["red"] = config.Team{Name: "red", CPUsMax: 0.5}
+			n.core.teams["red"] = config.Team{Name: "red", CPUsMax: 0.5}
 		},
-		"backs off after failures": func(n *Controller, _ *Machine, j *Job) { j.OwnerState.backoffUntil = n.now.Add(time.Second) },
+		"backs off after failures": func(n *Controller, _ *Machine, j *Job) { j.OwnerState.backoffUntil = n.core.now.Add(time.Second) },
 	} {
 		n, _, m, j := newTestOwner(t, testSpec(2))
-		n.state.Members["n"] = clusterstate.MemberValue{}
-		n.wallClock = 100_000
+		n.core.state.Members["n"] = clusterstate.MemberValue{}
+		n.core.wallClock = 100_000
 		j.AcceptedAt = 50_000
-		if got := n.longPendingJobs(); len(got) != 0 {
+		if got := n.reporter.longPendingJobs(); len(got) != 0 {
 			t.Errorf("%s: after 50 s %v are counted", reason, got)
 		}
 		j.AcceptedAt = 30_000
 		change(n, m, j)
-		if got := n.longPendingJobs(); len(got) != 1 || got[reason] != 1 {
+		if got := n.reporter.longPendingJobs(); len(got) != 1 || got[reason] != 1 {
 			t.Errorf("%s: %v are counted", reason, got)
 		}
 	}
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -73,7 +73,7 @@
 )
 
 // applyTeam folds a team that operators made. A removed one is no team any more.
-func (n *Controller) applyTeam(name string, value json.RawMessage, version api.Revision) error {
+func (ts *TenantService) applyTeam(name string, value json.RawMessage, version api.Revision) error {
 	var team tenant.Team
 	if err := json.Unmarshal(value, &team); err != nil {
 		return err
@@ -81,34 +81,34 @@
 	if err := team.Check(); err != nil {
 		return err
 	}
-	n.hosted.teams[api.Team(name)] = TeamRecordView{Team: team, Revision: version}
-	delete(n.teams, team.Name)
+	ts.hosted.teams[api.Team(name)] = TeamRecordView{Team: team, Revision: version}
+	delete(ts.core.teams, team.Name)
 	if !team.Removed {
-		n.teams[team.Name] = config.Team{Name: team.Name, CPUs: team.CPUs, GPUs: team.GPUs, CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
+		ts.core.teams[team.Name] = config.Team{Name: team.Name, CPUs: team.CPUs, GPUs: team.GPUs, CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
 	}
 	return nil
 }
 
-// resetPlatformTeams forgets the teams that operators made.
-func (n *Controller) resetPlatformTeams() {
-	n.teams = map[api.Team]config.Team{}
-	for _, t := range n.config.Deployment.Teams {
-		n.teams[t.Name] = t
+// ResetPlatformTeams forgets the teams that operators made.
+func (ts *TenantService) ResetPlatformTeams() {
+	ts.core.teams = map[api.Team]config.Team{}
+	for _, t := range ts.core.config.Deployment.Teams {
+		ts.core.teams[t.Name] = t
 	}
 }
 
 // authenticateOperator finds what an operator may do by the key that a request brings, as far as the
 // book has been read.
-func (n *Controller) authenticateOperator(c Caller) (tenant.KeyID, tenant.Role, error) {
+func (ts *TenantService) authenticateOperator(c Caller) (tenant.KeyID, tenant.Role, error) {
 	s, err := c.bearerSecret()
 	if err != nil {
 		return "", "", err
 	}
-	role, ok := n.hosted.operators.Authenticate(n.hosted.adminKey, s, n.wallClock, n.maxClockError())
+	role, ok := ts.hosted.operators.Authenticate(ts.hosted.adminKey, s, ts.core.wallClock, ts.MaxClockError())
 	if !ok {
 		return "", "", errInvalidKey
 	}
-	if !n.hosted.operators.Networks.Allows(n.clientAddr(c)) {
+	if !ts.hosted.operators.Networks.Allows(ts.clientAddr(c)) {
 		return "", "", &tenant.Error{Status: 403, Reason: "not from this address"}
 	}
 	return s.ID, role, nil
@@ -121,35 +121,35 @@
 	controllerQueries = []string{"metrics", "members", "parts", "machines", "teams", "jobs", "job", "settings"}
 )
 
-// withOperator does what an operator of a hosted service asks if the key that comes with it
+// WithOperator does what an operator of a hosted service asks if the key that comes with it
 // may: by what is current. A controller that can't know what is answers questions about
 // itself alone, for a while, by what it knew last; the file's key lies beside it and needs
 // no state.
-func (n *Controller) withOperator(c AdminRequest, callback func(AdminRequest)) {
+func (ts *TenantService) WithOperator(c AdminRequest, callback func(AdminRequest)) {
 	aboutController := slices.Contains(controllerQueries, c.What)
 	readOnly := aboutController || slices.Contains(recordQueries, c.What)
 	authorized := func() bool {
-		id, role, err := n.authenticateOperator(c.Caller)
+		id, role, err := ts.authenticateOperator(c.Caller)
 		if err == nil && !readOnly && role != tenant.RoleChange {
 			err = &tenant.Error{Status: 403, Reason: "this key may not change anything"}
 		}
 		if err != nil {
-			n.refuseError(c.Req, err)
+			ts.RefuseError(c.Req, err)
 			return false
 		}
-		n.recordKeyUse(operatorsHolder, id)
+		ts.recordKeyUse(operatorsHolder, id)
 		c.keyID = id
 		return true
 	}
-	n.linearizableRead(func() {
+	ts.c.follower.LinearizableRead(func() {
 		if authorized() {
 			callback(c)
 		}
 	}, func() {
 		s, err := c.Caller.bearerSecret()
-		trusted := n.lastReadAt != 0 && n.now.Sub(n.lastReadAt) <= operatorKeyCacheTTL || err == nil && s.ID == n.hosted.adminKey.ID
-		if !aboutController || !n.loaded || !trusted {
-			n.replyError(c.Req, 503, "state service not reachable")
+		trusted := ts.c.follower.lastReadAt != 0 && ts.core.now.Sub(ts.c.follower.lastReadAt) <= operatorKeyCacheTTL || err == nil && s.ID == ts.hosted.adminKey.ID
+		if !aboutController || !ts.core.loaded || !trusted {
+			ts.core.ReplyError(c.Req, 503, "state service not reachable")
 			return
 		}
 		if authorized() {
@@ -175,11 +175,11 @@
 }
 
 // newKey makes a key of what a request was given of random.
-func (n *Controller) newKey(c AdminRequest, name string, expires api.WallTime) (tenant.Key, *NewKeyView, error) {
+func (ts *TenantService) newKey(c AdminRequest, name string, expires api.WallTime) (tenant.Key, *NewKeyView, error) {
 	if c.Random == nil {
 		return tenant.Key{}, nil, &tenant.Error{Status: 503, Reason: "no random bytes"}
 	}
-	k, s, err := tenant.NewKey(*c.Random, name, n.wallClock, expires)
+	k, s, err := tenant.NewKey(*c.Random, name, ts.core.wallClock, expires)
 	if err != nil {
 		return k, nil, err
 	}
@@ -194,25 +194,25 @@
 	return nil
 }
 
-func (n *Controller) viewOperators(record tenant.Operators, revision api.Revision) OperatorsView {
-	v := OperatorsView{AdminKey: n.hosted.adminKey.ID, AdminKeyRetired: slices.Contains(record.RetiredAdminKeys, n.hosted.adminKey.ID), Keys: []OperatorKeyView{},
-		Networks: record.Networks, Proxies: record.Proxies, CPUs: record.CPUs, GPUs: record.GPUs, Guaranteed: n.hosted.guaranteed, Revision: revision}
+func (ts *TenantService) viewOperators(record tenant.Operators, revision api.Revision) OperatorsView {
+	v := OperatorsView{AdminKey: ts.hosted.adminKey.ID, AdminKeyRetired: slices.Contains(record.RetiredAdminKeys, ts.hosted.adminKey.ID), Keys: []OperatorKeyView{},
+		Networks: record.Networks, Proxies: record.Proxies, CPUs: record.CPUs, GPUs: record.GPUs, Guaranteed: ts.hosted.guaranteed, Revision: revision}
 	for _, k := range record.Keys {
 		v.Keys = append(v.Keys, OperatorKeyView{viewKey(k.Key), k.Role})
 	}
 	return v
 }
 
-// handleOperatorsRequest answers a question or an act on the operators' record.
-func (n *Controller) handleOperatorsRequest(c AdminRequest) error {
-	old, revision := n.hosted.operators, n.state.Version(keyOperators)
+// HandleOperatorsRequest answers a question or an act on the operators' record.
+func (ts *TenantService) HandleOperatorsRequest(c AdminRequest) error {
+	old, revision := ts.hosted.operators, ts.core.state.Version(keyOperators)
 	if c.What == "operators" {
-		n.readKeyUses(c, operatorsHolder, func(lastUsed map[tenant.KeyID]api.WallTime) {
-			v := n.viewOperators(old, revision)
+		ts.readKeyUses(c, operatorsHolder, func(lastUsed map[tenant.KeyID]api.WallTime) {
+			v := ts.viewOperators(old, revision)
 			for i := range v.Keys {
 				v.Keys[i].LastUsed = lastUsed[v.Keys[i].ID]
 			}
-			n.reply(c.Req, 200, v, 0)
+			ts.core.Reply(c.Req, 200, v, 0)
 		})
 		return nil
 	}
@@ -229,24 +229,24 @@
 		err = updated.Check()
 	case "operators-key-add":
 		var k tenant.Key
-		if k, secret, err = n.newKey(c, request.Name, request.Expires); err == nil {
+		if k, secret, err = ts.newKey(c, request.Name, request.Expires); err == nil {
 			updated, err = updated.Add(k, request.Role)
 		}
 	case "operators-key-revoke":
-		updated, err = updated.Revoke(n.hosted.adminKey, c.Sub)
+		updated, err = updated.Revoke(ts.hosted.adminKey, c.Sub)
 	}
 	if err != nil {
 		return err
 	}
 	before, after := operatorsAuditView(old), operatorsAuditView(updated)
 	if secret == nil && equalJSON(old, updated) {
-		n.reply(c.Req, 200, n.viewOperators(old, revision), 0) // it is so already: asked again, perhaps
+		ts.core.Reply(c.Req, 200, ts.viewOperators(old, revision), 0) // it is so already: asked again, perhaps
 		return nil
 	}
 	if err := checkRevision(request.Revision, revision, "the operators' record"); err != nil {
 		return err
 	}
-	if err := n.hosted.guaranteed.CheckBudget(updated); err != nil {
+	if err := ts.hosted.guaranteed.CheckBudget(updated); err != nil {
 		return err
 	}
 	// By the proxies as they will be: the next request is judged by them.
@@ -254,61 +254,61 @@
 		return err
 	}
 	data, err := json.Marshal(updated)
-	if err != nil || n.exceedsValueSize(data) {
+	if err != nil || ts.core.ExceedsValueSize(data) {
 		return &tenant.Error{Status: 400, Field: "networks", Reason: "the record is too large"}
 	}
-	tx := api.Txn{If: []api.Condition{{Key: keyOperators, Version: revision}, n.state.VersionCondition(keyGuaranteedTotal)},
-		Writes: []api.Write{{Put: keyOperators, Value: data}, n.auditWrite(c, "operators", before, after)}}
-	n.commitChange(c, tx, "the operators' record", func(committed api.Revision) any {
+	tx := api.Txn{If: []api.Condition{{Key: keyOperators, Version: revision}, ts.core.state.VersionCondition(keyGuaranteedTotal)},
+		Writes: []api.Write{{Put: keyOperators, Value: data}, ts.AuditWrite(c, "operators", before, after)}}
+	ts.CommitChange(c, tx, "the operators' record", func(committed api.Revision) any {
 		if secret != nil {
 			secret.Revision = committed
 			return secret
 		}
-		return n.viewOperators(updated, committed)
+		return ts.viewOperators(updated, committed)
 	})
 	return nil
 }
 
-// commitChange writes an operators' change and answers with what is shown then.
-func (n *Controller) commitChange(c AdminRequest, tx api.Txn, what string, view func(api.Revision) any) {
-	n.callStoreTxn(tx, func(a StoreResponse) {
+// CommitChange writes an operators' change and answers with what is shown then.
+func (ts *TenantService) CommitChange(c AdminRequest, tx api.Txn, what string, view func(api.Revision) any) {
+	ts.core.CallStoreTxn(tx, func(a StoreResponse) {
 		if a.Status == 200 {
-			slog.Info("operator change committed", "what", c.What, "id", c.ID, "key", c.keyID, "from", n.clientAddr(c.Caller), "revision", a.Txn.Revision)
+			slog.Info("operator change committed", "what", c.What, "id", c.ID, "key", c.keyID, "from", ts.clientAddr(c.Caller), "revision", a.Txn.Revision)
 		}
-		n.replyChange(c.Req, a.Status, a.Txn.Revision, what, view)
+		ts.ReplyChange(c.Req, a.Status, a.Txn.Revision, what, view)
 	})
 }
 
-// replyChange answers an operators' change by how its write ended.
-func (n *Controller) replyChange(req ReqID, status int, revision api.Revision, what string, view func(api.Revision) any) {
+// ReplyChange answers an operators' change by how its write ended.
+func (ts *TenantService) ReplyChange(req ReqID, status int, revision api.Revision, what string, view func(api.Revision) any) {
 	switch status {
 	case 200:
-		n.reply(req, 200, view(revision), 0)
-		n.linearizableRead(func() {}, func() {})
+		ts.core.Reply(req, 200, view(revision), 0)
+		ts.c.follower.LinearizableRead(func() {}, func() {})
 	case 409:
-		n.replyError(req, 409, "revision: "+what+" changed since")
+		ts.core.ReplyError(req, 409, "revision: "+what+" changed since")
 	default:
-		n.replyError(req, 503, "state service not reachable; the change may or may not have been made")
+		ts.core.ReplyError(req, 503, "state service not reachable; the change may or may not have been made")
 	}
 }
 
-// teamOwners is whose the teams of a hosted service are.
-func (n *Controller) teamOwners() map[api.Team]tenant.Name {
+// TeamOwners is whose the teams of a hosted service are.
+func (ts *TenantService) TeamOwners() map[api.Team]tenant.Name {
 	byTeam := map[api.Team]tenant.Name{}
-	if n.hosted == nil {
+	if ts.hosted == nil {
 		return byTeam
 	}
-	for _, name := range n.hosted.tenants.Names() {
-		for _, team := range n.hosted.tenants.Get(name).Teams {
+	for _, name := range ts.hosted.tenants.Names() {
+		for _, team := range ts.hosted.tenants.Get(name).Teams {
 			byTeam[team] = name
 		}
 	}
 	return byTeam
 }
 
-func (n *Controller) teamJobCount(team api.Team) int {
+func (ts *TenantService) teamJobCount(team api.Team) int {
 	count := 0
-	for _, j := range n.state.Jobs {
+	for _, j := range ts.core.state.Jobs {
 		if j.Spec.Team == team {
 			count++
 		}
@@ -316,26 +316,26 @@
 	return count
 }
 
-// handleTeamRequest makes, changes or removes a team beside the platform's.
-func (n *Controller) handleTeamRequest(c AdminRequest) error {
+// HandleTeamRequest makes, changes or removes a team beside the platform's.
+func (ts *TenantService) HandleTeamRequest(c AdminRequest) error {
 	var request teamRequest
 	if err := decodeRequest(c.Body, &request); err != nil {
 		return err
 	}
 	name := api.Team(c.ID)
-	for _, t := range n.config.Deployment.Teams {
+	for _, t := range ts.core.config.Deployment.Teams {
 		if t.Name == name {
 			return &tenant.Error{Status: 409, Field: "name", Reason: c.ID + " is a team of the platform's file"}
 		}
 	}
-	old, known := n.hosted.teams[name]
+	old, known := ts.hosted.teams[name]
 	if !known && c.What == "team-remove" {
 		return &tenant.Error{Status: 404, Field: "name", Reason: "there is no team " + c.ID}
 	}
 	var updated tenant.Team
 	var err error
 	if c.What == "team-remove" {
-		updated, err = old.Team.Remove(n.teamOwners()[name], n.teamJobCount(name))
+		updated, err = old.Team.Remove(ts.TeamOwners()[name], ts.teamJobCount(name))
 	} else {
 		updated, err = old.Change(tenant.Team{Name: name, CPUs: request.CPUs, GPUs: request.GPUs, CPUsMax: request.CPUsMax, GPUsMax: request.GPUsMax})
 	}
@@ -343,13 +343,13 @@
 		return err
 	}
 	if known && updated == old.Team {
-		n.reply(c.Req, 200, TeamRecordView{updated, n.teamOwners()[name], old.Revision}, 0) // asked again, perhaps
+		ts.core.Reply(c.Req, 200, TeamRecordView{updated, ts.TeamOwners()[name], old.Revision}, 0) // asked again, perhaps
 		return nil
 	}
 	if err := checkRevision(request.Revision, old.Revision, "the team"); err != nil {
 		return err
 	}
-	guaranteed, err := n.hosted.guaranteed.Adjust(old.Team, updated, n.hosted.operators)
+	guaranteed, err := ts.hosted.guaranteed.Adjust(old.Team, updated, ts.hosted.operators)
 	if err != nil {
 		return err
 	}
@@ -357,13 +357,13 @@
 	guaranteedValue, _ := json.Marshal(guaranteed)
 	// The claim of the team by a tenant is named, so that none is made meanwhile; and the
 	// operators' record, so that what is set aside is what was read.
-	tx := api.Txn{If: []api.Condition{{Key: keyTeam + c.ID, Version: old.Revision}, n.state.VersionCondition(keyGuaranteedTotal), n.state.VersionCondition(keyOperators)},
-		Writes: []api.Write{{Put: keyTeam + c.ID, Value: teamValue}, {Put: keyGuaranteedTotal, Value: guaranteedValue}, n.auditWrite(c, "team "+c.ID, old.Team, updated)}}
+	tx := api.Txn{If: []api.Condition{{Key: keyTeam + c.ID, Version: old.Revision}, ts.core.state.VersionCondition(keyGuaranteedTotal), ts.core.state.VersionCondition(keyOperators)},
+		Writes: []api.Write{{Put: keyTeam + c.ID, Value: teamValue}, {Put: keyGuaranteedTotal, Value: guaranteedValue}, ts.AuditWrite(c, "team "+c.ID, old.Team, updated)}}
 	if c.What == "team-remove" {
 		tx.If = append(tx.If, api.Condition{Key: keyTeamOf + c.ID})
 	}
-	n.commitChange(c, tx, "the team, or what is set aside for teams,", func(revision api.Revision) any {
-		return TeamRecordView{updated, n.teamOwners()[name], revision}
+	ts.CommitChange(c, tx, "the team, or what is set aside for teams,", func(revision api.Revision) any {
+		return TeamRecordView{updated, ts.TeamOwners()[name], revision}
 	})
 	return nil
 }
