--- a/controller/partition.go
+++ b/controller/partition.go
@@ -13,6 +13,15 @@
 	"basaltwall/sched"
 )
 
+// RoundScheduler runs the rounds of owned partitions and makes them durable.
+type RoundScheduler struct {
+	core *Core
+	c    *Controller
+
+	partitions map[api.PartitionID]*ownedPartition
+	roundRate  roundRate
+}
+
 // ownedPartition is a partition of the machines that this node owns, under one term.
 type ownedPartition struct {
 	id               api.PartitionID
@@ -70,45 +79,45 @@
 	return api.Condition{Key: clusterstate.PartitionKey(clusterstate.KeyPartition, owned.id), Version: owned.term}
 }
 
-func (n *Controller) beginOwnership(p api.PartitionID, term api.Revision) {
-	owned := &ownedPartition{id: p, term: term, ownedSince: n.now, lastRevision: term, pendingEnds: map[*Placement]bool{}, dirty: true,
+func (rs *RoundScheduler) BeginOwnership(p api.PartitionID, term api.Revision) {
+	owned := &ownedPartition{id: p, term: term, ownedSince: rs.core.now, lastRevision: term, pendingEnds: map[*Placement]bool{}, dirty: true,
 		nextQuotaTransfer: map[api.PartitionID]api.Time{}}
-	n.partitions[p] = owned
-	for pl := range n.state.PlacementsByPartition[p] {
-		n.state.SetFinishing(pl, false)
+	rs.partitions[p] = owned
+	for pl := range rs.core.state.PlacementsByPartition[p] {
+		rs.core.state.SetFinishing(pl, false)
 		pl.OwnerState.stopRequested, pl.OwnerState.haltRequested, pl.OwnerState.launchToken, pl.OwnerState.reported = false, false, 0, false
 		if pl.OwnerState.placedAt == 0 {
-			pl.OwnerState.placedAt = n.now
+			pl.OwnerState.placedAt = rs.core.now
 		}
-		if n.fleet.deletedAt[pl.Machine] == 0 {
-			n.ensureMachine(pl.Machine)
+		if rs.c.autoscaler.fleet.deletedAt[pl.Machine] == 0 {
+			rs.c.agents.EnsureMachine(pl.Machine)
 		} else {
-			n.recordTaskEnd(owned, pl, false, reasonMachineDeleted)
+			rs.RecordTaskEnd(owned, pl, false, reasonMachineDeleted)
 		}
 	}
-	n.reconcileMachineList() // the list we have tells where they are; the next may be long in coming
-	for _, m := range n.machinesOf(p) {
-		m.commandToken, m.uncertainToken, m.missedCalls, m.discoveredAt = n.minToken(owned, m.ID), 0, 0, n.now
+	rs.c.autoscaler.ReconcileMachineList() // the list we have tells where they are; the next may be long in coming
+	for _, m := range rs.c.agents.MachinesOf(p) {
+		m.commandToken, m.uncertainToken, m.missedCalls, m.discoveredAt = rs.c.agents.MinToken(owned, m.ID), 0, 0, rs.core.now
 	}
-	n.restoreReservations(owned)
-	n.contactPriorityMachines(owned)
-	n.metrics.Takeovers++
-	slog.Info("partition acquired", "part", p, "term", term, "tasks", len(n.state.PlacementsByPartition[p]))
+	rs.c.backfiller.RestoreReservations(owned)
+	rs.c.priorities.ContactPriorityMachines(owned)
+	rs.core.metrics.Takeovers++
+	slog.Info("partition acquired", "part", p, "term", term, "tasks", len(rs.core.state.PlacementsByPartition[p]))
 }
 
-// recordTaskEnd notes evidence that a place is over; the next round records it.
-func (n *Controller) recordTaskEnd(owned *ownedPartition, p *Placement, done bool, reason string) {
+// RecordTaskEnd notes evidence that a place is over; the next round records it.
+func (rs *RoundScheduler) RecordTaskEnd(owned *ownedPartition, p *Placement, done bool, reason string) {
 	if p.Finishing {
 		return
 	}
-	n.state.SetFinishing(p, true)
-	p.Job.OwnerState.lastTaskEndedAt = n.now
+	rs.core.state.SetFinishing(p, true)
+	p.Job.OwnerState.lastTaskEndedAt = rs.core.now
 	owned.pendingEnds[p] = done
 	owned.dirty = true
 	if !done {
 		if reason == reasonMachineDeleted || reason == reasonEpochOver {
 			p.Job.OwnerState.lostTasks++
-			p.Job.OwnerState.lastLossAt, p.Job.OwnerState.preemptedForStart = n.now, false
+			p.Job.OwnerState.lastLossAt, p.Job.OwnerState.preemptedForStart = rs.core.now, false
 		}
 		slog.Info("task ended", tenantAttr(p.Job), "task", p.Task, "machine", p.Machine, "why", reason)
 	}
@@ -121,66 +130,70 @@
 )
 
 // loseOwnership drops a part whose record can't be written any more.
-func (n *Controller) loseOwnership(owned *ownedPartition) {
-	if n.partitions[owned.id] == owned {
-		delete(n.partitions, owned.id)
+func (rs *RoundScheduler) loseOwnership(owned *ownedPartition) {
+	if rs.partitions[owned.id] == owned {
+		delete(rs.partitions, owned.id)
 		slog.Info("partition lost", "part", owned.id)
 	}
-	n.linearizableRead(func() {}, func() {})
+	rs.c.follower.LinearizableRead(func() {}, func() {})
 }
 
-// runPartition runs a part's round when one is due.
-func (n *Controller) runPartition(owned *ownedPartition) {
-	n.maybeCheckpoint(owned)
-	n.archiveJobs(owned)
-	if !n.overloaded() {
-		n.rebalancePending(owned)
-		n.lendMachines(owned)
+// RunPartition runs a part's round when one is due.
+func (rs *RoundScheduler) RunPartition(owned *ownedPartition) {
+	rs.maybeCheckpoint(owned)
+	rs.archiveJobs(owned)
+	if !rs.core.Overloaded() {
+		rs.c.balancer.RebalancePending(owned)
+		rs.c.balancer.LendMachines(owned)
 	}
-	n.backfill(owned)
-	if owned.unexaminedJobs > 0 && n.now.Sub(owned.plannedAt) >= deferredJobsInterval || len(owned.unmetDemands) > 0 && n.now.Sub(owned.plannedAt) >= unmetDemandRecheckInterval {
+	rs.c.backfiller.Backfill(owned)
+	if owned.unexaminedJobs > 0 && rs.core.now.Sub(owned.plannedAt) >= deferredJobsInterval || len(owned.unmetDemands) > 0 && rs.core.now.Sub(owned.plannedAt) >= unmetDemandRecheckInterval {
 		owned.dirty = true
 	}
-	if owned.inFlight != nil || owned.releasing || owned.loanInFlight || n.now < owned.nextRound || !owned.dirty && !owned.needsNewToken {
+	if owned.inFlight != nil || owned.releasing || owned.loanInFlight || rs.core.now < owned.nextRound || !owned.dirty && !owned.needsNewToken {
 		return
 	}
-	if n.isRecordRingFull(owned) {
+	if rs.IsRecordRingFull(owned) {
 		return
 	}
-	owned.dirty, owned.plannedAt = false, n.now
-	round := n.planRound(owned)
+	owned.dirty, owned.plannedAt = false, rs.core.now
+	round := rs.planRound(owned)
 	if len(round.record.Jobs) == 0 && len(round.record.QuotaTransfers) == 0 && len(round.record.Reservations) == 0 && !owned.needsNewToken {
-		owned.nextRound = n.now.Add(n.currentRoundInterval())
+		owned.nextRound = rs.core.now.Add(rs.currentRoundInterval())
 		return
 	}
 	owned.needsNewToken = false
-	n.commitRound(owned, round)
+	rs.CommitRound(owned, round)
 }
 
-// exceedsValueSize reports whether what is to be written does not fit into a value.
-func (n *Controller) exceedsValueSize(data []byte) bool {
-	return float64(len(data)) > n.config.Deployment.State.ValueKB*1024
+// ExceedsValueSize reports whether what is to be written does not fit into a value.
+func (k *Core) ExceedsValueSize(data []byte) bool {
+	return float64(len(data)) > k.config.Deployment.State.ValueKB*1024
 }
 
 // cancellationReserveBytes is what a cancellation adds to a job's record, and some more.
 const cancellationReserveBytes = 64
 
-// jobExceedsValueSize is the same for a job's record, with the room that its cancellation needs: a job
+// JobExceedsValueSize is the same for a job's record, with the room that its cancellation needs: a job
 // that could not be cancelled would be answered 503 for ever.
-func (n *Controller) jobExceedsValueSize(data []byte) bool {
-	return float64(len(data)+cancellationReserveBytes) > n.config.Deployment.State.ValueKB*1024
+func (k *Core) JobExceedsValueSize(data []byte) bool {
+	return float64(len(data)+cancellationReserveBytes) > k.config.Deployment.State.ValueKB*1024
 }
 
 // roundByteBudget is how many bytes of a round's record may be starts and ends: it must fit
 // into a value.
-func (n *Controller) roundByteBudget() int { return int(n.config.Deployment.State.ValueKB*1024) - 512 }
+func (rs *RoundScheduler) roundByteBudget() int {
+	return int(rs.core.config.Deployment.State.ValueKB*1024) - 512
+}
 
-// roundConditionBudget is on how many jobs' versions a round may be conditional.
-func (n *Controller) roundConditionBudget() int { return 4*n.config.Deployment.State.TxnOps - 4 }
+// RoundConditionBudget is on how many jobs' versions a round may be conditional.
+func (rs *RoundScheduler) RoundConditionBudget() int {
+	return 4*rs.core.config.Deployment.State.TxnOps - 4
+}
 
 // planRound composes a round: the ends that evidence has shown, then new starts.
-func (n *Controller) planRound(owned *ownedPartition) *pendingRound {
-	round := &pendingRound{record: clusterstate.Record{Seq: n.state.Partitions[owned.id].RoundSeq + 1}, ends: map[*Placement]bool{}}
+func (rs *RoundScheduler) planRound(owned *ownedPartition) *pendingRound {
+	round := &pendingRound{record: clusterstate.Record{Seq: rs.core.state.Partitions[owned.id].RoundSeq + 1}, ends: map[*Placement]bool{}}
 	deltas := map[api.JobID]*clusterstate.JobDelta{}
 	conditional := map[api.JobID]bool{}
 	delta := func(j *Job) *clusterstate.JobDelta {
@@ -191,9 +204,9 @@
 		}
 		return d
 	}
-	bytesLeft, maxConditions := n.roundByteBudget(), n.roundConditionBudget()
-	if n.hosted != nil && n.hosted.pools.table.Len() > 0 {
-		maxConditions -= min(maxRoundPools, n.hosted.pools.table.Len())
+	bytesLeft, maxConditions := rs.roundByteBudget(), rs.RoundConditionBudget()
+	if rs.c.tenancy.hosted != nil && rs.c.tenancy.hosted.pools.table.Len() > 0 {
+		maxConditions -= min(maxRoundPools, rs.c.tenancy.hosted.pools.table.Len())
 	}
 	ends := slices.SortedFunc(maps.Keys(owned.pendingEnds), func(a, b *Placement) int {
 		if a.Task.Job != b.Task.Job {
@@ -213,7 +226,7 @@
 		// that is not recorded by then never is, or the job would be called
 		// done after it was called cancelled.
 		done := owned.pendingEnds[p] && !p.Job.Cancelled
-		if p.Job.Spec.Kind == api.Gang && !done && !p.Job.Cancelled && n.isGangDone(owned, p.Job) {
+		if p.Job.Spec.Kind == api.Gang && !done && !p.Job.Cancelled && rs.isGangDone(owned, p.Job) {
 			done = true // when one task of a gang is done, all are
 		}
 		if bytesLeft < 64 || done && !conditional[p.Job.ID] && len(conditional) >= maxConditions {
@@ -234,10 +247,10 @@
 		round.ends[p] = done
 		delete(owned.pendingEnds, p)
 	}
-	for _, ref := range slices.Sorted(maps.Keys(n.state.CancellingJobs)) {
-		j := n.state.CancellingJobs[ref]
-		n.stopCancelledTasks(owned, j)
-		if n.canAcknowledgeCancellation(owned, j) {
+	for _, ref := range slices.Sorted(maps.Keys(rs.core.state.CancellingJobs)) {
+		j := rs.core.state.CancellingJobs[ref]
+		rs.c.jobs.StopCancelledTasks(owned, j)
+		if rs.c.jobs.CanAcknowledgeCancellation(owned, j) {
 			if bytesLeft < 64 {
 				owned.dirty = true
 				break
@@ -247,10 +260,10 @@
 		}
 	}
 	owned.plannedTeams = map[api.Team]bool{}
-	owned.reservedQuota = n.quotaReservedForOthers(owned)
+	owned.reservedQuota = rs.c.backfiller.QuotaReservedForOthers(owned)
 	maxStarts := bytesLeft / 64
 	poolsNamed := map[api.PoolName]bool{}
-	for _, s := range n.scheduleRound(owned, round, maxStarts) {
+	for _, s := range rs.scheduleRound(owned, round, maxStarts) {
 		if !conditional[s.Job.ID] && len(conditional) >= maxConditions || !addRoundPools(poolsNamed, s.Job.Spec.Needs) {
 			owned.dirty = true
 			continue
@@ -264,18 +277,18 @@
 	for _, ref := range slices.Sorted(maps.Keys(deltas)) {
 		round.record.Jobs = append(round.record.Jobs, *deltas[ref])
 		if conditional[ref] {
-			round.txn.If = append(round.txn.If, api.Condition{Key: clusterstate.KeyJob + string(ref), Version: n.state.Jobs[ref].Version})
+			round.txn.If = append(round.txn.If, api.Condition{Key: clusterstate.KeyJob + string(ref), Version: rs.core.state.Jobs[ref].Version})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(poolsNamed)) {
-		round.txn.If = append(round.txn.If, n.state.VersionCondition(keyPool+string(name)))
+		round.txn.If = append(round.txn.If, rs.core.state.VersionCondition(keyPool+string(name)))
 	}
-	round.record.QuotaTransfers = n.spareQuotaTransfers(owned)
-	round.record.Reservations = n.reservationChanges(owned)
+	round.record.QuotaTransfers = rs.c.balancer.SpareQuotaTransfers(owned)
+	round.record.Reservations = rs.c.backfiller.ReservationChanges(owned)
 	return round
 }
 
-func (n *Controller) isGangDone(owned *ownedPartition, j *Job) bool {
+func (rs *RoundScheduler) isGangDone(owned *ownedPartition, j *Job) bool {
 	if j.CompletedCount > 0 {
 		return true
 	}
@@ -287,31 +300,31 @@
 	return false
 }
 
-// isSchedulable reports whether a machine may get new tasks.
-func (n *Controller) isSchedulable(m *Machine, owned *ownedPartition) bool {
-	return n.unschedulableReason(m, owned) == ""
+// IsSchedulable reports whether a machine may get new tasks.
+func (rs *RoundScheduler) IsSchedulable(m *Machine, owned *ownedPartition) bool {
+	return rs.c.admin.UnschedulableReason(m, owned) == ""
 }
 
-// freeCapacityOn is the room on a machine: its capacity less all that is or may be on it.
-func (n *Controller) freeCapacityOn(m *Machine, owned *ownedPartition) api.Resources {
-	typ := n.machineTypes[m.machineType]
+// FreeCapacityOn is the room on a machine: its capacity less all that is or may be on it.
+func (rs *RoundScheduler) FreeCapacityOn(m *Machine, owned *ownedPartition) api.Resources {
+	typ := rs.core.machineTypes[m.machineType]
 	if typ == nil {
 		return api.Resources{}
 	}
 	if m.hasUnknownTasks {
 		return api.Resources{} // something unknown runs there
 	}
-	return typ.Capacity().Minus(m.untrackedUsage).Minus(owned.inFlightDemand[m.ID]).Minus(n.state.Allocated(m.ID))
+	return typ.Capacity().Minus(m.untrackedUsage).Minus(owned.inFlightDemand[m.ID]).Minus(rs.core.state.Allocated(m.ID))
 }
 
-// pendingImageFetches is what images a machine has still to fetch for its tasks, as far as is
+// PendingImageFetches is what images a machine has still to fetch for its tasks, as far as is
 // known.
-func (n *Controller) pendingImageFetches(m *Machine) []sched.ImageFetch {
+func (rs *RoundScheduler) PendingImageFetches(m *Machine) []sched.ImageFetch {
 	var out []sched.ImageFetch
-	for _, p := range n.state.PlacementsOn(m.ID) {
+	for _, p := range rs.core.state.PlacementsOn(m.ID) {
 		img := sched.ImageFetch{Name: p.Job.Spec.Image, SizeGB: p.Job.Spec.ImageGB}
 		if p.OwnerState.placedAt != 0 {
-			img.ElapsedSeconds = n.now.Sub(p.OwnerState.placedAt).Seconds()
+			img.ElapsedSeconds = rs.core.now.Sub(p.OwnerState.placedAt).Seconds()
 		}
 		if _, has := m.cachedImages[img.Name]; has || p.Finishing || p.OwnerState.reported && p.OwnerState.state != api.TaskFetching {
 			continue
@@ -325,13 +338,13 @@
 	return out
 }
 
-// remainingQuota is what each team may still start in the part.
-func (n *Controller) remainingQuota(p api.PartitionID) map[api.Team]api.Resources {
-	use := n.state.Partitions[p].TeamUsage
+// RemainingQuota is what each team may still start in the part.
+func (rs *RoundScheduler) RemainingQuota(p api.PartitionID) map[api.Team]api.Resources {
+	use := rs.core.state.Partitions[p].TeamUsage
 	remaining := map[api.Team]api.Resources{}
-	for name, team := range n.teams {
+	for name, team := range rs.core.teams {
 		limit := quotaLimit(team)
-		share := n.state.QuotaShare(p, name, limit).Minus(use[name])
+		share := rs.core.state.QuotaShare(p, name, limit).Minus(use[name])
 		share.Mem = limit.Mem
 		remaining[name] = share
 	}
@@ -339,8 +352,8 @@
 }
 
 // unreservedQuota is the same less what is reserved for others' jobs that must begin.
-func (n *Controller) unreservedQuota(owned *ownedPartition) map[api.Team]api.Resources {
-	remaining := n.remainingQuota(owned.id)
+func (rs *RoundScheduler) unreservedQuota(owned *ownedPartition) map[api.Team]api.Resources {
+	remaining := rs.RemainingQuota(owned.id)
 	for _, teams := range owned.reservedQuota {
 		for team, r := range teams {
 			remaining[team] = remaining[team].Minus(r)
@@ -350,19 +363,19 @@
 }
 
 // scheduleRound runs a round over the part's pending tasks.
-func (n *Controller) scheduleRound(owned *ownedPartition, round *pendingRound, maxStarts int) []*Placement {
+func (rs *RoundScheduler) scheduleRound(owned *ownedPartition, round *pendingRound, maxStarts int) []*Placement {
 	owned.shortTypes = nil
 	owned.quotaDemand, owned.mustStartQuotaDemand, owned.unmetDemands, owned.pendingTaskCount = map[api.Team]api.Resources{}, map[api.Team]api.Resources{}, nil, 0
 	owned.quotaStarvedDemand = map[api.Team]api.Resources{}
 	var jobs []*Job
 	var smallestDemand api.Resources
-	for _, ref := range slices.Sorted(maps.Keys(n.state.PendingJobs)) {
-		j := n.state.PendingJobs[ref]
+	for _, ref := range slices.Sorted(maps.Keys(rs.core.state.PendingJobs)) {
+		j := rs.core.state.PendingJobs[ref]
 		waiting := j.PendingTasks(owned.id)
-		if n.startsBlocked(j) {
+		if rs.c.tenancy.StartsBlocked(j) {
 			continue
 		}
-		if j.OwnerState.backoffUntil > n.now {
+		if j.OwnerState.backoffUntil > rs.core.now {
 			owned.dirty = owned.dirty || waiting > 0
 			continue
 		}
@@ -376,37 +389,37 @@
 		smallestDemand = api.Resources{CPU: min(smallestDemand.CPU, j.Demand.CPU), GPU: min(smallestDemand.GPU, j.Demand.GPU), Mem: min(smallestDemand.Mem, j.Demand.Mem)}
 		jobs = append(jobs, j)
 	}
-	units, jobs := n.allocatePoolUnits(owned, n.limitTenantJobs(owned, jobs))
+	units, jobs := rs.c.pools.AllocatePoolUnits(owned, rs.c.tenancy.LimitTenantJobs(owned, jobs))
 	if len(jobs) == 0 {
 		return nil
 	}
-	input := &sched.Input{AvailableUnits: units, LargestCapacity: n.largestMachine, TypicalDemands: n.typicalDemands(), RemainingQuota: n.unreservedQuota(owned), MaxStarts: maxStarts}
+	input := &sched.Input{AvailableUnits: units, LargestCapacity: rs.core.largestMachine, TypicalDemands: rs.c.backfiller.TypicalDemands(), RemainingQuota: rs.unreservedQuota(owned), MaxStarts: maxStarts}
 	var machines []*Machine // with room for something
 	schedulableCPUs, schedulableCount := 0.0, 0
-	for _, m := range n.machinesOf(owned.id) {
-		if !n.isSchedulable(m, owned) {
+	for _, m := range rs.c.agents.MachinesOf(owned.id) {
+		if !rs.IsSchedulable(m, owned) {
 			continue
 		}
-		typ := n.machineTypes[m.machineType]
+		typ := rs.core.machineTypes[m.machineType]
 		schedulableCPUs += typ.CPUs
 		schedulableCount++
-		free := n.freeCapacityOn(m, owned)
+		free := rs.FreeCapacityOn(m, owned)
 		if !smallestDemand.Fits(free) {
 			continue
 		}
 		input.Machines = append(input.Machines, sched.Machine{ID: m.ID, Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, GPU: typ.GPUs > 0,
-			AcceleratorOnly: m.scaleInCandidate, FastStart: n.suitsLatencySensitive(m), Surplus: m.surplus || n.now < m.consolidatingUntil, Slowdown: m.relativeRuntime, FetchRate: typ.FetchRate, FetchingImages: n.pendingImageFetches(m), CachedImages: m.cachedImages, ReservedFor: n.reservedFor(m), SoftReservation: m.softReservation, ReservationRank: m.reservationRank})
+			AcceleratorOnly: m.scaleInCandidate, FastStart: rs.c.autoscaler.SuitsLatencySensitive(m), Surplus: m.surplus || rs.core.now < m.consolidatingUntil, Slowdown: m.relativeRuntime, FetchRate: typ.FetchRate, FetchingImages: rs.PendingImageFetches(m), CachedImages: m.cachedImages, ReservedFor: rs.c.preemptor.ReservedFor(m), SoftReservation: m.softReservation, ReservationRank: m.reservationRank})
 		machines = append(machines, m)
 	}
-	total, incoming := n.teamUsage(), sync.OnceValue(n.incomingMachines)
+	total, incoming := rs.TeamUsage(), sync.OnceValue(rs.c.autoscaler.IncomingMachines)
 	schedulable := jobs[:0]
 	for _, j := range jobs {
-		pending := n.startableTasks(owned, j, round, max(schedulableCount, 1))
-		stage, waited := n.roundStage(owned, j)
+		pending := rs.startableTasks(owned, j, round, max(schedulableCount, 1))
+		stage, waited := rs.c.backfiller.RoundStage(owned, j)
 		if stage != sched.NotAged && j.Spec.Kind == api.Array {
 			pending = pending[:min(len(pending), 1)] // to begin; the others take their turn
 		}
-		if allowed := n.startAllowance(j); allowed < len(pending) && stage != sched.AgedAboveAll {
+		if allowed := rs.c.health.StartAllowance(j); allowed < len(pending) && stage != sched.AgedAboveAll {
 			if pending = pending[:allowed]; j.Spec.Kind == api.Gang {
 				pending = nil
 			}
@@ -414,13 +427,13 @@
 		if len(pending) == 0 {
 			continue
 		}
-		zones, known := n.taskZones(j)
+		zones, known := rs.TaskZones(j)
 		if !known && (j.Spec.OneZone || j.Spec.Spread) {
 			continue // where its other tasks are is not known yet
 		}
-		request := sched.Job{Spec: j.Spec, Demand: j.Demand, Pending: pending, PlacedByZone: zones, Urgency: n.urgency(j, schedulableCPUs), PriorityBoost: n.priorityBoost(j.Spec), AgingStage: stage, WaitedSeconds: waited, ReservesQuota: stage == sched.AgedAboveAll && n.fitsAttainableQuota(j, len(pending)),
-			WithinGuarantee: n.isWithinGuarantee(j, total), HoldsJobUnits: j.LiveCount() > 0, StartSLO: n.startObjective(j.Spec.Class), ExcludedMachines: j.OwnerState.failedOn, NewMachineSeconds: n.bootingMachineDelay(j, incoming),
-			FastStart: n.isLatencySensitive(j.Spec), AcceleratorOptional: n.isCPUOnly(j.Spec), SpotRisk: n.spotRisk(j)}
+		request := sched.Job{Spec: j.Spec, Demand: j.Demand, Pending: pending, PlacedByZone: zones, Urgency: rs.urgency(j, schedulableCPUs), PriorityBoost: rs.c.priorities.PriorityBoost(j.Spec), AgingStage: stage, WaitedSeconds: waited, ReservesQuota: stage == sched.AgedAboveAll && rs.c.backfiller.FitsAttainableQuota(j, len(pending)),
+			WithinGuarantee: rs.IsWithinGuarantee(j, total), HoldsJobUnits: j.LiveCount() > 0, StartSLO: rs.StartObjective(j.Spec.Class), ExcludedMachines: j.OwnerState.failedOn, NewMachineSeconds: rs.bootingMachineDelay(j, incoming),
+			FastStart: rs.c.autoscaler.IsLatencySensitive(j.Spec), AcceleratorOptional: rs.IsCPUOnly(j.Spec), SpotRisk: rs.SpotRisk(j)}
 		if len(j.OwnerState.failedOn)*2 > schedulableCount {
 			request.ExcludedMachines = nil
 		}
@@ -429,30 +442,30 @@
 	}
 	jobs = schedulable
 	for i, j := range jobs {
-		n.preemptForFastStart(owned, input, &input.Jobs[i], j)
+		rs.c.preemptor.PreemptForFastStart(owned, input, &input.Jobs[i], j)
 	}
-	n.metrics.FlowTasks, n.metrics.FlowMachines = 0, len(machines)
+	rs.core.metrics.FlowTasks, rs.core.metrics.FlowMachines = 0, len(machines)
 	for i := range input.Jobs {
-		n.metrics.FlowTasks += len(input.Jobs[i].Pending)
+		rs.core.metrics.FlowTasks += len(input.Jobs[i].Pending)
 	}
 	var starts []*Placement
 	placed := make([]int, len(jobs))
 	for _, pl := range sched.PlanRound(input) {
 		m, j := machines[pl.MachineIndex], jobs[pl.JobIndex]
-		n.adjustFloors(j.Spec, j.Demand.CPU.Float())
+		rs.c.health.AdjustFloors(j.Spec, j.Demand.CPU.Float())
 		placed[pl.JobIndex]++
-		n.chargeMustStartCredit(owned, j, input.Jobs[pl.JobIndex].AgingStage)
+		rs.c.backfiller.ChargeMustStartCredit(owned, j, input.Jobs[pl.JobIndex].AgingStage)
 		if !j.OwnerState.startPlanned {
 			j.OwnerState.startPlanned = true
-			slog.Info("job starts", tenantAttr(j), "job", j.ID, specAttr(j.Spec), "part", owned.id, "after", float64(n.wallClock-j.AcceptedAt)/1000)
+			slog.Info("job starts", tenantAttr(j), "job", j.ID, specAttr(j.Spec), "part", owned.id, "after", float64(rs.core.wallClock-j.AcceptedAt)/1000)
 		}
 		if j.OwnerState.lastLossAt != 0 && j.Spec.Kind == api.Service {
-			slog.Debug("replica restarted", "job", j.ID, "task", pl.Task, "machine", m.ID, "type", m.machineType, "lost_s", n.now.Sub(j.OwnerState.lastLossAt).Seconds(),
+			slog.Debug("replica restarted", "job", j.ID, "task", pl.Task, "machine", m.ID, "type", m.machineType, "lost_s", rs.core.now.Sub(j.OwnerState.lastLossAt).Seconds(),
 				"fetch_s", input.Machines[pl.MachineIndex].FetchTime(j.Spec))
 		}
 		starts = append(starts, &Placement{Task: api.TaskID{Job: j.ID, Index: pl.Task}, Partition: owned.id, Machine: m.ID, Epoch: m.epoch, Job: j})
 	}
-	n.recordUnmetDemand(owned, input, jobs, placed)
+	rs.recordUnmetDemand(owned, input, jobs, placed)
 	if len(starts) > 0 {
 		owned.dirty = true // more may follow next round
 	}
@@ -461,7 +474,7 @@
 
 // startableTasks lists up to most of the job's tasks that wait in this part; a gang's
 // only when all of it can start.
-func (n *Controller) startableTasks(owned *ownedPartition, j *Job, round *pendingRound, maxTasks int) []int {
+func (rs *RoundScheduler) startableTasks(owned *ownedPartition, j *Job, round *pendingRound, maxTasks int) []int {
 	if j.Spec.Kind == api.Gang {
 		if len(j.Split) == 0 || j.Split[0].Partition != owned.id {
 			return nil
@@ -496,15 +509,15 @@
 	return out
 }
 
-// taskZones counts a job's tasks by zone, those that may still be there
+// TaskZones counts a job's tasks by zone, those that may still be there
 // included; known is false when a machine's zone is not known.
-func (n *Controller) taskZones(j *Job) (zones map[api.Zone]int, known bool) {
+func (rs *RoundScheduler) TaskZones(j *Job) (zones map[api.Zone]int, known bool) {
 	zones, known = map[api.Zone]int{}, true
 	for _, p := range j.Placements {
 		if p.Finishing {
 			continue
 		}
-		z := n.machineZone(p.Machine)
+		z := rs.MachineZone(p.Machine)
 		if z == "" {
 			known = false
 			continue
@@ -514,45 +527,45 @@
 	return zones, known
 }
 
-// machineZone is a machine's zone, as it or the cloud's list tells: of other parts' machines
+// MachineZone is a machine's zone, as it or the cloud's list tells: of other parts' machines
 // only the list does. It is empty if neither has yet.
-func (n *Controller) machineZone(id api.MachineID) api.Zone {
-	if m := n.machines[id]; m != nil && m.zone != "" {
+func (rs *RoundScheduler) MachineZone(id api.MachineID) api.Zone {
+	if m := rs.c.agents.machines[id]; m != nil && m.zone != "" {
 		return m.zone
 	}
-	return n.fleet.listedMachines[id].Zone
+	return rs.c.autoscaler.fleet.listedMachines[id].Zone
 }
 
 // bootingMachineDelay is how long a machine that boots takes until it has the image of a service's
 // replicas, in seconds; 0 if none boots that may take them. They wait for one rather than
 // for a fetch that takes longer, for twice as long at most: it may not come.
-func (n *Controller) bootingMachineDelay(j *Job, incoming func() map[machineOffer]int) float64 {
-	if j.Spec.Kind != api.Service || n.startObjective(j.Spec.Class) <= 0 {
+func (rs *RoundScheduler) bootingMachineDelay(j *Job, incoming func() map[machineOffer]int) float64 {
+	if j.Spec.Kind != api.Service || rs.StartObjective(j.Spec.Class) <= 0 {
 		return 0
 	}
 	shortest := 0.0
 	for o, count := range incoming() {
-		typ := n.machineTypes[o.machineType]
-		if count <= 0 || typ == nil || typ.FetchRate <= 0 || !n.isEligible(j.Spec, n.isCPUOnly(j.Spec), o.machineType, o.zone, o.spot) || !j.Demand.Fits(typ.Capacity()) {
+		typ := rs.core.machineTypes[o.machineType]
+		if count <= 0 || typ == nil || typ.FetchRate <= 0 || !rs.IsEligible(j.Spec, rs.IsCPUOnly(j.Spec), o.machineType, o.zone, o.spot) || !j.Demand.Fits(typ.Capacity()) {
 			continue
 		}
 		if s := typ.BootSeconds + j.Spec.ImageGB/typ.FetchRate; shortest == 0 || s < shortest {
 			shortest = s
 		}
 	}
-	if n.startDelay(j) > 2*shortest {
+	if rs.c.preemptor.StartDelay(j) > 2*shortest {
 		return 0
 	}
 	return shortest
 }
 
-// isCPUOnly reports whether a type without accelerators can take the job's tasks.
+// IsCPUOnly reports whether a type without accelerators can take the job's tasks.
 // Such work goes to the others last, and they are neither rented nor kept for
 // it: they are dear, and whole pieces of them should be free for the work that
 // needs them.
-func (n *Controller) isCPUOnly(s *api.JobSpec) bool {
+func (rs *RoundScheduler) IsCPUOnly(s *api.JobSpec) bool {
 	demand := s.Demand()
-	for _, t := range n.machineTypes {
+	for _, t := range rs.core.machineTypes {
 		if t.GPUs == 0 && demand.Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) {
 			return true
 		}
@@ -560,29 +573,29 @@
 	return false
 }
 
-// isEligible reports whether a job's tasks may run on such a machine; plain work runs on none with
+// IsEligible reports whether a job's tasks may run on such a machine; plain work runs on none with
 // accelerators.
-func (n *Controller) isEligible(s *api.JobSpec, cpuOnly bool, typ api.MachineTypeName, zone api.Zone, spot bool) bool {
-	return !(cpuOnly && n.hasAccelerators(typ)) && sched.Feasible(s, typ, zone, spot)
+func (rs *RoundScheduler) IsEligible(s *api.JobSpec, cpuOnly bool, typ api.MachineTypeName, zone api.Zone, spot bool) bool {
+	return !(cpuOnly && rs.c.jobs.HasAccelerators(typ)) && sched.Feasible(s, typ, zone, spot)
 }
 
-// spotRisk is the chance that a job is late because a spot machine is taken with a
+// SpotRisk is the chance that a job is late because a spot machine is taken with a
 // task of it, as they were seen to be taken of late: that this happens when there
 // is no time left to find out, to fetch the image again and to run the task again.
-func (n *Controller) spotRisk(j *Job) float64 {
+func (rs *RoundScheduler) SpotRisk(j *Job) float64 {
 	if !j.Spec.Spot || j.Spec.Kind == api.Service {
 		return 0
 	}
-	elapsed := max(0, float64(n.wallClock-j.AcceptedAt)/1000)
+	elapsed := max(0, float64(rs.core.wallClock-j.AcceptedAt)/1000)
 	run := j.Spec.Estimate * runtimeSafetyFactor
-	singleRun := j.Spec.ImageGB/n.slowestFetchRate(j.Spec) + run
-	for _, objective := range n.completionObjectives(j.Spec) {
+	singleRun := j.Spec.ImageGB/rs.c.autoscaler.SlowestFetchRate(j.Spec) + run
+	for _, objective := range rs.CompletionObjectives(j.Spec) {
 		slack := objective - elapsed
 		if slack < singleRun {
 			continue // late as it is
 		}
-		criticalWindow := min(run, max(0, singleRun+n.livenessTimeout.Seconds()+singleRun-slack))
-		survives := math.Exp(-n.fleet.spotLossRate() * criticalWindow)
+		criticalWindow := min(run, max(0, singleRun+rs.core.livenessTimeout.Seconds()+singleRun-slack))
+		survives := math.Exp(-rs.c.autoscaler.fleet.spotLossRate() * criticalWindow)
 		return 1 - math.Pow(survives, float64(j.Spec.Tasks-j.CompletedCount))
 	}
 	return 0
@@ -592,8 +605,8 @@
 // to run.
 const runtimeSafetyFactor = 1.2
 
-func (n *Controller) startObjective(c api.Class) float64 {
-	for _, o := range n.config.Deployment.Objectives {
+func (rs *RoundScheduler) StartObjective(c api.Class) float64 {
+	for _, o := range rs.core.config.Deployment.Objectives {
 		if o.Kind == "wait" && o.Class == c {
 			return o.Within
 		}
@@ -601,11 +614,11 @@
 	return 0
 }
 
-// completionObjectives are the times after submission by which the job should be complete, by
+// CompletionObjectives are the times after submission by which the job should be complete, by
 // its deadline and its class's aims, in order.
-func (n *Controller) completionObjectives(s *api.JobSpec) []float64 {
+func (rs *RoundScheduler) CompletionObjectives(s *api.JobSpec) []float64 {
 	var out []float64
-	for _, o := range n.config.Deployment.Objectives {
+	for _, o := range rs.core.config.Deployment.Objectives {
 		switch {
 		case o.Class != s.Class:
 		case o.Kind == "finished":
@@ -625,9 +638,9 @@
 // be complete in time, those with least work left go first: so as many as
 // possible are in time when not all can be. A job that can't be in time any
 // more waits for the others.
-func (n *Controller) urgency(j *Job, cpus float64) float64 {
-	elapsed := max(0, float64(n.wallClock-j.AcceptedAt)/1000)
-	objectives := n.completionObjectives(j.Spec)
+func (rs *RoundScheduler) urgency(j *Job, cpus float64) float64 {
+	elapsed := max(0, float64(rs.core.wallClock-j.AcceptedAt)/1000)
+	objectives := rs.CompletionObjectives(j.Spec)
 	if len(objectives) == 0 {
 		return min(1, elapsed/600)
 	}
@@ -650,19 +663,19 @@
 // long as there is more work than room.
 const overdueFactor = 3
 
-func (n *Controller) teamUsage() map[api.Team]api.Resources {
+func (rs *RoundScheduler) TeamUsage() map[api.Team]api.Resources {
 	total := map[api.Team]api.Resources{}
-	for p := range n.state.Partitions {
-		for team, u := range n.state.Partitions[p].TeamUsage {
+	for p := range rs.core.state.Partitions {
+		for team, u := range rs.core.state.Partitions[p].TeamUsage {
 			total[team] = total[team].Plus(u)
 		}
 	}
 	return total
 }
 
-// isWithinGuarantee reports whether one more task keeps the team within its guarantee.
-func (n *Controller) isWithinGuarantee(j *Job, total map[api.Team]api.Resources) bool {
-	team := n.teams[j.Spec.Team]
+// IsWithinGuarantee reports whether one more task keeps the team within its guarantee.
+func (rs *RoundScheduler) IsWithinGuarantee(j *Job, total map[api.Team]api.Resources) bool {
+	team := rs.core.teams[j.Spec.Team]
 	use := total[j.Spec.Team].Plus(j.Demand)
 	if j.Demand.GPU > 0 {
 		return use.GPU <= api.ToQuantity(team.GPUs)
@@ -672,8 +685,8 @@
 
 // recordUnmetDemand notes what found no room: what share is wanted, and which tasks of
 // lower priority must make way.
-func (n *Controller) recordUnmetDemand(owned *ownedPartition, input *sched.Input, jobs []*Job, placed []int) {
-	remainingQuota := n.unreservedQuota(owned)
+func (rs *RoundScheduler) recordUnmetDemand(owned *ownedPartition, input *sched.Input, jobs []*Job, placed []int) {
+	remainingQuota := rs.unreservedQuota(owned)
 	preemptionsLeft, starvedChecksLeft := maxPreemptions, maxQuotaStarvedChecks
 	for i, j := range jobs {
 		remainingQuota[j.Spec.Team] = remainingQuota[j.Spec.Team].Minus(j.Demand.Times(placed[i]))
@@ -704,14 +717,14 @@
 		if input.Jobs[i].TasksWithinUnits(input.AvailableUnits, missing) == 0 {
 			continue // a machine would not help
 		}
-		owned.recordShortage(n, j.Spec)
+		owned.recordShortage(rs.c, j.Spec)
 		if placed[i] == 0 && j.Spec.NeedsSinglePartition() && len(owned.unmetDemands) < maxUnmetDemands {
-			owned.unmetDemands = append(owned.unmetDemands, n.unmetDemandOf(owned, j, &input.Jobs[i]))
+			owned.unmetDemands = append(owned.unmetDemands, rs.c.balancer.UnmetDemandOf(owned, j, &input.Jobs[i]))
 		}
-		if placed[i] == 0 && preemptionsLeft > 0 && n.now >= j.OwnerState.nextPreemptionAt && n.runsLowerPriority(owned.id, j.Spec.Priority.Rank()) {
+		if placed[i] == 0 && preemptionsLeft > 0 && rs.core.now >= j.OwnerState.nextPreemptionAt && rs.c.preemptor.RunsLowerPriority(owned.id, j.Spec.Priority.Rank()) {
 			preemptionsLeft--
-			j.OwnerState.nextPreemptionAt = n.now.Add(time.Second) // what was stopped takes a while to end
-			n.preemptFor(owned, &input.Jobs[i], j, missing, 0)
+			j.OwnerState.nextPreemptionAt = rs.core.now.Add(time.Second) // what was stopped takes a while to end
+			rs.c.preemptor.PreemptFor(owned, &input.Jobs[i], j, missing, 0)
 		}
 	}
 }
@@ -736,16 +749,16 @@
 	return false
 }
 
-// stopTask has a task stopped with the grace its checkpoint needs.
-func (n *Controller) stopTask(p *Placement) {
+// StopTask has a task stopped with the grace its checkpoint needs.
+func (rs *RoundScheduler) StopTask(p *Placement) {
 	if p.OwnerState.stopRequested {
 		return
 	}
-	p.OwnerState.stopRequested, p.OwnerState.stopRequestedAt = true, n.now
+	p.OwnerState.stopRequested, p.OwnerState.stopRequestedAt = true, rs.core.now
 	if p.Job.Spec.Checkpoint > 0 {
 		p.OwnerState.stopGrace = p.Job.Spec.Save + 1
 	}
-	if m := n.machines[p.Machine]; m != nil {
-		n.contactNow(m)
+	if m := rs.c.agents.machines[p.Machine]; m != nil {
+		rs.c.agents.ContactNow(m)
 	}
 }
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -16,6 +16,12 @@
 	"basaltwall/tenant"
 )
 
+// PoolManager shares counted resources among partitions.
+type PoolManager struct {
+	core *Core
+	c    *Controller
+}
+
 // keyPool holds a pool's record. A round that hands out units is conditional on it as it was
 // folded; see docs/pools.md.
 const keyPool = clusterstate.Root + "pool/"
@@ -35,19 +41,19 @@
 }
 
 // poolHeldByPartition is what each part holds of a pool by the book.
-func (n *Controller) poolHeldByPartition(name api.PoolName) []int {
-	out := make([]int, len(n.state.Partitions))
-	for i := range n.state.Partitions {
-		out[i] = n.state.Partitions[i].PoolUsage[name]
+func (pm *PoolManager) poolHeldByPartition(name api.PoolName) []int {
+	out := make([]int, len(pm.core.state.Partitions))
+	for i := range pm.core.state.Partitions {
+		out[i] = pm.core.state.Partitions[i].PoolUsage[name]
 	}
 	return out
 }
 
-// poolHeldTotal is what all parts together hold of a pool by the book.
-func (n *Controller) poolHeldTotal(name api.PoolName) int {
+// PoolHeldTotal is what all parts together hold of a pool by the book.
+func (pm *PoolManager) PoolHeldTotal(name api.PoolName) int {
 	sum := 0
-	for i := range n.state.Partitions {
-		sum += n.state.Partitions[i].PoolUsage[name]
+	for i := range pm.core.state.Partitions {
+		sum += pm.core.state.Partitions[i].PoolUsage[name]
 	}
 	return sum
 }
@@ -61,12 +67,12 @@
 }
 
 // poolHeldByTeam is what each team holds of a pool that guarantees units to some, nil of others.
-func (n *Controller) poolHeldByTeam(e *pool.Entry) map[api.Team]int {
+func (pm *PoolManager) poolHeldByTeam(e *pool.Entry) map[api.Team]int {
 	if e == nil || len(e.Guaranteed) == 0 {
 		return nil
 	}
 	out := map[api.Team]int{}
-	for _, j := range n.state.Jobs {
+	for _, j := range pm.core.state.Jobs {
 		if need, ok := j.Spec.PoolRequest(e.Name); ok {
 			out[j.Spec.Team] += need.Units(j.LiveCount(), false)
 		}
@@ -78,16 +84,16 @@
 // then who is within its team's guarantee, then by age. Work that may not start anyway is
 // not among them. Who is urgent or entitled reserves what comes free, and others do by
 // turns if they need several units at once.
-func (n *Controller) poolRequests(name api.PoolName) []poolRequest {
+func (pm *PoolManager) poolRequests(name api.PoolName) []poolRequest {
 	var out []poolRequest
-	e := n.poolEntry(name)
-	teams := n.poolHeldByTeam(e)
-	for _, j := range n.state.PendingJobs {
+	e := pm.poolEntry(name)
+	teams := pm.poolHeldByTeam(e)
+	for _, j := range pm.core.state.PendingJobs {
 		need, ok := j.Spec.PoolRequest(name)
-		if !ok || n.startsBlocked(j) || j.OwnerState.backoffUntil > n.now {
+		if !ok || pm.c.tenancy.StartsBlocked(j) || j.OwnerState.backoffUntil > pm.core.now {
 			continue
 		}
-		for p := range n.state.Partitions {
+		for p := range pm.core.state.Partitions {
 			waiting := j.PendingTasks(api.PartitionID(p))
 			if waiting == 0 {
 				continue
@@ -100,13 +106,13 @@
 			if entitled {
 				a.Starts = min(a.Starts, (e.Guaranteed[j.Spec.Team]-teams[j.Spec.Team])/a.Units)
 			}
-			a.Reserves = entitled || n.waitStage(j, api.PartitionID(p)) != sched.NotAged || j.Spec.Priority.Rank() >= preemptorRank || a.Units > 1 && pool.ShouldReserve(time.Duration(n.wallClock-j.AcceptedAt)*time.Millisecond)
+			a.Reserves = entitled || pm.c.backfiller.WaitStage(j, api.PartitionID(p)) != sched.NotAged || j.Spec.Priority.Rank() >= preemptorRank || a.Units > 1 && pool.ShouldReserve(time.Duration(pm.core.wallClock-j.AcceptedAt)*time.Millisecond)
 			out = append(out, poolRequest{j, api.PartitionID(p), entitled, a})
 		}
 	}
 	slices.SortFunc(out, func(a, b poolRequest) int {
-		return cmp.Or(boolToInt(n.waitStage(b.job, b.partition) == sched.AgedAboveAll)-boolToInt(n.waitStage(a.job, a.partition) == sched.AgedAboveAll),
-			sched.Descending(n.effectivePriority(a.job.Spec), n.effectivePriority(b.job.Spec)), boolToInt(b.entitled)-boolToInt(a.entitled),
+		return cmp.Or(boolToInt(pm.c.backfiller.WaitStage(b.job, b.partition) == sched.AgedAboveAll)-boolToInt(pm.c.backfiller.WaitStage(a.job, a.partition) == sched.AgedAboveAll),
+			sched.Descending(pm.c.priorities.EffectivePriority(a.job.Spec), pm.c.priorities.EffectivePriority(b.job.Spec)), boolToInt(b.entitled)-boolToInt(a.entitled),
 			cmp.Compare(a.job.AcceptedAt, b.job.AcceptedAt), cmp.Compare(a.job.ID, b.job.ID), int(a.partition-b.partition))
 	})
 	return out
@@ -119,10 +125,10 @@
 	return 0
 }
 
-// allocatePoolUnits is what a part may hand out of the pools that jobs need, and the jobs that may ask
+// AllocatePoolUnits is what a part may hand out of the pools that jobs need, and the jobs that may ask
 // for it: those that come after one that reserves what it lacks are left out. Of more
 // pools than a round may name some are looked at by turns.
-func (n *Controller) allocatePoolUnits(owned *ownedPartition, jobs []*Job) (map[api.PoolName]int, []*Job) {
+func (pm *PoolManager) AllocatePoolUnits(owned *ownedPartition, jobs []*Job) (map[api.PoolName]int, []*Job) {
 	var names []api.PoolName
 	for _, j := range jobs {
 		for _, need := range j.Spec.Needs {
@@ -142,21 +148,21 @@
 	}
 	out, blocked := map[api.PoolName]int{}, map[*Job]bool{}
 	for _, name := range names {
-		e := n.poolEntry(name)
-		if e == nil || !n.isPoolCurrent(e) {
+		e := pm.poolEntry(name)
+		if e == nil || !pm.isPoolCurrent(e) {
 			continue
 		}
-		out[name] = e.Available(owned.id, n.poolHeldByPartition(name))
+		out[name] = e.Available(owned.id, pm.poolHeldByPartition(name))
 		var reserving *Job // that reserves, and has room for what it reserves for
 		checksLeft := maxPoolRequests
-		for _, a := range n.poolRequests(name) {
+		for _, a := range pm.poolRequests(name) {
 			if reserving != nil && a.job != reserving {
 				blocked[a.job] = true
 			}
 			if reserving != nil || !a.ask.Reserves || checksLeft == 0 {
 				continue
 			}
-			if checksLeft--; n.hasCapacityFor(a) {
+			if checksLeft--; pm.hasCapacityFor(a) {
 				reserving = a.job
 			}
 		}
@@ -166,27 +172,27 @@
 
 // hasCapacityFor reports whether work that asks for units could start where it does. Work that moves
 // whole, or makes others make way, needs its units first.
-func (n *Controller) hasCapacityFor(a poolRequest) bool {
-	return a.job.Spec.NeedsSinglePartition() || n.freeSlotsByPartition(a.job.Spec)[a.partition] > 0
+func (pm *PoolManager) hasCapacityFor(a poolRequest) bool {
+	return a.job.Spec.NeedsSinglePartition() || pm.c.jobs.FreeSlotsByPartition(a.job.Spec)[a.partition] > 0
 }
 
-func (n *Controller) poolEntry(name api.PoolName) *pool.Entry {
-	if n.hosted == nil {
+func (pm *PoolManager) poolEntry(name api.PoolName) *pool.Entry {
+	if pm.c.tenancy.hosted == nil {
 		return nil
 	}
-	return n.hosted.pools.table.Get(name)
+	return pm.c.tenancy.hosted.pools.table.Get(name)
 }
 
 // isPoolCurrent reports whether what is known of a pool is its latest record. Where that could
 // not be read the one before is kept, under which nothing may be handed out any more.
-func (n *Controller) isPoolCurrent(e *pool.Entry) bool {
-	return e.Revision == n.state.Version(keyPool+string(e.Name))
+func (pm *PoolManager) isPoolCurrent(e *pool.Entry) bool {
+	return e.Revision == pm.core.state.Version(keyPool+string(e.Name))
 }
 
-// checkPoolNeeds says why a job may not ask for what it needs of pools, or nothing.
-func (n *Controller) checkPoolNeeds(s *api.JobSpec, name tenant.Name) string {
+// CheckPoolNeeds says why a job may not ask for what it needs of pools, or nothing.
+func (pm *PoolManager) CheckPoolNeeds(s *api.JobSpec, name tenant.Name) string {
 	for _, need := range s.Needs {
-		e, units := n.poolEntry(need.Pool), need.Units(s.GangSize(), false)
+		e, units := pm.poolEntry(need.Pool), need.Units(s.GangSize(), false)
 		switch {
 		case e == nil || e.State == pool.Removed || !e.Allows(s.Team, name):
 			return fmt.Sprintf("gettoni.nome: no pool %q", need.Pool)
@@ -197,64 +203,64 @@
 	return ""
 }
 
-// freePoolUnits is what may still be handed out of the pools in all parts together.
-func (n *Controller) freePoolUnits() map[api.PoolName]int {
-	if n.hosted == nil || n.hosted.pools.table.Len() == 0 {
+// FreePoolUnits is what may still be handed out of the pools in all parts together.
+func (pm *PoolManager) FreePoolUnits() map[api.PoolName]int {
+	if pm.c.tenancy.hosted == nil || pm.c.tenancy.hosted.pools.table.Len() == 0 {
 		return nil
 	}
 	out := map[api.PoolName]int{}
-	for _, name := range n.hosted.pools.table.Names() {
-		e := n.hosted.pools.table.Get(name)
+	for _, name := range pm.c.tenancy.hosted.pools.table.Names() {
+		e := pm.c.tenancy.hosted.pools.table.Get(name)
 		if e.State != pool.Active {
 			continue
 		}
-		out[name] = max(0, e.Size-n.poolHeldTotal(name))
+		out[name] = max(0, e.Size-pm.PoolHeldTotal(name))
 	}
 	return out
 }
 
-// pendingReasonPool says which pool keeps a job from starting in a part, or nothing.
-func (n *Controller) pendingReasonPool(j *Job, p api.PartitionID) string {
+// PendingReasonPool says which pool keeps a job from starting in a part, or nothing.
+func (pm *PoolManager) PendingReasonPool(j *Job, p api.PartitionID) string {
 	for _, need := range j.Spec.Needs {
-		e := n.poolEntry(need.Pool)
+		e := pm.poolEntry(need.Pool)
 		if e == nil {
 			return fmt.Sprintf("pool %s: there is none", need.Pool)
 		}
-		units, held := need.Units(j.Spec.GangSize(), j.LiveCount() > 0), n.poolHeldByPartition(need.Pool)
+		units, held := need.Units(j.Spec.GangSize(), j.LiveCount() > 0), pm.poolHeldByPartition(need.Pool)
 		switch {
-		case !n.isPoolCurrent(e):
+		case !pm.isPoolCurrent(e):
 			return fmt.Sprintf("pool %s: its record is not understood", need.Pool)
 		case e.State != pool.Active:
 			return fmt.Sprintf("pool %s is %s", need.Pool, e.State)
 		case units > e.Size:
 			return fmt.Sprintf("pool %s has %d units, fewer than the %d that are needed at once", need.Pool, e.Size, units)
 		case units > e.Available(p, held):
-			return fmt.Sprintf("pool %s: %d of %d units are held, %d are needed, %d are to be had here", need.Pool, n.poolHeldTotal(need.Pool), e.Size, units, e.Available(p, held))
+			return fmt.Sprintf("pool %s: %d of %d units are held, %d are needed, %d are to be had here", need.Pool, pm.PoolHeldTotal(need.Pool), e.Size, units, e.Available(p, held))
 		}
 	}
 	return ""
 }
 
-// reconcilePools moves shares of pools to where they are asked for. Of each pool the owner of
+// ReconcilePools moves shares of pools to where they are asked for. Of each pool the owner of
 // one part does; whoever does, nothing goes wrong.
-func (n *Controller) reconcilePools() {
-	state := &n.hosted.pools
-	if state.table.Len() == 0 || n.now.Sub(state.checkedAt) < poolShareInterval || n.overloaded() {
+func (pm *PoolManager) ReconcilePools() {
+	state := &pm.c.tenancy.hosted.pools
+	if state.table.Len() == 0 || pm.core.now.Sub(state.checkedAt) < poolShareInterval || pm.core.Overloaded() {
 		return
 	}
-	state.checkedAt = n.now
+	state.checkedAt = pm.core.now
 	for i, name := range state.table.Names() {
-		e, requests := state.table.Get(name), n.poolRequests(name)
-		n.preemptPoolHolders(e, requests)
-		owned := n.partitions[api.PartitionID(i%len(n.state.Partitions))]
-		if owned == nil || state.shareWrites[name] || e.State != pool.Active || !n.isPoolCurrent(e) {
+		e, requests := state.table.Get(name), pm.poolRequests(name)
+		pm.preemptPoolHolders(e, requests)
+		owned := pm.c.scheduler.partitions[api.PartitionID(i%len(pm.core.state.Partitions))]
+		if owned == nil || state.shareWrites[name] || e.State != pool.Active || !pm.isPoolCurrent(e) {
 			continue
 		}
-		asks := n.preferPlaceable(requests)
+		asks := pm.preferPlaceable(requests)
 		if len(asks) == 0 {
 			continue
 		}
-		held := n.poolHeldByPartition(name)
+		held := pm.poolHeldByPartition(name)
 		next := e.Pool
 		next.Shares = pool.AllocateShares(e.Size, held, asks)
 		if pool.SatisfiedUnits(&next, held, asks) <= pool.SatisfiedUnits(&e.Pool, held, asks) {
@@ -268,11 +274,11 @@
 		state.shareWrites[name] = true
 		key := keyPool + string(name)
 		tx := api.Txn{If: []api.Condition{{Key: key, Version: e.Revision}, owned.ownershipCondition()}, Writes: []api.Write{{Put: key, Value: data}}}
-		n.callStoreTxn(tx, func(a StoreResponse) {
+		pm.core.CallStoreTxn(tx, func(a StoreResponse) {
 			delete(state.shareWrites, name)
 			if a.Status == 200 {
 				state.shareMoves++
-				n.linearizableRead(func() {}, func() {})
+				pm.c.follower.LinearizableRead(func() {}, func() {})
 			}
 		})
 	}
@@ -289,11 +295,11 @@
 // poolHoldings lists what holds units of a pool in the order in which it makes way: the least
 // urgent first, of those gangs last, since they lose all their tasks' work, and then the
 // newest. Each owner finds the same by its book.
-func (n *Controller) poolHoldings(name api.PoolName) []poolHolding {
+func (pm *PoolManager) poolHoldings(name api.PoolName) []poolHolding {
 	var all []poolHolding
 	positions := map[*Job]int{} // where in all, and one more
-	for p := range n.state.Partitions {
-		for pl := range n.state.PlacementsByPartition[p] {
+	for p := range pm.core.state.Partitions {
+		for pl := range pm.core.state.PlacementsByPartition[p] {
 			j := pl.Job
 			need, ok := j.Spec.PoolRequest(name)
 			if !ok || pl.Finishing {
@@ -313,7 +319,7 @@
 	}
 	gang := func(h poolHolding) int { return boolToInt(h.job.Spec.Kind == api.Gang) }
 	slices.SortFunc(all, func(a, b poolHolding) int {
-		return cmp.Or(sched.Descending(n.effectivePriority(b.job.Spec), n.effectivePriority(a.job.Spec)), gang(a)-gang(b), cmp.Compare(b.job.AcceptedAt, a.job.AcceptedAt),
+		return cmp.Or(sched.Descending(pm.c.priorities.EffectivePriority(b.job.Spec), pm.c.priorities.EffectivePriority(a.job.Spec)), gang(a)-gang(b), cmp.Compare(b.job.AcceptedAt, a.job.AcceptedAt),
 			cmp.Compare(b.job.ID, a.job.ID), b.places[0].Task.Index-a.places[0].Task.Index)
 	})
 	return all
@@ -324,14 +330,14 @@
 // only it stops less urgent work, gangs aside, as for want of machines. Each owner stops
 // what is its own; what has been told to stop counts as held until it has ended, so no more
 // is stopped than it takes.
-func (n *Controller) preemptPoolHolders(e *pool.Entry, requests []poolRequest) {
-	if !n.isPoolCurrent(e) || e.State == pool.Removed {
+func (pm *PoolManager) preemptPoolHolders(e *pool.Entry, requests []poolRequest) {
+	if !pm.isPoolCurrent(e) || e.State == pool.Removed {
 		return
 	}
-	missing := n.poolHeldTotal(e.Name) - e.Size
+	missing := pm.PoolHeldTotal(e.Name) - e.Size
 	preemptible := func(poolHolding) bool { return e.Reclaim }
 	if missing <= 0 || !e.Reclaim {
-		urgent := n.urgentPoolRequest(e, requests)
+		urgent := pm.urgentPoolRequest(e, requests)
 		if urgent == nil {
 			return
 		}
@@ -342,7 +348,7 @@
 	if missing <= 0 {
 		return
 	}
-	for _, h := range n.poolHoldings(e.Name) {
+	for _, h := range pm.poolHoldings(e.Name) {
 		if missing <= 0 {
 			return
 		}
@@ -351,8 +357,8 @@
 		}
 		missing -= h.units
 		for _, pl := range h.places {
-			if n.partitions[pl.Partition] != nil && !pl.OwnerState.stopRequested {
-				n.stopTask(pl)
+			if pm.c.scheduler.partitions[pl.Partition] != nil && !pl.OwnerState.stopRequested {
+				pm.c.scheduler.StopTask(pl)
 				pl.Job.OwnerState.preemptedTasks++
 				slog.Info("task preempted", tenantAttr(pl.Job), "task", pl.Task, "machine", pl.Machine, "pool", e.Name)
 			}
@@ -362,7 +368,7 @@
 
 // urgentPoolRequest is the first urgent work that waits for a pool and has room to start, nil if
 // there is none.
-func (n *Controller) urgentPoolRequest(e *pool.Entry, requests []poolRequest) *poolRequest {
+func (pm *PoolManager) urgentPoolRequest(e *pool.Entry, requests []poolRequest) *poolRequest {
 	if e.State != pool.Active {
 		return nil
 	}
@@ -370,7 +376,7 @@
 		if a.job.Spec.Priority.Rank() < preemptorRank {
 			return nil
 		}
-		if a.ask.Units <= e.Size && n.hasCapacityFor(a) {
+		if a.ask.Units <= e.Size && pm.hasCapacityFor(a) {
 			return &a
 		}
 	}
@@ -383,7 +389,7 @@
 // preferPlaceable puts those who ask where there is room for their tasks before the others: units
 // in a part without machines help nobody, while the same work waits elsewhere beside free
 // machines. Work that moves whole, or makes others make way, needs its units first.
-func (n *Controller) preferPlaceable(requests []poolRequest) []pool.Demand {
+func (pm *PoolManager) preferPlaceable(requests []poolRequest) []pool.Demand {
 	var asks, rest []pool.Demand
 	freeSlots := map[*Job][]int{}
 	for _, a := range requests {
@@ -392,7 +398,7 @@
 			continue
 		}
 		if freeSlots[a.job] == nil {
-			freeSlots[a.job] = n.freeSlotsByPartition(a.job.Spec)
+			freeSlots[a.job] = pm.c.jobs.FreeSlotsByPartition(a.job.Spec)
 		}
 		startable := a.ask
 		startable.Starts = min(startable.Starts, freeSlots[a.job][a.partition])
@@ -445,29 +451,29 @@
 // maxHolders bounds the jobs that a pool's view names.
 const maxHolders = 200
 
-func (n *Controller) viewPool(p pool.Pool, rev api.Revision) PoolView {
-	v := PoolView{Pool: p, Held: n.poolHeldByPartition(p.Name), Revision: rev}
+func (pm *PoolManager) viewPool(p pool.Pool, rev api.Revision) PoolView {
+	v := PoolView{Pool: p, Held: pm.poolHeldByPartition(p.Name), Revision: rev}
 	for q := range v.Held {
 		v.Free = append(v.Free, p.Available(api.PartitionID(q), v.Held))
 	}
-	v.WaitingUnits, v.OldestWait = n.poolBacklog(p.Name)
+	v.WaitingUnits, v.OldestWait = pm.PoolBacklog(p.Name)
 	return v
 }
 
-// poolBacklog is how many units of a pool are waited for, and for how many seconds the oldest
+// PoolBacklog is how many units of a pool are waited for, and for how many seconds the oldest
 // of who waits has been there.
-func (n *Controller) poolBacklog(name api.PoolName) (units int, oldest float64) {
-	for _, a := range n.poolRequests(name) {
+func (pm *PoolManager) PoolBacklog(name api.PoolName) (units int, oldest float64) {
+	for _, a := range pm.poolRequests(name) {
 		units += a.ask.Units * a.ask.Starts
-		oldest = max(oldest, roundToTenth(float64(n.wallClock-a.job.AcceptedAt)/1000))
+		oldest = max(oldest, roundToTenth(float64(pm.core.wallClock-a.job.AcceptedAt)/1000))
 	}
 	return units, oldest
 }
 
 // poolHolders lists the jobs that hold units of a pool, those that hold most first.
-func (n *Controller) poolHolders(name api.PoolName) []HolderView {
+func (pm *PoolManager) poolHolders(name api.PoolName) []HolderView {
 	out := []HolderView{}
-	for _, j := range n.state.Jobs {
+	for _, j := range pm.core.state.Jobs {
 		if need, ok := j.Spec.PoolRequest(name); ok && j.LiveCount() > 0 {
 			out = append(out, HolderView{j.ID, j.Tenant, j.TenantJobID, j.Spec.Team, need.Units(j.LiveCount(), false), j.LiveCount()})
 		}
@@ -476,16 +482,16 @@
 	return out[:min(maxHolders, len(out))]
 }
 
-// handlePoolRequest answers an operator's question or act on pools.
-func (n *Controller) handlePoolRequest(c AdminRequest) error {
-	table := n.hosted.pools.table
+// HandlePoolRequest answers an operator's question or act on pools.
+func (pm *PoolManager) HandlePoolRequest(c AdminRequest) error {
+	table := pm.c.tenancy.hosted.pools.table
 	if c.What == "pools" {
 		out := []PoolView{}
 		for _, name := range table.Names() {
 			e := table.Get(name)
-			out = append(out, n.viewPool(e.Pool, e.Revision))
+			out = append(out, pm.viewPool(e.Pool, e.Revision))
 		}
-		n.reply(c.Req, 200, out, 0)
+		pm.core.Reply(c.Req, 200, out, 0)
 		return nil
 	}
 	name := api.PoolName(c.ID)
@@ -494,9 +500,9 @@
 		return &tenant.Error{Status: 404, Field: "name", Reason: "there is no pool " + c.ID}
 	}
 	if c.What == "pool" {
-		v := n.viewPool(e.Pool, e.Revision)
-		v.Holders = n.poolHolders(name)
-		n.reply(c.Req, 200, v, 0)
+		v := pm.viewPool(e.Pool, e.Revision)
+		v.Holders = pm.poolHolders(name)
+		pm.core.Reply(c.Req, 200, v, 0)
 		return nil
 	}
 	var ask poolUpdate
@@ -520,35 +526,35 @@
 	// What is held is known of the same moment as the record, or of a later one: nobody
 	// hands out a unit under the old record after this is written.
 	if next.Size != previous.Size || len(next.Shares) == 0 {
-		next.Shares = pool.AllocateShares(next.Size, n.poolHeldByPartition(name), n.preferPlaceable(n.poolRequests(name)))
+		next.Shares = pool.AllocateShares(next.Size, pm.poolHeldByPartition(name), pm.preferPlaceable(pm.poolRequests(name)))
 	}
-	if err := next.Validate(len(n.state.Partitions)); err != nil {
+	if err := next.Validate(len(pm.core.state.Partitions)); err != nil {
 		return err
 	}
 	for _, team := range slices.Concat(next.Teams, slices.Sorted(maps.Keys(next.Guaranteed))) {
-		if _, known := n.teams[team]; !known {
+		if _, known := pm.core.teams[team]; !known {
 			return &tenant.Error{Status: 422, Field: "teams", Reason: "there is no team " + string(team)}
 		}
 	}
 	for _, name := range next.Tenants {
-		if n.hosted.tenants.Get(name) == nil {
+		if pm.c.tenancy.hosted.tenants.Get(name) == nil {
 			return &tenant.Error{Status: 422, Field: "tenants", Reason: "there is no tenant " + string(name)}
 		}
 	}
 	if e != nil && equalJSON(previous, next) {
-		n.reply(c.Req, 200, n.viewPool(next, rev), 0) // asked again, perhaps
+		pm.core.Reply(c.Req, 200, pm.viewPool(next, rev), 0) // asked again, perhaps
 		return nil
 	}
 	if err := checkRevision(ask.Revision, rev, "the pool"); err != nil {
 		return err
 	}
 	if c.What == "pool-remove" {
-		if held, asking := n.poolHeldTotal(name), len(n.poolRequests(name)); held > 0 || asking > 0 {
+		if held, asking := pm.PoolHeldTotal(name), len(pm.poolRequests(name)); held > 0 || asking > 0 {
 			return &tenant.Error{Status: 409, Field: "name", Reason: fmt.Sprintf("%d units of %s are held, and %d jobs wait for it: freeze it, or cancel them", held, name, asking)}
 		}
 	}
 	data, err := json.Marshal(next)
-	if err != nil || n.exceedsValueSize(data) {
+	if err != nil || pm.core.ExceedsValueSize(data) {
 		return &tenant.Error{Status: 400, Field: "teams", Reason: "the record is too large"}
 	}
 	var before any
@@ -556,8 +562,8 @@
 		before = previous
 	}
 	key := keyPool + c.ID
-	tx := api.Txn{If: []api.Condition{{Key: key, Version: rev}}, Writes: []api.Write{{Put: key, Value: data}, n.auditWrite(c, "pool "+c.ID, before, next)}}
-	n.commitChange(c, tx, "the pool", func(rev api.Revision) any { return n.viewPool(next, rev) })
+	tx := api.Txn{If: []api.Condition{{Key: key, Version: rev}}, Writes: []api.Write{{Put: key, Value: data}, pm.c.tenancy.AuditWrite(c, "pool "+c.ID, before, next)}}
+	pm.c.tenancy.CommitChange(c, tx, "the pool", func(rev api.Revision) any { return pm.viewPool(next, rev) })
 	return nil
 }
 
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -18,7 +18,7 @@
 func pooledOwner(t testing.TB, size int) (*Controller, *ownedPartition, *Job) {
 	t.Helper()
 	n, owned, j, _ := hostedOwner(t)
-	n.state.Jobs[j.ID].Spec.Needs = []api.PoolRequest{{Pool: "routing", Task: 1}}
+	n.core.state.Jobs[j.ID].Spec.Needs = []api.PoolRequest{{Pool: "routing", Task: 1}}
 	putPool(t, n, "routing", size)
 	return n, owned, j
 }
@@ -30,17 +30,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.hosted.pools.table.Put(string(name), data, 9); err != nil {
+	if err := n.tenancy.hosted.pools.table.Put(string(name), data, 9); err != nil {
 		t.Fatal(err)
 	}
-	n.state.SetVersion(keyPool+string(name), 9)
+	n.core.state.SetVersion(keyPool+string(name), 9)
 }
 
 // A round that hands out units names the pool's version; a round that does not, names no
 // pool.
 func TestRoundIsConditionalOnPools(t *testing.T) {
 	conditions := func(n *Controller, owned *ownedPartition) []api.Condition {
-		n.runPartition(owned)
+		n.scheduler.RunPartition(owned)
 		for _, c := range stateCalls(n) {
 			if c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
 				return c.Txn.If
@@ -64,25 +64,25 @@
 // nothing is rented or makes way for it.
 func TestNoPoolUnitsNoStarts(t *testing.T) {
 	for what, disable := range map[string]func(*Controller){
-		"no units": func(n *Controller) { n.hosted.pools.table.Get("routing").Shares[0] = 0 },
-		"frozen":   func(n *Controller) { n.hosted.pools.table.Get("routing").State = pool.Frozen },
-		"no pool":  func(n *Controller) { n.hosted.pools.table = pool.NewTable(1) },
+		"no units": func(n *Controller) { n.tenancy.hosted.pools.table.Get("routing").Shares[0] = 0 },
+		"frozen":   func(n *Controller) { n.tenancy.hosted.pools.table.Get("routing").State = pool.Frozen },
+		"no pool":  func(n *Controller) { n.tenancy.hosted.pools.table = pool.NewTable(1) },
 		// The latest record could not be read: the one before it is kept, and a round would
 		// be conditional on the version of the latest.
-		"not understood": func(n *Controller) { n.state.SetVersion(keyPool+"routing", 11) },
+		"not understood": func(n *Controller) { n.core.state.SetVersion(keyPool+"routing", 11) },
 	} {
 		n, owned, j := pooledOwner(t, 3)
-		if len(n.planRound(owned).starts) == 0 {
+		if len(n.scheduler.planRound(owned).starts) == 0 {
 			t.Fatal("nothing starts though there are units")
 		}
 		disable(n)
-		if starts := n.planRound(owned).starts; len(starts) != 0 {
+		if starts := n.scheduler.planRound(owned).starts; len(starts) != 0 {
 			t.Errorf("%s: %d tasks start", what, len(starts))
 		}
 		if len(owned.unmetDemands) > 0 {
 			t.Errorf("%s: machines are looked for", what)
 		}
-		if why := n.pendingReasonPool(j, 0); !strings.Contains(why, "routing") {
+		if why := n.pools.PendingReasonPool(j, 0); !strings.Contains(why, "routing") {
 			t.Errorf("%s: waits because of %q", what, why)
 		}
 	}
@@ -93,7 +93,7 @@
 	n, owned, j := pooledOwner(t, 3)
 	j.Spec.Needs = nil
 	jobs := slices.Repeat([]*Job{j}, 1000)
-	if allocs := testing.AllocsPerRun(10, func() { n.allocatePoolUnits(owned, jobs) }); allocs != 0 {
+	if allocs := testing.AllocsPerRun(10, func() { n.pools.AllocatePoolUnits(owned, jobs) }); allocs != 0 {
 		t.Errorf("%v allocations", allocs)
 	}
 }
@@ -102,20 +102,20 @@
 // there.
 func TestPoolAccess(t *testing.T) {
 	n, _, j := pooledOwner(t, 3)
-	e := n.hosted.pools.table.Get("routing")
+	e := n.tenancy.hosted.pools.table.Get("routing")
 	e.Tenants = []tenant.Name{"lopresti"}
-	refusal := n.checkPoolNeeds(j.Spec, "kipper")
+	refusal := n.pools.CheckPoolNeeds(j.Spec, "kipper")
 	other := *j.Spec
 	other.Needs = []api.PoolRequest{{Pool: "nothing", Task: 1}}
-	if strings.ReplaceAll(n.checkPoolNeeds(&other, "kipper"), "nothing", "routing") != refusal || refusal == "" {
-		t.Errorf("%q, and of a pool that is not there %q", refusal, n.checkPoolNeeds(&other, "kipper"))
+	if strings.ReplaceAll(n.pools.CheckPoolNeeds(&other, "kipper"), "nothing", "routing") != refusal || refusal == "" {
+		t.Errorf("%q, and of a pool that is not there %q", refusal, n.pools.CheckPoolNeeds(&other, "kipper"))
 	}
-	if why := n.checkPoolNeeds(j.Spec, "lopresti"); why != "" {
+	if why := n.pools.CheckPoolNeeds(j.Spec, "lopresti"); why != "" {
 		t.Errorf("who may use it is refused: %s", why)
 	}
 	tooMany := *j.Spec
 	tooMany.Needs = []api.PoolRequest{{Pool: "routing", Task: 4}}
-	if why := n.checkPoolNeeds(&tooMany, "lopresti"); !strings.Contains(why, "never more than 3") {
+	if why := n.pools.CheckPoolNeeds(&tooMany, "lopresti"); !strings.Contains(why, "never more than 3") {
 		t.Errorf("4 of 3 units: %q", why)
 	}
 }
@@ -126,7 +126,7 @@
 	for _, pools := range []int{0, 10, 200} {
 		b.Run(fmt.Sprint(pools), func(b *testing.B) {
 			n, owned, j := pooledOwner(b, 3)
-			delete(n.state.PendingJobs, j.ID)
+			delete(n.core.state.PendingJobs, j.ID)
 			for i := range 500 {
 				spec := testSpec(4)
 				spec.Ref = api.JobID(fmt.Sprintf("run-1%03d", i))
@@ -138,7 +138,7 @@
 				putJob(b, n, spec, "kipper", 0)
 			}
 			for b.Loop() {
-				n.planRound(owned)
+				n.scheduler.planRound(owned)
 			}
 		})
 	}
@@ -149,19 +149,19 @@
 // its part would try for ever.
 func TestRoundLimitsPools(t *testing.T) {
 	n, owned, j := pooledOwner(t, 3)
-	delete(n.state.PendingJobs, j.ID)
+	delete(n.core.state.PendingJobs, j.ID)
 	const jobs = 20
 	for i := range jobs {
-		m := n.ensureMachine(api.MachineID(fmt.Sprintf("i-%06d", i)))
-		m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.now, 1, 7
+		m := n.agents.EnsureMachine(api.MachineID(fmt.Sprintf("i-%06d", i)))
+		m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.core.now, 1, 7
 		name := api.PoolName(fmt.Sprintf("pool-%d", i))
 		putPool(t, n, name, 1)
 		spec := testSpec(2)
 		spec.Ref = api.JobID(fmt.Sprintf("run-1%03d", i))
 		spec.Needs = []api.PoolRequest{{Pool: name, Job: 1}}
-		n.state.AddPlacement(&Placement{Task: api.TaskID{Job: spec.Ref}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: putJob(t, n, spec, "kipper", 0)})
+		n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: spec.Ref}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: putJob(t, n, spec, "kipper", 0)})
 	}
-	round := n.planRound(owned)
+	round := n.scheduler.planRound(owned)
 	got := 0
 	for _, c := range round.txn.If {
 		if strings.HasPrefix(c.Key, keyPool) {
@@ -176,15 +176,15 @@
 // Metrics tell of each pool what it holds and who waits, of two hundred at most.
 func TestPoolMetrics(t *testing.T) {
 	n, owned, _ := pooledOwner(t, 3)
-	round := n.planRound(owned)
-	n.state.ApplyRecord(0, &round.record)
-	if got := n.viewMetrics().Pools["routing"]; got.Size != 3 || got.Held != len(round.starts) || got.Held == 0 || got.PendingUnits != 4-got.Held {
+	round := n.scheduler.planRound(owned)
+	n.core.state.ApplyRecord(0, &round.record)
+	if got := n.reporter.ViewMetrics().Pools["routing"]; got.Size != 3 || got.Held != len(round.starts) || got.Held == 0 || got.PendingUnits != 4-got.Held {
 		t.Errorf("%+v after %d starts of 4 tasks", got, len(round.starts))
 	}
 	for i := range 300 {
 		putPool(t, n, api.PoolName(fmt.Sprintf("pool-%d", i)), 0)
 	}
-	if got := len(n.viewMetrics().Pools); got != maxPoolMetrics {
+	if got := len(n.reporter.ViewMetrics().Pools); got != maxPoolMetrics {
 		t.Errorf("%d pools in the metrics", got)
 	}
 }
--- a/controller/preempt.go
+++ b/controller/preempt.go
@@ -11,12 +11,18 @@
 	"basaltwall/sched"
 )
 
+// Preemptor decides which tasks are preempted for which job.
+type Preemptor struct {
+	core *Core
+	c    *Controller
+}
+
 // maxPreemptions bounds the jobs of a round for which others are made to give way.
 const maxPreemptions = 8
 
-// runsLowerPriority reports whether a part runs anything that could give way.
-func (n *Controller) runsLowerPriority(p api.PartitionID, rank int) bool {
-	for _, count := range n.state.Partitions[p].CountByRank[:rank] {
+// RunsLowerPriority reports whether a part runs anything that could give way.
+func (pr *Preemptor) RunsLowerPriority(p api.PartitionID, rank int) bool {
+	for _, count := range pr.core.state.Partitions[p].CountByRank[:rank] {
 		if count > 0 {
 			return true
 		}
@@ -29,20 +35,20 @@
 // of another part to be lent.
 const reservationTTL = 15 * time.Second
 
-// reservedFor is the job that a machine is kept for, if any.
-func (n *Controller) reservedFor(m *Machine) api.JobID {
-	if m.reservedFor == "" || n.now >= m.reservedUntil {
+// ReservedFor is the job that a machine is kept for, if any.
+func (pr *Preemptor) ReservedFor(m *Machine) api.JobID {
+	if m.reservedFor == "" || pr.core.now >= m.reservedUntil {
 		return ""
 	}
-	if j := n.state.Jobs[m.reservedFor]; j == nil || j.Terminal() || j.CompletedCount+len(j.Placements)-j.FinishingCount >= j.Spec.Tasks {
+	if j := pr.core.state.Jobs[m.reservedFor]; j == nil || j.Terminal() || j.CompletedCount+len(j.Placements)-j.FinishingCount >= j.Spec.Tasks {
 		m.reservedFor = ""
 	}
 	return m.reservedFor
 }
 
-// reserveExclusively keeps a machine for a job for which others made way, or it was lent.
-func (n *Controller) reserveExclusively(m *Machine, ref api.JobID) {
-	m.reservedFor, m.softReservation, m.reservedUntil, m.consolidated = ref, false, n.now.Add(reservationTTL), false
+// ReserveExclusively keeps a machine for a job for which others made way, or it was lent.
+func (pr *Preemptor) ReserveExclusively(m *Machine, ref api.JobID) {
+	m.reservedFor, m.softReservation, m.reservedUntil, m.consolidated = ref, false, pr.core.now.Add(reservationTTL), false
 }
 
 // preemptionPlan is what stopping lower work on a machine would bring.
@@ -53,27 +59,27 @@
 	cost    float64
 }
 
-// planPreemption finds how up to most of a job's tasks could come to fit on a machine. With
+// PlanPreemption finds how up to most of a job's tasks could come to fit on a machine. With
 // sparing nothing makes way whose job would be late for it.
-func (n *Controller) planPreemption(m *Machine, owned *ownedPartition, s *api.JobSpec, maxTasks int, avoidLate bool) preemptionPlan {
-	rank, effective, demand := s.Priority.Rank(), n.effectivePriority(s), s.Demand() // what a rule puts before it does not make way
-	available := n.freeCapacityOn(m, owned)
-	needsAccelerator := n.hasAccelerators(m.machineType) && !n.isCPUOnly(s) // its accelerators, which other work could leave
+func (pr *Preemptor) PlanPreemption(m *Machine, owned *ownedPartition, s *api.JobSpec, maxTasks int, avoidLate bool) preemptionPlan {
+	rank, effective, demand := s.Priority.Rank(), pr.c.priorities.EffectivePriority(s), s.Demand() // what a rule puts before it does not make way
+	available := pr.c.scheduler.FreeCapacityOn(m, owned)
+	needsAccelerator := pr.c.jobs.HasAccelerators(m.machineType) && !pr.c.scheduler.IsCPUOnly(s) // its accelerators, which other work could leave
 	var candidates []*Placement
-	for _, p := range n.state.PlacementsOn(m.ID) {
+	for _, p := range pr.core.state.PlacementsOn(m.ID) {
 		if p.Finishing {
 			continue
 		}
 		if p.OwnerState.stopRequested || p.Job.Terminal() {
 			available = available.Plus(p.Job.Demand)
-		} else if p.Job.Spec.Priority.Rank() < rank && p.Partition == owned.id && p.Job.Spec.Kind != api.Gang && (n.effectivePriority(p.Job.Spec) < effective || needsAccelerator && n.isCPUOnly(p.Job.Spec)) &&
-			n.isPreemptible(p) && !(avoidLate && n.missedObjective(p) > 0) {
+		} else if p.Job.Spec.Priority.Rank() < rank && p.Partition == owned.id && p.Job.Spec.Kind != api.Gang && (pr.c.priorities.EffectivePriority(p.Job.Spec) < effective || needsAccelerator && pr.c.scheduler.IsCPUOnly(p.Job.Spec)) &&
+			pr.c.health.IsPreemptible(p) && !(avoidLate && pr.missedObjective(p) > 0) {
 			candidates = append(candidates, p)
 		}
 	}
 	plan := preemptionPlan{machine: m, tasks: min(maxTasks, demand.Slots(available))}
 	slices.SortStableFunc(candidates, func(a, b *Placement) int {
-		return cmp.Or(cmp.Compare(n.priorityBoost(a.Job.Spec), n.priorityBoost(b.Job.Spec)), cmp.Compare(n.preemptionCost(a), n.preemptionCost(b)))
+		return cmp.Or(cmp.Compare(pr.c.priorities.PriorityBoost(a.Job.Spec), pr.c.priorities.PriorityBoost(b.Job.Spec)), cmp.Compare(pr.preemptionCost(a), pr.preemptionCost(b)))
 	})
 	cost := 0.0
 	for k, p := range candidates {
@@ -81,7 +87,7 @@
 			break
 		}
 		available = available.Plus(p.Job.Demand)
-		cost += n.preemptionCost(p)
+		cost += pr.preemptionCost(p)
 		if slots := min(maxTasks, demand.Slots(available)); slots > plan.tasks {
 			plan.tasks, plan.victims, plan.cost = slots, candidates[:k+1], cost
 		}
@@ -91,17 +97,17 @@
 
 // preemptionCost is what stopping a task would lose, in seconds of its CPUs: what it has run
 // and, when its job would be late by it, as much as the whole job's limit.
-func (n *Controller) preemptionCost(p *Placement) float64 {
-	return (n.now.Sub(p.OwnerState.placedAt).Seconds()+n.missedObjective(p))*p.Job.Demand.CPU.Float() + 1
+func (pr *Preemptor) preemptionCost(p *Placement) float64 {
+	return (pr.core.now.Sub(p.OwnerState.placedAt).Seconds()+pr.missedObjective(p))*p.Job.Demand.CPU.Float() + 1
 }
 
 // missedObjective is the limit that a task's job could keep but would not if the task had to
 // run again, or 0.
-func (n *Controller) missedObjective(p *Placement) float64 {
-	elapsed := max(0, float64(n.wallClock-p.Job.AcceptedAt)/1000)
+func (pr *Preemptor) missedObjective(p *Placement) float64 {
+	elapsed := max(0, float64(pr.core.wallClock-p.Job.AcceptedAt)/1000)
 	run := p.Job.Spec.Estimate * runtimeSafetyFactor
-	for _, l := range n.completionObjectives(p.Job.Spec) {
-		if rest := max(0, p.Job.Spec.Estimate-n.now.Sub(p.OwnerState.placedAt).Seconds()); elapsed+rest <= l {
+	for _, l := range pr.c.scheduler.CompletionObjectives(p.Job.Spec) {
+		if rest := max(0, p.Job.Spec.Estimate-pr.core.now.Sub(p.OwnerState.placedAt).Seconds()); elapsed+rest <= l {
 			if elapsed+run > l {
 				return l
 			}
@@ -111,30 +117,30 @@
 	return 0
 }
 
-// preemptFor makes room for a job of higher priority by stopping lower work, where
+// PreemptFor makes room for a job of higher priority by stopping lower work, where
 // that costs least: a machine for each task that waits or, for a gang, as many as
 // all of it needs, in one zone if its tasks must be together. The room is kept for
 // the job, or the work that made way would win it back before the rest is free.
 // With quick above 0 only machines count where the task would start within so many
 // seconds. It returns how many machines were chosen.
-func (n *Controller) preemptFor(owned *ownedPartition, request *sched.Job, j *Job, need int, maxFetch float64) int {
+func (pr *Preemptor) PreemptFor(owned *ownedPartition, request *sched.Job, j *Job, need int, maxFetch float64) int {
 	gang, tasksPerMachine := j.Spec.Kind == api.Gang, 1
 	if gang {
 		tasksPerMachine = need
 	}
-	within := n.startObjective(j.Spec.Class)
+	within := pr.c.scheduler.StartObjective(j.Spec.Class)
 	byZone := map[api.Zone][]preemptionPlan{}
-	for _, m := range n.machinesOf(owned.id) {
-		if reservedJob := n.reservedFor(m); reservedJob != "" && reservedJob != j.ID || !n.isSchedulable(m, owned) || request.ExcludedMachines[m.ID] ||
-			!n.isEligible(j.Spec, request.AcceleratorOptional, m.machineType, m.zone, m.spot) || !sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.zone) {
+	for _, m := range pr.c.agents.MachinesOf(owned.id) {
+		if reservedJob := pr.ReservedFor(m); reservedJob != "" && reservedJob != j.ID || !pr.c.scheduler.IsSchedulable(m, owned) || request.ExcludedMachines[m.ID] ||
+			!pr.c.scheduler.IsEligible(j.Spec, request.AcceleratorOptional, m.machineType, m.zone, m.spot) || !sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.zone) {
 			continue
 		}
-		fetch := fetchSlowdownFactor * (&sched.Machine{CachedImages: m.cachedImages, FetchRate: n.machineTypes[m.machineType].FetchRate, FetchingImages: n.pendingImageFetches(m)}).FetchTime(j.Spec)
+		fetch := fetchSlowdownFactor * (&sched.Machine{CachedImages: m.cachedImages, FetchRate: pr.core.machineTypes[m.machineType].FetchRate, FetchingImages: pr.c.scheduler.PendingImageFetches(m)}).FetchTime(j.Spec)
 		if maxFetch > 0 && fetch > maxFetch {
 			continue
 		}
-		plan := n.planPreemption(m, owned, j.Spec, tasksPerMachine, maxFetch > 0)
-		if plan.tasks == 0 || !gang && len(plan.victims) == 0 && len(n.settings.Priority) > 0 {
+		plan := pr.PlanPreemption(m, owned, j.Spec, tasksPerMachine, maxFetch > 0)
+		if plan.tasks == 0 || !gang && len(plan.victims) == 0 && len(pr.core.settings.Priority) > 0 {
 			continue // what comes free by itself is for who goes first by the rules
 		}
 		if within > 0 {
@@ -178,8 +184,8 @@
 		best = plans[:min(len(plans), need)]
 	}
 	for _, plan := range best {
-		n.reserveExclusively(plan.machine, j.ID)
-		n.executePreemption(plan, j.ID)
+		pr.ReserveExclusively(plan.machine, j.ID)
+		pr.ExecutePreemption(plan, j.ID)
 	}
 	return len(best)
 }
@@ -194,12 +200,12 @@
 // lostReplicaFetchRatio is the same for replicas that were lost: they are missed while they fetch.
 const lostReplicaFetchRatio = 1.5
 
-// startDelay is for how long a job's tasks have been due to start, in seconds: since it
+// StartDelay is for how long a job's tasks have been due to start, in seconds: since it
 // was accepted, or since a service lost replicas, which should be back as soon.
-func (n *Controller) startDelay(j *Job) float64 {
-	since := max(0, float64(n.wallClock-j.AcceptedAt)/1000)
+func (pr *Preemptor) StartDelay(j *Job) float64 {
+	since := max(0, float64(pr.core.wallClock-j.AcceptedAt)/1000)
 	if j.Spec.Kind == api.Service && j.OwnerState.lastLossAt != 0 {
-		since = min(since, n.now.Sub(j.OwnerState.lastLossAt).Seconds())
+		since = min(since, pr.core.now.Sub(j.OwnerState.lastLossAt).Seconds())
 	}
 	return since
 }
@@ -208,14 +214,14 @@
 // place: a call, a round that records the end and the start, another call.
 const preemptionDelay = 500 * time.Millisecond
 
-// preemptForFastStart has lower work make way, once for a job and for each loss of a service's
+// PreemptForFastStart has lower work make way, once for a job and for each loss of a service's
 // replicas, on machines that hold its image, when its tasks would else start too late
 // for its class's aim for having to fetch it. What has no quick place meanwhile waits
 // for that.
-func (n *Controller) preemptForFastStart(owned *ownedPartition, input *sched.Input, request *sched.Job, j *Job) {
-	slack := request.StartSLO - n.startDelay(j) - preemptionDelay.Seconds()
+func (pr *Preemptor) PreemptForFastStart(owned *ownedPartition, input *sched.Input, request *sched.Job, j *Job) {
+	slack := request.StartSLO - pr.StartDelay(j) - preemptionDelay.Seconds()
 	rank := j.Spec.Priority.Rank()
-	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.preemptedForStart || rank < preemptorRank || !n.runsLowerPriority(owned.id, rank) {
+	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.preemptedForStart || rank < preemptorRank || !pr.RunsLowerPriority(owned.id, rank) {
 		return
 	}
 	byZone := map[api.Zone]int{}
@@ -263,20 +269,20 @@
 		}
 		maxFetch = max(maxFetch, slowFetches[min(need, len(slowFetches))-1]/fetchRatio)
 	}
-	if n.preemptFor(owned, request, j, need, maxFetch) > 0 {
+	if pr.PreemptFor(owned, request, j, need, maxFetch) > 0 {
 		request.Pending = request.Pending[:fastSlots]
-		j.OwnerState.backoffUntil = n.now.Add(preemptionDelay)
+		j.OwnerState.backoffUntil = pr.core.now.Add(preemptionDelay)
 		owned.dirty = true
 	}
 }
 
-// executePreemption stops what must make way.
-func (n *Controller) executePreemption(plan preemptionPlan, jobID api.JobID) {
+// ExecutePreemption stops what must make way.
+func (pr *Preemptor) ExecutePreemption(plan preemptionPlan, jobID api.JobID) {
 	for _, p := range plan.victims {
-		n.metrics.PreemptedTasks++
+		pr.core.metrics.PreemptedTasks++
 		p.Job.OwnerState.preemptedTasks++
 		slog.Info("task preempted", "task", p.Task, "machine", p.Machine, "for", jobID)
-		n.adjustFloors(p.Job.Spec, -p.Job.Demand.CPU.Float())
-		n.stopTask(p)
+		pr.c.health.AdjustFloors(p.Job.Spec, -p.Job.Demand.CPU.Float())
+		pr.c.scheduler.StopTask(p)
 	}
 }
--- a/controller/priority.go
+++ b/controller/priority.go
@@ -15,6 +15,14 @@
 	"basaltwall/zonehealth"
 )
 
+// Priorities orders work by the operators' rules while capacity is short.
+type Priorities struct {
+	core *Core
+	c    *Controller
+
+	priorityState priorityState
+}
+
 // keyShortage holds which machine types have no room, precedence.Shortage.
 const keyShortage = clusterstate.Root + "short"
 
@@ -31,32 +39,32 @@
 }
 
 // shortageWriter is the part whose owner writes whether room is short.
-func (n *Controller) shortageWriter() *ownedPartition { return n.partitions[0] }
+func (po *Priorities) shortageWriter() *ownedPartition { return po.c.scheduler.partitions[0] }
 
 // maxOrderAge is how old the order may be: the work that there is, and what holds, changes.
 const maxOrderAge = time.Second
 
 // priorityOrder is which work goes before which now. All controllers make the same of the same book, but
 // for the moment that they are apart.
-func (n *Controller) priorityOrder() *priority.Ordering {
-	state := &n.priorityState
-	if state.computed && n.now.Sub(state.orderedAt) < maxOrderAge {
+func (po *Priorities) priorityOrder() *priority.Ordering {
+	state := &po.priorityState
+	if state.computed && po.core.now.Sub(state.orderedAt) < maxOrderAge {
 		return &state.order
 	}
-	state.computed, state.orderedAt, state.order = true, n.now, priority.Ordering{}
-	table := n.settings.Priority
+	state.computed, state.orderedAt, state.order = true, po.core.now, priority.Ordering{}
+	table := po.core.settings.Priority
 	if len(table) == 0 {
 		return &state.order
 	}
 	kinds := map[priority.Workload]bool{}
-	for _, j := range n.state.Jobs {
+	for _, j := range po.core.state.Jobs {
 		if !j.Terminal() {
-			kinds[n.workKind(j.Spec)] = true
+			kinds[po.workKind(j.Spec)] = true
 		}
 	}
 	list := slices.SortedFunc(maps.Keys(kinds), compareWorkKinds)
-	c := priority.ActiveConditions{ControllerDown: len(n.state.Members) < len(n.controllers)}
-	for _, r := range n.zones.records {
+	c := priority.ActiveConditions{ControllerDown: len(po.core.state.Members) < len(po.core.controllers)}
+	for _, r := range po.c.health.zones.records {
 		c.ZoneFailed = c.ZoneFailed || r.State == zonehealth.Failed || r.State == zonehealth.Recovering
 	}
 	state.order = table.Resolve(list, c)
@@ -69,18 +77,18 @@
 }
 
 // workKind is what rules see of a job.
-func (n *Controller) workKind(s *api.JobSpec) priority.Workload {
-	return priority.Workload{Class: s.Class, Team: s.Team, Form: s.Kind, Priority: s.Priority, CapacityShort: n.isShort(s)}
+func (po *Priorities) workKind(s *api.JobSpec) priority.Workload {
+	return priority.Workload{Class: s.Class, Team: s.Team, Form: s.Kind, Priority: s.Priority, CapacityShort: po.isShort(s)}
 }
 
 // isShort reports whether all types that a job may use are short of room.
-func (n *Controller) isShort(s *api.JobSpec) bool {
-	short := n.priorityState.shortage
+func (po *Priorities) isShort(s *api.JobSpec) bool {
+	short := po.priorityState.shortage
 	if len(short.Types) == 0 {
 		return false
 	}
 	any := false
-	for _, t := range n.eligibleTypes(s) {
+	for _, t := range po.EligibleTypes(s) {
 		if !short.Includes(t) {
 			return false
 		}
@@ -89,74 +97,74 @@
 	return any
 }
 
-// eligibleTypes are the types that a job's tasks may use and fit, in order.
-func (n *Controller) eligibleTypes(s *api.JobSpec) []api.MachineTypeName {
+// EligibleTypes are the types that a job's tasks may use and fit, in order.
+func (po *Priorities) EligibleTypes(s *api.JobSpec) []api.MachineTypeName {
 	var out []api.MachineTypeName
-	demand, cpuOnly := s.Demand(), n.isCPUOnly(s)
-	for _, name := range slices.Sorted(maps.Keys(n.machineTypes)) {
-		if t := n.machineTypes[name]; demand.Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, name)) && !(cpuOnly && t.GPUs > 0) {
+	demand, cpuOnly := s.Demand(), po.c.scheduler.IsCPUOnly(s)
+	for _, name := range slices.Sorted(maps.Keys(po.core.machineTypes)) {
+		if t := po.core.machineTypes[name]; demand.Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, name)) && !(cpuOnly && t.GPUs > 0) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// priorityBoost is by how much rules put a job above its priority; below it, where others come before.
-func (n *Controller) priorityBoost(s *api.JobSpec) float64 {
-	if len(n.settings.Priority) == 0 {
+// PriorityBoost is by how much rules put a job above its priority; below it, where others come before.
+func (po *Priorities) PriorityBoost(s *api.JobSpec) float64 {
+	if len(po.core.settings.Priority) == 0 {
 		return 0
 	}
-	return n.priorityOrder().Level(n.workKind(s)) - float64(s.Priority.Rank())
+	return po.priorityOrder().Level(po.workKind(s)) - float64(s.Priority.Rank())
 }
 
-// effectivePriority is a job's place in the order.
-func (n *Controller) effectivePriority(s *api.JobSpec) float64 {
-	return float64(s.Priority.Rank()) + n.priorityBoost(s)
+// EffectivePriority is a job's place in the order.
+func (po *Priorities) EffectivePriority(s *api.JobSpec) float64 {
+	return float64(s.Priority.Rank()) + po.PriorityBoost(s)
 }
 
 // recordShortage notes that a job's waiting tasks found no room in a part.
 func (owned *ownedPartition) recordShortage(n *Controller, s *api.JobSpec) {
-	if !n.hasShortageRule() {
+	if !n.priorities.HasShortageRule() {
 		return
 	}
 	if owned.shortTypes == nil {
 		owned.shortTypes = map[api.MachineTypeName]bool{}
 	}
-	for _, name := range n.eligibleTypes(s) {
+	for _, name := range n.priorities.EligibleTypes(s) {
 		owned.shortTypes[name] = true
 	}
 }
 
-// hasShortageRule reports whether any rule asks whether room is short: else nobody writes it.
-func (n *Controller) hasShortageRule() bool {
-	return slices.ContainsFunc(n.settings.Priority, func(r priority.Rule) bool { return r.Condition == priority.CapacityShort })
+// HasShortageRule reports whether any rule asks whether room is short: else nobody writes it.
+func (po *Priorities) HasShortageRule() bool {
+	return slices.ContainsFunc(po.core.settings.Priority, func(r priority.Rule) bool { return r.Condition == priority.CapacityShort })
 }
 
-// updateShortage keeps the record of what is short, where that is ours to do. Who can't read it goes
+// UpdateShortage keeps the record of what is short, where that is ours to do. Who can't read it goes
 // on by the last one known.
-func (n *Controller) updateShortage() {
-	state := &n.priorityState
-	if !n.hasShortageRule() || n.now.Sub(state.checkedAt) < priority.ShortageOnset/4 {
+func (po *Priorities) UpdateShortage() {
+	state := &po.priorityState
+	if !po.HasShortageRule() || po.core.now.Sub(state.checkedAt) < priority.ShortageOnset/4 {
 		return
 	}
-	state.checkedAt = n.now
+	state.checkedAt = po.core.now
 	short := map[api.MachineTypeName]bool{}
-	for _, owned := range n.partitions {
+	for _, owned := range po.c.scheduler.partitions {
 		for name := range owned.shortTypes {
 			short[name] = true
 		}
 	}
-	for _, status := range n.peerPartitionStatuses() {
+	for _, status := range po.c.gossiper.PeerPartitionStatuses() {
 		for _, name := range status.Short {
 			short[name] = true
 		}
 	}
-	state.detector.Observe(short, n.now)
-	owned := n.shortageWriter()
+	state.detector.Observe(short, po.core.now)
+	owned := po.shortageWriter()
 	if owned == nil || state.writeInFlight {
 		return
 	}
-	next := state.detector.Next(state.shortage, n.now, owned.ownedSince, n.wallClock)
+	next := state.detector.Next(state.shortage, po.core.now, owned.ownedSince, po.core.wallClock)
 	if next.Equal(state.shortage) {
 		return
 	}
@@ -166,58 +174,58 @@
 		return
 	}
 	state.writeInFlight = true
-	n.callStoreTxn(api.Txn{If: []api.Condition{owned.ownershipCondition(), n.state.VersionCondition(keyShortage)}, Writes: []api.Write{{Put: keyShortage, Value: v}}}, func(a StoreResponse) {
+	po.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.ownershipCondition(), po.core.state.VersionCondition(keyShortage)}, Writes: []api.Write{{Put: keyShortage, Value: v}}}, func(a StoreResponse) {
 		if a.Status == 200 {
 			slog.Info("capacity shortage changed", "types", next.Types, "term", owned.term)
 		}
-		n.linearizableRead(func() { state.writeInFlight = false }, func() { state.writeInFlight = false })
+		po.c.follower.LinearizableRead(func() { state.writeInFlight = false }, func() { state.writeInFlight = false })
 	})
 }
 
-// pendingReasonPriority says by which rule other work goes before a job, or nothing.
-func (n *Controller) pendingReasonPriority(s *api.JobSpec) string {
-	if len(n.settings.Priority) == 0 {
+// PendingReasonPriority says by which rule other work goes before a job, or nothing.
+func (po *Priorities) PendingReasonPriority(s *api.JobSpec) string {
+	if len(po.core.settings.Priority) == 0 {
 		return ""
 	}
-	return n.priorityOrder().OutrankedBy(n.workKind(s))
+	return po.priorityOrder().OutrankedBy(po.workKind(s))
 }
 
-// fairShareFloor is the share of its fair part that rules leave a job's class, 0 where none says.
-func (n *Controller) fairShareFloor(s *api.JobSpec) float64 {
-	if len(n.settings.Priority) == 0 {
+// FairShareFloor is the share of its fair part that rules leave a job's class, 0 where none says.
+func (po *Priorities) FairShareFloor(s *api.JobSpec) float64 {
+	if len(po.core.settings.Priority) == 0 {
 		return 0
 	}
-	share, _ := n.priorityOrder().Floor(n.workKind(s))
+	share, _ := po.priorityOrder().Floor(po.workKind(s))
 	return share
 }
 
-// contactPriorityMachines has the machines called at once, after a takeover, that hold what goes before all by
+// ContactPriorityMachines has the machines called at once, after a takeover, that hold what goes before all by
 // a rule: their starts may not have been sent.
-func (n *Controller) contactPriorityMachines(owned *ownedPartition) {
-	if len(n.settings.Priority) == 0 {
+func (po *Priorities) ContactPriorityMachines(owned *ownedPartition) {
+	if len(po.core.settings.Priority) == 0 {
 		return
 	}
 	priorities := map[*Machine]float64{}
 	var list []*Machine
-	for _, m := range n.machinesOf(owned.id) {
-		for _, p := range n.state.PlacementsOn(m.ID) {
-			priorities[m] = max(priorities[m], 1+n.effectivePriority(p.Job.Spec))
+	for _, m := range po.c.agents.MachinesOf(owned.id) {
+		for _, p := range po.core.state.PlacementsOn(m.ID) {
+			priorities[m] = max(priorities[m], 1+po.EffectivePriority(p.Job.Spec))
 		}
 		if priorities[m] > 0 {
 			list = append(list, m)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *Machine) int { return sched.Descending(priorities[a], priorities[b]) })
-	for _, m := range list[:min(len(list), n.maxDirectCalls/2)] {
-		n.contactNow(m)
+	for _, m := range list[:min(len(list), po.c.agents.maxDirectCalls/2)] {
+		po.c.agents.ContactNow(m)
 	}
 }
 
-// sortByPriority puts jobs that rules raise first, the others as they are.
-func (n *Controller) sortByPriority(jobIDs []api.JobID) []api.JobID {
-	if len(n.settings.Priority) > 0 {
+// SortByPriority puts jobs that rules raise first, the others as they are.
+func (po *Priorities) SortByPriority(jobIDs []api.JobID) []api.JobID {
+	if len(po.core.settings.Priority) > 0 {
 		slices.SortStableFunc(jobIDs, func(a, b api.JobID) int {
-			x, y := n.priorityBoost(n.state.PendingJobs[a].Spec), n.priorityBoost(n.state.PendingJobs[b].Spec)
+			x, y := po.PriorityBoost(po.core.state.PendingJobs[a].Spec), po.PriorityBoost(po.core.state.PendingJobs[b].Spec)
 			return sched.Descending(x, y)
 		})
 	}
--- a/controller/quotatransfer.go
+++ b/controller/quotatransfer.go
@@ -8,16 +8,16 @@
 	"basaltwall/clusterstate"
 )
 
-// spareQuotaTransfers gives shares of teams' limits that this part does not use to parts
+// SpareQuotaTransfers gives shares of teams' limits that this part does not use to parts
 // that could use them.
-func (n *Controller) spareQuotaTransfers(owned *ownedPartition) []clusterstate.QuotaTransfer {
-	remaining := n.remainingQuota(owned.id)
+func (bl *Balancer) SpareQuotaTransfers(owned *ownedPartition) []clusterstate.QuotaTransfer {
+	remaining := bl.c.scheduler.RemainingQuota(owned.id)
 	if owned.inFlight != nil {
 		return nil
 	}
 	var out []clusterstate.QuotaTransfer
 	for _, to := range slices.Sorted(maps.Keys(owned.reservedQuota)) {
-		if n.now < owned.nextQuotaTransfer[to] {
+		if bl.core.now < owned.nextQuotaTransfer[to] {
 			continue // it has not told since; what is reserved waits here
 		}
 		// No start of this round uses it, whatever else waits here.
@@ -26,10 +26,10 @@
 			remaining[team] = remaining[team].Minus(amount)
 			out = append(out, clusterstate.QuotaTransfer{To: to, Team: team, Amount: amount})
 		}
-		owned.nextQuotaTransfer[to] = n.now.Add(2 * gossipInterval)
+		owned.nextQuotaTransfer[to] = bl.core.now.Add(2 * gossipInterval)
 	}
-	for _, status := range n.otherPartitionStatuses(owned) {
-		if n.now < owned.nextQuotaTransfer[status.Part] {
+	for _, status := range bl.c.gossiper.OtherPartitionStatuses(owned) {
+		if bl.core.now < owned.nextQuotaTransfer[status.Part] {
 			continue
 		}
 		for _, team := range slices.Sorted(maps.Keys(status.Want)) {
@@ -54,25 +54,25 @@
 			}
 			transfer := clusterstate.QuotaTransfer{To: status.Part, Team: team, Amount: api.Resources{
 				CPU: max(0, min(demand.CPU, unused.CPU)), GPU: max(0, min(demand.GPU, unused.GPU))}}
-			limit := quotaLimit(n.teams[team])
-			transfer.Amount = n.limitedResources(team, transfer.Amount)
+			limit := quotaLimit(bl.core.teams[team])
+			transfer.Amount = bl.limitedResources(team, transfer.Amount)
 			if transfer.Amount.CPU > limit.CPU || transfer.Amount.CPU == 0 && transfer.Amount.GPU == 0 {
 				continue
 			}
 			remaining[team] = remaining[team].Minus(transfer.Amount)
 			out = append(out, transfer)
-			owned.nextQuotaTransfer[status.Part] = n.now.Add(2 * gossipInterval)
+			owned.nextQuotaTransfer[status.Part] = bl.core.now.Add(2 * gossipInterval)
 		}
 	}
 	return out
 }
 
 // limitedResources is of an amount what a team's limits are of: what it may use without limit is not shared.
-func (n *Controller) limitedResources(team api.Team, amount api.Resources) api.Resources {
-	if n.teams[team].CPUsMax <= 0 {
+func (bl *Balancer) limitedResources(team api.Team, amount api.Resources) api.Resources {
+	if bl.core.teams[team].CPUsMax <= 0 {
 		amount.CPU = 0
 	}
-	if n.teams[team].GPUsMax <= 0 {
+	if bl.core.teams[team].GPUsMax <= 0 {
 		amount.GPU = 0
 	}
 	return amount
--- a/controller/rebalance.go
+++ b/controller/rebalance.go
@@ -12,16 +12,22 @@
 	"basaltwall/sched"
 )
 
-// rebalancePending moves waiting tasks to a part that has room for them.
-func (n *Controller) rebalancePending(owned *ownedPartition) {
-	if owned.moveInFlight || owned.releasing || owned.inFlight != nil || n.now < owned.nextMove || owned.pendingTaskCount == 0 {
+// Balancer moves pending tasks, quota and machines between partitions.
+type Balancer struct {
+	core *Core
+	c    *Controller
+}
+
+// RebalancePending moves waiting tasks to a part that has room for them.
+func (bl *Balancer) RebalancePending(owned *ownedPartition) {
+	if owned.moveInFlight || owned.releasing || owned.inFlight != nil || bl.core.now < owned.nextMove || owned.pendingTaskCount == 0 {
 		return
 	}
-	owned.nextMove = n.now.Add(gossipInterval)
+	owned.nextMove = bl.core.now.Add(gossipInterval)
 	candidatesLeft := maxMoveCandidates
-	for _, jobID := range n.sortByPriority(owned.rotateAfterCursor(slices.Sorted(maps.Keys(n.state.PendingJobs)))) {
-		j := n.state.PendingJobs[jobID]
-		if j.OwnerState.backoffUntil > n.now || n.startsBlocked(j) || n.now.Sub(j.OwnerState.rebalancedAt) < 3*gossipInterval && j.OwnerState.rebalancedAt != 0 {
+	for _, jobID := range bl.c.priorities.SortByPriority(owned.rotateAfterCursor(slices.Sorted(maps.Keys(bl.core.state.PendingJobs)))) {
+		j := bl.core.state.PendingJobs[jobID]
+		if j.OwnerState.backoffUntil > bl.core.now || bl.c.tenancy.StartsBlocked(j) || bl.core.now.Sub(j.OwnerState.rebalancedAt) < 3*gossipInterval && j.OwnerState.rebalancedAt != 0 {
 			continue
 		}
 		waiting := j.PendingTasks(owned.id)
@@ -32,11 +38,11 @@
 			return
 		}
 		owned.moveCursor = jobID
-		if n.hasReservationFor(owned, jobID) {
+		if bl.HasReservationFor(owned, jobID) {
 			continue // room is gathered for it here
 		}
-		stuck := j.OwnerState.unplaceable && n.waitStage(j, owned.id) != sched.NotAged && n.now.Sub(j.OwnerState.rebalancedAt) > stuckMoveInterval
-		freeSlots := n.freeSlotsByPartition(j.Spec)
+		stuck := j.OwnerState.unplaceable && bl.c.backfiller.WaitStage(j, owned.id) != sched.NotAged && bl.core.now.Sub(j.OwnerState.rebalancedAt) > stuckMoveInterval
+		freeSlots := bl.c.jobs.FreeSlotsByPartition(j.Spec)
 		if freeSlots[owned.id] > 0 && j.Spec.Kind == api.Array {
 			continue // it will be placed here
 		}
@@ -45,11 +51,11 @@
 			if api.PartitionID(q) == owned.id {
 				continue
 			}
-			if r := freeSlots[q] - n.pendingTasksIn(api.PartitionID(q), j.Spec); r > moveCount {
+			if r := freeSlots[q] - bl.c.jobs.PendingTasksIn(api.PartitionID(q), j.Spec); r > moveCount {
 				best, moveCount = api.PartitionID(q), r
 			}
 		}
-		if capacity := n.totalSlotsByPartition(j.Spec); j.Spec.NeedsSinglePartition() && moveCount == 0 && capacity[owned.id] < j.Spec.Tasks {
+		if capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec); j.Spec.NeedsSinglePartition() && moveCount == 0 && capacity[owned.id] < j.Spec.Tasks {
 			// It can never be placed here; there it may wait or have others
 			// make way.
 			for q, c := range capacity {
@@ -59,7 +65,7 @@
 			}
 		}
 		if j.Spec.NeedsSinglePartition() {
-			holdNow, holdAfterPreemption := n.partitionsWithCapacity(j.Spec)
+			holdNow, holdAfterPreemption := bl.PartitionsWithCapacity(j.Spec)
 			if holdNow[owned.id] {
 				continue
 			}
@@ -75,12 +81,12 @@
 			}
 		}
 		if moveCount == 0 && !j.Spec.NeedsSinglePartition() {
-			best, moveCount = n.balanceTarget(owned, j, waiting)
+			best, moveCount = bl.balanceTarget(owned, j, waiting)
 		}
 		if moveCount == 0 && stuck {
 			// It must begin, and nothing that it may use comes free here by itself: the next
 			// part that has such machines may be better off.
-			capacity := n.totalSlotsByPartition(j.Spec)
+			capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec)
 			for i := 1; i < len(capacity) && moveCount == 0; i++ {
 				if q := (int(owned.id) + i) % len(capacity); capacity[q] > 0 {
 					best, moveCount = api.PartitionID(q), waiting
@@ -98,20 +104,20 @@
 		v := j.JobValue
 		v.Split = split
 		data, err := json.Marshal(v)
-		if err != nil || n.jobExceedsValueSize(data) {
+		if err != nil || bl.core.JobExceedsValueSize(data) {
 			continue
 		}
-		j.OwnerState.rebalancedAt = n.now
+		j.OwnerState.rebalancedAt = bl.core.now
 		owned.moveInFlight = true
 		key := clusterstate.KeyJob + string(jobID)
 		tx := api.Txn{If: []api.Condition{{Key: key, Version: j.Version}, owned.ownershipCondition()},
 			Writes: []api.Write{{Put: key, Value: data}}}
-		n.callStoreTxn(tx, func(a StoreResponse) {
+		bl.core.CallStoreTxn(tx, func(a StoreResponse) {
 			if a.Status == 200 {
-				n.metrics.TaskMoves++
+				bl.core.metrics.TaskMoves++
 			}
 			slog.Info("pending tasks moved", "job", jobID, "from", owned.id, "to", best, "most", moveCount, "status", a.Status)
-			n.linearizableRead(func() { owned.moveInFlight = false }, func() { owned.moveInFlight = false })
+			bl.c.follower.LinearizableRead(func() { owned.moveInFlight = false }, func() { owned.moveInFlight = false })
 		})
 		return
 	}
@@ -120,17 +126,17 @@
 // balanceTarget finds a part in which less waits that goes before a job's tasks, by what the parts'
 // machines hold, and how many to move there: where rules say what goes first, work that comes
 // after it would start there while it waits here.
-func (n *Controller) balanceTarget(owned *ownedPartition, j *Job, waiting int) (to api.PartitionID, moveCount int) {
-	if len(n.settings.Priority) == 0 {
+func (bl *Balancer) balanceTarget(owned *ownedPartition, j *Job, waiting int) (to api.PartitionID, moveCount int) {
+	if len(bl.core.settings.Priority) == 0 {
 		return 0, 0
 	}
-	capacity := n.totalSlotsByPartition(j.Spec)
-	ownWaiting, ownCapacity := n.pendingTasksIn(owned.id, j.Spec), float64(capacity[owned.id])
+	capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec)
+	ownWaiting, ownCapacity := bl.c.jobs.PendingTasksIn(owned.id, j.Spec), float64(capacity[owned.id])
 	for other, c := range capacity {
 		if api.PartitionID(other) == owned.id || c == 0 {
 			continue
 		}
-		otherWaiting := n.pendingTasksIn(api.PartitionID(other), j.Spec)
+		otherWaiting := bl.c.jobs.PendingTasksIn(api.PartitionID(other), j.Spec)
 		if surplus := (float64(ownWaiting)*float64(c) - float64(otherWaiting)*ownCapacity) / (ownCapacity + float64(c)); int(surplus) > moveCount && surplus > minRebalanceShare*float64(ownWaiting) {
 			to, moveCount = api.PartitionID(other), min(waiting, int(surplus))
 		}
@@ -144,9 +150,9 @@
 // stuckMoveInterval is how long a job that must begin stays in a part that has no room to hope for.
 const stuckMoveInterval = 15 * time.Second
 
-// hasReservationFor reports whether a part keeps a machine for a job because room is gathered for it.
-func (n *Controller) hasReservationFor(owned *ownedPartition, ref api.JobID) bool {
-	return slices.ContainsFunc(n.machinesOf(owned.id), func(m *Machine) bool { return m.consolidated && n.reservedFor(m) == ref })
+// HasReservationFor reports whether a part keeps a machine for a job because room is gathered for it.
+func (bl *Balancer) HasReservationFor(owned *ownedPartition, ref api.JobID) bool {
+	return slices.ContainsFunc(bl.c.agents.MachinesOf(owned.id), func(m *Machine) bool { return m.consolidated && bl.c.preemptor.ReservedFor(m) == ref })
 }
 
 // maxMoveCandidates bounds the jobs that are looked at at once for moving elsewhere.
@@ -200,14 +206,14 @@
 	return nil, false
 }
 
-// partitionsWithCapacity finds the parts that have room for all of a job's tasks: now, or
+// PartitionsWithCapacity finds the parts that have room for all of a job's tasks: now, or
 // if others made way where the job is urgent enough for that.
-func (n *Controller) partitionsWithCapacity(s *api.JobSpec) (now, afterPreemption map[api.PartitionID]bool) {
-	demand, cpuOnly := s.Demand(), n.isCPUOnly(s)
+func (bl *Balancer) PartitionsWithCapacity(s *api.JobSpec) (now, afterPreemption map[api.PartitionID]bool) {
+	demand, cpuOnly := s.Demand(), bl.c.scheduler.IsCPUOnly(s)
 	urgent := s.Priority.Rank() >= preemptorRank
 	free, preemptible := map[api.PartitionID][]sched.Machine{}, map[api.PartitionID][]sched.Machine{}
-	n.eachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
-		if !k.Usable || !n.isEligible(s, cpuOnly, k.Type, k.Zone, k.Spot) {
+	bl.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+		if !k.Usable || !bl.c.scheduler.IsEligible(s, cpuOnly, k.Type, k.Zone, k.Spot) {
 			return
 		}
 		m := sched.Machine{Type: k.Type, Zone: k.Zone, Spot: k.Spot}
@@ -233,12 +239,12 @@
 }
 
 // preferredZone is the zone with most room for a job whose tasks must be together.
-func (n *Controller) preferredZone(s *api.JobSpec) api.Zone {
+func (bl *Balancer) preferredZone(s *api.JobSpec) api.Zone {
 	if !s.OneZone {
 		return ""
 	}
 	freeSlots := map[api.Zone]int{}
-	n.eachFreeCapacity(func(_ api.PartitionID, k MachineClass, r FreeCapacity) {
+	bl.c.gossiper.EachFreeCapacity(func(_ api.PartitionID, k MachineClass, r FreeCapacity) {
 		if k.Usable && sched.Feasible(s, k.Type, k.Zone, k.Spot) {
 			// Room that is free at once counts for more.
 			freeSlots[k.Zone] += r.Count * (2*s.Demand().Slots(r.Free) + s.Demand().Slots(r.Could))
--- a/controller/relays.go
+++ b/controller/relays.go
@@ -39,12 +39,12 @@
 	until api.Time
 }
 
-// zoneOfController is the zone that a controller is in.
-func (n *Controller) zoneOfController(l api.ControllerID) api.Zone {
-	if l == n.config.Label {
-		return n.config.Zone
+// ZoneOfController is the zone that a controller is in.
+func (lf *LogFollower) ZoneOfController(l api.ControllerID) api.Zone {
+	if l == lf.core.config.Label {
+		return lf.core.config.Zone
 	}
-	for _, p := range n.config.Peers {
+	for _, p := range lf.core.config.Peers {
 		if p.Label == l {
 			return p.Zone
 		}
@@ -52,31 +52,31 @@
 	return ""
 }
 
-// usesRelays reports whether there are so many controllers that most read through relays, and all
+// UsesRelays reports whether there are so many controllers that most read through relays, and all
 // that live know how: while versions change, everybody reads for itself as before.
-func (n *Controller) usesRelays() bool {
-	if len(n.controllers) <= n.maxRelays {
+func (lf *LogFollower) UsesRelays() bool {
+	if len(lf.core.controllers) <= lf.core.maxRelays {
 		return false
 	}
-	n.selectRelays()
-	return n.selectedRelays.supported
+	lf.selectRelays()
+	return lf.selectedRelays.supported
 }
 
 // logReadInterval is the time between two reads of the log.
-func (n *Controller) logReadInterval() time.Duration {
-	if n.usesRelays() {
-		return n.readInterval
+func (lf *LogFollower) logReadInterval() time.Duration {
+	if lf.UsesRelays() {
+		return lf.core.readInterval
 	}
-	return n.pageReadInterval()
+	return lf.PageReadInterval()
 }
 
-// pageReadInterval is the time between two reads of which each controller makes its own, pages of the state
+// PageReadInterval is the time between two reads of which each controller makes its own, pages of the state
 // when it starts: a third of the requests for all together.
-func (n *Controller) pageReadInterval() time.Duration {
-	if len(n.controllers) <= n.maxRelays {
-		return n.readInterval
+func (lf *LogFollower) PageReadInterval() time.Duration {
+	if len(lf.core.controllers) <= lf.core.maxRelays {
+		return lf.core.readInterval
 	}
-	return n.directReadInterval / 2
+	return lf.core.directReadInterval / 2
 }
 
 // relaySelection are the relays for the members that live, kept until those change.
@@ -91,40 +91,40 @@
 const notLive = -1
 
 // formatOf is the form of records that a living controller understands.
-func (n *Controller) formatOf(l api.ControllerID) int {
-	m, lives := n.state.Members[l]
+func (lf *LogFollower) formatOf(l api.ControllerID) int {
+	m, lives := lf.core.state.Members[l]
 	if !lives {
 		return notLive
 	}
 	return m.Format
 }
 
-// currentRelays are the controllers that are relays, as far as we know.
-func (n *Controller) currentRelays() []relay.Member {
-	n.selectRelays()
-	return n.selectedRelays.relays
+// CurrentRelays are the controllers that are relays, as far as we know.
+func (lf *LogFollower) CurrentRelays() []relay.Member {
+	lf.selectRelays()
+	return lf.selectedRelays.relays
 }
 
 // selectRelays chooses the relays anew when the living members are others.
-func (n *Controller) selectRelays() {
-	selection := &n.selectedRelays
+func (lf *LogFollower) selectRelays() {
+	selection := &lf.selectedRelays
 	unchanged := selection.memberFormats != nil
-	for i, l := range n.controllers {
-		unchanged = unchanged && selection.memberFormats[i] == n.formatOf(l)
+	for i, l := range lf.core.controllers {
+		unchanged = unchanged && selection.memberFormats[i] == lf.formatOf(l)
 	}
 	if unchanged {
 		return
 	}
-	selection.memberFormats, selection.supported = make([]int, len(n.controllers)), true
+	selection.memberFormats, selection.supported = make([]int, len(lf.core.controllers)), true
 	var members []relay.Member
-	for i, l := range n.controllers {
-		if selection.memberFormats[i] = n.formatOf(l); selection.memberFormats[i] != notLive {
+	for i, l := range lf.core.controllers {
+		if selection.memberFormats[i] = lf.formatOf(l); selection.memberFormats[i] != notLive {
 			selection.supported = selection.supported && selection.memberFormats[i] >= clusterstate.FormatRelays
-			members = append(members, relay.Member{ID: l, Zone: n.zoneOfController(l)})
+			members = append(members, relay.Member{ID: l, Zone: lf.ZoneOfController(l)})
 		}
 	}
-	selection.relays = relay.Select(members, n.maxRelays)
-	selection.preference = relay.PreferenceOrder(relay.Member{ID: n.config.Label, Zone: n.config.Zone}, selection.relays)
+	selection.relays = relay.Select(members, lf.core.maxRelays)
+	selection.preference = relay.PreferenceOrder(relay.Member{ID: lf.core.config.Label, Zone: lf.core.config.Zone}, selection.relays)
 }
 
 // isRelay reports whether a controller is among the relays.
@@ -132,37 +132,37 @@
 	return slices.ContainsFunc(relays, func(m relay.Member) bool { return m.ID == l })
 }
 
-// nextRelay is the relay to read through, none if we are to read for ourselves.
-func (n *Controller) nextRelay() api.ControllerID {
-	if !n.readsThroughRelay() {
+// NextRelay is the relay to read through, none if we are to read for ourselves.
+func (lf *LogFollower) NextRelay() api.ControllerID {
+	if !lf.readsThroughRelay() {
 		return ""
 	}
-	via, _ := n.relayLink.Next(n.selectedRelays.preference, n.now)
+	via, _ := lf.relayLink.Next(lf.selectedRelays.preference, lf.core.now)
 	return via
 }
 
 // readsThroughRelay reports whether we are one of those that read through relays.
-func (n *Controller) readsThroughRelay() bool {
-	return n.usesRelays() && !isRelay(n.currentRelays(), n.config.Label)
+func (lf *LogFollower) readsThroughRelay() bool {
+	return lf.UsesRelays() && !isRelay(lf.CurrentRelays(), lf.core.config.Label)
 }
 
 // readChanges reads the log after a revision, with wait once there is something, through a relay
 // or from the state service.
-func (n *Controller) readChanges(since api.Revision, wait bool, via api.ControllerID, done func(logReadResult)) {
+func (lf *LogFollower) readChanges(since api.Revision, wait bool, via api.ControllerID, done func(logReadResult)) {
 	if via == "" {
 		request, timeout := &ChangesRequest{Since: since}, time.Duration(0)
 		if wait {
 			request.Wait, timeout = watchPollTimeout, watchPollTimeout+2*time.Second
 		}
-		n.callStore(StoreCall{Changes: request, Timeout: timeout}, func(a StoreResponse) { done(logReadResult{status: a.Status, changes: a.Changes}) })
+		lf.core.CallStore(StoreCall{Changes: request, Timeout: timeout}, func(a StoreResponse) { done(logReadResult{status: a.Status, changes: a.Changes}) })
 		return
 	}
 	timeout := relayTimeout
 	if wait {
 		timeout += relayPollTimeout
 	}
-	n.metrics.ReadsRelayed++
-	n.callPeer(via, timeout, PeerMessage{ReadLog: &ReadLogRequest{Since: since, Wait: wait}}, func(a PeerResponse) {
+	lf.core.metrics.ReadsRelayed++
+	lf.core.CallPeer(via, timeout, PeerMessage{ReadLog: &ReadLogRequest{Since: since, Wait: wait}}, func(a PeerResponse) {
 		result := logReadResult{status: a.Reply.Status, via: via}
 		if !a.OK {
 			result.status = 0
@@ -170,71 +170,71 @@
 		if result.status == 200 {
 			if err := relay.Validate(since, a.Reply.Log); err != nil {
 				slog.Error("invalid relay response", "relay", via, "err", err)
-				n.metrics.ReadsInvalid++
+				lf.core.metrics.ReadsInvalid++
 				result.status = 0
 			} else {
 				result.changes = *a.Reply.Log
 			}
 		}
 		if result.status != 200 {
-			n.relayLink.MarkFailed(via, n.now)
+			lf.relayLink.MarkFailed(via, lf.core.now)
 		}
 		done(result)
 	})
 }
 
 // retainChanges keeps changes for those who follow the log through us.
-func (n *Controller) retainChanges(c api.Changes) {
-	if len(n.controllers) > n.maxRelays {
-		n.relayLog.Append(c.Log, c.Revision)
+func (lf *LogFollower) retainChanges(c api.Changes) {
+	if len(lf.core.controllers) > lf.core.maxRelays {
+		lf.relayLog.Append(c.Log, c.Revision)
 	}
 }
 
-// handleReadLog answers another controller's question for the log.
-func (n *Controller) handleReadLog(c ReadLog) {
-	if !n.loaded {
-		n.replyError(c.Req, 503, "starting")
+// HandleReadLog answers another controller's question for the log.
+func (lf *LogFollower) HandleReadLog(c ReadLog) {
+	if !lf.core.loaded {
+		lf.core.ReplyError(c.Req, 503, "starting")
 		return
 	}
 	since := c.Request.Since
 	if !c.Request.Wait {
-		n.readWaiters = append(n.readWaiters, readWaiter{func() { n.replyLog(c.Req, since) }, func() { n.replyError(c.Req, 503, "state service not reachable") }, true})
-		n.readRequestedAt = n.now
+		lf.readWaiters = append(lf.readWaiters, readWaiter{func() { lf.replyLog(c.Req, since) }, func() { lf.core.ReplyError(c.Req, 503, "state service not reachable") }, true})
+		lf.readRequestedAt = lf.core.now
 		return
 	}
-	if since < n.state.Revision {
-		n.replyLog(c.Req, since)
+	if since < lf.core.state.Revision {
+		lf.replyLog(c.Req, since)
 		return
 	}
-	n.logFollowers = append(n.logFollowers, logFollower{c.Req, since, n.now.Add(relayPollTimeout)})
+	lf.logFollowers = append(lf.logFollowers, logFollower{c.Req, since, lf.core.now.Add(relayPollTimeout)})
 }
 
 // replyLog answers with what we retain after a revision.
-func (n *Controller) replyLog(req ReqID, since api.Revision) {
-	changes, ok := n.relayLog.Since(since)
+func (lf *LogFollower) replyLog(req ReqID, since api.Revision) {
+	changes, ok := lf.relayLog.Since(since)
 	if !ok {
-		n.replyError(req, 410, "the log does not reach back so far")
+		lf.core.ReplyError(req, 410, "the log does not reach back so far")
 		return
 	}
-	n.metrics.ReadsServed++
-	n.emit(Reply{Req: req, Status: 200, Log: &changes})
+	lf.core.metrics.ReadsServed++
+	lf.core.Emit(Reply{Req: req, Status: 200, Log: &changes})
 }
 
-// replyToFollowers answers those who wait for changes.
-func (n *Controller) replyToFollowers() {
-	n.logFollowers = slices.DeleteFunc(n.logFollowers, func(f logFollower) bool {
-		if f.since >= n.state.Revision && n.now < f.until {
+// ReplyToFollowers answers those who wait for changes.
+func (lf *LogFollower) ReplyToFollowers() {
+	lf.logFollowers = slices.DeleteFunc(lf.logFollowers, func(f logFollower) bool {
+		if f.since >= lf.core.state.Revision && lf.core.now < f.until {
 			return false
 		}
-		n.replyLog(f.req, f.since)
+		lf.replyLog(f.req, f.since)
 		return true
 	})
 }
 
 // rejectFollowers refuses those who wait: we begin anew.
-func (n *Controller) rejectFollowers() {
-	for _, f := range n.logFollowers {
-		n.replyError(f.req, 503, "starting")
+func (lf *LogFollower) rejectFollowers() {
+	for _, f := range lf.logFollowers {
+		lf.core.ReplyError(f.req, 503, "starting")
 	}
-	n.logFollowers = nil
+	lf.logFollowers = nil
 }
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -15,6 +15,14 @@
 	"basaltwall/tenant"
 )
 
+// ReservationService keeps the ledger of reservations.
+type ReservationService struct {
+	core *Core
+	c    *Controller
+
+	reservationLedger reservationLedger
+}
+
 // What the ledger of skips may use, so that scheduling never waits for it: a fifth of the
 // writes, which submissions leave while it is used, and a sixth of the requests (lookGap).
 const (
@@ -205,19 +213,19 @@
 // ForwardSkips is the kind of a Forward that holds a question about skips.
 const ForwardSkips = "skips"
 
-// handleSkipsRequest answers what is asked of the skips.
-func (n *Controller) handleSkipsRequest(c AdminRequest) {
-	l := &n.reservationLedger
+// HandleSkipsRequest answers what is asked of the skips.
+func (rv *ReservationService) HandleSkipsRequest(c AdminRequest) {
+	l := &rv.reservationLedger
 	l.requested = true
 	if c.What == "skips" && c.ID == "" {
-		n.countSkips(c)
+		rv.countSkips(c)
 		return
 	}
 	var request *reservation.Request
 	if c.What == "skips-do" {
 		var err error
 		if request, err = parseSkipRequest(c); err != nil {
-			n.refuseError(c.Req, err)
+			rv.c.tenancy.RefuseError(c.Req, err)
 			return
 		}
 	}
@@ -227,34 +235,34 @@
 			then()
 			return
 		}
-		n.callPeer(to[0], forwardTimeout, PeerMessage{Forward: &Forward{Kind: ForwardSkips, Body: body}}, func(a PeerResponse) {
+		rv.core.CallPeer(to[0], forwardTimeout, PeerMessage{Forward: &Forward{Kind: ForwardSkips, Body: body}}, func(a PeerResponse) {
 			if a.OK && a.Reply.Status != 0 && a.Reply.Status != 503 {
-				n.replyFromPeer(c.Req, a.Reply)
+				rv.core.ReplyFromPeer(c.Req, a.Reply)
 				return
 			}
 			then()
 		})
 	}
-	refuseUnreachable := func() { n.replyError(c.Req, 503, "state service not reachable") }
-	if n.storeUnreachable() {
-		forwardTo(n.forwardTargets(), refuseUnreachable)
+	refuseUnreachable := func() { rv.core.ReplyError(c.Req, 503, "state service not reachable") }
+	if rv.core.StoreUnreachable() {
+		forwardTo(rv.c.jobs.ForwardTargets(), refuseUnreachable)
 		return
 	}
 	// One controller writes for a depot in usual times, so that what is asked at once shares a
 	// write. It may be any: the ledger's rules rest on the writes' conditions.
 	var writer []api.ControllerID
 	if request != nil {
-		p := api.PartitionID(n.depotShard(request.Depot))
-		if owner := n.state.Partitions[p].Owner; owner != n.config.Label && n.isLive(owner) && n.peers[owner] != nil && n.peers[owner].recent(n.now) {
+		p := api.PartitionID(rv.depotShard(request.Depot))
+		if owner := rv.core.state.Partitions[p].Owner; owner != rv.core.config.Label && rv.core.IsLive(owner) && rv.c.gossiper.peers[owner] != nil && rv.c.gossiper.peers[owner].recent(rv.core.now) {
 			writer = append(writer, owner)
 		}
 	}
 	forwardTo(writer, func() {
 		if request == nil {
-			n.listSkips(c)
+			rv.listSkips(c)
 			return
 		}
-		pending := &reservation.PendingRequest{Request: request, ArrivedAt: n.now, Respond: func(res reservation.Result) { n.replySkips(c.Req, request, res) }}
+		pending := &reservation.PendingRequest{Request: request, ArrivedAt: rv.core.now, Respond: func(res reservation.Result) { rv.replySkips(c.Req, request, res) }}
 		if l.replica == nil {
 			l.pendingRequests = append(l.pendingRequests, pending)
 		} else {
@@ -264,11 +272,11 @@
 }
 
 // depotShard is the shard of a depot, of which there are as many as parts.
-func (n *Controller) depotShard(d reservation.Depot) int {
-	return reservation.ShardOf(d, len(n.state.Partitions))
+func (rv *ReservationService) depotShard(d reservation.Depot) int {
+	return reservation.ShardOf(d, len(rv.core.state.Partitions))
 }
 
-func (n *Controller) replySkips(req ReqID, request *reservation.Request, result reservation.Result) {
+func (rv *ReservationService) replySkips(req ReqID, request *reservation.Request, result reservation.Result) {
 	switch result.Reason {
 	case "":
 		if request.Type != reservation.OpOffer && request.Type != reservation.OpAdd {
@@ -279,15 +287,15 @@
 			v := viewSkipItem(&result.Booking)
 			a.SkipItem = &v
 		}
-		n.reply(req, 200, a, 0)
+		rv.core.Reply(req, 200, a, 0)
 	case reservation.ReasonNoSuchSkip, reservation.ReasonNoSuchBooking:
-		n.replyError(req, 404, string(result.Reason))
+		rv.core.ReplyError(req, 404, string(result.Reason))
 	case reservation.ReasonRecordTooLarge:
-		n.replyError(req, 400, string(result.Reason))
+		rv.core.ReplyError(req, 400, string(result.Reason))
 	case reservation.ReasonBusy:
-		n.replyError(req, 503, string(result.Reason))
+		rv.core.ReplyError(req, 503, string(result.Reason))
 	default:
-		n.replyError(req, 409, string(result.Reason))
+		rv.core.ReplyError(req, 409, string(result.Reason))
 	}
 }
 
@@ -296,7 +304,9 @@
 }
 
 // today is the day by our clock; only counts that say that they are about rest on it.
-func (n *Controller) today() reservation.Day { return reservation.Day(n.wallClock / 86_400_000) }
+func (rv *ReservationService) today() reservation.Day {
+	return reservation.Day(rv.core.wallClock / 86_400_000)
+}
 
 // SkipMetrics is what a controller knows of the skips that it has read.
 type SkipMetrics struct {
@@ -307,21 +317,21 @@
 	OldestOffer float64                              `json:"oldest_offer_s"`
 }
 
-func (n *Controller) viewSkips() *SkipMetrics {
-	replica := n.reservationLedger.replica
+func (rv *ReservationService) ViewSkips() *SkipMetrics {
+	replica := rv.reservationLedger.replica
 	if replica == nil {
 		return nil
 	}
 	v := &SkipMetrics{Refused: replica.Refused, Records: replica.Records, Conflicts: replica.Conflicts, Kinds: []reservation.Counts{}}
 	byKind := map[reservation.Kind]reservation.Counts{}
-	for i := range n.state.Partitions {
+	for i := range rv.core.state.Partitions {
 		s := replica.Shard(i)
-		for _, c := range s.Count(n.today(), n.today()+1) {
+		for _, c := range s.Count(rv.today(), rv.today()+1) {
 			sum := byKind[c.Kind]
 			byKind[c.Kind] = reservation.Counts{Kind: c.Kind, Skips: sum.Skips + c.Skips, Free: sum.Free + c.Free, Offered: sum.Offered + c.Offered, Promised: sum.Promised + c.Promised, OutOfService: sum.OutOfService + c.OutOfService}
 		}
 		if since := s.OldestOfferTime(); since != 0 {
-			v.OldestOffer = max(v.OldestOffer, roundToTenth(float64(n.wallClock-since)/1000))
+			v.OldestOffer = max(v.OldestOffer, roundToTenth(float64(rv.core.wallClock-since)/1000))
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(byKind)) {
@@ -331,22 +341,22 @@
 }
 
 // countSkips counts skips by what was last read.
-func (n *Controller) countSkips(c AdminRequest) {
-	if n.reservationLedger.replica == nil {
-		n.replyError(c.Req, 503, "the ledger of skips is being read")
+func (rv *ReservationService) countSkips(c AdminRequest) {
+	if rv.reservationLedger.replica == nil {
+		rv.core.ReplyError(c.Req, 503, "the ledger of skips is being read")
 		return
 	}
-	v := SkipCountsView{Kinds: []reservation.Counts{}, AgeSeconds: roundToTenth(n.now.Sub(n.reservationLedger.readAt).Seconds())}
-	for i := range n.state.Partitions {
-		v.Kinds = append(v.Kinds, n.reservationLedger.replica.Shard(i).Count(n.today(), n.today()+1)...)
+	v := SkipCountsView{Kinds: []reservation.Counts{}, AgeSeconds: roundToTenth(rv.core.now.Sub(rv.reservationLedger.readAt).Seconds())}
+	for i := range rv.core.state.Partitions {
+		v.Kinds = append(v.Kinds, rv.reservationLedger.replica.Shard(i).Count(rv.today(), rv.today()+1)...)
 	}
-	n.reply(c.Req, 200, v, 0)
+	rv.core.Reply(c.Req, 200, v, 0)
 }
 
 // listSkips shows a depot's skips as they are now.
-func (n *Controller) listSkips(c AdminRequest) {
-	n.reservationLedger.pendingLists = append(n.reservationLedger.pendingLists, readWaiter{onRead: func() {
-		shard := n.reservationLedger.replica.Shard(n.depotShard(reservation.Depot(c.ID)))
+func (rv *ReservationService) listSkips(c AdminRequest) {
+	rv.reservationLedger.pendingLists = append(rv.reservationLedger.pendingLists, readWaiter{onRead: func() {
+		shard := rv.reservationLedger.replica.Shard(rv.depotShard(reservation.Depot(c.ID)))
 		list, more := shard.List(reservation.Depot(c.ID), reservation.SkipID(c.After), max(1, c.Limit))
 		v := SkipsView{Skips: []SkipView{}}
 		for _, skip := range list {
@@ -359,19 +369,19 @@
 		if more {
 			v.After = list[len(list)-1].ID
 		}
-		n.reply(c.Req, 200, v, 0)
-	}, onFailure: func() { n.replyError(c.Req, 503, "state service not reachable") }})
+		rv.core.Reply(c.Req, 200, v, 0)
+	}, onFailure: func() { rv.core.ReplyError(c.Req, 503, "state service not reachable") }})
 }
 
-// syncLedger reads the ledger once it is wanted, and writes what was asked.
-func (n *Controller) syncLedger() {
-	l := &n.reservationLedger
+// SyncLedger reads the ledger once it is wanted, and writes what was asked.
+func (rv *ReservationService) SyncLedger() {
+	l := &rv.reservationLedger
 	if !l.requested {
 		return
 	}
-	l.expireRequests(n)
-	n.sweepReservationArchive()
-	if l.busy || n.now < l.nextReadAt {
+	l.expireRequests(rv.c)
+	rv.sweepReservationArchive()
+	if l.busy || rv.core.now < l.nextReadAt {
 		return
 	}
 	if l.replica == nil {
@@ -381,28 +391,28 @@
 			return
 		}
 		l.loadedPairs = nil
-		n.loadLedgerPage("", 0)
+		rv.loadLedgerPage("", 0)
 		return
 	}
-	readNeeded := len(l.pendingLists) > 0 || n.now.Sub(l.readAt) > ledgerReadInterval
-	for i := range n.state.Partitions {
+	readNeeded := len(l.pendingLists) > 0 || rv.core.now.Sub(l.readAt) > ledgerReadInterval
+	for i := range rv.core.state.Partitions {
 		readNeeded = readNeeded || l.staleShards[i] || l.replica.Idle(i) && l.replica.HasPending(i)
 	}
-	if n.now.Sub(l.compactedAt) > ledgerCompactInterval {
-		l.compactedAt = n.now
-		for i := range n.state.Partitions {
-			readNeeded = readNeeded || n.partitions[api.PartitionID(i)] != nil && l.replica.Idle(i) && l.replica.NeedsCleanup(i, n.wallClock)
+	if rv.core.now.Sub(l.compactedAt) > ledgerCompactInterval {
+		l.compactedAt = rv.core.now
+		for i := range rv.core.state.Partitions {
+			readNeeded = readNeeded || rv.c.scheduler.partitions[api.PartitionID(i)] != nil && l.replica.Idle(i) && l.replica.NeedsCleanup(i, rv.core.wallClock)
 		}
 	}
 	if !readNeeded {
 		return
 	}
-	l.busy, l.nextReadAt = true, n.now.Add(n.lookupInterval)
-	readStarted, lists := n.now, l.pendingLists
+	l.busy, l.nextReadAt = true, rv.core.now.Add(rv.core.lookupInterval)
+	readStarted, lists := rv.core.now, l.pendingLists
 	l.pendingLists = nil
-	n.callStore(StoreCall{Changes: &ChangesRequest{Since: l.replica.Revision(), Prefix: reservation.Root}}, func(a StoreResponse) {
+	rv.core.CallStore(StoreCall{Changes: &ChangesRequest{Since: l.replica.Revision(), Prefix: reservation.Root}}, func(a StoreResponse) {
 		l.busy = false
-		ok := a.Status == 200 && n.now.Sub(readStarted) < ledgerMaxReadAge
+		ok := a.Status == 200 && rv.core.now.Sub(readStarted) < ledgerMaxReadAge
 		if a.Status == 410 {
 			l.reset()
 		} else if a.Status == 200 {
@@ -422,13 +432,13 @@
 		if !ok || l.replica == nil {
 			return
 		}
-		l.readAt = n.now
-		for i := range n.state.Partitions {
+		l.readAt = rv.core.now
+		for i := range rv.core.state.Partitions {
 			if l.staleShards[i] {
 				l.staleShards[i] = false
 				l.replica.ResolveConflict(i)
 			}
-			n.writeLedgerShard(i, readStarted)
+			rv.writeLedgerShard(i, readStarted)
 		}
 	})
 }
@@ -441,7 +451,7 @@
 
 // expireRequests tells who has waited for too long.
 func (l *reservationLedger) expireRequests(n *Controller) {
-	deadline := n.now.Add(-ledgerRequestTimeout)
+	deadline := n.core.now.Add(-ledgerRequestTimeout)
 	var expired []*reservation.PendingRequest
 	if l.replica != nil {
 		expired = l.replica.RemoveTimedOut(deadline)
@@ -456,16 +466,16 @@
 
 // resumeAfter has the reading go on after a pause.
 func (l *reservationLedger) resumeAfter(n *Controller, pause time.Duration, next func()) {
-	l.busy, l.resumeLoad, l.nextReadAt = false, next, n.now.Add(pause)
+	l.busy, l.resumeLoad, l.nextReadAt = false, next, n.core.now.Add(pause)
 }
 
 // loadLedgerPage reads all of the ledger, page by page, then what changed since the first: pages are
 // of different revisions.
-func (n *Controller) loadLedgerPage(start string, from api.Revision) {
-	l := &n.reservationLedger
-	n.callStore(StoreCall{Page: &PageRequest{Prefix: reservation.Root, After: start}}, func(a StoreResponse) {
+func (rv *ReservationService) loadLedgerPage(start string, from api.Revision) {
+	l := &rv.reservationLedger
+	rv.core.CallStore(StoreCall{Page: &PageRequest{Prefix: reservation.Root, After: start}}, func(a StoreResponse) {
 		if a.Status != 200 {
-			l.resumeAfter(n, retryDelay, func() { n.loadLedgerPage(start, from) })
+			l.resumeAfter(rv.c, retryDelay, func() { rv.loadLedgerPage(start, from) })
 			return
 		}
 		if from == 0 {
@@ -473,22 +483,22 @@
 		}
 		l.loadedPairs = append(l.loadedPairs, a.Page.Pairs...)
 		if k := len(a.Page.Pairs); a.Page.More && k > 0 {
-			l.resumeAfter(n, n.pageReadInterval(), func() { n.loadLedgerPage(a.Page.Pairs[k-1].Key, from) })
+			l.resumeAfter(rv.c, rv.c.follower.PageReadInterval(), func() { rv.loadLedgerPage(a.Page.Pairs[k-1].Key, from) })
 			return
 		}
-		n.finishLedgerLoad(from)
+		rv.finishLedgerLoad(from)
 	})
 }
 
-func (n *Controller) finishLedgerLoad(from api.Revision) {
-	l := &n.reservationLedger
-	n.callStore(StoreCall{Changes: &ChangesRequest{Since: from, Prefix: reservation.Root}}, func(a StoreResponse) {
+func (rv *ReservationService) finishLedgerLoad(from api.Revision) {
+	l := &rv.reservationLedger
+	rv.core.CallStore(StoreCall{Changes: &ChangesRequest{Since: from, Prefix: reservation.Root}}, func(a StoreResponse) {
 		if a.Status == 410 { // it took too long
-			l.resumeAfter(n, retryDelay, nil)
+			l.resumeAfter(rv.c, retryDelay, nil)
 			return
 		}
 		if a.Status != 200 {
-			l.resumeAfter(n, retryDelay, func() { n.finishLedgerLoad(from) })
+			l.resumeAfter(rv.c, retryDelay, func() { rv.finishLedgerLoad(from) })
 			return
 		}
 		latest := map[string]api.KeyValue{}
@@ -504,16 +514,16 @@
 		for _, key := range slices.Sorted(maps.Keys(latest)) {
 			pairs = append(pairs, latest[key])
 		}
-		limits := n.config.Deployment.State
-		replica := reservation.NewLedger(fmt.Sprintf("%s-%d", n.config.Label, n.incarnation), len(n.state.Partitions), n.maxClockError(),
+		limits := rv.core.config.Deployment.State
+		replica := reservation.NewLedger(fmt.Sprintf("%s-%d", rv.core.config.Label, rv.core.incarnation), len(rv.core.state.Partitions), rv.c.tenancy.MaxClockError(),
 			reservation.Limits{MaxValueBytes: int(limits.ValueKB*1024) - 512, MaxPuts: limits.TxnOps})
 		if err := replica.Load(pairs, a.Changes.Revision); err != nil {
 			slog.Error("reservation ledger load failed", "err", err)
-			l.resumeAfter(n, time.Second, nil)
+			l.resumeAfter(rv.c, time.Second, nil)
 			return
 		}
-		l.resumeAfter(n, 0, nil)
-		l.replica, l.loadedPairs, l.staleShards = replica, nil, make([]bool, len(n.state.Partitions))
+		l.resumeAfter(rv.c, 0, nil)
+		l.replica, l.loadedPairs, l.staleShards = replica, nil, make([]bool, len(rv.core.state.Partitions))
 		for _, request := range l.pendingRequests {
 			replica.Enqueue(request)
 		}
@@ -523,45 +533,45 @@
 }
 
 // writeLedgerShard writes a shard's next record, if there is one and the writes for it.
-func (n *Controller) writeLedgerShard(shard int, readAt api.Time) {
-	l := &n.reservationLedger
-	rate := ledgerWriteShare * n.config.Deployment.State.WriteRPS / float64(max(1, len(n.state.Members)))
-	l.writeTokens = min(max(rate, float64(n.config.Deployment.State.TxnOps)), l.writeTokens+rate*n.now.Sub(l.writeTokensAt).Seconds())
-	l.writeTokensAt = n.now
+func (rv *ReservationService) writeLedgerShard(shard int, readAt api.Time) {
+	l := &rv.reservationLedger
+	rate := ledgerWriteShare * rv.core.config.Deployment.State.WriteRPS / float64(max(1, len(rv.core.state.Members)))
+	l.writeTokens = min(max(rate, float64(rv.core.config.Deployment.State.TxnOps)), l.writeTokens+rate*rv.core.now.Sub(l.writeTokensAt).Seconds())
+	l.writeTokensAt = rv.core.now
 	if l.writeTokens < 1 || !l.replica.Idle(shard) {
 		return
 	}
-	tx := l.replica.Compose(shard, n.wallClock, readAt)
+	tx := l.replica.Compose(shard, rv.core.wallClock, readAt)
 	if tx == nil {
 		return
 	}
 	l.writeTokens -= float64(len(tx.Writes))
-	l.wroteAt = n.now
-	n.sendLedgerWrite(l.replica, shard, *tx)
+	l.wroteAt = rv.core.now
+	rv.sendLedgerWrite(l.replica, shard, *tx)
 }
 
 // sweepReservationArchive deletes what has been kept in the archive for long enough, the oldest first. The
 // owner of part 0 does.
-func (n *Controller) sweepReservationArchive() {
-	l, owned := &n.reservationLedger, n.partitions[0]
-	if owned == nil || l.sweeping || n.now.Sub(l.sweptAt) < ledgerSweepInterval || n.overloaded() {
+func (rv *ReservationService) sweepReservationArchive() {
+	l, owned := &rv.reservationLedger, rv.c.scheduler.partitions[0]
+	if owned == nil || l.sweeping || rv.core.now.Sub(l.sweptAt) < ledgerSweepInterval || rv.core.Overloaded() {
 		return
 	}
-	l.sweptAt, l.sweeping = n.now, true
-	n.sweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { l.sweeping = false })
+	l.sweptAt, l.sweeping = rv.core.now, true
+	rv.c.tenancy.SweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { l.sweeping = false })
 }
 
 // sendLedgerWrite sends a record until its outcome is known.
-func (n *Controller) sendLedgerWrite(replica *reservation.Ledger, shard int, tx api.Txn) {
-	n.callStoreTxn(tx, func(a StoreResponse) {
-		if n.reservationLedger.replica != replica {
+func (rv *ReservationService) sendLedgerWrite(replica *reservation.Ledger, shard int, tx api.Txn) {
+	rv.core.CallStoreTxn(tx, func(a StoreResponse) {
+		if rv.reservationLedger.replica != replica {
 			return // read anew meanwhile: names tell what became of it
 		}
 		switch replica.HandleOutcome(shard, a.Status, a.Txn.Revision) {
 		case reservation.StepRead:
-			n.reservationLedger.staleShards[shard] = true
+			rv.reservationLedger.staleShards[shard] = true
 		case reservation.StepRetry:
-			n.deferCall(func() { n.sendLedgerWrite(replica, shard, tx) })
+			rv.core.DeferCall(func() { rv.sendLedgerWrite(replica, shard, tx) })
 		}
 	})
 }
--- a/controller/resultlookup.go
+++ b/controller/resultlookup.go
@@ -30,14 +30,14 @@
 // maxPendingLookups bounds the questions that stay though nobody waits for them any more.
 const maxPendingLookups = 10_000
 
-// sendResultLookup sends the next request for final states. Who has waited for as long as users do is
+// SendResultLookup sends the next request for final states. Who has waited for as long as users do is
 // told to ask again; the question stays until it is answered, so that the next time it is
 // known. So each is answered within one turn of the queue, whatever else is asked.
-func (n *Controller) sendResultLookup() {
-	lookups := &n.resultLookups
+func (js *JobService) SendResultLookup() {
+	lookups := &js.resultLookups
 	var late []api.JobID
 	for ref, waiters := range lookups.waiters {
-		if n.now.Sub(waiters[0].since) > storeTimeout {
+		if js.core.now.Sub(waiters[0].since) > storeTimeout {
 			late = append(late, ref)
 		}
 	}
@@ -45,7 +45,7 @@
 	for _, ref := range late {
 		waiters := lookups.waiters[ref]
 		k := 0
-		for ; k < len(waiters) && n.now.Sub(waiters[k].since) > storeTimeout; k++ {
+		for ; k < len(waiters) && js.core.now.Sub(waiters[k].since) > storeTimeout; k++ {
 			waiters[k].fail()
 		}
 		if lookups.waiters[ref] = waiters[k:]; k == len(waiters) {
@@ -55,19 +55,19 @@
 			}
 		}
 	}
-	if lookups.inFlight || n.now < lookups.nextAt {
+	if lookups.inFlight || js.core.now < lookups.nextAt {
 		return
 	}
 	query, ok := lookups.queue.Next()
 	if !ok {
 		return
 	}
-	lookups.inFlight, lookups.nextAt = true, n.now.Add(n.lookupInterval)
+	lookups.inFlight, lookups.nextAt = true, js.core.now.Add(js.core.lookupInterval)
 	call := StoreCall{Get: clusterstate.KeyJobResult + string(query.JobID)}
 	if query.JobID == "" {
 		call = StoreCall{Page: &PageRequest{Prefix: clusterstate.KeyJobResult, After: clusterstate.KeyJobResult + query.After, Limit: jobresult.PageSize}}
 	}
-	n.callStore(call, func(a StoreResponse) {
+	js.core.CallStore(call, func(a StoreResponse) {
 		lookups.inFlight = false
 		switch {
 		case query.JobID != "" && (a.Status == 200 || a.Status == 404):
@@ -76,7 +76,7 @@
 				return
 			}
 			if f, ok := lookups.queue.HandleSingle(query, s); ok {
-				n.deliverResult(f)
+				js.deliverResult(f)
 			}
 		case query.JobID == "" && a.Status == 200:
 			var states []jobresult.Result
@@ -88,7 +88,7 @@
 				states = append(states, f)
 			}
 			for _, f := range lookups.queue.HandlePage(query, states, a.Page.More) {
-				n.deliverResult(f)
+				js.deliverResult(f)
 			}
 		}
 	})
@@ -96,13 +96,13 @@
 
 // deliverResult answers who waits for a job's final state: that there is none only those who had asked
 // when it was read. The others may ask after the job's end, and were told of it by another node.
-func (n *Controller) deliverResult(result jobresult.Result) {
-	waiters := n.resultLookups.waiters[result.JobID]
-	delete(n.resultLookups.waiters, result.JobID)
+func (js *JobService) deliverResult(result jobresult.Result) {
+	waiters := js.resultLookups.waiters[result.JobID]
+	delete(js.resultLookups.waiters, result.JobID)
 	if result.State != "" {
-		n.state.SetJobResult(result.JobID, result.State)
+		js.core.state.SetJobResult(result.JobID, result.State)
 	} else if k := slices.IndexFunc(waiters, func(w resultWaiter) bool { return w.sequence > result.MaxSeq }); k >= 0 {
-		n.resultLookups.waiters[result.JobID], waiters = waiters[k:], waiters[:k]
+		js.resultLookups.waiters[result.JobID], waiters = waiters[k:], waiters[:k]
 	}
 	for _, w := range waiters {
 		if result.State != "" {
@@ -112,3 +112,9 @@
 		}
 	}
 }
+
+func newJobService(c *Controller) *JobService {
+	js := &JobService{core: c.core, c: c}
+	js.resultLookups.waiters = map[api.JobID][]resultWaiter{}
+	return js
+}
--- a/controller/roundrate.go
+++ b/controller/roundrate.go
@@ -25,15 +25,15 @@
 	backoffRecovery = 10 * time.Second
 )
 
-// observeRounds notes which partitions write rounds.
-func (n *Controller) observeRounds() {
-	p := &n.roundRate
+// ObserveRounds notes which partitions write rounds.
+func (rs *RoundScheduler) ObserveRounds() {
+	p := &rs.roundRate
 	if p.lastSequence == nil {
-		p.lastSequence, p.observedAt = make([]uint64, len(n.state.Partitions)), make([]api.Time, len(n.state.Partitions))
+		p.lastSequence, p.observedAt = make([]uint64, len(rs.core.state.Partitions)), make([]api.Time, len(rs.core.state.Partitions))
 	}
-	for i := range n.state.Partitions {
-		if seq := n.state.Partitions[i].RoundSeq; seq != p.lastSequence[i] {
-			p.lastSequence[i], p.observedAt[i] = seq, n.now
+	for i := range rs.core.state.Partitions {
+		if seq := rs.core.state.Partitions[i].RoundSeq; seq != p.lastSequence[i] {
+			p.lastSequence[i], p.observedAt[i] = seq, rs.core.now
 		}
 	}
 }
@@ -41,22 +41,22 @@
 // currentRoundInterval is the time between two rounds of a partition, as of now. It reckons with as many that
 // write as there are relays at least: some that begin at the same moment are within the limit, and
 // with no more partitions than that nothing depends on who writes.
-func (n *Controller) currentRoundInterval() time.Duration {
+func (rs *RoundScheduler) currentRoundInterval() time.Duration {
 	active := 0
-	for _, at := range n.roundRate.observedAt {
-		if at != 0 && n.now.Sub(at) <= activeWindow {
+	for _, at := range rs.roundRate.observedAt {
+		if at != 0 && rs.core.now.Sub(at) <= activeWindow {
 			active++
 		}
 	}
-	partitionCount := len(n.state.Partitions)
-	shared := n.roundInterval * time.Duration(min(partitionCount, max(active, n.maxRelays))) / time.Duration(partitionCount)
-	shared = max(shared, min(n.roundInterval, minRoundInterval))
-	if n.roundRate.refusedAt == 0 {
+	partitionCount := len(rs.core.state.Partitions)
+	shared := rs.core.roundInterval * time.Duration(min(partitionCount, max(active, rs.core.maxRelays))) / time.Duration(partitionCount)
+	shared = max(shared, min(rs.core.roundInterval, minRoundInterval))
+	if rs.roundRate.refusedAt == 0 {
 		return shared
 	}
-	recovered := min(1, max(0, float64(n.now.Sub(n.roundRate.refusedAt)-backoffHold)/float64(backoffRecovery)))
-	return n.roundInterval - time.Duration(recovered*float64(n.roundInterval-shared))
+	recovered := min(1, max(0, float64(rs.core.now.Sub(rs.roundRate.refusedAt)-backoffHold)/float64(backoffRecovery)))
+	return rs.core.roundInterval - time.Duration(recovered*float64(rs.core.roundInterval-shared))
 }
 
 // backOffRounds notes that the state service refused a round for its limits.
-func (n *Controller) backOffRounds() { n.roundRate.refusedAt = n.now }
+func (rs *RoundScheduler) backOffRounds() { rs.roundRate.refusedAt = rs.core.now }
--- a/controller/roundrate_test.go
+++ b/controller/roundrate_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	n := New(c, 1)
-	n.now = 1
+	n.core.now = 1
 	return n
 }
 
@@ -36,24 +36,24 @@
 	for _, all := range []int{1, 3, 7, 23} {
 		for active := range all + 1 {
 			n := manyControllers(t, all)
-			n.observeRounds()
-			n.now = n.now.Add(time.Minute)
+			n.scheduler.ObserveRounds()
+			n.core.now = n.core.now.Add(time.Minute)
 			for i := range active {
-				n.state.Partitions[i].RoundSeq++
+				n.core.state.Partitions[i].RoundSeq++
 			}
-			n.observeRounds()
-			pause := n.currentRoundInterval()
+			n.scheduler.ObserveRounds()
+			pause := n.scheduler.currentRoundInterval()
 			if rate := float64(active) / pause.Seconds(); rate > 1.001*0.5*50 {
 				t.Errorf("%d of %d partitions write %.1f rounds a second", active, all, rate)
 			}
-			if all <= n.maxRelays && pause != n.roundInterval {
-				t.Errorf("%d of %d: %v, expected %v", active, all, pause, n.roundInterval)
+			if all <= n.core.maxRelays && pause != n.core.roundInterval {
+				t.Errorf("%d of %d: %v, expected %v", active, all, pause, n.core.roundInterval)
 			}
-			if active <= n.maxRelays && all > n.maxRelays && pause >= n.roundInterval {
+			if active <= n.core.maxRelays && all > n.core.maxRelays && pause >= n.core.roundInterval {
 				t.Errorf("%d of %d: %v, as if all wrote", active, all, pause)
 			}
-			n.now = n.now.Add(2 * activeWindow)
-			if n.observeRounds(); n.currentRoundInterval() > pause {
+			n.core.now = n.core.now.Add(2 * activeWindow)
+			if n.scheduler.ObserveRounds(); n.scheduler.currentRoundInterval() > pause {
 				t.Errorf("%d of %d: slower once they are idle", active, all)
 			}
 		}
@@ -63,16 +63,16 @@
 // A refusal makes rounds as rare as if all partitions wrote, at once, and they come back slowly.
 func TestRefusalBacksOffRounds(t *testing.T) {
 	n := manyControllers(t, 23)
-	n.observeRounds()
-	fast := n.currentRoundInterval()
-	n.backOffRounds()
-	if got := n.currentRoundInterval(); got != n.roundInterval || got <= fast {
+	n.scheduler.ObserveRounds()
+	fast := n.scheduler.currentRoundInterval()
+	n.scheduler.backOffRounds()
+	if got := n.scheduler.currentRoundInterval(); got != n.core.roundInterval || got <= fast {
 		t.Errorf("%v after a refusal, %v before", got, fast)
 	}
-	last := n.currentRoundInterval()
+	last := n.scheduler.currentRoundInterval()
 	for range 20 {
-		n.now = n.now.Add(time.Second)
-		if got := n.currentRoundInterval(); got > last {
+		n.core.now = n.core.now.Add(time.Second)
+		if got := n.scheduler.currentRoundInterval(); got > last {
 			t.Errorf("slower by itself: %v after %v", got, last)
 		} else {
 			last = got
@@ -87,44 +87,44 @@
 // them, and through another when that fails; of three all read for themselves.
 func TestRelaySelection(t *testing.T) {
 	n := manyControllers(t, 3)
-	if n.usesRelays() || n.nextRelay() != "" {
+	if n.follower.UsesRelays() || n.follower.NextRelay() != "" {
 		t.Error("one of three reads through another")
 	}
 	n = manyControllers(t, 23)
-	for _, l := range n.controllers {
-		n.state.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatTransfers}
+	for _, l := range n.core.controllers {
+		n.core.state.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatTransfers}
 	}
-	if gap := n.logReadInterval(); n.usesRelays() || gap != n.directReadInterval/2 {
+	if gap := n.follower.logReadInterval(); n.follower.UsesRelays() || gap != n.core.directReadInterval/2 {
 		t.Errorf("relays, read every %v, though no other controller knows of them", gap)
 	}
-	for _, l := range n.controllers {
-		n.state.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatRelays}
+	for _, l := range n.core.controllers {
+		n.core.state.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatRelays}
 	}
-	if gap := n.logReadInterval(); !n.usesRelays() || gap != n.readInterval {
+	if gap := n.follower.logReadInterval(); !n.follower.UsesRelays() || gap != n.core.readInterval {
 		t.Errorf("no relays, read every %v, though all know of them", gap)
 	}
-	n.state.Members[n.controllers[3]] = clusterstate.MemberValue{}
-	if n.usesRelays() {
+	n.core.state.Members[n.core.controllers[3]] = clusterstate.MemberValue{}
+	if n.follower.UsesRelays() {
 		t.Error("relays beside a controller of an older version")
 	}
-	delete(n.state.Members, n.controllers[3])
-	relays := n.currentRelays()
-	if len(relays) != n.maxRelays || !n.usesRelays() || isRelay(relays, n.controllers[3]) {
+	delete(n.core.state.Members, n.core.controllers[3])
+	relays := n.follower.CurrentRelays()
+	if len(relays) != n.core.maxRelays || !n.follower.UsesRelays() || isRelay(relays, n.core.controllers[3]) {
 		t.Fatalf("%d relays", len(relays))
 	}
-	if isRelay(relays, n.config.Label) {
+	if isRelay(relays, n.core.config.Label) {
 		t.Fatal("the test needs names with which we are no relay")
 	}
 	asked := map[api.ControllerID]bool{}
 	for range relays {
-		via := n.nextRelay()
+		via := n.follower.NextRelay()
 		if via == "" || asked[via] || !isRelay(relays, via) {
 			t.Fatalf("asks %q after %v", via, asked)
 		}
 		asked[via] = true
-		n.relayLink.MarkFailed(via, n.now)
+		n.follower.relayLink.MarkFailed(via, n.core.now)
 	}
-	if via := n.nextRelay(); via != "" {
+	if via := n.follower.NextRelay(); via != "" {
 		t.Errorf("asks %s, which has failed", via)
 	}
 }
--- a/controller/safety_test.go
+++ b/controller/safety_test.go
@@ -24,30 +24,30 @@
 		t.Fatal(err)
 	}
 	n := New(cfg, 1)
-	n.now, n.loaded = api.Time(time.Minute), true
-	n.addMachineTypes([]api.MachineType{{Name: "c8", CPUs: 8, MemGB: 32, Zones: []api.Zone{"a", "b"}}})
+	n.core.now, n.core.loaded = api.Time(time.Minute), true
+	n.core.AddMachineTypes([]api.MachineType{{Name: "c8", CPUs: 8, MemGB: 32, Zones: []api.Zone{"a", "b"}}})
 	for key, v := range map[string]any{clusterstate.KeyPartition + "0": clusterstate.PartitionValue{Owner: "n"}, clusterstate.KeyJob + string(spec.Ref): clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}}} {
 		data, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := n.state.Put(key, data, 7); err != nil {
+		if err := n.core.state.Put(key, data, 7); err != nil {
 			t.Fatal(err)
 		}
 	}
-	n.beginOwnership(0, 7)
-	m := n.ensureMachine("i-000000")
-	m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.now, 1, 7
-	return n, n.partitions[0], m, n.state.Jobs[spec.Ref]
+	n.scheduler.BeginOwnership(0, 7)
+	m := n.agents.EnsureMachine("i-000000")
+	m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.core.now, 1, 7
+	return n, n.scheduler.partitions[0], m, n.core.state.Jobs[spec.Ref]
 }
 
 // A deposed owner's late round must not be written even into a slot that nobody
 // has used since: the term alone says so then.
 func TestRoundIsConditionalOnTerm(t *testing.T) {
 	n, owned, _, _ := newTestOwner(t, testSpec(2))
-	n.runPartition(owned)
+	n.scheduler.RunPartition(owned)
 	want := api.Condition{Key: clusterstate.KeyPartition + "0", Version: 7}
-	for _, e := range n.effects {
+	for _, e := range n.core.effects {
 		if c, ok := e.(StoreCall); ok && c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
 			if !slices.Contains(c.Txn.If, want) {
 				t.Errorf("the round is written on %v, without %v", c.Txn.If, want)
@@ -55,7 +55,7 @@
 			return
 		}
 	}
-	t.Errorf("no round is written: %v", n.effects)
+	t.Errorf("no round is written: %v", n.core.effects)
 }
 
 // Forgetting an attempt while a command that starts it may still arrive would let
@@ -65,7 +65,7 @@
 	k := attemptKey{api.TaskID{Job: "run-9", Index: 0}, 3}
 	m.reportedTasks[k] = api.TaskStatus{Task: k.task.String(), Attempt: 3, State: api.TaskExited}
 	forgets := func() bool {
-		return slices.ContainsFunc(n.commandsFor(m, owned), func(command api.Command) bool { return command.Op == api.OpReap })
+		return slices.ContainsFunc(n.agents.commandsFor(m, owned), func(command api.Command) bool { return command.Op == api.OpReap })
 	}
 	if !forgets() {
 		t.Error("an attempt that is over and recorded is not forgotten")
@@ -86,8 +86,8 @@
 		spec := testSpec(4)
 		spec.Spread = bound
 		n, owned, _, j := newTestOwner(t, spec)
-		n.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: 0}, Machine: "i-000009", Epoch: 1, Attempt: 1, Job: j})
-		round := n.planRound(owned)
+		n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: 0}, Machine: "i-000009", Epoch: 1, Attempt: 1, Job: j})
+		round := n.scheduler.planRound(owned)
 		if got := len(round.starts) > 0; got == bound {
 			t.Errorf("spread %v, a place in an unknown zone: %d starts", bound, len(round.starts))
 		}
@@ -101,15 +101,15 @@
 	spec.CPUs = 0.001
 	n, owned, _, j := newTestOwner(t, spec)
 	for i := range 1200 {
-		m := n.ensureMachine(api.MachineID(fmt.Sprintf("i-%06d", i)))
-		m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.now, 1, 7
+		m := n.agents.EnsureMachine(api.MachineID(fmt.Sprintf("i-%06d", i)))
+		m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.core.now, 1, 7
 		p := &Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j}
-		n.state.AddPlacement(p)
-		n.recordTaskEnd(owned, p, i%2 == 0, "test")
+		n.core.state.AddPlacement(p)
+		n.scheduler.RecordTaskEnd(owned, p, i%2 == 0, "test")
 	}
 	rounds := 0
 	for ; len(owned.pendingEnds) > 0 && rounds < 100; rounds++ {
-		round := n.planRound(owned)
+		round := n.scheduler.planRound(owned)
 		body, err := json.Marshal(round.record)
 		if err != nil || len(body) > 8<<10 {
 			t.Fatalf("a record of %d bytes: %v", len(body), err)
@@ -117,7 +117,7 @@
 		if len(round.ends)+len(round.starts) == 0 {
 			t.Fatal("a round that does nothing while there is work")
 		}
-		n.state.ApplyRecord(0, &round.record)
+		n.core.state.ApplyRecord(0, &round.record)
 	}
 	if rounds > 20 {
 		t.Errorf("%d rounds for 1200 ends", rounds)
@@ -137,8 +137,8 @@
 		spec := *j.Spec
 		spec.Deadline = &c.deadline
 		j.Spec = &spec
-		n.wallClock = j.AcceptedAt + api.WallTime(c.elapsed*1000)
-		if risk := n.spotRisk(j); (risk >= 0.5) != c.off || !c.off && risk > 0.1 {
+		n.core.wallClock = j.AcceptedAt + api.WallTime(c.elapsed*1000)
+		if risk := n.scheduler.SpotRisk(j); (risk >= 0.5) != c.off || !c.off && risk > 0.1 {
 			t.Errorf("deadline %v s, %v s gone, runs 100 s: risk %.2f", c.deadline, c.elapsed, risk)
 		}
 	}
--- a/controller/submit_test.go
+++ b/controller/submit_test.go
@@ -27,7 +27,7 @@
 
 // replyTo is what a request was answered, status 0 if it was not.
 func replyTo(n *Controller, req ReqID) (status int, body string) {
-	for _, e := range n.effects {
+	for _, e := range n.core.effects {
 		if r, ok := e.(Reply); ok && r.Req == req {
 			return r.Status, string(r.Body)
 		}
@@ -38,10 +38,10 @@
 // answerRead answers the node's current read with changes.
 func answerRead(t *testing.T, n *Controller, log ...api.Change) {
 	t.Helper()
-	n.nextReadAt = 0
-	n.followLog()
-	for _, e := range n.effects {
-		if c, ok := e.(StoreCall); ok && c.Changes != nil && c.Changes.Wait == 0 && n.pendingCalls[c.ID] != nil {
+	n.follower.nextReadAt = 0
+	n.follower.FollowLog()
+	for _, e := range n.core.effects {
+		if c, ok := e.(StoreCall); ok && c.Changes != nil && c.Changes.Wait == 0 && n.core.pendingCalls[c.ID] != nil {
 			n.dispatch(StoreResponse{ID: c.ID, Status: 200, Changes: api.Changes{Revision: 99, Log: log}})
 			return
 		}
@@ -68,9 +68,9 @@
 	} {
 		for _, accepted := range []bool{true, false} {
 			n, _, _, _ := newTestOwner(t, testSpec(1))
-			n.storeHealthy = true
+			n.core.storeHealthy = true
 			body := submission(t, tc.change)
-			n.submit(Submit{Req: 1, Body: body})
+			n.jobs.Submit(Submit{Req: 1, Body: body})
 			if status, _ := replyTo(n, 1); status != 0 {
 				t.Errorf("%s: answered %d before anything was read", what, status)
 				continue
@@ -89,8 +89,8 @@
 			}
 			answerRead(t, n, log...)
 			if !accepted { // it is in no book: its final state is looked for
-				n.sendResultLookup()
-				for _, e := range n.effects {
+				n.jobs.SendResultLookup()
+				for _, e := range n.core.effects {
 					if c, ok := e.(StoreCall); ok && c.Get != "" {
 						n.dispatch(StoreResponse{ID: c.ID, Status: 404})
 					}
@@ -109,16 +109,16 @@
 // been read anew since.
 func TestResultReadAfterQuery(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
-	n.storeHealthy = true
+	n.core.storeHealthy = true
 	ask := func(req ReqID) {
-		n.poll(Poll{Req: req, Ref: "run-9"})
+		n.jobs.Poll(Poll{Req: req, Ref: "run-9"})
 		answerRead(t, n)
 	}
 	answer := func(status int, state string) {
-		n.resultLookups.nextAt = 0
-		n.sendResultLookup()
-		for _, e := range n.effects {
-			if c, ok := e.(StoreCall); ok && c.Get != "" && n.pendingCalls[c.ID] != nil {
+		n.jobs.resultLookups.nextAt = 0
+		n.jobs.SendResultLookup()
+		for _, e := range n.core.effects {
+			if c, ok := e.(StoreCall); ok && c.Get != "" && n.core.pendingCalls[c.ID] != nil {
 				n.dispatch(StoreResponse{ID: c.ID, Status: status, Pair: api.KeyValue{Value: json.RawMessage(state)}})
 				return
 			}
@@ -126,8 +126,8 @@
 		t.Fatal("no final state is looked for")
 	}
 	ask(1)
-	n.resultLookups.nextAt = 0
-	n.sendResultLookup() // its request is on its way
+	n.jobs.resultLookups.nextAt = 0
+	n.jobs.SendResultLookup() // its request is on its way
 	ask(2)
 	answer(404, "")
 	if first, _ := replyTo(n, 1); first != 404 {
--- a/controller/tenantadmin.go
+++ b/controller/tenantadmin.go
@@ -66,34 +66,34 @@
 	return v
 }
 
-func (n *Controller) handleTenantRequest(c AdminRequest) error {
+func (ts *TenantService) HandleTenantRequest(c AdminRequest) error {
 	if c.What == "tenants" {
 		out := []TenantView{}
-		for _, name := range n.hosted.tenants.Names() {
-			out = append(out, viewTenant(n.hosted.tenants.Get(name), n.countTenant(name)))
+		for _, name := range ts.hosted.tenants.Names() {
+			out = append(out, viewTenant(ts.hosted.tenants.Get(name), ts.countTenant(name)))
 		}
-		n.reply(c.Req, 200, out, 0)
+		ts.core.Reply(c.Req, 200, out, 0)
 		return nil
 	}
 	name := tenant.Name(c.ID)
-	entry := n.hosted.tenants.Get(name)
+	entry := ts.hosted.tenants.Get(name)
 	if entry == nil && c.What != "tenant-put" {
 		return &tenant.Error{Status: 404, Field: "name", Reason: "there is no tenant " + c.ID}
 	}
 	switch c.What {
 	case "tenant":
-		n.readKeyUses(c, name, func(lastUsed map[tenant.KeyID]api.WallTime) {
-			v := viewTenant(entry, n.countTenant(name))
+		ts.readKeyUses(c, name, func(lastUsed map[tenant.KeyID]api.WallTime) {
+			v := viewTenant(entry, ts.countTenant(name))
 			for i := range v.Keys {
 				v.Keys[i].LastUsed = lastUsed[v.Keys[i].ID]
 			}
-			n.reply(c.Req, 200, v, 0)
+			ts.core.Reply(c.Req, 200, v, 0)
 		})
 		return nil
 	case "usage":
-		v := n.viewUsage(entry)
-		v.Controller, v.Submissions = n.config.Label, n.hosted.submissions[name]
-		n.reply(c.Req, 200, v, 0)
+		v := ts.viewUsage(entry)
+		v.Controller, v.Submissions = ts.core.config.Label, ts.hosted.submissions[name]
+		ts.core.Reply(c.Req, 200, v, 0)
 		return nil
 	}
 	var request tenantRequest
@@ -104,12 +104,12 @@
 	if entry != nil {
 		old = entry.Tenant
 	}
-	updated, secret, err := n.applyTenantChange(c, old, request, n.countTenant(name).jobs)
+	updated, secret, err := ts.applyTenantChange(c, old, request, ts.countTenant(name).jobs)
 	if err != nil {
 		return err
 	}
 	if entry != nil && reflect.DeepEqual(updated, old) {
-		n.reply(c.Req, 200, viewTenant(entry, n.countTenant(name)), 0) // it is so already: asked again, perhaps
+		ts.core.Reply(c.Req, 200, viewTenant(entry, ts.countTenant(name)), 0) // it is so already: asked again, perhaps
 		return nil
 	}
 	var revision api.Revision
@@ -123,16 +123,16 @@
 		return err
 	}
 	for _, team := range updated.Teams {
-		if _, known := n.teams[team]; !known {
+		if _, known := ts.core.teams[team]; !known {
 			return &tenant.Error{Status: 422, Field: "teams", Reason: "there is no team " + string(team)}
 		}
 	}
-	n.commitTenantChange(c, updated, entry, secret)
+	ts.commitTenantChange(c, updated, entry, secret)
 	return nil
 }
 
 // applyTenantChange is a tenant, who has so many jobs, after an act.
-func (n *Controller) applyTenantChange(c AdminRequest, t tenant.Tenant, request tenantRequest, openJobs int) (tenant.Tenant, *NewKeyView, error) {
+func (ts *TenantService) applyTenantChange(c AdminRequest, t tenant.Tenant, request tenantRequest, openJobs int) (tenant.Tenant, *NewKeyView, error) {
 	var err error
 	switch c.What {
 	case "tenant-put":
@@ -145,7 +145,7 @@
 		t.Display, t.Teams, t.Rate, t.Burst = request.Display, request.Teams, request.Rate, request.Burst
 		t.OpenJobs, t.Networks, t.Retention = request.OpenJobs, request.Networks, request.Retention
 	case "suspend":
-		t, err = t.Suspend(request.Why, request.Drain, n.wallClock)
+		t, err = t.Suspend(request.Why, request.Drain, ts.core.wallClock)
 	case "resume":
 		t, err = t.Resume()
 	case "remove":
@@ -154,7 +154,7 @@
 		if slices.ContainsFunc(t.Keys, func(k tenant.Key) bool { return k.Name == request.Name }) {
 			return t, nil, &tenant.Error{Status: 409, Field: "name", Reason: "there is a key of that name; its secret is not shown again"}
 		}
-		k, secret, err := n.newKey(c, request.Name, request.Expires)
+		k, secret, err := ts.newKey(c, request.Name, request.Expires)
 		if err != nil {
 			return t, nil, err
 		}
@@ -171,36 +171,36 @@
 
 // commitTenantChange writes a change and answers. With what holds a tenant's work the gate is
 // written, at the version that was read with it.
-func (n *Controller) commitTenantChange(c AdminRequest, updated tenant.Tenant, old *tenant.Entry, secret *NewKeyView) {
+func (ts *TenantService) commitTenantChange(c AdminRequest, updated tenant.Tenant, old *tenant.Entry, secret *NewKeyView) {
 	var previous tenant.Tenant
 	if old != nil {
 		previous = old.Tenant
 	}
-	extraWrites := []api.Write{n.auditWrite(c, "tenant "+string(updated.Name), tenantAuditView(previous), tenantAuditView(updated))}
+	extraWrites := []api.Write{ts.AuditWrite(c, "tenant "+string(updated.Name), tenantAuditView(previous), tenantAuditView(updated))}
 	if c.What == "suspend" {
 		v, _ := json.Marshal(updated.Name)
 		extraWrites = append(extraWrites, api.Write{Put: keyGate, Value: v})
 	}
-	n.writeTenant(updated, old, extraWrites, func(status int, rev api.Revision) {
+	ts.writeTenant(updated, old, extraWrites, func(status int, rev api.Revision) {
 		switch status {
 		case 200:
-			slog.Info("tenant changed", "tenant", updated.Name, "by", c.What, "key", c.keyID, "from", n.clientAddr(c.Caller), "state", updated.State, "revision", rev)
+			slog.Info("tenant changed", "tenant", updated.Name, "by", c.What, "key", c.keyID, "from", ts.clientAddr(c.Caller), "state", updated.State, "revision", rev)
 		case 400:
-			n.replyError(c.Req, 400, "networks: the record is too large")
+			ts.core.ReplyError(c.Req, 400, "networks: the record is too large")
 			return
 		case 413:
-			n.replyError(c.Req, 400, "teams: too many at once for one transaction")
+			ts.core.ReplyError(c.Req, 400, "teams: too many at once for one transaction")
 			return
 		case 422:
-			n.replyError(c.Req, 422, "teams: one belongs to another tenant")
+			ts.core.ReplyError(c.Req, 422, "teams: one belongs to another tenant")
 			return
 		}
-		n.replyChange(c.Req, status, rev, "the tenant has", func(rev api.Revision) any {
+		ts.ReplyChange(c.Req, status, rev, "the tenant has", func(rev api.Revision) any {
 			if secret != nil {
 				secret.Revision = rev
 				return secret
 			}
-			return viewTenant(&tenant.Entry{Tenant: updated, Revision: rev}, n.countTenant(updated.Name))
+			return viewTenant(&tenant.Entry{Tenant: updated, Revision: rev}, ts.countTenant(updated.Name))
 		})
 	})
 }
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -29,20 +29,20 @@
 // unmetDemandExpiry is when a job that was not seen to lack room since counts as one that begins to.
 const unmetDemandExpiry = 4 * unmetDemandRecheckInterval
 
-// unmetDemandOf describes a job that found no room in its part.
-func (n *Controller) unmetDemandOf(owned *ownedPartition, j *Job, request *sched.Job) UnmetDemand {
-	if j.OwnerState.unmetSince == 0 || n.now.Sub(j.OwnerState.unmetSeenAt) > unmetDemandExpiry {
-		j.OwnerState.unmetSince = n.now
+// UnmetDemandOf describes a job that found no room in its part.
+func (bl *Balancer) UnmetDemandOf(owned *ownedPartition, j *Job, request *sched.Job) UnmetDemand {
+	if j.OwnerState.unmetSince == 0 || bl.core.now.Sub(j.OwnerState.unmetSeenAt) > unmetDemandExpiry {
+		j.OwnerState.unmetSince = bl.core.now
 	}
-	j.OwnerState.unmetSeenAt = n.now
-	demand := UnmetDemand{Spec: j.Spec, Zones: request.PlacedByZone, Zone: n.preferredZone(j.Spec), Stage: request.AgingStage}
+	j.OwnerState.unmetSeenAt = bl.core.now
+	demand := UnmetDemand{Spec: j.Spec, Zones: request.PlacedByZone, Zone: bl.preferredZone(j.Spec), Stage: request.AgingStage}
 	if j.Spec.OneZone {
 		for zone := range request.PlacedByZone {
 			demand.Zone = zone // where its tasks are
 		}
 	}
-	if n.now.Sub(j.OwnerState.unmetSince) > transferWait {
-		demand.Lenders = n.findLenders(owned, j, &demand)
+	if bl.core.now.Sub(j.OwnerState.unmetSince) > transferWait {
+		demand.Lenders = bl.findLenders(owned, j, &demand)
 	}
 	return demand
 }
@@ -50,12 +50,12 @@
 // findLenders are the parts whose machines have most room for a job that finds none in its own,
 // as many as it takes; none if all together have too little, which for a gang is room for less
 // than all of it.
-func (n *Controller) findLenders(owned *ownedPartition, j *Job, demand *UnmetDemand) []api.PartitionID {
-	cpuOnly := n.isCPUOnly(j.Spec)
-	slots := make([]int, len(n.state.Partitions))
+func (bl *Balancer) findLenders(owned *ownedPartition, j *Job, demand *UnmetDemand) []api.PartitionID {
+	cpuOnly := bl.c.scheduler.IsCPUOnly(j.Spec)
+	slots := make([]int, len(bl.core.state.Partitions))
 	var machines []sched.Machine
-	n.eachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
-		if !k.Usable || demand.Zone != "" && k.Zone != demand.Zone || !n.isEligible(j.Spec, cpuOnly, k.Type, k.Zone, k.Spot) || !sched.ZoneFeasible(j.Spec, demand.Zones, k.Zone) {
+	bl.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+		if !k.Usable || demand.Zone != "" && k.Zone != demand.Zone || !bl.c.scheduler.IsEligible(j.Spec, cpuOnly, k.Type, k.Zone, k.Spot) || !sched.ZoneFeasible(j.Spec, demand.Zones, k.Zone) {
 			return
 		}
 		slotsPerMachine := j.Demand.Slots(r.Free)
@@ -89,24 +89,24 @@
 }
 
 // allSupportFormat reports whether every controller has told that it understands a form of records.
-func (n *Controller) allSupportFormat(format int) bool {
-	return !slices.ContainsFunc(n.controllers, func(l api.ControllerID) bool { return n.memberFormats[l] < format })
+func (bl *Balancer) allSupportFormat(format int) bool {
+	return !slices.ContainsFunc(bl.core.controllers, func(l api.ControllerID) bool { return bl.c.membership.memberFormats[l] < format })
 }
 
 // selectTransferMachine is the machine of a part that has room for most of a job's tasks and, of
 // those, holds fewest others; nil if none can be lent with what runs there.
-func (n *Controller) selectTransferMachine(owned *ownedPartition, demand *UnmetDemand, cpuOnly bool) *Machine {
-	if !slices.Contains(demand.Lenders, owned.id) || n.isRecordRingFull(owned) || !n.allSupportFormat(clusterstate.FormatTransfers) {
+func (bl *Balancer) selectTransferMachine(owned *ownedPartition, demand *UnmetDemand, cpuOnly bool) *Machine {
+	if !slices.Contains(demand.Lenders, owned.id) || bl.c.scheduler.IsRecordRingFull(owned) || !bl.allSupportFormat(clusterstate.FormatTransfers) {
 		return nil
 	}
 	var best *Machine
 	bestSlots := 0
-	for _, m := range n.machinesOf(owned.id) {
-		if n.reservedFor(m) != "" || !n.isLendable(m, owned, demand, cpuOnly) || !n.isTransferable(m, owned) {
+	for _, m := range bl.c.agents.MachinesOf(owned.id) {
+		if bl.c.preemptor.ReservedFor(m) != "" || !bl.isLendable(m, owned, demand, cpuOnly) || !bl.isTransferable(m, owned) {
 			continue
 		}
-		slots := min(demand.Spec.Demand().Slots(n.freeCapacityOn(m, owned)), demand.Spec.Tasks)
-		if slots > bestSlots || best != nil && slots == bestSlots && len(n.state.PlacementsOn(m.ID)) < len(n.state.PlacementsOn(best.ID)) {
+		slots := min(demand.Spec.Demand().Slots(bl.c.scheduler.FreeCapacityOn(m, owned)), demand.Spec.Tasks)
+		if slots > bestSlots || best != nil && slots == bestSlots && len(bl.core.state.PlacementsOn(m.ID)) < len(bl.core.state.PlacementsOn(best.ID)) {
 			best, bestSlots = m, slots
 		}
 	}
@@ -116,33 +116,33 @@
 // isTransferable reports whether all that is on a machine can go with it: tasks that are known to
 // have arrived there, are not being stopped, and whose jobs neither hold units of pools nor have
 // to be stopped together.
-func (n *Controller) isTransferable(m *Machine, owned *ownedPartition) bool {
+func (bl *Balancer) isTransferable(m *Machine, owned *ownedPartition) bool {
 	if m.hasUnknownTasks || m.untrackedUsage != (api.Resources{}) || m.uncertainToken != 0 {
 		return false
 	}
 	jobs := map[api.JobID]bool{}
-	for _, p := range n.state.PlacementsOn(m.ID) {
+	for _, p := range bl.core.state.PlacementsOn(m.ID) {
 		s := p.Job.Spec
 		if p.Partition != owned.id || p.Finishing || p.OwnerState.stopRequested || !p.OwnerState.reported || p.Job.Terminal() || s.Kind == api.Gang || len(s.Needs) > 0 {
 			return false
 		}
 		jobs[p.Job.ID] = true
 	}
-	return len(jobs) < n.roundConditionBudget()
+	return len(jobs) < bl.c.scheduler.RoundConditionBudget()
 }
 
 // lendMachineWithTasks lends a machine to another part together with its tasks.
-func (n *Controller) lendMachineWithTasks(owned *ownedPartition, m *Machine, to api.PartitionID, jobID api.JobID) {
+func (bl *Balancer) lendMachineWithTasks(owned *ownedPartition, m *Machine, to api.PartitionID, jobID api.JobID) {
 	key := clusterstate.KeyLoan + string(m.ID)
-	value, err := json.Marshal(clusterstate.LoanValue{Partition: to, Job: jobID, Transferred: true, Tasks: n.state.StartsOn(m.ID)})
-	if err != nil || n.exceedsValueSize(value) {
+	value, err := json.Marshal(clusterstate.LoanValue{Partition: to, Job: jobID, Transferred: true, Tasks: bl.core.state.StartsOn(m.ID)})
+	if err != nil || bl.core.ExceedsValueSize(value) {
 		return
 	}
-	round := &pendingRound{record: clusterstate.Record{Seq: n.state.Partitions[owned.id].RoundSeq + 1}, ends: map[*Placement]bool{}, transfer: true}
-	round.txn.If = []api.Condition{n.state.VersionCondition(key)}
+	round := &pendingRound{record: clusterstate.Record{Seq: bl.core.state.Partitions[owned.id].RoundSeq + 1}, ends: map[*Placement]bool{}, transfer: true}
+	round.txn.If = []api.Condition{bl.core.state.VersionCondition(key)}
 	round.txn.Writes = []api.Write{{Put: key, Value: value}}
 	use := map[api.Team]api.Resources{}
-	for _, p := range n.state.PlacementsOn(m.ID) {
+	for _, p := range bl.core.state.PlacementsOn(m.ID) {
 		team, demand := p.Job.Spec.Team, p.Job.Demand
 		use[team] = use[team].Plus(api.Resources{CPU: demand.CPU, GPU: demand.GPU})
 		c := api.Condition{Key: clusterstate.KeyJob + string(p.Job.ID), Version: p.Job.Version}
@@ -150,17 +150,17 @@
 			round.txn.If = append(round.txn.If, c)
 		}
 	}
-	round.record.QuotaTransfers = n.usedQuotaTransfers(to, use)
-	slog.Info("machine lent with running tasks", "machine", m.ID, "from", owned.id, "to", to, "for", jobID, "tasks", len(n.state.PlacementsOn(m.ID)))
-	n.metrics.MachinesTransferred++
-	n.commitRound(owned, round)
+	round.record.QuotaTransfers = bl.usedQuotaTransfers(to, use)
+	slog.Info("machine lent with running tasks", "machine", m.ID, "from", owned.id, "to", to, "for", jobID, "tasks", len(bl.core.state.PlacementsOn(m.ID)))
+	bl.core.metrics.MachinesTransferred++
+	bl.c.scheduler.CommitRound(owned, round)
 }
 
 // usedQuotaTransfers gives another part what is used of teams' limits, of those that have one.
-func (n *Controller) usedQuotaTransfers(to api.PartitionID, used map[api.Team]api.Resources) []clusterstate.QuotaTransfer {
+func (bl *Balancer) usedQuotaTransfers(to api.PartitionID, used map[api.Team]api.Resources) []clusterstate.QuotaTransfer {
 	var out []clusterstate.QuotaTransfer
 	for team, amount := range used {
-		if amount = n.limitedResources(team, amount); amount != (api.Resources{}) {
+		if amount = bl.limitedResources(team, amount); amount != (api.Resources{}) {
 			out = append(out, clusterstate.QuotaTransfer{To: to, Team: team, Amount: amount})
 		}
 	}
@@ -168,13 +168,13 @@
 	return out
 }
 
-// adoptMachine takes in a machine that was lent to one of our parts with its tasks: it is called as
+// AdoptMachine takes in a machine that was lent to one of our parts with its tasks: it is called as
 // soon as its address is known, so that it learns our token and we learn what became of them.
-func (n *Controller) adoptMachine(id api.MachineID) {
-	m := n.ensureMachine(id)
-	m.discoveredAt, m.missedCalls = n.now, 0
-	if h, ok := n.fleet.listedMachines[id]; ok {
+func (bl *Balancer) AdoptMachine(id api.MachineID) {
+	m := bl.c.agents.EnsureMachine(id)
+	m.discoveredAt, m.missedCalls = bl.core.now, 0
+	if h, ok := bl.c.autoscaler.fleet.listedMachines[id]; ok {
 		m.applyListing(h)
 	}
-	n.contactNow(m)
+	bl.c.agents.ContactNow(m)
 }
--- a/controller/transfer_test.go
+++ b/controller/transfer_test.go
@@ -11,12 +11,12 @@
 // any token below the lending's, which may be above the new owner's term.
 func TestLaunchTokenAfterTransfer(t *testing.T) {
 	n, owned, m, j := newTestOwner(t, testSpec(1))
-	n.state.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
-	if got := n.latestLaunchToken(j.Placements[0], owned); got != api.FencingToken(owned.term)-1 {
+	n.core.state.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
+	if got := n.agents.latestLaunchToken(j.Placements[0], owned); got != api.FencingToken(owned.term)-1 {
 		t.Errorf("token %d under term %d", got, owned.term)
 	}
-	n.state.Loans[m.ID] = clusterstate.Loan{LoanValue: clusterstate.LoanValue{Transferred: true}, Revision: owned.term + 5}
-	if got := n.latestLaunchToken(j.Placements[0], owned); got != api.FencingToken(owned.term)+4 {
+	n.core.state.Loans[m.ID] = clusterstate.Loan{LoanValue: clusterstate.LoanValue{Transferred: true}, Revision: owned.term + 5}
+	if got := n.agents.latestLaunchToken(j.Placements[0], owned); got != api.FencingToken(owned.term)+4 {
 		t.Errorf("token %d after a transfer at %d", got, owned.term+5)
 	}
 }
@@ -39,11 +39,11 @@
 		"a task that is over":             {func(_ *Machine, _ *Job, p *Placement) { p.Finishing = true }, false},
 	} {
 		n, owned, m, j := newTestOwner(t, testSpec(1))
-		n.state.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
+		n.core.state.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
 		p := j.Placements[0]
 		p.OwnerState.reported, p.OwnerState.state = true, api.TaskRunning
 		tc.change(m, j, p)
-		if got := n.isTransferable(m, owned); got != tc.want {
+		if got := n.balancer.isTransferable(m, owned); got != tc.want {
 			t.Errorf("%s: %v", what, got)
 		}
 	}
--- a/controller/usage.go
+++ b/controller/usage.go
@@ -42,10 +42,10 @@
 }
 
 // recordKeyUse notes that a key was used.
-func (n *Controller) recordKeyUse(holder tenant.Name, key tenant.KeyID) {
-	u, at := keyUse{holder, key}, n.wallClock-n.wallClock%api.WallTime(lastUseGranularity.Milliseconds())
-	usage := &n.hosted.keyUses
-	if was, noted := usage.lastUsed[u]; noted && was >= at || n.hosted.adminKey.ID == key {
+func (ts *TenantService) recordKeyUse(holder tenant.Name, key tenant.KeyID) {
+	u, at := keyUse{holder, key}, ts.core.wallClock-ts.core.wallClock%api.WallTime(lastUseGranularity.Milliseconds())
+	usage := &ts.hosted.keyUses
+	if was, noted := usage.lastUsed[u]; noted && was >= at || ts.hosted.adminKey.ID == key {
 		return
 	}
 	if usage.lastUsed == nil {
@@ -58,20 +58,20 @@
 }
 
 // flushKeyUses writes what was noted of uses, a transaction at a time.
-func (n *Controller) flushKeyUses() {
-	usage := &n.hosted.keyUses
-	if usage.writeInFlight || len(usage.pending) == 0 || n.now < usage.nextWrite || n.overloaded() || n.storeUnreachable() {
+func (ts *TenantService) flushKeyUses() {
+	usage := &ts.hosted.keyUses
+	if usage.writeInFlight || len(usage.pending) == 0 || ts.core.now < usage.nextWrite || ts.core.Overloaded() || ts.core.StoreUnreachable() {
 		return
 	}
-	usage.writeInFlight, usage.nextWrite = true, n.now.Add(lastUseWriteInterval)
-	batch := usage.pending[:min(len(usage.pending), n.config.Deployment.State.TxnOps)]
+	usage.writeInFlight, usage.nextWrite = true, ts.core.now.Add(lastUseWriteInterval)
+	batch := usage.pending[:min(len(usage.pending), ts.core.config.Deployment.State.TxnOps)]
 	usage.pending = slices.Clone(usage.pending[len(batch):])
-	tx := api.Txn{If: []api.Condition{n.state.VersionCondition(clusterstate.KeyMember + string(n.config.Label))}}
+	tx := api.Txn{If: []api.Condition{ts.core.state.VersionCondition(clusterstate.KeyMember + string(ts.core.config.Label))}}
 	for _, u := range batch {
 		v, _ := json.Marshal(usage.lastUsed[u])
 		tx.Writes = append(tx.Writes, api.Write{Put: keyUsed + string(u.holder) + "/" + string(u.key), Value: v})
 	}
-	n.callStoreTxn(tx, func(a StoreResponse) {
+	ts.core.CallStoreTxn(tx, func(a StoreResponse) {
 		usage.writeInFlight = false
 		if a.Status != 200 {
 			usage.pending = append(usage.pending, batch...)
@@ -80,11 +80,11 @@
 }
 
 // readKeyUses reads when a holder's keys were last used, as far as it has been written.
-func (n *Controller) readKeyUses(c AdminRequest, holder tenant.Name, callback func(map[tenant.KeyID]api.WallTime)) {
+func (ts *TenantService) readKeyUses(c AdminRequest, holder tenant.Name, callback func(map[tenant.KeyID]api.WallTime)) {
 	under := keyUsed + string(holder) + "/"
-	n.callStore(StoreCall{Page: &PageRequest{Prefix: under}}, func(a StoreResponse) {
+	ts.core.CallStore(StoreCall{Page: &PageRequest{Prefix: under}}, func(a StoreResponse) {
 		if a.Status != 200 {
-			n.replyError(c.Req, 503, "state service not reachable")
+			ts.core.ReplyError(c.Req, 503, "state service not reachable")
 			return
 		}
 		lastUsed := map[tenant.KeyID]api.WallTime{}
@@ -105,11 +105,11 @@
 }
 
 // countSubmission counts a submission.
-func (n *Controller) countSubmission(name tenant.Name, refused string) {
-	t := n.hosted.submissions[name]
+func (ts *TenantService) countSubmission(name tenant.Name, refused string) {
+	t := ts.hosted.submissions[name]
 	if t == nil {
 		t = &submissionCounts{Rejected: map[string]uint64{}}
-		n.hosted.submissions[name] = t
+		ts.hosted.submissions[name] = t
 	}
 	if refused == "" {
 		t.Accepted++
@@ -145,9 +145,9 @@
 	}
 )
 
-func (n *Controller) viewUsage(e *tenant.Entry) UsageView {
+func (ts *TenantService) viewUsage(e *tenant.Entry) UsageView {
 	v := UsageView{OpenJobs: e.OpenJobLimit(), Teams: []TeamUsage{}}
-	for _, j := range n.state.JobsByTenant[string(e.Name)] {
+	for _, j := range ts.core.state.JobsByTenant[string(e.Name)] {
 		v.RunningTasks += len(j.Placements)
 		for _, need := range j.Spec.Needs {
 			if j.LiveCount() > 0 {
@@ -161,13 +161,13 @@
 			continue
 		}
 		v.Open++
-		for p := range n.state.Partitions {
+		for p := range ts.core.state.Partitions {
 			v.PendingTasks += j.PendingTasks(api.PartitionID(p))
 		}
 	}
-	total := n.teamUsage()
+	total := ts.c.scheduler.TeamUsage()
 	for _, name := range e.Teams {
-		t, use := n.teams[name], total[name]
+		t, use := ts.core.teams[name], total[name]
 		v.Teams = append(v.Teams, TeamUsage{name, use.CPU.Float(), use.GPU.Float(), t.CPUs, t.GPUs, t.CPUsMax, t.GPUsMax})
 	}
 	return v
@@ -199,12 +199,12 @@
 func queuePosition(j *Job) string { return timeKey(j.AcceptedAt) + "-" + string(j.TenantJobID) }
 
 // viewQueue is a page of a tenant's jobs that are not over, after a place in the list.
-func (n *Controller) viewQueue(e *tenant.Entry, after string, limit int) QueueView {
+func (ts *TenantService) viewQueue(e *tenant.Entry, after string, limit int) QueueView {
 	v := QueueView{Jobs: []UnfinishedJob{}}
-	jobs := slices.DeleteFunc(slices.Collect(maps.Values(n.state.JobsByTenant[string(e.Name)])), (*Job).Terminal)
+	jobs := slices.DeleteFunc(slices.Collect(maps.Values(ts.core.state.JobsByTenant[string(e.Name)])), (*Job).Terminal)
 	v.Open = len(jobs)
 	slices.SortFunc(jobs, func(a, b *Job) int { return strings.Compare(queuePosition(a), queuePosition(b)) })
-	total := n.teamUsage()
+	total := ts.c.scheduler.TeamUsage()
 	from, found := slices.BinarySearchFunc(jobs, after, func(j *Job, at string) int { return strings.Compare(queuePosition(j), at) })
 	if found {
 		from++
@@ -216,14 +216,14 @@
 	}
 	for _, j := range jobs {
 		v.Jobs = append(v.Jobs, UnfinishedJob{Ref: j.TenantJobID, State: j.State(), Class: j.Spec.Class, Team: j.Spec.Team, Tasks: j.Spec.Tasks, Done: j.CompletedCount,
-			Running: len(j.Placements), Accepted: j.AcceptedAt, Reason: n.tenantPendingReason(e, j, total)})
+			Running: len(j.Placements), Accepted: j.AcceptedAt, Reason: ts.tenantPendingReason(e, j, total)})
 	}
 	return v
 }
 
 // tenantPendingReason is why a job of a tenant waits, as far as it lies with the tenant itself: what
 // else there is on the machines is nobody's business.
-func (n *Controller) tenantPendingReason(e *tenant.Entry, j *Job, total map[api.Team]api.Resources) string {
+func (ts *TenantService) tenantPendingReason(e *tenant.Entry, j *Job, total map[api.Team]api.Resources) string {
 	need := j.Demand
 	need.Mem = 0
 	switch {
@@ -231,13 +231,13 @@
 		return ""
 	case !e.MayStartTasks():
 		return "suspended: " + e.Tenant.SuspendReason
-	case j.OwnerState.backoffUntil > n.now:
+	case j.OwnerState.backoffUntil > ts.core.now:
 		return "its tasks failed: it is tried again later"
-	case !need.Fits(quotaLimit(n.teams[j.Spec.Team]).Minus(total[j.Spec.Team])):
+	case !need.Fits(quotaLimit(ts.core.teams[j.Spec.Team]).Minus(total[j.Spec.Team])):
 		return "the limit of team " + string(j.Spec.Team)
 	}
-	for p := range n.state.Partitions {
-		if j.PendingTasks(api.PartitionID(p)) > 0 && n.pendingReasonPool(j, api.PartitionID(p)) != "" {
+	for p := range ts.core.state.Partitions {
+		if j.PendingTasks(api.PartitionID(p)) > 0 && ts.c.pools.PendingReasonPool(j, api.PartitionID(p)) != "" {
 			return "units of a pool"
 		}
 	}
@@ -253,13 +253,13 @@
 	Caller Caller
 }
 
-func (n *Controller) handleTenantQuery(c TenantQuery) {
-	fail := func() { n.replyError(c.Req, 503, "state service not reachable") }
-	n.withTenant(c.Req, c.Caller, func(e *tenant.Entry) {
+func (ts *TenantService) HandleTenantQuery(c TenantQuery) {
+	fail := func() { ts.core.ReplyError(c.Req, 503, "state service not reachable") }
+	ts.withTenant(c.Req, c.Caller, func(e *tenant.Entry) {
 		if c.What == "usage" {
-			n.reply(c.Req, 200, n.viewUsage(e), 0)
+			ts.core.Reply(c.Req, 200, ts.viewUsage(e), 0)
 			return
 		}
-		n.reply(c.Req, 200, n.viewQueue(e, c.After, c.Limit), 0)
+		ts.core.Reply(c.Req, 200, ts.viewQueue(e, c.After, c.Limit), 0)
 	}, fail)
 }
--- a/controller/user.go
+++ b/controller/user.go
@@ -15,19 +15,31 @@
 	"basaltwall/sched"
 )
 
-func (n *Controller) ready(c ReadinessProbe) {
+// JobService answers users: submissions, queries and cancellations.
+type JobService struct {
+	core *Core
+	c    *Controller
+
+	resultLookups        resultLookups
+	pendingCancellations []pendingCancellation // cancellations that are recorded and wait to be told
+	forwardedRequests    int                   // requests passed on, so that helpers take turns
+	submitTokens         float64               // submissions that may be written now, see maySubmit
+	submitTokensAt       api.Time
+}
+
+func (js *JobService) Ready(c ReadinessProbe) {
 	// Once the state has been read this node can serve, if need be through a
 	// peer; turning away the balancer in an outage would help nobody.
-	if n.loaded && len(n.machineTypes) > 0 {
-		n.reply(c.Req, 200, struct{}{}, 0)
+	if js.core.loaded && len(js.core.machineTypes) > 0 {
+		js.core.Reply(c.Req, 200, struct{}{}, 0)
 		return
 	}
-	n.replyError(c.Req, 503, "starting")
+	js.core.ReplyError(c.Req, 503, "starting")
 }
 
-// jobStatus describes a job that the book holds.
-func (n *Controller) jobStatus(jobID api.JobID) (api.JobStatus, bool) {
-	if j := n.state.Jobs[jobID]; j != nil {
+// JobStatus describes a job that the book holds.
+func (js *JobService) JobStatus(jobID api.JobID) (api.JobStatus, bool) {
+	if j := js.core.state.Jobs[jobID]; j != nil {
 		s := api.JobStatus{JobID: jobID, State: j.State()}
 		done, running := j.CompletedCount, len(j.Placements)
 		if s.Terminal() {
@@ -36,43 +48,43 @@
 		s.Done, s.Running = &done, &running
 		return s, true
 	}
-	if state, ok := n.state.JobResults[jobID]; ok {
+	if state, ok := js.core.state.JobResults[jobID]; ok {
 		return api.JobStatus{JobID: jobID, State: state}, true
 	}
 	return api.JobStatus{}, false
 }
 
 // finalStatus reports a state that no later read can change.
-func (n *Controller) finalStatus(jobID api.JobID) (api.JobStatus, bool) {
-	s, ok := n.jobStatus(jobID)
+func (js *JobService) finalStatus(jobID api.JobID) (api.JobStatus, bool) {
+	s, ok := js.JobStatus(jobID)
 	return s, ok && s.Terminal()
 }
 
-// lookupJob finds a job by a read that is current as of the call.
-func (n *Controller) lookupJob(jobID api.JobID, found func(api.JobStatus), notFound, fail func()) {
-	n.linearizableRead(func() { n.findJob(jobID, found, notFound, fail) }, fail)
+// LookupJob finds a job by a read that is current as of the call.
+func (js *JobService) LookupJob(jobID api.JobID, found func(api.JobStatus), notFound, fail func()) {
+	js.c.follower.LinearizableRead(func() { js.FindJob(jobID, found, notFound, fail) }, fail)
 }
 
-// findJob finds a job by the book, which must be current, or by its final state.
-func (n *Controller) findJob(jobID api.JobID, found func(api.JobStatus), notFound, fail func()) {
-	if s, ok := n.jobStatus(jobID); ok {
+// FindJob finds a job by the book, which must be current, or by its final state.
+func (js *JobService) FindJob(jobID api.JobID, found func(api.JobStatus), notFound, fail func()) {
+	if s, ok := js.JobStatus(jobID); ok {
 		found(s)
 		return
 	}
-	n.resultLookups.waiters[jobID] = append(n.resultLookups.waiters[jobID], resultWaiter{n.now, n.resultLookups.queue.Add(jobID), found, notFound, fail})
+	js.resultLookups.waiters[jobID] = append(js.resultLookups.waiters[jobID], resultWaiter{js.core.now, js.resultLookups.queue.Add(jobID), found, notFound, fail})
 }
 
-// forwardTargets are the peers that reach the state service, by turns another one first: one that
+// ForwardTargets are the peers that reach the state service, by turns another one first: one that
 // lags must not get the same user's question each time.
-func (n *Controller) forwardTargets() []api.ControllerID {
+func (js *JobService) ForwardTargets() []api.ControllerID {
 	var out []api.ControllerID
-	for _, label := range slices.Sorted(maps.Keys(n.peers)) {
-		if p := n.peers[label]; p.gossip.StateOK && p.receivedAt != 0 && n.now.Sub(p.receivedAt) < 3*gossipInterval {
+	for _, label := range slices.Sorted(maps.Keys(js.c.gossiper.peers)) {
+		if p := js.c.gossiper.peers[label]; p.gossip.StateOK && p.receivedAt != 0 && js.core.now.Sub(p.receivedAt) < 3*gossipInterval {
 			out = append(out, label)
 		}
 	}
 	if k := len(out); k > 0 {
-		out = slices.Concat(out[n.forwardedRequests%k:], out[:n.forwardedRequests%k])
+		out = slices.Concat(out[js.forwardedRequests%k:], out[:js.forwardedRequests%k])
 	}
 	return out
 }
@@ -80,68 +92,68 @@
 // forwardTimeout is how long one of several helpers may take: two of them within a user's patience.
 const forwardTimeout = 800 * time.Millisecond
 
-// forward passes a request to a peer that reaches the state service, and to another if that
+// Forward passes a request to a peer that reaches the state service, and to another if that
 // does not answer, or refuses it at once.
-func (n *Controller) forward(req ReqID, f Forward, forwarded bool) {
-	targets := n.forwardTargets()
+func (js *JobService) Forward(req ReqID, f Forward, forwarded bool) {
+	targets := js.ForwardTargets()
 	if forwarded || len(targets) == 0 {
-		n.metrics.RequestsWithoutRead++
-		n.replyError(req, 503, "state service not reachable")
+		js.core.metrics.RequestsWithoutRead++
+		js.core.ReplyError(req, 503, "state service not reachable")
 		return
 	}
-	n.forwardedRequests++
-	n.forwardTo(req, f, targets[:min(len(targets), 2)])
+	js.forwardedRequests++
+	js.forwardTo(req, f, targets[:min(len(targets), 2)])
 }
 
-func (n *Controller) forwardTo(req ReqID, f Forward, targets []api.ControllerID) {
+func (js *JobService) forwardTo(req ReqID, f Forward, targets []api.ControllerID) {
 	timeout := peerTimeout
 	if len(targets) > 1 {
 		timeout = forwardTimeout
 	}
-	n.callPeer(targets[0], timeout, PeerMessage{Forward: &f}, func(a PeerResponse) {
+	js.core.CallPeer(targets[0], timeout, PeerMessage{Forward: &f}, func(a PeerResponse) {
 		switch {
 		case a.OK && a.Reply.Status != 0:
-			n.replyFromPeer(req, a.Reply)
+			js.core.ReplyFromPeer(req, a.Reply)
 		case len(targets) > 1:
-			n.forwardTo(req, f, targets[1:])
+			js.forwardTo(req, f, targets[1:])
 		default:
-			n.metrics.RequestsWithoutRead++
-			n.replyError(req, 503, "no peer answers")
+			js.core.metrics.RequestsWithoutRead++
+			js.core.ReplyError(req, 503, "no peer answers")
 		}
 	})
 }
 
-// shouldForward reports whether a request is better passed on to a peer at once.
-func (n *Controller) shouldForward(forwarded bool) bool {
-	return !n.loaded || n.storeUnreachable() && !forwarded && len(n.forwardTargets()) > 0
+// ShouldForward reports whether a request is better passed on to a peer at once.
+func (js *JobService) ShouldForward(forwarded bool) bool {
+	return !js.core.loaded || js.core.StoreUnreachable() && !forwarded && len(js.ForwardTargets()) > 0
 }
 
-func (n *Controller) poll(c Poll) {
-	if n.hosted != nil {
-		n.pollHosted(c)
+func (js *JobService) Poll(c Poll) {
+	if js.c.tenancy.hosted != nil {
+		js.c.tenancy.PollHosted(c)
 		return
 	}
 	jobID := api.JobID(c.Ref)
 	if !api.ValidJobID(c.Ref) {
-		n.replyError(c.Req, 404, "no such job")
+		js.core.ReplyError(c.Req, 404, "no such job")
 		return
 	}
-	if s, ok := n.finalStatus(jobID); ok {
-		n.reply(c.Req, 200, s, 0)
+	if s, ok := js.finalStatus(jobID); ok {
+		js.core.Reply(c.Req, 200, s, 0)
 		return
 	}
-	if eligible, retryIn := fairqueue.Admit(jobID, n.wallClock, fairqueue.SliceCount(n.metrics.usage.QueuedRequests, overloadQueueLength)); !eligible {
-		n.metrics.PollsDeferred++
-		n.reply(c.Req, 503, api.ErrorBody{Error: "overloaded: other jobs have their turn"}, int(retryIn.Seconds())+1)
+	if eligible, retryIn := fairqueue.Admit(jobID, js.core.wallClock, fairqueue.SliceCount(js.core.metrics.usage.QueuedRequests, overloadQueueLength)); !eligible {
+		js.core.metrics.PollsDeferred++
+		js.core.Reply(c.Req, 503, api.ErrorBody{Error: "overloaded: other jobs have their turn"}, int(retryIn.Seconds())+1)
 		return
 	}
-	forward := func() { n.forward(c.Req, Forward{Kind: "poll", Ref: c.Ref}, c.Forwarded) }
-	if n.shouldForward(c.Forwarded) {
+	forward := func() { js.Forward(c.Req, Forward{Kind: "poll", Ref: c.Ref}, c.Forwarded) }
+	if js.ShouldForward(c.Forwarded) {
 		forward()
 		return
 	}
-	n.lookupJob(jobID, func(s api.JobStatus) { n.reply(c.Req, 200, s, 0) },
-		func() { n.replyError(c.Req, 404, "no such job") }, forward)
+	js.LookupJob(jobID, func(s api.JobStatus) { js.core.Reply(c.Req, 200, s, 0) },
+		func() { js.core.ReplyError(c.Req, 404, "no such job") }, forward)
 }
 
 // specAttr is what a job asks for, for the log: its line of acceptance, and those of its start
@@ -164,21 +176,21 @@
 	return limit
 }
 
-// infeasibleReason says why a job can never run, or nothing.
-func (n *Controller) infeasibleReason(s *api.JobSpec) string {
-	team, ok := n.teams[s.Team]
+// InfeasibleReason says why a job can never run, or nothing.
+func (js *JobService) InfeasibleReason(s *api.JobSpec) string {
+	team, ok := js.core.teams[s.Team]
 	if !ok {
 		return "bottega: unknown team"
 	}
 	demand := s.Demand()
 	feasibleZones := map[api.Zone]bool{}
-	for _, t := range n.machineTypes {
+	for _, t := range js.core.machineTypes {
 		if !demand.Fits(t.Capacity()) {
 			continue
 		}
 		zones := t.Zones
 		if len(zones) == 0 {
-			zones = n.config.Deployment.Zones
+			zones = js.core.config.Deployment.Zones
 		}
 		for _, z := range zones {
 			if sched.Feasible(s, t.Name, z, false) {
@@ -206,47 +218,47 @@
 // specTooLarge is why a job is refused whose record would exceed a value: its allowed types may be many.
 const specTooLarge = "banchi: too long"
 
-func (n *Controller) submit(c Submit) {
-	if n.hosted != nil {
-		n.submitHosted(c, 2)
+func (js *JobService) Submit(c Submit) {
+	if js.c.tenancy.hosted != nil {
+		js.c.tenancy.SubmitHosted(c, 2)
 		return
 	}
 	spec, err := api.ParseJob(c.Body)
 	if err != nil {
-		n.replyError(c.Req, 400, err.Error())
+		js.core.ReplyError(c.Req, 400, err.Error())
 		return
 	}
-	forward := func() { n.forward(c.Req, Forward{Kind: "submit", Body: c.Body}, c.Forwarded) }
+	forward := func() { js.Forward(c.Req, Forward{Kind: "submit", Body: c.Body}, c.Forwarded) }
 	replyKnown := func(s api.JobStatus) {
-		n.reply(c.Req, 200, api.JobStatus{JobID: s.JobID, State: s.State}, 0)
+		js.core.Reply(c.Req, 200, api.JobStatus{JobID: s.JobID, State: s.State}, 0)
 	}
-	if s, ok := n.finalStatus(spec.Ref); ok {
+	if s, ok := js.finalStatus(spec.Ref); ok {
 		replyKnown(s)
 		return
 	}
-	if n.shouldForward(c.Forwarded) || len(n.machineTypes) == 0 {
+	if js.ShouldForward(c.Forwarded) || len(js.core.machineTypes) == 0 {
 		forward()
 		return
 	}
-	if _, ok := n.state.Jobs[spec.Ref]; ok {
-		n.lookupJob(spec.Ref, replyKnown, forward, forward)
+	if _, ok := js.core.state.Jobs[spec.Ref]; ok {
+		js.LookupJob(spec.Ref, replyKnown, forward, forward)
 		return
 	}
 	// A job accepted earlier must not be refused now, by anything but the request's own bytes:
 	// machine types, limits, and how its tasks would be split, which its record holds, change.
 	refuse := func(status int, reason string) {
-		n.lookupJob(spec.Ref, replyKnown, func() { n.replyError(c.Req, status, reason) }, forward)
+		js.LookupJob(spec.Ref, replyKnown, func() { js.core.ReplyError(c.Req, status, reason) }, forward)
 	}
-	if reason := cmp.Or(n.infeasibleReason(spec), n.checkPoolNeeds(spec, "")); reason != "" {
+	if reason := cmp.Or(js.InfeasibleReason(spec), js.c.pools.CheckPoolNeeds(spec, "")); reason != "" {
 		refuse(422, reason)
 		return
 	}
-	if !n.allowSubmission() {
-		n.replyError(c.Req, 503, "more submissions at once than the state service can take")
+	if !js.allowSubmission() {
+		js.core.ReplyError(c.Req, 503, "more submissions at once than the state service can take")
 		return
 	}
-	v, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: n.splitAcrossPartitions(spec), AcceptedAt: n.wallClock})
-	if err != nil || n.jobExceedsValueSize(v) {
+	v, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: js.SplitAcrossPartitions(spec), AcceptedAt: js.core.wallClock})
+	if err != nil || js.core.JobExceedsValueSize(v) {
 		refuse(400, specTooLarge)
 		return
 	}
@@ -254,20 +266,20 @@
 	// With a peer that can help, an answer that does not come soon is not
 	// waited for: the peer may write the same job, and one of the two counts.
 	timeout := storeTimeout
-	if !c.Forwarded && len(n.forwardTargets()) > 0 {
+	if !c.Forwarded && len(js.ForwardTargets()) > 0 {
 		timeout = storeSlowAfter
 	}
 	tx := api.Txn{If: []api.Condition{{Key: jobKey}, {Key: resultKey}}, Writes: []api.Write{{Put: jobKey, Value: v}}}
-	n.callStore(StoreCall{Txn: &tx, Timeout: timeout}, func(a StoreResponse) {
+	js.core.CallStore(StoreCall{Txn: &tx, Timeout: timeout}, func(a StoreResponse) {
 		switch a.Status {
 		case 200:
-			n.reply(c.Req, 201, api.JobStatus{JobID: spec.Ref, State: api.JobPending}, 0)
+			js.core.Reply(c.Req, 201, api.JobStatus{JobID: spec.Ref, State: api.JobPending}, 0)
 			slog.Info("job accepted", "job", spec.Ref, specAttr(spec))
-			n.linearizableRead(func() {}, func() {}) // so that its first round comes soon
+			js.c.follower.LinearizableRead(func() {}, func() {}) // so that its first round comes soon
 		case 409:
-			n.lookupJob(spec.Ref, replyKnown, forward, forward)
+			js.LookupJob(spec.Ref, replyKnown, forward, forward)
 		case 429:
-			n.replyError(c.Req, 503, "the state service is at its limit") // for a peer too
+			js.core.ReplyError(c.Req, 503, "the state service is at its limit") // for a peer too
 		default:
 			forward()
 		}
@@ -280,41 +292,41 @@
 
 // allowSubmission takes one of the writes that submissions may use, of which every living
 // controller has as many.
-func (n *Controller) allowSubmission() bool {
+func (js *JobService) allowSubmission() bool {
 	share := submissionWriteShare
-	if n.reservationLedger.wroteAt != 0 && n.now.Sub(n.reservationLedger.wroteAt) < ledgerActiveWindow {
+	if js.c.reservations.reservationLedger.wroteAt != 0 && js.core.now.Sub(js.c.reservations.reservationLedger.wroteAt) < ledgerActiveWindow {
 		share -= ledgerWriteShare
 	}
-	rate := share * n.config.Deployment.State.WriteRPS / float64(max(1, len(n.state.Members)))
-	n.submitTokens = min(max(1, rate), n.submitTokens+rate*n.now.Sub(n.submitTokensAt).Seconds())
-	n.submitTokensAt = n.now
-	if n.submitTokens < 1 {
+	rate := share * js.core.config.Deployment.State.WriteRPS / float64(max(1, len(js.core.state.Members)))
+	js.submitTokens = min(max(1, rate), js.submitTokens+rate*js.core.now.Sub(js.submitTokensAt).Seconds())
+	js.submitTokensAt = js.core.now
+	if js.submitTokens < 1 {
 		return false
 	}
-	n.submitTokens--
+	js.submitTokens--
 	return true
 }
 
-// splitAcrossPartitions gives a new job's tasks to parts by their free room.
-func (n *Controller) splitAcrossPartitions(s *api.JobSpec) []clusterstate.TaskRange {
-	partitions := len(n.state.Partitions)
+// SplitAcrossPartitions gives a new job's tasks to parts by their free room.
+func (js *JobService) SplitAcrossPartitions(s *api.JobSpec) []clusterstate.TaskRange {
+	partitions := len(js.core.state.Partitions)
 	weights := make([]float64, partitions)
-	freeSlots := n.freeSlotsByPartition(s)
+	freeSlots := js.FreeSlotsByPartition(s)
 	for i := range weights {
-		weights[i] = float64(freeSlots[i]) - float64(n.pendingTasksIn(api.PartitionID(i), s))
+		weights[i] = float64(freeSlots[i]) - float64(js.PendingTasksIn(api.PartitionID(i), s))
 	}
 	best := 0
 	fitting := map[api.PartitionID]bool{}
 	if s.NeedsSinglePartition() {
 		var fittingAfterPreemption map[api.PartitionID]bool
-		if fitting, fittingAfterPreemption = n.partitionsWithCapacity(s); len(fitting) == 0 {
+		if fitting, fittingAfterPreemption = js.c.balancer.PartitionsWithCapacity(s); len(fitting) == 0 {
 			fitting = fittingAfterPreemption
 		}
 	}
 	if s.NeedsSinglePartition() && len(fitting) == 0 {
 		// Nobody has room: better wait, or make lower work give way, where
 		// there are machines for it at all.
-		for i, c := range n.totalSlotsByPartition(s) {
+		for i, c := range js.TotalSlotsByPartition(s) {
 			weights[i] += float64(c) - float64(freeSlots[i])
 		}
 	}
@@ -347,12 +359,12 @@
 	return out
 }
 
-// freeSlotsByPartition counts how many tasks of a job each part could start now.
-func (n *Controller) freeSlotsByPartition(s *api.JobSpec) []int {
-	slots := make([]int, len(n.state.Partitions))
+// FreeSlotsByPartition counts how many tasks of a job each part could start now.
+func (js *JobService) FreeSlotsByPartition(s *api.JobSpec) []int {
+	slots := make([]int, len(js.core.state.Partitions))
 	demand := s.Demand()
-	cpuOnly := n.isCPUOnly(s)
-	n.eachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+	cpuOnly := js.c.scheduler.IsCPUOnly(s)
+	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
 		if k.Usable && !(cpuOnly && k.Closed) && sched.Feasible(s, k.Type, k.Zone, k.Spot) {
 			slots[p] += r.Count * demand.Slots(r.Free)
 		}
@@ -360,13 +372,13 @@
 	return slots
 }
 
-// totalSlotsByPartition counts how many tasks of a job each part's machines could
+// TotalSlotsByPartition counts how many tasks of a job each part's machines could
 // hold if they were empty.
-func (n *Controller) totalSlotsByPartition(s *api.JobSpec) []int {
-	slots := make([]int, len(n.state.Partitions))
-	demand, cpuOnly := s.Demand(), n.isCPUOnly(s)
-	n.eachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
-		machineType := n.machineTypes[k.Type]
+func (js *JobService) TotalSlotsByPartition(s *api.JobSpec) []int {
+	slots := make([]int, len(js.core.state.Partitions))
+	demand, cpuOnly := s.Demand(), js.c.scheduler.IsCPUOnly(s)
+	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+		machineType := js.core.machineTypes[k.Type]
 		if k.Usable && machineType != nil && sched.Feasible(s, k.Type, k.Zone, k.Spot) && !(cpuOnly && machineType.GPUs > 0) {
 			slots[p] += r.Count * demand.Slots(machineType.Capacity())
 		}
@@ -374,19 +386,19 @@
 	return slots
 }
 
-// hasAccelerators reports whether machines of a type have accelerators.
-func (n *Controller) hasAccelerators(t api.MachineTypeName) bool {
-	machineType := n.machineTypes[t]
+// HasAccelerators reports whether machines of a type have accelerators.
+func (js *JobService) HasAccelerators(t api.MachineTypeName) bool {
+	machineType := js.core.machineTypes[t]
 	return machineType != nil && machineType.GPUs > 0
 }
 
-// pendingTasksIn counts tasks of a part that wait, in units of a job's demand, and that rules do not
+// PendingTasksIn counts tasks of a part that wait, in units of a job's demand, and that rules do not
 // put after it.
-func (n *Controller) pendingTasksIn(p api.PartitionID, s *api.JobSpec) int {
+func (js *JobService) PendingTasksIn(p api.PartitionID, s *api.JobSpec) int {
 	count, demand := 0, s.Demand()
-	rules, level := len(n.settings.Priority) > 0, n.effectivePriority(s)
-	for _, j := range n.state.PendingJobs {
-		if demand.GPU > 0 && j.Demand.GPU == 0 || n.startsBlocked(j) || rules && n.effectivePriority(j.Spec) < level {
+	rules, level := len(js.core.settings.Priority) > 0, js.c.priorities.EffectivePriority(s)
+	for _, j := range js.core.state.PendingJobs {
+		if demand.GPU > 0 && j.Demand.GPU == 0 || js.c.tenancy.StartsBlocked(j) || rules && js.c.priorities.EffectivePriority(j.Spec) < level {
 			continue
 		}
 		if w := j.PendingTasks(p); w > 0 {
@@ -399,43 +411,43 @@
 	return count
 }
 
-func (n *Controller) cancel(c Cancel) {
-	if n.hosted != nil {
-		n.cancelHosted(c)
+func (js *JobService) Cancel(c Cancel) {
+	if js.c.tenancy.hosted != nil {
+		js.c.tenancy.CancelHosted(c)
 		return
 	}
 	jobID := api.JobID(c.Ref)
 	if !api.ValidJobID(c.Ref) {
-		n.replyError(c.Req, 404, "no such job")
+		js.core.ReplyError(c.Req, 404, "no such job")
 		return
 	}
-	respond := func(s api.JobStatus) { n.reply(c.Req, 200, api.JobStatus{JobID: jobID, State: s.State}, 0) }
-	retryLater := func() { n.replyError(c.Req, 503, cancellationPending) }
-	if s, ok := n.finalStatus(jobID); ok {
+	respond := func(s api.JobStatus) { js.core.Reply(c.Req, 200, api.JobStatus{JobID: jobID, State: s.State}, 0) }
+	retryLater := func() { js.core.ReplyError(c.Req, 503, cancellationPending) }
+	if s, ok := js.finalStatus(jobID); ok {
 		respond(s)
 		return
 	}
-	forward := func() { n.forward(c.Req, Forward{Kind: "cancel", Ref: c.Ref}, c.Forwarded) }
-	if n.shouldForward(c.Forwarded) {
+	forward := func() { js.Forward(c.Req, Forward{Kind: "cancel", Ref: c.Ref}, c.Forwarded) }
+	if js.ShouldForward(c.Forwarded) {
 		forward()
 		return
 	}
-	n.recordCancellation(jobID, 5, n.respondWhenAcknowledged(c.Forwarded, respond, retryLater), func() { n.replyError(c.Req, 404, "no such job") }, forward)
+	js.RecordCancellation(jobID, 5, js.RespondWhenAcknowledged(c.Forwarded, respond, retryLater), func() { js.core.ReplyError(c.Req, 404, "no such job") }, forward)
 }
 
-// recordCancellation records the cancellation in the job's key and then reads back what
+// RecordCancellation records the cancellation in the job's key and then reads back what
 // became of the job: a completion recorded before counts. The state that it answers may
 // be that of before the cancellation, see whenTold.
-func (n *Controller) recordCancellation(jobID api.JobID, tries int, respond func(api.JobStatus), notFound, fail func()) {
+func (js *JobService) RecordCancellation(jobID api.JobID, tries int, respond func(api.JobStatus), notFound, fail func()) {
 	if tries == 0 {
 		fail()
 		return
 	}
-	j := n.state.Jobs[jobID]
+	j := js.core.state.Jobs[jobID]
 	if j == nil || j.Terminal() {
-		n.lookupJob(jobID, func(s api.JobStatus) {
-			if j := n.state.Jobs[jobID]; j != nil && !j.Terminal() {
-				n.recordCancellation(jobID, tries-1, respond, notFound, fail)
+		js.LookupJob(jobID, func(s api.JobStatus) {
+			if j := js.core.state.Jobs[jobID]; j != nil && !j.Terminal() {
+				js.RecordCancellation(jobID, tries-1, respond, notFound, fail)
 				return
 			}
 			respond(s)
@@ -443,21 +455,21 @@
 		return
 	}
 	v := j.JobValue
-	v.Cancelled, v.CancelledAt = true, n.wallClock
+	v.Cancelled, v.CancelledAt = true, js.core.wallClock
 	data, err := json.Marshal(v)
 	if err != nil {
 		fail()
 		return
 	}
 	key := clusterstate.KeyJob + string(jobID)
-	n.callStoreTxn(api.Txn{If: []api.Condition{{Key: key, Version: j.Version}}, Writes: []api.Write{{Put: key, Value: data}}}, func(a StoreResponse) {
+	js.core.CallStoreTxn(api.Txn{If: []api.Condition{{Key: key, Version: j.Version}}, Writes: []api.Write{{Put: key, Value: data}}}, func(a StoreResponse) {
 		if a.Status != 200 && a.Status != 409 {
 			fail()
 			return
 		}
-		n.lookupJob(jobID, func(s api.JobStatus) {
-			if j := n.state.Jobs[jobID]; j != nil && !j.Terminal() {
-				n.recordCancellation(jobID, tries-1, respond, notFound, fail)
+		js.LookupJob(jobID, func(s api.JobStatus) {
+			if j := js.core.state.Jobs[jobID]; j != nil && !j.Terminal() {
+				js.RecordCancellation(jobID, tries-1, respond, notFound, fail)
 				return
 			}
 			respond(s)
