--- a/controller/zones_test.go
+++ b/controller/zones_test.go
@@ -12,13 +12,13 @@
 	n, owned, m, j := newTestOwner(t, testSpec(2))
 	j.Spec.Class = "batch"
 	for i := range 2 {
-		n.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Job: j})
+		n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Job: j})
 	}
 	urgent := &api.JobSpec{Ref: "run-2", Kind: api.Service, Class: "web", Team: "red", Priority: api.Production, Tasks: 1, CPUs: 8, MemGB: 1}
 	preempted := func(spare float64) int {
-		n.zones.classFloors = map[api.Class]zonehealth.Allowance{"batch": {Preemptible: spare}}
-		n.zones.teamFloors = map[api.Team]zonehealth.Allowance{"red": {Preemptible: 100}}
-		return n.planPreemption(m, owned, urgent, 1, false).tasks
+		n.health.zones.classFloors = map[api.Class]zonehealth.Allowance{"batch": {Preemptible: spare}}
+		n.health.zones.teamFloors = map[api.Team]zonehealth.Allowance{"red": {Preemptible: 100}}
+		return n.preemptor.PlanPreemption(m, owned, urgent, 1, false).tasks
 	}
 	if preempted(2) != 1 {
 		t.Error("what is above its floor does not make way")
@@ -26,8 +26,8 @@
 	if preempted(0.5) != 0 {
 		t.Error("what is at its floor makes way")
 	}
-	n.zones.classFloors, n.zones.teamFloors = nil, nil
-	if n.planPreemption(m, owned, urgent, 1, false).tasks != 1 {
+	n.health.zones.classFloors, n.health.zones.teamFloors = nil, nil
+	if n.preemptor.PlanPreemption(m, owned, urgent, 1, false).tasks != 1 {
 		t.Error("without a lost zone there is a floor")
 	}
 }
@@ -45,25 +45,25 @@
 		{"heard", func(*Controller, *Machine) {}, 1, 0},
 		{"heard again after calls that failed", func(_ *Controller, m *Machine) { m.missedCalls = 4 }, 1, 0},
 		{"heard by way of a peer, and calls fail", func(_ *Controller, m *Machine) { m.missedCalls, m.heartbeatForwarded = 2, true }, 1, 1},
-		{"not heard for long", func(n *Controller, _ *Machine) { n.now = n.now.Add(n.config.WorkerLease()) }, 1, 1},
+		{"not heard for long", func(n *Controller, _ *Machine) { n.core.now = n.core.now.Add(n.core.config.WorkerLease()) }, 1, 1},
 		{"never heard nor called", func(_ *Controller, m *Machine) { m.lastHeartbeat = 0 }, 0, 0},
 		{"never heard, called in vain, not known to be up", func(_ *Controller, m *Machine) { m.lastHeartbeat, m.missedCalls = 0, 3 }, 0, 0},
 		{"never heard, called in vain, listed as up", func(n *Controller, m *Machine) {
 			m.lastHeartbeat, m.missedCalls = 0, 3
-			n.fleet.listedMachines[m.ID] = api.Instance{ID: m.ID, State: api.MachineRunning}
+			n.autoscaler.fleet.listedMachines[m.ID] = api.Instance{ID: m.ID, State: api.MachineRunning}
 		}, 1, 1},
 		{"being returned", func(n *Controller, m *Machine) {
-			n.scheduleDeletion(m, n.partitions[0], deleteReasonIdle)
-			n.now = n.now.Add(n.config.WorkerLease())
+			n.autoscaler.ScheduleDeletion(m, n.scheduler.partitions[0], deleteReasonIdle)
+			n.core.now = n.core.now.Add(n.core.config.WorkerLease())
 		}, 0, 0},
 		{"being given up", func(n *Controller, m *Machine) {
-			n.scheduleDeletion(m, n.partitions[0], deleteReasonZoneLost)
-			n.now = n.now.Add(n.config.WorkerLease())
+			n.autoscaler.ScheduleDeletion(m, n.scheduler.partitions[0], deleteReasonZoneLost)
+			n.core.now = n.core.now.Add(n.core.config.WorkerLease())
 		}, 1, 1},
 	} {
 		n, owned, m, _ := newTestOwner(t, testSpec(1))
 		tc.change(n, m)
-		if c := n.silentByZone(owned)["a"]; c.All != tc.all || c.Silent != tc.silent {
+		if c := n.health.SilentByZone(owned)["a"]; c.All != tc.all || c.Silent != tc.silent {
 			t.Errorf("%s: %d of %d silent, expected %d of %d", tc.what, c.Silent, c.All, tc.silent, tc.all)
 		}
 	}
