--- a/admin/admin.go
+++ b/admin/admin.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/httpx"
 )
 
@@ -33,9 +33,9 @@
 )
 
 // Command is what a request asks of the owner, or the status that refuses it.
-func Command(req controller.ReqID, r httpx.Request) (controller.Command, int) {
+func Command(req message.ReqID, r httpx.Request) (message.Command, int) {
 	parts := strings.Split(strings.TrimPrefix(r.Path, Prefix), "/")
-	ask := controller.AdminRequest{Req: req, What: parts[0], Body: r.Body}
+	ask := message.AdminRequest{Req: req, What: parts[0], Body: r.Body}
 	method := "GET"
 	switch {
 	case len(parts) == 1 && parts[0] == "settings":
--- a/admin/hosted.go
+++ b/admin/hosted.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strings"
 
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 )
 
 // hostedRoutes are the requests of a hosted service alone. In a path ID stands for what is asked
@@ -56,7 +56,7 @@
 
 // hostedCommand is what a request of a hosted service asks of the owner, or the status that
 // refuses it.
-func hostedCommand(ask controller.AdminRequest, parts []string, method string) (controller.Command, int) {
+func hostedCommand(ask message.AdminRequest, parts []string, method string) (message.Command, int) {
 	status := 404
 	for _, r := range hostedRoutes {
 		id, sub, ok := matchPath(parts, r.path)
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -13,13 +13,14 @@
 	"time"
 
 	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/httpx"
 	"basaltwall/reservation"
 )
 
 // skipsCommand is what a request for skips asks: GET skips counts them, GET skips/DEPOT lists
 // a depot's, POST skips/DEPOT/WHAT changes one.
-func skipsCommand(ask controller.AdminRequest, parts []string, r httpx.Request) (controller.Command, int) {
+func skipsCommand(ask message.AdminRequest, parts []string, r httpx.Request) (message.Command, int) {
 	method := "GET"
 	switch {
 	case len(parts) == 1:
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/httpx"
 )
 
@@ -14,7 +14,7 @@
 const pageSize = 500
 
 // Request is the HTTP request for a call.
-func Request(c controller.CloudCall) (method, target string, body []byte, err error) {
+func Request(c message.CloudCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Types:
 		return "GET", api.PathMachineTypes, nil, nil
@@ -35,8 +35,8 @@
 }
 
 // ParseResponse is the owner's answer for a response.
-func ParseResponse(c controller.CloudCall, r httpx.Response, callErr error) controller.CloudResponse {
-	a := controller.CloudResponse{ID: c.ID}
+func ParseResponse(c message.CloudCall, r httpx.Response, callErr error) message.CloudResponse {
+	a := message.CloudResponse{ID: c.ID}
 	if callErr != nil {
 		return a
 	}
--- a/controller/admin.go
+++ b/controller/admin.go
@@ -10,28 +10,19 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/priority"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 )
 
 // AdminService answers administration requests.
 type AdminService struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 }
 
-// Settings are what operators decide, beyond the platform's file. They live in
-// the state service and reach every controller by its watch.
-type Settings struct {
-	Drained         []api.MachineID `json:"drained"`     // no new tasks on these
-	IdleTimeout     float64         `json:"idle_hold_s"` // how long idle machines are kept; 0: as long as a boot
-	DisableScaleOut bool            `json:"no_rent"`     // rent nothing
-	// Which work goes before which when there is too little.
-	Priority priority.Rules `json:"precedence,omitempty"`
-}
-
 // VersionedSettings are settings with the revision that a change must name.
 type VersionedSettings struct {
-	Settings
+	core.Settings
 	Revision api.Revision `json:"revision"`
 }
 
@@ -114,8 +105,8 @@
 )
 
 // HandleAdmin answers an operator.
-func (ad *AdminService) HandleAdmin(c AdminRequest) {
-	if !ad.core.loaded {
+func (ad *AdminService) HandleAdmin(c message.AdminRequest) {
+	if !ad.core.Loaded {
 		ad.core.ReplyError(c.Req, 503, "starting")
 		return
 	}
@@ -127,7 +118,7 @@
 }
 
 // handleHostedAdmin answers an operator of a hosted service.
-func (ad *AdminService) handleHostedAdmin(c AdminRequest) {
+func (ad *AdminService) handleHostedAdmin(c message.AdminRequest) {
 	var err error
 	switch c.What {
 	case "tenants", "tenant", "usage", "tenant-put", "suspend", "resume", "remove", "key-add", "key-revoke":
@@ -149,7 +140,7 @@
 }
 
 // handleCommonAdmin answers an operator of any service.
-func (ad *AdminService) handleCommonAdmin(c AdminRequest) {
+func (ad *AdminService) handleCommonAdmin(c message.AdminRequest) {
 	switch c.What {
 	case "metrics":
 		ad.core.Reply(c.Req, 200, ad.c.reporter.ViewMetrics(), 0)
@@ -162,13 +153,13 @@
 	case "teams":
 		ad.core.Reply(c.Req, 200, ad.viewTeams(), 0)
 	case "jobs":
-		if _, known := ad.core.teams[api.Team(c.Team)]; c.Team != "" && !known {
+		if _, known := ad.core.Teams[api.Team(c.Team)]; c.Team != "" && !known {
 			ad.core.ReplyError(c.Req, 404, fmt.Sprintf("team: there is no team %q", c.Team))
 			return
 		}
 		ad.core.Reply(c.Req, 200, ad.c.jobs.ViewJobs(api.Team(c.Team), c.Limit), 0)
 	case "job":
-		j := ad.core.state.Jobs[api.JobID(c.ID)]
+		j := ad.core.State.Jobs[api.JobID(c.ID)]
 		if j == nil {
 			ad.core.ReplyError(c.Req, 404, "no such job, or it is over")
 			return
@@ -199,22 +190,22 @@
 }
 
 func (ad *AdminService) currentSettings() VersionedSettings {
-	return VersionedSettings{ad.core.settings, ad.core.state.Version(settingsKey)}
+	return VersionedSettings{ad.core.Settings, ad.core.State.Version(core.SettingsKey)}
 }
 
 // updateSettings writes settings; it must name the revision that it replaces.
-func (ad *AdminService) updateSettings(c AdminRequest, s VersionedSettings) {
+func (ad *AdminService) updateSettings(c message.AdminRequest, s VersionedSettings) {
 	req := c.Req
 	v, err := json.Marshal(s.Settings)
 	if err != nil || ad.core.ExceedsValueSize(v) {
 		ad.core.ReplyError(req, 400, "drained, precedence: more than a record holds")
 		return
 	}
-	tx := api.Txn{If: []api.Condition{{Key: settingsKey, Version: s.Revision}}, Writes: []api.Write{{Put: settingsKey, Value: v}}}
+	tx := api.Txn{If: []api.Condition{{Key: core.SettingsKey, Version: s.Revision}}, Writes: []api.Write{{Put: core.SettingsKey, Value: v}}}
 	if ad.c.tenancy.hosted != nil {
-		tx.Writes = append(tx.Writes, ad.c.tenancy.AuditWrite(c, "settings", settingsAuditView(ad.core.settings), settingsAuditView(s.Settings)))
+		tx.Writes = append(tx.Writes, ad.c.tenancy.AuditWrite(c, "settings", settingsAuditView(ad.core.Settings), settingsAuditView(s.Settings)))
 	}
-	ad.core.CallStoreTxn(tx, func(a StoreResponse) {
+	ad.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		ad.c.tenancy.ReplyChange(req, a.Status, a.Txn.Revision, "the settings have", func(rev api.Revision) any {
 			s.Revision = rev
 			return s
@@ -224,9 +215,9 @@
 
 func (ad *AdminService) viewMembers() []MemberView {
 	out := []MemberView{}
-	for _, l := range ad.core.controllers {
-		v := MemberView{Label: l, Live: ad.core.IsLive(l), Partitions: []api.PartitionID{}, Self: l == ad.core.config.Label}
-		for i, p := range ad.core.state.Partitions {
+	for _, l := range ad.core.Controllers {
+		v := MemberView{Label: l, Live: ad.core.IsLive(l), Partitions: []api.PartitionID{}, Self: l == ad.core.Config.Label}
+		for i, p := range ad.core.State.Partitions {
 			if p.Owner == l {
 				v.Partitions = append(v.Partitions, api.PartitionID(i))
 			}
@@ -238,9 +229,9 @@
 
 func (ad *AdminService) viewPartitions() []PartitionView {
 	out := []PartitionView{}
-	for i, p := range ad.core.state.Partitions {
-		v := PartitionView{Partition: api.PartitionID(i), Owner: p.Owner, Term: p.Term, Rounds: p.RoundSeq, Tasks: len(ad.core.state.PlacementsByPartition[i])}
-		for _, j := range ad.core.state.Jobs {
+	for i, p := range ad.core.State.Partitions {
+		v := PartitionView{Partition: api.PartitionID(i), Owner: p.Owner, Term: p.Term, Rounds: p.RoundSeq, Tasks: len(ad.core.State.PlacementsByPartition[i])}
+		for _, j := range ad.core.State.Jobs {
 			if !j.Terminal() {
 				v.PendingTasks += j.PendingTasks(v.Partition)
 			}
@@ -254,8 +245,8 @@
 	out := []MachineView{}
 	for _, p := range slices.Sorted(maps.Keys(ad.c.scheduler.partitions)) {
 		for _, m := range ad.c.agents.MachinesOf(p) {
-			v := MachineView{ID: m.ID, Partition: p, Type: m.machineType, Zone: m.zone, Spot: m.spot, Tasks: []string{}, UnschedulableReason: ad.UnschedulableReason(m, ad.c.scheduler.partitions[p])}
-			for _, placement := range ad.core.state.PlacementsOn(m.ID) {
+			v := MachineView{ID: m.ID, Partition: p, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: []string{}, UnschedulableReason: ad.UnschedulableReason(m, ad.c.scheduler.partitions[p])}
+			for _, placement := range ad.core.State.PlacementsOn(m.ID) {
 				v.Tasks = append(v.Tasks, placement.Task.String())
 			}
 			out = append(out, v)
@@ -269,33 +260,33 @@
 const tokenNotAnnounced = "our term has not been announced to it"
 
 // UnschedulableReason says why a machine gets no new tasks, or nothing.
-func (ad *AdminService) UnschedulableReason(m *Machine, owned *ownedPartition) string {
+func (ad *AdminService) UnschedulableReason(m *core.Machine, owned *core.OwnedPartition) string {
 	switch {
-	case m.deleting:
+	case m.Deleting:
 		return "is being returned"
-	case slices.Contains(ad.core.settings.Drained, m.ID):
+	case slices.Contains(ad.core.Settings.Drained, m.ID):
 		return "drained by an operator"
-	case m.lastHeartbeat == 0:
+	case m.LastHeartbeat == 0:
 		return "has not been heard yet"
-	case m.reclaimNotice:
+	case m.ReclaimNotice:
 		return "the cloud takes it back"
-	case ad.core.machineTypes[m.machineType] == nil:
+	case ad.core.MachineTypes[m.MachineType] == nil:
 		return "of an unknown type"
-	case m.quarantinedUntil >= ad.core.now:
+	case m.QuarantinedUntil >= ad.core.Now:
 		return "different jobs fail on it"
-	case m.fullUntil >= ad.core.now:
+	case m.FullUntil >= ad.core.Now:
 		return "it refused a task for want of room"
-	case ad.core.now.Sub(m.lastHeartbeat) >= 2*ad.core.config.HeartbeatInterval()+2*time.Second:
+	case ad.core.Now.Sub(m.LastHeartbeat) >= 2*ad.core.Config.HeartbeatInterval()+2*time.Second:
 		return "is silent"
-	case m.missedCalls > 0 && ad.core.now.Sub(m.lastHeartbeat) > time.Second:
+	case m.MissedCalls > 0 && ad.core.Now.Sub(m.LastHeartbeat) > time.Second:
 		return "does not answer"
-	case m.suspectSince != 0:
+	case m.SuspectSince != 0:
 		return "it was silent, and its report may be an old one"
-	case ad.c.health.ZoneUnavailable(m.zone) && ad.core.now.Sub(m.lastHeartbeat) > ad.core.config.HeartbeatInterval()*5/4:
+	case ad.c.health.ZoneUnavailable(m.Zone) && ad.core.Now.Sub(m.LastHeartbeat) > ad.core.Config.HeartbeatInterval()*5/4:
 		return "its zone is cut off"
 	case ad.outboundCutOff(m, owned):
 		return "its reports do not reach us, so its lease will end"
-	case m.reportedToken < ad.c.agents.MinToken(owned, m.ID):
+	case m.ReportedToken < ad.c.agents.MinToken(owned, m.ID):
 		return tokenNotAnnounced
 	}
 	return ""
@@ -303,16 +294,16 @@
 
 // outboundCutOff reports whether a machine answers calls while no report of its own comes, though there was
 // time for some: nobody renews its lease, and what is started there dies with it.
-func (ad *AdminService) outboundCutOff(m *Machine, owned *ownedPartition) bool {
-	since := max(m.leaseRenewedAt, m.firstHeartbeat, m.discoveredAt, owned.ownedSince, ad.c.agents.machineLoans[m.ID].knownAt)
-	return ad.core.now.Sub(since) >= 2*ad.core.config.HeartbeatInterval()+2*time.Second
+func (ad *AdminService) outboundCutOff(m *core.Machine, owned *core.OwnedPartition) bool {
+	since := max(m.LeaseRenewedAt, m.FirstHeartbeat, m.DiscoveredAt, owned.OwnedSince, ad.c.agents.machineLoans[m.ID].knownAt)
+	return ad.core.Now.Sub(since) >= 2*ad.core.Config.HeartbeatInterval()+2*time.Second
 }
 
 func (ad *AdminService) viewTeams() []TeamView {
 	out := []TeamView{}
 	usage, owners := ad.c.scheduler.TeamUsage(), ad.c.tenancy.TeamOwners()
-	for _, name := range slices.Sorted(maps.Keys(ad.core.teams)) {
-		team := ad.core.teams[name]
+	for _, name := range slices.Sorted(maps.Keys(ad.core.Teams)) {
+		team := ad.core.Teams[name]
 		v := TeamView{Team: name, UsedCPUs: usage[name].CPU.Float(), UsedGPUs: usage[name].GPU.Float(), GuaranteedCPUs: team.CPUs,
 			GuaranteedGPUs: team.GPUs, MaxCPUs: team.CPUsMax, MaxGPUs: team.GPUsMax}
 		if ad.c.tenancy.hosted != nil {
@@ -320,9 +311,9 @@
 			v.OperatorDefined, v.Revision, v.Tenant = ok, definition.Revision, string(owners[name])
 		}
 		if team.CPUsMax > 0 || team.GPUsMax > 0 {
-			v.Shares = slices.Grow(v.Shares, len(ad.core.state.Partitions))[:len(ad.core.state.Partitions)]
-			for i := range ad.core.state.Partitions {
-				s := ad.core.state.QuotaShare(api.PartitionID(i), name, quotaLimit(team))
+			v.Shares = slices.Grow(v.Shares, len(ad.core.State.Partitions))[:len(ad.core.State.Partitions)]
+			for i := range ad.core.State.Partitions {
+				s := ad.core.State.QuotaShare(api.PartitionID(i), name, quotaLimit(team))
 				v.Shares[i].Part = api.PartitionID(i)
 				if team.CPUsMax > 0 {
 					v.Shares[i].UsedCPUs = s.CPU.Float()
--- a/controller/backfill.go
+++ b/controller/backfill.go
@@ -12,13 +12,15 @@
 	"basaltwall/backfill"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/fragmentation"
 	"basaltwall/sched"
 )
 
 // Backfiller reserves machines for jobs that have waited longest.
 type Backfiller struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	demandProfile demandProfile
@@ -35,21 +37,21 @@
 
 // waitingTime is for how long nothing of a job has run in a part: since it was accepted, or since
 // its last task ended. ok is false when something runs or it may not start now.
-func (bf *Backfiller) waitingTime(j *Job, p api.PartitionID) (d time.Duration, ok bool) {
-	if p == allPartitions && j.LiveCount() > 0 || p != allPartitions && j.PlacementCounts[p] > 0 || j.OwnerState.backoffUntil > bf.core.now || bf.c.tenancy.StartsBlocked(j) {
+func (bf *Backfiller) waitingTime(j *core.Job, p api.PartitionID) (d time.Duration, ok bool) {
+	if p == allPartitions && j.LiveCount() > 0 || p != allPartitions && j.PlacementCounts[p] > 0 || j.OwnerState.BackoffUntil > bf.core.Now || bf.c.tenancy.StartsBlocked(j) {
 		return 0, false
 	}
-	d = time.Duration(bf.core.wallClock-j.AcceptedAt) * time.Millisecond
-	if at := j.OwnerState.lastTaskEndedAt; at != 0 {
-		d = min(d, bf.core.now.Sub(at))
+	d = time.Duration(bf.core.WallClock-j.AcceptedAt) * time.Millisecond
+	if at := j.OwnerState.LastTaskEndedAt; at != 0 {
+		d = min(d, bf.core.Now.Sub(at))
 	} else if j.CompletedCount > 0 || j.RetryCount > 0 {
-		d = min(d, bf.core.now.Sub(bf.core.startedAt)) // it ended before this process began
+		d = min(d, bf.core.Now.Sub(bf.core.StartedAt)) // it ended before this process began
 	}
 	return d, true
 }
 
 // WaitStage is a job's stage in a part, see package due.
-func (bf *Backfiller) WaitStage(j *Job, p api.PartitionID) sched.AgingStage {
+func (bf *Backfiller) WaitStage(j *core.Job, p api.PartitionID) sched.AgingStage {
 	d, ok := bf.waitingTime(j, p)
 	if !ok {
 		return sched.NotAged
@@ -74,16 +76,16 @@
 // TypicalDemands is what work that needs accelerators asks for, looked at once a second.
 func (bf *Backfiller) TypicalDemands() []fragmentation.Demand {
 	profile := &bf.demandProfile
-	if profile.computedAt != 0 && bf.core.now.Sub(profile.computedAt) < demandSampleInterval {
+	if profile.computedAt != 0 && bf.core.Now.Sub(profile.computedAt) < demandSampleInterval {
 		return profile.typical
 	}
 	demandCounts := map[api.Resources]int{}
-	for _, j := range bf.core.state.Jobs {
+	for _, j := range bf.core.State.Jobs {
 		if j.Demand.GPU > 0 && !j.Terminal() {
 			demandCounts[j.Demand] += j.Spec.Tasks - j.CompletedCount
 		}
 	}
-	profile.computedAt, profile.typical = bf.core.now, fragmentation.TypicalDemands(demandCounts)
+	profile.computedAt, profile.typical = bf.core.Now, fragmentation.TypicalDemands(demandCounts)
 	return profile.typical
 }
 
@@ -98,13 +100,13 @@
 	for _, p := range slices.Sorted(maps.Keys(bf.c.scheduler.partitions)) {
 		at := len(out)
 		for _, m := range bf.c.agents.MachinesOf(p) {
-			if !bf.c.jobs.HasAccelerators(m.machineType) || !bf.c.scheduler.IsSchedulable(m, bf.c.scheduler.partitions[p]) {
+			if !bf.c.jobs.HasAccelerators(m.MachineType) || !bf.c.scheduler.IsSchedulable(m, bf.c.scheduler.partitions[p]) {
 				continue
 			}
-			i := slices.IndexFunc(out[at:], func(v FragmentationView) bool { return v.Type == m.machineType && v.Zone == m.zone })
+			i := slices.IndexFunc(out[at:], func(v FragmentationView) bool { return v.Type == m.MachineType && v.Zone == m.Zone })
 			if i < 0 {
 				i = len(out) - at
-				out = append(out, FragmentationView{Partition: p, Type: m.machineType, Zone: m.zone})
+				out = append(out, FragmentationView{Partition: p, Type: m.MachineType, Zone: m.Zone})
 			}
 			free := bf.c.scheduler.FreeCapacityOn(m, bf.c.scheduler.partitions[p])
 			out[at+i].Free += free.GPU.Float()
@@ -120,10 +122,10 @@
 // RoundStage is a job's stage in a round, and for how many seconds it has waited. What must begin
 // goes before others with no more than a quarter of the work that a part starts: where more of
 // it waits than that no order keeps the bound, and what has begun must end too.
-func (bf *Backfiller) RoundStage(owned *ownedPartition, j *Job) (sched.AgingStage, float64) {
-	d, _ := bf.waitingTime(j, owned.id)
-	stage := bf.WaitStage(j, owned.id)
-	if stage != sched.NotAged && owned.mustStartCredit < 0 && !bf.c.balancer.HasReservationFor(owned, j.ID) {
+func (bf *Backfiller) RoundStage(owned *core.OwnedPartition, j *core.Job) (sched.AgingStage, float64) {
+	d, _ := bf.waitingTime(j, owned.Id)
+	stage := bf.WaitStage(j, owned.Id)
+	if stage != sched.NotAged && owned.MustStartCredit < 0 && !bf.c.balancer.HasReservationFor(owned, j.ID) {
 		stage = sched.NotAged
 	}
 	if stage == sched.NotAged {
@@ -139,30 +141,30 @@
 
 // ChargeMustStartCredit counts a start for turnOf: what it takes of the largest machine, for as long as it
 // is likely to run. What may be saved up, or owed, is some machines for as long as the bound.
-func (bf *Backfiller) ChargeMustStartCredit(owned *ownedPartition, j *Job, stage sched.AgingStage) {
+func (bf *Backfiller) ChargeMustStartCredit(owned *core.OwnedPartition, j *core.Job, stage sched.AgingStage) {
 	seconds := j.Spec.Estimate
 	if j.Spec.Kind == api.Service {
 		seconds = serviceRuntimeSeconds
 	}
-	work := backfill.DominantShare(j.Demand, bf.core.largestMachine) * max(1, seconds)
+	work := backfill.DominantShare(j.Demand, bf.core.LargestMachine) * max(1, seconds)
 	if stage != sched.NotAged {
 		work *= -(1/mustStartShare - 1)
 	}
 	creditLimit := 4 * backfill.StartDeadline.Seconds()
-	owned.mustStartCredit = max(-creditLimit, min(creditLimit, owned.mustStartCredit+work))
+	owned.MustStartCredit = max(-creditLimit, min(creditLimit, owned.MustStartCredit+work))
 }
 
 // mustStartJobs are the jobs that wait in a part and must begin, in the order of their turn.
-func (bf *Backfiller) mustStartJobs(owned *ownedPartition) []*Job {
-	var out []*Job
-	for _, j := range bf.core.state.PendingJobs {
-		if bf.WaitStage(j, owned.id) != sched.NotAged && j.PendingTasks(owned.id) > 0 {
+func (bf *Backfiller) mustStartJobs(owned *core.OwnedPartition) []*core.Job {
+	var out []*core.Job
+	for _, j := range bf.core.State.PendingJobs {
+		if bf.WaitStage(j, owned.Id) != sched.NotAged && j.PendingTasks(owned.Id) > 0 {
 			out = append(out, j)
 		}
 	}
-	slices.SortFunc(out, func(a, b *Job) int {
-		x, _ := bf.waitingTime(a, owned.id)
-		y, _ := bf.waitingTime(b, owned.id)
+	slices.SortFunc(out, func(a, b *core.Job) int {
+		x, _ := bf.waitingTime(a, owned.Id)
+		y, _ := bf.waitingTime(b, owned.Id)
 		return cmp.Or(cmp.Compare(backfill.AgingStageOf(y), backfill.AgingStageOf(x)), cmp.Compare(y, x), cmp.Compare(a.ID, b.ID))
 	})
 	return out[:min(len(out), maxMustStartJobs)]
@@ -171,14 +173,14 @@
 // expectedReleases is the room that comes free on a machine by itself. A task's end is known by its
 // owner's estimate only; one that is overdue may last as long again as it is. With moving, a
 // service that may move counts as one that ends, later than what ends by itself.
-func (bf *Backfiller) expectedReleases(m *Machine, includeRelocatable bool) []backfill.Release {
+func (bf *Backfiller) expectedReleases(m *core.Machine, includeRelocatable bool) []backfill.Release {
 	var out []backfill.Release
-	for _, p := range bf.core.state.PlacementsOn(m.ID) {
+	for _, p := range bf.core.State.PlacementsOn(m.ID) {
 		after := math.Inf(1)
 		switch {
 		case p.Finishing:
 			continue // its room is free already
-		case p.OwnerState.stopRequested || p.Job.Terminal():
+		case p.OwnerState.StopRequested || p.Job.Terminal():
 			after = preemptionDelay.Seconds() + p.Job.Spec.Save
 		case p.Job.Spec.Kind == api.Service:
 			if includeRelocatable && bf.isRelocatable(p) {
@@ -186,8 +188,8 @@
 			}
 		default:
 			ran := 0.0
-			if at := cmp.Or(p.OwnerState.runningSince, p.OwnerState.placedAt); at != 0 {
-				ran = bf.core.now.Sub(at).Seconds()
+			if at := cmp.Or(p.OwnerState.RunningSince, p.OwnerState.PlacedAt); at != 0 {
+				ran = bf.core.Now.Sub(at).Seconds()
 			}
 			after = max(p.Job.Spec.Estimate*runtimeSafetyFactor-ran, (ran-p.Job.Spec.Estimate)/2, 1)
 		}
@@ -199,11 +201,11 @@
 // ReservableHosts are a part's machines that a job may use and that are kept for no other. With room to
 // spare, services that may move there count as what ends; a machine whose services have none is
 // not kept for what would never begin on it while they, or others, could use the rest of it.
-func (bf *Backfiller) ReservableHosts(owned *ownedPartition, s *api.JobSpec, excluded map[api.MachineID]bool, candidates []*Machine, releases map[*Machine][]backfill.Release, capacity *relocationCapacity) (ms []*Machine, hosts []backfill.Machine) {
+func (bf *Backfiller) ReservableHosts(owned *core.OwnedPartition, s *api.JobSpec, excluded map[api.MachineID]bool, candidates []*core.Machine, releases map[*core.Machine][]backfill.Release, capacity *relocationCapacity) (ms []*core.Machine, hosts []backfill.Machine) {
 	cpuOnly := bf.c.scheduler.IsCPUOnly(s)
 	for _, m := range candidates {
 		reservedJob := bf.c.preemptor.ReservedFor(m)
-		if reservedJob != "" && reservedJob != s.Ref && (!m.softReservation || s.Priority.Rank() <= m.reservationRank) || excluded[m.ID] || !bf.c.scheduler.IsEligible(s, cpuOnly, m.machineType, m.zone, m.spot) {
+		if reservedJob != "" && reservedJob != s.Ref && (!m.SoftReservation || s.Priority.Rank() <= m.ReservationRank) || excluded[m.ID] || !bf.c.scheduler.IsEligible(s, cpuOnly, m.MachineType, m.Zone, m.Spot) {
 			continue
 		}
 		machineReleases, ok := releases[m]
@@ -212,7 +214,7 @@
 			releases[m] = machineReleases
 		}
 		ms = append(ms, m)
-		hosts = append(hosts, backfill.Machine{Zone: m.zone, Free: bf.c.scheduler.FreeCapacityOn(m, owned), Releases: machineReleases, Reserved: reservedJob == s.Ref})
+		hosts = append(hosts, backfill.Machine{Zone: m.Zone, Free: bf.c.scheduler.FreeCapacityOn(m, owned), Releases: machineReleases, Reserved: reservedJob == s.Ref})
 	}
 	return ms, hosts
 }
@@ -220,33 +222,33 @@
 // Backfill keeps machines for the jobs of a part that must begin and found no room: nothing
 // else starts there, so that the room comes free as a whole. What is kept is in the part's
 // record, see recordKeeps: a new owner goes on with it until it has looked for itself.
-func (bf *Backfiller) Backfill(owned *ownedPartition) {
-	if bf.core.now.Sub(owned.backfilledAt) < backfillInterval {
+func (bf *Backfiller) Backfill(owned *core.OwnedPartition) {
+	if bf.core.Now.Sub(owned.BackfilledAt) < backfillInterval {
 		return
 	}
-	owned.backfilledAt = bf.core.now
+	owned.BackfilledAt = bf.core.Now
 	bf.extendLoanReservations(owned)
 	bf.extendWholeMachineReservations(owned)
-	owned.dirty = owned.dirty || len(bf.ReservationChanges(owned)) > 0
+	owned.Dirty = owned.Dirty || len(bf.ReservationChanges(owned)) > 0
 	jobs := bf.mustStartJobs(owned)
 	if len(jobs) == 0 {
 		return
 	}
-	var schedulable []*Machine
-	for _, m := range bf.c.agents.MachinesOf(owned.id) {
+	var schedulable []*core.Machine
+	for _, m := range bf.c.agents.MachinesOf(owned.Id) {
 		if bf.c.scheduler.IsSchedulable(m, owned) {
 			schedulable = append(schedulable, m)
 		}
 	}
-	ends, endsWithMoves := map[*Machine][]backfill.Release{}, map[*Machine][]backfill.Release{}
+	ends, endsWithMoves := map[*core.Machine][]backfill.Release{}, map[*core.Machine][]backfill.Release{}
 	var capacity *relocationCapacity
-	remaining := bf.c.scheduler.RemainingQuota(owned.id)
+	remaining := bf.c.scheduler.RemainingQuota(owned.Id)
 	for _, j := range jobs {
-		stage, tasksNeeded := bf.WaitStage(j, owned.id), 1
+		stage, tasksNeeded := bf.WaitStage(j, owned.Id), 1
 		if j.Spec.Kind == api.Gang {
 			tasksNeeded = j.Spec.Tasks
 		}
-		if j.Demand.Slots(remaining[j.Spec.Team]) < tasksNeeded || bf.c.pools.PendingReasonPool(j, owned.id) != "" {
+		if j.Demand.Slots(remaining[j.Spec.Team]) < tasksNeeded || bf.c.pools.PendingReasonPool(j, owned.Id) != "" {
 			continue // it is no machine that it waits for, see dueShares and asking
 		}
 		var relocation *relocationCapacity
@@ -257,7 +259,7 @@
 			}
 			relocation, releases = capacity, endsWithMoves
 		}
-		ms, hosts := bf.ReservableHosts(owned, j.Spec, j.OwnerState.failedOn, schedulable, releases, relocation)
+		ms, hosts := bf.ReservableHosts(owned, j.Spec, j.OwnerState.FailedOn, schedulable, releases, relocation)
 		want := backfill.Request{Demand: j.Demand, Tasks: tasksNeeded, OneZone: j.Spec.OneZone}
 		want.PlacedByZone, _ = bf.c.scheduler.TaskZones(j)
 		if j.Spec.Spread {
@@ -268,9 +270,9 @@
 			want.Tasks = want.Tasks * 3 / 4
 			chosen, after = backfill.SelectMachines(hosts, want)
 		}
-		j.OwnerState.unplaceable = chosen == nil
+		j.OwnerState.Unplaceable = chosen == nil
 		if after == 0 && chosen != nil && !hosts[chosen[0]].Reserved {
-			owned.dirty = true // there is room: the next round places it
+			owned.Dirty = true // there is room: the next round places it
 		}
 		for _, i := range chosen {
 			bf.Reserve(owned, ms[i], j.ID, j.Spec.Priority.Rank(), stage)
@@ -279,7 +281,7 @@
 			}
 		}
 		if len(chosen) > 0 {
-			slog.Debug("machines reserved for job", "job", j.ID, "part", owned.id, "machines", len(chosen), "after", after)
+			slog.Debug("machines reserved for job", "job", j.ID, "part", owned.Id, "machines", len(chosen), "after", after)
 		}
 	}
 }
@@ -293,24 +295,24 @@
 
 // isRelocatable reports whether a service's replica may move to another machine: it has run for a
 // while, none of its job was moved of late, and no zone binds it.
-func (bf *Backfiller) isRelocatable(p *Placement) bool {
+func (bf *Backfiller) isRelocatable(p *core.Placement) bool {
 	s := p.Job.Spec
-	return s.Kind == api.Service && !s.Spread && !s.OneZone && !p.Finishing && !p.OwnerState.stopRequested && !p.Job.Terminal() && p.OwnerState.runningSince != 0 &&
-		bf.core.now.Sub(p.OwnerState.runningSince) > minServiceRuntime && p.Job.FinishingCount == 0 && (p.Job.OwnerState.replicaMovedAt == 0 || bf.core.now.Sub(p.Job.OwnerState.replicaMovedAt) > relocationInterval)
+	return s.Kind == api.Service && !s.Spread && !s.OneZone && !p.Finishing && !p.OwnerState.StopRequested && !p.Job.Terminal() && p.OwnerState.RunningSince != 0 &&
+		bf.core.Now.Sub(p.OwnerState.RunningSince) > minServiceRuntime && p.Job.FinishingCount == 0 && (p.Job.OwnerState.ReplicaMovedAt == 0 || bf.core.Now.Sub(p.Job.OwnerState.ReplicaMovedAt) > relocationInterval)
 }
 
 // relocateServices has the services of a machine that is kept start elsewhere, once nothing else is left
 // on it and all of them have room there: one replica of a job at a time, and one machine of a
 // part. A replica is stopped and is due like a lost one, so that whoever owns the part next does
 // the same; what it costs is its fetch.
-func (bf *Backfiller) relocateServices(owned *ownedPartition, m *Machine, capacity *relocationCapacity) {
-	places := bf.core.state.PlacementsOn(m.ID)
-	if len(places) == 0 || bf.core.now.Sub(owned.servicesMovedAt) < reservationTTL {
+func (bf *Backfiller) relocateServices(owned *core.OwnedPartition, m *core.Machine, capacity *relocationCapacity) {
+	places := bf.core.State.PlacementsOn(m.ID)
+	if len(places) == 0 || bf.core.Now.Sub(owned.ServicesMovedAt) < reservationTTL {
 		return
 	}
-	jobs := map[*Job]bool{}
+	jobs := map[*core.Job]bool{}
 	for _, p := range places {
-		if p.Partition != owned.id || !bf.isRelocatable(p) || jobs[p.Job] {
+		if p.Partition != owned.Id || !bf.isRelocatable(p) || jobs[p.Job] {
 			return
 		}
 		jobs[p.Job] = true
@@ -318,11 +320,11 @@
 	if !bf.canRelocateServices(owned, m, capacity) {
 		return
 	}
-	owned.servicesMovedAt = bf.core.now
-	slog.Info("services relocated", "machine", m.ID, "tasks", len(places), "for", m.reservedFor)
+	owned.ServicesMovedAt = bf.core.Now
+	slog.Info("services relocated", "machine", m.ID, "tasks", len(places), "for", m.ReservedFor)
 	for _, p := range slices.Clone(places) {
-		p.Job.OwnerState.replicaMovedAt = bf.core.now
-		bf.core.metrics.ReplicasMoved++
+		p.Job.OwnerState.ReplicaMovedAt = bf.core.Now
+		bf.core.Metrics.ReplicasMoved++
 		bf.c.scheduler.StopTask(p)
 	}
 }
@@ -330,8 +332,8 @@
 // relocationCapacity is the room into which replicas may move: of a part's machines, less what is taken of
 // it, and of other owners'.
 type relocationCapacity struct {
-	machines    []*Machine
-	claimed     map[*Machine]api.Resources
+	machines    []*core.Machine
+	claimed     map[*core.Machine]api.Resources
 	otherOwners []freeCapacityGroup
 }
 
@@ -341,11 +343,11 @@
 // computeRelocationCapacity is the room that what waits already leaves, work aside for which whole machines are
 // emptied: a replica that was moved, by us or another, is due like a lost one and has nothing but
 // that room, so a second must not be stopped for the same.
-func (bf *Backfiller) computeRelocationCapacity(owned *ownedPartition, all []*Machine) *relocationCapacity {
-	capacity := &relocationCapacity{machines: all, claimed: map[*Machine]api.Resources{}, otherOwners: bf.freeCapacityElsewhere()}
+func (bf *Backfiller) computeRelocationCapacity(owned *core.OwnedPartition, all []*core.Machine) *relocationCapacity {
+	capacity := &relocationCapacity{machines: all, claimed: map[*core.Machine]api.Resources{}, otherOwners: bf.freeCapacityElsewhere()}
 	claimsLeft := maxCapacityClaims
-	for _, ref := range slices.Sorted(maps.Keys(bf.core.state.PendingJobs)) {
-		j := bf.core.state.PendingJobs[ref]
+	for _, ref := range slices.Sorted(maps.Keys(bf.core.State.PendingJobs)) {
+		j := bf.core.State.PendingJobs[ref]
 		if j.Demand.GPU == 0 || bf.c.tenancy.StartsBlocked(j) || bf.suffersFragmentation(j.Spec) {
 			continue
 		}
@@ -360,18 +362,18 @@
 
 // claimCapacity takes room for one task off what there is, on a machine of the part if it can, the
 // cheapest first, and reports whether there was any.
-func (bf *Backfiller) claimCapacity(owned *ownedPartition, excluded *Machine, capacity *relocationCapacity, j *Job) bool {
-	var best *Machine
+func (bf *Backfiller) claimCapacity(owned *core.OwnedPartition, excluded *core.Machine, capacity *relocationCapacity, j *core.Job) bool {
+	var best *core.Machine
 	bestCost, cpuOnly := 0.0, bf.c.scheduler.IsCPUOnly(j.Spec)
 	for _, candidate := range capacity.machines {
-		if candidate == excluded || bf.c.preemptor.ReservedFor(candidate) != "" || j.OwnerState.failedOn[candidate.ID] || !bf.c.scheduler.IsEligible(j.Spec, cpuOnly, candidate.machineType, candidate.zone, candidate.spot) {
+		if candidate == excluded || bf.c.preemptor.ReservedFor(candidate) != "" || j.OwnerState.FailedOn[candidate.ID] || !bf.c.scheduler.IsEligible(j.Spec, cpuOnly, candidate.MachineType, candidate.Zone, candidate.Spot) {
 			continue
 		}
 		free := bf.c.scheduler.FreeCapacityOn(candidate, owned).Minus(capacity.claimed[candidate])
 		if !j.Demand.Fits(free) {
 			continue
 		}
-		cost := (&sched.Machine{CachedImages: candidate.cachedImages, FetchRate: bf.core.machineTypes[candidate.machineType].FetchRate, FetchingImages: bf.c.scheduler.PendingImageFetches(candidate)}).FetchTime(j.Spec) +
+		cost := (&sched.Machine{CachedImages: candidate.CachedImages, FetchRate: bf.core.MachineTypes[candidate.MachineType].FetchRate, FetchingImages: bf.c.scheduler.PendingImageFetches(candidate)}).FetchTime(j.Spec) +
 			fragmentation.Increase(free, j.Demand, bf.TypicalDemands())
 		if best == nil || cost < bestCost {
 			best, bestCost = candidate, cost
@@ -393,9 +395,9 @@
 }
 
 // canRelocateServices reports whether all services on a machine that may move have room elsewhere.
-func (bf *Backfiller) canRelocateServices(owned *ownedPartition, m *Machine, capacity *relocationCapacity) bool {
+func (bf *Backfiller) canRelocateServices(owned *core.OwnedPartition, m *core.Machine, capacity *relocationCapacity) bool {
 	trial := &relocationCapacity{capacity.machines, maps.Clone(capacity.claimed), slices.Clone(capacity.otherOwners)}
-	for _, p := range bf.core.state.PlacementsOn(m.ID) {
+	for _, p := range bf.core.State.PlacementsOn(m.ID) {
 		if bf.isRelocatable(p) && !bf.claimCapacity(owned, m, trial, p.Job) {
 			return false
 		}
@@ -410,7 +412,7 @@
 		for _, r := range status.Rooms {
 			if k := r.Kind; k >= 0 && k < len(status.Kinds) && status.Kinds[k].Usable && r.Free.GPU > 0 {
 				for range r.Count {
-					out = append(out, freeCapacityGroup{status.Part, status.Kinds[k], FreeCapacity{Free: r.Free, Count: 1}})
+					out = append(out, freeCapacityGroup{status.Part, status.Kinds[k], message.FreeCapacity{Free: r.Free, Count: 1}})
 				}
 			}
 		}
@@ -421,14 +423,14 @@
 
 // extendLoanReservations keeps the machines that were lent to a part for a job until that has begun, for some
 // time: they come one by one, and the first would be returned as idle before the last is there.
-func (bf *Backfiller) extendLoanReservations(owned *ownedPartition) {
-	for id, loan := range bf.core.state.Loans {
-		j, m := bf.core.state.Jobs[loan.Job], bf.c.agents.machines[id]
-		if loan.Partition != owned.id || j == nil || m == nil || bf.core.now.Sub(bf.c.agents.machineLoans[id].knownAt) > backfill.StartDeadline/2 || j.PendingTasks(owned.id) == 0 {
+func (bf *Backfiller) extendLoanReservations(owned *core.OwnedPartition) {
+	for id, loan := range bf.core.State.Loans {
+		j, m := bf.core.State.Jobs[loan.Job], bf.c.agents.machines[id]
+		if loan.Partition != owned.Id || j == nil || m == nil || bf.core.Now.Sub(bf.c.agents.machineLoans[id].knownAt) > backfill.StartDeadline/2 || j.PendingTasks(owned.Id) == 0 {
 			continue
 		}
-		if _, waits := bf.waitingTime(j, owned.id); waits && bf.c.preemptor.ReservedFor(m) != "" {
-			m.reservedUntil, m.idleSince = bf.core.now.Add(reservationTTL), bf.core.now
+		if _, waits := bf.waitingTime(j, owned.Id); waits && bf.c.preemptor.ReservedFor(m) != "" {
+			m.ReservedUntil, m.IdleSince = bf.core.Now.Add(reservationTTL), bf.core.Now
 		}
 	}
 }
@@ -436,16 +438,16 @@
 // extendWholeMachineReservations goes on keeping a machine that was gathered for tasks that fill most of it, for the
 // next of them: else each would be gathered for anew. Where a service is left on it, gatherDue
 // alone decides: it may have nowhere to go, and others wait for the rest of the machine.
-func (bf *Backfiller) extendWholeMachineReservations(owned *ownedPartition) {
-	for _, m := range bf.c.agents.MachinesOf(owned.id) {
-		if !m.consolidated || bf.c.preemptor.ReservedFor(m) == "" || bf.core.now.Sub(m.consolidatedAt) > backfill.StartDeadline {
+func (bf *Backfiller) extendWholeMachineReservations(owned *core.OwnedPartition) {
+	for _, m := range bf.c.agents.MachinesOf(owned.Id) {
+		if !m.Consolidated || bf.c.preemptor.ReservedFor(m) == "" || bf.core.Now.Sub(m.ConsolidatedAt) > backfill.StartDeadline {
 			continue
 		}
-		if j, typ := bf.core.state.Jobs[m.reservedFor], bf.core.machineTypes[m.machineType]; j.PendingTasks(owned.id) > 0 && typ != nil && backfill.DominantShare(j.Demand, typ.Capacity()) > 0.5 &&
-			!slices.ContainsFunc(bf.core.state.PlacementsOn(m.ID), func(p *Placement) bool {
-				return p.Job.Spec.Kind == api.Service && !p.Finishing && !p.OwnerState.stopRequested
+		if j, typ := bf.core.State.Jobs[m.ReservedFor], bf.core.MachineTypes[m.MachineType]; j.PendingTasks(owned.Id) > 0 && typ != nil && backfill.DominantShare(j.Demand, typ.Capacity()) > 0.5 &&
+			!slices.ContainsFunc(bf.core.State.PlacementsOn(m.ID), func(p *core.Placement) bool {
+				return p.Job.Spec.Kind == api.Service && !p.Finishing && !p.OwnerState.StopRequested
 			}) {
-			m.reservedUntil = bf.core.now.Add(reservationTTL)
+			m.ReservedUntil = bf.core.Now.Add(reservationTTL)
 		}
 	}
 }
@@ -453,17 +455,17 @@
 // ReservationChanges are the changes to what a part keeps that its record does not have yet: machines that
 // are kept, and those that are no more, since their job has begun or is over, or others were
 // chosen. A new owner finds by the record what was being emptied for whom.
-func (bf *Backfiller) ReservationChanges(owned *ownedPartition) []clusterstate.Reservation {
+func (bf *Backfiller) ReservationChanges(owned *core.OwnedPartition) []clusterstate.Reservation {
 	var out []clusterstate.Reservation
-	recorded := bf.core.state.Partitions[owned.id].Reservations
-	for _, m := range bf.c.agents.MachinesOf(owned.id) {
-		if jobID := bf.c.preemptor.ReservedFor(m); m.consolidated && jobID != "" && recorded[m.ID].Job != jobID && len(out) < maxReservationChanges {
-			out = append(out, clusterstate.Reservation{Machine: m.ID, Job: jobID, Since: bf.core.wallClock})
+	recorded := bf.core.State.Partitions[owned.Id].Reservations
+	for _, m := range bf.c.agents.MachinesOf(owned.Id) {
+		if jobID := bf.c.preemptor.ReservedFor(m); m.Consolidated && jobID != "" && recorded[m.ID].Job != jobID && len(out) < maxReservationChanges {
+			out = append(out, clusterstate.Reservation{Machine: m.ID, Job: jobID, Since: bf.core.WallClock})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(recorded)) {
 		m := bf.c.agents.machines[id]
-		ended := m == nil || bf.c.agents.PartitionOf(id) != owned.id || !m.consolidated || bf.c.preemptor.ReservedFor(m) == ""
+		ended := m == nil || bf.c.agents.PartitionOf(id) != owned.Id || !m.Consolidated || bf.c.preemptor.ReservedFor(m) == ""
 		if ended && len(out) < maxReservationChanges {
 			out = append(out, clusterstate.Reservation{Machine: id})
 		}
@@ -477,34 +479,34 @@
 
 // RestoreReservations goes on keeping what the part's former owner kept, for as long as it takes to look
 // at it anew.
-func (bf *Backfiller) RestoreReservations(owned *ownedPartition) {
-	for id, recorded := range bf.core.state.Partitions[owned.id].Reservations {
-		j := bf.core.state.Jobs[recorded.Job]
-		if bf.c.agents.PartitionOf(id) != owned.id || j == nil {
+func (bf *Backfiller) RestoreReservations(owned *core.OwnedPartition) {
+	for id, recorded := range bf.core.State.Partitions[owned.Id].Reservations {
+		j := bf.core.State.Jobs[recorded.Job]
+		if bf.c.agents.PartitionOf(id) != owned.Id || j == nil {
 			continue
 		}
 		m := bf.c.agents.EnsureMachine(id)
-		m.reservedFor, m.reservationRank, m.softReservation, m.consolidated = recorded.Job, j.Spec.Priority.Rank(), true, true
-		m.reservedUntil, m.consolidatedAt = bf.core.now.Add(reservationTTL), bf.core.now
+		m.ReservedFor, m.ReservationRank, m.SoftReservation, m.Consolidated = recorded.Job, j.Spec.Priority.Rank(), true, true
+		m.ReservedUntil, m.ConsolidatedAt = bf.core.Now.Add(reservationTTL), bf.core.Now
 	}
 }
 
 // Reserve keeps a machine for a job for which room is gathered.
-func (bf *Backfiller) Reserve(owned *ownedPartition, m *Machine, jobID api.JobID, rank int, stage sched.AgingStage) {
+func (bf *Backfiller) Reserve(owned *core.OwnedPartition, m *core.Machine, jobID api.JobID, rank int, stage sched.AgingStage) {
 	if bf.c.preemptor.ReservedFor(m) != jobID {
-		bf.core.metrics.MachinesReserved++
-		m.consolidatedAt = bf.core.now
-		slog.Info("machine reserved", "machine", m.ID, "for", jobID, "tasks", len(bf.core.state.PlacementsOn(m.ID)))
-		owned.dirty = true
+		bf.core.Metrics.MachinesReserved++
+		m.ConsolidatedAt = bf.core.Now
+		slog.Info("machine reserved", "machine", m.ID, "for", jobID, "tasks", len(bf.core.State.PlacementsOn(m.ID)))
+		owned.Dirty = true
 	}
-	m.reservedFor, m.reservationRank, m.softReservation, m.reservedUntil, m.consolidated = jobID, rank, stage != sched.AgedAboveAll, bf.core.now.Add(reservationTTL), true
+	m.ReservedFor, m.ReservationRank, m.SoftReservation, m.ReservedUntil, m.Consolidated = jobID, rank, stage != sched.AgedAboveAll, bf.core.Now.Add(reservationTTL), true
 }
 
 // FitsAttainableQuota reports whether so many tasks of a job fit its team's limit once all that ends by
 // itself has ended: only then is the limit left to it.
-func (bf *Backfiller) FitsAttainableQuota(j *Job, tasks int) bool {
-	remaining := quotaLimit(bf.core.teams[j.Spec.Team])
-	for _, o := range bf.core.state.Jobs {
+func (bf *Backfiller) FitsAttainableQuota(j *core.Job, tasks int) bool {
+	remaining := quotaLimit(bf.core.Teams[j.Spec.Team])
+	for _, o := range bf.core.State.Jobs {
 		if o.Spec.Team == j.Spec.Team && o.Spec.Kind == api.Service {
 			remaining = remaining.Minus(o.Demand.Times(o.LiveCount()))
 		}
@@ -515,12 +517,12 @@
 
 // QuotaReservedForOthers is the share of teams' limits that this part leaves to others' jobs that must
 // begin and lack nothing else. Of two parts that want of each other the lower one has it.
-func (bf *Backfiller) QuotaReservedForOthers(owned *ownedPartition) map[api.PartitionID]map[api.Team]api.Resources {
+func (bf *Backfiller) QuotaReservedForOthers(owned *core.OwnedPartition) map[api.PartitionID]map[api.Team]api.Resources {
 	out := map[api.PartitionID]map[api.Team]api.Resources{}
-	remaining := bf.c.scheduler.RemainingQuota(owned.id)
+	remaining := bf.c.scheduler.RemainingQuota(owned.Id)
 	for _, status := range bf.c.gossiper.OtherPartitionStatuses(owned) {
 		for _, team := range slices.Sorted(maps.Keys(status.Due)) {
-			if _, mustStartHere := owned.mustStartQuotaDemand[team]; mustStartHere && owned.id < status.Part {
+			if _, mustStartHere := owned.MustStartQuotaDemand[team]; mustStartHere && owned.Id < status.Part {
 				continue
 			}
 			demand := status.Due[team]
--- a/controller/backfill_test.go
+++ b/controller/backfill_test.go
@@ -11,6 +11,8 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/sched"
 )
 
@@ -19,22 +21,22 @@
 // told all the same: it costs nothing.
 func TestPollsAreServedFairly(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
-	n.core.storeHealthy = true
-	n.core.state.SetJobResult("run-77", api.JobDone)
+	n.core.StoreHealthy = true
+	n.core.State.SetJobResult("run-77", api.JobDone)
 	ask := func(ref string) (status, retry int) {
-		n.core.effects = nil
-		n.dispatch(Poll{Req: 5, Ref: ref})
-		for _, e := range n.core.effects {
-			if r, ok := e.(Reply); ok {
+		n.core.Effects = nil
+		n.dispatch(message.Poll{Req: 5, Ref: ref})
+		for _, e := range n.core.Effects {
+			if r, ok := e.(message.Reply); ok {
 				return r.Status, r.RetryAfter
 			}
 		}
 		return 0, 0 // it waits for a current read
 	}
-	n.dispatch(ResourceUsage{QueuedRequests: 8 * overloadQueueLength})
+	n.dispatch(message.ResourceUsage{QueuedRequests: 8 * core.OverloadQueueLength})
 	served := map[string]bool{}
 	for w := range 8 {
-		n.core.wallClock = api.WallTime(w * 7000)
+		n.core.WallClock = api.WallTime(w * 7000)
 		for i := range 40 {
 			ref := fmt.Sprintf("run-%d", 1000+i)
 			switch status, retry := ask(ref); {
@@ -51,7 +53,7 @@
 	if len(served) != 40 {
 		t.Errorf("%d of 40 jobs had their turn in a cycle", len(served))
 	}
-	n.dispatch(ResourceUsage{QueuedRequests: 0})
+	n.dispatch(message.ResourceUsage{QueuedRequests: 0})
 	if status, _ := ask("run-1003"); status == 503 {
 		t.Error("refused though nothing waits")
 	}
@@ -62,20 +64,20 @@
 func TestForwardingRotatesPeers(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	for _, l := range []api.ControllerID{"x", "y"} {
-		n.gossiper.peers[l] = &peerStatus{gossip: Gossip{From: l, StateOK: true}, receivedAt: n.core.now}
+		n.gossiper.peers[l] = &peerStatus{gossip: message.Gossip{From: l, StateOK: true}, receivedAt: n.core.Now}
 	}
-	n.core.storeHealthy = false
+	n.core.StoreHealthy = false
 	firstAsked := map[api.ControllerID]int{}
 	for i := range 4 {
-		n.core.effects = nil
-		n.dispatch(Poll{Req: ReqID(i), Ref: "run-5"})
-		call := n.core.effects[0].(PeerCall)
+		n.core.Effects = nil
+		n.dispatch(message.Poll{Req: message.ReqID(i), Ref: "run-5"})
+		call := n.core.Effects[0].(message.PeerCall)
 		firstAsked[call.To]++
-		n.core.effects = nil
-		n.dispatch(PeerResponse{ID: call.ID})
-		again, ok := n.core.effects[0].(PeerCall)
+		n.core.Effects = nil
+		n.dispatch(message.PeerResponse{ID: call.ID})
+		again, ok := n.core.Effects[0].(message.PeerCall)
 		if !ok || again.To == call.To || call.Timeout >= 2*time.Second {
-			t.Fatalf("after %s did not answer within %v: %v", call.To, call.Timeout, n.core.effects)
+			t.Fatalf("after %s did not answer within %v: %v", call.To, call.Timeout, n.core.Effects)
 		}
 	}
 	if firstAsked["x"] != 2 || firstAsked["y"] != 2 {
@@ -86,18 +88,18 @@
 // A job whose record just fits could never be cancelled: the cancellation is written into it.
 func TestRecordReservesBytesForCancellation(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
-	n.core.wallClock = 1_900_000_000_000
-	limit := int(n.core.config.Deployment.State.ValueKB * 1024)
+	n.core.WallClock = 1_900_000_000_000
+	limit := int(n.core.Config.Deployment.State.ValueKB * 1024)
 	for pad := 0; pad < 200; pad++ {
 		s := testSpec(1)
-		v := clusterstate.JobValue{Spec: s, Split: []clusterstate.TaskRange{{To: 1}}, AcceptedAt: n.core.wallClock}
+		v := clusterstate.JobValue{Spec: s, Split: []clusterstate.TaskRange{{To: 1}}, AcceptedAt: n.core.WallClock}
 		data, _ := json.Marshal(v)
 		s.Types = []api.MachineTypeName{api.MachineTypeName(strings.Repeat("t", limit-len(data)-pad))}
 		data, _ = json.Marshal(v)
 		if n.core.JobExceedsValueSize(data) {
 			continue
 		}
-		v.Cancelled, v.CancelledAt = true, n.core.wallClock
+		v.Cancelled, v.CancelledAt = true, n.core.WallClock
 		if data, _ = json.Marshal(v); len(data) > limit {
 			t.Fatalf("accepted, and %d bytes once cancelled, of %d", len(data), limit)
 		}
@@ -110,13 +112,13 @@
 // would take it along when it ends.
 func TestMemberKeyOfOldIncarnationIsRewritten(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
-	n.core.storeHealthy, n.membership.leaseID, n.membership.registered = true, 9, true
-	n.core.now = n.core.now.Add(10 * time.Second)
+	n.core.StoreHealthy, n.membership.leaseID, n.membership.registered = true, 9, true
+	n.core.Now = n.core.Now.Add(10 * time.Second)
 	writes := func() bool {
-		n.core.effects, n.membership.leaseCallInFlight, n.membership.nextLeaseCallAt = nil, false, 0
+		n.core.Effects, n.membership.leaseCallInFlight, n.membership.nextLeaseCallAt = nil, false, 0
 		n.membership.MaintainMembership()
-		for _, e := range n.core.effects {
-			if c, ok := e.(StoreCall); ok && c.Txn != nil && c.Txn.Writes[0].Put == clusterstate.KeyMember+"n" && c.Txn.Writes[0].Lease == 9 {
+		for _, e := range n.core.Effects {
+			if c, ok := e.(message.StoreCall); ok && c.Txn != nil && c.Txn.Writes[0].Put == clusterstate.KeyMember+"n" && c.Txn.Writes[0].Lease == 9 {
 				return true
 			}
 		}
@@ -124,7 +126,7 @@
 	}
 	put := func(born int64, ver api.Revision) {
 		data, _ := json.Marshal(clusterstate.MemberValue{Incarnation: born})
-		if err := n.core.state.Put(clusterstate.KeyMember+"n", data, ver); err != nil {
+		if err := n.core.State.Put(clusterstate.KeyMember+"n", data, ver); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -139,18 +141,18 @@
 // Limits of a team's that others' services hold are not waited for.
 func TestQuotaIsReservedOnlyIfAttainable(t *testing.T) {
 	n, _, _, j := newTestOwner(t, testSpec(4))
-	n.core.teams["red"] = config.Team{Name: "red", CPUsMax: 4 * j.Spec.CPUs}
+	n.core.Teams["red"] = config.Team{Name: "red", CPUsMax: 4 * j.Spec.CPUs}
 	if !n.backfiller.FitsAttainableQuota(j, 4) || n.backfiller.FitsAttainableQuota(j, 5) {
 		t.Error("the limit itself")
 	}
 	s := *j.Spec
 	s.Ref, s.Kind = "run-50", api.Service
 	data, _ := json.Marshal(clusterstate.JobValue{Spec: &s, Split: []clusterstate.TaskRange{{To: s.Tasks}}})
-	if err := n.core.state.Put(clusterstate.KeyJob+"run-50", data, 8); err != nil {
+	if err := n.core.State.Put(clusterstate.KeyJob+"run-50", data, 8); err != nil {
 		t.Fatal(err)
 	}
-	o := n.core.state.Jobs["run-50"]
-	n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: "run-50", Index: 0}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: o})
+	o := n.core.State.Jobs["run-50"]
+	n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: "run-50", Index: 0}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: o})
 	if n.backfiller.FitsAttainableQuota(j, 4) || !n.backfiller.FitsAttainableQuota(j, 3) {
 		t.Error("a service's part of the limit does not come free by itself")
 	}
@@ -163,7 +165,7 @@
 	spec.Ref = "run-7"
 	n, owned, m, j := newTestOwner(t, spec)
 	applyRecord := func(reservations ...clusterstate.Reservation) {
-		n.core.state.ApplyRecord(0, &clusterstate.Record{Seq: n.core.state.Partitions[0].RoundSeq + 1, Reservations: reservations})
+		n.core.State.ApplyRecord(0, &clusterstate.Record{Seq: n.core.State.Partitions[0].RoundSeq + 1, Reservations: reservations})
 	}
 	n.backfiller.Reserve(owned, m, j.ID, j.Spec.Priority.Rank(), sched.AgedWithinPriority)
 	reservations := n.backfiller.ReservationChanges(owned)
@@ -174,16 +176,16 @@
 	if again := n.backfiller.ReservationChanges(owned); len(again) != 0 {
 		t.Fatalf("recorded once more: %+v", again)
 	}
-	m.reservedFor, m.reservedUntil, m.consolidated = "", 0, false // another owner knows nothing but the record
+	m.ReservedFor, m.ReservedUntil, m.Consolidated = "", 0, false // another owner knows nothing but the record
 	n.scheduler.BeginOwnership(0, 8)
-	if n.preemptor.ReservedFor(m) != j.ID || !m.consolidated {
+	if n.preemptor.ReservedFor(m) != j.ID || !m.Consolidated {
 		t.Error("a new owner forgets what is kept")
 	}
 	if len(n.backfiller.ReservationChanges(n.scheduler.partitions[0])) != 0 {
 		t.Error("a new owner records it anew")
 	}
 	for i := range spec.Tasks {
-		n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j})
+		n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j})
 	}
 	if ends := n.backfiller.ReservationChanges(n.scheduler.partitions[0]); len(ends) != 1 || ends[0] != (clusterstate.Reservation{Machine: m.ID}) {
 		t.Errorf("its end is not recorded: %+v", ends)
@@ -201,11 +203,11 @@
 	spec.GPUs, spec.CPUs = 4, 4
 	n, _, m, _ := newTestOwner(t, spec)
 	n.core.AddMachineTypes([]api.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, Zones: []api.Zone{"a", "b"}}})
-	m.machineType = "g4"
-	m.untrackedUsage = api.Resources{GPU: api.ToQuantity(3)}
+	m.MachineType = "g4"
+	m.UntrackedUsage = api.Resources{GPU: api.ToQuantity(3)}
 	for i, zone := range []api.Zone{"b", "a"} {
 		o := n.agents.EnsureMachine(api.MachineID(fmt.Sprint("i-00000", i+1)))
-		o.machineType, o.zone, o.lastHeartbeat, o.epoch, o.reportedToken = "g4", zone, n.core.now, 1, 7
+		o.MachineType, o.Zone, o.LastHeartbeat, o.Epoch, o.ReportedToken = "g4", zone, n.core.Now, 1, 7
 	}
 	got := n.backfiller.FragmentedCapacity()
 	want := []FragmentationView{{Type: "g4", Zone: "a", Free: 5, Unusable: 1}, {Type: "g4", Zone: "b", Free: 4}}
--- a/controller/cancel.go
+++ b/controller/cancel.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
 )
 
 // A cancellation is told in two steps. It is written to the job's key, after which no start of
@@ -22,16 +23,16 @@
 // renewed by a former owner that knows nothing, a launch that comes later starts a task whatever
 // we know, and one that fetches its image or waits for its gang begins by itself unless the halt
 // comes before, which may be held up.
-func (js *JobService) CanAcknowledgeCancellation(owned *ownedPartition, j *Job) bool {
-	if j.PlacementCounts[owned.id] == 0 || j.CancellationAcknowledged(owned.id) || !js.core.leaseCoversCancellation {
+func (js *JobService) CanAcknowledgeCancellation(owned *core.OwnedPartition, j *core.Job) bool {
+	if j.PlacementCounts[owned.Id] == 0 || j.CancellationAcknowledged(owned.Id) || !js.core.LeaseCoversCancellation {
 		return false
 	}
 	for _, p := range j.Placements {
-		if p.Partition != owned.id || p.Finishing {
+		if p.Partition != owned.Id || p.Finishing {
 			continue
 		}
 		m := js.c.agents.machines[p.Machine]
-		if m == nil || m.reportedToken < js.c.agents.MinToken(owned, m.ID) || !p.OwnerState.reported || !taskStarted(p.OwnerState.state) {
+		if m == nil || m.ReportedToken < js.c.agents.MinToken(owned, m.ID) || !p.OwnerState.Reported || !taskStarted(p.OwnerState.State) {
 			return false
 		}
 	}
@@ -44,14 +45,14 @@
 // StopCancelledTasks has the machines called that hold a cancelled job's tasks, once, as soon as the
 // cancellation is read: their next reports may be seconds away, and what has still to begin keeps
 // the cancellation from being told.
-func (js *JobService) StopCancelledTasks(owned *ownedPartition, j *Job) {
-	if j.PlacementCounts[owned.id] == 0 {
+func (js *JobService) StopCancelledTasks(owned *core.OwnedPartition, j *core.Job) {
+	if j.PlacementCounts[owned.Id] == 0 {
 		return
 	}
 	for _, i := range slices.Sorted(maps.Keys(j.Placements)) { // in order: the calls are made in it
 		p := j.Placements[i]
-		if m := js.c.agents.machines[p.Machine]; p.Partition == owned.id && !p.Finishing && !p.OwnerState.haltRequested && m != nil {
-			p.OwnerState.haltRequested = true
+		if m := js.c.agents.machines[p.Machine]; p.Partition == owned.Id && !p.Finishing && !p.OwnerState.HaltRequested && m != nil {
+			p.OwnerState.HaltRequested = true
 			js.c.agents.ContactNow(m)
 		}
 	}
@@ -81,12 +82,12 @@
 	if forwarded {
 		wait = cancellationWaitForwarded
 	}
-	requestedAt := js.core.now
+	requestedAt := js.core.Now
 	finish := func(s api.JobStatus) {
-		js.core.metrics.observeLatency("cancelled", js.core.now.Sub(requestedAt))
-		elapsed := js.core.now.Sub(requestedAt)
-		if j := js.core.state.Jobs[s.JobID]; j != nil && j.Cancelled {
-			elapsed = max(elapsed, time.Duration(js.core.wallClock-j.CancelledAt)*time.Millisecond)
+		js.core.Metrics.ObserveLatency("cancelled", js.core.Now.Sub(requestedAt))
+		elapsed := js.core.Now.Sub(requestedAt)
+		if j := js.core.State.Jobs[s.JobID]; j != nil && j.Cancelled {
+			elapsed = max(elapsed, time.Duration(js.core.WallClock-j.CancelledAt)*time.Millisecond)
 		}
 		slog.Info("job cancelled", "job", s.JobID, "state", s.State, "after", elapsed.Seconds())
 		respond(s)
@@ -96,7 +97,7 @@
 			finish(s)
 			return
 		}
-		js.pendingCancellations = append(js.pendingCancellations, pendingCancellation{s.JobID, js.core.now.Add(wait), finish, retryLater})
+		js.pendingCancellations = append(js.pendingCancellations, pendingCancellation{s.JobID, js.core.Now.Add(wait), finish, retryLater})
 	}
 }
 
@@ -112,7 +113,7 @@
 		switch {
 		case ok:
 			pending.respond(s)
-		case js.core.now >= pending.deadline:
+		case js.core.Now >= pending.deadline:
 			js.logPendingCancellation(pending.jobID)
 			pending.retryLater()
 		default:
@@ -123,17 +124,17 @@
 
 // logPendingCancellation names whom a cancellation waits for.
 func (js *JobService) logPendingCancellation(jobID api.JobID) {
-	j := js.core.state.Jobs[jobID]
+	j := js.core.State.Jobs[jobID]
 	if j == nil {
 		return
 	}
 	var partitions []api.PartitionID
 	var owners []api.ControllerID
-	for p := range js.core.state.Partitions {
+	for p := range js.core.State.Partitions {
 		if id := api.PartitionID(p); j.PlacementCounts[id] > 0 && !j.CancellationAcknowledged(id) {
-			partitions, owners = append(partitions, id), append(owners, js.core.state.Partitions[p].Owner)
+			partitions, owners = append(partitions, id), append(owners, js.core.State.Partitions[p].Owner)
 		}
 	}
 	slog.Info("cancellation pending", tenantAttr(j), "job", jobID, "for_parts", partitions, "owners", owners,
-		"since_s", float64(js.core.wallClock-j.CancelledAt)/1000)
+		"since_s", float64(js.core.WallClock-j.CancelledAt)/1000)
 }
--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -7,15 +7,17 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 )
 
 // newCancelledJob is an owner with two tasks of a job on its machine, reported under its token, and
 // the job's cancellation read.
-func newCancelledJob(t *testing.T) (*Controller, *ownedPartition, *Machine, *Job) {
+func newCancelledJob(t *testing.T) (*Controller, *core.OwnedPartition, *core.Machine, *core.Job) {
 	n, owned, m, j := newTestOwner(t, testSpec(2))
-	n.core.state.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}, {Task: 1, Machine: m.ID, Epoch: 1}}}}})
+	n.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}, {Task: 1, Machine: m.ID, Epoch: 1}}}}})
 	for _, p := range j.Placements {
-		p.OwnerState.reported, p.OwnerState.state = true, api.TaskRunning
+		p.OwnerState.Reported, p.OwnerState.State = true, api.TaskRunning
 	}
 	v := j.JobValue
 	v.Cancelled = true
@@ -23,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.core.state.Put(clusterstate.KeyJob+string(j.ID), data, 9); err != nil {
+	if err := n.core.State.Put(clusterstate.KeyJob+string(j.ID), data, 9); err != nil {
 		t.Fatal(err)
 	}
 	return n, owned, m, j
@@ -33,22 +35,26 @@
 // job's tasks and no launch of one is on its way; and users are told only then.
 func TestOwnerAcknowledgesCancellation(t *testing.T) {
 	for what, tc := range map[string]struct {
-		change func(n *Controller, m *Machine, j *Job)
+		change func(n *Controller, m *core.Machine, j *core.Job)
 		want   bool
 	}{
-		"as it should be":                {func(*Controller, *Machine, *Job) {}, true},
-		"a former owner's token":         {func(_ *Controller, m *Machine, _ *Job) { m.reportedToken = 6 }, false},
-		"lent, and not heard since":      {func(n *Controller, m *Machine, _ *Job) { n.core.state.Loans[m.ID] = clusterstate.Loan{Revision: 8} }, false},
-		"a machine that is not known":    {func(n *Controller, m *Machine, _ *Job) { n.agents.ForgetMachine(m.ID) }, false},
-		"a launch on its way":            {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.reported = false }, false},
-		"a task that fetches its image":  {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.state = api.TaskFetching }, false},
-		"a task that waits for its gang": {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.state = api.TaskWaiting }, false},
-		"a task that saves":              {func(_ *Controller, _ *Machine, j *Job) { j.Placements[1].OwnerState.state = api.TaskCheckpointing }, true},
-		"that one is over": {func(n *Controller, _ *Machine, j *Job) {
-			j.Placements[1].OwnerState.reported = false
-			n.core.state.SetFinishing(j.Placements[1], true)
+		"as it should be":        {func(*Controller, *core.Machine, *core.Job) {}, true},
+		"a former owner's token": {func(_ *Controller, m *core.Machine, _ *core.Job) { m.ReportedToken = 6 }, false},
+		"lent, and not heard since": {func(n *Controller, m *core.Machine, _ *core.Job) {
+			n.core.State.Loans[m.ID] = clusterstate.Loan{Revision: 8}
+		}, false},
+		"a machine that is not known":    {func(n *Controller, m *core.Machine, _ *core.Job) { n.agents.ForgetMachine(m.ID) }, false},
+		"a launch on its way":            {func(_ *Controller, _ *core.Machine, j *core.Job) { j.Placements[1].OwnerState.Reported = false }, false},
+		"a task that fetches its image":  {func(_ *Controller, _ *core.Machine, j *core.Job) { j.Placements[1].OwnerState.State = api.TaskFetching }, false},
+		"a task that waits for its gang": {func(_ *Controller, _ *core.Machine, j *core.Job) { j.Placements[1].OwnerState.State = api.TaskWaiting }, false},
+		"a task that saves": {func(_ *Controller, _ *core.Machine, j *core.Job) {
+			j.Placements[1].OwnerState.State = api.TaskCheckpointing
 		}, true},
-		"leases longer than a cancellation": {func(n *Controller, _ *Machine, _ *Job) { n.core.leaseCoversCancellation = false }, false},
+		"that one is over": {func(n *Controller, _ *core.Machine, j *core.Job) {
+			j.Placements[1].OwnerState.Reported = false
+			n.core.State.SetFinishing(j.Placements[1], true)
+		}, true},
+		"leases longer than a cancellation": {func(n *Controller, _ *core.Machine, _ *core.Job) { n.core.LeaseCoversCancellation = false }, false},
 	} {
 		n, owned, m, j := newCancelledJob(t)
 		if s, _ := n.jobs.JobStatus(j.ID); s.State != api.JobRunning || *s.Running != 2 {
@@ -57,8 +63,8 @@
 		tc.change(n, m, j)
 		n.scheduler.RunPartition(owned)
 		acknowledged := false
-		if owned.inFlight != nil {
-			for _, d := range owned.inFlight.record.Jobs {
+		if owned.InFlight != nil {
+			for _, d := range owned.InFlight.Record.Jobs {
 				acknowledged = acknowledged || d.CancellationAcknowledged
 			}
 			n.scheduler.applyCommittedRound(owned, 10)
@@ -84,11 +90,11 @@
 	}
 	ask(true)
 	ask(false)
-	n.core.now = n.core.now.Add(time.Second)
+	n.core.Now = n.core.Now.Add(time.Second)
 	if n.jobs.AnswerCancellations(); retried != 1 || answered != 0 {
 		t.Errorf("after a second %d were told, %d are to come again", answered, retried)
 	}
-	n.core.state.ApplyRecord(0, &clusterstate.Record{Seq: 2, Jobs: []clusterstate.JobDelta{{Job: j.ID, CancellationAcknowledged: true}}})
+	n.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 2, Jobs: []clusterstate.JobDelta{{Job: j.ID, CancellationAcknowledged: true}}})
 	if n.jobs.AnswerCancellations(); retried != 1 || answered != 1 || len(n.jobs.pendingCancellations) != 0 {
 		t.Errorf("%d were told, %d are to come again, %d wait", answered, retried, len(n.jobs.pendingCancellations))
 	}
@@ -100,13 +106,13 @@
 // What nobody understands changes nothing and is counted.
 func TestMalformedPeerMessages(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
-	n.dispatch(MalformedMessage{Req: 1, From: "10.0.0.9:1"})
-	n.dispatch(PeerGossip{Req: 2, Gossip: &Gossip{From: "nobody", Rented: []RecentScaleOut{{Machines: []api.MachineID{"i-9"}}}}})
-	if n.core.metrics.MalformedMessages != 2 || len(n.autoscaler.fleet.provisioned) != 0 {
-		t.Errorf("%d counted, %d rentals believed", n.core.metrics.MalformedMessages, len(n.autoscaler.fleet.provisioned))
+	n.dispatch(message.MalformedMessage{Req: 1, From: "10.0.0.9:1"})
+	n.dispatch(message.PeerGossip{Req: 2, Gossip: &message.Gossip{From: "nobody", Rented: []message.RecentScaleOut{{Machines: []api.MachineID{"i-9"}}}}})
+	if n.core.Metrics.MalformedMessages != 2 || len(n.autoscaler.fleet.provisioned) != 0 {
+		t.Errorf("%d counted, %d rentals believed", n.core.Metrics.MalformedMessages, len(n.autoscaler.fleet.provisioned))
 	}
-	for _, e := range n.core.effects {
-		if r, ok := e.(Reply); ok && r.Status != 400 {
+	for _, e := range n.core.Effects {
+		if r, ok := e.(message.Reply); ok && r.Status != 400 {
 			t.Errorf("answered with %d", r.Status)
 		}
 	}
@@ -119,11 +125,11 @@
 	n.scheduler.RecordTaskEnd(owned, j.Placements[0], true, "done")
 	n.scheduler.RecordTaskEnd(owned, j.Placements[1], true, "done")
 	n.scheduler.RunPartition(owned)
-	if owned.inFlight == nil {
+	if owned.InFlight == nil {
 		t.Fatal("no round is written")
 	}
 	lost := 0
-	for _, d := range owned.inFlight.record.Jobs {
+	for _, d := range owned.InFlight.Record.Jobs {
 		if lost += len(d.Terminated); len(d.Completed) > 0 {
 			t.Errorf("%v are recorded as done", d.Completed)
 		}
@@ -141,14 +147,14 @@
 // once: their next reports are seconds away.
 func TestMachinesContactedForCancelledTasks(t *testing.T) {
 	n, owned, m, j := newCancelledJob(t)
-	m.address = "10.1.0.1:9000"
+	m.Address = "10.1.0.1:9000"
 	for _, p := range j.Placements {
-		m.reportedTasks[attemptKey{p.Task, p.Attempt}] = api.TaskStatus{Task: p.Task.String(), Attempt: p.Attempt, State: api.TaskRunning}
+		m.ReportedTasks[core.AttemptKey{Task: p.Task, Attempt: p.Attempt}] = api.TaskStatus{Task: p.Task.String(), Attempt: p.Attempt, State: api.TaskRunning}
 	}
 	calls := func() (count, stops int) {
 		n.agents.ReconcileMachines()
-		for _, e := range n.core.effects {
-			if c, ok := e.(WorkerCall); ok {
+		for _, e := range n.core.Effects {
+			if c, ok := e.(message.WorkerCall); ok {
 				count++
 				for _, command := range c.Commands.Commands {
 					if command.Op == api.OpStop {
--- a/controller/capacitytarget.go
+++ b/controller/capacitytarget.go
@@ -9,31 +9,23 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 )
 
-// AcceleratorKind is machines with accelerators that cost alike.
-type AcceleratorKind struct {
-	Type api.MachineTypeName
-	Spot bool
-}
-
-// AcceleratorCount says how many machines of a supply are up, and how many of these have
-// work that they are kept for and that does not end soon: services and gangs.
-type AcceleratorCount struct{ Up, Lasting int }
-
 // CountAccelerators counts a part's machines with accelerators.
-func (as *Autoscaler) CountAccelerators(p api.PartitionID) map[AcceleratorKind]AcceleratorCount {
-	counts := map[AcceleratorKind]AcceleratorCount{}
+func (as *Autoscaler) CountAccelerators(p api.PartitionID) map[message.AcceleratorKind]message.AcceleratorCount {
+	counts := map[message.AcceleratorKind]message.AcceleratorCount{}
 	for _, m := range as.c.agents.MachinesOf(p) {
-		if m.lastHeartbeat == 0 || m.deleting || !as.c.jobs.HasAccelerators(m.machineType) {
+		if m.LastHeartbeat == 0 || m.Deleting || !as.c.jobs.HasAccelerators(m.MachineType) {
 			continue
 		}
-		c := counts[AcceleratorKind{m.machineType, m.spot}]
+		c := counts[message.AcceleratorKind{Type: m.MachineType, Spot: m.Spot}]
 		c.Up++
 		if as.hasLongRunningWork(m.ID) {
 			c.Lasting++
 		}
-		counts[AcceleratorKind{m.machineType, m.spot}] = c
+		counts[message.AcceleratorKind{Type: m.MachineType, Spot: m.Spot}] = c
 	}
 	return counts
 }
@@ -41,7 +33,7 @@
 // hasLongRunningWork reports whether a machine with accelerators has a service or a gang
 // that needs them.
 func (as *Autoscaler) hasLongRunningWork(id api.MachineID) bool {
-	for _, p := range as.core.state.PlacementsOn(id) {
+	for _, p := range as.core.State.PlacementsOn(id) {
 		if p.Job.Spec.Kind != api.Array && !as.c.scheduler.IsCPUOnly(p.Job.Spec) {
 			return true
 		}
@@ -50,8 +42,8 @@
 }
 
 // acceleratorsByPartition is what is known of all parts' machines with accelerators.
-func (as *Autoscaler) acceleratorsByPartition() map[api.PartitionID]map[AcceleratorKind]AcceleratorCount {
-	out := map[api.PartitionID]map[AcceleratorKind]AcceleratorCount{}
+func (as *Autoscaler) acceleratorsByPartition() map[api.PartitionID]map[message.AcceleratorKind]message.AcceleratorCount {
+	out := map[api.PartitionID]map[message.AcceleratorKind]message.AcceleratorCount{}
 	for p := range as.c.scheduler.partitions {
 		out[p] = as.CountAccelerators(p)
 	}
@@ -63,14 +55,14 @@
 			return
 		}
 		if out[p] == nil {
-			out[p] = map[AcceleratorKind]AcceleratorCount{}
+			out[p] = map[message.AcceleratorKind]message.AcceleratorCount{}
 		}
-		c := out[p][AcceleratorKind{h.Type, h.Spot}]
+		c := out[p][message.AcceleratorKind{Type: h.Type, Spot: h.Spot}]
 		c.Up++
 		if as.hasLongRunningWork(h.ID) {
 			c.Lasting++
 		}
-		out[p][AcceleratorKind{h.Type, h.Spot}] = c
+		out[p][message.AcceleratorKind{Type: h.Type, Spot: h.Spot}] = c
 	})
 	return out
 }
@@ -116,10 +108,10 @@
 // Those are the dear ones; of the others a few more do not matter, and rounds of
 // short tasks miss them (docs/measurements.md).
 func (as *Autoscaler) updateCapacityTargets() {
-	as.fleet.nextDemandSample = as.core.now.Add(demandSampleInterval)
+	as.fleet.nextDemandSample = as.core.Now.Add(demandSampleInterval)
 	as.recordSpotUptime()
 	samples := map[api.MachineTypeName]demandSample{}
-	for _, j := range as.core.state.Jobs {
+	for _, j := range as.core.State.Jobs {
 		if j.Terminal() || as.c.scheduler.IsCPUOnly(j.Spec) || as.c.tenancy.StartsBlocked(j) {
 			continue
 		}
@@ -148,11 +140,11 @@
 		samples[typ.Name] = sample
 	}
 	counts := as.acceleratorsByPartition()
-	for _, name := range slices.Sorted(maps.Keys(as.core.machineTypes)) {
-		if typ := as.core.machineTypes[name]; typ.GPUs > 0 {
+	for _, name := range slices.Sorted(maps.Keys(as.core.MachineTypes)) {
+		if typ := as.core.MachineTypes[name]; typ.GPUs > 0 {
 			target := as.capacityTargetOf(name)
 			sample := samples[name]
-			sample.sampledAt = as.core.now
+			sample.sampledAt = as.core.Now
 			target.addSample(sample, api.Time(as.idleTimeout(name)+2*demandSampleInterval), api.Time(api.Seconds(typ.BootSeconds)))
 			as.markSurplus(name, target, counts)
 		}
@@ -168,9 +160,9 @@
 
 // SuitsLatencySensitive reports whether a machine is such as prompt work needs: other work
 // leaves room there if it can, or it would have to make way.
-func (as *Autoscaler) SuitsLatencySensitive(m *Machine) bool {
-	target := as.fleet.capacityTargets[m.machineType]
-	return target != nil && target.latencySensitiveSpec != nil && (target.latencySensitiveSpec.Spot || !m.spot)
+func (as *Autoscaler) SuitsLatencySensitive(m *core.Machine) bool {
+	target := as.fleet.capacityTargets[m.MachineType]
+	return target != nil && target.latencySensitiveSpec != nil && (target.latencySensitiveSpec.Spot || !m.Spot)
 }
 
 // demandSampleInterval is how often the load is looked at.
@@ -210,8 +202,8 @@
 // CheapestType is the cheapest type that can take a job's tasks.
 func (as *Autoscaler) CheapestType(s *api.JobSpec) *api.MachineType {
 	var best *api.MachineType
-	for _, name := range slices.Sorted(maps.Keys(as.core.machineTypes)) {
-		t := as.core.machineTypes[name]
+	for _, name := range slices.Sorted(maps.Keys(as.core.MachineTypes)) {
+		t := as.core.MachineTypes[name]
 		if s.Demand().Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, name)) && (best == nil || t.Price < best.Price) {
 			best = t
 		}
@@ -224,24 +216,24 @@
 // may use as many stay as it needs. They get work last and are returned when they
 // are idle. Every owner reckons alike from the same counts, so that together they
 // choose about as many as there are too many.
-func (as *Autoscaler) markSurplus(name api.MachineTypeName, target *capacityTarget, countsByPartition map[api.PartitionID]map[AcceleratorKind]AcceleratorCount) {
-	totals := map[AcceleratorKind]AcceleratorCount{}
+func (as *Autoscaler) markSurplus(name api.MachineTypeName, target *capacityTarget, countsByPartition map[api.PartitionID]map[message.AcceleratorKind]message.AcceleratorCount) {
+	totals := map[message.AcceleratorKind]message.AcceleratorCount{}
 	surplus := -target.total
 	for _, counts := range countsByPartition {
 		for s, c := range counts {
 			if s.Type == name {
-				totals[s] = AcceleratorCount{totals[s].Up + c.Up, totals[s].Lasting + c.Lasting}
+				totals[s] = message.AcceleratorCount{Up: totals[s].Up + c.Up, Lasting: totals[s].Lasting + c.Lasting}
 				surplus += c.Up
 			}
 		}
 	}
-	price := func(s AcceleratorKind) float64 {
+	price := func(s message.AcceleratorKind) float64 {
 		if s.Spot {
-			return as.core.machineTypes[name].SpotPrice
+			return as.core.MachineTypes[name].SpotPrice
 		}
-		return as.core.machineTypes[name].Price
+		return as.core.MachineTypes[name].Price
 	}
-	supplies := slices.SortedFunc(maps.Keys(totals), func(a, b AcceleratorKind) int { return cmp.Compare(price(b), price(a)) })
+	supplies := slices.SortedFunc(maps.Keys(totals), func(a, b message.AcceleratorKind) int { return cmp.Compare(price(b), price(a)) })
 	for _, s := range supplies {
 		free := totals[s].Up - totals[s].Lasting
 		excess := surplus
@@ -270,28 +262,28 @@
 
 // selectSurplus marks so many of a part's machines: those marked before, then
 // those with least work, then the newest.
-func (as *Autoscaler) selectSurplus(p api.PartitionID, s AcceleratorKind, take int) {
-	var free []*Machine
+func (as *Autoscaler) selectSurplus(p api.PartitionID, s message.AcceleratorKind, take int) {
+	var free []*core.Machine
 	for _, m := range as.c.agents.MachinesOf(p) {
 		switch {
-		case m.machineType != s.Type || m.spot != s.Spot:
-		case m.lastHeartbeat != 0 && !m.deleting && !as.hasLongRunningWork(m.ID):
+		case m.MachineType != s.Type || m.Spot != s.Spot:
+		case m.LastHeartbeat != 0 && !m.Deleting && !as.hasLongRunningWork(m.ID):
 			free = append(free, m)
 		default:
-			m.surplus = false
+			m.Surplus = false
 		}
 	}
-	rank := func(m *Machine) int {
-		if m.surplus || as.core.now < m.consolidatingUntil {
+	rank := func(m *core.Machine) int {
+		if m.Surplus || as.core.Now < m.ConsolidatingUntil {
 			return 0
 		}
-		return 1 + len(as.core.state.PlacementsOn(m.ID))
+		return 1 + len(as.core.State.PlacementsOn(m.ID))
 	}
-	slices.SortStableFunc(free, func(a, b *Machine) int {
+	slices.SortStableFunc(free, func(a, b *core.Machine) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(b.ID, a.ID))
 	})
 	for i, m := range free {
-		m.surplus = i < take
+		m.Surplus = i < take
 	}
 }
 
@@ -302,13 +294,13 @@
 // have room and their image, so that it can be returned: services that came while there
 // was much other work are spread over many machines when that is gone. The cost is a
 // moment without the replica.
-func (as *Autoscaler) consolidate(owned *ownedPartition, s AcceleratorKind) {
-	if as.core.now.Sub(owned.ownedSince) < as.idleTimeout(s.Type) {
+func (as *Autoscaler) consolidate(owned *core.OwnedPartition, s message.AcceleratorKind) {
+	if as.core.Now.Sub(owned.OwnedSince) < as.idleTimeout(s.Type) {
 		return
 	}
-	var from, to []*Machine
-	for _, m := range as.c.agents.MachinesOf(owned.id) {
-		if m.machineType != s.Type || m.spot != s.Spot || m.surplus || as.core.now < m.consolidatingUntil || !as.c.scheduler.IsSchedulable(m, owned) || len(as.core.state.PlacementsOn(m.ID)) == 0 {
+	var from, to []*core.Machine
+	for _, m := range as.c.agents.MachinesOf(owned.Id) {
+		if m.MachineType != s.Type || m.Spot != s.Spot || m.Surplus || as.core.Now < m.ConsolidatingUntil || !as.c.scheduler.IsSchedulable(m, owned) || len(as.core.State.PlacementsOn(m.ID)) == 0 {
 			continue
 		}
 		if as.c.preemptor.ReservedFor(m) == "" {
@@ -321,26 +313,26 @@
 	if len(from) == 0 {
 		return
 	}
-	m := slices.MinFunc(from, func(a, b *Machine) int {
-		return len(as.core.state.PlacementsOn(a.ID)) - len(as.core.state.PlacementsOn(b.ID))
+	m := slices.MinFunc(from, func(a, b *core.Machine) int {
+		return len(as.core.State.PlacementsOn(a.ID)) - len(as.core.State.PlacementsOn(b.ID))
 	})
 	if !as.fitsElsewhere(m, owned, to) {
 		return
 	}
-	m.consolidatingUntil = as.core.now.Add(reservationTTL)
-	slog.Info("services relocated", "machine", m.ID, "tasks", len(as.core.state.PlacementsOn(m.ID)))
-	for _, p := range slices.Clone(as.core.state.PlacementsOn(m.ID)) {
+	m.ConsolidatingUntil = as.core.Now.Add(reservationTTL)
+	slog.Info("services relocated", "machine", m.ID, "tasks", len(as.core.State.PlacementsOn(m.ID)))
+	for _, p := range slices.Clone(as.core.State.PlacementsOn(m.ID)) {
 		as.c.scheduler.StopTask(p)
 	}
 }
 
 // fitsElsewhere reports whether others that have the images have room for all that a
 // machine holds.
-func (as *Autoscaler) fitsElsewhere(from *Machine, owned *ownedPartition, to []*Machine) bool {
-	taken := map[*Machine]api.Resources{}
-	for _, p := range as.core.state.PlacementsOn(from.ID) {
-		i := slices.IndexFunc(to, func(m *Machine) bool {
-			_, has := m.cachedImages[p.Job.Spec.Image]
+func (as *Autoscaler) fitsElsewhere(from *core.Machine, owned *core.OwnedPartition, to []*core.Machine) bool {
+	taken := map[*core.Machine]api.Resources{}
+	for _, p := range as.core.State.PlacementsOn(from.ID) {
+		i := slices.IndexFunc(to, func(m *core.Machine) bool {
+			_, has := m.CachedImages[p.Job.Spec.Image]
 			return has && m != from && p.Job.Demand.Fits(as.c.scheduler.FreeCapacityOn(m, owned).Minus(taken[m]))
 		})
 		if i < 0 {
@@ -352,11 +344,11 @@
 }
 
 // allServicesMovable reports whether all that a machine holds are services that may move.
-func (as *Autoscaler) allServicesMovable(m *Machine, owned *ownedPartition) bool {
-	for _, p := range as.core.state.PlacementsOn(m.ID) {
+func (as *Autoscaler) allServicesMovable(m *core.Machine, owned *core.OwnedPartition) bool {
+	for _, p := range as.core.State.PlacementsOn(m.ID) {
 		s := p.Job.Spec
-		if s.Kind != api.Service || s.Spread || s.OneZone || p.Partition != owned.id || p.Finishing || p.OwnerState.stopRequested || p.Job.Terminal() ||
-			p.OwnerState.runningSince == 0 || as.core.now.Sub(p.OwnerState.runningSince) < minServiceRuntime {
+		if s.Kind != api.Service || s.Spread || s.OneZone || p.Partition != owned.Id || p.Finishing || p.OwnerState.StopRequested || p.Job.Terminal() ||
+			p.OwnerState.RunningSince == 0 || as.core.Now.Sub(p.OwnerState.RunningSince) < minServiceRuntime {
 			return false
 		}
 	}
--- a/controller/capacitytarget_test.go
+++ b/controller/capacitytarget_test.go
@@ -6,6 +6,8 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 )
 
 // What comes all at once, as at the start of a day, is not expected to come again;
@@ -40,14 +42,14 @@
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	accepted := 0
 	for range 10 * 20 { // ten seconds, a thousand submissions
-		n.core.now = n.core.now.Add(50 * time.Millisecond)
+		n.core.Now = n.core.Now.Add(50 * time.Millisecond)
 		for range 5 {
 			if n.jobs.allowSubmission() {
 				accepted++
 			}
 		}
 	}
-	if most := int(submissionWriteShare * n.core.config.Deployment.State.WriteRPS * 11); accepted > most || accepted < most/2 {
+	if most := int(submissionWriteShare * n.core.Config.Deployment.State.WriteRPS * 11); accepted > most || accepted < most/2 {
 		t.Errorf("%d of 1000 submissions in ten seconds are written, expected %d at most and not much less", accepted, most)
 	}
 }
@@ -56,21 +58,21 @@
 // the same.
 func TestOverloadShedsOnlyOptionalWork(t *testing.T) {
 	n, owned, _, _ := newTestOwner(t, testSpec(2))
-	n.core.teams["red"] = config.Team{Name: "red"}
-	n.dispatch(ResourceUsage{QueueLength: 10 * overloadQueueLength})
+	n.core.Teams["red"] = config.Team{Name: "red"}
+	n.dispatch(message.ResourceUsage{QueueLength: 10 * core.OverloadQueueLength})
 	n.autoscaler.fleet.nextDemandSample = 0
 	n.autoscaler.ReconcileFleet()
 	if n.autoscaler.fleet.nextDemandSample != 0 {
 		t.Error("the load was reckoned")
 	}
 	n.scheduler.RunPartition(owned)
-	if owned.nextMove != 0 || owned.nextLoan != 0 {
+	if owned.NextMove != 0 || owned.NextLoan != 0 {
 		t.Error("moves and lending were looked at")
 	}
-	if owned.inFlight == nil || len(owned.inFlight.starts) == 0 {
+	if owned.InFlight == nil || len(owned.InFlight.Starts) == 0 {
 		t.Error("no start was planned")
 	}
-	n.dispatch(ResourceUsage{QueueLength: 0})
+	n.dispatch(message.ResourceUsage{QueueLength: 0})
 	n.autoscaler.ReconcileFleet()
 	if n.autoscaler.fleet.nextDemandSample == 0 {
 		t.Error("the load was not reckoned when there was time again")
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -5,8 +5,6 @@
 package controller
 
 import (
-	"encoding/json"
-	"log/slog"
 	"maps"
 	"slices"
 	"time"
@@ -14,6 +12,8 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
 )
@@ -21,11 +21,11 @@
 // Controller is one controller.
 type Controller struct {
 	// OnWorkStart, if set, is told which kind of work comes next.
-	OnWorkStart func(WorkKind)
+	OnWorkStart func(message.WorkKind)
 
 	started bool
 
-	core         *Core
+	core         *core.Core
 	follower     *LogFollower
 	membership   *Membership
 	gossiper     *Gossiper
@@ -45,16 +45,6 @@
 	reporter     *MetricsReporter
 }
 
-type pendingRequest struct {
-	kind      string
-	startedAt api.Time
-}
-
-type deferredCall struct {
-	at       api.Time
-	callback func()
-}
-
 type readWaiter struct {
 	onRead, onFailure func()
 	direct            bool // it wants a read of our own
@@ -66,7 +56,7 @@
 }
 
 type peerStatus struct {
-	gossip           Gossip
+	gossip           message.Gossip
 	receivedAt       api.Time
 	receivedDirectly bool // it came from the controller itself
 	sendInFlight     bool
@@ -79,233 +69,119 @@
 
 // NewState is an empty book; the kinds of records that stand for themselves are
 // registered here.
-func (n *Controller) NewState() *clusterState {
-	n.core.settings, n.core.recordedTypes, n.priorities.priorityState.shortage = Settings{}, api.MachineTypes{}, priority.Shortage{}
+func (n *Controller) NewState() *core.ClusterState {
+	n.core.Settings, n.core.RecordedTypes, n.priorities.priorityState.shortage = core.Settings{}, api.MachineTypes{}, priority.Shortage{}
 	n.health.zones.records = map[api.Zone]zonehealth.Record{}
-	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(settingsKey, &n.core.settings), clusterstate.SingleKey(machineTypesKey, &n.core.recordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.ZoneRecordKind()}, n.tenancy.HostedRecordKinds()...)
-	return clusterstate.New[jobTracking, placementTracking](n.core.config.Deployment.InitialSize, kinds...)
+	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.ZoneRecordKind()}, n.tenancy.HostedRecordKinds()...)
+	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
 }
 
 // New returns a controller; born tells this run of the process from others.
 func New(cfg *config.Config, incarnation int64) *Controller {
-	core := newCore(cfg, incarnation)
-	n := &Controller{core: core}
-	n.follower = &LogFollower{core: core, c: n}
+	shared := core.NewCore(cfg, incarnation)
+	n := &Controller{core: shared}
+	n.follower = &LogFollower{core: shared, c: n}
 	n.membership = newMembership(n)
 	n.gossiper = newGossiper(n)
 	n.agents = newAgentManager(n)
-	n.health = &ZoneHealth{core: core, c: n}
+	n.health = &ZoneHealth{core: shared, c: n}
 	n.autoscaler = newAutoscaler(n)
-	n.scheduler = &RoundScheduler{core: core, c: n, partitions: map[api.PartitionID]*ownedPartition{}}
-	n.preemptor = &Preemptor{core: core, c: n}
-	n.priorities = &Priorities{core: core, c: n}
-	n.backfiller = &Backfiller{core: core, c: n}
-	n.balancer = &Balancer{core: core, c: n}
+	n.scheduler = &RoundScheduler{core: shared, c: n, partitions: map[api.PartitionID]*core.OwnedPartition{}}
+	n.preemptor = &Preemptor{core: shared, c: n}
+	n.priorities = &Priorities{core: shared, c: n}
+	n.backfiller = &Backfiller{core: shared, c: n}
+	n.balancer = &Balancer{core: shared, c: n}
 	n.jobs = newJobService(n)
-	n.tenancy = &TenantService{core: core, c: n}
-	n.pools = &PoolManager{core: core, c: n}
-	n.reservations = &ReservationService{core: core, c: n}
-	n.admin = &AdminService{core: core, c: n}
-	n.reporter = &MetricsReporter{core: core, c: n}
+	n.tenancy = &TenantService{core: shared, c: n}
+	n.pools = &PoolManager{core: shared, c: n}
+	n.reservations = &ReservationService{core: shared, c: n}
+	n.admin = &AdminService{core: shared, c: n}
+	n.reporter = &MetricsReporter{core: shared, c: n}
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
-	n.core.state = n.NewState()
+	n.core.State = n.NewState()
 	return n
 }
 
 // Step tells the controller what happened and returns what it wants done. It
 // is also to be called with no commands at least every Tick.
-func (n *Controller) Step(now api.Time, wall api.WallTime, cmds []Command) []Effect {
-	n.core.now, n.core.wallClock = now, wall
+func (n *Controller) Step(now api.Time, wall api.WallTime, cmds []message.Command) []message.Effect {
+	n.core.Now, n.core.WallClock = now, wall
 	if !n.started {
-		n.started, n.core.startedAt = true, now
+		n.started, n.core.StartedAt = true, now
 	}
 	for _, c := range cmds {
 		n.reporter.StartWork(workKindOf(c))
 		n.dispatch(c)
 	}
 	n.tick()
-	out := n.core.effects
-	n.core.effects = nil
+	out := n.core.Effects
+	n.core.Effects = nil
 	return out
 }
 
 // TickInterval is how often Step wants to be called when nothing happens.
 const TickInterval = 50 * time.Millisecond
 
-func (n *Controller) dispatch(c Command) {
-	answer := func(id CallID) {
-		if f := n.core.pendingCalls[id]; f != nil {
-			delete(n.core.pendingCalls, id)
+func (n *Controller) dispatch(c message.Command) {
+	answer := func(id message.CallID) {
+		if f := n.core.PendingCalls[id]; f != nil {
+			delete(n.core.PendingCalls, id)
 			f(c)
 		}
 	}
 	switch c := c.(type) {
-	case Submit:
-		n.core.pendingRequests[c.Req] = pendingRequest{"submit", n.core.now}
+	case message.Submit:
+		n.core.PendingRequests[c.Req] = core.PendingRequest{Kind: "submit", StartedAt: n.core.Now}
 		n.jobs.Submit(c)
-	case Poll:
-		n.core.pendingRequests[c.Req] = pendingRequest{"poll", n.core.now}
+	case message.Poll:
+		n.core.PendingRequests[c.Req] = core.PendingRequest{Kind: "poll", StartedAt: n.core.Now}
 		n.jobs.Poll(c)
-	case Cancel:
-		n.core.pendingRequests[c.Req] = pendingRequest{"cancel", n.core.now}
+	case message.Cancel:
+		n.core.PendingRequests[c.Req] = core.PendingRequest{Kind: "cancel", StartedAt: n.core.Now}
 		n.jobs.Cancel(c)
-	case ResourceUsage:
-		n.core.metrics.observeLatency("step", c.StepTime)
-		n.core.metrics.usage = c
-	case ListHistory:
+	case message.ResourceUsage:
+		n.core.Metrics.ObserveLatency("step", c.StepTime)
+		n.core.Metrics.Usage = c
+	case message.ListHistory:
 		n.tenancy.ListHistory(c)
-	case TenantQuery:
+	case message.TenantQuery:
 		n.tenancy.HandleTenantQuery(c)
-	case ReadinessProbe:
+	case message.ReadinessProbe:
 		n.jobs.Ready(c)
-	case WorkerHeartbeat:
+	case message.WorkerHeartbeat:
 		n.agents.HandleHeartbeat(c)
-	case PeerGossip:
+	case message.PeerGossip:
 		n.gossiper.HandleGossip(c)
-	case ReadLog:
+	case message.ReadLog:
 		n.follower.HandleReadLog(c)
-	case MalformedMessage:
+	case message.MalformedMessage:
 		n.gossiper.RejectMalformed(c.Req, c.From)
-	case AdminRequest:
+	case message.AdminRequest:
 		n.admin.HandleAdmin(c)
-	case StoreResponse:
+	case message.StoreResponse:
 		answer(c.ID)
-	case WorkerResponse:
+	case message.WorkerResponse:
 		answer(c.ID)
-	case CloudResponse:
+	case message.CloudResponse:
 		answer(c.ID)
-	case PeerResponse:
+	case message.PeerResponse:
 		answer(c.ID)
 	}
 }
 
-func (k *Core) Emit(e Effect) {
-	if r, ok := e.(Reply); ok {
-		if pending, ok := k.pendingRequests[r.Req]; ok {
-			delete(k.pendingRequests, r.Req)
-			k.metrics.observeLatency(pending.kind, k.now.Sub(pending.startedAt))
-		}
-	}
-	k.effects = append(k.effects, e)
-}
-
-func (k *Core) Reply(req ReqID, status int, body any, retryAfter int) {
-	data, err := json.Marshal(body)
-	if err != nil {
-		status, data = 500, []byte(`{"error":"internal"}`)
-	}
-	k.Emit(Reply{Req: req, Status: status, Body: data, RetryAfter: retryAfter})
-}
-
-// ReplyFromPeer answers a request as a peer has answered it.
-func (k *Core) ReplyFromPeer(req ReqID, r PeerReply) {
-	k.Emit(Reply{Req: req, Status: r.Status, Body: r.Body, RetryAfter: r.RetryAfter})
-}
-
-func (k *Core) ReplyError(req ReqID, status int, reason string) {
-	retry := 0
-	if status == 503 {
-		retry = 1
-		slog.Debug("request refused, retry later", "why", reason)
-	}
-	k.Reply(req, status, api.ErrorBody{Error: reason}, retry)
-}
-
-func (k *Core) registerCall(callback func(any)) CallID {
-	k.lastCallID++
-	k.pendingCalls[k.lastCallID] = callback
-	return k.lastCallID
-}
-
-func (k *Core) CallStore(c StoreCall, callback func(StoreResponse)) {
-	if c.Timeout == 0 {
-		c.Timeout = storeTimeout
-	}
-	var id CallID
-	id = k.registerCall(func(a any) {
-		response := a.(StoreResponse)
-		if at, ok := k.pendingStoreCalls[id]; ok {
-			delete(k.pendingStoreCalls, id)
-			k.metrics.observeLatency("state", k.now.Sub(at))
-		}
-		if response.Status == 0 && c.Txn != nil {
-			k.metrics.IndeterminateWrites++
-		}
-		if response.Status == 0 || response.Status == 429 || response.Status == 503 {
-			k.metrics.StoreFailures++
-		}
-		if response.Status == 0 || response.Status == 503 {
-			k.storeHealthy = false
-		} else if response.Status != 429 {
-			k.storeHealthy = true
-		}
-		callback(response)
-	})
-	c.ID = id
-	k.metrics.StoreRequests++
-	if c.Txn != nil {
-		k.metrics.StoreWrites += uint64(len(c.Txn.Writes))
-	}
-	if c.Changes == nil || c.Changes.Wait == 0 {
-		k.pendingStoreCalls[id] = k.now
-	}
-	k.Emit(c)
-}
-
-// storeSlowAfter is when the state service is taken not to answer this node, for
-// the time being: its answers usually take a few milliseconds.
-const storeSlowAfter = 150 * time.Millisecond
-
-// StoreUnreachable reports whether the state service seems not to answer us.
-func (k *Core) StoreUnreachable() bool {
-	if !k.loaded || !k.storeHealthy {
-		return true
-	}
-	for _, at := range k.pendingStoreCalls {
-		if k.now.Sub(at) > storeSlowAfter {
-			return true
-		}
-	}
-	return false
-}
-
-func (k *Core) CallStoreTxn(t api.Txn, callback func(StoreResponse)) {
-	k.CallStore(StoreCall{Txn: &t}, callback)
-}
-
-func (k *Core) CallWorker(addr string, commands api.CommandBatch, callback func(WorkerResponse)) {
-	k.metrics.WorkerCalls++
-	k.Emit(WorkerCall{k.registerCall(func(a any) { callback(a.(WorkerResponse)) }), addr, commands, workerTimeout})
-}
-
-func (k *Core) CallCloud(c CloudCall, callback func(CloudResponse)) {
-	c.ID, c.Timeout = k.registerCall(func(a any) { callback(a.(CloudResponse)) }), cloudTimeout
-	k.metrics.CloudRequests++
-	k.Emit(c)
-}
-
-func (k *Core) CallPeer(to api.ControllerID, timeout time.Duration, m PeerMessage, callback func(PeerResponse)) {
-	k.Emit(PeerCall{k.registerCall(func(a any) { callback(a.(PeerResponse)) }), to, m, timeout})
-}
-
-// DeferCall does something again a little later.
-func (k *Core) DeferCall(callback func()) {
-	k.deferredCalls = append(k.deferredCalls, deferredCall{k.now.Add(retryDelay), callback})
-}
-
 // tick does whatever is due.
 func (n *Controller) tick() {
-	for len(n.core.deferredCalls) > 0 && n.core.deferredCalls[0].at <= n.core.now {
-		callback := n.core.deferredCalls[0].callback
-		n.core.deferredCalls = n.core.deferredCalls[1:]
+	for len(n.core.DeferredCalls) > 0 && n.core.DeferredCalls[0].At <= n.core.Now {
+		callback := n.core.DeferredCalls[0].Callback
+		n.core.DeferredCalls = n.core.DeferredCalls[1:]
 		callback()
 	}
-	n.reporter.StartWork(WorkMembership)
+	n.reporter.StartWork(message.WorkMembership)
 	n.membership.MaintainMembership()
 	n.jobs.AnswerCancellations()
-	if !n.core.loaded {
+	if !n.core.Loaded {
 		n.follower.LoadState()
 		return
 	}
@@ -314,45 +190,22 @@
 	n.jobs.SendResultLookup()
 	n.reservations.SyncLedger()
 	n.membership.ClaimPartitions()
-	n.reporter.StartWork(WorkFleet)
+	n.reporter.StartWork(message.WorkFleet)
 	n.autoscaler.ReconcileFleet()
 	n.tenancy.ReconcileTenants()
-	n.reporter.StartWork(WorkRounds)
+	n.reporter.StartWork(message.WorkRounds)
 	n.scheduler.ObserveRounds()
 	for _, p := range slices.Sorted(maps.Keys(n.scheduler.partitions)) {
 		if owned := n.scheduler.partitions[p]; owned != nil {
 			n.scheduler.RunPartition(owned)
 		}
 	}
-	n.reporter.StartWork(WorkMachines)
+	n.reporter.StartWork(message.WorkMachines)
 	n.health.ReconcileZones()
 	n.priorities.UpdateShortage()
 	n.agents.ReconcileMachines()
 	n.health.EvacuateZones()
 	n.autoscaler.ProcessDeletions()
-	n.reporter.StartWork(WorkGossip)
+	n.reporter.StartWork(message.WorkGossip)
 	n.gossiper.SendGossip()
 }
-
-// Overloaded reports whether so many commands wait that what is merely better than
-// nothing is put off: better fits, moves, lending, renting ahead, news. Never the
-// lease, answers, evidence or starts.
-func (k *Core) Overloaded() bool {
-	if k.metrics.usage.QueueLength < overloadQueueLength {
-		return false
-	}
-	k.metrics.OptionalWorkShed++
-	return true
-}
-
-// overloadQueueLength is some batches of commands: what comes in a few steps.
-const overloadQueueLength = 256
-
-func (k *Core) AddMachineTypes(types []api.MachineType) {
-	for i := range types {
-		t := types[i]
-		k.machineTypes[t.Name] = &t
-		c := t.Capacity()
-		k.largestMachine = api.Resources{CPU: max(k.largestMachine.CPU, c.CPU), GPU: max(k.largestMachine.GPU, c.GPU), Mem: max(k.largestMachine.Mem, c.Mem)}
-	}
-}
--- a/controller/deletions.go
+++ b/controller/deletions.go
@@ -6,20 +6,22 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/zonehealth"
 )
 
 // ScheduleDeletion has the cloud delete a machine; its answer proves the tasks over.
-func (as *Autoscaler) ScheduleDeletion(m *Machine, owned *ownedPartition, reason string) {
-	m.deleting = true
-	m.unreachable = reason == deleteReasonUnreachable || reason == deleteReasonCancelled || reason == deleteReasonZoneLost
+func (as *Autoscaler) ScheduleDeletion(m *core.Machine, owned *core.OwnedPartition, reason string) {
+	m.Deleting = true
+	m.Unreachable = reason == deleteReasonUnreachable || reason == deleteReasonCancelled || reason == deleteReasonZoneLost
 	as.pendingDeletions = append(as.pendingDeletions, pendingDeletion{m, owned, reason})
 }
 
 // pendingDeletion is a machine that is to be deleted.
 type pendingDeletion struct {
-	machine   *Machine
-	partition *ownedPartition
+	machine   *core.Machine
+	partition *core.OwnedPartition
 	reason    string
 }
 
@@ -27,7 +29,7 @@
 // are still ours is read first: a deposed owner, cut off perhaps, must not delete
 // what another has put to use.
 func (as *Autoscaler) ProcessDeletions() {
-	if as.deletionInFlight || len(as.pendingDeletions) == 0 || as.core.now < as.nextDeletionAt {
+	if as.deletionInFlight || len(as.pendingDeletions) == 0 || as.core.Now < as.nextDeletionAt {
 		return
 	}
 	as.deletionInFlight = true
@@ -46,55 +48,55 @@
 	as.pendingDeletions = slices.Clone(as.pendingDeletions[len(batch):])
 	finish := func(ok bool) {
 		if as.deletionInFlight = false; ok {
-			as.deletionFailures, as.nextDeletionAt = 0, as.core.now.Add(as.core.cloudCallInterval)
+			as.deletionFailures, as.nextDeletionAt = 0, as.core.Now.Add(as.core.CloudCallInterval)
 			return
 		}
 		// Twice as long each time, and not in step with the other owners: all of them have
 		// much to delete when a zone is lost, and the cloud may be down just then.
 		as.deletionFailures++
-		backoff := min(maxDeletionBackoff, as.core.cloudCallInterval<<min(as.deletionFailures, 16))
-		as.nextDeletionAt = as.core.now.Add(backoff/2 + time.Duration(as.rng.Int64N(int64(backoff/2)+1)))
+		backoff := min(maxDeletionBackoff, as.core.CloudCallInterval<<min(as.deletionFailures, 16))
+		as.nextDeletionAt = as.core.Now.Add(backoff/2 + time.Duration(as.rng.Int64N(int64(backoff/2)+1)))
 	}
 	cancelDeletion := func(deletion pendingDeletion) {
-		deletion.machine.deleting = false
-		deletion.machine.nextCallAt = as.core.now.Add(time.Second)
+		deletion.machine.Deleting = false
+		deletion.machine.NextCallAt = as.core.Now.Add(time.Second)
 	}
 	as.c.follower.LinearizableRead(func() {
 		var ids []api.MachineID
 		var confirmed []pendingDeletion
 		for _, deletion := range batch {
-			if as.c.scheduler.partitions[deletion.partition.id] != deletion.partition || as.c.agents.PartitionOf(deletion.machine.ID) != deletion.partition.id || deletion.reason == deleteReasonIdle && len(as.core.state.PlacementsOn(deletion.machine.ID)) > 0 ||
-				deletion.reason == deleteReasonZoneLost && as.c.health.zones.records[deletion.machine.zone].State != zonehealth.Failed {
+			if as.c.scheduler.partitions[deletion.partition.Id] != deletion.partition || as.c.agents.PartitionOf(deletion.machine.ID) != deletion.partition.Id || deletion.reason == deleteReasonIdle && len(as.core.State.PlacementsOn(deletion.machine.ID)) > 0 ||
+				deletion.reason == deleteReasonZoneLost && as.c.health.zones.records[deletion.machine.Zone].State != zonehealth.Failed {
 				cancelDeletion(deletion) // what was decided is not so any more
 				continue
 			}
-			slog.Info("deleting machine", "machine", deletion.machine.ID, "why", deletion.reason, "tasks", len(as.core.state.PlacementsOn(deletion.machine.ID)))
+			slog.Info("deleting machine", "machine", deletion.machine.ID, "why", deletion.reason, "tasks", len(as.core.State.PlacementsOn(deletion.machine.ID)))
 			ids, confirmed = append(ids, deletion.machine.ID), append(confirmed, deletion)
 		}
 		if len(ids) == 0 {
 			finish(true)
 			return
 		}
-		as.core.CallCloud(CloudCall{Delete: ids}, func(a CloudResponse) {
+		as.core.CallCloud(message.CloudCall{Delete: ids}, func(a message.CloudResponse) {
 			finish(a.Status == 200)
 			for _, deletion := range confirmed {
 				if a.Status != 200 {
 					cancelDeletion(deletion)
 					continue
 				}
-				as.fleet.deletedAt[deletion.machine.ID] = as.core.now
-				delete(as.fleet.offerBackoff, machineOffer{deletion.machine.machineType, deletion.machine.zone, deletion.machine.spot}) // there may be room again
-				if deletion.machine.spot && (deletion.reason == deleteReasonUnreachable || deletion.reason == deleteReasonCancelled || deletion.machine.reclaimNotice) {
+				as.fleet.deletedAt[deletion.machine.ID] = as.core.Now
+				delete(as.fleet.offerBackoff, machineOffer{deletion.machine.MachineType, deletion.machine.Zone, deletion.machine.Spot}) // there may be room again
+				if deletion.machine.Spot && (deletion.reason == deleteReasonUnreachable || deletion.reason == deleteReasonCancelled || deletion.machine.ReclaimNotice) {
 					as.fleet.spotPreemptions++
 				}
 				as.c.balancer.DropLoanRecord(deletion.partition, deletion.machine.ID)
-				if as.c.scheduler.partitions[deletion.partition.id] == deletion.partition {
-					for _, p := range as.core.state.PlacementsOn(deletion.machine.ID) {
-						if p.Partition == deletion.partition.id && !p.Finishing {
+				if as.c.scheduler.partitions[deletion.partition.Id] == deletion.partition {
+					for _, p := range as.core.State.PlacementsOn(deletion.machine.ID) {
+						if p.Partition == deletion.partition.Id && !p.Finishing {
 							as.c.scheduler.RecordTaskEnd(deletion.partition, p, false, reasonMachineDeleted)
 						}
 					}
-					deletion.partition.dirty = true
+					deletion.partition.Dirty = true
 				}
 				as.c.agents.ForgetMachine(deletion.machine.ID)
 			}
@@ -108,9 +110,9 @@
 }
 
 // nonArrayTasks counts the tasks on a machine that are not of an array.
-func (as *Autoscaler) nonArrayTasks(m *Machine) int {
+func (as *Autoscaler) nonArrayTasks(m *core.Machine) int {
 	count := 0
-	for _, p := range as.core.state.PlacementsOn(m.ID) {
+	for _, p := range as.core.State.PlacementsOn(m.ID) {
 		if p.Job.Spec.Kind != api.Array && !p.Job.Terminal() {
 			count++
 		}
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -12,13 +12,15 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/sched"
 	"basaltwall/zonehealth"
 )
 
 // Autoscaler scales the fleet out and in.
 type Autoscaler struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	pendingDeletions []pendingDeletion
@@ -69,19 +71,19 @@
 // recordSpotUptime keeps the account of spot machines.
 func (as *Autoscaler) recordSpotUptime() {
 	f := &as.fleet
-	if since := as.core.now.Sub(f.spotSampledAt); f.spotSampledAt != 0 && since > 0 {
+	if since := as.core.Now.Sub(f.spotSampledAt); f.spotSampledAt != 0 && since > 0 {
 		decay := math.Exp(-since.Seconds() / spotDecayTime.Seconds())
 		f.spotUptimeSeconds *= decay
 		f.spotPreemptions *= decay
 		for p := range as.c.scheduler.partitions {
 			for _, m := range as.c.agents.MachinesOf(p) {
-				if m.spot && m.lastHeartbeat != 0 {
+				if m.Spot && m.LastHeartbeat != 0 {
 					f.spotUptimeSeconds += since.Seconds()
 				}
 			}
 		}
 	}
-	f.spotSampledAt = as.core.now
+	f.spotSampledAt = as.core.Now
 }
 
 // machineOffer is something the cloud may rent.
@@ -97,7 +99,7 @@
 }
 
 // provisionedNotListed is what was rented and the list does not show yet.
-func (f *fleet) provisionedNotListed() []RecentScaleOut {
+func (f *fleet) provisionedNotListed() []message.RecentScaleOut {
 	byOffer := map[machineOffer][]api.MachineID{}
 	for _, id := range slices.Sorted(maps.Keys(f.provisioned)) {
 		if _, listed := f.listedMachines[id]; !listed && f.deletedAt[id] == 0 {
@@ -105,9 +107,9 @@
 			byOffer[o] = append(byOffer[o], id)
 		}
 	}
-	var out []RecentScaleOut
+	var out []message.RecentScaleOut
 	for _, o := range slices.SortedFunc(maps.Keys(byOffer), compareOffers) {
-		out = append(out, RecentScaleOut{o.machineType, o.zone, o.spot, byOffer[o]})
+		out = append(out, message.RecentScaleOut{Type: o.machineType, Zone: o.zone, Spot: o.spot, Machines: byOffer[o]})
 	}
 	return out
 }
@@ -130,11 +132,11 @@
 
 func (as *Autoscaler) ReconcileFleet() {
 	as.refreshMachineTypes()
-	if len(as.c.scheduler.partitions) == 0 || len(as.core.machineTypes) == 0 {
+	if len(as.c.scheduler.partitions) == 0 || len(as.core.MachineTypes) == 0 {
 		return
 	}
 	as.refreshMachineList()
-	if as.core.now >= as.fleet.nextDemandSample && !as.core.Overloaded() {
+	if as.core.Now >= as.fleet.nextDemandSample && !as.core.Overloaded() {
 		as.updateCapacityTargets()
 	}
 	if owned := as.c.scheduler.partitions[0]; owned != nil {
@@ -144,30 +146,30 @@
 
 func (as *Autoscaler) refreshMachineTypes() {
 	f := &as.fleet
-	if f.readingTypes || as.core.now < f.nextTypesRead || len(as.core.machineTypes) > 0 && as.c.scheduler.partitions[0] == nil {
+	if f.readingTypes || as.core.Now < f.nextTypesRead || len(as.core.MachineTypes) > 0 && as.c.scheduler.partitions[0] == nil {
 		return
 	}
 	f.readingTypes = true
-	as.core.CallCloud(CloudCall{Types: true}, func(a CloudResponse) {
+	as.core.CallCloud(message.CloudCall{Types: true}, func(a message.CloudResponse) {
 		f.readingTypes = false
 		if a.Status != 200 || len(a.Types) == 0 {
-			f.nextTypesRead = as.core.now.Add(time.Second)
+			f.nextTypesRead = as.core.Now.Add(time.Second)
 			return
 		}
-		f.nextTypesRead = as.core.now.Add(typesInterval)
+		f.nextTypesRead = as.core.Now.Add(typesInterval)
 		as.core.AddMachineTypes(a.Types)
-		if owned := as.c.scheduler.partitions[0]; owned != nil && len(as.core.recordedTypes.Types) != len(a.Types) {
+		if owned := as.c.scheduler.partitions[0]; owned != nil && len(as.core.RecordedTypes.Types) != len(a.Types) {
 			// Kept so that a node that starts while the cloud is down knows them.
 			v, _ := json.Marshal(api.MachineTypes{Types: a.Types})
-			as.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.ownershipCondition(), as.core.state.VersionCondition(machineTypesKey)},
-				Writes: []api.Write{{Put: machineTypesKey, Value: v}}}, func(StoreResponse) {})
+			as.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.OwnershipCondition(), as.core.State.VersionCondition(core.MachineTypesKey)},
+				Writes: []api.Write{{Put: core.MachineTypesKey, Value: v}}}, func(message.StoreResponse) {})
 		}
 	})
 }
 
 func (as *Autoscaler) refreshMachineList() {
 	f := &as.fleet
-	if f.listing || as.core.now < f.nextList {
+	if f.listing || as.core.Now < f.nextList {
 		return
 	}
 	f.listing = true
@@ -177,9 +179,9 @@
 
 func (as *Autoscaler) readMachinePage(since api.MachineID) {
 	f := &as.fleet
-	as.core.CallCloud(CloudCall{List: &ListRequest{Since: since}}, func(a CloudResponse) {
+	as.core.CallCloud(message.CloudCall{List: &message.ListRequest{Since: since}}, func(a message.CloudResponse) {
 		if a.Status != 200 {
-			f.listing, f.nextList = false, as.core.now.Add(listInterval/2)
+			f.listing, f.nextList = false, as.core.Now.Add(listInterval/2)
 			return
 		}
 		for _, h := range a.Hosts.Machines {
@@ -189,19 +191,19 @@
 			as.readMachinePage(a.Hosts.Machines[k-1].ID)
 			return
 		}
-		f.listedMachines, f.listing, f.listedAt = f.partialList, false, as.core.now
+		f.listedMachines, f.listing, f.listedAt = f.partialList, false, as.core.Now
 		f.listedOrder = slices.Sorted(maps.Keys(f.listedMachines))
 		// A third of the cloud's calls may be for lists, however many pages
 		// they have and nodes read them.
 		pages := float64(len(f.listedMachines)/listPageSize + 1)
-		f.nextList = as.core.now.Add(max(listInterval, api.Seconds(3*pages*float64(len(as.core.controllers))/as.core.config.Deployment.Cloud.RPS)))
+		f.nextList = as.core.Now.Add(max(listInterval, api.Seconds(3*pages*float64(len(as.core.Controllers))/as.core.Config.Deployment.Cloud.RPS)))
 		for id, at := range f.deletedAt {
-			if _, there := f.listedMachines[id]; !there && as.core.now.Sub(at) > 5*time.Minute {
+			if _, there := f.listedMachines[id]; !there && as.core.Now.Sub(at) > 5*time.Minute {
 				delete(f.deletedAt, id)
 			}
 		}
 		for id, r := range f.provisioned {
-			if _, there := f.listedMachines[id]; there || as.core.now.Sub(r.at) > time.Minute {
+			if _, there := f.listedMachines[id]; there || as.core.Now.Sub(r.at) > time.Minute {
 				delete(f.provisioned, id)
 			}
 		}
@@ -212,7 +214,7 @@
 // listPageSize is how many machines a page of the list holds.
 const listPageSize = 500
 
-func (as *Autoscaler) IsListedRunning(m *Machine) bool {
+func (as *Autoscaler) IsListedRunning(m *core.Machine) bool {
 	return as.fleet.listedMachines[m.ID].State == api.MachineRunning
 }
 
@@ -227,16 +229,16 @@
 			continue
 		}
 		m := as.c.agents.EnsureMachine(id)
-		m.applyListing(h)
-		if m.deleting || as.core.now < m.nextCallAt && m.lastHeartbeat == 0 {
+		m.ApplyListing(h)
+		if m.Deleting || as.core.Now < m.NextCallAt && m.LastHeartbeat == 0 {
 			continue
 		}
 		switch h.State {
 		case api.MachineFailed:
 			as.ScheduleDeletion(m, owned, "failed")
 		case api.MachineBooting:
-			typ := as.core.machineTypes[h.Type]
-			if m.lastHeartbeat == 0 && typ != nil && h.AgeSeconds > failedBootFactor*typ.BootSeconds+10 {
+			typ := as.core.MachineTypes[h.Type]
+			if m.LastHeartbeat == 0 && typ != nil && h.AgeSeconds > failedBootFactor*typ.BootSeconds+10 {
 				as.ScheduleDeletion(m, owned, "does not come up")
 			}
 		}
@@ -245,36 +247,36 @@
 
 // EvaluateScaleIn decides whether a machine is still wanted. It is called for each
 // in turn.
-func (as *Autoscaler) EvaluateScaleIn(m *Machine, owned *ownedPartition) {
+func (as *Autoscaler) EvaluateScaleIn(m *core.Machine, owned *core.OwnedPartition) {
 	f := &as.fleet
-	if len(as.core.machineTypes) == 0 {
+	if len(as.core.MachineTypes) == 0 {
 		return
 	}
-	if as.hasRetainingWork(m.ID, m.machineType) || as.c.health.ZoneUnavailable(m.zone) || m.consolidated && as.c.preemptor.ReservedFor(m) != "" {
-		m.idleSince, m.scaleInCandidate = as.core.now, false // one that is out is the plan's, see giveUp
+	if as.hasRetainingWork(m.ID, m.MachineType) || as.c.health.ZoneUnavailable(m.Zone) || m.Consolidated && as.c.preemptor.ReservedFor(m) != "" {
+		m.IdleSince, m.ScaleInCandidate = as.core.Now, false // one that is out is the plan's, see giveUp
 	}
 	if owned == nil {
-		if as.core.now.Sub(max(m.lastHeartbeat, m.discoveredAt)) > time.Minute {
+		if as.core.Now.Sub(max(m.LastHeartbeat, m.DiscoveredAt)) > time.Minute {
 			as.c.agents.ForgetMachine(m.ID)
 		}
 		return
 	}
-	idleTimeout, idleFor := as.idleTimeout(m.machineType), as.core.now.Sub(m.idleSince)
-	idle := m.lastHeartbeat != 0 && as.core.now.Sub(owned.ownedSince) > idleTimeout && (idleFor > idleTimeout || m.surplus && idleFor > idleTimeout/3)
-	if target := f.capacityTargets[m.machineType]; target != nil && target.latencySensitiveSpec != nil && !m.surplus {
+	idleTimeout, idleFor := as.idleTimeout(m.MachineType), as.core.Now.Sub(m.IdleSince)
+	idle := m.LastHeartbeat != 0 && as.core.Now.Sub(owned.OwnedSince) > idleTimeout && (idleFor > idleTimeout || m.Surplus && idleFor > idleTimeout/3)
+	if target := f.capacityTargets[m.MachineType]; target != nil && target.latencySensitiveSpec != nil && !m.Surplus {
 		idle = false
 	}
-	m.scaleInCandidate = idle && as.c.jobs.HasAccelerators(m.machineType)
-	if m.deleting || len(as.core.state.PlacementsOn(m.ID)) > 0 {
+	m.ScaleInCandidate = idle && as.c.jobs.HasAccelerators(m.MachineType)
+	if m.Deleting || len(as.core.State.PlacementsOn(m.ID)) > 0 {
 		return
 	}
 	_, listed := f.listedMachines[m.ID]
 	switch {
-	case !listed && m.lastHeartbeat == 0 && as.core.now.Sub(m.discoveredAt) > time.Minute:
+	case !listed && m.LastHeartbeat == 0 && as.core.Now.Sub(m.DiscoveredAt) > time.Minute:
 		as.c.agents.ForgetMachine(m.ID)
-	case m.quarantinedUntil > as.core.now && m.lastHeartbeat != 0:
+	case m.QuarantinedUntil > as.core.Now && m.LastHeartbeat != 0:
 		as.ScheduleDeletion(m, owned, "sick")
-	case idle && owned.inFlight == nil && len(m.reportedTasks) == 0 && as.deletionFailures == 0:
+	case idle && owned.InFlight == nil && len(m.ReportedTasks) == 0 && as.deletionFailures == 0:
 		// While deletions fail it is not worth it: a machine that is being deleted gets
 		// no answers, and many of them would look like a zone that is cut off.
 		as.ScheduleDeletion(m, owned, deleteReasonIdle)
@@ -284,7 +286,7 @@
 // hasRetainingWork reports whether a machine has work that it is kept for: any, but on
 // one with accelerators only such as needs them.
 func (as *Autoscaler) hasRetainingWork(id api.MachineID, typ api.MachineTypeName) bool {
-	for _, p := range as.core.state.PlacementsOn(id) {
+	for _, p := range as.core.State.PlacementsOn(id) {
 		if !as.c.jobs.HasAccelerators(typ) || !as.c.scheduler.IsCPUOnly(p.Job.Spec) {
 			return true
 		}
@@ -295,10 +297,10 @@
 // idleTimeout is how long a machine may stand idle: as long as fetching another would
 // take. By then it has cost what returning it too early would cost.
 func (as *Autoscaler) idleTimeout(t api.MachineTypeName) time.Duration {
-	if h := as.core.settings.IdleTimeout; h > 0 {
+	if h := as.core.Settings.IdleTimeout; h > 0 {
 		return api.Seconds(h)
 	}
-	typ := as.core.machineTypes[t]
+	typ := as.core.MachineTypes[t]
 	if typ == nil {
 		return time.Minute
 	}
@@ -307,17 +309,17 @@
 
 // scaleOut finds the waiting tasks that fit nowhere, neither on what is up nor on
 // what is coming, and rents the cheapest machines for them.
-func (as *Autoscaler) scaleOut(owned *ownedPartition) {
+func (as *Autoscaler) scaleOut(owned *core.OwnedPartition) {
 	f := &as.fleet
-	if as.core.settings.DisableScaleOut || f.scaleOutInFlight || as.core.now < f.nextScaleOut || f.listedAt == 0 {
+	if as.core.Settings.DisableScaleOut || f.scaleOutInFlight || as.core.Now < f.nextScaleOut || f.listedAt == 0 {
 		return
 	}
 	// After a takeover the machines there are must be heard of first; on an empty
 	// cloud there is nothing to hear of.
-	if (len(f.listedMachines) > 0 || len(as.c.agents.machines) > 0) && as.core.now.Sub(owned.ownedSince) < 3*time.Second {
+	if (len(f.listedMachines) > 0 || len(as.c.agents.machines) > 0) && as.core.Now.Sub(owned.OwnedSince) < 3*time.Second {
 		return
 	}
-	f.nextScaleOut = as.core.now.Add(as.core.cloudCallInterval)
+	f.nextScaleOut = as.core.Now.Add(as.core.CloudCallInterval)
 	type space struct {
 		machineOffer
 		free   api.Resources
@@ -326,18 +328,18 @@
 		empty  bool // it may be lent
 	}
 	var spaces []space
-	as.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+	as.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		if !k.Usable {
 			return
 		}
-		empty := as.core.machineTypes[k.Type] != nil && r.Free == as.core.machineTypes[k.Type].Capacity()
+		empty := as.core.MachineTypes[k.Type] != nil && r.Free == as.core.MachineTypes[k.Type].Capacity()
 		for range r.Count {
 			spaces = append(spaces, space{machineOffer{k.Type, k.Zone, k.Spot}, r.Free, k.Closed, p, empty})
 		}
 	})
 	incoming := as.IncomingMachines()
 	for _, o := range slices.SortedFunc(maps.Keys(incoming), compareOffers) {
-		if typ := as.core.machineTypes[o.machineType]; typ != nil {
+		if typ := as.core.MachineTypes[o.machineType]; typ != nil {
 			for range incoming[o] {
 				spaces = append(spaces, space{o, typ.Capacity(), false, 0, true})
 			}
@@ -345,17 +347,17 @@
 	}
 	remaining := map[api.Team]api.Resources{}
 	use := as.c.scheduler.TeamUsage()
-	for name, team := range as.core.teams {
+	for name, team := range as.core.Teams {
 		remaining[name] = quotaLimit(team).Minus(use[name])
 	}
 	units := as.c.pools.FreePoolUnits()
-	zoneOpen := slices.Collect(maps.Values(as.core.state.PendingJobs))
+	zoneOpen := slices.Collect(maps.Values(as.core.State.PendingJobs))
 	for ref := range as.c.health.zones.replacementDemand {
-		if j := as.core.state.Jobs[ref]; j != nil && as.core.state.PendingJobs[ref] == nil {
+		if j := as.core.State.Jobs[ref]; j != nil && as.core.State.PendingJobs[ref] == nil {
 			zoneOpen = append(zoneOpen, j)
 		}
 	}
-	jobs := slices.SortedFunc(slices.Values(zoneOpen), func(a, b *Job) int {
+	jobs := slices.SortedFunc(slices.Values(zoneOpen), func(a, b *core.Job) int {
 		return cmp.Or(boolToInt(as.c.backfiller.WaitStage(b, allPartitions) == sched.AgedAboveAll)-boolToInt(as.c.backfiller.WaitStage(a, allPartitions) == sched.AgedAboveAll), sched.Descending(as.c.priorities.EffectivePriority(a.Spec), as.c.priorities.EffectivePriority(b.Spec)),
 			cmp.Compare(as.c.backfiller.WaitStage(b, allPartitions), as.c.backfiller.WaitStage(a, allPartitions)), cmp.Compare(a.ID, b.ID))
 	})
@@ -364,11 +366,11 @@
 	budget := 20000               // tasks looked at
 	queued := 0                   // tasks that wait for accelerators
 	for _, j := range jobs {
-		if j.OwnerState.backoffUntil > as.core.now || as.c.tenancy.StartsBlocked(j) {
+		if j.OwnerState.BackoffUntil > as.core.Now || as.c.tenancy.StartsBlocked(j) {
 			continue
 		}
 		waiting := 0
-		for p := range as.core.state.Partitions {
+		for p := range as.core.State.Partitions {
 			waiting += j.PendingTasks(api.PartitionID(p))
 		}
 		waiting = min(waiting, j.Demand.Slots(remaining[j.Spec.Team]), budget)
@@ -419,7 +421,7 @@
 			if slots := as.totalCapacitySlots(j.Spec); slots > 0 {
 				queued += waiting
 				taskTurnaround := j.Spec.Estimate + j.Spec.ImageGB/as.SlowestFetchRate(j.Spec)
-				elapsed := max(0, float64(as.core.wallClock-j.AcceptedAt)/1000)
+				elapsed := max(0, float64(as.core.WallClock-j.AcceptedAt)/1000)
 				if elapsed+float64(queued)/float64(slots)*taskTurnaround < within {
 					continue
 				}
@@ -458,7 +460,7 @@
 			if j.Spec.OneZone {
 				zone = o.zone
 			}
-			free := as.core.machineTypes[o.machineType].Capacity()
+			free := as.core.MachineTypes[o.machineType].Capacity()
 			k := min(zoneLimit(o.zone), j.Demand.Slots(free))
 			waiting -= k
 			zones[o.zone] += k
@@ -471,9 +473,9 @@
 		return
 	}
 	if f.shortSince == 0 {
-		f.shortSince = as.core.now
+		f.shortSince = as.core.Now
 	}
-	if as.core.now.Sub(f.shortSince) < time.Second {
+	if as.core.Now.Sub(f.shortSince) < time.Second {
 		return // what is about to be placed should be placed first
 	}
 	// The most urgent work's and what is needed most, by turns.
@@ -490,7 +492,7 @@
 	f := &as.fleet
 	accounted := map[api.MachineID]bool{}
 	for id := range f.listedMachines {
-		if m := as.c.agents.machines[id]; m != nil && m.lastHeartbeat != 0 || len(as.core.state.PlacementsOn(id)) > 0 {
+		if m := as.c.agents.machines[id]; m != nil && m.LastHeartbeat != 0 || len(as.core.State.PlacementsOn(id)) > 0 {
 			accounted[id] = true // the list lags
 		}
 	}
@@ -502,7 +504,7 @@
 	as.c.gossiper.EachUnreportedMachine(func(_ api.PartitionID, h api.Instance) { accounted[h.ID] = true })
 	incoming := map[machineOffer]int{}
 	for id, h := range f.listedMachines {
-		if typ := as.core.machineTypes[h.Type]; typ != nil && h.State != api.MachineFailed && !accounted[id] && f.deletedAt[id] == 0 && h.AgeSeconds <= slowBootFactor*typ.BootSeconds {
+		if typ := as.core.MachineTypes[h.Type]; typ != nil && h.State != api.MachineFailed && !accounted[id] && f.deletedAt[id] == 0 && h.AgeSeconds <= slowBootFactor*typ.BootSeconds {
 			// One that is late is not counted on any more; one that the list shows
 			// to run may not have been heard of yet.
 			incoming[machineOffer{h.Type, h.Zone, h.Spot}]++
@@ -515,7 +517,7 @@
 	}
 	for id, r := range f.provisioned {
 		if _, listed := f.listedMachines[id]; !listed && !accounted[id] && f.deletedAt[id] == 0 {
-			if m := as.c.agents.machines[id]; m == nil || m.lastHeartbeat == 0 {
+			if m := as.c.agents.machines[id]; m == nil || m.LastHeartbeat == 0 {
 				incoming[r.machineOffer]++
 			}
 		}
@@ -524,44 +526,44 @@
 }
 
 func (as *Autoscaler) BootSeconds(t api.MachineTypeName) float64 {
-	if typ := as.core.machineTypes[t]; typ != nil {
+	if typ := as.core.MachineTypes[t]; typ != nil {
 		return typ.BootSeconds
 	}
 	return 0
 }
 
 // requestMachines asks the cloud for machines.
-func (as *Autoscaler) requestMachines(owned *ownedPartition, o machineOffer, count int) {
+func (as *Autoscaler) requestMachines(owned *core.OwnedPartition, o machineOffer, count int) {
 	f := &as.fleet
 	f.requestCount++
-	r := &api.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", owned.term, f.requestCount), Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}
+	r := &api.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", owned.Term, f.requestCount), Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}
 	f.scaleOutInFlight = true
-	begun := as.core.now
-	as.core.CallCloud(CloudCall{Create: r}, func(a CloudResponse) {
+	begun := as.core.Now
+	as.core.CallCloud(message.CloudCall{Create: r}, func(a message.CloudResponse) {
 		f.scaleOutInFlight = false
 		switch {
 		case a.Status == 200:
 		case a.NoCapacity:
-			f.offerBackoff[o] = as.core.now.Add(20 * time.Second)
+			f.offerBackoff[o] = as.core.Now.Add(20 * time.Second)
 			return
 		case a.Status == 0:
 			// The name is not used again: should the request be carried out late, its
 			// machines show up by themselves. The list may show them meanwhile.
-			f.nextScaleOut = as.core.now.Add(max(time.Second, api.Seconds(as.core.config.Deployment.Cloud.ListLag)))
+			f.nextScaleOut = as.core.Now.Add(max(time.Second, api.Seconds(as.core.Config.Deployment.Cloud.ListLag)))
 			return
 		default:
-			f.nextScaleOut = as.core.now.Add(time.Second)
+			f.nextScaleOut = as.core.Now.Add(time.Second)
 			return
 		}
 		if r.Count == maxScaleOutBatch {
-			f.nextScaleOut = begun.Add(as.core.cloudCallInterval * 2 / 3) // a ramp: half of the calls
+			f.nextScaleOut = begun.Add(as.core.CloudCallInterval * 2 / 3) // a ramp: half of the calls
 		}
 		slog.Info("machines provisioned", "type", o.machineType, "zone", o.zone, "spot", o.spot, "asked", r.Count, "got", len(a.Machines))
 		if len(a.Machines) < r.Count {
-			f.offerBackoff[o] = as.core.now.Add(20 * time.Second)
+			f.offerBackoff[o] = as.core.Now.Add(20 * time.Second)
 		}
 		for _, id := range a.Machines {
-			f.provisioned[id] = provisionedMachine{o, as.core.now}
+			f.provisioned[id] = provisionedMachine{o, as.core.Now}
 		}
 	})
 }
@@ -610,7 +612,7 @@
 // SlowestFetchRate is the lowest rate at which an allowed type fetches images.
 func (as *Autoscaler) SlowestFetchRate(s *api.JobSpec) float64 {
 	rate := 0.0
-	for _, t := range as.core.machineTypes {
+	for _, t := range as.core.MachineTypes {
 		if t.FetchRate > 0 && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && s.Demand().Fits(t.Capacity()) &&
 			(rate == 0 || t.FetchRate < rate) {
 			rate = t.FetchRate
@@ -628,20 +630,20 @@
 	demand, cpuOnly := s.Demand(), as.c.scheduler.IsCPUOnly(s)
 	var best machineOffer
 	bestPrice := 0.0
-	for _, name := range slices.Sorted(maps.Keys(as.core.machineTypes)) {
-		typ := as.core.machineTypes[name]
+	for _, name := range slices.Sorted(maps.Keys(as.core.MachineTypes)) {
+		typ := as.core.MachineTypes[name]
 		slots := demand.Slots(typ.Capacity())
 		if slots == 0 || cpuOnly && typ.GPUs > 0 {
 			continue
 		}
 		zones := typ.Zones
 		if len(zones) == 0 {
-			zones = as.core.config.Deployment.Zones
+			zones = as.core.Config.Deployment.Zones
 		}
 		for _, z := range zones {
 			for _, spot := range []bool{true, false} {
 				o := machineOffer{name, z, spot}
-				if !open(z) || !sched.Feasible(s, name, z, spot) || as.fleet.offerBackoff[o] > as.core.now || as.c.health.ZoneUnavailable(z) || !as.mayProbeZone(z, needed, incoming) {
+				if !open(z) || !sched.Feasible(s, name, z, spot) || as.fleet.offerBackoff[o] > as.core.Now || as.c.health.ZoneUnavailable(z) || !as.mayProbeZone(z, needed, incoming) {
 					continue
 				}
 				price := typ.Price
@@ -659,8 +661,8 @@
 }
 
 func newAutoscaler(c *Controller) *Autoscaler {
-	seed := hashPartition(api.MachineID(c.core.config.Label), 1<<30)
-	as := &Autoscaler{core: c.core, c: c, rng: rand.New(rand.NewPCG(uint64(c.core.incarnation), uint64(seed)))}
+	seed := core.HashPartition(api.MachineID(c.core.Config.Label), 1<<30)
+	as := &Autoscaler{core: c.core, c: c, rng: rand.New(rand.NewPCG(uint64(c.core.Incarnation), uint64(seed)))}
 	as.fleet.init()
 	return as
 }
--- a/controller/gossip.go
+++ b/controller/gossip.go
@@ -7,12 +7,14 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/relay"
 )
 
 // Gossiper exchanges the status of partitions with the other controllers.
 type Gossiper struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	peers        map[api.ControllerID]*peerStatus
@@ -25,21 +27,21 @@
 // on what they were told, so that the messages grow with the controllers and not with their square.
 func (gs *Gossiper) SendGossip() {
 	// News is believed for some seconds: a controller that is behind tells less often.
-	if gs.core.now < gs.nextGossipAt || gs.core.Overloaded() && gs.core.now < gs.nextGossipAt.Add(4*gossipInterval) {
+	if gs.core.Now < gs.nextGossipAt || gs.core.Overloaded() && gs.core.Now < gs.nextGossipAt.Add(4*core.GossipInterval) {
 		return
 	}
 	previousGossipAt := gs.lastGossipAt
-	gs.nextGossipAt, gs.lastGossipAt = gs.core.now.Add(gossipInterval), gs.core.now
+	gs.nextGossipAt, gs.lastGossipAt = gs.core.Now.Add(core.GossipInterval), gs.core.Now
 	for id, r := range gs.c.agents.redirects {
-		if gs.core.now.Sub(r.at) > gs.core.redirectTTL {
+		if gs.core.Now.Sub(r.at) > gs.core.RedirectTTL {
 			delete(gs.c.agents.redirects, id)
 		}
 	}
 	gs.gossipNumber++
-	g := &Gossip{From: gs.core.config.Label, Born: gs.core.incarnation, Number: gs.gossipNumber, StateOK: !gs.core.StoreUnreachable()}
+	g := &message.Gossip{From: gs.core.Config.Label, Born: gs.core.Incarnation, Number: gs.gossipNumber, StateOK: !gs.core.StoreUnreachable()}
 	for _, p := range slices.Sorted(maps.Keys(gs.c.scheduler.partitions)) {
 		g.Parts = append(g.Parts, gs.partitionStatus(gs.c.scheduler.partitions[p]))
-		gs.recordDemand(p, gs.c.scheduler.partitions[p].quotaDemand)
+		gs.recordDemand(p, gs.c.scheduler.partitions[p].QuotaDemand)
 	}
 	if gs.c.scheduler.partitions[0] != nil {
 		g.Rented = gs.c.autoscaler.fleet.provisionedNotListed()
@@ -54,9 +56,9 @@
 // gossipThroughRelays tells our news where there are relays: to one, if we are none, else to the other
 // relays with what controllers that are none have told us since the last time, and to those
 // controllers with all that we were told.
-func (gs *Gossiper) gossipThroughRelays(ownGossip *Gossip, since api.Time) {
+func (gs *Gossiper) gossipThroughRelays(ownGossip *message.Gossip, since api.Time) {
 	relays := gs.c.follower.CurrentRelays()
-	if !isRelay(relays, gs.core.config.Label) {
+	if !isRelay(relays, gs.core.Config.Label) {
 		targets := slices.Sorted(maps.Keys(gs.peers)) // no relay answers
 		if via := gs.c.follower.NextRelay(); via != "" {
 			targets = []api.ControllerID{via}
@@ -82,7 +84,7 @@
 	}
 	var peers []api.ControllerID
 	for _, r := range relays {
-		if r.ID != gs.core.config.Label {
+		if r.ID != gs.core.Config.Label {
 			peers = append(peers, r.ID)
 		}
 	}
@@ -95,30 +97,30 @@
 func (gs *Gossiper) relayClients(relays []relay.Member, others []api.ControllerID) []api.ControllerID {
 	return slices.DeleteFunc(others, func(l api.ControllerID) bool {
 		order := relay.PreferenceOrder(relay.Member{ID: l, Zone: gs.c.follower.ZoneOfController(l)}, relays)
-		contactsUs := gs.peers[l].receivedDirectly && gs.peers[l].recent(gs.core.now) // it has chosen us, though others come first
-		return gs.core.IsLive(l) && order[0] != gs.core.config.Label && !contactsUs
+		contactsUs := gs.peers[l].receivedDirectly && gs.peers[l].recent(gs.core.Now) // it has chosen us, though others come first
+		return gs.core.IsLive(l) && order[0] != gs.core.Config.Label && !contactsUs
 	})
 }
 
 // gossipTo sends news to peers, none of which is told twice at a time.
-func (gs *Gossiper) gossipTo(targets []api.ControllerID, g *Gossip) {
+func (gs *Gossiper) gossipTo(targets []api.ControllerID, g *message.Gossip) {
 	for _, l := range targets {
 		p := gs.peers[l]
 		if p == nil || p.sendInFlight {
 			continue
 		}
 		p.sendInFlight = true
-		gs.core.CallPeer(l, peerTimeout, PeerMessage{Gossip: g}, func(a PeerResponse) {
+		gs.core.CallPeer(l, core.PeerTimeout, message.PeerMessage{Gossip: g}, func(a message.PeerResponse) {
 			p.sendInFlight = false
 			if !a.OK && gs.c.follower.UsesRelays() {
-				gs.c.follower.relayLink.MarkFailed(l, gs.core.now)
+				gs.c.follower.relayLink.MarkFailed(l, gs.core.Now)
 			}
 		})
 	}
 }
 
 // HandleGossip takes in another controller's news, and what it passes on as a relay.
-func (gs *Gossiper) HandleGossip(c PeerGossip) {
+func (gs *Gossiper) HandleGossip(c message.PeerGossip) {
 	if gs.peers[c.Gossip.From] == nil {
 		gs.RejectMalformed(c.Req, string(c.Gossip.From))
 		return
@@ -131,7 +133,7 @@
 }
 
 // mergeGossip takes in what a controller tells of itself, unless it has told something newer.
-func (gs *Gossiper) mergeGossip(g *Gossip, direct bool) {
+func (gs *Gossiper) mergeGossip(g *message.Gossip, direct bool) {
 	p := gs.peers[g.From]
 	if p == nil {
 		return
@@ -139,15 +141,15 @@
 	if g.Born == p.gossip.Born && g.Number != 0 && g.Number <= p.gossip.Number {
 		return // known, or older
 	}
-	if g.Born != p.gossip.Born && !direct && p.receivedDirectly && p.recent(gs.core.now) {
+	if g.Born != p.gossip.Born && !direct && p.receivedDirectly && p.recent(gs.core.Now) {
 		return // of a former life of its process
 	}
-	p.gossip, p.receivedAt, p.receivedDirectly = *g, gs.core.now, direct
+	p.gossip, p.receivedAt, p.receivedDirectly = *g, gs.core.Now, direct
 	p.gossip.Passed = nil
 	for _, r := range g.Rented {
 		for _, id := range r.Machines {
 			if _, known := gs.c.autoscaler.fleet.provisioned[id]; !known {
-				gs.c.autoscaler.fleet.provisioned[id] = provisionedMachine{machineOffer{r.Type, r.Zone, r.Spot}, gs.core.now}
+				gs.c.autoscaler.fleet.provisioned[id] = provisionedMachine{machineOffer{r.Type, r.Zone, r.Spot}, gs.core.Now}
 			}
 		}
 	}
@@ -158,21 +160,21 @@
 
 // partitionStatus describes one of our parts to the others: machines that are alike are
 // counted, since there may be very many.
-func (gs *Gossiper) partitionStatus(owned *ownedPartition) PartitionStatus {
-	status := PartitionStatus{Part: owned.id, Want: owned.quotaDemand, Due: owned.mustStartQuotaDemand, Starved: owned.quotaStarvedDemand, Short: slices.Sorted(maps.Keys(owned.shortTypes)), Spare: gs.c.scheduler.RemainingQuota(owned.id), Waiting: owned.pendingTaskCount, Lack: owned.unmetDemands,
-		Accelerated: gs.c.autoscaler.CountAccelerators(owned.id), Zones: gs.c.health.SilentByZone(owned)}
-	classIndex := map[MachineClass]int{}
-	capacityIndex := map[FreeCapacity]int{}
-	for _, m := range gs.c.agents.MachinesOf(owned.id) {
-		if m.lastHeartbeat == 0 || m.deleting {
+func (gs *Gossiper) partitionStatus(owned *core.OwnedPartition) message.PartitionStatus {
+	status := message.PartitionStatus{Part: owned.Id, Want: owned.QuotaDemand, Due: owned.MustStartQuotaDemand, Starved: owned.QuotaStarvedDemand, Short: slices.Sorted(maps.Keys(owned.ShortTypes)), Spare: gs.c.scheduler.RemainingQuota(owned.Id), Waiting: owned.PendingTaskCount, Lack: owned.UnmetDemands,
+		Accelerated: gs.c.autoscaler.CountAccelerators(owned.Id), Zones: gs.c.health.SilentByZone(owned)}
+	classIndex := map[message.MachineClass]int{}
+	capacityIndex := map[message.FreeCapacity]int{}
+	for _, m := range gs.c.agents.MachinesOf(owned.Id) {
+		if m.LastHeartbeat == 0 || m.Deleting {
 			continue
 		}
-		if gs.core.now.Sub(m.lastHeartbeat) > gs.core.heartbeatTimeout {
-			if len(status.Silent) < maxSilentMachines {
+		if gs.core.Now.Sub(m.LastHeartbeat) > gs.core.HeartbeatTimeout {
+			if len(status.Silent) < message.MaxSilentMachines {
 				status.Silent = append(status.Silent, m.ID)
 			}
 		}
-		if gs.core.now.Sub(m.firstHeartbeat) < max(time.Minute, api.Seconds(2*gs.c.autoscaler.BootSeconds(m.machineType))) && len(status.Fresh) < maxSilentMachines {
+		if gs.core.Now.Sub(m.FirstHeartbeat) < max(time.Minute, api.Seconds(2*gs.c.autoscaler.BootSeconds(m.MachineType))) && len(status.Fresh) < message.MaxSilentMachines {
 			status.Fresh = append(status.Fresh, m.ID)
 		}
 		class := gs.machineClassOf(m, owned)
@@ -182,7 +184,7 @@
 			classIndex[class] = i
 			status.Kinds = append(status.Kinds, class)
 		}
-		capacity := FreeCapacity{Kind: i}
+		capacity := message.FreeCapacity{Kind: i}
 		if class.Usable {
 			capacity.Free, capacity.Could = gs.c.scheduler.FreeCapacityOn(m, owned), gs.PreemptibleCapacity(m, owned)
 		}
@@ -203,13 +205,13 @@
 
 // PreemptibleCapacity is what would be free on a machine if all work below urgentRank made
 // way.
-func (gs *Gossiper) PreemptibleCapacity(m *Machine, owned *ownedPartition) api.Resources {
+func (gs *Gossiper) PreemptibleCapacity(m *core.Machine, owned *core.OwnedPartition) api.Resources {
 	return gs.withPreemptibleFreed(m.ID, gs.c.scheduler.FreeCapacityOn(m, owned))
 }
 
 func (gs *Gossiper) withPreemptibleFreed(id api.MachineID, free api.Resources) api.Resources {
 	capacity := free
-	for _, p := range gs.core.state.PlacementsOn(id) {
+	for _, p := range gs.core.State.PlacementsOn(id) {
 		if !p.Finishing && p.Job.Spec.Kind != api.Gang && p.Job.Spec.Priority.Rank() < preemptorRank && gs.c.health.IsPreemptible(p) {
 			capacity = capacity.Plus(p.Job.Demand)
 		}
@@ -217,16 +219,16 @@
 	return capacity
 }
 
-func (gs *Gossiper) machineClassOf(m *Machine, owned *ownedPartition) MachineClass {
+func (gs *Gossiper) machineClassOf(m *core.Machine, owned *core.OwnedPartition) message.MachineClass {
 	reason := gs.c.admin.UnschedulableReason(m, owned)
-	reserved := m.consolidated && gs.c.preemptor.ReservedFor(m) != "" // its room is spoken for
-	return MachineClass{m.machineType, m.zone, m.spot, (reason == "" || reason == tokenNotAnnounced) && !reserved, m.scaleInCandidate}
+	reserved := m.Consolidated && gs.c.preemptor.ReservedFor(m) != "" // its room is spoken for
+	return message.MachineClass{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Usable: (reason == "" || reason == tokenNotAnnounced) && !reserved, Closed: m.ScaleInCandidate}
 }
 
 // RejectMalformed refuses a message that is not understood or comes from nobody we know: it changes
 // nothing but a count.
-func (gs *Gossiper) RejectMalformed(req ReqID, from string) {
-	gs.core.metrics.MalformedMessages++
+func (gs *Gossiper) RejectMalformed(req message.ReqID, from string) {
+	gs.core.Metrics.MalformedMessages++
 	slog.Warn("invalid peer message", "from", from)
 	gs.core.ReplyError(req, 400, "malformed")
 }
@@ -237,20 +239,20 @@
 		return
 	}
 	for p, owned := range gs.c.scheduler.partitions {
-		owned.dirty = owned.dirty || p != by
+		owned.Dirty = owned.Dirty || p != by
 	}
 }
 
 // EachFreeCapacity visits the machines of all parts by what is free on them: others' as
 // their owners tell, a number that are alike at once.
-func (gs *Gossiper) EachFreeCapacity(visit func(p api.PartitionID, class MachineClass, capacity FreeCapacity)) {
+func (gs *Gossiper) EachFreeCapacity(visit func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity)) {
 	for _, p := range slices.Sorted(maps.Keys(gs.c.scheduler.partitions)) {
 		owned := gs.c.scheduler.partitions[p]
 		for _, m := range gs.c.agents.MachinesOf(p) {
-			if m.lastHeartbeat == 0 || m.deleting {
+			if m.LastHeartbeat == 0 || m.Deleting {
 				continue
 			}
-			class, capacity := gs.machineClassOf(m, owned), FreeCapacity{Count: 1}
+			class, capacity := gs.machineClassOf(m, owned), message.FreeCapacity{Count: 1}
 			if class.Usable {
 				capacity.Free, capacity.Could = gs.c.scheduler.FreeCapacityOn(m, owned), gs.PreemptibleCapacity(m, owned)
 			}
@@ -265,8 +267,8 @@
 		}
 	}
 	gs.EachUnreportedMachine(func(p api.PartitionID, h api.Instance) {
-		free := gs.core.machineTypes[h.Type].Capacity().Minus(gs.core.state.Allocated(h.ID))
-		visit(p, MachineClass{h.Type, h.Zone, h.Spot, true, false}, FreeCapacity{Count: 1, Free: free, Could: gs.withPreemptibleFreed(h.ID, free)})
+		free := gs.core.MachineTypes[h.Type].Capacity().Minus(gs.core.State.Allocated(h.ID))
+		visit(p, message.MachineClass{Type: h.Type, Zone: h.Zone, Spot: h.Spot, Usable: true, Closed: false}, message.FreeCapacity{Count: 1, Free: free, Could: gs.withPreemptibleFreed(h.ID, free)})
 	})
 }
 
@@ -275,14 +277,14 @@
 // have not reported since we took them over. What they hold is in the book. Without
 // them a cut between controllers or a takeover would look like a loss of machines.
 func (gs *Gossiper) EachUnreportedMachine(visit func(p api.PartitionID, h api.Instance)) {
-	reported := make([]bool, len(gs.core.state.Partitions))
+	reported := make([]bool, len(gs.core.State.Partitions))
 	allReported := true
 	for _, status := range gs.PeerPartitionStatuses() {
 		reported[status.Part] = true
 	}
 	for p := range reported {
 		owned := gs.c.scheduler.partitions[api.PartitionID(p)]
-		reported[p] = reported[p] || owned != nil && gs.core.now.Sub(owned.ownedSince) > gs.core.heartbeatTimeout
+		reported[p] = reported[p] || owned != nil && gs.core.Now.Sub(owned.OwnedSince) > gs.core.HeartbeatTimeout
 		allReported = allReported && reported[p]
 	}
 	if allReported {
@@ -290,14 +292,14 @@
 	}
 	for _, id := range gs.c.autoscaler.fleet.listedOrder {
 		h, listed := gs.c.autoscaler.fleet.listedMachines[id]
-		if !listed || h.State != api.MachineRunning || gs.core.machineTypes[h.Type] == nil || gs.c.autoscaler.fleet.deletedAt[id] != 0 {
+		if !listed || h.State != api.MachineRunning || gs.core.MachineTypes[h.Type] == nil || gs.c.autoscaler.fleet.deletedAt[id] != 0 {
 			continue
 		}
 		p := gs.c.agents.PartitionOf(id)
 		if reported[p] {
 			continue
 		}
-		if m := gs.c.agents.machines[id]; gs.c.scheduler.partitions[p] != nil && m != nil && (m.lastHeartbeat != 0 || m.deleting) {
+		if m := gs.c.agents.machines[id]; gs.c.scheduler.partitions[p] != nil && m != nil && (m.LastHeartbeat != 0 || m.Deleting) {
 			continue // told of as ours
 		}
 		visit(p, h)
@@ -305,8 +307,8 @@
 }
 
 // PeerPartitionStatuses is what the owners of parts that are not ours have lately told.
-func (gs *Gossiper) PeerPartitionStatuses() []PartitionStatus {
-	var out []PartitionStatus
+func (gs *Gossiper) PeerPartitionStatuses() []message.PartitionStatus {
+	var out []message.PartitionStatus
 	for _, l := range slices.Sorted(maps.Keys(gs.peers)) {
 		out = append(out, gs.PartitionStatusesOf(l)...)
 	}
@@ -314,14 +316,14 @@
 }
 
 // PartitionStatusesOf is what a peer has lately told of the parts that it owns.
-func (gs *Gossiper) PartitionStatusesOf(l api.ControllerID) []PartitionStatus {
-	var out []PartitionStatus
+func (gs *Gossiper) PartitionStatusesOf(l api.ControllerID) []message.PartitionStatus {
+	var out []message.PartitionStatus
 	p := gs.peers[l]
-	if !p.recent(gs.core.now) {
+	if !p.recent(gs.core.Now) {
 		return nil
 	}
 	for _, status := range p.gossip.Parts {
-		if int(status.Part) < len(gs.core.state.Partitions) && status.Part >= 0 && gs.core.state.Partitions[status.Part].Owner == l {
+		if int(status.Part) < len(gs.core.State.Partitions) && status.Part >= 0 && gs.core.State.Partitions[status.Part].Owner == l {
 			out = append(out, status)
 		}
 	}
@@ -329,11 +331,11 @@
 }
 
 // OtherPartitionStatuses is what is known of all parts but one.
-func (gs *Gossiper) OtherPartitionStatuses(owned *ownedPartition) []PartitionStatus {
+func (gs *Gossiper) OtherPartitionStatuses(owned *core.OwnedPartition) []message.PartitionStatus {
 	out := gs.PeerPartitionStatuses()
 	for _, p := range slices.Sorted(maps.Keys(gs.c.scheduler.partitions)) {
 		if other := gs.c.scheduler.partitions[p]; other != owned {
-			out = append(out, PartitionStatus{Part: p, Want: other.quotaDemand, Due: other.mustStartQuotaDemand, Starved: other.quotaStarvedDemand, Lack: other.unmetDemands})
+			out = append(out, message.PartitionStatus{Part: p, Want: other.QuotaDemand, Due: other.MustStartQuotaDemand, Starved: other.QuotaStarvedDemand, Lack: other.UnmetDemands})
 		}
 	}
 	return out
@@ -341,7 +343,7 @@
 
 func newGossiper(c *Controller) *Gossiper {
 	gs := &Gossiper{core: c.core, c: c, peers: map[api.ControllerID]*peerStatus{}}
-	for _, p := range c.core.config.Peers {
+	for _, p := range c.core.Config.Peers {
 		gs.peers[p.Label] = &peerStatus{}
 	}
 	return gs
--- a/controller/history.go
+++ b/controller/history.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/tenant"
 )
 
@@ -60,15 +62,15 @@
 func timeKey(at api.WallTime) string { return fmt.Sprintf("%013d", max(0, at)) }
 
 // HistoryWrite is the record of a tenant's job that is put away.
-func (ts *TenantService) HistoryWrite(j *Job) api.Write {
-	v, _ := json.Marshal(FinishedJob{JobID: j.TenantJobID, State: j.State(), Class: j.Spec.Class, Team: j.Spec.Team, Tasks: j.Spec.Tasks, AcceptedAt: j.AcceptedAt, EndedAt: ts.core.wallClock})
-	return api.Write{Put: keyHistory + j.Tenant + "/" + timeKey(ts.core.wallClock) + "-" + string(j.TenantJobID), Value: v}
+func (ts *TenantService) HistoryWrite(j *core.Job) api.Write {
+	v, _ := json.Marshal(FinishedJob{JobID: j.TenantJobID, State: j.State(), Class: j.Spec.Class, Team: j.Spec.Team, Tasks: j.Spec.Tasks, AcceptedAt: j.AcceptedAt, EndedAt: ts.core.WallClock})
+	return api.Write{Put: keyHistory + j.Tenant + "/" + timeKey(ts.core.WallClock) + "-" + string(j.TenantJobID), Value: v}
 }
 
 // AuditWrite is the record of an operator's change, written with it: what was and is, as
 // it may be shown.
-func (ts *TenantService) AuditWrite(c AdminRequest, subject string, before, after any) api.Write {
-	entry := AuditEntry{Time: ts.core.wallClock, Key: c.keyID, Action: c.What, KeyName: c.Sub, Subject: subject}
+func (ts *TenantService) AuditWrite(c message.AdminRequest, subject string, before, after any) api.Write {
+	entry := AuditEntry{Time: ts.core.WallClock, Key: c.KeyID, Action: c.What, KeyName: c.Sub, Subject: subject}
 	if from := ts.clientAddr(c.Caller); from.IsValid() {
 		entry.From = from.String()
 	}
@@ -78,7 +80,7 @@
 	entry.After, _ = json.Marshal(after)
 	v, _ := json.Marshal(entry)
 	ts.hosted.auditSequence++
-	return api.Write{Put: fmt.Sprintf("%s%s-%s-%d", keyAudit, timeKey(ts.core.wallClock), ts.core.config.Label, ts.hosted.auditSequence), Value: v}
+	return api.Write{Put: fmt.Sprintf("%s%s-%s-%d", keyAudit, timeKey(ts.core.WallClock), ts.core.Config.Label, ts.hosted.auditSequence), Value: v}
 }
 
 // readPage reads a page of what is kept under a prefix, and what to ask for next.
@@ -87,7 +89,7 @@
 	if after != "" {
 		start = prefix + after
 	}
-	n.core.CallStore(StoreCall{Page: &PageRequest{Prefix: prefix, After: start, Limit: limit}}, func(a StoreResponse) {
+	n.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: prefix, After: start, Limit: limit}}, func(a message.StoreResponse) {
 		if a.Status != 200 {
 			fail()
 			return
@@ -109,15 +111,7 @@
 	})
 }
 
-// ListHistory asks for a page of the tenant's finished jobs.
-type ListHistory struct {
-	Req    ReqID
-	After  string
-	Limit  int
-	Caller Caller
-}
-
-func (ts *TenantService) ListHistory(c ListHistory) {
+func (ts *TenantService) ListHistory(c message.ListHistory) {
 	fail := func() { ts.core.ReplyError(c.Req, 503, "state service not reachable") }
 	ts.withTenant(c.Req, c.Caller, func(e *tenant.Entry) {
 		readPage(ts.c, keyHistory+string(e.Name)+"/", c.After, c.Limit, func(jobs []FinishedJob, next string) {
@@ -126,7 +120,7 @@
 	}, fail)
 }
 
-func (ts *TenantService) ListAudit(c AdminRequest) {
+func (ts *TenantService) ListAudit(c message.AdminRequest) {
 	readPage(ts.c, keyAudit, c.After, c.Limit, func(entries []AuditEntry, next string) {
 		ts.core.Reply(c.Req, 200, AuditView{entries, next}, 0)
 	}, func() { ts.core.ReplyError(c.Req, 503, "state service not reachable") })
@@ -140,10 +134,10 @@
 // at a time. The owner of part 0 does.
 func (ts *TenantService) sweepHistory() {
 	service, owned := ts.hosted, ts.c.scheduler.partitions[0]
-	if service == nil || owned == nil || service.sweeping || ts.core.now.Sub(service.sweptAt) < historySweepInterval || ts.core.Overloaded() {
+	if service == nil || owned == nil || service.sweeping || ts.core.Now.Sub(service.sweptAt) < historySweepInterval || ts.core.Overloaded() {
 		return
 	}
-	service.sweptAt, service.sweeping = ts.core.now, true
+	service.sweptAt, service.sweeping = ts.core.Now, true
 	prefix, retention := keyAudit, auditRetention
 	if names := service.tenants.Names(); service.sweepNext < len(names) {
 		e := service.tenants.Get(names[service.sweepNext])
@@ -157,10 +151,10 @@
 
 // SweepPrefix deletes some of the keys under a prefix that have been kept for long enough; a time
 // follows the prefix.
-func (ts *TenantService) SweepPrefix(owned *ownedPartition, prefix string, retention time.Duration, done func()) {
-	cutoff := timeKey(ts.core.wallClock - api.WallTime(retention.Milliseconds()))
-	ts.core.CallStore(StoreCall{Page: &PageRequest{Prefix: prefix, Limit: ts.core.config.Deployment.State.TxnOps}}, func(a StoreResponse) {
-		tx := api.Txn{If: []api.Condition{owned.ownershipCondition()}}
+func (ts *TenantService) SweepPrefix(owned *core.OwnedPartition, prefix string, retention time.Duration, done func()) {
+	cutoff := timeKey(ts.core.WallClock - api.WallTime(retention.Milliseconds()))
+	ts.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: prefix, Limit: ts.core.Config.Deployment.State.TxnOps}}, func(a message.StoreResponse) {
+		tx := api.Txn{If: []api.Condition{owned.OwnershipCondition()}}
 		if a.Status == 200 {
 			for _, p := range a.Page.Pairs {
 				if strings.TrimPrefix(p.Key, prefix) < cutoff {
@@ -172,6 +166,6 @@
 			done()
 			return
 		}
-		ts.core.CallStoreTxn(tx, func(StoreResponse) { done() })
+		ts.core.CallStoreTxn(tx, func(message.StoreResponse) { done() })
 	})
 }
--- a/controller/hosted.go
+++ b/controller/hosted.go
@@ -15,13 +15,15 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/pool"
 	"basaltwall/tenant"
 )
 
 // TenantService serves a hosted cluster's tenants, keys and teams.
 type TenantService struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	hosted *hostedService // nil: one operator's own service
@@ -63,7 +65,7 @@
 }
 
 func (ts *TenantService) InitHosted() {
-	if h := ts.core.config.Hosted; h != nil {
+	if h := ts.core.Config.Hosted; h != nil {
 		ts.hosted = &hostedService{adminKey: h.AdminKey, rateBuckets: map[tenant.Name]*tenant.TokenBucket{}, pendingSubmissions: map[tenant.Name]map[api.JobID]bool{}, openJobLimitReachedAt: map[tenant.Name]api.Time{},
 			submissions: map[tenant.Name]*submissionCounts{}, roundTurns: map[tenantPartition]int{}}
 	}
@@ -76,49 +78,33 @@
 	}
 	tenants, service := tenant.NewTable(), ts.hosted
 	service.tenants, service.operators, service.teams, service.guaranteed = tenants, tenant.Operators{}, map[api.Team]TeamRecordView{}, tenant.GuaranteedTotal{}
-	service.pools.table, service.pools.shareWrites = pool.NewTable(ts.core.config.Deployment.InitialSize), map[api.PoolName]bool{}
+	service.pools.table, service.pools.shareWrites = pool.NewTable(ts.core.Config.Deployment.InitialSize), map[api.PoolName]bool{}
 	ts.ResetPlatformTeams()
 	return []clusterstate.RecordKind{{Prefix: keyPool, Put: service.pools.table.Put}, {Prefix: keyTenant, Put: tenants.Put, Delete: tenants.Drop}, {Prefix: keyTeam, Put: ts.applyTeam},
 		clusterstate.SingleKey(keyOperators, &service.operators), clusterstate.SingleKey(keyGuaranteedTotal, &service.guaranteed)}
 }
 
-// Caller is who sends a request, as far as the connection and the request say.
-type Caller struct {
-	Auth      string // the Authorization header
-	From      netip.Addr
-	Forwarded string // the X-Forwarded-For header
-}
-
 // clientAddr is where a request comes from: what a proxy says is believed from those only that
 // the operators have named.
-func (ts *TenantService) clientAddr(c Caller) netip.Addr {
+func (ts *TenantService) clientAddr(c message.Caller) netip.Addr {
 	return tenant.ClientAddr(c.From, c.Forwarded, ts.hosted.operators.Proxies)
 }
 
-// bearerSecret reads a caller's key.
-func (c Caller) bearerSecret() (tenant.Secret, error) {
-	text, ok := strings.CutPrefix(c.Auth, "Bearer ")
-	if !ok {
-		return tenant.Secret{}, &tenant.Error{Status: 401, Reason: "Authorization: a key is needed, as Bearer"}
-	}
-	return tenant.ParseSecret(strings.TrimSpace(text))
-}
-
 func (ts *TenantService) MaxClockError() time.Duration {
-	return time.Duration(ts.core.config.Deployment.ClockErrorMS * float64(time.Millisecond))
+	return time.Duration(ts.core.Config.Deployment.ClockErrorMS * float64(time.Millisecond))
 }
 
 // errInvalidKey says as little of a key that opens nothing as of one that is not there.
 var errInvalidKey = &tenant.Error{Status: 401, Reason: "not a key that opens anything"}
 
 // authenticateTenant finds the tenant whose key a caller brings, as far as the book has been read.
-func (ts *TenantService) authenticateTenant(c Caller) (*tenant.Entry, error) {
-	secret, err := c.bearerSecret()
+func (ts *TenantService) authenticateTenant(c message.Caller) (*tenant.Entry, error) {
+	secret, err := c.BearerSecret()
 	if err != nil {
 		return nil, err
 	}
 	entry, key := ts.hosted.tenants.Find(secret.ID)
-	if entry == nil || !key.Verify(secret, ts.core.wallClock, ts.MaxClockError()) {
+	if entry == nil || !key.Verify(secret, ts.core.WallClock, ts.MaxClockError()) {
 		return nil, errInvalidKey
 	}
 	if !entry.Networks.Allows(ts.clientAddr(c)) {
@@ -129,7 +115,7 @@
 }
 
 // RefuseError refuses with the status and the words of an error.
-func (ts *TenantService) RefuseError(req ReqID, err error) {
+func (ts *TenantService) RefuseError(req message.ReqID, err error) {
 	status := 400
 	if e, ok := err.(*tenant.Error); ok {
 		status = e.Status
@@ -140,7 +126,7 @@
 // withTenant does something for the tenant whose key a caller brings, by what is current
 // now: a revoked key opens nothing on any controller that answers, and one that can't know
 // passes the request on or says so.
-func (ts *TenantService) withTenant(req ReqID, c Caller, callback func(*tenant.Entry), forward func()) {
+func (ts *TenantService) withTenant(req message.ReqID, c message.Caller, callback func(*tenant.Entry), forward func()) {
 	ts.c.follower.LinearizableRead(func() {
 		entry, err := ts.authenticateTenant(c)
 		if err != nil {
@@ -155,36 +141,36 @@
 type hostedForward struct {
 	Kind, Ref string
 	Body      []byte
-	Caller    Caller
+	Caller    message.Caller
 }
 
 // ForwardHosted is the kind of a Forward that holds a request of a hosted service.
 const ForwardHosted = "hosted"
 
-func encodeHostedForward(f hostedForward) (Forward, error) {
+func encodeHostedForward(f hostedForward) (message.Forward, error) {
 	var buf bytes.Buffer
 	err := gob.NewEncoder(&buf).Encode(f)
-	return Forward{Kind: ForwardHosted, Body: buf.Bytes()}, err
+	return message.Forward{Kind: ForwardHosted, Body: buf.Bytes()}, err
 }
 
 // DecodeHostedForward is the request within a Forward of kind ForwardHosted, nil if it makes no sense.
-func DecodeHostedForward(body []byte, req ReqID) Command {
+func DecodeHostedForward(body []byte, req message.ReqID) message.Command {
 	var f hostedForward
 	if gob.NewDecoder(bytes.NewReader(body)).Decode(&f) != nil {
 		return nil
 	}
 	switch f.Kind {
 	case "submit":
-		return Submit{Req: req, Body: f.Body, Forwarded: true, Caller: f.Caller}
+		return message.Submit{Req: req, Body: f.Body, Forwarded: true, Caller: f.Caller}
 	case "poll":
-		return Poll{Req: req, Ref: f.Ref, Forwarded: true, Caller: f.Caller}
+		return message.Poll{Req: req, Ref: f.Ref, Forwarded: true, Caller: f.Caller}
 	case "cancel":
-		return Cancel{Req: req, Ref: f.Ref, Forwarded: true, Caller: f.Caller}
+		return message.Cancel{Req: req, Ref: f.Ref, Forwarded: true, Caller: f.Caller}
 	}
 	return nil
 }
 
-func (ts *TenantService) forwardHosted(req ReqID, f hostedForward, forwarded bool) {
+func (ts *TenantService) forwardHosted(req message.ReqID, f hostedForward, forwarded bool) {
 	wrapped, err := encodeHostedForward(f)
 	if err != nil {
 		ts.core.ReplyError(req, 503, "not passed on")
@@ -195,7 +181,7 @@
 
 // withTenantJob does something with the job that a tenant's request names: do is given the id under
 // which it is kept, and elsewhere for when this controller can't answer.
-func (ts *TenantService) withTenantJob(req ReqID, f hostedForward, forwarded bool, callback func(id api.JobID, notFound, forward func())) {
+func (ts *TenantService) withTenantJob(req message.ReqID, f hostedForward, forwarded bool, callback func(id api.JobID, notFound, forward func())) {
 	forward := func() { ts.forwardHosted(req, f, forwarded) }
 	if ts.c.jobs.ShouldForward(forwarded) {
 		forward()
@@ -211,7 +197,7 @@
 	}, forward)
 }
 
-func (ts *TenantService) PollHosted(c Poll) {
+func (ts *TenantService) PollHosted(c message.Poll) {
 	ts.withTenantJob(c.Req, hostedForward{Kind: "poll", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
 		ts.c.jobs.FindJob(id, func(s api.JobStatus) {
 			s.JobID = api.JobID(c.Ref)
@@ -220,7 +206,7 @@
 	})
 }
 
-func (ts *TenantService) CancelHosted(c Cancel) {
+func (ts *TenantService) CancelHosted(c message.Cancel) {
 	ts.withTenantJob(c.Req, hostedForward{Kind: "cancel", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
 		ts.c.jobs.RecordCancellation(id, 5, ts.c.jobs.RespondWhenAcknowledged(c.Forwarded, func(s api.JobStatus) {
 			ts.core.Reply(c.Req, 200, api.JobStatus{JobID: api.JobID(c.Ref), State: s.State}, 0)
@@ -231,11 +217,11 @@
 // SubmitHosted takes a tenant's submission. It is written on the condition that the
 // tenant's record is as it was read: whatever is decided here by an older one, a
 // suspension or a revoked key that this controller has not heard of, is not written.
-func (ts *TenantService) SubmitHosted(c Submit, tries int) {
+func (ts *TenantService) SubmitHosted(c message.Submit, tries int) {
 	forward := func() {
 		ts.forwardHosted(c.Req, hostedForward{Kind: "submit", Body: c.Body, Caller: c.Caller}, c.Forwarded)
 	}
-	if ts.c.jobs.ShouldForward(c.Forwarded) || len(ts.core.machineTypes) == 0 {
+	if ts.c.jobs.ShouldForward(c.Forwarded) || len(ts.core.MachineTypes) == 0 {
 		forward()
 		return
 	}
@@ -294,20 +280,20 @@
 		refuse(429, field+": "+reason, max(wait, time.Second))
 		return
 	}
-	value := clusterstate.JobValue{Spec: spec, Split: ts.c.jobs.SplitAcrossPartitions(spec), AcceptedAt: ts.core.wallClock, Tenant: string(entry.Name), TenantJobID: tenantJobID}
+	value := clusterstate.JobValue{Spec: spec, Split: ts.c.jobs.SplitAcrossPartitions(spec), AcceptedAt: ts.core.WallClock, Tenant: string(entry.Name), TenantJobID: tenantJobID}
 	data, err := json.Marshal(value)
 	if err != nil || ts.core.JobExceedsValueSize(data) {
 		refuse(400, specTooLarge, 0)
 		return
 	}
 	jobKey := clusterstate.KeyJob + string(spec.Ref)
-	tx := api.Txn{If: []api.Condition{{Key: jobKey}, {Key: clusterstate.KeyJobResult + string(spec.Ref)}, ts.core.state.VersionCondition(keyTenant + string(entry.Name))},
+	tx := api.Txn{If: []api.Condition{{Key: jobKey}, {Key: clusterstate.KeyJobResult + string(spec.Ref)}, ts.core.State.VersionCondition(keyTenant + string(entry.Name))},
 		Writes: []api.Write{{Put: jobKey, Value: data}}}
 	for _, need := range spec.Needs { // or it would wait for a pool that was removed meanwhile
-		tx.If = append(tx.If, ts.core.state.VersionCondition(keyPool+string(need.Pool)))
+		tx.If = append(tx.If, ts.core.State.VersionCondition(keyPool+string(need.Pool)))
 	}
 	ts.addPendingSubmission(entry.Name, spec.Ref)
-	ts.core.CallStoreTxn(tx, func(a StoreResponse) {
+	ts.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		switch a.Status {
 		case 200:
 			ts.countSubmission(entry.Name, "")
@@ -335,7 +321,7 @@
 	if ts.atOpenJobLimit(entry) {
 		return false, 2 * time.Second, "open_jobs", "as many of your jobs are not over as may be"
 	}
-	members := len(ts.core.state.Members)
+	members := len(ts.core.State.Members)
 	if entry.Rate > 0 {
 		bucket := service.rateBuckets[entry.Name]
 		if bucket == nil {
@@ -343,11 +329,11 @@
 			service.rateBuckets[entry.Name] = bucket
 		}
 		rate, burst := tenant.RateShare(entry.Rate, entry.Burst, members)
-		if ok, wait := bucket.Take(ts.core.now, rate, burst); !ok {
+		if ok, wait := bucket.Take(ts.core.Now, rate, burst); !ok {
 			return false, wait, "rate", "more submissions than agreed"
 		}
 	}
-	if ok, wait := service.fairLimiter.Take(ts.core.now, entry.Name, submissionWriteShare*ts.core.config.Deployment.State.WriteRPS/float64(max(1, members))); !ok {
+	if ok, wait := service.fairLimiter.Take(ts.core.Now, entry.Name, submissionWriteShare*ts.core.Config.Deployment.State.WriteRPS/float64(max(1, members))); !ok {
 		return false, wait, "writes", "more submissions at once than can be written"
 	}
 	return true, 0, "", ""
@@ -359,7 +345,7 @@
 
 func (ts *TenantService) countTenant(name tenant.Name) tenantCounts {
 	var counts tenantCounts
-	for _, j := range ts.core.state.JobsByTenant[string(name)] {
+	for _, j := range ts.core.State.JobsByTenant[string(name)] {
 		counts.jobs++
 		if !j.Terminal() {
 			counts.open++
@@ -375,12 +361,12 @@
 // number too much together, and with news under way to what those are about. For a while a
 // tenant that was full is taken to be: it may ask often, and have very many.
 func (ts *TenantService) atOpenJobLimit(entry *tenant.Entry) bool {
-	service, jobs := ts.hosted, ts.core.state.JobsByTenant[string(entry.Name)]
-	members := max(1, len(ts.core.state.Members))
+	service, jobs := ts.hosted, ts.core.State.JobsByTenant[string(entry.Name)]
+	members := max(1, len(ts.core.State.Members))
 	if len(jobs)+members*len(service.pendingSubmissions[entry.Name]) < entry.OpenJobLimit() {
 		return false
 	}
-	if reachedAt, ok := service.openJobLimitReachedAt[entry.Name]; ok && ts.core.now.Sub(reachedAt) < openJobLimitTTL {
+	if reachedAt, ok := service.openJobLimitReachedAt[entry.Name]; ok && ts.core.Now.Sub(reachedAt) < openJobLimitTTL {
 		return true
 	}
 	open := ts.countTenant(entry.Name).open
@@ -392,7 +378,7 @@
 	if open < entry.OpenJobLimit() {
 		return false
 	}
-	service.openJobLimitReachedAt[entry.Name] = ts.core.now
+	service.openJobLimitReachedAt[entry.Name] = ts.core.Now
 	return true
 }
 
@@ -431,38 +417,38 @@
 // LimitTenantJobs leaves out of a round what is more than so many jobs of one tenant: half of
 // those that stay are its most urgent ones, the others take turns. The order of the rest
 // is kept.
-func (ts *TenantService) LimitTenantJobs(owned *ownedPartition, jobs []*Job) []*Job {
-	owned.unexaminedJobs = 0
+func (ts *TenantService) LimitTenantJobs(owned *core.OwnedPartition, jobs []*core.Job) []*core.Job {
+	owned.UnexaminedJobs = 0
 	if ts.hosted == nil || len(jobs) <= maxTenantJobsPerRound {
 		return jobs
 	}
-	byTenant := map[string][]*Job{}
+	byTenant := map[string][]*core.Job{}
 	for _, j := range jobs {
 		byTenant[j.Tenant] = append(byTenant[j.Tenant], j)
 	}
-	deferred := map[*Job]bool{}
+	deferred := map[*core.Job]bool{}
 	for name, tenantJobs := range byTenant {
 		if len(tenantJobs) <= maxTenantJobsPerRound {
 			continue
 		}
-		slices.SortFunc(tenantJobs, func(a, b *Job) int {
+		slices.SortFunc(tenantJobs, func(a, b *core.Job) int {
 			return cmp.Or(b.Spec.Priority.Rank()-a.Spec.Priority.Rank(), cmp.Compare(a.AcceptedAt, b.AcceptedAt), cmp.Compare(a.ID, b.ID))
 		})
 		for _, j := range tenantJobs {
 			deferred[j] = true
 		}
-		key := tenantPartition{name, owned.id}
+		key := tenantPartition{name, owned.Id}
 		for _, i := range tenant.Window(len(tenantJobs), maxTenantJobsPerRound, ts.hosted.roundTurns[key]) {
 			delete(deferred, tenantJobs[i])
 		}
 		ts.hosted.roundTurns[key]++
 	}
-	owned.unexaminedJobs = len(deferred)
-	return slices.DeleteFunc(jobs, func(j *Job) bool { return deferred[j] })
+	owned.UnexaminedJobs = len(deferred)
+	return slices.DeleteFunc(jobs, func(j *core.Job) bool { return deferred[j] })
 }
 
 // StartsBlocked reports whether what waits of a job may not be started.
-func (ts *TenantService) StartsBlocked(j *Job) bool {
+func (ts *TenantService) StartsBlocked(j *core.Job) bool {
 	return ts.hosted != nil && j.Tenant != "" && !ts.hosted.tenants.MayStartTasks(tenant.Name(j.Tenant))
 }
 
@@ -476,24 +462,24 @@
 // ReconcileTenants goes on with what suspensions and removals have begun.
 func (ts *TenantService) ReconcileTenants() {
 	service := ts.hosted
-	if service == nil || !ts.core.loaded || ts.core.now.Sub(service.reconciledAt) < tenantReconcileInterval {
+	if service == nil || !ts.core.Loaded || ts.core.Now.Sub(service.reconciledAt) < tenantReconcileInterval {
 		return
 	}
 	ts.flushKeyUses()
 	if len(ts.c.scheduler.partitions) == 0 {
 		return
 	}
-	service.reconciledAt = ts.core.now
+	service.reconciledAt = ts.core.Now
 	ts.c.pools.ReconcilePools()
 	ts.sweepHistory()
-	draining := map[tenant.Name][]*Placement{} // services whose time is up
+	draining := map[tenant.Name][]*core.Placement{} // services whose time is up
 	var removing []*tenant.Entry
 	for _, name := range service.tenants.Names() {
 		entry := service.tenants.Get(name)
 		if entry.State != tenant.Suspended && entry.State != tenant.Removing {
 			continue
 		}
-		if float64(ts.core.wallClock-entry.SuspendedAt)/1000 >= entry.Drain {
+		if float64(ts.core.WallClock-entry.SuspendedAt)/1000 >= entry.Drain {
 			draining[name] = nil
 		}
 		if entry.State == tenant.Removing {
@@ -508,21 +494,21 @@
 
 // drainServices stops services of tenants, of each the least urgent and youngest first.
 // Whatever else runs of them ends by itself.
-func (ts *TenantService) drainServices(byTenant map[tenant.Name][]*Placement) {
+func (ts *TenantService) drainServices(byTenant map[tenant.Name][]*core.Placement) {
 	if len(byTenant) == 0 {
 		return
 	}
 	for p := range ts.c.scheduler.partitions {
-		for placement := range ts.core.state.PlacementsByPartition[p] {
+		for placement := range ts.core.State.PlacementsByPartition[p] {
 			name := tenant.Name(placement.Job.Tenant)
-			if running, drains := byTenant[name]; drains && placement.Job.Spec.Kind == api.Service && !placement.Finishing && !placement.OwnerState.stopRequested && !placement.Job.Terminal() {
+			if running, drains := byTenant[name]; drains && placement.Job.Spec.Kind == api.Service && !placement.Finishing && !placement.OwnerState.StopRequested && !placement.Job.Terminal() {
 				byTenant[name] = append(running, placement)
 			}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(byTenant)) {
 		running := byTenant[name]
-		slices.SortFunc(running, func(a, b *Placement) int {
+		slices.SortFunc(running, func(a, b *core.Placement) int {
 			return cmp.Or(a.Job.Spec.Priority.Rank()-b.Job.Spec.Priority.Rank(), cmp.Compare(b.Job.AcceptedAt, a.Job.AcceptedAt),
 				cmp.Compare(a.Job.ID, b.Job.ID), b.Task.Index-a.Task.Index)
 		})
@@ -535,16 +521,16 @@
 // continueRemoval cancels jobs of a tenant that is being removed, each by the owner of its
 // first task, and ends the removal when none is left.
 func (ts *TenantService) continueRemoval(entry *tenant.Entry) {
-	var open []*Job
+	var open []*core.Job
 	remaining := 0
-	for _, j := range ts.core.state.JobsByTenant[string(entry.Name)] {
+	for _, j := range ts.core.State.JobsByTenant[string(entry.Name)] {
 		remaining++
 		if owned := ts.c.scheduler.partitions[j.Split[0].Partition]; owned != nil && !j.Terminal() {
 			open = append(open, j)
 		}
 	}
 	if entry.CancelJobs {
-		slices.SortFunc(open, func(a, b *Job) int { return strings.Compare(string(a.ID), string(b.ID)) })
+		slices.SortFunc(open, func(a, b *core.Job) int { return strings.Compare(string(a.ID), string(b.ID)) })
 		for _, j := range open[:min(maxCancelledJobs*len(ts.c.scheduler.partitions), len(open))] {
 			ts.c.jobs.RecordCancellation(j.ID, 1, func(api.JobStatus) {}, func() {}, func() {})
 		}
@@ -592,7 +578,7 @@
 	for _, team := range t.Teams {
 		if !slices.Contains(teams, team) {
 			claim, _ := json.Marshal(t.Name)
-			tx.If = append(tx.If, api.Condition{Key: keyTeamOf + string(team)}, ts.core.state.VersionCondition(keyTeam+string(team)))
+			tx.If = append(tx.If, api.Condition{Key: keyTeamOf + string(team)}, ts.core.State.VersionCondition(keyTeam+string(team)))
 			tx.Writes = append(tx.Writes, api.Write{Put: keyTeamOf + string(team), Value: claim})
 		}
 	}
@@ -601,11 +587,11 @@
 			tx.Writes = append(tx.Writes, api.Write{Drop: keyTeamOf + string(team)})
 		}
 	}
-	if len(tx.Writes) > ts.core.config.Deployment.State.TxnOps {
+	if len(tx.Writes) > ts.core.Config.Deployment.State.TxnOps {
 		respond(413, 0)
 		return
 	}
-	ts.core.CallStoreTxn(tx, func(a StoreResponse) {
+	ts.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		status := a.Status
 		if status == 409 && slices.ContainsFunc(a.Txn.Failed, func(k string) bool { return strings.HasPrefix(k, keyTeamOf) }) {
 			status = 422
@@ -615,7 +601,7 @@
 }
 
 // tenantAttr says in the log whose a job is; of a service without tenants, nothing.
-func tenantAttr(j *Job) slog.Attr {
+func tenantAttr(j *core.Job) slog.Attr {
 	if j.Tenant == "" {
 		return slog.Attr{}
 	}
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -11,19 +11,21 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/tenant"
 )
 
 // hostedOwner is a controller of a hosted service with tenant kipper of team red, whose job
 // waits, and kipper's key.
-func hostedOwner(t testing.TB) (*Controller, *ownedPartition, *Job, tenant.Secret) {
+func hostedOwner(t testing.TB) (*Controller, *core.OwnedPartition, *core.Job, tenant.Secret) {
 	t.Helper()
 	n, owned, _, j := newTestOwner(t, testSpec(4))
 	_, admin, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.core.config.Hosted = &config.Hosted{AdminKey: admin.Key("admin")}
+	n.core.Config.Hosted = &config.Hosted{AdminKey: admin.Key("admin")}
 	n.tenancy.InitHosted()
 	n.tenancy.HostedRecordKinds()
 	k, s, err := tenant.NewKey([tenant.RandomBytes]byte{2}, "first", 1000, 60_000)
@@ -51,34 +53,34 @@
 }
 
 // putJob has a tenant's job accepted, all of it in part 0.
-func putJob(t testing.TB, n *Controller, spec *api.JobSpec, name string, accepted api.WallTime) *Job {
+func putJob(t testing.TB, n *Controller, spec *api.JobSpec, name string, accepted api.WallTime) *core.Job {
 	t.Helper()
 	data, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}, AcceptedAt: accepted, Tenant: name, TenantJobID: spec.Ref})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.core.state.Put(clusterstate.KeyJob+string(spec.Ref), data, 9); err != nil {
+	if err := n.core.State.Put(clusterstate.KeyJob+string(spec.Ref), data, 9); err != nil {
 		t.Fatal(err)
 	}
-	return n.core.state.Jobs[spec.Ref]
+	return n.core.State.Jobs[spec.Ref]
 }
 
 // stateCalls are the calls to the state service that were wanted since the last time.
-func stateCalls(n *Controller) []StoreCall {
-	var out []StoreCall
-	for _, e := range n.core.effects {
-		if c, ok := e.(StoreCall); ok {
+func stateCalls(n *Controller) []message.StoreCall {
+	var out []message.StoreCall
+	for _, e := range n.core.Effects {
+		if c, ok := e.(message.StoreCall); ok {
 			out = append(out, c)
 		}
 	}
-	n.core.effects = nil
+	n.core.Effects = nil
 	return out
 }
 
 // A round names the gate where there are tenants, and only there: one condition more is all
 // that a hosted service's rounds differ by.
 func TestRoundNamesTheGate(t *testing.T) {
-	gate := func(n *Controller, owned *ownedPartition) (int, bool) {
+	gate := func(n *Controller, owned *core.OwnedPartition) (int, bool) {
 		n.scheduler.RunPartition(owned)
 		for _, c := range stateCalls(n) {
 			if c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
@@ -111,7 +113,7 @@
 			e.State = state
 			putTenant(t, n, e)
 		}
-		if got := len(n.scheduler.planRound(owned).starts) > 0; got != starts || n.tenancy.StartsBlocked(j) == starts {
+		if got := len(n.scheduler.planRound(owned).Starts) > 0; got != starts || n.tenancy.StartsBlocked(j) == starts {
 			t.Errorf("%q: starts %v, held %v", state, got, n.tenancy.StartsBlocked(j))
 		}
 		if waiting := n.jobs.PendingTasksIn(0, j.Spec); (waiting > 0) != starts {
@@ -131,9 +133,9 @@
 
 func TestTenantAuthentication(t *testing.T) {
 	n, _, _, s := hostedOwner(t)
-	n.core.wallClock = 2000
+	n.core.WallClock = 2000
 	at := func(auth, from string) int {
-		c := Caller{Auth: auth, From: mustAddr(t, from)}
+		c := message.Caller{Auth: auth, From: mustAddr(t, from)}
 		if _, err := n.tenancy.authenticateTenant(c); err != nil {
 			return err.(*tenant.Error).Status
 		}
@@ -149,7 +151,7 @@
 			t.Errorf("%q from %s: %d, expected %d", c.auth, c.from, got, c.want)
 		}
 	}
-	n.core.wallClock = 60_000
+	n.core.WallClock = 60_000
 	if got := at(good, "192.0.2.7"); got != 401 {
 		t.Errorf("an expired key: %d", got)
 	}
@@ -158,8 +160,8 @@
 // What is older than it is to be kept goes, and nothing else, under the term of part 0.
 func TestHistorySweep(t *testing.T) {
 	n, _, _, _ := hostedOwner(t)
-	n.core.wallClock = 1_000_000
-	n.core.now = n.core.now.Add(time.Minute)
+	n.core.WallClock = 1_000_000
+	n.core.Now = n.core.Now.Add(time.Minute)
 	n.tenancy.sweepHistory()
 	calls := stateCalls(n)
 	if len(calls) != 1 || calls[0].Page == nil || calls[0].Page.Prefix != "history/kipper/" {
@@ -169,7 +171,7 @@
 		return fmt.Sprintf("history/kipper/%s-run-%d", timeKey(at), ref)
 	}
 	page := api.KeyPage{Pairs: []api.KeyValue{{Key: key(899_000, 1)}, {Key: key(899_999, 2)}, {Key: key(900_000, 3)}, {Key: key(999_000, 4)}}}
-	n.dispatch(StoreResponse{ID: calls[0].ID, Status: 200, Page: page})
+	n.dispatch(message.StoreResponse{ID: calls[0].ID, Status: 200, Page: page})
 	calls = stateCalls(n)
 	if len(calls) != 1 || calls[0].Txn == nil {
 		t.Fatalf("wrote %+v", calls)
@@ -186,9 +188,9 @@
 func TestLongQueueRotatesAcrossRounds(t *testing.T) {
 	n, owned, j, _ := hostedOwner(t)
 	putTenant(t, n, tenant.Tenant{Name: "flood", State: tenant.Active, Teams: []api.Team{"blue"}, Retention: 100})
-	n.core.teams["blue"] = config.Team{Name: "blue"}
+	n.core.Teams["blue"] = config.Team{Name: "blue"}
 	const queue = 5000
-	put := func(ref int, cpus float64, accepted api.WallTime) *Job {
+	put := func(ref int, cpus float64, accepted api.WallTime) *core.Job {
 		spec := testSpec(1)
 		spec.Ref, spec.Team, spec.CPUs = api.JobID(fmt.Sprintf("run-1%05d", ref)), "blue", cpus
 		return putJob(t, n, spec, "flood", accepted)
@@ -198,17 +200,17 @@
 	}
 	fits := put(queue, 1, 2000)
 	j.Tenant = "kipper"
-	starts := func(round *pendingRound, j *Job) bool {
-		return slices.ContainsFunc(round.starts, func(p *Placement) bool { return p.Job == j })
+	starts := func(round *core.PendingRound, j *core.Job) bool {
+		return slices.ContainsFunc(round.Starts, func(p *core.Placement) bool { return p.Job == j })
 	}
 	round := n.scheduler.planRound(owned)
 	if !starts(round, j) {
 		t.Error("another tenant's job waits behind the queue")
 	}
-	if examined, limit := n.core.metrics.FlowTasks, maxTenantJobsPerRound+j.Spec.Tasks; examined > limit {
+	if examined, limit := n.core.Metrics.FlowTasks, maxTenantJobsPerRound+j.Spec.Tasks; examined > limit {
 		t.Errorf("a round looks at %d tasks, expected %d at most", examined, limit)
 	}
-	delete(n.core.state.PendingJobs, j.ID) // a round places one task on each machine
+	delete(n.core.State.PendingJobs, j.ID) // a round places one task on each machine
 	rounds := 1
 	for !starts(round, fits) && rounds <= queue {
 		round = n.scheduler.planRound(owned)
@@ -218,9 +220,9 @@
 		t.Errorf("a job has its turn after %d rounds, expected %d at most", rounds, limit)
 	}
 	// A round comes by itself for those who were left out.
-	owned.dirty, owned.nextRound = false, 0
-	owned.plannedAt = n.core.now
-	n.core.now = n.core.now.Add(deferredJobsInterval)
+	owned.Dirty, owned.NextRound = false, 0
+	owned.PlannedAt = n.core.Now
+	n.core.Now = n.core.Now.Add(deferredJobsInterval)
 	before := n.tenancy.hosted.roundTurns[tenantPartition{"flood", 0}]
 	n.scheduler.RunPartition(owned)
 	if n.tenancy.hosted.roundTurns[tenantPartition{"flood", 0}] == before {
@@ -242,17 +244,17 @@
 		t.Fatal(err)
 	}
 	n.tenancy.hosted.operators.Keys = []tenant.OperatorKey{{Key: watch, Role: tenant.RoleRead}}
-	n.follower.lastReadAt = n.core.now
+	n.follower.lastReadAt = n.core.Now
 	asks := func(key tenant.Secret, what string) int {
-		n.core.effects = nil
-		n.dispatch(AdminRequest{Req: 1, What: what, Caller: Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
+		n.core.Effects = nil
+		n.dispatch(message.AdminRequest{Req: 1, What: what, Caller: message.Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
 		waiting := n.follower.readWaiters
 		n.follower.readWaiters = nil
 		for _, w := range waiting {
 			w.onFailure() // the state service does not answer
 		}
-		for _, e := range n.core.effects {
-			if r, ok := e.(Reply); ok {
+		for _, e := range n.core.Effects {
+			if r, ok := e.(message.Reply); ok {
 				return r.Status
 			}
 		}
@@ -265,9 +267,9 @@
 		want  int
 	}{{0, secret, "metrics", 200}, {0, secret, "tenants", 503}, {0, secret, "drain", 503}, {0, first, "set", 503}, {0, first, "members", 200},
 		{operatorKeyCacheTTL - time.Second, secret, "machines", 200}, {2 * time.Second, secret, "machines", 503}, {0, first, "machines", 200}, {0, first, "operators", 503}} {
-		n.core.now = n.core.now.Add(c.after)
+		n.core.Now = n.core.Now.Add(c.after)
 		if got := asks(c.key, c.what); got != c.want {
-			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.core.now.Sub(n.follower.lastReadAt), got, c.want)
+			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.core.Now.Sub(n.follower.lastReadAt), got, c.want)
 		}
 	}
 	n.tenancy.hosted.operators.RetiredAdminKeys = []tenant.KeyID{first.ID}
--- a/controller/intervals_test.go
+++ b/controller/intervals_test.go
@@ -11,6 +11,8 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+
 	_ "basaltwall/internal/proptest"
 )
 
@@ -52,38 +54,38 @@
 		c := drawConfig(t)
 		d := c.Deployment
 		controllers := float64(len(c.Peers) + 1)
-		tt := intervalsFor(c)
+		tt := core.NewIntervals(c)
 		perSecond := func(each float64, every time.Duration) float64 { return each / every.Seconds() }
 		const slack = 1.0001                               // durations are whole nanoseconds
-		readers := min(controllers, float64(tt.maxRelays)) // the others read through these
-		asked := perSecond(controllers, tt.leaseRenewInterval) + perSecond(readers, tt.readInterval)
-		if asked > slack*0.4*d.State.RPS && tt.leaseRenewInterval < maxLeaseRenewInterval {
+		readers := min(controllers, float64(tt.MaxRelays)) // the others read through these
+		asked := perSecond(controllers, tt.LeaseRenewInterval) + perSecond(readers, tt.ReadInterval)
+		if asked > slack*0.4*d.State.RPS && tt.LeaseRenewInterval < core.MaxLeaseRenewInterval {
 			t.Errorf("%.2f renewals and reads a second of %.2f", asked, d.State.RPS)
 		}
-		if got := asked + perSecond(controllers-readers, tt.directReadInterval); got > slack*0.6*d.State.RPS && tt.leaseRenewInterval < maxLeaseRenewInterval {
+		if got := asked + perSecond(controllers-readers, tt.DirectReadInterval); got > slack*0.6*d.State.RPS && tt.LeaseRenewInterval < core.MaxLeaseRenewInterval {
 			t.Errorf("%.2f a second of %.2f when nobody has a relay", got, d.State.RPS)
 		}
-		if got := perSecond(controllers, tt.leaseRenewInterval) + perSecond(controllers, New(c, 1).follower.PageReadInterval()); got > slack*0.4*d.State.RPS && tt.leaseRenewInterval < maxLeaseRenewInterval {
+		if got := perSecond(controllers, tt.LeaseRenewInterval) + perSecond(controllers, New(c, 1).follower.PageReadInterval()); got > slack*0.4*d.State.RPS && tt.LeaseRenewInterval < core.MaxLeaseRenewInterval {
 			t.Errorf("%.2f a second of %.2f while versions change", got, d.State.RPS)
 		}
-		if got := perSecond(float64(d.InitialSize), tt.roundInterval); got > slack*0.5*d.State.WriteRPS {
+		if got := perSecond(float64(d.InitialSize), tt.RoundInterval); got > slack*0.5*d.State.WriteRPS {
 			t.Errorf("%.2f rounds a second of %.2f writes", got, d.State.WriteRPS)
 		}
-		if got := perSecond(1, tt.cloudCallInterval); got > slack*d.Cloud.RPS/3 {
+		if got := perSecond(1, tt.CloudCallInterval); got > slack*d.Cloud.RPS/3 {
 			t.Errorf("%.2f rentals a second of %.2f calls", got, d.Cloud.RPS)
 		}
-		if tt.memberLeaseTTL < tt.leaseRenewInterval+renewTimeout+2*retryDelay || tt.memberLeaseTTL > 10*time.Minute || tt.memberLeaseTTL < 100*time.Millisecond {
-			t.Errorf("a lease of %v is renewed every %v", tt.memberLeaseTTL, tt.leaseRenewInterval)
+		if tt.MemberLeaseTTL < tt.LeaseRenewInterval+core.RenewTimeout+2*core.RetryDelay || tt.MemberLeaseTTL > 10*time.Minute || tt.MemberLeaseTTL < 100*time.Millisecond {
+			t.Errorf("a lease of %v is renewed every %v", tt.MemberLeaseTTL, tt.LeaseRenewInterval)
 		}
-		if tt.handoverDelay < tt.memberLeaseTTL {
-			t.Errorf("parts go home after %v, while a lease lasts %v", tt.handoverDelay, tt.memberLeaseTTL)
+		if tt.HandoverDelay < tt.MemberLeaseTTL {
+			t.Errorf("parts go home after %v, while a lease lasts %v", tt.HandoverDelay, tt.MemberLeaseTTL)
 		}
-		if cancel := api.Seconds(d.Workers.Cancel); tt.cancellationTimeout >= cancel || tt.cancellationTimeout < cancel/2 || cancel > 30*time.Second && tt.cancellationTimeout+2*cloudTimeout >= cancel {
-			t.Errorf("cancelled tasks have %v, their machine is deleted after %v", cancel, tt.cancellationTimeout)
+		if cancel := api.Seconds(d.Workers.Cancel); tt.CancellationTimeout >= cancel || tt.CancellationTimeout < cancel/2 || cancel > 30*time.Second && tt.CancellationTimeout+2*core.CloudTimeout >= cancel {
+			t.Errorf("cancelled tasks have %v, their machine is deleted after %v", cancel, tt.CancellationTimeout)
 		}
 		report := api.Seconds(d.Workers.Report)
-		if latest := report * 5 / 4; tt.heartbeatTimeout <= latest || tt.livenessTimeout <= tt.heartbeatTimeout || tt.redirectTTL < latest {
-			t.Errorf("reports come every %v; silent after %v, given up after %v, back within %v", report, tt.heartbeatTimeout, tt.livenessTimeout, tt.redirectTTL)
+		if latest := report * 5 / 4; tt.HeartbeatTimeout <= latest || tt.LivenessTimeout <= tt.HeartbeatTimeout || tt.RedirectTTL < latest {
+			t.Errorf("reports come every %v; silent after %v, given up after %v, back within %v", report, tt.HeartbeatTimeout, tt.LivenessTimeout, tt.RedirectTTL)
 		}
 	})
 }
--- a/controller/jobs.go
+++ b/controller/jobs.go
@@ -7,6 +7,8 @@
 	"slices"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/sched"
 )
 
@@ -40,12 +42,12 @@
 // looked into, with the machines counted once for all of them.
 func (js *JobService) ViewJobs(team api.Team, limit int) JobsView {
 	type entry struct {
-		j    *Job
+		j    *core.Job
 		late float64
 	}
 	v := JobsView{Jobs: []JobView{}}
-	entries := make([]entry, 0, len(js.core.state.Jobs))
-	for _, j := range js.core.state.Jobs {
+	entries := make([]entry, 0, len(js.core.State.Jobs))
+	for _, j := range js.core.State.Jobs {
 		if j.Terminal() || team != "" && j.Spec.Team != team {
 			continue
 		}
@@ -68,8 +70,8 @@
 
 // tardiness is by how much a job is or will be later than it should, in seconds; 0
 // if it can still be in time.
-func (js *JobService) tardiness(j *Job) float64 {
-	elapsed := max(0, float64(js.core.wallClock-j.AcceptedAt)/1000)
+func (js *JobService) tardiness(j *core.Job) float64 {
+	elapsed := max(0, float64(js.core.WallClock-j.AcceptedAt)/1000)
 	hasPending := j.CompletedCount+len(j.Placements)-j.FinishingCount < j.Spec.Tasks
 	if j.Spec.Kind != api.Array { // what counts is when all of it runs
 		if startObjective := js.c.scheduler.StartObjective(j.Spec.Class); startObjective > 0 && hasPending {
@@ -94,15 +96,15 @@
 // freeCapacityGroup is what machines that are alike have free in a part.
 type freeCapacityGroup struct {
 	partition   api.PartitionID
-	machineKind MachineClass
-	FreeCapacity
+	machineKind message.MachineClass
+	message.FreeCapacity
 }
 
 // FreeCapacityGroups counts the machines by what they have free.
 func (js *JobService) FreeCapacityGroups() []freeCapacityGroup {
 	var groups []freeCapacityGroup
 	index := map[freeCapacityGroup]int{}
-	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		count := r.Count
 		r.Kind, r.Count, r.Could = 0, 0, api.Resources{}
 		key := freeCapacityGroup{p, k, r}
@@ -117,9 +119,9 @@
 	return groups
 }
 
-func (js *JobService) ViewJob(j *Job, capacityGroups []freeCapacityGroup) JobView {
+func (js *JobService) ViewJob(j *core.Job, capacityGroups []freeCapacityGroup) JobView {
 	v := JobView{JobID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, State: j.State(), Tasks: j.Spec.Tasks, Completed: j.CompletedCount,
-		Placed: len(j.Placements), Partitions: []api.PartitionID{}, Elapsed: roundToTenth(float64(js.core.wallClock-j.AcceptedAt) / 1000)}
+		Placed: len(j.Placements), Partitions: []api.PartitionID{}, Elapsed: roundToTenth(float64(js.core.WallClock-j.AcceptedAt) / 1000)}
 	for _, r := range j.Split {
 		if !slices.Contains(v.Partitions, r.Partition) {
 			v.Partitions = append(v.Partitions, r.Partition)
@@ -139,16 +141,16 @@
 	}
 	fetching := 0
 	for _, p := range j.Placements {
-		if p.OwnerState.reported && p.OwnerState.state == api.TaskFetching {
+		if p.OwnerState.Reported && p.OwnerState.State == api.TaskFetching {
 			fetching++
 		}
 	}
 	for _, r := range []struct {
 		count int
 		what  string
-	}{{fetching, "image being fetched for %d tasks"}, {j.OwnerState.lostTasks, "machine lost under %d tasks"},
-		{j.OwnerState.preemptedTasks, "%d tasks made way for more urgent work"},
-		{j.RetryCount - j.OwnerState.lostTasks - j.OwnerState.preemptedTasks, "%d more starts did not end with a result"}} {
+	}{{fetching, "image being fetched for %d tasks"}, {j.OwnerState.LostTasks, "machine lost under %d tasks"},
+		{j.OwnerState.PreemptedTasks, "%d tasks made way for more urgent work"},
+		{j.RetryCount - j.OwnerState.LostTasks - j.OwnerState.PreemptedTasks, "%d more starts did not end with a result"}} {
 		if r.count > 0 {
 			v.Reasons = append(v.Reasons, fmt.Sprintf(r.what, r.count))
 		}
@@ -157,13 +159,13 @@
 }
 
 // PendingReason says what keeps a job's tasks from starting in a part.
-func (js *JobService) PendingReason(j *Job, p api.PartitionID, capacityGroups []freeCapacityGroup) string {
-	owner := js.core.state.Partitions[p].Owner
+func (js *JobService) PendingReason(j *core.Job, p api.PartitionID, capacityGroups []freeCapacityGroup) string {
+	owner := js.core.State.Partitions[p].Owner
 	switch {
 	case !js.core.IsLive(owner):
 		return "the part has no living owner"
-	case j.OwnerState.backoffUntil > js.core.now:
-		return fmt.Sprintf("backs off for another %.0f s after failures", j.OwnerState.backoffUntil.Sub(js.core.now).Seconds())
+	case j.OwnerState.BackoffUntil > js.core.Now:
+		return fmt.Sprintf("backs off for another %.0f s after failures", j.OwnerState.BackoffUntil.Sub(js.core.Now).Seconds())
 	case j.Spec.Kind == api.Gang && len(j.Placements) > 0:
 		return "the gang's last attempt has not ended everywhere"
 	}
--- a/controller/jobs_test.go
+++ b/controller/jobs_test.go
@@ -17,8 +17,8 @@
 	t.Helper()
 	spec := testSpec(3)
 	n, _, _, first := newTestOwner(t, spec)
-	n.core.teams["blue"] = config.Team{Name: "blue"}
-	n.core.wallClock = first.AcceptedAt + api.WallTime(1000*jobs)
+	n.core.Teams["blue"] = config.Team{Name: "blue"}
+	n.core.WallClock = first.AcceptedAt + api.WallTime(1000*jobs)
 	for i := range jobs {
 		s := *spec
 		limit := 100.0
@@ -26,11 +26,11 @@
 		if i%2 == 1 {
 			s.Team = "blue"
 		}
-		data, err := json.Marshal(clusterstate.JobValue{Spec: &s, Split: []clusterstate.TaskRange{{From: 0, To: s.Tasks}}, AcceptedAt: n.core.wallClock - api.WallTime(1000*i)})
+		data, err := json.Marshal(clusterstate.JobValue{Spec: &s, Split: []clusterstate.TaskRange{{From: 0, To: s.Tasks}}, AcceptedAt: n.core.WallClock - api.WallTime(1000*i)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := n.core.state.Put(clusterstate.KeyJob+string(s.Ref), data, 7); err != nil {
+		if err := n.core.State.Put(clusterstate.KeyJob+string(s.Ref), data, 7); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/controller/logfollow.go
+++ b/controller/logfollow.go
@@ -6,12 +6,14 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/relay"
 )
 
 // LogFollower follows the log of the key-value store and serves linearizable reads of it.
 type LogFollower struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	loading          bool
@@ -34,7 +36,7 @@
 // LoadState reads everything under root, page by page, then the changes since the
 // first page, and folds the result.
 func (lf *LogFollower) LoadState() {
-	if lf.loading || lf.core.now < lf.nextLoadAt {
+	if lf.loading || lf.core.Now < lf.nextLoadAt {
 		return
 	}
 	if lf.resumeLoad != nil { // a page that did not come is asked for again, not all of them
@@ -43,8 +45,8 @@
 		return
 	}
 	lf.loading = true
-	lf.core.state = lf.c.NewState()
-	lf.core.state.BeginLoad()
+	lf.core.State = lf.c.NewState()
+	lf.core.State.BeginLoad()
 	lf.loadPage("", 0)
 }
 
@@ -52,20 +54,20 @@
 // reads do: a process that ends and starts again and again must leave the others their
 // requests.
 func (lf *LogFollower) scheduleLoad(delay time.Duration, next func()) {
-	lf.loading, lf.resumeLoad, lf.nextLoadAt = false, next, lf.core.now.Add(delay)
+	lf.loading, lf.resumeLoad, lf.nextLoadAt = false, next, lf.core.Now.Add(delay)
 }
 
 func (lf *LogFollower) loadPage(after string, from api.Revision) {
-	lf.core.CallStore(StoreCall{Page: &PageRequest{After: after}}, func(a StoreResponse) {
+	lf.core.CallStore(message.StoreCall{Page: &message.PageRequest{After: after}}, func(a message.StoreResponse) {
 		if a.Status != 200 {
-			lf.scheduleLoad(retryDelay, func() { lf.loadPage(after, from) })
+			lf.scheduleLoad(core.RetryDelay, func() { lf.loadPage(after, from) })
 			return
 		}
 		if from == 0 {
 			from = a.Page.Revision
 		}
 		for _, p := range a.Page.Pairs {
-			if err := lf.core.state.Put(p.Key, p.Value, p.Version); err != nil {
+			if err := lf.core.State.Put(p.Key, p.Value, p.Version); err != nil {
 				slog.Error("state record could not be decoded", "err", err)
 			}
 		}
@@ -80,26 +82,26 @@
 
 // loadChanges reads what has changed since the first page and ends the reading.
 func (lf *LogFollower) loadChanges(from api.Revision) {
-	lf.core.CallStore(StoreCall{Changes: &ChangesRequest{Since: from}}, func(a StoreResponse) {
+	lf.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: from}}, func(a message.StoreResponse) {
 		switch a.Status {
 		case 200:
 		case 410: // it took too long
-			lf.scheduleLoad(retryDelay, nil)
+			lf.scheduleLoad(core.RetryDelay, nil)
 			return
 		default:
-			lf.scheduleLoad(retryDelay, func() { lf.loadChanges(from) })
+			lf.scheduleLoad(core.RetryDelay, func() { lf.loadChanges(from) })
 			return
 		}
 		lf.applyChanges(a.Changes)
-		if err := lf.core.state.FinishLoad(); err != nil {
+		if err := lf.core.State.FinishLoad(); err != nil {
 			slog.Error("state load failed", "err", err)
-			lf.scheduleLoad(retryDelay, nil)
+			lf.scheduleLoad(core.RetryDelay, nil)
 			return
 		}
-		lf.loading, lf.resumeLoad, lf.core.loaded = false, nil, true
-		lf.relayLog.Reset(lf.core.state.Revision)
-		lf.core.AddMachineTypes(lf.core.recordedTypes.Types)
-		slog.Info("state loaded", "revision", lf.core.state.Revision, "jobs", len(lf.core.state.Jobs))
+		lf.loading, lf.resumeLoad, lf.core.Loaded = false, nil, true
+		lf.relayLog.Reset(lf.core.State.Revision)
+		lf.core.AddMachineTypes(lf.core.RecordedTypes.Types)
+		slog.Info("state loaded", "revision", lf.core.State.Revision, "jobs", len(lf.core.State.Jobs))
 	})
 }
 
@@ -107,25 +109,25 @@
 func (lf *LogFollower) applyChanges(c api.Changes) {
 	lf.retainChanges(c)
 	for _, ch := range c.Log {
-		if ch.Version <= lf.core.state.Revision {
+		if ch.Version <= lf.core.State.Revision {
 			continue
 		}
 		if ch.Drop != "" {
-			lf.core.state.Delete(ch.Drop, ch.Version)
-		} else if err := lf.core.state.Put(ch.Put, ch.Value, ch.Version); err != nil {
+			lf.core.State.Delete(ch.Drop, ch.Version)
+		} else if err := lf.core.State.Put(ch.Put, ch.Value, ch.Version); err != nil {
 			slog.Error("change could not be decoded", "err", err)
 		}
 	}
-	lf.core.state.Revision = max(lf.core.state.Revision, c.Revision)
-	if !lf.core.loaded {
+	lf.core.State.Revision = max(lf.core.State.Revision, c.Revision)
+	if !lf.core.Loaded {
 		return
 	}
 	if len(c.Log) > 0 {
-		if len(lf.core.recordedTypes.Types) > 0 && len(lf.core.machineTypes) == 0 {
-			lf.core.AddMachineTypes(lf.core.recordedTypes.Types)
+		if len(lf.core.RecordedTypes.Types) > 0 && len(lf.core.MachineTypes) == 0 {
+			lf.core.AddMachineTypes(lf.core.RecordedTypes.Types)
 		}
 		for _, owned := range lf.c.scheduler.partitions {
-			owned.dirty = true
+			owned.Dirty = true
 		}
 		lf.c.membership.DropLostPartitions()
 	}
@@ -134,8 +136,8 @@
 // reloadState starts from nothing: the log no longer reaches back to where we are.
 func (lf *LogFollower) reloadState() {
 	slog.Info("reloading state")
-	lf.core.loaded = false
-	lf.c.scheduler.partitions = map[api.PartitionID]*ownedPartition{}
+	lf.core.Loaded = false
+	lf.c.scheduler.partitions = map[api.PartitionID]*core.OwnedPartition{}
 	for _, w := range lf.readWaiters {
 		w.onFailure()
 	}
@@ -149,24 +151,24 @@
 // all nodes together stay well within the state service's limit; of many nodes most
 // read through a relay, see relays.go.
 func (lf *LogFollower) FollowLog() {
-	readsRequested := lf.core.now.Sub(lf.readRequestedAt) < time.Second && lf.readRequestedAt != 0
-	if !lf.watching && !readsRequested && lf.core.now >= lf.nextWatchAt {
+	readsRequested := lf.core.Now.Sub(lf.readRequestedAt) < time.Second && lf.readRequestedAt != 0
+	if !lf.watching && !readsRequested && lf.core.Now >= lf.nextWatchAt {
 		lf.watching = true
-		since := lf.core.state.Revision
+		since := lf.core.State.Revision
 		lf.readChanges(since, true, lf.NextRelay(), func(r logReadResult) {
 			lf.watching = false
-			lf.nextWatchAt = lf.core.now.Add(lf.logReadInterval())
+			lf.nextWatchAt = lf.core.Now.Add(lf.logReadInterval())
 			lf.handleChanges(r, since)
 		})
 	}
-	if lf.readInFlight || lf.core.now < lf.nextReadAt || len(lf.readWaiters) == 0 && !readsRequested {
+	if lf.readInFlight || lf.core.Now < lf.nextReadAt || len(lf.readWaiters) == 0 && !readsRequested {
 		return
 	}
 	via := lf.NextRelay()
 	if slices.ContainsFunc(lf.readWaiters, func(w readWaiter) bool { return w.direct }) {
 		via = "" // others wait for a read that we begin ourselves
 	}
-	if via == "" && lf.core.now < lf.nextDirectReadAt {
+	if via == "" && lf.core.Now < lf.nextDirectReadAt {
 		return
 	}
 	waiters := lf.readWaiters
@@ -177,21 +179,21 @@
 // readLatest reads what is durable by now and tells those who wait. A relay that fails costs a
 // read of our own.
 func (lf *LogFollower) readLatest(waiters []readWaiter, via api.ControllerID) {
-	lf.readInFlight, lf.nextReadAt = true, lf.core.now.Add(lf.logReadInterval())
+	lf.readInFlight, lf.nextReadAt = true, lf.core.Now.Add(lf.logReadInterval())
 	if via == "" && lf.readsThroughRelay() {
-		lf.nextDirectReadAt = lf.core.now.Add(lf.core.directReadInterval)
+		lf.nextDirectReadAt = lf.core.Now.Add(lf.core.DirectReadInterval)
 	}
-	since := lf.core.state.Revision
+	since := lf.core.State.Revision
 	lf.readChanges(since, false, via, func(r logReadResult) {
 		lf.readInFlight = false
-		if via != "" && r.status != 200 && lf.core.loaded {
-			lf.core.metrics.ReadFallbacks++
+		if via != "" && r.status != 200 && lf.core.Loaded {
+			lf.core.Metrics.ReadFallbacks++
 			lf.readLatest(waiters, "")
 			return
 		}
 		ok := lf.handleChanges(r, since)
 		if !ok {
-			lf.nextReadAt = lf.core.now.Add(lf.logReadInterval())
+			lf.nextReadAt = lf.core.Now.Add(lf.logReadInterval())
 			if len(waiters) == 0 {
 				lf.readRequestedAt = 0 // a watch outlasts an outage, such reads do not
 			}
@@ -208,16 +210,16 @@
 
 func (lf *LogFollower) handleChanges(r logReadResult, since api.Revision) bool {
 	switch {
-	case !lf.core.loaded || since > lf.core.state.Revision:
+	case !lf.core.Loaded || since > lf.core.State.Revision:
 		return false // asked before a reload
 	case r.status == 200:
-		lf.lastReadAt = lf.core.now
+		lf.lastReadAt = lf.core.Now
 		lf.applyChanges(r.changes)
 		return true
 	case r.status == 410 && r.via == "":
 		lf.reloadState()
 	default:
-		lf.nextWatchAt = lf.core.now.Add(retryDelay)
+		lf.nextWatchAt = lf.core.Now.Add(core.RetryDelay)
 	}
 	return false
 }
@@ -225,10 +227,10 @@
 // LinearizableRead calls ok once everything that was durable when it was called is
 // folded, or fail when that can't be had.
 func (lf *LogFollower) LinearizableRead(onRead, onFailure func()) {
-	if !lf.core.loaded {
+	if !lf.core.Loaded {
 		onFailure()
 		return
 	}
 	lf.readWaiters = append(lf.readWaiters, readWaiter{onRead: onRead, onFailure: onFailure})
-	lf.readRequestedAt = lf.core.now
+	lf.readRequestedAt = lf.core.Now
 }
