--- a/controller/membership.go
+++ b/controller/membership.go
@@ -9,12 +9,14 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/membership"
 )
 
 // Membership keeps this controller's lease alive and decides which partitions it claims or hands over.
 type Membership struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	leaseID           api.LeaseID
@@ -31,53 +33,53 @@
 
 // MaintainMembership keeps our leased key alive.
 func (ms *Membership) MaintainMembership() {
-	if m, there := ms.core.state.Members[ms.core.config.Label]; ms.registered && ms.core.loaded && (!there || m.Incarnation != ms.core.incarnation) && ms.core.now.Sub(ms.registeredAt) > time.Second {
+	if m, there := ms.core.State.Members[ms.core.Config.Label]; ms.registered && ms.core.Loaded && (!there || m.Incarnation != ms.core.Incarnation) && ms.core.Now.Sub(ms.registeredAt) > time.Second {
 		// Our former life's lease may have taken the key along, or a write of that life came
 		// late and tied the key to it.
 		ms.registered = false
 	}
-	if ms.leaseCallInFlight || ms.core.now < ms.nextLeaseCallAt {
+	if ms.leaseCallInFlight || ms.core.Now < ms.nextLeaseCallAt {
 		return
 	}
 	ms.leaseCallInFlight = true
 	done := func(delay time.Duration) {
 		ms.leaseCallInFlight = false
-		ms.nextLeaseCallAt = ms.core.now.Add(delay)
+		ms.nextLeaseCallAt = ms.core.Now.Add(delay)
 	}
 	switch {
 	case ms.leaseID == 0:
-		ms.core.CallStore(StoreCall{GrantLease: ms.core.memberLeaseTTL}, func(a StoreResponse) {
+		ms.core.CallStore(message.StoreCall{GrantLease: ms.core.MemberLeaseTTL}, func(a message.StoreResponse) {
 			if a.Status == 200 {
 				ms.leaseID, ms.registered = a.Lease, false
 				done(0)
 				return
 			}
-			done(retryDelay)
+			done(core.RetryDelay)
 		})
 	case !ms.registered:
-		v, _ := json.Marshal(clusterstate.MemberValue{Incarnation: ms.core.incarnation, Format: clusterstate.Format})
-		ms.core.CallStoreTxn(api.Txn{Writes: []api.Write{{Put: clusterstate.KeyMember + string(ms.core.config.Label), Value: v, Lease: ms.leaseID}}}, func(a StoreResponse) {
+		v, _ := json.Marshal(clusterstate.MemberValue{Incarnation: ms.core.Incarnation, Format: clusterstate.Format})
+		ms.core.CallStoreTxn(api.Txn{Writes: []api.Write{{Put: clusterstate.KeyMember + string(ms.core.Config.Label), Value: v, Lease: ms.leaseID}}}, func(a message.StoreResponse) {
 			switch a.Status {
 			case 200:
-				ms.registered, ms.registeredAt = true, ms.core.now
-				done(ms.core.leaseRenewInterval)
+				ms.registered, ms.registeredAt = true, ms.core.Now
+				done(ms.core.LeaseRenewInterval)
 			case 400:
 				ms.leaseID = 0
 				done(0)
 			default:
-				done(retryDelay)
+				done(core.RetryDelay)
 			}
 		})
 	default:
-		ms.core.CallStore(StoreCall{RenewLease: ms.leaseID, Timeout: renewTimeout}, func(a StoreResponse) {
+		ms.core.CallStore(message.StoreCall{RenewLease: ms.leaseID, Timeout: core.RenewTimeout}, func(a message.StoreResponse) {
 			switch a.Status {
 			case 200:
-				done(ms.core.leaseRenewInterval)
+				done(ms.core.LeaseRenewInterval)
 			case 404:
 				ms.leaseID, ms.registered = 0, false
 				done(0)
 			default:
-				done(retryDelay)
+				done(core.RetryDelay)
 			}
 		})
 	}
@@ -85,12 +87,7 @@
 
 // PreferredOwner is the controller that owns a part when all live.
 func (ms *Membership) PreferredOwner(p api.PartitionID) api.ControllerID {
-	return ms.core.controllers[int(p)%len(ms.core.controllers)]
-}
-
-func (k *Core) IsLive(l api.ControllerID) bool {
-	_, ok := k.state.Members[l]
-	return ok
+	return ms.core.Controllers[int(p)%len(ms.core.Controllers)]
 }
 
 // successor is who takes a part that has no living owner.
@@ -98,7 +95,7 @@
 	if owner := ms.PreferredOwner(p); ms.core.IsLive(owner) {
 		return owner
 	}
-	l := slices.Sorted(maps.Keys(ms.core.state.Members))
+	l := slices.Sorted(maps.Keys(ms.core.State.Members))
 	if len(l) == 0 {
 		return ""
 	}
@@ -113,33 +110,33 @@
 			delete(ms.liveSince, l)
 		}
 	}
-	for l, m := range ms.core.state.Members {
+	for l, m := range ms.core.State.Members {
 		ms.memberFormats[l] = m.Format
 		// A process that is back at once may write its key before the former life's is gone.
-		if _, ok := ms.liveSince[l]; ms.restartHistory.Observe(l, m.Incarnation, ms.core.now) || !ok {
-			ms.liveSince[l] = ms.core.now
+		if _, ok := ms.liveSince[l]; ms.restartHistory.Observe(l, m.Incarnation, ms.core.Now) || !ok {
+			ms.liveSince[l] = ms.core.Now
 		}
 	}
 	if !ms.registered {
 		return
 	}
-	for i := range ms.core.state.Partitions {
+	for i := range ms.core.State.Partitions {
 		p := api.PartitionID(i)
-		owner := ms.core.state.Partitions[i].Owner
+		owner := ms.core.State.Partitions[i].Owner
 		owned := ms.c.scheduler.partitions[p]
 		switch {
 		case owned != nil:
 			preferred := ms.PreferredOwner(p)
-			owned.releasing = preferred != ms.core.config.Label && ms.core.IsLive(preferred) && ms.core.now.Sub(ms.liveSince[preferred]) > ms.restartHistory.FailbackDelay(preferred, ms.core.now, ms.core.handoverDelay)
-			if owned.releasing {
+			owned.Releasing = preferred != ms.core.Config.Label && ms.core.IsLive(preferred) && ms.core.Now.Sub(ms.liveSince[preferred]) > ms.restartHistory.FailbackDelay(preferred, ms.core.Now, ms.core.HandoverDelay)
+			if owned.Releasing {
 				ms.handOverPartition(owned, preferred)
 			}
-		case ms.claimsInFlight[p] || ms.core.now < ms.nextClaimAt[p]:
-		case owner == ms.core.config.Label:
+		case ms.claimsInFlight[p] || ms.core.Now < ms.nextClaimAt[p]:
+		case owner == ms.core.Config.Label:
 			ms.claimPartition(p, nil)
-		case owner == "" && (ms.PreferredOwner(p) == ms.core.config.Label || ms.core.now.Sub(ms.core.startedAt) > ms.core.handoverDelay) && ms.successor(p) == ms.core.config.Label:
+		case owner == "" && (ms.PreferredOwner(p) == ms.core.Config.Label || ms.core.Now.Sub(ms.core.StartedAt) > ms.core.HandoverDelay) && ms.successor(p) == ms.core.Config.Label:
 			ms.claimPartition(p, nil)
-		case owner != "" && !ms.core.IsLive(owner) && ms.successor(p) == ms.core.config.Label:
+		case owner != "" && !ms.core.IsLive(owner) && ms.successor(p) == ms.core.Config.Label:
 			ms.claimPartition(p, []api.Condition{{Key: clusterstate.KeyMember + string(owner)}})
 		}
 	}
@@ -150,11 +147,11 @@
 func (ms *Membership) claimPartition(p api.PartitionID, conditions []api.Condition) {
 	ms.claimsInFlight[p] = true
 	key := clusterstate.PartitionKey(clusterstate.KeyPartition, p)
-	v, _ := json.Marshal(clusterstate.PartitionValue{Owner: ms.core.config.Label})
-	cond := append([]api.Condition{{Key: key, Version: ms.core.state.Partitions[p].Term}}, conditions...)
-	ms.core.CallStoreTxn(api.Txn{If: cond, Writes: []api.Write{{Put: key, Value: v}}}, func(a StoreResponse) {
+	v, _ := json.Marshal(clusterstate.PartitionValue{Owner: ms.core.Config.Label})
+	cond := append([]api.Condition{{Key: key, Version: ms.core.State.Partitions[p].Term}}, conditions...)
+	ms.core.CallStoreTxn(api.Txn{If: cond, Writes: []api.Write{{Put: key, Value: v}}}, func(a message.StoreResponse) {
 		if a.Status != 200 {
-			ms.nextClaimAt[p] = ms.core.now.Add(retryDelay)
+			ms.nextClaimAt[p] = ms.core.Now.Add(core.RetryDelay)
 			ms.c.follower.LinearizableRead(func() { delete(ms.claimsInFlight, p) }, func() { delete(ms.claimsInFlight, p) })
 			return
 		}
@@ -163,27 +160,27 @@
 		// nothing of it can follow.
 		ms.c.follower.LinearizableRead(func() {
 			delete(ms.claimsInFlight, p)
-			if ms.core.state.Partitions[p].Term != term || ms.core.state.Partitions[p].Owner != ms.core.config.Label {
+			if ms.core.State.Partitions[p].Term != term || ms.core.State.Partitions[p].Owner != ms.core.Config.Label {
 				return
 			}
 			ms.c.scheduler.BeginOwnership(p, term)
-		}, func() { delete(ms.claimsInFlight, p); ms.nextClaimAt[p] = ms.core.now.Add(retryDelay) })
+		}, func() { delete(ms.claimsInFlight, p); ms.nextClaimAt[p] = ms.core.Now.Add(core.RetryDelay) })
 	})
 }
 
 // handOverPartition gives a part to its home. The round in flight is finished first.
-func (ms *Membership) handOverPartition(owned *ownedPartition, newOwner api.ControllerID) {
-	if owned.inFlight != nil || owned.handingOver || owned.checkpointing || owned.loanInFlight {
+func (ms *Membership) handOverPartition(owned *core.OwnedPartition, newOwner api.ControllerID) {
+	if owned.InFlight != nil || owned.HandingOver || owned.Checkpointing || owned.LoanInFlight {
 		return
 	}
-	owned.handingOver = true
-	key := clusterstate.PartitionKey(clusterstate.KeyPartition, owned.id)
+	owned.HandingOver = true
+	key := clusterstate.PartitionKey(clusterstate.KeyPartition, owned.Id)
 	v, _ := json.Marshal(clusterstate.PartitionValue{Owner: newOwner})
-	ms.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.ownershipCondition()}, Writes: []api.Write{{Put: key, Value: v}}}, func(a StoreResponse) {
-		owned.handingOver = false
-		if a.Status == 200 && ms.c.scheduler.partitions[owned.id] == owned {
-			slog.Info("partition handed over", "part", owned.id, "to", newOwner)
-			delete(ms.c.scheduler.partitions, owned.id)
+	ms.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.OwnershipCondition()}, Writes: []api.Write{{Put: key, Value: v}}}, func(a message.StoreResponse) {
+		owned.HandingOver = false
+		if a.Status == 200 && ms.c.scheduler.partitions[owned.Id] == owned {
+			slog.Info("partition handed over", "part", owned.Id, "to", newOwner)
+			delete(ms.c.scheduler.partitions, owned.Id)
 			ms.c.follower.LinearizableRead(func() {}, func() {})
 		}
 	})
@@ -192,7 +189,7 @@
 // DropLostPartitions drops the parts that the book says are no longer ours.
 func (ms *Membership) DropLostPartitions() {
 	for p, owned := range ms.c.scheduler.partitions {
-		if ps := ms.core.state.Partitions[p]; ps.Owner != ms.core.config.Label || ps.Term != owned.term {
+		if ps := ms.core.State.Partitions[p]; ps.Owner != ms.core.Config.Label || ps.Term != owned.Term {
 			slog.Info("partition lost", "part", p, "to", ps.Owner)
 			delete(ms.c.scheduler.partitions, p)
 		}
--- /dev/null
+++ b/controller/message/capacitytarget.go
@@ -0,0 +1,15 @@
+package message
+
+import (
+	"basaltwall/api"
+)
+
+// AcceleratorKind is machines with accelerators that cost alike.
+type AcceleratorKind struct {
+	Type api.MachineTypeName
+	Spot bool
+}
+
+// AcceleratorCount says how many machines of a supply are up, and how many of these have
+// work that they are kept for and that does not end soon: services and gangs.
+type AcceleratorCount struct{ Up, Lasting int }
--- a/controller/messages.go
+++ b/controller/message/messages.go
@@ -1,4 +1,4 @@
-package controller
+package message
 
 import (
 	"time"
@@ -67,7 +67,7 @@
 
 		Forwarded bool // by a peer, which has looked at the key
 
-		keyID tenant.KeyID // the operators' key that came with it
+		KeyID tenant.KeyID `json:"-"` // never forwarded: the operators' key that came with it
 	}
 	// MalformedMessage is a message of another controller that can't be understood.
 	MalformedMessage struct {
@@ -272,8 +272,8 @@
 	Count int
 }
 
-// maxSilentMachines bounds the machines that a part names.
-const maxSilentMachines = 500
+// MaxSilentMachines bounds the machines that a part names.
+const MaxSilentMachines = 500
 
 // UnmetDemand is a job whose tasks must lie in one part, and don't fit there.
 type UnmetDemand struct {
@@ -286,5 +286,5 @@
 	Lenders []api.PartitionID
 }
 
-// maxUnmetDemands bounds the lacks a part tells of.
-const maxUnmetDemands = 4
+// MaxUnmetDemands bounds the lacks a part tells of.
+const MaxUnmetDemands = 4
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -6,158 +6,91 @@
 	"strings"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/zonehealth"
 )
 
 // MetricsReporter composes the metrics that administration requests show.
 type MetricsReporter struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 }
 
-// metrics are what an operator may want to see of the past: counts since the
-// process began and how long things took, in microseconds.
-type metrics struct {
-	Rounds, Starts, Ends, Completions, Takeovers, PreemptedTasks, TaskMoves, MachinesLoaned, MachinesTransferred, MachinesReserved, ReplicasMoved, PollsDeferred, OptionalWorkShed, MalformedMessages uint64
-	StoreRequests, StoreWrites, StoreFailures                                                                                                                                                         uint64
-	CloudRequests, WorkerCalls, WorkerHeartbeats                                                                                                                                                      uint64
-	ReadsRelayed, ReadsServed, ReadFallbacks, ReadsInvalid                                                                                                                                            uint64
-	RequestsWithoutRead, IndeterminateWrites, IndeterminateWritten, IndeterminateUnwritten                                                                                                            uint64
-	FlowTasks, FlowMachines                                                                                                                                                                           int // of the last round
-	usage                                                                                                                                                                                             ResourceUsage
-	latencies                                                                                                                                                                                         map[string]*hdrhistogram.Histogram
-}
-
-// ResourceUsage tells the owner, which has no clock, how long its last step took and, since
-// the process began, each kind of work and the whole process; and how many
-// commands wait.
-type ResourceUsage struct {
-	StepTime       time.Duration
-	WorkTime       [WorkKinds]time.Duration
-	ProcessTime    time.Duration
-	QueueLength    int
-	QueuedRequests int // of these, all but workers' reports
-}
-
-// WorkKind is a kind of work, for accounts of the time that it takes.
-type WorkKind int
-
-// Kinds of work: commands by where they come from, then what is done by the clock.
-const (
-	WorkUsers WorkKind = iota
-	WorkHeartbeats
-	WorkStore
-	WorkWorkers // answers to direct calls
-	WorkCloud
-	WorkPeers
-	WorkOperators
-	WorkMembership // the lease, and following the state
-	WorkFleet
-	WorkRounds
-	WorkMachines
-	WorkGossip
-	WorkKinds // how many there are
-)
-
-var workKindNames = [WorkKinds]string{"users", "reports", "state_answers", "worker_answers", "cloud_answers", "peers", "operators",
+var workKindNames = [message.WorkKinds]string{"users", "reports", "state_answers", "worker_answers", "cloud_answers", "peers", "operators",
 	"membership", "fleet", "rounds", "machines", "gossip"}
 
 // workKindOf is the kind of work that a command makes.
-func workKindOf(c Command) WorkKind {
+func workKindOf(c message.Command) message.WorkKind {
 	switch c.(type) {
-	case Submit, Poll, Cancel, ReadinessProbe, ListHistory, TenantQuery:
-		return WorkUsers
-	case WorkerHeartbeat:
-		return WorkHeartbeats
-	case StoreResponse:
-		return WorkStore
-	case WorkerResponse:
-		return WorkWorkers
-	case CloudResponse:
-		return WorkCloud
-	case PeerGossip, MalformedMessage, ReadLog, PeerResponse:
-		return WorkPeers
+	case message.Submit, message.Poll, message.Cancel, message.ReadinessProbe, message.ListHistory, message.TenantQuery:
+		return message.WorkUsers
+	case message.WorkerHeartbeat:
+		return message.WorkHeartbeats
+	case message.StoreResponse:
+		return message.WorkStore
+	case message.WorkerResponse:
+		return message.WorkWorkers
+	case message.CloudResponse:
+		return message.WorkCloud
+	case message.PeerGossip, message.MalformedMessage, message.ReadLog, message.PeerResponse:
+		return message.WorkPeers
 	}
-	return WorkOperators
+	return message.WorkOperators
 }
 
 // StartWork tells whoever has a clock which kind of work comes next.
-func (mr *MetricsReporter) StartWork(w WorkKind) {
+func (mr *MetricsReporter) StartWork(w message.WorkKind) {
 	if mr.c.OnWorkStart != nil {
 		mr.c.OnWorkStart(w)
 	}
 }
 
-// observeLatency notes a duration.
-func (m *metrics) observeLatency(what string, d time.Duration) {
-	if m.latencies == nil {
-		m.latencies = map[string]*hdrhistogram.Histogram{}
-	}
-	h := m.latencies[what]
-	if h == nil {
-		h = hdrhistogram.New(1, time.Hour.Microseconds(), 2)
-		m.latencies[what] = h
-	}
-	// What is out of its range is noted as its end.
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), time.Hour.Microseconds()))
-}
-
-// latencySummary describes a histogram, in milliseconds.
-type latencySummary struct {
-	Count int64   `json:"count"`
-	P50   float64 `json:"p50_ms"`
-	P95   float64 `json:"p95_ms"`
-	P99   float64 `json:"p99_ms"`
-	Max   float64 `json:"max_ms"`
-}
-
 // MetricsView is what an operator is shown of a node's doings.
 type MetricsView struct {
-	UpSeconds                        float64                   `json:"up_s"`
-	Rounds                           uint64                    `json:"rounds"`
-	Starts                           uint64                    `json:"starts"`
-	Ends                             uint64                    `json:"ends"`
-	Completions                      uint64                    `json:"completions"`
-	Takeovers                        uint64                    `json:"takeovers"`
-	PreemptedTasks                   uint64                    `json:"preempted"`
-	MachinesReserved                 uint64                    `json:"machines_kept"` // for jobs that must begin
-	ReplicasMoved                    uint64                    `json:"replicas_moved"`
-	PollsDeferred                    uint64                    `json:"polls_not_in_turn"`
-	TaskMoves                        uint64                    `json:"moves"`
-	MachinesLoaned                   uint64                    `json:"machines_lent"`
-	MachinesTransferred              uint64                    `json:"machines_transferred"` // lent with the tasks that run there
-	StoreRequests                    uint64                    `json:"state_requests"`
-	StoreWrites                      uint64                    `json:"state_writes"`
-	StoreFailures                    uint64                    `json:"state_failures"`
-	StoreRPSLimit                    float64                   `json:"state_rps_limit"`
-	StoreWriteRPSLimit               float64                   `json:"state_write_rps_limit"`
-	ReadsRelayed                     uint64                    `json:"log_reads_relayed"` // asked of relays
-	ReadsServed                      uint64                    `json:"log_reads_served"`  // for others
-	ReadFallbacks                    uint64                    `json:"log_read_fallbacks"`
-	ReadsInvalid                     uint64                    `json:"log_reads_impossible"`
-	IsRelay                          bool                      `json:"relay"` // reads the log for others
-	CloudRequests                    uint64                    `json:"cloud_requests"`
-	CloudRPSLimit                    float64                   `json:"cloud_rps_limit"`
-	WorkerCalls                      uint64                    `json:"worker_calls"`
-	WorkerHeartbeats                 uint64                    `json:"worker_reports"`
-	MachinesNotResumed               int                       `json:"machines_not_resumed"` // that do not know our term yet
-	FlowTasks                        int                       `json:"flow_tasks_last"`
-	FlowMachines                     int                       `json:"flow_machines_last"`
-	Jobs                             int                       `json:"jobs"`
-	PendingTasks                     int                       `json:"waiting_tasks"`
-	PendingCancellations             int                       `json:"cancellations_waiting"`   // recorded, and not yet to be told
-	OldestPendingCancellationSeconds float64                   `json:"cancellations_waiting_s"` // the oldest of them
-	PendingCalls                     int                       `json:"calls_open"`
-	RequestsWithoutRead              uint64                    `json:"requests_without_read"`   // users', refused for want of a current read
-	IndeterminateWrites              uint64                    `json:"indeterminate_writes"`    // that were not answered
-	IndeterminateWritten             uint64                    `json:"indeterminate_written"`   // rounds of these that were found to be written
-	IndeterminateUnwritten           uint64                    `json:"indeterminate_unwritten"` // and that were not, and never can be
-	LongPendingJobs                  map[string]int            `json:"jobs_waiting_over_60s"`   // in our parts, by reason; see jobs for each
-	MalformedMessages                uint64                    `json:"peer_messages_not_understood"`
-	Latencies                        map[string]latencySummary `json:"times"`
+	UpSeconds                        float64                        `json:"up_s"`
+	Rounds                           uint64                         `json:"rounds"`
+	Starts                           uint64                         `json:"starts"`
+	Ends                             uint64                         `json:"ends"`
+	Completions                      uint64                         `json:"completions"`
+	Takeovers                        uint64                         `json:"takeovers"`
+	PreemptedTasks                   uint64                         `json:"preempted"`
+	MachinesReserved                 uint64                         `json:"machines_kept"` // for jobs that must begin
+	ReplicasMoved                    uint64                         `json:"replicas_moved"`
+	PollsDeferred                    uint64                         `json:"polls_not_in_turn"`
+	TaskMoves                        uint64                         `json:"moves"`
+	MachinesLoaned                   uint64                         `json:"machines_lent"`
+	MachinesTransferred              uint64                         `json:"machines_transferred"` // lent with the tasks that run there
+	StoreRequests                    uint64                         `json:"state_requests"`
+	StoreWrites                      uint64                         `json:"state_writes"`
+	StoreFailures                    uint64                         `json:"state_failures"`
+	StoreRPSLimit                    float64                        `json:"state_rps_limit"`
+	StoreWriteRPSLimit               float64                        `json:"state_write_rps_limit"`
+	ReadsRelayed                     uint64                         `json:"log_reads_relayed"` // asked of relays
+	ReadsServed                      uint64                         `json:"log_reads_served"`  // for others
+	ReadFallbacks                    uint64                         `json:"log_read_fallbacks"`
+	ReadsInvalid                     uint64                         `json:"log_reads_impossible"`
+	IsRelay                          bool                           `json:"relay"` // reads the log for others
+	CloudRequests                    uint64                         `json:"cloud_requests"`
+	CloudRPSLimit                    float64                        `json:"cloud_rps_limit"`
+	WorkerCalls                      uint64                         `json:"worker_calls"`
+	WorkerHeartbeats                 uint64                         `json:"worker_reports"`
+	MachinesNotResumed               int                            `json:"machines_not_resumed"` // that do not know our term yet
+	FlowTasks                        int                            `json:"flow_tasks_last"`
+	FlowMachines                     int                            `json:"flow_machines_last"`
+	Jobs                             int                            `json:"jobs"`
+	PendingTasks                     int                            `json:"waiting_tasks"`
+	PendingCancellations             int                            `json:"cancellations_waiting"`   // recorded, and not yet to be told
+	OldestPendingCancellationSeconds float64                        `json:"cancellations_waiting_s"` // the oldest of them
+	PendingCalls                     int                            `json:"calls_open"`
+	RequestsWithoutRead              uint64                         `json:"requests_without_read"`   // users', refused for want of a current read
+	IndeterminateWrites              uint64                         `json:"indeterminate_writes"`    // that were not answered
+	IndeterminateWritten             uint64                         `json:"indeterminate_written"`   // rounds of these that were found to be written
+	IndeterminateUnwritten           uint64                         `json:"indeterminate_unwritten"` // and that were not, and never can be
+	LongPendingJobs                  map[string]int                 `json:"jobs_waiting_over_60s"`   // in our parts, by reason; see jobs for each
+	MalformedMessages                uint64                         `json:"peer_messages_not_understood"`
+	Latencies                        map[string]core.LatencySummary `json:"times"`
 
 	// Seconds since the process began, by kind of work, and of the whole process:
 	// the rest of that is messages and the runtime.
@@ -219,10 +152,10 @@
 // longPendingJobs counts the jobs of our parts that have waited for long without a task there, by reason.
 func (mr *MetricsReporter) longPendingJobs() map[string]int {
 	out, rooms, budget := map[string]int{}, mr.c.jobs.FreeCapacityGroups(), maxLongPending
-	for _, ref := range slices.Sorted(maps.Keys(mr.core.state.PendingJobs)) {
-		j := mr.core.state.PendingJobs[ref]
+	for _, ref := range slices.Sorted(maps.Keys(mr.core.State.PendingJobs)) {
+		j := mr.core.State.PendingJobs[ref]
 		for _, p := range slices.Sorted(maps.Keys(mr.c.scheduler.partitions)) {
-			if waited := time.Duration(mr.core.wallClock-j.AcceptedAt) * time.Millisecond; waited < longPendingThreshold || j.PlacementCounts[p] > 0 || j.PendingTasks(p) == 0 {
+			if waited := time.Duration(mr.core.WallClock-j.AcceptedAt) * time.Millisecond; waited < longPendingThreshold || j.PlacementCounts[p] > 0 || j.PendingTasks(p) == 0 {
 				continue
 			}
 			if budget--; budget < 0 {
@@ -248,39 +181,39 @@
 const maxPoolMetrics = 200
 
 func (mr *MetricsReporter) ViewMetrics() MetricsView {
-	m := &mr.core.metrics
-	v := MetricsView{UpSeconds: mr.core.now.Sub(mr.core.startedAt).Seconds(), Rounds: m.Rounds, Starts: m.Starts, Ends: m.Ends,
+	m := &mr.core.Metrics
+	v := MetricsView{UpSeconds: mr.core.Now.Sub(mr.core.StartedAt).Seconds(), Rounds: m.Rounds, Starts: m.Starts, Ends: m.Ends,
 		Completions: m.Completions, Takeovers: m.Takeovers, PreemptedTasks: m.PreemptedTasks, MachinesReserved: m.MachinesReserved, ReplicasMoved: m.ReplicasMoved, PollsDeferred: m.PollsDeferred, TaskMoves: m.TaskMoves, MachinesLoaned: m.MachinesLoaned, MachinesTransferred: m.MachinesTransferred,
 		StoreRequests: m.StoreRequests, StoreWrites: m.StoreWrites, StoreFailures: m.StoreFailures,
-		StoreRPSLimit: mr.core.config.Deployment.State.RPS, StoreWriteRPSLimit: mr.core.config.Deployment.State.WriteRPS,
+		StoreRPSLimit: mr.core.Config.Deployment.State.RPS, StoreWriteRPSLimit: mr.core.Config.Deployment.State.WriteRPS,
 		ReadsRelayed: m.ReadsRelayed, ReadsServed: m.ReadsServed, ReadFallbacks: m.ReadFallbacks, ReadsInvalid: m.ReadsInvalid,
-		IsRelay:       mr.c.follower.UsesRelays() && isRelay(mr.c.follower.CurrentRelays(), mr.core.config.Label),
-		CloudRequests: m.CloudRequests, CloudRPSLimit: mr.core.config.Deployment.Cloud.RPS, WorkerCalls: m.WorkerCalls, WorkerHeartbeats: m.WorkerHeartbeats,
-		FlowTasks: m.FlowTasks, FlowMachines: m.FlowMachines, Jobs: len(mr.core.state.Jobs), PendingCalls: len(mr.core.pendingCalls),
+		IsRelay:       mr.c.follower.UsesRelays() && isRelay(mr.c.follower.CurrentRelays(), mr.core.Config.Label),
+		CloudRequests: m.CloudRequests, CloudRPSLimit: mr.core.Config.Deployment.Cloud.RPS, WorkerCalls: m.WorkerCalls, WorkerHeartbeats: m.WorkerHeartbeats,
+		FlowTasks: m.FlowTasks, FlowMachines: m.FlowMachines, Jobs: len(mr.core.State.Jobs), PendingCalls: len(mr.core.PendingCalls),
 		RequestsWithoutRead: m.RequestsWithoutRead, IndeterminateWrites: m.IndeterminateWrites, IndeterminateWritten: m.IndeterminateWritten, IndeterminateUnwritten: m.IndeterminateUnwritten, LongPendingJobs: mr.longPendingJobs(),
-		Latencies: map[string]latencySummary{}, WorkSeconds: map[string]float64{}, ProcessSeconds: m.usage.ProcessTime.Seconds(), QueueLength: m.usage.QueueLength, OptionalWorkShed: m.OptionalWorkShed, MalformedMessages: m.MalformedMessages}
-	for w, d := range m.usage.WorkTime {
+		Latencies: map[string]core.LatencySummary{}, WorkSeconds: map[string]float64{}, ProcessSeconds: m.Usage.ProcessTime.Seconds(), QueueLength: m.Usage.QueueLength, OptionalWorkShed: m.OptionalWorkShed, MalformedMessages: m.MalformedMessages}
+	for w, d := range m.Usage.WorkTime {
 		v.WorkSeconds[workKindNames[w]] = d.Seconds()
 	}
-	for _, j := range mr.core.state.PendingJobs {
-		for p := range mr.core.state.Partitions {
+	for _, j := range mr.core.State.PendingJobs {
+		for p := range mr.core.State.Partitions {
 			v.PendingTasks += j.PendingTasks(api.PartitionID(p))
 		}
 	}
-	for _, j := range mr.core.state.CancellingJobs {
+	for _, j := range mr.core.State.CancellingJobs {
 		if !j.CancellationConfirmed() {
 			v.PendingCancellations++
-			v.OldestPendingCancellationSeconds = max(v.OldestPendingCancellationSeconds, float64(mr.core.wallClock-j.CancelledAt)/1000)
+			v.OldestPendingCancellationSeconds = max(v.OldestPendingCancellationSeconds, float64(mr.core.WallClock-j.CancelledAt)/1000)
 		}
 	}
 	for p, owned := range mr.c.scheduler.partitions {
 		for _, m := range mr.c.agents.MachinesOf(p) {
-			if m.lastHeartbeat != 0 && m.reportedToken < mr.c.agents.MinToken(owned, m.ID) {
+			if m.LastHeartbeat != 0 && m.ReportedToken < mr.c.agents.MinToken(owned, m.ID) {
 				v.MachinesNotResumed++
 			}
 		}
 	}
-	for _, name := range mr.core.config.Deployment.Zones {
+	for _, name := range mr.core.Config.Deployment.Zones {
 		s := mr.c.health.ZoneState(name)
 		if s == zonehealth.Healthy {
 			continue
@@ -302,9 +235,9 @@
 			v.Pools[name] = p
 		}
 	}
-	for what, h := range m.latencies {
+	for what, h := range m.Latencies {
 		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		v.Latencies[what] = latencySummary{h.TotalCount(), ms(50), ms(95), ms(99), float64(h.Max()) / 1000}
+		v.Latencies[what] = core.LatencySummary{Count: h.TotalCount(), P50: ms(50), P95: ms(95), P99: ms(99), Max: float64(h.Max()) / 1000}
 	}
 	return v
 }
--- a/controller/metrics_test.go
+++ b/controller/metrics_test.go
@@ -7,6 +7,8 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 )
 
 // A round that was not answered is counted, and what it was found to be.
@@ -14,9 +16,9 @@
 	for _, written := range []bool{true, false} {
 		n, owned, _, _ := newTestOwner(t, testSpec(2))
 		n.scheduler.RunPartition(owned)
-		send := func(a StoreResponse) {
-			for _, e := range n.core.effects {
-				if c, ok := e.(StoreCall); ok && c.Txn != nil && n.core.pendingCalls[c.ID] != nil {
+		send := func(a message.StoreResponse) {
+			for _, e := range n.core.Effects {
+				if c, ok := e.(message.StoreCall); ok && c.Txn != nil && n.core.PendingCalls[c.ID] != nil {
 					a.ID = c.ID
 					n.dispatch(a)
 					return
@@ -24,15 +26,15 @@
 			}
 			t.Fatal("no write is under way")
 		}
-		send(StoreResponse{Status: 0})
-		n.core.now = n.core.now.Add(time.Second)
-		for _, p := range n.core.deferredCalls {
-			p.callback()
+		send(message.StoreResponse{Status: 0})
+		n.core.Now = n.core.Now.Add(time.Second)
+		for _, p := range n.core.DeferredCalls {
+			p.Callback()
 		}
 		if written {
-			send(StoreResponse{Status: 200, Txn: api.TxnResponse{Revision: 20}})
+			send(message.StoreResponse{Status: 200, Txn: api.TxnResponse{Revision: 20}})
 		} else {
-			send(StoreResponse{Status: 409, Txn: api.TxnResponse{Failed: []string{"b/job/run-1"}}})
+			send(message.StoreResponse{Status: 409, Txn: api.TxnResponse{Failed: []string{"b/job/run-1"}}})
 			answerRead(t, n)
 		}
 		v := n.reporter.ViewMetrics()
@@ -44,17 +46,19 @@
 
 // Jobs that wait for over a minute are counted by their reason, without its figures.
 func TestLongPendingByReason(t *testing.T) {
-	for reason, change := range map[string]func(n *Controller, m *Machine, j *Job){
-		"has room": func(*Controller, *Machine, *Job) {},
-		"no room":  func(n *Controller, m *Machine, _ *Job) { m.lastHeartbeat = 0 },
-		"limit": func(n *Controller, _ *Machine, _ *Job) {
-			n.core.teams["red"] = config.Team{Name: "red", CPUsMax: 0.5}
+	for reason, change := range map[string]func(n *Controller, m *core.Machine, j *core.Job){
+		"has room": func(*Controller, *core.Machine, *core.Job) {},
+		"no room":  func(n *Controller, m *core.Machine, _ *core.Job) { m.LastHeartbeat = 0 },
+		"limit": func(n *Controller, _ *core.Machine, _ *core.Job) {
+			n.core.Teams["red"] = config.Team{Name: "red", CPUsMax: 0.5}
+		},
+		"backs off after failures": func(n *Controller, _ *core.Machine, j *core.Job) {
+			j.OwnerState.BackoffUntil = n.core.Now.Add(time.Second)
 		},
-		"backs off after failures": func(n *Controller, _ *Machine, j *Job) { j.OwnerState.backoffUntil = n.core.now.Add(time.Second) },
 	} {
 		n, _, m, j := newTestOwner(t, testSpec(2))
-		n.core.state.Members["n"] = clusterstate.MemberValue{}
-		n.core.wallClock = 100_000
+		n.core.State.Members["n"] = clusterstate.MemberValue{}
+		n.core.WallClock = 100_000
 		j.AcceptedAt = 50_000
 		if got := n.reporter.longPendingJobs(); len(got) != 0 {
 			t.Errorf("%s: after 50 s %v are counted", reason, got)
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -10,6 +10,8 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/tenant"
 )
 
@@ -82,29 +84,29 @@
 		return err
 	}
 	ts.hosted.teams[api.Team(name)] = TeamRecordView{Team: team, Revision: version}
-	delete(ts.core.teams, team.Name)
+	delete(ts.core.Teams, team.Name)
 	if !team.Removed {
-		ts.core.teams[team.Name] = config.Team{Name: team.Name, CPUs: team.CPUs, GPUs: team.GPUs, CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
+		ts.core.Teams[team.Name] = config.Team{Name: team.Name, CPUs: team.CPUs, GPUs: team.GPUs, CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
 	}
 	return nil
 }
 
 // ResetPlatformTeams forgets the teams that operators made.
 func (ts *TenantService) ResetPlatformTeams() {
-	ts.core.teams = map[api.Team]config.Team{}
-	for _, t := range ts.core.config.Deployment.Teams {
-		ts.core.teams[t.Name] = t
+	ts.core.Teams = map[api.Team]config.Team{}
+	for _, t := range ts.core.Config.Deployment.Teams {
+		ts.core.Teams[t.Name] = t
 	}
 }
 
 // authenticateOperator finds what an operator may do by the key that a request brings, as far as the
 // book has been read.
-func (ts *TenantService) authenticateOperator(c Caller) (tenant.KeyID, tenant.Role, error) {
-	s, err := c.bearerSecret()
+func (ts *TenantService) authenticateOperator(c message.Caller) (tenant.KeyID, tenant.Role, error) {
+	s, err := c.BearerSecret()
 	if err != nil {
 		return "", "", err
 	}
-	role, ok := ts.hosted.operators.Authenticate(ts.hosted.adminKey, s, ts.core.wallClock, ts.MaxClockError())
+	role, ok := ts.hosted.operators.Authenticate(ts.hosted.adminKey, s, ts.core.WallClock, ts.MaxClockError())
 	if !ok {
 		return "", "", errInvalidKey
 	}
@@ -125,7 +127,7 @@
 // may: by what is current. A controller that can't know what is answers questions about
 // itself alone, for a while, by what it knew last; the file's key lies beside it and needs
 // no state.
-func (ts *TenantService) WithOperator(c AdminRequest, callback func(AdminRequest)) {
+func (ts *TenantService) WithOperator(c message.AdminRequest, callback func(message.AdminRequest)) {
 	aboutController := slices.Contains(controllerQueries, c.What)
 	readOnly := aboutController || slices.Contains(recordQueries, c.What)
 	authorized := func() bool {
@@ -138,7 +140,7 @@
 			return false
 		}
 		ts.recordKeyUse(operatorsHolder, id)
-		c.keyID = id
+		c.KeyID = id
 		return true
 	}
 	ts.c.follower.LinearizableRead(func() {
@@ -146,9 +148,9 @@
 			callback(c)
 		}
 	}, func() {
-		s, err := c.Caller.bearerSecret()
-		trusted := ts.c.follower.lastReadAt != 0 && ts.core.now.Sub(ts.c.follower.lastReadAt) <= operatorKeyCacheTTL || err == nil && s.ID == ts.hosted.adminKey.ID
-		if !aboutController || !ts.core.loaded || !trusted {
+		s, err := c.Caller.BearerSecret()
+		trusted := ts.c.follower.lastReadAt != 0 && ts.core.Now.Sub(ts.c.follower.lastReadAt) <= operatorKeyCacheTTL || err == nil && s.ID == ts.hosted.adminKey.ID
+		if !aboutController || !ts.core.Loaded || !trusted {
 			ts.core.ReplyError(c.Req, 503, "state service not reachable")
 			return
 		}
@@ -175,11 +177,11 @@
 }
 
 // newKey makes a key of what a request was given of random.
-func (ts *TenantService) newKey(c AdminRequest, name string, expires api.WallTime) (tenant.Key, *NewKeyView, error) {
+func (ts *TenantService) newKey(c message.AdminRequest, name string, expires api.WallTime) (tenant.Key, *NewKeyView, error) {
 	if c.Random == nil {
 		return tenant.Key{}, nil, &tenant.Error{Status: 503, Reason: "no random bytes"}
 	}
-	k, s, err := tenant.NewKey(*c.Random, name, ts.core.wallClock, expires)
+	k, s, err := tenant.NewKey(*c.Random, name, ts.core.WallClock, expires)
 	if err != nil {
 		return k, nil, err
 	}
@@ -204,8 +206,8 @@
 }
 
 // HandleOperatorsRequest answers a question or an act on the operators' record.
-func (ts *TenantService) HandleOperatorsRequest(c AdminRequest) error {
-	old, revision := ts.hosted.operators, ts.core.state.Version(keyOperators)
+func (ts *TenantService) HandleOperatorsRequest(c message.AdminRequest) error {
+	old, revision := ts.hosted.operators, ts.core.State.Version(keyOperators)
 	if c.What == "operators" {
 		ts.readKeyUses(c, operatorsHolder, func(lastUsed map[tenant.KeyID]api.WallTime) {
 			v := ts.viewOperators(old, revision)
@@ -257,7 +259,7 @@
 	if err != nil || ts.core.ExceedsValueSize(data) {
 		return &tenant.Error{Status: 400, Field: "networks", Reason: "the record is too large"}
 	}
-	tx := api.Txn{If: []api.Condition{{Key: keyOperators, Version: revision}, ts.core.state.VersionCondition(keyGuaranteedTotal)},
+	tx := api.Txn{If: []api.Condition{{Key: keyOperators, Version: revision}, ts.core.State.VersionCondition(keyGuaranteedTotal)},
 		Writes: []api.Write{{Put: keyOperators, Value: data}, ts.AuditWrite(c, "operators", before, after)}}
 	ts.CommitChange(c, tx, "the operators' record", func(committed api.Revision) any {
 		if secret != nil {
@@ -270,17 +272,17 @@
 }
 
 // CommitChange writes an operators' change and answers with what is shown then.
-func (ts *TenantService) CommitChange(c AdminRequest, tx api.Txn, what string, view func(api.Revision) any) {
-	ts.core.CallStoreTxn(tx, func(a StoreResponse) {
+func (ts *TenantService) CommitChange(c message.AdminRequest, tx api.Txn, what string, view func(api.Revision) any) {
+	ts.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		if a.Status == 200 {
-			slog.Info("operator change committed", "what", c.What, "id", c.ID, "key", c.keyID, "from", ts.clientAddr(c.Caller), "revision", a.Txn.Revision)
+			slog.Info("operator change committed", "what", c.What, "id", c.ID, "key", c.KeyID, "from", ts.clientAddr(c.Caller), "revision", a.Txn.Revision)
 		}
 		ts.ReplyChange(c.Req, a.Status, a.Txn.Revision, what, view)
 	})
 }
 
 // ReplyChange answers an operators' change by how its write ended.
-func (ts *TenantService) ReplyChange(req ReqID, status int, revision api.Revision, what string, view func(api.Revision) any) {
+func (ts *TenantService) ReplyChange(req message.ReqID, status int, revision api.Revision, what string, view func(api.Revision) any) {
 	switch status {
 	case 200:
 		ts.core.Reply(req, 200, view(revision), 0)
@@ -308,7 +310,7 @@
 
 func (ts *TenantService) teamJobCount(team api.Team) int {
 	count := 0
-	for _, j := range ts.core.state.Jobs {
+	for _, j := range ts.core.State.Jobs {
 		if j.Spec.Team == team {
 			count++
 		}
@@ -317,13 +319,13 @@
 }
 
 // HandleTeamRequest makes, changes or removes a team beside the platform's.
-func (ts *TenantService) HandleTeamRequest(c AdminRequest) error {
+func (ts *TenantService) HandleTeamRequest(c message.AdminRequest) error {
 	var request teamRequest
 	if err := decodeRequest(c.Body, &request); err != nil {
 		return err
 	}
 	name := api.Team(c.ID)
-	for _, t := range ts.core.config.Deployment.Teams {
+	for _, t := range ts.core.Config.Deployment.Teams {
 		if t.Name == name {
 			return &tenant.Error{Status: 409, Field: "name", Reason: c.ID + " is a team of the platform's file"}
 		}
@@ -357,7 +359,7 @@
 	guaranteedValue, _ := json.Marshal(guaranteed)
 	// The claim of the team by a tenant is named, so that none is made meanwhile; and the
 	// operators' record, so that what is set aside is what was read.
-	tx := api.Txn{If: []api.Condition{{Key: keyTeam + c.ID, Version: old.Revision}, ts.core.state.VersionCondition(keyGuaranteedTotal), ts.core.state.VersionCondition(keyOperators)},
+	tx := api.Txn{If: []api.Condition{{Key: keyTeam + c.ID, Version: old.Revision}, ts.core.State.VersionCondition(keyGuaranteedTotal), ts.core.State.VersionCondition(keyOperators)},
 		Writes: []api.Write{{Put: keyTeam + c.ID, Value: teamValue}, {Put: keyGuaranteedTotal, Value: guaranteedValue}, ts.AuditWrite(c, "team "+c.ID, old.Team, updated)}}
 	if c.What == "team-remove" {
 		tx.If = append(tx.If, api.Condition{Key: keyTeamOf + c.ID})
@@ -392,7 +394,7 @@
 }
 
 // settingsAuditView is the settings as the audit shows them: a long list of machines, counted.
-func settingsAuditView(s Settings) any {
+func settingsAuditView(s core.Settings) any {
 	if len(s.Drained) <= 20 {
 		return s
 	}
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -11,6 +11,8 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/pool"
 	"basaltwall/sched"
 	"basaltwall/tenant"
@@ -18,7 +20,7 @@
 
 // PoolManager shares counted resources among partitions.
 type PoolManager struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 }
 
@@ -42,9 +44,9 @@
 
 // poolHeldByPartition is what each part holds of a pool by the book.
 func (pm *PoolManager) poolHeldByPartition(name api.PoolName) []int {
-	out := make([]int, len(pm.core.state.Partitions))
-	for i := range pm.core.state.Partitions {
-		out[i] = pm.core.state.Partitions[i].PoolUsage[name]
+	out := make([]int, len(pm.core.State.Partitions))
+	for i := range pm.core.State.Partitions {
+		out[i] = pm.core.State.Partitions[i].PoolUsage[name]
 	}
 	return out
 }
@@ -52,15 +54,15 @@
 // PoolHeldTotal is what all parts together hold of a pool by the book.
 func (pm *PoolManager) PoolHeldTotal(name api.PoolName) int {
 	sum := 0
-	for i := range pm.core.state.Partitions {
-		sum += pm.core.state.Partitions[i].PoolUsage[name]
+	for i := range pm.core.State.Partitions {
+		sum += pm.core.State.Partitions[i].PoolUsage[name]
 	}
 	return sum
 }
 
 // poolRequest is a job that waits in a part for units of a pool.
 type poolRequest struct {
-	job       *Job
+	job       *core.Job
 	partition api.PartitionID
 	entitled  bool // within what its team is guaranteed
 	ask       pool.Demand
@@ -72,7 +74,7 @@
 		return nil
 	}
 	out := map[api.Team]int{}
-	for _, j := range pm.core.state.Jobs {
+	for _, j := range pm.core.State.Jobs {
 		if need, ok := j.Spec.PoolRequest(e.Name); ok {
 			out[j.Spec.Team] += need.Units(j.LiveCount(), false)
 		}
@@ -88,12 +90,12 @@
 	var out []poolRequest
 	e := pm.poolEntry(name)
 	teams := pm.poolHeldByTeam(e)
-	for _, j := range pm.core.state.PendingJobs {
+	for _, j := range pm.core.State.PendingJobs {
 		need, ok := j.Spec.PoolRequest(name)
-		if !ok || pm.c.tenancy.StartsBlocked(j) || j.OwnerState.backoffUntil > pm.core.now {
+		if !ok || pm.c.tenancy.StartsBlocked(j) || j.OwnerState.BackoffUntil > pm.core.Now {
 			continue
 		}
-		for p := range pm.core.state.Partitions {
+		for p := range pm.core.State.Partitions {
 			waiting := j.PendingTasks(api.PartitionID(p))
 			if waiting == 0 {
 				continue
@@ -106,7 +108,7 @@
 			if entitled {
 				a.Starts = min(a.Starts, (e.Guaranteed[j.Spec.Team]-teams[j.Spec.Team])/a.Units)
 			}
-			a.Reserves = entitled || pm.c.backfiller.WaitStage(j, api.PartitionID(p)) != sched.NotAged || j.Spec.Priority.Rank() >= preemptorRank || a.Units > 1 && pool.ShouldReserve(time.Duration(pm.core.wallClock-j.AcceptedAt)*time.Millisecond)
+			a.Reserves = entitled || pm.c.backfiller.WaitStage(j, api.PartitionID(p)) != sched.NotAged || j.Spec.Priority.Rank() >= preemptorRank || a.Units > 1 && pool.ShouldReserve(time.Duration(pm.core.WallClock-j.AcceptedAt)*time.Millisecond)
 			out = append(out, poolRequest{j, api.PartitionID(p), entitled, a})
 		}
 	}
@@ -128,7 +130,7 @@
 // AllocatePoolUnits is what a part may hand out of the pools that jobs need, and the jobs that may ask
 // for it: those that come after one that reserves what it lacks are left out. Of more
 // pools than a round may name some are looked at by turns.
-func (pm *PoolManager) AllocatePoolUnits(owned *ownedPartition, jobs []*Job) (map[api.PoolName]int, []*Job) {
+func (pm *PoolManager) AllocatePoolUnits(owned *core.OwnedPartition, jobs []*core.Job) (map[api.PoolName]int, []*core.Job) {
 	var names []api.PoolName
 	for _, j := range jobs {
 		for _, need := range j.Spec.Needs {
@@ -142,18 +144,18 @@
 	}
 	slices.Sort(names)
 	if len(names) > maxRoundPools {
-		from := owned.poolCursor % len(names)
-		owned.poolCursor += maxRoundPools
+		from := owned.PoolCursor % len(names)
+		owned.PoolCursor += maxRoundPools
 		names = slices.Concat(names[from:], names[:from])[:maxRoundPools]
 	}
-	out, blocked := map[api.PoolName]int{}, map[*Job]bool{}
+	out, blocked := map[api.PoolName]int{}, map[*core.Job]bool{}
 	for _, name := range names {
 		e := pm.poolEntry(name)
 		if e == nil || !pm.isPoolCurrent(e) {
 			continue
 		}
-		out[name] = e.Available(owned.id, pm.poolHeldByPartition(name))
-		var reserving *Job // that reserves, and has room for what it reserves for
+		out[name] = e.Available(owned.Id, pm.poolHeldByPartition(name))
+		var reserving *core.Job // that reserves, and has room for what it reserves for
 		checksLeft := maxPoolRequests
 		for _, a := range pm.poolRequests(name) {
 			if reserving != nil && a.job != reserving {
@@ -167,7 +169,7 @@
 			}
 		}
 	}
-	return out, slices.DeleteFunc(jobs, func(j *Job) bool { return blocked[j] })
+	return out, slices.DeleteFunc(jobs, func(j *core.Job) bool { return blocked[j] })
 }
 
 // hasCapacityFor reports whether work that asks for units could start where it does. Work that moves
@@ -186,7 +188,7 @@
 // isPoolCurrent reports whether what is known of a pool is its latest record. Where that could
 // not be read the one before is kept, under which nothing may be handed out any more.
 func (pm *PoolManager) isPoolCurrent(e *pool.Entry) bool {
-	return e.Revision == pm.core.state.Version(keyPool+string(e.Name))
+	return e.Revision == pm.core.State.Version(keyPool+string(e.Name))
 }
 
 // CheckPoolNeeds says why a job may not ask for what it needs of pools, or nothing.
@@ -220,7 +222,7 @@
 }
 
 // PendingReasonPool says which pool keeps a job from starting in a part, or nothing.
-func (pm *PoolManager) PendingReasonPool(j *Job, p api.PartitionID) string {
+func (pm *PoolManager) PendingReasonPool(j *core.Job, p api.PartitionID) string {
 	for _, need := range j.Spec.Needs {
 		e := pm.poolEntry(need.Pool)
 		if e == nil {
@@ -245,14 +247,14 @@
 // one part does; whoever does, nothing goes wrong.
 func (pm *PoolManager) ReconcilePools() {
 	state := &pm.c.tenancy.hosted.pools
-	if state.table.Len() == 0 || pm.core.now.Sub(state.checkedAt) < poolShareInterval || pm.core.Overloaded() {
+	if state.table.Len() == 0 || pm.core.Now.Sub(state.checkedAt) < poolShareInterval || pm.core.Overloaded() {
 		return
 	}
-	state.checkedAt = pm.core.now
+	state.checkedAt = pm.core.Now
 	for i, name := range state.table.Names() {
 		e, requests := state.table.Get(name), pm.poolRequests(name)
 		pm.preemptPoolHolders(e, requests)
-		owned := pm.c.scheduler.partitions[api.PartitionID(i%len(pm.core.state.Partitions))]
+		owned := pm.c.scheduler.partitions[api.PartitionID(i%len(pm.core.State.Partitions))]
 		if owned == nil || state.shareWrites[name] || e.State != pool.Active || !pm.isPoolCurrent(e) {
 			continue
 		}
@@ -273,8 +275,8 @@
 		}
 		state.shareWrites[name] = true
 		key := keyPool + string(name)
-		tx := api.Txn{If: []api.Condition{{Key: key, Version: e.Revision}, owned.ownershipCondition()}, Writes: []api.Write{{Put: key, Value: data}}}
-		pm.core.CallStoreTxn(tx, func(a StoreResponse) {
+		tx := api.Txn{If: []api.Condition{{Key: key, Version: e.Revision}, owned.OwnershipCondition()}, Writes: []api.Write{{Put: key, Value: data}}}
+		pm.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 			delete(state.shareWrites, name)
 			if a.Status == 200 {
 				state.shareMoves++
@@ -287,8 +289,8 @@
 // poolHolding is what gives back units of a pool together: a task, or all tasks of a job that
 // runs whole or holds units for itself.
 type poolHolding struct {
-	job    *Job
-	places []*Placement
+	job    *core.Job
+	places []*core.Placement
 	units  int
 }
 
@@ -297,16 +299,16 @@
 // newest. Each owner finds the same by its book.
 func (pm *PoolManager) poolHoldings(name api.PoolName) []poolHolding {
 	var all []poolHolding
-	positions := map[*Job]int{} // where in all, and one more
-	for p := range pm.core.state.Partitions {
-		for pl := range pm.core.state.PlacementsByPartition[p] {
+	positions := map[*core.Job]int{} // where in all, and one more
+	for p := range pm.core.State.Partitions {
+		for pl := range pm.core.State.PlacementsByPartition[p] {
 			j := pl.Job
 			need, ok := j.Spec.PoolRequest(name)
 			if !ok || pl.Finishing {
 				continue
 			}
 			if j.Spec.Kind != api.Gang && need.Job == 0 {
-				all = append(all, poolHolding{j, []*Placement{pl}, need.Task})
+				all = append(all, poolHolding{j, []*core.Placement{pl}, need.Task})
 				continue
 			}
 			if positions[j] == 0 {
@@ -357,9 +359,9 @@
 		}
 		missing -= h.units
 		for _, pl := range h.places {
-			if pm.c.scheduler.partitions[pl.Partition] != nil && !pl.OwnerState.stopRequested {
+			if pm.c.scheduler.partitions[pl.Partition] != nil && !pl.OwnerState.StopRequested {
 				pm.c.scheduler.StopTask(pl)
-				pl.Job.OwnerState.preemptedTasks++
+				pl.Job.OwnerState.PreemptedTasks++
 				slog.Info("task preempted", tenantAttr(pl.Job), "task", pl.Task, "machine", pl.Machine, "pool", e.Name)
 			}
 		}
@@ -391,7 +393,7 @@
 // machines. Work that moves whole, or makes others make way, needs its units first.
 func (pm *PoolManager) preferPlaceable(requests []poolRequest) []pool.Demand {
 	var asks, rest []pool.Demand
-	freeSlots := map[*Job][]int{}
+	freeSlots := map[*core.Job][]int{}
 	for _, a := range requests {
 		if a.job.Spec.NeedsSinglePartition() || len(freeSlots) >= maxPoolRequests && freeSlots[a.job] == nil {
 			asks = append(asks, a.ask)
@@ -465,7 +467,7 @@
 func (pm *PoolManager) PoolBacklog(name api.PoolName) (units int, oldest float64) {
 	for _, a := range pm.poolRequests(name) {
 		units += a.ask.Units * a.ask.Starts
-		oldest = max(oldest, roundToTenth(float64(pm.core.wallClock-a.job.AcceptedAt)/1000))
+		oldest = max(oldest, roundToTenth(float64(pm.core.WallClock-a.job.AcceptedAt)/1000))
 	}
 	return units, oldest
 }
@@ -473,7 +475,7 @@
 // poolHolders lists the jobs that hold units of a pool, those that hold most first.
 func (pm *PoolManager) poolHolders(name api.PoolName) []HolderView {
 	out := []HolderView{}
-	for _, j := range pm.core.state.Jobs {
+	for _, j := range pm.core.State.Jobs {
 		if need, ok := j.Spec.PoolRequest(name); ok && j.LiveCount() > 0 {
 			out = append(out, HolderView{j.ID, j.Tenant, j.TenantJobID, j.Spec.Team, need.Units(j.LiveCount(), false), j.LiveCount()})
 		}
@@ -483,7 +485,7 @@
 }
 
 // HandlePoolRequest answers an operator's question or act on pools.
-func (pm *PoolManager) HandlePoolRequest(c AdminRequest) error {
+func (pm *PoolManager) HandlePoolRequest(c message.AdminRequest) error {
 	table := pm.c.tenancy.hosted.pools.table
 	if c.What == "pools" {
 		out := []PoolView{}
@@ -528,11 +530,11 @@
 	if next.Size != previous.Size || len(next.Shares) == 0 {
 		next.Shares = pool.AllocateShares(next.Size, pm.poolHeldByPartition(name), pm.preferPlaceable(pm.poolRequests(name)))
 	}
-	if err := next.Validate(len(pm.core.state.Partitions)); err != nil {
+	if err := next.Validate(len(pm.core.State.Partitions)); err != nil {
 		return err
 	}
 	for _, team := range slices.Concat(next.Teams, slices.Sorted(maps.Keys(next.Guaranteed))) {
-		if _, known := pm.core.teams[team]; !known {
+		if _, known := pm.core.Teams[team]; !known {
 			return &tenant.Error{Status: 422, Field: "teams", Reason: "there is no team " + string(team)}
 		}
 	}
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -9,16 +9,17 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
 	"basaltwall/pool"
 	"basaltwall/tenant"
 )
 
 // pooledOwner is a controller of a hosted service whose job's tasks need a unit each of a pool
 // of so many.
-func pooledOwner(t testing.TB, size int) (*Controller, *ownedPartition, *Job) {
+func pooledOwner(t testing.TB, size int) (*Controller, *core.OwnedPartition, *core.Job) {
 	t.Helper()
 	n, owned, j, _ := hostedOwner(t)
-	n.core.state.Jobs[j.ID].Spec.Needs = []api.PoolRequest{{Pool: "routing", Task: 1}}
+	n.core.State.Jobs[j.ID].Spec.Needs = []api.PoolRequest{{Pool: "routing", Task: 1}}
 	putPool(t, n, "routing", size)
 	return n, owned, j
 }
@@ -33,13 +34,13 @@
 	if err := n.tenancy.hosted.pools.table.Put(string(name), data, 9); err != nil {
 		t.Fatal(err)
 	}
-	n.core.state.SetVersion(keyPool+string(name), 9)
+	n.core.State.SetVersion(keyPool+string(name), 9)
 }
 
 // A round that hands out units names the pool's version; a round that does not, names no
 // pool.
 func TestRoundIsConditionalOnPools(t *testing.T) {
-	conditions := func(n *Controller, owned *ownedPartition) []api.Condition {
+	conditions := func(n *Controller, owned *core.OwnedPartition) []api.Condition {
 		n.scheduler.RunPartition(owned)
 		for _, c := range stateCalls(n) {
 			if c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
@@ -69,17 +70,17 @@
 		"no pool":  func(n *Controller) { n.tenancy.hosted.pools.table = pool.NewTable(1) },
 		// The latest record could not be read: the one before it is kept, and a round would
 		// be conditional on the version of the latest.
-		"not understood": func(n *Controller) { n.core.state.SetVersion(keyPool+"routing", 11) },
+		"not understood": func(n *Controller) { n.core.State.SetVersion(keyPool+"routing", 11) },
 	} {
 		n, owned, j := pooledOwner(t, 3)
-		if len(n.scheduler.planRound(owned).starts) == 0 {
+		if len(n.scheduler.planRound(owned).Starts) == 0 {
 			t.Fatal("nothing starts though there are units")
 		}
 		disable(n)
-		if starts := n.scheduler.planRound(owned).starts; len(starts) != 0 {
+		if starts := n.scheduler.planRound(owned).Starts; len(starts) != 0 {
 			t.Errorf("%s: %d tasks start", what, len(starts))
 		}
-		if len(owned.unmetDemands) > 0 {
+		if len(owned.UnmetDemands) > 0 {
 			t.Errorf("%s: machines are looked for", what)
 		}
 		if why := n.pools.PendingReasonPool(j, 0); !strings.Contains(why, "routing") {
@@ -92,7 +93,7 @@
 func TestJobsWithoutPoolsAllocateNothing(t *testing.T) {
 	n, owned, j := pooledOwner(t, 3)
 	j.Spec.Needs = nil
-	jobs := slices.Repeat([]*Job{j}, 1000)
+	jobs := slices.Repeat([]*core.Job{j}, 1000)
 	if allocs := testing.AllocsPerRun(10, func() { n.pools.AllocatePoolUnits(owned, jobs) }); allocs != 0 {
 		t.Errorf("%v allocations", allocs)
 	}
@@ -126,7 +127,7 @@
 	for _, pools := range []int{0, 10, 200} {
 		b.Run(fmt.Sprint(pools), func(b *testing.B) {
 			n, owned, j := pooledOwner(b, 3)
-			delete(n.core.state.PendingJobs, j.ID)
+			delete(n.core.State.PendingJobs, j.ID)
 			for i := range 500 {
 				spec := testSpec(4)
 				spec.Ref = api.JobID(fmt.Sprintf("run-1%03d", i))
@@ -149,27 +150,27 @@
 // its part would try for ever.
 func TestRoundLimitsPools(t *testing.T) {
 	n, owned, j := pooledOwner(t, 3)
-	delete(n.core.state.PendingJobs, j.ID)
+	delete(n.core.State.PendingJobs, j.ID)
 	const jobs = 20
 	for i := range jobs {
 		m := n.agents.EnsureMachine(api.MachineID(fmt.Sprintf("i-%06d", i)))
-		m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.core.now, 1, 7
+		m.MachineType, m.Zone, m.LastHeartbeat, m.Epoch, m.ReportedToken = "c8", "a", n.core.Now, 1, 7
 		name := api.PoolName(fmt.Sprintf("pool-%d", i))
 		putPool(t, n, name, 1)
 		spec := testSpec(2)
 		spec.Ref = api.JobID(fmt.Sprintf("run-1%03d", i))
 		spec.Needs = []api.PoolRequest{{Pool: name, Job: 1}}
-		n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: spec.Ref}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: putJob(t, n, spec, "kipper", 0)})
+		n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: spec.Ref}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: putJob(t, n, spec, "kipper", 0)})
 	}
 	round := n.scheduler.planRound(owned)
 	got := 0
-	for _, c := range round.txn.If {
+	for _, c := range round.Txn.If {
 		if strings.HasPrefix(c.Key, keyPool) {
 			got++
 		}
 	}
-	if got != maxRoundPools || len(round.starts) != maxRoundPools || !owned.dirty {
-		t.Errorf("%d pools are named by %d starts, expected %d; more rounds follow: %v", got, len(round.starts), maxRoundPools, owned.dirty)
+	if got != maxRoundPools || len(round.Starts) != maxRoundPools || !owned.Dirty {
+		t.Errorf("%d pools are named by %d starts, expected %d; more rounds follow: %v", got, len(round.Starts), maxRoundPools, owned.Dirty)
 	}
 }
 
@@ -177,9 +178,9 @@
 func TestPoolMetrics(t *testing.T) {
 	n, owned, _ := pooledOwner(t, 3)
 	round := n.scheduler.planRound(owned)
-	n.core.state.ApplyRecord(0, &round.record)
-	if got := n.reporter.ViewMetrics().Pools["routing"]; got.Size != 3 || got.Held != len(round.starts) || got.Held == 0 || got.PendingUnits != 4-got.Held {
-		t.Errorf("%+v after %d starts of 4 tasks", got, len(round.starts))
+	n.core.State.ApplyRecord(0, &round.Record)
+	if got := n.reporter.ViewMetrics().Pools["routing"]; got.Size != 3 || got.Held != len(round.Starts) || got.Held == 0 || got.PendingUnits != 4-got.Held {
+		t.Errorf("%+v after %d starts of 4 tasks", got, len(round.Starts))
 	}
 	for i := range 300 {
 		putPool(t, n, api.PoolName(fmt.Sprintf("pool-%d", i)), 0)
--- a/controller/preempt.go
+++ b/controller/preempt.go
@@ -8,12 +8,13 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
 	"basaltwall/sched"
 )
 
 // Preemptor decides which tasks are preempted for which job.
 type Preemptor struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 }
 
@@ -22,7 +23,7 @@
 
 // RunsLowerPriority reports whether a part runs anything that could give way.
 func (pr *Preemptor) RunsLowerPriority(p api.PartitionID, rank int) bool {
-	for _, count := range pr.core.state.Partitions[p].CountByRank[:rank] {
+	for _, count := range pr.core.State.Partitions[p].CountByRank[:rank] {
 		if count > 0 {
 			return true
 		}
@@ -36,49 +37,49 @@
 const reservationTTL = 15 * time.Second
 
 // ReservedFor is the job that a machine is kept for, if any.
-func (pr *Preemptor) ReservedFor(m *Machine) api.JobID {
-	if m.reservedFor == "" || pr.core.now >= m.reservedUntil {
+func (pr *Preemptor) ReservedFor(m *core.Machine) api.JobID {
+	if m.ReservedFor == "" || pr.core.Now >= m.ReservedUntil {
 		return ""
 	}
-	if j := pr.core.state.Jobs[m.reservedFor]; j == nil || j.Terminal() || j.CompletedCount+len(j.Placements)-j.FinishingCount >= j.Spec.Tasks {
-		m.reservedFor = ""
+	if j := pr.core.State.Jobs[m.ReservedFor]; j == nil || j.Terminal() || j.CompletedCount+len(j.Placements)-j.FinishingCount >= j.Spec.Tasks {
+		m.ReservedFor = ""
 	}
-	return m.reservedFor
+	return m.ReservedFor
 }
 
 // ReserveExclusively keeps a machine for a job for which others made way, or it was lent.
-func (pr *Preemptor) ReserveExclusively(m *Machine, ref api.JobID) {
-	m.reservedFor, m.softReservation, m.reservedUntil, m.consolidated = ref, false, pr.core.now.Add(reservationTTL), false
+func (pr *Preemptor) ReserveExclusively(m *core.Machine, ref api.JobID) {
+	m.ReservedFor, m.SoftReservation, m.ReservedUntil, m.Consolidated = ref, false, pr.core.Now.Add(reservationTTL), false
 }
 
 // preemptionPlan is what stopping lower work on a machine would bring.
 type preemptionPlan struct {
-	machine *Machine
+	machine *core.Machine
 	tasks   int // of the job that could start there then
-	victims []*Placement
+	victims []*core.Placement
 	cost    float64
 }
 
 // PlanPreemption finds how up to most of a job's tasks could come to fit on a machine. With
 // sparing nothing makes way whose job would be late for it.
-func (pr *Preemptor) PlanPreemption(m *Machine, owned *ownedPartition, s *api.JobSpec, maxTasks int, avoidLate bool) preemptionPlan {
+func (pr *Preemptor) PlanPreemption(m *core.Machine, owned *core.OwnedPartition, s *api.JobSpec, maxTasks int, avoidLate bool) preemptionPlan {
 	rank, effective, demand := s.Priority.Rank(), pr.c.priorities.EffectivePriority(s), s.Demand() // what a rule puts before it does not make way
 	available := pr.c.scheduler.FreeCapacityOn(m, owned)
-	needsAccelerator := pr.c.jobs.HasAccelerators(m.machineType) && !pr.c.scheduler.IsCPUOnly(s) // its accelerators, which other work could leave
-	var candidates []*Placement
-	for _, p := range pr.core.state.PlacementsOn(m.ID) {
+	needsAccelerator := pr.c.jobs.HasAccelerators(m.MachineType) && !pr.c.scheduler.IsCPUOnly(s) // its accelerators, which other work could leave
+	var candidates []*core.Placement
+	for _, p := range pr.core.State.PlacementsOn(m.ID) {
 		if p.Finishing {
 			continue
 		}
-		if p.OwnerState.stopRequested || p.Job.Terminal() {
+		if p.OwnerState.StopRequested || p.Job.Terminal() {
 			available = available.Plus(p.Job.Demand)
-		} else if p.Job.Spec.Priority.Rank() < rank && p.Partition == owned.id && p.Job.Spec.Kind != api.Gang && (pr.c.priorities.EffectivePriority(p.Job.Spec) < effective || needsAccelerator && pr.c.scheduler.IsCPUOnly(p.Job.Spec)) &&
+		} else if p.Job.Spec.Priority.Rank() < rank && p.Partition == owned.Id && p.Job.Spec.Kind != api.Gang && (pr.c.priorities.EffectivePriority(p.Job.Spec) < effective || needsAccelerator && pr.c.scheduler.IsCPUOnly(p.Job.Spec)) &&
 			pr.c.health.IsPreemptible(p) && !(avoidLate && pr.missedObjective(p) > 0) {
 			candidates = append(candidates, p)
 		}
 	}
 	plan := preemptionPlan{machine: m, tasks: min(maxTasks, demand.Slots(available))}
-	slices.SortStableFunc(candidates, func(a, b *Placement) int {
+	slices.SortStableFunc(candidates, func(a, b *core.Placement) int {
 		return cmp.Or(cmp.Compare(pr.c.priorities.PriorityBoost(a.Job.Spec), pr.c.priorities.PriorityBoost(b.Job.Spec)), cmp.Compare(pr.preemptionCost(a), pr.preemptionCost(b)))
 	})
 	cost := 0.0
@@ -97,17 +98,17 @@
 
 // preemptionCost is what stopping a task would lose, in seconds of its CPUs: what it has run
 // and, when its job would be late by it, as much as the whole job's limit.
-func (pr *Preemptor) preemptionCost(p *Placement) float64 {
-	return (pr.core.now.Sub(p.OwnerState.placedAt).Seconds()+pr.missedObjective(p))*p.Job.Demand.CPU.Float() + 1
+func (pr *Preemptor) preemptionCost(p *core.Placement) float64 {
+	return (pr.core.Now.Sub(p.OwnerState.PlacedAt).Seconds()+pr.missedObjective(p))*p.Job.Demand.CPU.Float() + 1
 }
 
 // missedObjective is the limit that a task's job could keep but would not if the task had to
 // run again, or 0.
-func (pr *Preemptor) missedObjective(p *Placement) float64 {
-	elapsed := max(0, float64(pr.core.wallClock-p.Job.AcceptedAt)/1000)
+func (pr *Preemptor) missedObjective(p *core.Placement) float64 {
+	elapsed := max(0, float64(pr.core.WallClock-p.Job.AcceptedAt)/1000)
 	run := p.Job.Spec.Estimate * runtimeSafetyFactor
 	for _, l := range pr.c.scheduler.CompletionObjectives(p.Job.Spec) {
-		if rest := max(0, p.Job.Spec.Estimate-pr.core.now.Sub(p.OwnerState.placedAt).Seconds()); elapsed+rest <= l {
+		if rest := max(0, p.Job.Spec.Estimate-pr.core.Now.Sub(p.OwnerState.PlacedAt).Seconds()); elapsed+rest <= l {
 			if elapsed+run > l {
 				return l
 			}
@@ -123,24 +124,24 @@
 // the job, or the work that made way would win it back before the rest is free.
 // With quick above 0 only machines count where the task would start within so many
 // seconds. It returns how many machines were chosen.
-func (pr *Preemptor) PreemptFor(owned *ownedPartition, request *sched.Job, j *Job, need int, maxFetch float64) int {
+func (pr *Preemptor) PreemptFor(owned *core.OwnedPartition, request *sched.Job, j *core.Job, need int, maxFetch float64) int {
 	gang, tasksPerMachine := j.Spec.Kind == api.Gang, 1
 	if gang {
 		tasksPerMachine = need
 	}
 	within := pr.c.scheduler.StartObjective(j.Spec.Class)
 	byZone := map[api.Zone][]preemptionPlan{}
-	for _, m := range pr.c.agents.MachinesOf(owned.id) {
+	for _, m := range pr.c.agents.MachinesOf(owned.Id) {
 		if reservedJob := pr.ReservedFor(m); reservedJob != "" && reservedJob != j.ID || !pr.c.scheduler.IsSchedulable(m, owned) || request.ExcludedMachines[m.ID] ||
-			!pr.c.scheduler.IsEligible(j.Spec, request.AcceleratorOptional, m.machineType, m.zone, m.spot) || !sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.zone) {
+			!pr.c.scheduler.IsEligible(j.Spec, request.AcceleratorOptional, m.MachineType, m.Zone, m.Spot) || !sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.Zone) {
 			continue
 		}
-		fetch := fetchSlowdownFactor * (&sched.Machine{CachedImages: m.cachedImages, FetchRate: pr.core.machineTypes[m.machineType].FetchRate, FetchingImages: pr.c.scheduler.PendingImageFetches(m)}).FetchTime(j.Spec)
+		fetch := fetchSlowdownFactor * (&sched.Machine{CachedImages: m.CachedImages, FetchRate: pr.core.MachineTypes[m.MachineType].FetchRate, FetchingImages: pr.c.scheduler.PendingImageFetches(m)}).FetchTime(j.Spec)
 		if maxFetch > 0 && fetch > maxFetch {
 			continue
 		}
 		plan := pr.PlanPreemption(m, owned, j.Spec, tasksPerMachine, maxFetch > 0)
-		if plan.tasks == 0 || !gang && len(plan.victims) == 0 && len(pr.core.settings.Priority) > 0 {
+		if plan.tasks == 0 || !gang && len(plan.victims) == 0 && len(pr.core.Settings.Priority) > 0 {
 			continue // what comes free by itself is for who goes first by the rules
 		}
 		if within > 0 {
@@ -148,7 +149,7 @@
 			// like a minute of work lost.
 			plan.cost += 60 * j.Demand.CPU.Float() * min(1, fetch/within)
 		}
-		zone := m.zone
+		zone := m.Zone
 		if !j.Spec.OneZone && !j.Spec.Spread {
 			zone = ""
 		}
@@ -202,10 +203,10 @@
 
 // StartDelay is for how long a job's tasks have been due to start, in seconds: since it
 // was accepted, or since a service lost replicas, which should be back as soon.
-func (pr *Preemptor) StartDelay(j *Job) float64 {
-	since := max(0, float64(pr.core.wallClock-j.AcceptedAt)/1000)
-	if j.Spec.Kind == api.Service && j.OwnerState.lastLossAt != 0 {
-		since = min(since, pr.core.now.Sub(j.OwnerState.lastLossAt).Seconds())
+func (pr *Preemptor) StartDelay(j *core.Job) float64 {
+	since := max(0, float64(pr.core.WallClock-j.AcceptedAt)/1000)
+	if j.Spec.Kind == api.Service && j.OwnerState.LastLossAt != 0 {
+		since = min(since, pr.core.Now.Sub(j.OwnerState.LastLossAt).Seconds())
 	}
 	return since
 }
@@ -218,10 +219,10 @@
 // replicas, on machines that hold its image, when its tasks would else start too late
 // for its class's aim for having to fetch it. What has no quick place meanwhile waits
 // for that.
-func (pr *Preemptor) PreemptForFastStart(owned *ownedPartition, input *sched.Input, request *sched.Job, j *Job) {
+func (pr *Preemptor) PreemptForFastStart(owned *core.OwnedPartition, input *sched.Input, request *sched.Job, j *core.Job) {
 	slack := request.StartSLO - pr.StartDelay(j) - preemptionDelay.Seconds()
 	rank := j.Spec.Priority.Rank()
-	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.preemptedForStart || rank < preemptorRank || !pr.RunsLowerPriority(owned.id, rank) {
+	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.PreemptedForStart || rank < preemptorRank || !pr.RunsLowerPriority(owned.Id, rank) {
 		return
 	}
 	byZone := map[api.Zone]int{}
@@ -257,30 +258,30 @@
 	if need <= 0 {
 		return
 	}
-	j.OwnerState.preemptedForStart = true
+	j.OwnerState.PreemptedForStart = true
 	maxFetch := slack
 	if j.Spec.Kind == api.Gang {
 		need, fastSlots = len(request.Pending), 0
 	} else if len(slowFetches) > 0 {
 		slices.Sort(slowFetches)
 		fetchRatio := preemptionFetchRatio
-		if j.OwnerState.lastLossAt != 0 && j.Spec.Kind == api.Service {
+		if j.OwnerState.LastLossAt != 0 && j.Spec.Kind == api.Service {
 			fetchRatio = lostReplicaFetchRatio
 		}
 		maxFetch = max(maxFetch, slowFetches[min(need, len(slowFetches))-1]/fetchRatio)
 	}
 	if pr.PreemptFor(owned, request, j, need, maxFetch) > 0 {
 		request.Pending = request.Pending[:fastSlots]
-		j.OwnerState.backoffUntil = pr.core.now.Add(preemptionDelay)
-		owned.dirty = true
+		j.OwnerState.BackoffUntil = pr.core.Now.Add(preemptionDelay)
+		owned.Dirty = true
 	}
 }
 
 // ExecutePreemption stops what must make way.
 func (pr *Preemptor) ExecutePreemption(plan preemptionPlan, jobID api.JobID) {
 	for _, p := range plan.victims {
-		pr.core.metrics.PreemptedTasks++
-		p.Job.OwnerState.preemptedTasks++
+		pr.core.Metrics.PreemptedTasks++
+		p.Job.OwnerState.PreemptedTasks++
 		slog.Info("task preempted", "task", p.Task, "machine", p.Machine, "for", jobID)
 		pr.c.health.AdjustFloors(p.Job.Spec, -p.Job.Demand.CPU.Float())
 		pr.c.scheduler.StopTask(p)
--- a/controller/priority.go
+++ b/controller/priority.go
@@ -10,6 +10,8 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/priority"
 	"basaltwall/sched"
 	"basaltwall/zonehealth"
@@ -17,7 +19,7 @@
 
 // Priorities orders work by the operators' rules while capacity is short.
 type Priorities struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	priorityState priorityState
@@ -39,7 +41,7 @@
 }
 
 // shortageWriter is the part whose owner writes whether room is short.
-func (po *Priorities) shortageWriter() *ownedPartition { return po.c.scheduler.partitions[0] }
+func (po *Priorities) shortageWriter() *core.OwnedPartition { return po.c.scheduler.partitions[0] }
 
 // maxOrderAge is how old the order may be: the work that there is, and what holds, changes.
 const maxOrderAge = time.Second
@@ -48,22 +50,22 @@
 // for the moment that they are apart.
 func (po *Priorities) priorityOrder() *priority.Ordering {
 	state := &po.priorityState
-	if state.computed && po.core.now.Sub(state.orderedAt) < maxOrderAge {
+	if state.computed && po.core.Now.Sub(state.orderedAt) < maxOrderAge {
 		return &state.order
 	}
-	state.computed, state.orderedAt, state.order = true, po.core.now, priority.Ordering{}
-	table := po.core.settings.Priority
+	state.computed, state.orderedAt, state.order = true, po.core.Now, priority.Ordering{}
+	table := po.core.Settings.Priority
 	if len(table) == 0 {
 		return &state.order
 	}
 	kinds := map[priority.Workload]bool{}
-	for _, j := range po.core.state.Jobs {
+	for _, j := range po.core.State.Jobs {
 		if !j.Terminal() {
 			kinds[po.workKind(j.Spec)] = true
 		}
 	}
 	list := slices.SortedFunc(maps.Keys(kinds), compareWorkKinds)
-	c := priority.ActiveConditions{ControllerDown: len(po.core.state.Members) < len(po.core.controllers)}
+	c := priority.ActiveConditions{ControllerDown: len(po.core.State.Members) < len(po.core.Controllers)}
 	for _, r := range po.c.health.zones.records {
 		c.ZoneFailed = c.ZoneFailed || r.State == zonehealth.Failed || r.State == zonehealth.Recovering
 	}
@@ -101,8 +103,8 @@
 func (po *Priorities) EligibleTypes(s *api.JobSpec) []api.MachineTypeName {
 	var out []api.MachineTypeName
 	demand, cpuOnly := s.Demand(), po.c.scheduler.IsCPUOnly(s)
-	for _, name := range slices.Sorted(maps.Keys(po.core.machineTypes)) {
-		if t := po.core.machineTypes[name]; demand.Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, name)) && !(cpuOnly && t.GPUs > 0) {
+	for _, name := range slices.Sorted(maps.Keys(po.core.MachineTypes)) {
+		if t := po.core.MachineTypes[name]; demand.Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, name)) && !(cpuOnly && t.GPUs > 0) {
 			out = append(out, name)
 		}
 	}
@@ -111,7 +113,7 @@
 
 // PriorityBoost is by how much rules put a job above its priority; below it, where others come before.
 func (po *Priorities) PriorityBoost(s *api.JobSpec) float64 {
-	if len(po.core.settings.Priority) == 0 {
+	if len(po.core.Settings.Priority) == 0 {
 		return 0
 	}
 	return po.priorityOrder().Level(po.workKind(s)) - float64(s.Priority.Rank())
@@ -122,35 +124,35 @@
 	return float64(s.Priority.Rank()) + po.PriorityBoost(s)
 }
 
-// recordShortage notes that a job's waiting tasks found no room in a part.
-func (owned *ownedPartition) recordShortage(n *Controller, s *api.JobSpec) {
-	if !n.priorities.HasShortageRule() {
+// RecordShortage notes that a job's pending tasks found no free capacity in a partition.
+func (po *Priorities) RecordShortage(owned *core.OwnedPartition, s *api.JobSpec) {
+	if !po.HasShortageRule() {
 		return
 	}
-	if owned.shortTypes == nil {
-		owned.shortTypes = map[api.MachineTypeName]bool{}
+	if owned.ShortTypes == nil {
+		owned.ShortTypes = map[api.MachineTypeName]bool{}
 	}
-	for _, name := range n.priorities.EligibleTypes(s) {
-		owned.shortTypes[name] = true
+	for _, name := range po.EligibleTypes(s) {
+		owned.ShortTypes[name] = true
 	}
 }
 
 // HasShortageRule reports whether any rule asks whether room is short: else nobody writes it.
 func (po *Priorities) HasShortageRule() bool {
-	return slices.ContainsFunc(po.core.settings.Priority, func(r priority.Rule) bool { return r.Condition == priority.CapacityShort })
+	return slices.ContainsFunc(po.core.Settings.Priority, func(r priority.Rule) bool { return r.Condition == priority.CapacityShort })
 }
 
 // UpdateShortage keeps the record of what is short, where that is ours to do. Who can't read it goes
 // on by the last one known.
 func (po *Priorities) UpdateShortage() {
 	state := &po.priorityState
-	if !po.HasShortageRule() || po.core.now.Sub(state.checkedAt) < priority.ShortageOnset/4 {
+	if !po.HasShortageRule() || po.core.Now.Sub(state.checkedAt) < priority.ShortageOnset/4 {
 		return
 	}
-	state.checkedAt = po.core.now
+	state.checkedAt = po.core.Now
 	short := map[api.MachineTypeName]bool{}
 	for _, owned := range po.c.scheduler.partitions {
-		for name := range owned.shortTypes {
+		for name := range owned.ShortTypes {
 			short[name] = true
 		}
 	}
@@ -159,12 +161,12 @@
 			short[name] = true
 		}
 	}
-	state.detector.Observe(short, po.core.now)
+	state.detector.Observe(short, po.core.Now)
 	owned := po.shortageWriter()
 	if owned == nil || state.writeInFlight {
 		return
 	}
-	next := state.detector.Next(state.shortage, po.core.now, owned.ownedSince, po.core.wallClock)
+	next := state.detector.Next(state.shortage, po.core.Now, owned.OwnedSince, po.core.WallClock)
 	if next.Equal(state.shortage) {
 		return
 	}
@@ -174,9 +176,9 @@
 		return
 	}
 	state.writeInFlight = true
-	po.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.ownershipCondition(), po.core.state.VersionCondition(keyShortage)}, Writes: []api.Write{{Put: keyShortage, Value: v}}}, func(a StoreResponse) {
+	po.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.OwnershipCondition(), po.core.State.VersionCondition(keyShortage)}, Writes: []api.Write{{Put: keyShortage, Value: v}}}, func(a message.StoreResponse) {
 		if a.Status == 200 {
-			slog.Info("capacity shortage changed", "types", next.Types, "term", owned.term)
+			slog.Info("capacity shortage changed", "types", next.Types, "term", owned.Term)
 		}
 		po.c.follower.LinearizableRead(func() { state.writeInFlight = false }, func() { state.writeInFlight = false })
 	})
@@ -184,7 +186,7 @@
 
 // PendingReasonPriority says by which rule other work goes before a job, or nothing.
 func (po *Priorities) PendingReasonPriority(s *api.JobSpec) string {
-	if len(po.core.settings.Priority) == 0 {
+	if len(po.core.Settings.Priority) == 0 {
 		return ""
 	}
 	return po.priorityOrder().OutrankedBy(po.workKind(s))
@@ -192,7 +194,7 @@
 
 // FairShareFloor is the share of its fair part that rules leave a job's class, 0 where none says.
 func (po *Priorities) FairShareFloor(s *api.JobSpec) float64 {
-	if len(po.core.settings.Priority) == 0 {
+	if len(po.core.Settings.Priority) == 0 {
 		return 0
 	}
 	share, _ := po.priorityOrder().Floor(po.workKind(s))
@@ -201,21 +203,21 @@
 
 // ContactPriorityMachines has the machines called at once, after a takeover, that hold what goes before all by
 // a rule: their starts may not have been sent.
-func (po *Priorities) ContactPriorityMachines(owned *ownedPartition) {
-	if len(po.core.settings.Priority) == 0 {
+func (po *Priorities) ContactPriorityMachines(owned *core.OwnedPartition) {
+	if len(po.core.Settings.Priority) == 0 {
 		return
 	}
-	priorities := map[*Machine]float64{}
-	var list []*Machine
-	for _, m := range po.c.agents.MachinesOf(owned.id) {
-		for _, p := range po.core.state.PlacementsOn(m.ID) {
+	priorities := map[*core.Machine]float64{}
+	var list []*core.Machine
+	for _, m := range po.c.agents.MachinesOf(owned.Id) {
+		for _, p := range po.core.State.PlacementsOn(m.ID) {
 			priorities[m] = max(priorities[m], 1+po.EffectivePriority(p.Job.Spec))
 		}
 		if priorities[m] > 0 {
 			list = append(list, m)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *Machine) int { return sched.Descending(priorities[a], priorities[b]) })
+	slices.SortStableFunc(list, func(a, b *core.Machine) int { return sched.Descending(priorities[a], priorities[b]) })
 	for _, m := range list[:min(len(list), po.c.agents.maxDirectCalls/2)] {
 		po.c.agents.ContactNow(m)
 	}
@@ -223,9 +225,9 @@
 
 // SortByPriority puts jobs that rules raise first, the others as they are.
 func (po *Priorities) SortByPriority(jobIDs []api.JobID) []api.JobID {
-	if len(po.core.settings.Priority) > 0 {
+	if len(po.core.Settings.Priority) > 0 {
 		slices.SortStableFunc(jobIDs, func(a, b api.JobID) int {
-			x, y := po.PriorityBoost(po.core.state.PendingJobs[a].Spec), po.PriorityBoost(po.core.state.PendingJobs[b].Spec)
+			x, y := po.PriorityBoost(po.core.State.PendingJobs[a].Spec), po.PriorityBoost(po.core.State.PendingJobs[b].Spec)
 			return sched.Descending(x, y)
 		})
 	}
--- a/controller/rebalance.go
+++ b/controller/rebalance.go
@@ -9,53 +9,55 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/sched"
 )
 
 // Balancer moves pending tasks, quota and machines between partitions.
 type Balancer struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 }
 
 // RebalancePending moves waiting tasks to a part that has room for them.
-func (bl *Balancer) RebalancePending(owned *ownedPartition) {
-	if owned.moveInFlight || owned.releasing || owned.inFlight != nil || bl.core.now < owned.nextMove || owned.pendingTaskCount == 0 {
+func (bl *Balancer) RebalancePending(owned *core.OwnedPartition) {
+	if owned.MoveInFlight || owned.Releasing || owned.InFlight != nil || bl.core.Now < owned.NextMove || owned.PendingTaskCount == 0 {
 		return
 	}
-	owned.nextMove = bl.core.now.Add(gossipInterval)
+	owned.NextMove = bl.core.Now.Add(core.GossipInterval)
 	candidatesLeft := maxMoveCandidates
-	for _, jobID := range bl.c.priorities.SortByPriority(owned.rotateAfterCursor(slices.Sorted(maps.Keys(bl.core.state.PendingJobs)))) {
-		j := bl.core.state.PendingJobs[jobID]
-		if j.OwnerState.backoffUntil > bl.core.now || bl.c.tenancy.StartsBlocked(j) || bl.core.now.Sub(j.OwnerState.rebalancedAt) < 3*gossipInterval && j.OwnerState.rebalancedAt != 0 {
+	for _, jobID := range bl.c.priorities.SortByPriority(owned.RotateAfterCursor(slices.Sorted(maps.Keys(bl.core.State.PendingJobs)))) {
+		j := bl.core.State.PendingJobs[jobID]
+		if j.OwnerState.BackoffUntil > bl.core.Now || bl.c.tenancy.StartsBlocked(j) || bl.core.Now.Sub(j.OwnerState.RebalancedAt) < 3*core.GossipInterval && j.OwnerState.RebalancedAt != 0 {
 			continue
 		}
-		waiting := j.PendingTasks(owned.id)
+		waiting := j.PendingTasks(owned.Id)
 		if waiting == 0 {
 			continue
 		}
 		if candidatesLeft--; candidatesLeft < 0 {
 			return
 		}
-		owned.moveCursor = jobID
+		owned.MoveCursor = jobID
 		if bl.HasReservationFor(owned, jobID) {
 			continue // room is gathered for it here
 		}
-		stuck := j.OwnerState.unplaceable && bl.c.backfiller.WaitStage(j, owned.id) != sched.NotAged && bl.core.now.Sub(j.OwnerState.rebalancedAt) > stuckMoveInterval
+		stuck := j.OwnerState.Unplaceable && bl.c.backfiller.WaitStage(j, owned.Id) != sched.NotAged && bl.core.Now.Sub(j.OwnerState.RebalancedAt) > stuckMoveInterval
 		freeSlots := bl.c.jobs.FreeSlotsByPartition(j.Spec)
-		if freeSlots[owned.id] > 0 && j.Spec.Kind == api.Array {
+		if freeSlots[owned.Id] > 0 && j.Spec.Kind == api.Array {
 			continue // it will be placed here
 		}
 		best, moveCount := api.PartitionID(0), 0
 		for q := range freeSlots {
-			if api.PartitionID(q) == owned.id {
+			if api.PartitionID(q) == owned.Id {
 				continue
 			}
 			if r := freeSlots[q] - bl.c.jobs.PendingTasksIn(api.PartitionID(q), j.Spec); r > moveCount {
 				best, moveCount = api.PartitionID(q), r
 			}
 		}
-		if capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec); j.Spec.NeedsSinglePartition() && moveCount == 0 && capacity[owned.id] < j.Spec.Tasks {
+		if capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec); j.Spec.NeedsSinglePartition() && moveCount == 0 && capacity[owned.Id] < j.Spec.Tasks {
 			// It can never be placed here; there it may wait or have others
 			// make way.
 			for q, c := range capacity {
@@ -66,11 +68,11 @@
 		}
 		if j.Spec.NeedsSinglePartition() {
 			holdNow, holdAfterPreemption := bl.PartitionsWithCapacity(j.Spec)
-			if holdNow[owned.id] {
+			if holdNow[owned.Id] {
 				continue
 			}
 			if len(holdNow) == 0 {
-				if holdAfterPreemption[owned.id] {
+				if holdAfterPreemption[owned.Id] {
 					continue // others will make way here
 				}
 				holdNow = holdAfterPreemption
@@ -88,16 +90,16 @@
 			// part that has such machines may be better off.
 			capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec)
 			for i := 1; i < len(capacity) && moveCount == 0; i++ {
-				if q := (int(owned.id) + i) % len(capacity); capacity[q] > 0 {
+				if q := (int(owned.Id) + i) % len(capacity); capacity[q] > 0 {
 					best, moveCount = api.PartitionID(q), waiting
 				}
 			}
-			j.OwnerState.unplaceable = false
+			j.OwnerState.Unplaceable = false
 		}
 		if moveCount == 0 {
 			continue
 		}
-		split, ok := splitAfterMove(j, owned.id, best, moveCount)
+		split, ok := splitAfterMove(j, owned.Id, best, moveCount)
 		if !ok {
 			continue
 		}
@@ -107,17 +109,17 @@
 		if err != nil || bl.core.JobExceedsValueSize(data) {
 			continue
 		}
-		j.OwnerState.rebalancedAt = bl.core.now
-		owned.moveInFlight = true
+		j.OwnerState.RebalancedAt = bl.core.Now
+		owned.MoveInFlight = true
 		key := clusterstate.KeyJob + string(jobID)
-		tx := api.Txn{If: []api.Condition{{Key: key, Version: j.Version}, owned.ownershipCondition()},
+		tx := api.Txn{If: []api.Condition{{Key: key, Version: j.Version}, owned.OwnershipCondition()},
 			Writes: []api.Write{{Put: key, Value: data}}}
-		bl.core.CallStoreTxn(tx, func(a StoreResponse) {
+		bl.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 			if a.Status == 200 {
-				bl.core.metrics.TaskMoves++
+				bl.core.Metrics.TaskMoves++
 			}
-			slog.Info("pending tasks moved", "job", jobID, "from", owned.id, "to", best, "most", moveCount, "status", a.Status)
-			bl.c.follower.LinearizableRead(func() { owned.moveInFlight = false }, func() { owned.moveInFlight = false })
+			slog.Info("pending tasks moved", "job", jobID, "from", owned.Id, "to", best, "most", moveCount, "status", a.Status)
+			bl.c.follower.LinearizableRead(func() { owned.MoveInFlight = false }, func() { owned.MoveInFlight = false })
 		})
 		return
 	}
@@ -126,14 +128,14 @@
 // balanceTarget finds a part in which less waits that goes before a job's tasks, by what the parts'
 // machines hold, and how many to move there: where rules say what goes first, work that comes
 // after it would start there while it waits here.
-func (bl *Balancer) balanceTarget(owned *ownedPartition, j *Job, waiting int) (to api.PartitionID, moveCount int) {
-	if len(bl.core.settings.Priority) == 0 {
+func (bl *Balancer) balanceTarget(owned *core.OwnedPartition, j *core.Job, waiting int) (to api.PartitionID, moveCount int) {
+	if len(bl.core.Settings.Priority) == 0 {
 		return 0, 0
 	}
 	capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec)
-	ownWaiting, ownCapacity := bl.c.jobs.PendingTasksIn(owned.id, j.Spec), float64(capacity[owned.id])
+	ownWaiting, ownCapacity := bl.c.jobs.PendingTasksIn(owned.Id, j.Spec), float64(capacity[owned.Id])
 	for other, c := range capacity {
-		if api.PartitionID(other) == owned.id || c == 0 {
+		if api.PartitionID(other) == owned.Id || c == 0 {
 			continue
 		}
 		otherWaiting := bl.c.jobs.PendingTasksIn(api.PartitionID(other), j.Spec)
@@ -151,25 +153,19 @@
 const stuckMoveInterval = 15 * time.Second
 
 // HasReservationFor reports whether a part keeps a machine for a job because room is gathered for it.
-func (bl *Balancer) HasReservationFor(owned *ownedPartition, ref api.JobID) bool {
-	return slices.ContainsFunc(bl.c.agents.MachinesOf(owned.id), func(m *Machine) bool { return m.consolidated && bl.c.preemptor.ReservedFor(m) == ref })
+func (bl *Balancer) HasReservationFor(owned *core.OwnedPartition, ref api.JobID) bool {
+	return slices.ContainsFunc(bl.c.agents.MachinesOf(owned.Id), func(m *core.Machine) bool { return m.Consolidated && bl.c.preemptor.ReservedFor(m) == ref })
 }
 
 // maxMoveCandidates bounds the jobs that are looked at at once for moving elsewhere.
 const maxMoveCandidates = 16
 
-// rotateAfterCursor puts the jobs after the one last looked at first.
-func (owned *ownedPartition) rotateAfterCursor(refs []api.JobID) []api.JobID {
-	i, _ := slices.BinarySearch(refs, owned.moveCursor)
-	return slices.Concat(refs[i:], refs[:i])
-}
-
 // maxSplitRanges bounds how finely a job may be split.
 const maxSplitRanges = 64
 
 // splitAfterMove returns the job's split with up to most of the waiting tasks of one
 // part given to another; jobs whose tasks belong together move whole or not.
-func splitAfterMove(j *Job, from, to api.PartitionID, maxTasks int) ([]clusterstate.TaskRange, bool) {
+func splitAfterMove(j *core.Job, from, to api.PartitionID, maxTasks int) ([]clusterstate.TaskRange, bool) {
 	if j.Spec.NeedsSinglePartition() {
 		if len(j.Placements) > 0 || j.Spec.Kind == api.Gang && maxTasks < j.Spec.Tasks {
 			return nil, false
@@ -212,7 +208,7 @@
 	demand, cpuOnly := s.Demand(), bl.c.scheduler.IsCPUOnly(s)
 	urgent := s.Priority.Rank() >= preemptorRank
 	free, preemptible := map[api.PartitionID][]sched.Machine{}, map[api.PartitionID][]sched.Machine{}
-	bl.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+	bl.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		if !k.Usable || !bl.c.scheduler.IsEligible(s, cpuOnly, k.Type, k.Zone, k.Spot) {
 			return
 		}
@@ -244,7 +240,7 @@
 		return ""
 	}
 	freeSlots := map[api.Zone]int{}
-	bl.c.gossiper.EachFreeCapacity(func(_ api.PartitionID, k MachineClass, r FreeCapacity) {
+	bl.c.gossiper.EachFreeCapacity(func(_ api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		if k.Usable && sched.Feasible(s, k.Type, k.Zone, k.Spot) {
 			// Room that is free at once counts for more.
 			freeSlots[k.Zone] += r.Count * (2*s.Demand().Slots(r.Free) + s.Demand().Slots(r.Could))
--- a/controller/rebalance_test.go
+++ b/controller/rebalance_test.go
@@ -6,6 +6,7 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
 )
 
 // A job is split and moved without losing or doubling a task.
@@ -13,7 +14,7 @@
 	r := rand.New(rand.NewPCG(8, 9))
 	for range 300 {
 		spec := testSpec(1 + r.IntN(40))
-		j := &Job{JobValue: clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}}, Placements: map[int]*Placement{}, PlacementCounts: map[api.PartitionID]int{}}
+		j := &core.Job{JobValue: clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}}, Placements: map[int]*core.Placement{}, PlacementCounts: map[api.PartitionID]int{}}
 		for i := range spec.Tasks {
 			if r.IntN(3) == 0 {
 				j.Completed.Add(i)
--- a/controller/relays.go
+++ b/controller/relays.go
@@ -7,6 +7,8 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/relay"
 )
 
@@ -34,17 +36,17 @@
 
 // logFollower is another controller that waits for changes after a revision.
 type logFollower struct {
-	req   ReqID
+	req   message.ReqID
 	since api.Revision
 	until api.Time
 }
 
 // ZoneOfController is the zone that a controller is in.
 func (lf *LogFollower) ZoneOfController(l api.ControllerID) api.Zone {
-	if l == lf.core.config.Label {
-		return lf.core.config.Zone
+	if l == lf.core.Config.Label {
+		return lf.core.Config.Zone
 	}
-	for _, p := range lf.core.config.Peers {
+	for _, p := range lf.core.Config.Peers {
 		if p.Label == l {
 			return p.Zone
 		}
@@ -55,7 +57,7 @@
 // UsesRelays reports whether there are so many controllers that most read through relays, and all
 // that live know how: while versions change, everybody reads for itself as before.
 func (lf *LogFollower) UsesRelays() bool {
-	if len(lf.core.controllers) <= lf.core.maxRelays {
+	if len(lf.core.Controllers) <= lf.core.MaxRelays {
 		return false
 	}
 	lf.selectRelays()
@@ -65,7 +67,7 @@
 // logReadInterval is the time between two reads of the log.
 func (lf *LogFollower) logReadInterval() time.Duration {
 	if lf.UsesRelays() {
-		return lf.core.readInterval
+		return lf.core.ReadInterval
 	}
 	return lf.PageReadInterval()
 }
@@ -73,10 +75,10 @@
 // PageReadInterval is the time between two reads of which each controller makes its own, pages of the state
 // when it starts: a third of the requests for all together.
 func (lf *LogFollower) PageReadInterval() time.Duration {
-	if len(lf.core.controllers) <= lf.core.maxRelays {
-		return lf.core.readInterval
+	if len(lf.core.Controllers) <= lf.core.MaxRelays {
+		return lf.core.ReadInterval
 	}
-	return lf.core.directReadInterval / 2
+	return lf.core.DirectReadInterval / 2
 }
 
 // relaySelection are the relays for the members that live, kept until those change.
@@ -92,7 +94,7 @@
 
 // formatOf is the form of records that a living controller understands.
 func (lf *LogFollower) formatOf(l api.ControllerID) int {
-	m, lives := lf.core.state.Members[l]
+	m, lives := lf.core.State.Members[l]
 	if !lives {
 		return notLive
 	}
@@ -109,22 +111,22 @@
 func (lf *LogFollower) selectRelays() {
 	selection := &lf.selectedRelays
 	unchanged := selection.memberFormats != nil
-	for i, l := range lf.core.controllers {
+	for i, l := range lf.core.Controllers {
 		unchanged = unchanged && selection.memberFormats[i] == lf.formatOf(l)
 	}
 	if unchanged {
 		return
 	}
-	selection.memberFormats, selection.supported = make([]int, len(lf.core.controllers)), true
+	selection.memberFormats, selection.supported = make([]int, len(lf.core.Controllers)), true
 	var members []relay.Member
-	for i, l := range lf.core.controllers {
+	for i, l := range lf.core.Controllers {
 		if selection.memberFormats[i] = lf.formatOf(l); selection.memberFormats[i] != notLive {
 			selection.supported = selection.supported && selection.memberFormats[i] >= clusterstate.FormatRelays
 			members = append(members, relay.Member{ID: l, Zone: lf.ZoneOfController(l)})
 		}
 	}
-	selection.relays = relay.Select(members, lf.core.maxRelays)
-	selection.preference = relay.PreferenceOrder(relay.Member{ID: lf.core.config.Label, Zone: lf.core.config.Zone}, selection.relays)
+	selection.relays = relay.Select(members, lf.core.MaxRelays)
+	selection.preference = relay.PreferenceOrder(relay.Member{ID: lf.core.Config.Label, Zone: lf.core.Config.Zone}, selection.relays)
 }
 
 // isRelay reports whether a controller is among the relays.
@@ -137,32 +139,32 @@
 	if !lf.readsThroughRelay() {
 		return ""
 	}
-	via, _ := lf.relayLink.Next(lf.selectedRelays.preference, lf.core.now)
+	via, _ := lf.relayLink.Next(lf.selectedRelays.preference, lf.core.Now)
 	return via
 }
 
 // readsThroughRelay reports whether we are one of those that read through relays.
 func (lf *LogFollower) readsThroughRelay() bool {
-	return lf.UsesRelays() && !isRelay(lf.CurrentRelays(), lf.core.config.Label)
+	return lf.UsesRelays() && !isRelay(lf.CurrentRelays(), lf.core.Config.Label)
 }
 
 // readChanges reads the log after a revision, with wait once there is something, through a relay
 // or from the state service.
 func (lf *LogFollower) readChanges(since api.Revision, wait bool, via api.ControllerID, done func(logReadResult)) {
 	if via == "" {
-		request, timeout := &ChangesRequest{Since: since}, time.Duration(0)
+		request, timeout := &message.ChangesRequest{Since: since}, time.Duration(0)
 		if wait {
-			request.Wait, timeout = watchPollTimeout, watchPollTimeout+2*time.Second
+			request.Wait, timeout = core.WatchPollTimeout, core.WatchPollTimeout+2*time.Second
 		}
-		lf.core.CallStore(StoreCall{Changes: request, Timeout: timeout}, func(a StoreResponse) { done(logReadResult{status: a.Status, changes: a.Changes}) })
+		lf.core.CallStore(message.StoreCall{Changes: request, Timeout: timeout}, func(a message.StoreResponse) { done(logReadResult{status: a.Status, changes: a.Changes}) })
 		return
 	}
 	timeout := relayTimeout
 	if wait {
 		timeout += relayPollTimeout
 	}
-	lf.core.metrics.ReadsRelayed++
-	lf.core.CallPeer(via, timeout, PeerMessage{ReadLog: &ReadLogRequest{Since: since, Wait: wait}}, func(a PeerResponse) {
+	lf.core.Metrics.ReadsRelayed++
+	lf.core.CallPeer(via, timeout, message.PeerMessage{ReadLog: &message.ReadLogRequest{Since: since, Wait: wait}}, func(a message.PeerResponse) {
 		result := logReadResult{status: a.Reply.Status, via: via}
 		if !a.OK {
 			result.status = 0
@@ -170,14 +172,14 @@
 		if result.status == 200 {
 			if err := relay.Validate(since, a.Reply.Log); err != nil {
 				slog.Error("invalid relay response", "relay", via, "err", err)
-				lf.core.metrics.ReadsInvalid++
+				lf.core.Metrics.ReadsInvalid++
 				result.status = 0
 			} else {
 				result.changes = *a.Reply.Log
 			}
 		}
 		if result.status != 200 {
-			lf.relayLink.MarkFailed(via, lf.core.now)
+			lf.relayLink.MarkFailed(via, lf.core.Now)
 		}
 		done(result)
 	})
@@ -185,45 +187,45 @@
 
 // retainChanges keeps changes for those who follow the log through us.
 func (lf *LogFollower) retainChanges(c api.Changes) {
-	if len(lf.core.controllers) > lf.core.maxRelays {
+	if len(lf.core.Controllers) > lf.core.MaxRelays {
 		lf.relayLog.Append(c.Log, c.Revision)
 	}
 }
 
 // HandleReadLog answers another controller's question for the log.
-func (lf *LogFollower) HandleReadLog(c ReadLog) {
-	if !lf.core.loaded {
+func (lf *LogFollower) HandleReadLog(c message.ReadLog) {
+	if !lf.core.Loaded {
 		lf.core.ReplyError(c.Req, 503, "starting")
 		return
 	}
 	since := c.Request.Since
 	if !c.Request.Wait {
 		lf.readWaiters = append(lf.readWaiters, readWaiter{func() { lf.replyLog(c.Req, since) }, func() { lf.core.ReplyError(c.Req, 503, "state service not reachable") }, true})
-		lf.readRequestedAt = lf.core.now
+		lf.readRequestedAt = lf.core.Now
 		return
 	}
-	if since < lf.core.state.Revision {
+	if since < lf.core.State.Revision {
 		lf.replyLog(c.Req, since)
 		return
 	}
-	lf.logFollowers = append(lf.logFollowers, logFollower{c.Req, since, lf.core.now.Add(relayPollTimeout)})
+	lf.logFollowers = append(lf.logFollowers, logFollower{c.Req, since, lf.core.Now.Add(relayPollTimeout)})
 }
 
 // replyLog answers with what we retain after a revision.
-func (lf *LogFollower) replyLog(req ReqID, since api.Revision) {
+func (lf *LogFollower) replyLog(req message.ReqID, since api.Revision) {
 	changes, ok := lf.relayLog.Since(since)
 	if !ok {
 		lf.core.ReplyError(req, 410, "the log does not reach back so far")
 		return
 	}
-	lf.core.metrics.ReadsServed++
-	lf.core.Emit(Reply{Req: req, Status: 200, Log: &changes})
+	lf.core.Metrics.ReadsServed++
+	lf.core.Emit(message.Reply{Req: req, Status: 200, Log: &changes})
 }
 
 // ReplyToFollowers answers those who wait for changes.
 func (lf *LogFollower) ReplyToFollowers() {
 	lf.logFollowers = slices.DeleteFunc(lf.logFollowers, func(f logFollower) bool {
-		if f.since >= lf.core.state.Revision && lf.core.now < f.until {
+		if f.since >= lf.core.State.Revision && lf.core.Now < f.until {
 			return false
 		}
 		lf.replyLog(f.req, f.since)
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -11,13 +11,15 @@
 	"unicode/utf8"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/reservation"
 	"basaltwall/tenant"
 )
 
 // ReservationService keeps the ledger of reservations.
 type ReservationService struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	reservationLedger reservationLedger
@@ -126,7 +128,7 @@
 	"return": reservation.OpReturn, "out": reservation.OpOutOfService, "in": reservation.OpInService, "import": reservation.OpAdd}
 
 // parseSkipRequest reads a change; the error names the field.
-func parseSkipRequest(c AdminRequest) (*reservation.Request, error) {
+func parseSkipRequest(c message.AdminRequest) (*reservation.Request, error) {
 	invalidField := func(field, why string) error { return &tenant.Error{Status: 400, Field: field, Reason: why} }
 	checkText := func(field, s string, most int) error {
 		if s == "" || len(s) > most || !utf8.ValidString(s) {
@@ -214,7 +216,7 @@
 const ForwardSkips = "skips"
 
 // HandleSkipsRequest answers what is asked of the skips.
-func (rv *ReservationService) HandleSkipsRequest(c AdminRequest) {
+func (rv *ReservationService) HandleSkipsRequest(c message.AdminRequest) {
 	l := &rv.reservationLedger
 	l.requested = true
 	if c.What == "skips" && c.ID == "" {
@@ -230,12 +232,12 @@
 		}
 	}
 	forwardTo := func(to []api.ControllerID, then func()) {
-		body, err := json.Marshal(AdminRequest{What: c.What, ID: c.ID, Sub: c.Sub, After: c.After, Limit: c.Limit, Body: c.Body})
+		body, err := json.Marshal(message.AdminRequest{What: c.What, ID: c.ID, Sub: c.Sub, After: c.After, Limit: c.Limit, Body: c.Body})
 		if c.Forwarded || len(to) == 0 || err != nil {
 			then()
 			return
 		}
-		rv.core.CallPeer(to[0], forwardTimeout, PeerMessage{Forward: &Forward{Kind: ForwardSkips, Body: body}}, func(a PeerResponse) {
+		rv.core.CallPeer(to[0], forwardTimeout, message.PeerMessage{Forward: &message.Forward{Kind: ForwardSkips, Body: body}}, func(a message.PeerResponse) {
 			if a.OK && a.Reply.Status != 0 && a.Reply.Status != 503 {
 				rv.core.ReplyFromPeer(c.Req, a.Reply)
 				return
@@ -253,7 +255,7 @@
 	var writer []api.ControllerID
 	if request != nil {
 		p := api.PartitionID(rv.depotShard(request.Depot))
-		if owner := rv.core.state.Partitions[p].Owner; owner != rv.core.config.Label && rv.core.IsLive(owner) && rv.c.gossiper.peers[owner] != nil && rv.c.gossiper.peers[owner].recent(rv.core.now) {
+		if owner := rv.core.State.Partitions[p].Owner; owner != rv.core.Config.Label && rv.core.IsLive(owner) && rv.c.gossiper.peers[owner] != nil && rv.c.gossiper.peers[owner].recent(rv.core.Now) {
 			writer = append(writer, owner)
 		}
 	}
@@ -262,7 +264,7 @@
 			rv.listSkips(c)
 			return
 		}
-		pending := &reservation.PendingRequest{Request: request, ArrivedAt: rv.core.now, Respond: func(res reservation.Result) { rv.replySkips(c.Req, request, res) }}
+		pending := &reservation.PendingRequest{Request: request, ArrivedAt: rv.core.Now, Respond: func(res reservation.Result) { rv.replySkips(c.Req, request, res) }}
 		if l.replica == nil {
 			l.pendingRequests = append(l.pendingRequests, pending)
 		} else {
@@ -273,10 +275,10 @@
 
 // depotShard is the shard of a depot, of which there are as many as parts.
 func (rv *ReservationService) depotShard(d reservation.Depot) int {
-	return reservation.ShardOf(d, len(rv.core.state.Partitions))
+	return reservation.ShardOf(d, len(rv.core.State.Partitions))
 }
 
-func (rv *ReservationService) replySkips(req ReqID, request *reservation.Request, result reservation.Result) {
+func (rv *ReservationService) replySkips(req message.ReqID, request *reservation.Request, result reservation.Result) {
 	switch result.Reason {
 	case "":
 		if request.Type != reservation.OpOffer && request.Type != reservation.OpAdd {
@@ -305,7 +307,7 @@
 
 // today is the day by our clock; only counts that say that they are about rest on it.
 func (rv *ReservationService) today() reservation.Day {
-	return reservation.Day(rv.core.wallClock / 86_400_000)
+	return reservation.Day(rv.core.WallClock / 86_400_000)
 }
 
 // SkipMetrics is what a controller knows of the skips that it has read.
@@ -324,14 +326,14 @@
 	}
 	v := &SkipMetrics{Refused: replica.Refused, Records: replica.Records, Conflicts: replica.Conflicts, Kinds: []reservation.Counts{}}
 	byKind := map[reservation.Kind]reservation.Counts{}
-	for i := range rv.core.state.Partitions {
+	for i := range rv.core.State.Partitions {
 		s := replica.Shard(i)
 		for _, c := range s.Count(rv.today(), rv.today()+1) {
 			sum := byKind[c.Kind]
 			byKind[c.Kind] = reservation.Counts{Kind: c.Kind, Skips: sum.Skips + c.Skips, Free: sum.Free + c.Free, Offered: sum.Offered + c.Offered, Promised: sum.Promised + c.Promised, OutOfService: sum.OutOfService + c.OutOfService}
 		}
 		if since := s.OldestOfferTime(); since != 0 {
-			v.OldestOffer = max(v.OldestOffer, roundToTenth(float64(rv.core.wallClock-since)/1000))
+			v.OldestOffer = max(v.OldestOffer, roundToTenth(float64(rv.core.WallClock-since)/1000))
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(byKind)) {
@@ -341,20 +343,20 @@
 }
 
 // countSkips counts skips by what was last read.
-func (rv *ReservationService) countSkips(c AdminRequest) {
+func (rv *ReservationService) countSkips(c message.AdminRequest) {
 	if rv.reservationLedger.replica == nil {
 		rv.core.ReplyError(c.Req, 503, "the ledger of skips is being read")
 		return
 	}
-	v := SkipCountsView{Kinds: []reservation.Counts{}, AgeSeconds: roundToTenth(rv.core.now.Sub(rv.reservationLedger.readAt).Seconds())}
-	for i := range rv.core.state.Partitions {
+	v := SkipCountsView{Kinds: []reservation.Counts{}, AgeSeconds: roundToTenth(rv.core.Now.Sub(rv.reservationLedger.readAt).Seconds())}
+	for i := range rv.core.State.Partitions {
 		v.Kinds = append(v.Kinds, rv.reservationLedger.replica.Shard(i).Count(rv.today(), rv.today()+1)...)
 	}
 	rv.core.Reply(c.Req, 200, v, 0)
 }
 
 // listSkips shows a depot's skips as they are now.
-func (rv *ReservationService) listSkips(c AdminRequest) {
+func (rv *ReservationService) listSkips(c message.AdminRequest) {
 	rv.reservationLedger.pendingLists = append(rv.reservationLedger.pendingLists, readWaiter{onRead: func() {
 		shard := rv.reservationLedger.replica.Shard(rv.depotShard(reservation.Depot(c.ID)))
 		list, more := shard.List(reservation.Depot(c.ID), reservation.SkipID(c.After), max(1, c.Limit))
@@ -381,7 +383,7 @@
 	}
 	l.expireRequests(rv.c)
 	rv.sweepReservationArchive()
-	if l.busy || rv.core.now < l.nextReadAt {
+	if l.busy || rv.core.Now < l.nextReadAt {
 		return
 	}
 	if l.replica == nil {
@@ -394,25 +396,25 @@
 		rv.loadLedgerPage("", 0)
 		return
 	}
-	readNeeded := len(l.pendingLists) > 0 || rv.core.now.Sub(l.readAt) > ledgerReadInterval
-	for i := range rv.core.state.Partitions {
+	readNeeded := len(l.pendingLists) > 0 || rv.core.Now.Sub(l.readAt) > ledgerReadInterval
+	for i := range rv.core.State.Partitions {
 		readNeeded = readNeeded || l.staleShards[i] || l.replica.Idle(i) && l.replica.HasPending(i)
 	}
-	if rv.core.now.Sub(l.compactedAt) > ledgerCompactInterval {
-		l.compactedAt = rv.core.now
-		for i := range rv.core.state.Partitions {
-			readNeeded = readNeeded || rv.c.scheduler.partitions[api.PartitionID(i)] != nil && l.replica.Idle(i) && l.replica.NeedsCleanup(i, rv.core.wallClock)
+	if rv.core.Now.Sub(l.compactedAt) > ledgerCompactInterval {
+		l.compactedAt = rv.core.Now
+		for i := range rv.core.State.Partitions {
+			readNeeded = readNeeded || rv.c.scheduler.partitions[api.PartitionID(i)] != nil && l.replica.Idle(i) && l.replica.NeedsCleanup(i, rv.core.WallClock)
 		}
 	}
 	if !readNeeded {
 		return
 	}
-	l.busy, l.nextReadAt = true, rv.core.now.Add(rv.core.lookupInterval)
-	readStarted, lists := rv.core.now, l.pendingLists
+	l.busy, l.nextReadAt = true, rv.core.Now.Add(rv.core.LookupInterval)
+	readStarted, lists := rv.core.Now, l.pendingLists
 	l.pendingLists = nil
-	rv.core.CallStore(StoreCall{Changes: &ChangesRequest{Since: l.replica.Revision(), Prefix: reservation.Root}}, func(a StoreResponse) {
+	rv.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: l.replica.Revision(), Prefix: reservation.Root}}, func(a message.StoreResponse) {
 		l.busy = false
-		ok := a.Status == 200 && rv.core.now.Sub(readStarted) < ledgerMaxReadAge
+		ok := a.Status == 200 && rv.core.Now.Sub(readStarted) < ledgerMaxReadAge
 		if a.Status == 410 {
 			l.reset()
 		} else if a.Status == 200 {
@@ -432,8 +434,8 @@
 		if !ok || l.replica == nil {
 			return
 		}
-		l.readAt = rv.core.now
-		for i := range rv.core.state.Partitions {
+		l.readAt = rv.core.Now
+		for i := range rv.core.State.Partitions {
 			if l.staleShards[i] {
 				l.staleShards[i] = false
 				l.replica.ResolveConflict(i)
@@ -451,7 +453,7 @@
 
 // expireRequests tells who has waited for too long.
 func (l *reservationLedger) expireRequests(n *Controller) {
-	deadline := n.core.now.Add(-ledgerRequestTimeout)
+	deadline := n.core.Now.Add(-ledgerRequestTimeout)
 	var expired []*reservation.PendingRequest
 	if l.replica != nil {
 		expired = l.replica.RemoveTimedOut(deadline)
@@ -466,16 +468,16 @@
 
 // resumeAfter has the reading go on after a pause.
 func (l *reservationLedger) resumeAfter(n *Controller, pause time.Duration, next func()) {
-	l.busy, l.resumeLoad, l.nextReadAt = false, next, n.core.now.Add(pause)
+	l.busy, l.resumeLoad, l.nextReadAt = false, next, n.core.Now.Add(pause)
 }
 
 // loadLedgerPage reads all of the ledger, page by page, then what changed since the first: pages are
 // of different revisions.
 func (rv *ReservationService) loadLedgerPage(start string, from api.Revision) {
 	l := &rv.reservationLedger
-	rv.core.CallStore(StoreCall{Page: &PageRequest{Prefix: reservation.Root, After: start}}, func(a StoreResponse) {
+	rv.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: reservation.Root, After: start}}, func(a message.StoreResponse) {
 		if a.Status != 200 {
-			l.resumeAfter(rv.c, retryDelay, func() { rv.loadLedgerPage(start, from) })
+			l.resumeAfter(rv.c, core.RetryDelay, func() { rv.loadLedgerPage(start, from) })
 			return
 		}
 		if from == 0 {
@@ -492,13 +494,13 @@
 
 func (rv *ReservationService) finishLedgerLoad(from api.Revision) {
 	l := &rv.reservationLedger
-	rv.core.CallStore(StoreCall{Changes: &ChangesRequest{Since: from, Prefix: reservation.Root}}, func(a StoreResponse) {
+	rv.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: from, Prefix: reservation.Root}}, func(a message.StoreResponse) {
 		if a.Status == 410 { // it took too long
-			l.resumeAfter(rv.c, retryDelay, nil)
+			l.resumeAfter(rv.c, core.RetryDelay, nil)
 			return
 		}
 		if a.Status != 200 {
-			l.resumeAfter(rv.c, retryDelay, func() { rv.finishLedgerLoad(from) })
+			l.resumeAfter(rv.c, core.RetryDelay, func() { rv.finishLedgerLoad(from) })
 			return
 		}
 		latest := map[string]api.KeyValue{}
@@ -514,8 +516,8 @@
 		for _, key := range slices.Sorted(maps.Keys(latest)) {
 			pairs = append(pairs, latest[key])
 		}
-		limits := rv.core.config.Deployment.State
-		replica := reservation.NewLedger(fmt.Sprintf("%s-%d", rv.core.config.Label, rv.core.incarnation), len(rv.core.state.Partitions), rv.c.tenancy.MaxClockError(),
+		limits := rv.core.Config.Deployment.State
+		replica := reservation.NewLedger(fmt.Sprintf("%s-%d", rv.core.Config.Label, rv.core.Incarnation), len(rv.core.State.Partitions), rv.c.tenancy.MaxClockError(),
 			reservation.Limits{MaxValueBytes: int(limits.ValueKB*1024) - 512, MaxPuts: limits.TxnOps})
 		if err := replica.Load(pairs, a.Changes.Revision); err != nil {
 			slog.Error("reservation ledger load failed", "err", err)
@@ -523,7 +525,7 @@
 			return
 		}
 		l.resumeAfter(rv.c, 0, nil)
-		l.replica, l.loadedPairs, l.staleShards = replica, nil, make([]bool, len(rv.core.state.Partitions))
+		l.replica, l.loadedPairs, l.staleShards = replica, nil, make([]bool, len(rv.core.State.Partitions))
 		for _, request := range l.pendingRequests {
 			replica.Enqueue(request)
 		}
@@ -535,18 +537,18 @@
 // writeLedgerShard writes a shard's next record, if there is one and the writes for it.
 func (rv *ReservationService) writeLedgerShard(shard int, readAt api.Time) {
 	l := &rv.reservationLedger
-	rate := ledgerWriteShare * rv.core.config.Deployment.State.WriteRPS / float64(max(1, len(rv.core.state.Members)))
-	l.writeTokens = min(max(rate, float64(rv.core.config.Deployment.State.TxnOps)), l.writeTokens+rate*rv.core.now.Sub(l.writeTokensAt).Seconds())
-	l.writeTokensAt = rv.core.now
+	rate := ledgerWriteShare * rv.core.Config.Deployment.State.WriteRPS / float64(max(1, len(rv.core.State.Members)))
+	l.writeTokens = min(max(rate, float64(rv.core.Config.Deployment.State.TxnOps)), l.writeTokens+rate*rv.core.Now.Sub(l.writeTokensAt).Seconds())
+	l.writeTokensAt = rv.core.Now
 	if l.writeTokens < 1 || !l.replica.Idle(shard) {
 		return
 	}
-	tx := l.replica.Compose(shard, rv.core.wallClock, readAt)
+	tx := l.replica.Compose(shard, rv.core.WallClock, readAt)
 	if tx == nil {
 		return
 	}
 	l.writeTokens -= float64(len(tx.Writes))
-	l.wroteAt = rv.core.now
+	l.wroteAt = rv.core.Now
 	rv.sendLedgerWrite(l.replica, shard, *tx)
 }
 
@@ -554,16 +556,16 @@
 // owner of part 0 does.
 func (rv *ReservationService) sweepReservationArchive() {
 	l, owned := &rv.reservationLedger, rv.c.scheduler.partitions[0]
-	if owned == nil || l.sweeping || rv.core.now.Sub(l.sweptAt) < ledgerSweepInterval || rv.core.Overloaded() {
+	if owned == nil || l.sweeping || rv.core.Now.Sub(l.sweptAt) < ledgerSweepInterval || rv.core.Overloaded() {
 		return
 	}
-	l.sweptAt, l.sweeping = rv.core.now, true
+	l.sweptAt, l.sweeping = rv.core.Now, true
 	rv.c.tenancy.SweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { l.sweeping = false })
 }
 
 // sendLedgerWrite sends a record until its outcome is known.
 func (rv *ReservationService) sendLedgerWrite(replica *reservation.Ledger, shard int, tx api.Txn) {
-	rv.core.CallStoreTxn(tx, func(a StoreResponse) {
+	rv.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		if rv.reservationLedger.replica != replica {
 			return // read anew meanwhile: names tell what became of it
 		}
--- a/controller/resultlookup.go
+++ b/controller/resultlookup.go
@@ -8,6 +8,8 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/jobresult"
 )
 
@@ -37,7 +39,7 @@
 	lookups := &js.resultLookups
 	var late []api.JobID
 	for ref, waiters := range lookups.waiters {
-		if js.core.now.Sub(waiters[0].since) > storeTimeout {
+		if js.core.Now.Sub(waiters[0].since) > core.StoreTimeout {
 			late = append(late, ref)
 		}
 	}
@@ -45,7 +47,7 @@
 	for _, ref := range late {
 		waiters := lookups.waiters[ref]
 		k := 0
-		for ; k < len(waiters) && js.core.now.Sub(waiters[k].since) > storeTimeout; k++ {
+		for ; k < len(waiters) && js.core.Now.Sub(waiters[k].since) > core.StoreTimeout; k++ {
 			waiters[k].fail()
 		}
 		if lookups.waiters[ref] = waiters[k:]; k == len(waiters) {
@@ -55,19 +57,19 @@
 			}
 		}
 	}
-	if lookups.inFlight || js.core.now < lookups.nextAt {
+	if lookups.inFlight || js.core.Now < lookups.nextAt {
 		return
 	}
 	query, ok := lookups.queue.Next()
 	if !ok {
 		return
 	}
-	lookups.inFlight, lookups.nextAt = true, js.core.now.Add(js.core.lookupInterval)
-	call := StoreCall{Get: clusterstate.KeyJobResult + string(query.JobID)}
+	lookups.inFlight, lookups.nextAt = true, js.core.Now.Add(js.core.LookupInterval)
+	call := message.StoreCall{Get: clusterstate.KeyJobResult + string(query.JobID)}
 	if query.JobID == "" {
-		call = StoreCall{Page: &PageRequest{Prefix: clusterstate.KeyJobResult, After: clusterstate.KeyJobResult + query.After, Limit: jobresult.PageSize}}
+		call = message.StoreCall{Page: &message.PageRequest{Prefix: clusterstate.KeyJobResult, After: clusterstate.KeyJobResult + query.After, Limit: jobresult.PageSize}}
 	}
-	js.core.CallStore(call, func(a StoreResponse) {
+	js.core.CallStore(call, func(a message.StoreResponse) {
 		lookups.inFlight = false
 		switch {
 		case query.JobID != "" && (a.Status == 200 || a.Status == 404):
@@ -100,7 +102,7 @@
 	waiters := js.resultLookups.waiters[result.JobID]
 	delete(js.resultLookups.waiters, result.JobID)
 	if result.State != "" {
-		js.core.state.SetJobResult(result.JobID, result.State)
+		js.core.State.SetJobResult(result.JobID, result.State)
 	} else if k := slices.IndexFunc(waiters, func(w resultWaiter) bool { return w.sequence > result.MaxSeq }); k >= 0 {
 		js.resultLookups.waiters[result.JobID], waiters = waiters[k:], waiters[:k]
 	}
--- a/controller/round.go
+++ b/controller/round.go
@@ -8,31 +8,33 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 )
 
 // IsRecordRingFull reports whether the next record would overwrite one that no checkpoint covers.
-func (rs *RoundScheduler) IsRecordRingFull(owned *ownedPartition) bool {
-	return rs.core.state.Partitions[owned.id].RoundSeq+1 >= rs.core.state.Partitions[owned.id].CheckpointHead.Seq+clusterstate.RingSize
+func (rs *RoundScheduler) IsRecordRingFull(owned *core.OwnedPartition) bool {
+	return rs.core.State.Partitions[owned.Id].RoundSeq+1 >= rs.core.State.Partitions[owned.Id].CheckpointHead.Seq+clusterstate.RingSize
 }
 
 // CommitRound begins to write a round. Its record goes first among the writes.
-func (rs *RoundScheduler) CommitRound(owned *ownedPartition, round *pendingRound) {
-	body, err := json.Marshal(round.record)
+func (rs *RoundScheduler) CommitRound(owned *core.OwnedPartition, round *core.PendingRound) {
+	body, err := json.Marshal(round.Record)
 	if err != nil {
 		slog.Error("round not encoded", "err", err)
 		return
 	}
-	slot := clusterstate.RoundKey(owned.id, round.record.Seq)
+	slot := clusterstate.RoundKey(owned.Id, round.Record.Seq)
 	if rs.c.tenancy.hosted != nil {
-		round.txn.If = append(round.txn.If, rs.core.state.VersionCondition(keyGate))
+		round.Txn.If = append(round.Txn.If, rs.core.State.VersionCondition(keyGate))
 	}
-	round.txn.If = append(round.txn.If, rs.core.state.VersionCondition(slot),
-		owned.ownershipCondition())
-	round.txn.Writes = append([]api.Write{{Put: slot, Value: body}}, round.txn.Writes...)
-	round.sentAt = rs.core.now
-	owned.inFlight, owned.inFlightDemand = round, map[api.MachineID]api.Resources{}
-	for _, s := range round.starts {
-		owned.inFlightDemand[s.Machine] = owned.inFlightDemand[s.Machine].Plus(s.Job.Demand)
+	round.Txn.If = append(round.Txn.If, rs.core.State.VersionCondition(slot),
+		owned.OwnershipCondition())
+	round.Txn.Writes = append([]api.Write{{Put: slot, Value: body}}, round.Txn.Writes...)
+	round.SentAt = rs.core.Now
+	owned.InFlight, owned.InFlightDemand = round, map[api.MachineID]api.Resources{}
+	for _, s := range round.Starts {
+		owned.InFlightDemand[s.Machine] = owned.InFlightDemand[s.Machine].Plus(s.Job.Demand)
 	}
 	rs.sendRound(owned)
 }
@@ -40,21 +42,21 @@
 // sendRound sends the round's record. Until the outcome is known the very same
 // transaction is sent again: it can take effect once at most, since its slot
 // must still have the version it had before.
-func (rs *RoundScheduler) sendRound(owned *ownedPartition) {
-	round := owned.inFlight
-	slot := round.txn.Writes[0].Put
-	rs.core.CallStoreTxn(round.txn, func(a StoreResponse) {
-		if rs.partitions[owned.id] != owned || owned.inFlight != round {
+func (rs *RoundScheduler) sendRound(owned *core.OwnedPartition) {
+	round := owned.InFlight
+	slot := round.Txn.Writes[0].Put
+	rs.core.CallStoreTxn(round.Txn, func(a message.StoreResponse) {
+		if rs.partitions[owned.Id] != owned || owned.InFlight != round {
 			return
 		}
-		round.outcomeUnknown = round.outcomeUnknown || a.Status == 0
+		round.OutcomeUnknown = round.OutcomeUnknown || a.Status == 0
 		switch {
-		case a.Status == 200 && round.transfer:
+		case a.Status == 200 && round.Transfer:
 			// The log has it in its order among other lendings: a checkpoint counts on that.
 			rs.resolveRound(owned, round)
 		case a.Status == 200:
 			rs.applyCommittedRound(owned, a.Txn.Revision)
-		case a.Status == 409 && slices.Contains(a.Txn.Failed, clusterstate.PartitionKey(clusterstate.KeyPartition, owned.id)):
+		case a.Status == 409 && slices.Contains(a.Txn.Failed, clusterstate.PartitionKey(clusterstate.KeyPartition, owned.Id)):
 			rs.loseOwnership(owned)
 		case a.Status == 409 && slices.Contains(a.Txn.Failed, slot):
 			// An earlier sending may have got through: the book tells.
@@ -71,21 +73,21 @@
 	})
 }
 
-func (rs *RoundScheduler) retryRound(owned *ownedPartition, round *pendingRound) {
+func (rs *RoundScheduler) retryRound(owned *core.OwnedPartition, round *core.PendingRound) {
 	rs.core.DeferCall(func() {
-		if rs.partitions[owned.id] == owned && owned.inFlight == round {
+		if rs.partitions[owned.Id] == owned && owned.InFlight == round {
 			rs.sendRound(owned)
 		}
 	})
 }
 
-func (rs *RoundScheduler) resolveRound(owned *ownedPartition, round *pendingRound) {
+func (rs *RoundScheduler) resolveRound(owned *core.OwnedPartition, round *core.PendingRound) {
 	rs.c.follower.LinearizableRead(func() {
-		if rs.partitions[owned.id] != owned || owned.inFlight != round {
+		if rs.partitions[owned.Id] != owned || owned.InFlight != round {
 			return
 		}
-		if rs.core.state.Partitions[owned.id].RoundSeq >= round.record.Seq {
-			rs.applyCommittedRound(owned, rs.core.state.Version(round.txn.Writes[0].Put))
+		if rs.core.State.Partitions[owned.Id].RoundSeq >= round.Record.Seq {
+			rs.applyCommittedRound(owned, rs.core.State.Version(round.Txn.Writes[0].Put))
 			return
 		}
 		rs.abandonRound(owned, round)
@@ -93,53 +95,53 @@
 }
 
 // abandonRound gives up a record that has not been and never can be written.
-func (rs *RoundScheduler) abandonRound(owned *ownedPartition, round *pendingRound) {
-	if rs.partitions[owned.id] != owned || owned.inFlight != round {
+func (rs *RoundScheduler) abandonRound(owned *core.OwnedPartition, round *core.PendingRound) {
+	if rs.partitions[owned.Id] != owned || owned.InFlight != round {
 		return
 	}
-	if rs.core.state.Partitions[owned.id].RoundSeq >= round.record.Seq {
-		rs.applyCommittedRound(owned, rs.core.state.Version(round.txn.Writes[0].Put))
+	if rs.core.State.Partitions[owned.Id].RoundSeq >= round.Record.Seq {
+		rs.applyCommittedRound(owned, rs.core.State.Version(round.Txn.Writes[0].Put))
 		return
 	}
-	owned.inFlight, owned.inFlightDemand = nil, nil
-	if round.outcomeUnknown {
-		rs.core.metrics.IndeterminateUnwritten++
+	owned.InFlight, owned.InFlightDemand = nil, nil
+	if round.OutcomeUnknown {
+		rs.core.Metrics.IndeterminateUnwritten++
 	}
-	maps.Copy(owned.pendingEnds, round.ends)
-	owned.dirty = true
+	maps.Copy(owned.PendingEnds, round.Ends)
+	owned.Dirty = true
 }
 
 // applyCommittedRound acts on a record that has been written: only now are starts sent.
-func (rs *RoundScheduler) applyCommittedRound(owned *ownedPartition, revision api.Revision) {
-	round := owned.inFlight
-	owned.inFlight, owned.inFlightDemand = nil, nil
-	owned.nextRound = rs.core.now.Add(rs.currentRoundInterval())
-	owned.lastRevision = max(owned.lastRevision, revision)
-	rs.core.metrics.Rounds++
-	rs.core.metrics.Starts += uint64(len(round.starts))
-	rs.core.metrics.Ends += uint64(len(round.ends))
-	rs.core.metrics.observeLatency("round", rs.core.now.Sub(round.sentAt))
-	if round.outcomeUnknown {
-		rs.core.metrics.IndeterminateWritten++
+func (rs *RoundScheduler) applyCommittedRound(owned *core.OwnedPartition, revision api.Revision) {
+	round := owned.InFlight
+	owned.InFlight, owned.InFlightDemand = nil, nil
+	owned.NextRound = rs.core.Now.Add(rs.currentRoundInterval())
+	owned.LastRevision = max(owned.LastRevision, revision)
+	rs.core.Metrics.Rounds++
+	rs.core.Metrics.Starts += uint64(len(round.Starts))
+	rs.core.Metrics.Ends += uint64(len(round.Ends))
+	rs.core.Metrics.ObserveLatency("round", rs.core.Now.Sub(round.SentAt))
+	if round.OutcomeUnknown {
+		rs.core.Metrics.IndeterminateWritten++
 	}
-	slot := round.txn.Writes[0].Put
-	rs.core.state.SetVersion(slot, revision)
-	rs.core.state.ApplyRecord(owned.id, &round.record)
-	for _, d := range round.record.Jobs {
-		rs.core.metrics.Completions += uint64(len(d.Completed))
-		if j := rs.core.state.Jobs[d.Job]; j != nil && len(d.Completed) > 0 && j.State() == api.JobDone {
+	slot := round.Txn.Writes[0].Put
+	rs.core.State.SetVersion(slot, revision)
+	rs.core.State.ApplyRecord(owned.Id, &round.Record)
+	for _, d := range round.Record.Jobs {
+		rs.core.Metrics.Completions += uint64(len(d.Completed))
+		if j := rs.core.State.Jobs[d.Job]; j != nil && len(d.Completed) > 0 && j.State() == api.JobDone {
 			slog.Info("job done", tenantAttr(j), "job", d.Job, specAttr(j.Spec), "estimate", j.Spec.Estimate,
-				"after", float64(rs.core.wallClock-j.AcceptedAt)/1000, "limits", rs.CompletionObjectives(j.Spec))
+				"after", float64(rs.core.WallClock-j.AcceptedAt)/1000, "limits", rs.CompletionObjectives(j.Spec))
 		}
 	}
-	for _, s := range round.starts {
+	for _, s := range round.Starts {
 		if p := s.Job.Placements[s.Task.Index]; p != nil {
-			p.OwnerState.placedAt = rs.core.now
+			p.OwnerState.PlacedAt = rs.core.Now
 		}
 		if m := rs.c.agents.machines[s.Machine]; m != nil {
-			m.idleSince = rs.core.now
+			m.IdleSince = rs.core.Now
 			rs.c.agents.ContactNow(m)
 		}
 	}
-	owned.dirty = true
+	owned.Dirty = true
 }
--- a/controller/roundrate.go
+++ b/controller/roundrate.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
 )
 
 // Rounds may take half of the state service's writes. That is shared by the partitions that write
@@ -29,11 +30,11 @@
 func (rs *RoundScheduler) ObserveRounds() {
 	p := &rs.roundRate
 	if p.lastSequence == nil {
-		p.lastSequence, p.observedAt = make([]uint64, len(rs.core.state.Partitions)), make([]api.Time, len(rs.core.state.Partitions))
+		p.lastSequence, p.observedAt = make([]uint64, len(rs.core.State.Partitions)), make([]api.Time, len(rs.core.State.Partitions))
 	}
-	for i := range rs.core.state.Partitions {
-		if seq := rs.core.state.Partitions[i].RoundSeq; seq != p.lastSequence[i] {
-			p.lastSequence[i], p.observedAt[i] = seq, rs.core.now
+	for i := range rs.core.State.Partitions {
+		if seq := rs.core.State.Partitions[i].RoundSeq; seq != p.lastSequence[i] {
+			p.lastSequence[i], p.observedAt[i] = seq, rs.core.Now
 		}
 	}
 }
@@ -44,19 +45,19 @@
 func (rs *RoundScheduler) currentRoundInterval() time.Duration {
 	active := 0
 	for _, at := range rs.roundRate.observedAt {
-		if at != 0 && rs.core.now.Sub(at) <= activeWindow {
+		if at != 0 && rs.core.Now.Sub(at) <= activeWindow {
 			active++
 		}
 	}
-	partitionCount := len(rs.core.state.Partitions)
-	shared := rs.core.roundInterval * time.Duration(min(partitionCount, max(active, rs.core.maxRelays))) / time.Duration(partitionCount)
-	shared = max(shared, min(rs.core.roundInterval, minRoundInterval))
+	partitionCount := len(rs.core.State.Partitions)
+	shared := rs.core.RoundInterval * time.Duration(min(partitionCount, max(active, rs.core.MaxRelays))) / time.Duration(partitionCount)
+	shared = max(shared, min(rs.core.RoundInterval, core.MinRoundInterval))
 	if rs.roundRate.refusedAt == 0 {
 		return shared
 	}
-	recovered := min(1, max(0, float64(rs.core.now.Sub(rs.roundRate.refusedAt)-backoffHold)/float64(backoffRecovery)))
-	return rs.core.roundInterval - time.Duration(recovered*float64(rs.core.roundInterval-shared))
+	recovered := min(1, max(0, float64(rs.core.Now.Sub(rs.roundRate.refusedAt)-backoffHold)/float64(backoffRecovery)))
+	return rs.core.RoundInterval - time.Duration(recovered*float64(rs.core.RoundInterval-shared))
 }
 
 // backOffRounds notes that the state service refused a round for its limits.
-func (rs *RoundScheduler) backOffRounds() { rs.roundRate.refusedAt = rs.core.now }
+func (rs *RoundScheduler) backOffRounds() { rs.roundRate.refusedAt = rs.core.Now }
--- a/controller/roundrate_test.go
+++ b/controller/roundrate_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	n := New(c, 1)
-	n.core.now = 1
+	n.core.Now = 1
 	return n
 }
 
@@ -37,22 +37,22 @@
 		for active := range all + 1 {
 			n := manyControllers(t, all)
 			n.scheduler.ObserveRounds()
-			n.core.now = n.core.now.Add(time.Minute)
+			n.core.Now = n.core.Now.Add(time.Minute)
 			for i := range active {
-				n.core.state.Partitions[i].RoundSeq++
+				n.core.State.Partitions[i].RoundSeq++
 			}
 			n.scheduler.ObserveRounds()
 			pause := n.scheduler.currentRoundInterval()
 			if rate := float64(active) / pause.Seconds(); rate > 1.001*0.5*50 {
 				t.Errorf("%d of %d partitions write %.1f rounds a second", active, all, rate)
 			}
-			if all <= n.core.maxRelays && pause != n.core.roundInterval {
-				t.Errorf("%d of %d: %v, expected %v", active, all, pause, n.core.roundInterval)
+			if all <= n.core.MaxRelays && pause != n.core.RoundInterval {
+				t.Errorf("%d of %d: %v, expected %v", active, all, pause, n.core.RoundInterval)
 			}
-			if active <= n.core.maxRelays && all > n.core.maxRelays && pause >= n.core.roundInterval {
+			if active <= n.core.MaxRelays && all > n.core.MaxRelays && pause >= n.core.RoundInterval {
 				t.Errorf("%d of %d: %v, as if all wrote", active, all, pause)
 			}
-			n.core.now = n.core.now.Add(2 * activeWindow)
+			n.core.Now = n.core.Now.Add(2 * activeWindow)
 			if n.scheduler.ObserveRounds(); n.scheduler.currentRoundInterval() > pause {
 				t.Errorf("%d of %d: slower once they are idle", active, all)
 			}
@@ -66,12 +66,12 @@
 	n.scheduler.ObserveRounds()
 	fast := n.scheduler.currentRoundInterval()
 	n.scheduler.backOffRounds()
-	if got := n.scheduler.currentRoundInterval(); got != n.core.roundInterval || got <= fast {
+	if got := n.scheduler.currentRoundInterval(); got != n.core.RoundInterval || got <= fast {
 		t.Errorf("%v after a refusal, %v before", got, fast)
 	}
 	last := n.scheduler.currentRoundInterval()
 	for range 20 {
-		n.core.now = n.core.now.Add(time.Second)
+		n.core.Now = n.core.Now.Add(time.Second)
 		if got := n.scheduler.currentRoundInterval(); got > last {
 			t.Errorf("slower by itself: %v after %v", got, last)
 		} else {
@@ -91,28 +91,28 @@
 		t.Error("one of three reads through another")
 	}
 	n = manyControllers(t, 23)
-	for _, l := range n.core.controllers {
-		n.core.state.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatTransfers}
+	for _, l := range n.core.Controllers {
+		n.core.State.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatTransfers}
 	}
-	if gap := n.follower.logReadInterval(); n.follower.UsesRelays() || gap != n.core.directReadInterval/2 {
+	if gap := n.follower.logReadInterval(); n.follower.UsesRelays() || gap != n.core.DirectReadInterval/2 {
 		t.Errorf("relays, read every %v, though no other controller knows of them", gap)
 	}
-	for _, l := range n.core.controllers {
-		n.core.state.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatRelays}
+	for _, l := range n.core.Controllers {
+		n.core.State.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatRelays}
 	}
-	if gap := n.follower.logReadInterval(); !n.follower.UsesRelays() || gap != n.core.readInterval {
+	if gap := n.follower.logReadInterval(); !n.follower.UsesRelays() || gap != n.core.ReadInterval {
 		t.Errorf("no relays, read every %v, though all know of them", gap)
 	}
-	n.core.state.Members[n.core.controllers[3]] = clusterstate.MemberValue{}
+	n.core.State.Members[n.core.Controllers[3]] = clusterstate.MemberValue{}
 	if n.follower.UsesRelays() {
 		t.Error("relays beside a controller of an older version")
 	}
-	delete(n.core.state.Members, n.core.controllers[3])
+	delete(n.core.State.Members, n.core.Controllers[3])
 	relays := n.follower.CurrentRelays()
-	if len(relays) != n.core.maxRelays || !n.follower.UsesRelays() || isRelay(relays, n.core.controllers[3]) {
+	if len(relays) != n.core.MaxRelays || !n.follower.UsesRelays() || isRelay(relays, n.core.Controllers[3]) {
 		t.Fatalf("%d relays", len(relays))
 	}
-	if isRelay(relays, n.core.config.Label) {
+	if isRelay(relays, n.core.Config.Label) {
 		t.Fatal("the test needs names with which we are no relay")
 	}
 	asked := map[api.ControllerID]bool{}
@@ -122,7 +122,7 @@
 			t.Fatalf("asks %q after %v", via, asked)
 		}
 		asked[via] = true
-		n.follower.relayLink.MarkFailed(via, n.core.now)
+		n.follower.relayLink.MarkFailed(via, n.core.Now)
 	}
 	if via := n.follower.NextRelay(); via != "" {
 		t.Errorf("asks %s, which has failed", via)
--- a/controller/safety_test.go
+++ b/controller/safety_test.go
@@ -10,11 +10,13 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 )
 
 // newTestOwner is a controller that owns part 0 under term 7, with one usable machine,
 // i-000000 in zone a, and a job of the given kind accepted.
-func newTestOwner(t testing.TB, spec *api.JobSpec) (*Controller, *ownedPartition, *Machine, *Job) {
+func newTestOwner(t testing.TB, spec *api.JobSpec) (*Controller, *core.OwnedPartition, *core.Machine, *core.Job) {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
 "external":{"cloud":"10.0.0.2:1","state":"10.0.0.3:1"},"deployment":{"initial_size":1,"zones":["a","b"],
@@ -24,21 +26,21 @@
 		t.Fatal(err)
 	}
 	n := New(cfg, 1)
-	n.core.now, n.core.loaded = api.Time(time.Minute), true
+	n.core.Now, n.core.Loaded = api.Time(time.Minute), true
 	n.core.AddMachineTypes([]api.MachineType{{Name: "c8", CPUs: 8, MemGB: 32, Zones: []api.Zone{"a", "b"}}})
 	for key, v := range map[string]any{clusterstate.KeyPartition + "0": clusterstate.PartitionValue{Owner: "n"}, clusterstate.KeyJob + string(spec.Ref): clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}}} {
 		data, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := n.core.state.Put(key, data, 7); err != nil {
+		if err := n.core.State.Put(key, data, 7); err != nil {
 			t.Fatal(err)
 		}
 	}
 	n.scheduler.BeginOwnership(0, 7)
 	m := n.agents.EnsureMachine("i-000000")
-	m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.core.now, 1, 7
-	return n, n.scheduler.partitions[0], m, n.core.state.Jobs[spec.Ref]
+	m.MachineType, m.Zone, m.LastHeartbeat, m.Epoch, m.ReportedToken = "c8", "a", n.core.Now, 1, 7
+	return n, n.scheduler.partitions[0], m, n.core.State.Jobs[spec.Ref]
 }
 
 // A deposed owner's late round must not be written even into a slot that nobody
@@ -47,33 +49,33 @@
 	n, owned, _, _ := newTestOwner(t, testSpec(2))
 	n.scheduler.RunPartition(owned)
 	want := api.Condition{Key: clusterstate.KeyPartition + "0", Version: 7}
-	for _, e := range n.core.effects {
-		if c, ok := e.(StoreCall); ok && c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
+	for _, e := range n.core.Effects {
+		if c, ok := e.(message.StoreCall); ok && c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
 			if !slices.Contains(c.Txn.If, want) {
 				t.Errorf("the round is written on %v, without %v", c.Txn.If, want)
 			}
 			return
 		}
 	}
-	t.Errorf("no round is written: %v", n.core.effects)
+	t.Errorf("no round is written: %v", n.core.Effects)
 }
 
 // Forgetting an attempt while a command that starts it may still arrive would let
 // it start anew.
 func TestNoForgetWhileCallsAreUncertain(t *testing.T) {
 	n, owned, m, _ := newTestOwner(t, testSpec(1))
-	k := attemptKey{api.TaskID{Job: "run-9", Index: 0}, 3}
-	m.reportedTasks[k] = api.TaskStatus{Task: k.task.String(), Attempt: 3, State: api.TaskExited}
+	k := core.AttemptKey{Task: api.TaskID{Job: "run-9", Index: 0}, Attempt: 3}
+	m.ReportedTasks[k] = api.TaskStatus{Task: k.Task.String(), Attempt: 3, State: api.TaskExited}
 	forgets := func() bool {
 		return slices.ContainsFunc(n.agents.commandsFor(m, owned), func(command api.Command) bool { return command.Op == api.OpReap })
 	}
 	if !forgets() {
 		t.Error("an attempt that is over and recorded is not forgotten")
 	}
-	if m.callInFlight = true; forgets() {
+	if m.CallInFlight = true; forgets() {
 		t.Error("forgotten while a call is unanswered")
 	}
-	m.callInFlight, m.uncertainToken = false, 7
+	m.CallInFlight, m.UncertainToken = false, 7
 	if forgets() {
 		t.Error("forgotten though a lost call may still arrive under the machine's token")
 	}
@@ -86,10 +88,10 @@
 		spec := testSpec(4)
 		spec.Spread = bound
 		n, owned, _, j := newTestOwner(t, spec)
-		n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: 0}, Machine: "i-000009", Epoch: 1, Attempt: 1, Job: j})
+		n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: j.ID, Index: 0}, Machine: "i-000009", Epoch: 1, Attempt: 1, Job: j})
 		round := n.scheduler.planRound(owned)
-		if got := len(round.starts) > 0; got == bound {
-			t.Errorf("spread %v, a place in an unknown zone: %d starts", bound, len(round.starts))
+		if got := len(round.Starts) > 0; got == bound {
+			t.Errorf("spread %v, a place in an unknown zone: %d starts", bound, len(round.Starts))
 		}
 	}
 }
@@ -102,22 +104,22 @@
 	n, owned, _, j := newTestOwner(t, spec)
 	for i := range 1200 {
 		m := n.agents.EnsureMachine(api.MachineID(fmt.Sprintf("i-%06d", i)))
-		m.machineType, m.zone, m.lastHeartbeat, m.epoch, m.reportedToken = "c8", "a", n.core.now, 1, 7
-		p := &Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j}
-		n.core.state.AddPlacement(p)
+		m.MachineType, m.Zone, m.LastHeartbeat, m.Epoch, m.ReportedToken = "c8", "a", n.core.Now, 1, 7
+		p := &core.Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j}
+		n.core.State.AddPlacement(p)
 		n.scheduler.RecordTaskEnd(owned, p, i%2 == 0, "test")
 	}
 	rounds := 0
-	for ; len(owned.pendingEnds) > 0 && rounds < 100; rounds++ {
+	for ; len(owned.PendingEnds) > 0 && rounds < 100; rounds++ {
 		round := n.scheduler.planRound(owned)
-		body, err := json.Marshal(round.record)
+		body, err := json.Marshal(round.Record)
 		if err != nil || len(body) > 8<<10 {
 			t.Fatalf("a record of %d bytes: %v", len(body), err)
 		}
-		if len(round.ends)+len(round.starts) == 0 {
+		if len(round.Ends)+len(round.Starts) == 0 {
 			t.Fatal("a round that does nothing while there is work")
 		}
-		n.core.state.ApplyRecord(0, &round.record)
+		n.core.State.ApplyRecord(0, &round.Record)
 	}
 	if rounds > 20 {
 		t.Errorf("%d rounds for 1200 ends", rounds)
@@ -137,7 +139,7 @@
 		spec := *j.Spec
 		spec.Deadline = &c.deadline
 		j.Spec = &spec
-		n.core.wallClock = j.AcceptedAt + api.WallTime(c.elapsed*1000)
+		n.core.WallClock = j.AcceptedAt + api.WallTime(c.elapsed*1000)
 		if risk := n.scheduler.SpotRisk(j); (risk >= 0.5) != c.off || !c.off && risk > 0.1 {
 			t.Errorf("deadline %v s, %v s gone, runs 100 s: risk %.2f", c.deadline, c.elapsed, risk)
 		}
--- a/controller/submit_test.go
+++ b/controller/submit_test.go
@@ -8,6 +8,7 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/message"
 )
 
 // submission is a job as a user writes it.
@@ -26,9 +27,9 @@
 }
 
 // replyTo is what a request was answered, status 0 if it was not.
-func replyTo(n *Controller, req ReqID) (status int, body string) {
-	for _, e := range n.core.effects {
-		if r, ok := e.(Reply); ok && r.Req == req {
+func replyTo(n *Controller, req message.ReqID) (status int, body string) {
+	for _, e := range n.core.Effects {
+		if r, ok := e.(message.Reply); ok && r.Req == req {
 			return r.Status, string(r.Body)
 		}
 	}
@@ -40,9 +41,9 @@
 	t.Helper()
 	n.follower.nextReadAt = 0
 	n.follower.FollowLog()
-	for _, e := range n.core.effects {
-		if c, ok := e.(StoreCall); ok && c.Changes != nil && c.Changes.Wait == 0 && n.core.pendingCalls[c.ID] != nil {
-			n.dispatch(StoreResponse{ID: c.ID, Status: 200, Changes: api.Changes{Revision: 99, Log: log}})
+	for _, e := range n.core.Effects {
+		if c, ok := e.(message.StoreCall); ok && c.Changes != nil && c.Changes.Wait == 0 && n.core.PendingCalls[c.ID] != nil {
+			n.dispatch(message.StoreResponse{ID: c.ID, Status: 200, Changes: api.Changes{Revision: 99, Log: log}})
 			return
 		}
 	}
@@ -68,9 +69,9 @@
 	} {
 		for _, accepted := range []bool{true, false} {
 			n, _, _, _ := newTestOwner(t, testSpec(1))
-			n.core.storeHealthy = true
+			n.core.StoreHealthy = true
 			body := submission(t, tc.change)
-			n.jobs.Submit(Submit{Req: 1, Body: body})
+			n.jobs.Submit(message.Submit{Req: 1, Body: body})
 			if status, _ := replyTo(n, 1); status != 0 {
 				t.Errorf("%s: answered %d before anything was read", what, status)
 				continue
@@ -90,9 +91,9 @@
 			answerRead(t, n, log...)
 			if !accepted { // it is in no book: its final state is looked for
 				n.jobs.SendResultLookup()
-				for _, e := range n.core.effects {
-					if c, ok := e.(StoreCall); ok && c.Get != "" {
-						n.dispatch(StoreResponse{ID: c.ID, Status: 404})
+				for _, e := range n.core.Effects {
+					if c, ok := e.(message.StoreCall); ok && c.Get != "" {
+						n.dispatch(message.StoreResponse{ID: c.ID, Status: 404})
 					}
 				}
 			}
@@ -109,17 +110,17 @@
 // been read anew since.
 func TestResultReadAfterQuery(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
-	n.core.storeHealthy = true
-	ask := func(req ReqID) {
-		n.jobs.Poll(Poll{Req: req, Ref: "run-9"})
+	n.core.StoreHealthy = true
+	ask := func(req message.ReqID) {
+		n.jobs.Poll(message.Poll{Req: req, Ref: "run-9"})
 		answerRead(t, n)
 	}
 	answer := func(status int, state string) {
 		n.jobs.resultLookups.nextAt = 0
 		n.jobs.SendResultLookup()
-		for _, e := range n.core.effects {
-			if c, ok := e.(StoreCall); ok && c.Get != "" && n.core.pendingCalls[c.ID] != nil {
-				n.dispatch(StoreResponse{ID: c.ID, Status: status, Pair: api.KeyValue{Value: json.RawMessage(state)}})
+		for _, e := range n.core.Effects {
+			if c, ok := e.(message.StoreCall); ok && c.Get != "" && n.core.PendingCalls[c.ID] != nil {
+				n.dispatch(message.StoreResponse{ID: c.ID, Status: status, Pair: api.KeyValue{Value: json.RawMessage(state)}})
 				return
 			}
 		}
--- a/controller/tenantadmin.go
+++ b/controller/tenantadmin.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"basaltwall/api"
+	"basaltwall/controller/message"
 	"basaltwall/tenant"
 )
 
@@ -66,7 +67,7 @@
 	return v
 }
 
-func (ts *TenantService) HandleTenantRequest(c AdminRequest) error {
+func (ts *TenantService) HandleTenantRequest(c message.AdminRequest) error {
 	if c.What == "tenants" {
 		out := []TenantView{}
 		for _, name := range ts.hosted.tenants.Names() {
@@ -92,7 +93,7 @@
 		return nil
 	case "usage":
 		v := ts.viewUsage(entry)
-		v.Controller, v.Submissions = ts.core.config.Label, ts.hosted.submissions[name]
+		v.Controller, v.Submissions = ts.core.Config.Label, ts.hosted.submissions[name]
 		ts.core.Reply(c.Req, 200, v, 0)
 		return nil
 	}
@@ -123,7 +124,7 @@
 		return err
 	}
 	for _, team := range updated.Teams {
-		if _, known := ts.core.teams[team]; !known {
+		if _, known := ts.core.Teams[team]; !known {
 			return &tenant.Error{Status: 422, Field: "teams", Reason: "there is no team " + string(team)}
 		}
 	}
@@ -132,7 +133,7 @@
 }
 
 // applyTenantChange is a tenant, who has so many jobs, after an act.
-func (ts *TenantService) applyTenantChange(c AdminRequest, t tenant.Tenant, request tenantRequest, openJobs int) (tenant.Tenant, *NewKeyView, error) {
+func (ts *TenantService) applyTenantChange(c message.AdminRequest, t tenant.Tenant, request tenantRequest, openJobs int) (tenant.Tenant, *NewKeyView, error) {
 	var err error
 	switch c.What {
 	case "tenant-put":
@@ -145,7 +146,7 @@
 		t.Display, t.Teams, t.Rate, t.Burst = request.Display, request.Teams, request.Rate, request.Burst
 		t.OpenJobs, t.Networks, t.Retention = request.OpenJobs, request.Networks, request.Retention
 	case "suspend":
-		t, err = t.Suspend(request.Why, request.Drain, ts.core.wallClock)
+		t, err = t.Suspend(request.Why, request.Drain, ts.core.WallClock)
 	case "resume":
 		t, err = t.Resume()
 	case "remove":
@@ -171,7 +172,7 @@
 
 // commitTenantChange writes a change and answers. With what holds a tenant's work the gate is
 // written, at the version that was read with it.
-func (ts *TenantService) commitTenantChange(c AdminRequest, updated tenant.Tenant, old *tenant.Entry, secret *NewKeyView) {
+func (ts *TenantService) commitTenantChange(c message.AdminRequest, updated tenant.Tenant, old *tenant.Entry, secret *NewKeyView) {
 	var previous tenant.Tenant
 	if old != nil {
 		previous = old.Tenant
@@ -184,7 +185,7 @@
 	ts.writeTenant(updated, old, extraWrites, func(status int, rev api.Revision) {
 		switch status {
 		case 200:
-			slog.Info("tenant changed", "tenant", updated.Name, "by", c.What, "key", c.keyID, "from", ts.clientAddr(c.Caller), "state", updated.State, "revision", rev)
+			slog.Info("tenant changed", "tenant", updated.Name, "by", c.What, "key", c.KeyID, "from", ts.clientAddr(c.Caller), "state", updated.State, "revision", rev)
 		case 400:
 			ts.core.ReplyError(c.Req, 400, "networks: the record is too large")
 			return
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -9,6 +9,8 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/sched"
 )
 
@@ -30,18 +32,18 @@
 const unmetDemandExpiry = 4 * unmetDemandRecheckInterval
 
 // UnmetDemandOf describes a job that found no room in its part.
-func (bl *Balancer) UnmetDemandOf(owned *ownedPartition, j *Job, request *sched.Job) UnmetDemand {
-	if j.OwnerState.unmetSince == 0 || bl.core.now.Sub(j.OwnerState.unmetSeenAt) > unmetDemandExpiry {
-		j.OwnerState.unmetSince = bl.core.now
+func (bl *Balancer) UnmetDemandOf(owned *core.OwnedPartition, j *core.Job, request *sched.Job) message.UnmetDemand {
+	if j.OwnerState.UnmetSince == 0 || bl.core.Now.Sub(j.OwnerState.UnmetSeenAt) > unmetDemandExpiry {
+		j.OwnerState.UnmetSince = bl.core.Now
 	}
-	j.OwnerState.unmetSeenAt = bl.core.now
-	demand := UnmetDemand{Spec: j.Spec, Zones: request.PlacedByZone, Zone: bl.preferredZone(j.Spec), Stage: request.AgingStage}
+	j.OwnerState.UnmetSeenAt = bl.core.Now
+	demand := message.UnmetDemand{Spec: j.Spec, Zones: request.PlacedByZone, Zone: bl.preferredZone(j.Spec), Stage: request.AgingStage}
 	if j.Spec.OneZone {
 		for zone := range request.PlacedByZone {
 			demand.Zone = zone // where its tasks are
 		}
 	}
-	if bl.core.now.Sub(j.OwnerState.unmetSince) > transferWait {
+	if bl.core.Now.Sub(j.OwnerState.UnmetSince) > transferWait {
 		demand.Lenders = bl.findLenders(owned, j, &demand)
 	}
 	return demand
@@ -50,11 +52,11 @@
 // findLenders are the parts whose machines have most room for a job that finds none in its own,
 // as many as it takes; none if all together have too little, which for a gang is room for less
 // than all of it.
-func (bl *Balancer) findLenders(owned *ownedPartition, j *Job, demand *UnmetDemand) []api.PartitionID {
+func (bl *Balancer) findLenders(owned *core.OwnedPartition, j *core.Job, demand *message.UnmetDemand) []api.PartitionID {
 	cpuOnly := bl.c.scheduler.IsCPUOnly(j.Spec)
-	slots := make([]int, len(bl.core.state.Partitions))
+	slots := make([]int, len(bl.core.State.Partitions))
 	var machines []sched.Machine
-	bl.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+	bl.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		if !k.Usable || demand.Zone != "" && k.Zone != demand.Zone || !bl.c.scheduler.IsEligible(j.Spec, cpuOnly, k.Type, k.Zone, k.Spot) || !sched.ZoneFeasible(j.Spec, demand.Zones, k.Zone) {
 			return
 		}
@@ -69,13 +71,13 @@
 	if j.Spec.Kind == api.Gang && !sched.FitsAll(machines, j.Spec) {
 		return nil
 	}
-	missing := j.PendingTasks(owned.id)
+	missing := j.PendingTasks(owned.Id)
 	if j.Spec.Kind == api.Gang {
-		missing -= slots[owned.id]
+		missing -= slots[owned.Id]
 	}
 	var others []api.PartitionID
 	for p, s := range slots {
-		if api.PartitionID(p) != owned.id && s > 0 {
+		if api.PartitionID(p) != owned.Id && s > 0 {
 			others = append(others, api.PartitionID(p))
 		}
 	}
@@ -90,23 +92,23 @@
 
 // allSupportFormat reports whether every controller has told that it understands a form of records.
 func (bl *Balancer) allSupportFormat(format int) bool {
-	return !slices.ContainsFunc(bl.core.controllers, func(l api.ControllerID) bool { return bl.c.membership.memberFormats[l] < format })
+	return !slices.ContainsFunc(bl.core.Controllers, func(l api.ControllerID) bool { return bl.c.membership.memberFormats[l] < format })
 }
 
 // selectTransferMachine is the machine of a part that has room for most of a job's tasks and, of
 // those, holds fewest others; nil if none can be lent with what runs there.
-func (bl *Balancer) selectTransferMachine(owned *ownedPartition, demand *UnmetDemand, cpuOnly bool) *Machine {
-	if !slices.Contains(demand.Lenders, owned.id) || bl.c.scheduler.IsRecordRingFull(owned) || !bl.allSupportFormat(clusterstate.FormatTransfers) {
+func (bl *Balancer) selectTransferMachine(owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) *core.Machine {
+	if !slices.Contains(demand.Lenders, owned.Id) || bl.c.scheduler.IsRecordRingFull(owned) || !bl.allSupportFormat(clusterstate.FormatTransfers) {
 		return nil
 	}
-	var best *Machine
+	var best *core.Machine
 	bestSlots := 0
-	for _, m := range bl.c.agents.MachinesOf(owned.id) {
+	for _, m := range bl.c.agents.MachinesOf(owned.Id) {
 		if bl.c.preemptor.ReservedFor(m) != "" || !bl.isLendable(m, owned, demand, cpuOnly) || !bl.isTransferable(m, owned) {
 			continue
 		}
 		slots := min(demand.Spec.Demand().Slots(bl.c.scheduler.FreeCapacityOn(m, owned)), demand.Spec.Tasks)
-		if slots > bestSlots || best != nil && slots == bestSlots && len(bl.core.state.PlacementsOn(m.ID)) < len(bl.core.state.PlacementsOn(best.ID)) {
+		if slots > bestSlots || best != nil && slots == bestSlots && len(bl.core.State.PlacementsOn(m.ID)) < len(bl.core.State.PlacementsOn(best.ID)) {
 			best, bestSlots = m, slots
 		}
 	}
@@ -116,14 +118,14 @@
 // isTransferable reports whether all that is on a machine can go with it: tasks that are known to
 // have arrived there, are not being stopped, and whose jobs neither hold units of pools nor have
 // to be stopped together.
-func (bl *Balancer) isTransferable(m *Machine, owned *ownedPartition) bool {
-	if m.hasUnknownTasks || m.untrackedUsage != (api.Resources{}) || m.uncertainToken != 0 {
+func (bl *Balancer) isTransferable(m *core.Machine, owned *core.OwnedPartition) bool {
+	if m.HasUnknownTasks || m.UntrackedUsage != (api.Resources{}) || m.UncertainToken != 0 {
 		return false
 	}
 	jobs := map[api.JobID]bool{}
-	for _, p := range bl.core.state.PlacementsOn(m.ID) {
+	for _, p := range bl.core.State.PlacementsOn(m.ID) {
 		s := p.Job.Spec
-		if p.Partition != owned.id || p.Finishing || p.OwnerState.stopRequested || !p.OwnerState.reported || p.Job.Terminal() || s.Kind == api.Gang || len(s.Needs) > 0 {
+		if p.Partition != owned.Id || p.Finishing || p.OwnerState.StopRequested || !p.OwnerState.Reported || p.Job.Terminal() || s.Kind == api.Gang || len(s.Needs) > 0 {
 			return false
 		}
 		jobs[p.Job.ID] = true
@@ -132,27 +134,27 @@
 }
 
 // lendMachineWithTasks lends a machine to another part together with its tasks.
-func (bl *Balancer) lendMachineWithTasks(owned *ownedPartition, m *Machine, to api.PartitionID, jobID api.JobID) {
+func (bl *Balancer) lendMachineWithTasks(owned *core.OwnedPartition, m *core.Machine, to api.PartitionID, jobID api.JobID) {
 	key := clusterstate.KeyLoan + string(m.ID)
-	value, err := json.Marshal(clusterstate.LoanValue{Partition: to, Job: jobID, Transferred: true, Tasks: bl.core.state.StartsOn(m.ID)})
+	value, err := json.Marshal(clusterstate.LoanValue{Partition: to, Job: jobID, Transferred: true, Tasks: bl.core.State.StartsOn(m.ID)})
 	if err != nil || bl.core.ExceedsValueSize(value) {
 		return
 	}
-	round := &pendingRound{record: clusterstate.Record{Seq: bl.core.state.Partitions[owned.id].RoundSeq + 1}, ends: map[*Placement]bool{}, transfer: true}
-	round.txn.If = []api.Condition{bl.core.state.VersionCondition(key)}
-	round.txn.Writes = []api.Write{{Put: key, Value: value}}
+	round := &core.PendingRound{Record: clusterstate.Record{Seq: bl.core.State.Partitions[owned.Id].RoundSeq + 1}, Ends: map[*core.Placement]bool{}, Transfer: true}
+	round.Txn.If = []api.Condition{bl.core.State.VersionCondition(key)}
+	round.Txn.Writes = []api.Write{{Put: key, Value: value}}
 	use := map[api.Team]api.Resources{}
-	for _, p := range bl.core.state.PlacementsOn(m.ID) {
+	for _, p := range bl.core.State.PlacementsOn(m.ID) {
 		team, demand := p.Job.Spec.Team, p.Job.Demand
 		use[team] = use[team].Plus(api.Resources{CPU: demand.CPU, GPU: demand.GPU})
 		c := api.Condition{Key: clusterstate.KeyJob + string(p.Job.ID), Version: p.Job.Version}
-		if !slices.Contains(round.txn.If, c) {
-			round.txn.If = append(round.txn.If, c)
+		if !slices.Contains(round.Txn.If, c) {
+			round.Txn.If = append(round.Txn.If, c)
 		}
 	}
-	round.record.QuotaTransfers = bl.usedQuotaTransfers(to, use)
-	slog.Info("machine lent with running tasks", "machine", m.ID, "from", owned.id, "to", to, "for", jobID, "tasks", len(bl.core.state.PlacementsOn(m.ID)))
-	bl.core.metrics.MachinesTransferred++
+	round.Record.QuotaTransfers = bl.usedQuotaTransfers(to, use)
+	slog.Info("machine lent with running tasks", "machine", m.ID, "from", owned.Id, "to", to, "for", jobID, "tasks", len(bl.core.State.PlacementsOn(m.ID)))
+	bl.core.Metrics.MachinesTransferred++
 	bl.c.scheduler.CommitRound(owned, round)
 }
 
@@ -172,9 +174,9 @@
 // soon as its address is known, so that it learns our token and we learn what became of them.
 func (bl *Balancer) AdoptMachine(id api.MachineID) {
 	m := bl.c.agents.EnsureMachine(id)
-	m.discoveredAt, m.missedCalls = bl.core.now, 0
+	m.DiscoveredAt, m.MissedCalls = bl.core.Now, 0
 	if h, ok := bl.c.autoscaler.fleet.listedMachines[id]; ok {
-		m.applyListing(h)
+		m.ApplyListing(h)
 	}
 	bl.c.agents.ContactNow(m)
 }
--- a/controller/usage.go
+++ b/controller/usage.go
@@ -9,6 +9,8 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/tenant"
 )
 
@@ -43,7 +45,7 @@
 
 // recordKeyUse notes that a key was used.
 func (ts *TenantService) recordKeyUse(holder tenant.Name, key tenant.KeyID) {
-	u, at := keyUse{holder, key}, ts.core.wallClock-ts.core.wallClock%api.WallTime(lastUseGranularity.Milliseconds())
+	u, at := keyUse{holder, key}, ts.core.WallClock-ts.core.WallClock%api.WallTime(lastUseGranularity.Milliseconds())
 	usage := &ts.hosted.keyUses
 	if was, noted := usage.lastUsed[u]; noted && was >= at || ts.hosted.adminKey.ID == key {
 		return
@@ -60,18 +62,18 @@
 // flushKeyUses writes what was noted of uses, a transaction at a time.
 func (ts *TenantService) flushKeyUses() {
 	usage := &ts.hosted.keyUses
-	if usage.writeInFlight || len(usage.pending) == 0 || ts.core.now < usage.nextWrite || ts.core.Overloaded() || ts.core.StoreUnreachable() {
+	if usage.writeInFlight || len(usage.pending) == 0 || ts.core.Now < usage.nextWrite || ts.core.Overloaded() || ts.core.StoreUnreachable() {
 		return
 	}
-	usage.writeInFlight, usage.nextWrite = true, ts.core.now.Add(lastUseWriteInterval)
-	batch := usage.pending[:min(len(usage.pending), ts.core.config.Deployment.State.TxnOps)]
+	usage.writeInFlight, usage.nextWrite = true, ts.core.Now.Add(lastUseWriteInterval)
+	batch := usage.pending[:min(len(usage.pending), ts.core.Config.Deployment.State.TxnOps)]
 	usage.pending = slices.Clone(usage.pending[len(batch):])
-	tx := api.Txn{If: []api.Condition{ts.core.state.VersionCondition(clusterstate.KeyMember + string(ts.core.config.Label))}}
+	tx := api.Txn{If: []api.Condition{ts.core.State.VersionCondition(clusterstate.KeyMember + string(ts.core.Config.Label))}}
 	for _, u := range batch {
 		v, _ := json.Marshal(usage.lastUsed[u])
 		tx.Writes = append(tx.Writes, api.Write{Put: keyUsed + string(u.holder) + "/" + string(u.key), Value: v})
 	}
-	ts.core.CallStoreTxn(tx, func(a StoreResponse) {
+	ts.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		usage.writeInFlight = false
 		if a.Status != 200 {
 			usage.pending = append(usage.pending, batch...)
@@ -80,9 +82,9 @@
 }
 
 // readKeyUses reads when a holder's keys were last used, as far as it has been written.
-func (ts *TenantService) readKeyUses(c AdminRequest, holder tenant.Name, callback func(map[tenant.KeyID]api.WallTime)) {
+func (ts *TenantService) readKeyUses(c message.AdminRequest, holder tenant.Name, callback func(map[tenant.KeyID]api.WallTime)) {
 	under := keyUsed + string(holder) + "/"
-	ts.core.CallStore(StoreCall{Page: &PageRequest{Prefix: under}}, func(a StoreResponse) {
+	ts.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: under}}, func(a message.StoreResponse) {
 		if a.Status != 200 {
 			ts.core.ReplyError(c.Req, 503, "state service not reachable")
 			return
@@ -147,7 +149,7 @@
 
 func (ts *TenantService) viewUsage(e *tenant.Entry) UsageView {
 	v := UsageView{OpenJobs: e.OpenJobLimit(), Teams: []TeamUsage{}}
-	for _, j := range ts.core.state.JobsByTenant[string(e.Name)] {
+	for _, j := range ts.core.State.JobsByTenant[string(e.Name)] {
 		v.RunningTasks += len(j.Placements)
 		for _, need := range j.Spec.Needs {
 			if j.LiveCount() > 0 {
@@ -161,13 +163,13 @@
 			continue
 		}
 		v.Open++
-		for p := range ts.core.state.Partitions {
+		for p := range ts.core.State.Partitions {
 			v.PendingTasks += j.PendingTasks(api.PartitionID(p))
 		}
 	}
 	total := ts.c.scheduler.TeamUsage()
 	for _, name := range e.Teams {
-		t, use := ts.core.teams[name], total[name]
+		t, use := ts.core.Teams[name], total[name]
 		v.Teams = append(v.Teams, TeamUsage{name, use.CPU.Float(), use.GPU.Float(), t.CPUs, t.GPUs, t.CPUsMax, t.GPUsMax})
 	}
 	return v
@@ -196,16 +198,16 @@
 )
 
 // queuePosition is a job's place in its tenant's list.
-func queuePosition(j *Job) string { return timeKey(j.AcceptedAt) + "-" + string(j.TenantJobID) }
+func queuePosition(j *core.Job) string { return timeKey(j.AcceptedAt) + "-" + string(j.TenantJobID) }
 
 // viewQueue is a page of a tenant's jobs that are not over, after a place in the list.
 func (ts *TenantService) viewQueue(e *tenant.Entry, after string, limit int) QueueView {
 	v := QueueView{Jobs: []UnfinishedJob{}}
-	jobs := slices.DeleteFunc(slices.Collect(maps.Values(ts.core.state.JobsByTenant[string(e.Name)])), (*Job).Terminal)
+	jobs := slices.DeleteFunc(slices.Collect(maps.Values(ts.core.State.JobsByTenant[string(e.Name)])), (*core.Job).Terminal)
 	v.Open = len(jobs)
-	slices.SortFunc(jobs, func(a, b *Job) int { return strings.Compare(queuePosition(a), queuePosition(b)) })
+	slices.SortFunc(jobs, func(a, b *core.Job) int { return strings.Compare(queuePosition(a), queuePosition(b)) })
 	total := ts.c.scheduler.TeamUsage()
-	from, found := slices.BinarySearchFunc(jobs, after, func(j *Job, at string) int { return strings.Compare(queuePosition(j), at) })
+	from, found := slices.BinarySearchFunc(jobs, after, func(j *core.Job, at string) int { return strings.Compare(queuePosition(j), at) })
 	if found {
 		from++
 	}
@@ -223,7 +225,7 @@
 
 // tenantPendingReason is why a job of a tenant waits, as far as it lies with the tenant itself: what
 // else there is on the machines is nobody's business.
-func (ts *TenantService) tenantPendingReason(e *tenant.Entry, j *Job, total map[api.Team]api.Resources) string {
+func (ts *TenantService) tenantPendingReason(e *tenant.Entry, j *core.Job, total map[api.Team]api.Resources) string {
 	need := j.Demand
 	need.Mem = 0
 	switch {
@@ -231,12 +233,12 @@
 		return ""
 	case !e.MayStartTasks():
 		return "suspended: " + e.Tenant.SuspendReason
-	case j.OwnerState.backoffUntil > ts.core.now:
+	case j.OwnerState.BackoffUntil > ts.core.Now:
 		return "its tasks failed: it is tried again later"
-	case !need.Fits(quotaLimit(ts.core.teams[j.Spec.Team]).Minus(total[j.Spec.Team])):
+	case !need.Fits(quotaLimit(ts.core.Teams[j.Spec.Team]).Minus(total[j.Spec.Team])):
 		return "the limit of team " + string(j.Spec.Team)
 	}
-	for p := range ts.core.state.Partitions {
+	for p := range ts.core.State.Partitions {
 		if j.PendingTasks(api.PartitionID(p)) > 0 && ts.c.pools.PendingReasonPool(j, api.PartitionID(p)) != "" {
 			return "units of a pool"
 		}
@@ -244,16 +246,7 @@
 	return ""
 }
 
-// TenantQuery asks for a tenant's own: a page of its jobs that are not over, or its usage.
-type TenantQuery struct {
-	Req    ReqID
-	What   string // "jobs" or "usage"
-	After  string
-	Limit  int
-	Caller Caller
-}
-
-func (ts *TenantService) HandleTenantQuery(c TenantQuery) {
+func (ts *TenantService) HandleTenantQuery(c message.TenantQuery) {
 	fail := func() { ts.core.ReplyError(c.Req, 503, "state service not reachable") }
 	ts.withTenant(c.Req, c.Caller, func(e *tenant.Entry) {
 		if c.What == "usage" {
--- a/controller/user.go
+++ b/controller/user.go
@@ -11,13 +11,15 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/fairqueue"
 	"basaltwall/sched"
 )
 
 // JobService answers users: submissions, queries and cancellations.
 type JobService struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	resultLookups        resultLookups
@@ -27,10 +29,10 @@
 	submitTokensAt       api.Time
 }
 
-func (js *JobService) Ready(c ReadinessProbe) {
+func (js *JobService) Ready(c message.ReadinessProbe) {
 	// Once the state has been read this node can serve, if need be through a
 	// peer; turning away the balancer in an outage would help nobody.
-	if js.core.loaded && len(js.core.machineTypes) > 0 {
+	if js.core.Loaded && len(js.core.MachineTypes) > 0 {
 		js.core.Reply(c.Req, 200, struct{}{}, 0)
 		return
 	}
@@ -39,7 +41,7 @@
 
 // JobStatus describes a job that the book holds.
 func (js *JobService) JobStatus(jobID api.JobID) (api.JobStatus, bool) {
-	if j := js.core.state.Jobs[jobID]; j != nil {
+	if j := js.core.State.Jobs[jobID]; j != nil {
 		s := api.JobStatus{JobID: jobID, State: j.State()}
 		done, running := j.CompletedCount, len(j.Placements)
 		if s.Terminal() {
@@ -48,7 +50,7 @@
 		s.Done, s.Running = &done, &running
 		return s, true
 	}
-	if state, ok := js.core.state.JobResults[jobID]; ok {
+	if state, ok := js.core.State.JobResults[jobID]; ok {
 		return api.JobStatus{JobID: jobID, State: state}, true
 	}
 	return api.JobStatus{}, false
@@ -71,7 +73,7 @@
 		found(s)
 		return
 	}
-	js.resultLookups.waiters[jobID] = append(js.resultLookups.waiters[jobID], resultWaiter{js.core.now, js.resultLookups.queue.Add(jobID), found, notFound, fail})
+	js.resultLookups.waiters[jobID] = append(js.resultLookups.waiters[jobID], resultWaiter{js.core.Now, js.resultLookups.queue.Add(jobID), found, notFound, fail})
 }
 
 // ForwardTargets are the peers that reach the state service, by turns another one first: one that
@@ -79,7 +81,7 @@
 func (js *JobService) ForwardTargets() []api.ControllerID {
 	var out []api.ControllerID
 	for _, label := range slices.Sorted(maps.Keys(js.c.gossiper.peers)) {
-		if p := js.c.gossiper.peers[label]; p.gossip.StateOK && p.receivedAt != 0 && js.core.now.Sub(p.receivedAt) < 3*gossipInterval {
+		if p := js.c.gossiper.peers[label]; p.gossip.StateOK && p.receivedAt != 0 && js.core.Now.Sub(p.receivedAt) < 3*core.GossipInterval {
 			out = append(out, label)
 		}
 	}
@@ -94,10 +96,10 @@
 
 // Forward passes a request to a peer that reaches the state service, and to another if that
 // does not answer, or refuses it at once.
-func (js *JobService) Forward(req ReqID, f Forward, forwarded bool) {
+func (js *JobService) Forward(req message.ReqID, f message.Forward, forwarded bool) {
 	targets := js.ForwardTargets()
 	if forwarded || len(targets) == 0 {
-		js.core.metrics.RequestsWithoutRead++
+		js.core.Metrics.RequestsWithoutRead++
 		js.core.ReplyError(req, 503, "state service not reachable")
 		return
 	}
@@ -105,19 +107,19 @@
 	js.forwardTo(req, f, targets[:min(len(targets), 2)])
 }
 
-func (js *JobService) forwardTo(req ReqID, f Forward, targets []api.ControllerID) {
-	timeout := peerTimeout
+func (js *JobService) forwardTo(req message.ReqID, f message.Forward, targets []api.ControllerID) {
+	timeout := core.PeerTimeout
 	if len(targets) > 1 {
 		timeout = forwardTimeout
 	}
-	js.core.CallPeer(targets[0], timeout, PeerMessage{Forward: &f}, func(a PeerResponse) {
+	js.core.CallPeer(targets[0], timeout, message.PeerMessage{Forward: &f}, func(a message.PeerResponse) {
 		switch {
 		case a.OK && a.Reply.Status != 0:
 			js.core.ReplyFromPeer(req, a.Reply)
 		case len(targets) > 1:
 			js.forwardTo(req, f, targets[1:])
 		default:
-			js.core.metrics.RequestsWithoutRead++
+			js.core.Metrics.RequestsWithoutRead++
 			js.core.ReplyError(req, 503, "no peer answers")
 		}
 	})
@@ -125,10 +127,10 @@
 
 // ShouldForward reports whether a request is better passed on to a peer at once.
 func (js *JobService) ShouldForward(forwarded bool) bool {
-	return !js.core.loaded || js.core.StoreUnreachable() && !forwarded && len(js.ForwardTargets()) > 0
+	return !js.core.Loaded || js.core.StoreUnreachable() && !forwarded && len(js.ForwardTargets()) > 0
 }
 
-func (js *JobService) Poll(c Poll) {
+func (js *JobService) Poll(c message.Poll) {
 	if js.c.tenancy.hosted != nil {
 		js.c.tenancy.PollHosted(c)
 		return
@@ -142,12 +144,12 @@
 		js.core.Reply(c.Req, 200, s, 0)
 		return
 	}
-	if eligible, retryIn := fairqueue.Admit(jobID, js.core.wallClock, fairqueue.SliceCount(js.core.metrics.usage.QueuedRequests, overloadQueueLength)); !eligible {
-		js.core.metrics.PollsDeferred++
+	if eligible, retryIn := fairqueue.Admit(jobID, js.core.WallClock, fairqueue.SliceCount(js.core.Metrics.Usage.QueuedRequests, core.OverloadQueueLength)); !eligible {
+		js.core.Metrics.PollsDeferred++
 		js.core.Reply(c.Req, 503, api.ErrorBody{Error: "overloaded: other jobs have their turn"}, int(retryIn.Seconds())+1)
 		return
 	}
-	forward := func() { js.Forward(c.Req, Forward{Kind: "poll", Ref: c.Ref}, c.Forwarded) }
+	forward := func() { js.Forward(c.Req, message.Forward{Kind: "poll", Ref: c.Ref}, c.Forwarded) }
 	if js.ShouldForward(c.Forwarded) {
 		forward()
 		return
@@ -178,19 +180,19 @@
 
 // InfeasibleReason says why a job can never run, or nothing.
 func (js *JobService) InfeasibleReason(s *api.JobSpec) string {
-	team, ok := js.core.teams[s.Team]
+	team, ok := js.core.Teams[s.Team]
 	if !ok {
 		return "bottega: unknown team"
 	}
 	demand := s.Demand()
 	feasibleZones := map[api.Zone]bool{}
-	for _, t := range js.core.machineTypes {
+	for _, t := range js.core.MachineTypes {
 		if !demand.Fits(t.Capacity()) {
 			continue
 		}
 		zones := t.Zones
 		if len(zones) == 0 {
-			zones = js.core.config.Deployment.Zones
+			zones = js.core.Config.Deployment.Zones
 		}
 		for _, z := range zones {
 			if sched.Feasible(s, t.Name, z, false) {
@@ -218,7 +220,7 @@
 // specTooLarge is why a job is refused whose record would exceed a value: its allowed types may be many.
 const specTooLarge = "banchi: too long"
 
-func (js *JobService) Submit(c Submit) {
+func (js *JobService) Submit(c message.Submit) {
 	if js.c.tenancy.hosted != nil {
 		js.c.tenancy.SubmitHosted(c, 2)
 		return
@@ -228,7 +230,7 @@
 		js.core.ReplyError(c.Req, 400, err.Error())
 		return
 	}
-	forward := func() { js.Forward(c.Req, Forward{Kind: "submit", Body: c.Body}, c.Forwarded) }
+	forward := func() { js.Forward(c.Req, message.Forward{Kind: "submit", Body: c.Body}, c.Forwarded) }
 	replyKnown := func(s api.JobStatus) {
 		js.core.Reply(c.Req, 200, api.JobStatus{JobID: s.JobID, State: s.State}, 0)
 	}
@@ -236,11 +238,11 @@
 		replyKnown(s)
 		return
 	}
-	if js.ShouldForward(c.Forwarded) || len(js.core.machineTypes) == 0 {
+	if js.ShouldForward(c.Forwarded) || len(js.core.MachineTypes) == 0 {
 		forward()
 		return
 	}
-	if _, ok := js.core.state.Jobs[spec.Ref]; ok {
+	if _, ok := js.core.State.Jobs[spec.Ref]; ok {
 		js.LookupJob(spec.Ref, replyKnown, forward, forward)
 		return
 	}
@@ -257,7 +259,7 @@
 		js.core.ReplyError(c.Req, 503, "more submissions at once than the state service can take")
 		return
 	}
-	v, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: js.SplitAcrossPartitions(spec), AcceptedAt: js.core.wallClock})
+	v, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: js.SplitAcrossPartitions(spec), AcceptedAt: js.core.WallClock})
 	if err != nil || js.core.JobExceedsValueSize(v) {
 		refuse(400, specTooLarge)
 		return
@@ -265,12 +267,12 @@
 	jobKey, resultKey := clusterstate.KeyJob+string(spec.Ref), clusterstate.KeyJobResult+string(spec.Ref)
 	// With a peer that can help, an answer that does not come soon is not
 	// waited for: the peer may write the same job, and one of the two counts.
-	timeout := storeTimeout
+	timeout := core.StoreTimeout
 	if !c.Forwarded && len(js.ForwardTargets()) > 0 {
-		timeout = storeSlowAfter
+		timeout = core.StoreSlowAfter
 	}
 	tx := api.Txn{If: []api.Condition{{Key: jobKey}, {Key: resultKey}}, Writes: []api.Write{{Put: jobKey, Value: v}}}
-	js.core.CallStore(StoreCall{Txn: &tx, Timeout: timeout}, func(a StoreResponse) {
+	js.core.CallStore(message.StoreCall{Txn: &tx, Timeout: timeout}, func(a message.StoreResponse) {
 		switch a.Status {
 		case 200:
 			js.core.Reply(c.Req, 201, api.JobStatus{JobID: spec.Ref, State: api.JobPending}, 0)
@@ -294,12 +296,12 @@
 // controller has as many.
 func (js *JobService) allowSubmission() bool {
 	share := submissionWriteShare
-	if js.c.reservations.reservationLedger.wroteAt != 0 && js.core.now.Sub(js.c.reservations.reservationLedger.wroteAt) < ledgerActiveWindow {
+	if js.c.reservations.reservationLedger.wroteAt != 0 && js.core.Now.Sub(js.c.reservations.reservationLedger.wroteAt) < ledgerActiveWindow {
 		share -= ledgerWriteShare
 	}
-	rate := share * js.core.config.Deployment.State.WriteRPS / float64(max(1, len(js.core.state.Members)))
-	js.submitTokens = min(max(1, rate), js.submitTokens+rate*js.core.now.Sub(js.submitTokensAt).Seconds())
-	js.submitTokensAt = js.core.now
+	rate := share * js.core.Config.Deployment.State.WriteRPS / float64(max(1, len(js.core.State.Members)))
+	js.submitTokens = min(max(1, rate), js.submitTokens+rate*js.core.Now.Sub(js.submitTokensAt).Seconds())
+	js.submitTokensAt = js.core.Now
 	if js.submitTokens < 1 {
 		return false
 	}
@@ -309,7 +311,7 @@
 
 // SplitAcrossPartitions gives a new job's tasks to parts by their free room.
 func (js *JobService) SplitAcrossPartitions(s *api.JobSpec) []clusterstate.TaskRange {
-	partitions := len(js.core.state.Partitions)
+	partitions := len(js.core.State.Partitions)
 	weights := make([]float64, partitions)
 	freeSlots := js.FreeSlotsByPartition(s)
 	for i := range weights {
@@ -361,10 +363,10 @@
 
 // FreeSlotsByPartition counts how many tasks of a job each part could start now.
 func (js *JobService) FreeSlotsByPartition(s *api.JobSpec) []int {
-	slots := make([]int, len(js.core.state.Partitions))
+	slots := make([]int, len(js.core.State.Partitions))
 	demand := s.Demand()
 	cpuOnly := js.c.scheduler.IsCPUOnly(s)
-	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
+	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		if k.Usable && !(cpuOnly && k.Closed) && sched.Feasible(s, k.Type, k.Zone, k.Spot) {
 			slots[p] += r.Count * demand.Slots(r.Free)
 		}
@@ -375,10 +377,10 @@
 // TotalSlotsByPartition counts how many tasks of a job each part's machines could
 // hold if they were empty.
 func (js *JobService) TotalSlotsByPartition(s *api.JobSpec) []int {
-	slots := make([]int, len(js.core.state.Partitions))
+	slots := make([]int, len(js.core.State.Partitions))
 	demand, cpuOnly := s.Demand(), js.c.scheduler.IsCPUOnly(s)
-	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
-		machineType := js.core.machineTypes[k.Type]
+	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
+		machineType := js.core.MachineTypes[k.Type]
 		if k.Usable && machineType != nil && sched.Feasible(s, k.Type, k.Zone, k.Spot) && !(cpuOnly && machineType.GPUs > 0) {
 			slots[p] += r.Count * demand.Slots(machineType.Capacity())
 		}
@@ -388,7 +390,7 @@
 
 // HasAccelerators reports whether machines of a type have accelerators.
 func (js *JobService) HasAccelerators(t api.MachineTypeName) bool {
-	machineType := js.core.machineTypes[t]
+	machineType := js.core.MachineTypes[t]
 	return machineType != nil && machineType.GPUs > 0
 }
 
@@ -396,8 +398,8 @@
 // put after it.
 func (js *JobService) PendingTasksIn(p api.PartitionID, s *api.JobSpec) int {
 	count, demand := 0, s.Demand()
-	rules, level := len(js.core.settings.Priority) > 0, js.c.priorities.EffectivePriority(s)
-	for _, j := range js.core.state.PendingJobs {
+	rules, level := len(js.core.Settings.Priority) > 0, js.c.priorities.EffectivePriority(s)
+	for _, j := range js.core.State.PendingJobs {
 		if demand.GPU > 0 && j.Demand.GPU == 0 || js.c.tenancy.StartsBlocked(j) || rules && js.c.priorities.EffectivePriority(j.Spec) < level {
 			continue
 		}
@@ -411,7 +413,7 @@
 	return count
 }
 
-func (js *JobService) Cancel(c Cancel) {
+func (js *JobService) Cancel(c message.Cancel) {
 	if js.c.tenancy.hosted != nil {
 		js.c.tenancy.CancelHosted(c)
 		return
@@ -427,7 +429,7 @@
 		respond(s)
 		return
 	}
-	forward := func() { js.Forward(c.Req, Forward{Kind: "cancel", Ref: c.Ref}, c.Forwarded) }
+	forward := func() { js.Forward(c.Req, message.Forward{Kind: "cancel", Ref: c.Ref}, c.Forwarded) }
 	if js.ShouldForward(c.Forwarded) {
 		forward()
 		return
@@ -443,10 +445,10 @@
 		fail()
 		return
 	}
-	j := js.core.state.Jobs[jobID]
+	j := js.core.State.Jobs[jobID]
 	if j == nil || j.Terminal() {
 		js.LookupJob(jobID, func(s api.JobStatus) {
-			if j := js.core.state.Jobs[jobID]; j != nil && !j.Terminal() {
+			if j := js.core.State.Jobs[jobID]; j != nil && !j.Terminal() {
 				js.RecordCancellation(jobID, tries-1, respond, notFound, fail)
 				return
 			}
@@ -455,20 +457,20 @@
 		return
 	}
 	v := j.JobValue
-	v.Cancelled, v.CancelledAt = true, js.core.wallClock
+	v.Cancelled, v.CancelledAt = true, js.core.WallClock
 	data, err := json.Marshal(v)
 	if err != nil {
 		fail()
 		return
 	}
 	key := clusterstate.KeyJob + string(jobID)
-	js.core.CallStoreTxn(api.Txn{If: []api.Condition{{Key: key, Version: j.Version}}, Writes: []api.Write{{Put: key, Value: data}}}, func(a StoreResponse) {
+	js.core.CallStoreTxn(api.Txn{If: []api.Condition{{Key: key, Version: j.Version}}, Writes: []api.Write{{Put: key, Value: data}}}, func(a message.StoreResponse) {
 		if a.Status != 200 && a.Status != 409 {
 			fail()
 			return
 		}
 		js.LookupJob(jobID, func(s api.JobStatus) {
-			if j := js.core.state.Jobs[jobID]; j != nil && !j.Terminal() {
+			if j := js.core.State.Jobs[jobID]; j != nil && !j.Terminal() {
 				js.RecordCancellation(jobID, tries-1, respond, notFound, fail)
 				return
 			}
