--- a/controller/zones.go
+++ b/controller/zones.go
@@ -10,13 +10,15 @@
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
 	"basaltwall/sched"
 	"basaltwall/zonehealth"
 )
 
 // ZoneHealth watches whole zones and decides what a failed one gives up.
 type ZoneHealth struct {
-	core *Core
+	core *core.Core
 	c    *Controller
 
 	zones zoneTracker
@@ -64,25 +66,15 @@
 }
 
 // zoneRecordPartition is the part whose owner writes the zones' records.
-func (zh *ZoneHealth) zoneRecordPartition() *ownedPartition { return zh.c.scheduler.partitions[0] }
-
-// ToWallClock is the time of day of one of our times.
-func (k *Core) ToWallClock(t api.Time) api.WallTime {
-	return k.wallClock - api.WallTime(k.now.Sub(t).Milliseconds())
-}
-
-// FromWallClock is our time of a time of day, which may lie before this process began.
-func (k *Core) FromWallClock(w api.WallTime) api.Time {
-	return k.now.Add(-time.Duration(k.wallClock-w) * time.Millisecond)
-}
+func (zh *ZoneHealth) zoneRecordPartition() *core.OwnedPartition { return zh.c.scheduler.partitions[0] }
 
 // observeZones counts anew, now and then, what all controllers see of the zones.
 func (zh *ZoneHealth) observeZones() {
 	tracker := &zh.zones
-	if tracker.observations != nil && zh.core.now.Sub(tracker.observedAt) <= sweepInterval/2 {
+	if tracker.observations != nil && zh.core.Now.Sub(tracker.observedAt) <= core.SweepInterval/2 {
 		return
 	}
-	tracker.observedAt, tracker.observations, tracker.localObservation = zh.core.now, map[api.Zone]zonehealth.Assessment{}, zonehealth.Observation{}
+	tracker.observedAt, tracker.observations, tracker.localObservation = zh.core.Now, map[api.Zone]zonehealth.Assessment{}, zonehealth.Observation{}
 	for _, p := range slices.Sorted(maps.Keys(zh.c.scheduler.partitions)) {
 		mergeZoneCounts(tracker.localObservation, zh.SilentByZone(zh.c.scheduler.partitions[p]))
 	}
@@ -94,11 +86,11 @@
 		}
 		witnesses = append(witnesses, witness)
 	}
-	for _, name := range zh.core.config.Deployment.Zones {
+	for _, name := range zh.core.Config.Deployment.Zones {
 		observation := zonehealth.Assess(witnesses, name)
 		tracker.observations[name] = observation
 		if observation.Unreachable {
-			tracker.lastSilentAt[name] = zh.core.now
+			tracker.lastSilentAt[name] = zh.core.Now
 		}
 	}
 }
@@ -112,33 +104,33 @@
 
 // SilentByZone counts a part's machines by zone. What boots, as far as is known, and what a new
 // owner has neither heard nor called yet, says nothing.
-func (zh *ZoneHealth) SilentByZone(owned *ownedPartition) map[api.Zone]zonehealth.MachineCount {
+func (zh *ZoneHealth) SilentByZone(owned *core.OwnedPartition) map[api.Zone]zonehealth.MachineCount {
 	counts := map[api.Zone]zonehealth.MachineCount{}
-	for _, m := range zh.c.agents.MachinesOf(owned.id) {
-		if m.deleting && !m.unreachable {
+	for _, m := range zh.c.agents.MachinesOf(owned.Id) {
+		if m.Deleting && !m.Unreachable {
 			continue // it is we who do not answer it
 		}
-		if m.lastHeartbeat == 0 && (m.missedCalls == 0 || !zh.c.autoscaler.IsListedRunning(m) && len(zh.core.state.PlacementsOn(m.ID)) == 0) {
+		if m.LastHeartbeat == 0 && (m.MissedCalls == 0 || !zh.c.autoscaler.IsListedRunning(m) && len(zh.core.State.PlacementsOn(m.ID)) == 0) {
 			continue
 		}
-		c := counts[m.zone]
+		c := counts[m.Zone]
 		c.All++
 		// One that is only heard by way of peers speaks for a cut as well; one that
 		// reports to us again is back, though no call has been made to it yet.
-		if m.missedCalls > 0 && (m.lastHeartbeat == 0 || m.heartbeatForwarded) || zh.core.now.Sub(max(m.lastHeartbeat, owned.ownedSince)) > zh.core.config.HeartbeatInterval()+2*time.Second {
+		if m.MissedCalls > 0 && (m.LastHeartbeat == 0 || m.HeartbeatForwarded) || zh.core.Now.Sub(max(m.LastHeartbeat, owned.OwnedSince)) > zh.core.Config.HeartbeatInterval()+2*time.Second {
 			c.Silent++
-			if m.lastHeartbeat != 0 {
-				c.Heard = max(c.Heard, zh.core.ToWallClock(m.lastHeartbeat))
+			if m.LastHeartbeat != 0 {
+				c.Heard = max(c.Heard, zh.core.ToWallClock(m.LastHeartbeat))
 			}
 		}
-		counts[m.zone] = c
+		counts[m.Zone] = c
 	}
 	return counts
 }
 
 // ZoneState is a zone's state: what is recorded or, before that, what is seen.
 func (zh *ZoneHealth) ZoneState(name api.Zone) zonehealth.State {
-	if len(zh.core.config.Deployment.Zones) < 2 {
+	if len(zh.core.Config.Deployment.Zones) < 2 {
 		return zonehealth.Healthy // there is nothing to hold it against, nor anywhere else to go
 	}
 	zh.observeZones()
@@ -174,10 +166,10 @@
 // just now: when a cut ends, the last ones must have time to be heard again.
 func (zh *ZoneHealth) recentlySilent(silent bool, name api.Zone) bool {
 	if silent {
-		zh.zones.lastSilentAt[name] = zh.core.now
+		zh.zones.lastSilentAt[name] = zh.core.Now
 	}
 	at, seen := zh.zones.lastSilentAt[name]
-	return seen && zh.core.now.Sub(at) < zh.core.heartbeatTimeout+workerTimeout
+	return seen && zh.core.Now.Sub(at) < zh.core.HeartbeatTimeout+core.WorkerTimeout
 }
 
 // ReconcileZones keeps the zones' records, where that is ours to do.
@@ -186,29 +178,29 @@
 		if zh.core.IsLive(l) {
 			delete(zh.zones.controllerLostAt, l)
 		} else if zh.zones.controllerLostAt[l] == 0 {
-			zh.zones.controllerLostAt[l] = zh.core.now
+			zh.zones.controllerLostAt[l] = zh.core.Now
 		}
 	}
-	if zh.core.storeHealthy {
-		zh.zones.storeHealthyAt = zh.core.now
-	} else if zh.core.now.Sub(zh.zones.storeHealthyAt) > storeTimeout {
-		zh.zones.storeUnhealthyAt = zh.core.now
+	if zh.core.StoreHealthy {
+		zh.zones.storeHealthyAt = zh.core.Now
+	} else if zh.core.Now.Sub(zh.zones.storeHealthyAt) > core.StoreTimeout {
+		zh.zones.storeUnhealthyAt = zh.core.Now
 	}
 	owned := zh.zoneRecordPartition()
 	// Who was cut off until just now has old evidence: what is silent must have the time
 	// to be heard first.
-	if zh.zones.storeUnhealthyAt != 0 && zh.core.now.Sub(zh.zones.storeUnhealthyAt) < zh.core.heartbeatTimeout+workerTimeout {
+	if zh.zones.storeUnhealthyAt != 0 && zh.core.Now.Sub(zh.zones.storeUnhealthyAt) < zh.core.HeartbeatTimeout+core.WorkerTimeout {
 		return
 	}
-	if owned == nil || zh.zones.writeInFlight || len(zh.core.config.Deployment.Zones) < 2 {
+	if owned == nil || zh.zones.writeInFlight || len(zh.core.Config.Deployment.Zones) < 2 {
 		return
 	}
 	zh.observeZones()
-	times := zonehealth.Thresholds{FailAfter: zh.core.livenessTimeout, HealthyAfter: zh.core.heartbeatTimeout + workerTimeout, RetryEmptyAfter: 2 * zh.core.config.WorkerLease()}
-	for _, name := range zh.core.config.Deployment.Zones {
-		calm := zh.core.now.Sub(max(zh.zones.lastSilentAt[name], owned.ownedSince))
+	times := zonehealth.Thresholds{FailAfter: zh.core.LivenessTimeout, HealthyAfter: zh.core.HeartbeatTimeout + core.WorkerTimeout, RetryEmptyAfter: 2 * zh.core.Config.WorkerLease()}
+	for _, name := range zh.core.Config.Deployment.Zones {
+		calm := zh.core.Now.Sub(max(zh.zones.lastSilentAt[name], owned.OwnedSince))
 		previous := zh.zones.records[name]
-		record := previous.Next(zh.core.wallClock, zh.zones.observations[name], calm, times, zh.partitionsInside(name))
+		record := previous.Next(zh.core.WallClock, zh.zones.observations[name], calm, times, zh.partitionsInside(name))
 		if record.SameState(previous) {
 			continue
 		}
@@ -220,9 +212,9 @@
 		}
 		zh.zones.writeInFlight = true
 		observation := zh.zones.observations[name]
-		zh.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.ownershipCondition(), zh.core.state.VersionCondition(key)}, Writes: []api.Write{{Put: key, Value: v}}}, func(a StoreResponse) {
+		zh.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.OwnershipCondition(), zh.core.State.VersionCondition(key)}, Writes: []api.Write{{Put: key, Value: v}}}, func(a message.StoreResponse) {
 			if a.Status == 200 {
-				slog.Info("zone state changed", "zone", name, "state", zoneStateName(record.State), "term", owned.term, "machines", observation.All, "silent", observation.Silent,
+				slog.Info("zone state changed", "zone", name, "state", zoneStateName(record.State), "term", owned.Term, "machines", observation.All, "silent", observation.Silent,
 					"for", float64(record.Since-max(previous.LastHeartbeat, record.LastHeartbeat))/1000, "inside", len(record.PartitionsInside))
 			}
 			zh.c.follower.LinearizableRead(func() { zh.zones.writeInFlight = false }, func() { zh.zones.writeInFlight = false })
@@ -243,10 +235,10 @@
 func (zh *ZoneHealth) partitionsInside(name api.Zone) []api.PartitionID {
 	lastHeard := cmp.Or(zh.zones.observations[name].Heard, zh.zones.records[name].LastHeartbeat)
 	var out []api.PartitionID
-	for i := range zh.core.state.Partitions {
+	for i := range zh.core.State.Partitions {
 		owner := zh.c.membership.PreferredOwner(api.PartitionID(i))
 		at, gone := zh.zones.controllerLostAt[owner]
-		if gone && zh.controllerZone(owner) == name && (at <= zh.core.startedAt.Add(time.Second) || zh.core.ToWallClock(at) >= lastHeard) {
+		if gone && zh.controllerZone(owner) == name && (at <= zh.core.StartedAt.Add(time.Second) || zh.core.ToWallClock(at) >= lastHeard) {
 			out = append(out, api.PartitionID(i))
 		}
 	}
@@ -255,35 +247,35 @@
 
 // controllerZone is the zone that a controller sits in.
 func (zh *ZoneHealth) controllerZone(l api.ControllerID) api.Zone {
-	for _, p := range zh.core.config.Peers {
+	for _, p := range zh.core.Config.Peers {
 		if p.Label == l {
 			return p.Zone
 		}
 	}
-	return zh.core.config.Zone
+	return zh.core.Config.Zone
 }
 
 // silentFor is for how long a machine has been silent, as far as is known.
-func (zh *ZoneHealth) silentFor(m *Machine, owned *ownedPartition) time.Duration {
-	last := max(m.lastHeartbeat, owned.ownedSince)
-	if m.lastHeartbeat == 0 {
-		last = max(last, m.discoveredAt)
-		if r := zh.zones.records[m.zone]; r.LastHeartbeat != 0 && zh.ZoneUnavailable(m.zone) {
+func (zh *ZoneHealth) silentFor(m *core.Machine, owned *core.OwnedPartition) time.Duration {
+	last := max(m.LastHeartbeat, owned.OwnedSince)
+	if m.LastHeartbeat == 0 {
+		last = max(last, m.DiscoveredAt)
+		if r := zh.zones.records[m.Zone]; r.LastHeartbeat != 0 && zh.ZoneUnavailable(m.Zone) {
 			last = min(last, zh.core.FromWallClock(r.LastHeartbeat)) // it was silent before the takeover, as its zone was
 		}
 	}
-	return zh.core.now.Sub(last)
+	return zh.core.Now.Sub(last)
 }
 
 // CheckLiveness deletes a machine that can't be reached: only the cloud's word that it is
 // gone proves its tasks over. Where its whole zone is silent, the plan decides; see giveUp.
-func (zh *ZoneHealth) CheckLiveness(m *Machine, owned *ownedPartition) {
+func (zh *ZoneHealth) CheckLiveness(m *core.Machine, owned *core.OwnedPartition) {
 	silence := zh.silentFor(m, owned)
-	timeout := zh.core.livenessTimeout
-	if m.reclaimNotice {
-		timeout = zh.core.config.HeartbeatInterval() + 2*time.Second
+	timeout := zh.core.LivenessTimeout
+	if m.ReclaimNotice {
+		timeout = zh.core.Config.HeartbeatInterval() + 2*time.Second
 	}
-	if m.lastHeartbeat == 0 && m.address != "" {
+	if m.LastHeartbeat == 0 && m.Address != "" {
 		// Since a takeover it has been called rather than waited for: its report need
 		// not come to us.
 		timeout /= 2
@@ -298,20 +290,20 @@
 		zh.c.autoscaler.ScheduleDeletion(m, owned, deleteReasonCancelled)
 		return
 	}
-	lease := zh.core.config.WorkerLease()
-	switch s := zh.ZoneState(m.zone); {
+	lease := zh.core.Config.WorkerLease()
+	switch s := zh.ZoneState(m.Zone); {
 	case s == zonehealth.Failed:
 		return
-	case (s != zonehealth.Healthy || zh.recentlySilent(false, m.zone)) && silence < 3*lease:
+	case (s != zonehealth.Healthy || zh.recentlySilent(false, m.Zone)) && silence < 3*lease:
 		return // it may come back with its tasks, or is just coming
 	}
-	if m.missedCalls < minMissedCalls && m.address != "" {
+	if m.MissedCalls < minMissedCalls && m.Address != "" {
 		return
 	}
-	if m.address == "" && (zh.c.autoscaler.fleet.listedAt == 0 || zh.c.autoscaler.fleet.listedAt.Sub(owned.ownedSince) < 2*api.Seconds(zh.core.config.Deployment.Cloud.ListLag)) {
+	if m.Address == "" && (zh.c.autoscaler.fleet.listedAt == 0 || zh.c.autoscaler.fleet.listedAt.Sub(owned.OwnedSince) < 2*api.Seconds(zh.core.Config.Deployment.Cloud.ListLag)) {
 		return // nobody has called it yet, for want of a list that could show where it is
 	}
-	if m.lastHeartbeat == 0 && !zh.c.autoscaler.IsListedRunning(m) && len(zh.core.state.PlacementsOn(m.ID)) == 0 {
+	if m.LastHeartbeat == 0 && !zh.c.autoscaler.IsListedRunning(m) && len(zh.core.State.PlacementsOn(m.ID)) == 0 {
 		return // still booting, as far as we know
 	}
 	if zh.recentlySilent(zh.inboundCutOff(), "") && silence < 2*lease {
@@ -322,9 +314,9 @@
 
 // cancellationOverdue reports whether a machine holds a task whose cancellation was told so long ago
 // that only the machine's deletion can still end it in time.
-func (zh *ZoneHealth) cancellationOverdue(m *Machine) bool {
-	return slices.ContainsFunc(zh.core.state.PlacementsOn(m.ID), func(p *Placement) bool {
-		return !p.Finishing && p.Job.Cancelled && time.Duration(zh.core.wallClock-p.Job.CancelledAt)*time.Millisecond >= zh.core.cancellationTimeout
+func (zh *ZoneHealth) cancellationOverdue(m *core.Machine) bool {
+	return slices.ContainsFunc(zh.core.State.PlacementsOn(m.ID), func(p *core.Placement) bool {
+		return !p.Finishing && p.Job.Cancelled && time.Duration(zh.core.WallClock-p.Job.CancelledAt)*time.Millisecond >= zh.core.CancellationTimeout
 	})
 }
 
@@ -335,20 +327,20 @@
 // EvacuateZones deletes machines of lost zones by the plan, once their leases are over: by then
 // their tasks are lost unless a controller inside keeps them.
 func (zh *ZoneHealth) EvacuateZones() {
-	if zh.core.now.Sub(zh.zones.evacuationPlannedAt) < evacuationInterval {
+	if zh.core.Now.Sub(zh.zones.evacuationPlannedAt) < evacuationInterval {
 		return
 	}
-	zh.zones.evacuationPlannedAt = zh.core.now
+	zh.zones.evacuationPlannedAt = zh.core.Now
 	zoneLost, capacityReduced := false, false
 	for _, r := range zh.zones.records {
 		zoneLost = zoneLost || r.State == zonehealth.Failed
 		capacityReduced = capacityReduced || r.State == zonehealth.Failed || r.State == zonehealth.Recovering
 	}
 	zh.zones.replacementDemand, zh.zones.unreachableTasks, zh.zones.expiredLeaseTasks = nil, nil, map[api.Zone]int{}
-	if !capacityReduced && zh.core.now.Sub(zh.zones.floorsComputedAt) < floorInterval {
+	if !capacityReduced && zh.core.Now.Sub(zh.zones.floorsComputedAt) < floorInterval {
 		return
 	}
-	zh.zones.classFloors, zh.zones.teamFloors, zh.zones.floorsComputedAt = nil, nil, zh.core.now
+	zh.zones.classFloors, zh.zones.teamFloors, zh.zones.floorsComputedAt = nil, nil, zh.core.Now
 	if !capacityReduced {
 		zh.computeFloors(false)
 		return
@@ -371,9 +363,9 @@
 // for those alone that have lacked it for as long as a job waits before its turn comes.
 func (zh *ZoneHealth) computeFloors(zoneLost bool) {
 	capacity := 0.0
-	classCounts := map[MachineClass]int{}
-	zh.c.gossiper.EachFreeCapacity(func(_ api.PartitionID, k MachineClass, r FreeCapacity) {
-		if typ := zh.core.machineTypes[k.Type]; typ != nil && k.Usable {
+	classCounts := map[message.MachineClass]int{}
+	zh.c.gossiper.EachFreeCapacity(func(_ api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
+		if typ := zh.core.MachineTypes[k.Type]; typ != nil && k.Usable {
 			capacity += typ.CPUs * float64(r.Count)
 			classCounts[k] += r.Count
 		}
@@ -384,19 +376,19 @@
 		slots := 0
 		for k, count := range classCounts {
 			if sched.Feasible(s, k.Type, k.Zone, k.Spot) {
-				slots += count * s.Demand().Slots(zh.core.machineTypes[k.Type].Capacity())
+				slots += count * s.Demand().Slots(zh.core.MachineTypes[k.Type].Capacity())
 			}
 		}
 		return float64(slots) * s.CPUs
 	}
 	maxUsable := map[api.Class]float64{}
 	remaining, usage := map[api.Team]api.Resources{}, zh.c.scheduler.TeamUsage()
-	for name, team := range zh.core.teams {
+	for name, team := range zh.core.Teams {
 		remaining[name] = quotaLimit(team).Minus(usage[name])
 	}
 	classes, teams := map[api.Class]zonehealth.Usage{}, map[api.Team]zonehealth.Usage{}
-	for _, ref := range slices.Sorted(maps.Keys(zh.core.state.Jobs)) {
-		j := zh.core.state.Jobs[ref]
+	for _, ref := range slices.Sorted(maps.Keys(zh.core.State.Jobs)) {
+		j := zh.core.State.Jobs[ref]
 		if j.Terminal() {
 			continue
 		}
@@ -405,7 +397,7 @@
 		pending := 0
 		usable := usableCPUs(j.Spec)
 		maxUsable[j.Spec.Class] = max(maxUsable[j.Spec.Class], usable)
-		if !zh.c.tenancy.StartsBlocked(j) && usable > 0 && (zoneLost || j.OwnerState.backoffUntil <= zh.core.now && len(j.Spec.Needs) == 0) {
+		if !zh.c.tenancy.StartsBlocked(j) && usable > 0 && (zoneLost || j.OwnerState.BackoffUntil <= zh.core.Now && len(j.Spec.Needs) == 0) {
 			// What is on lost machines is in the team's use already.
 			startable := min(max(0, j.Spec.Tasks-j.CompletedCount-running-lost), j.Demand.Slots(remaining[j.Spec.Team]))
 			remaining[j.Spec.Team] = remaining[j.Spec.Team].Minus(j.Demand.Times(startable))
@@ -415,7 +407,7 @@
 		held, demand := cpus*float64(running), cpus*float64(running+pending)
 		c, t := classes[j.Spec.Class], teams[j.Spec.Team]
 		share := zh.c.priorities.FairShareFloor(j.Spec)
-		patient := !zoneLost && share == 0 && !(pending > 0 && zonehealth.Starving(time.Duration(zh.core.wallClock-j.AcceptedAt)*time.Millisecond))
+		patient := !zoneLost && share == 0 && !(pending > 0 && zonehealth.Starving(time.Duration(zh.core.WallClock-j.AcceptedAt)*time.Millisecond))
 		classes[j.Spec.Class] = zonehealth.Usage{Allocated: c.Allocated + held, Demand: c.Demand + demand, NoFloor: patient && (c.NoFloor || c.Demand == 0), FloorShare: max(c.FloorShare, share)}
 		teams[j.Spec.Team] = zonehealth.Usage{Allocated: t.Allocated + held, Demand: t.Demand + demand, NoFloor: patient && (t.NoFloor || t.Demand == 0)}
 	}
@@ -428,12 +420,12 @@
 
 // ownedShare is the share of the parts that are ours.
 func (zh *ZoneHealth) ownedShare() float64 {
-	return float64(len(zh.c.scheduler.partitions)) / float64(len(zh.core.state.Partitions))
+	return float64(len(zh.c.scheduler.partitions)) / float64(len(zh.core.State.Partitions))
 }
 
 // IsPreemptible reports whether a task may give way: while a zone is lost, no class and no team
 // goes below its floor.
-func (zh *ZoneHealth) IsPreemptible(p *Placement) bool {
+func (zh *ZoneHealth) IsPreemptible(p *core.Placement) bool {
 	if zh.zones.classFloors == nil {
 		return true
 	}
@@ -445,7 +437,7 @@
 
 // StartAllowance is how many more of a job's tasks may start: while a zone is lost, no class and no
 // team takes what would leave less than the floors of the others.
-func (zh *ZoneHealth) StartAllowance(j *Job) int {
+func (zh *ZoneHealth) StartAllowance(j *core.Job) int {
 	c, known := zh.zones.classFloors[j.Spec.Class]
 	if !known || j.Demand.CPU <= 0 {
 		return j.Spec.Tasks // none is lost, or the class is new since the last count
@@ -479,11 +471,11 @@
 // ZoneSilenceSeconds is for how long a lost zone has been silent, in seconds.
 func (zh *ZoneHealth) ZoneSilenceSeconds(name api.Zone) float64 {
 	r := zh.zones.records[name]
-	return max(0, float64(zh.core.wallClock-cmp.Or(r.LastHeartbeat, r.Since))/1000)
+	return max(0, float64(zh.core.WallClock-cmp.Or(r.LastHeartbeat, r.Since))/1000)
 }
 
-func (zh *ZoneHealth) evacuatePartition(owned *ownedPartition) {
-	input := &zonehealth.Input{PlacedByZone: map[api.JobID]map[api.Zone]int{}, RemainingQuota: zh.c.scheduler.RemainingQuota(owned.id), PreemptingRank: preemptorRank,
+func (zh *ZoneHealth) evacuatePartition(owned *core.OwnedPartition) {
+	input := &zonehealth.Input{PlacedByZone: map[api.JobID]map[api.Zone]int{}, RemainingQuota: zh.c.scheduler.RemainingQuota(owned.Id), PreemptingRank: preemptorRank,
 		ExpectedOutage: func(name api.Zone) float64 {
 			return zh.zones.records[name].ExpectedRemaining(zh.ZoneSilenceSeconds(name))
 		},
@@ -491,19 +483,19 @@
 		Excluded: func(newTask *zonehealth.Task, r *zonehealth.FreeCapacity) bool {
 			return newTask.Spec.Kind == api.Service && zh.c.jobs.HasAccelerators(r.Type) && zh.c.scheduler.IsCPUOnly(newTask.Spec) || r.OtherPartition && newTask.Spec.NeedsSinglePartition()
 		}}
-	if input.MaxMachines <= 0 || zh.c.autoscaler.deletionFailures > 0 && zh.core.now < zh.c.autoscaler.nextDeletionAt {
+	if input.MaxMachines <= 0 || zh.c.autoscaler.deletionFailures > 0 && zh.core.Now < zh.c.autoscaler.nextDeletionAt {
 		return // decided anew when it can be done: until then a machine may come back
 	}
-	lostMachines := map[*Machine]bool{}
+	lostMachines := map[*core.Machine]bool{}
 	unreachable := map[api.JobID]int{} // tasks on silent machines
-	byID := map[api.MachineID]*Machine{}
-	for _, m := range zh.c.agents.MachinesOf(owned.id) {
-		if m.deleting || zh.zones.records[m.zone].State != zonehealth.Failed || zh.core.machineTypes[m.machineType] == nil || zh.silentFor(m, owned)+evacuationInterval < zh.core.config.WorkerLease() {
+	byID := map[api.MachineID]*core.Machine{}
+	for _, m := range zh.c.agents.MachinesOf(owned.Id) {
+		if m.Deleting || zh.zones.records[m.Zone].State != zonehealth.Failed || zh.core.MachineTypes[m.MachineType] == nil || zh.silentFor(m, owned)+evacuationInterval < zh.core.Config.WorkerLease() {
 			continue // the lease ends before the deletion does, or as it does
 		}
 		lostMachines[m] = true
 		byID[m.ID] = m
-		for _, p := range zh.core.state.PlacementsOn(m.ID) {
+		for _, p := range zh.core.State.PlacementsOn(m.ID) {
 			if !p.Finishing {
 				unreachable[p.Job.ID]++
 			}
@@ -513,11 +505,11 @@
 		return
 	}
 	usage := zh.c.scheduler.TeamUsage()
-	newTask := func(j *Job, i int, running api.Time) zonehealth.Task {
+	newTask := func(j *core.Job, i int, running api.Time) zonehealth.Task {
 		out := zonehealth.Task{ID: api.TaskID{Job: j.ID, Index: i}, Spec: j.Spec, Demand: j.Demand, WithinGuarantee: zh.c.scheduler.IsWithinGuarantee(j, usage),
 			RunningElsewhere: len(j.Placements) - j.FinishingCount - unreachable[j.ID], SlackSeconds: zh.deadlineSlack(j), PriorityBoost: zh.c.priorities.PriorityBoost(j.Spec)}
 		if running != 0 && j.Spec.Kind != api.Service {
-			out.LostWorkSeconds = zh.core.now.Sub(running).Seconds()
+			out.LostWorkSeconds = zh.core.Now.Sub(running).Seconds()
 			if j.Spec.Checkpoint > 0 {
 				out.LostWorkSeconds = min(out.LostWorkSeconds, j.Spec.Checkpoint)
 			}
@@ -532,52 +524,52 @@
 		}
 		return out
 	}
-	for _, m := range zh.c.agents.MachinesOf(owned.id) {
+	for _, m := range zh.c.agents.MachinesOf(owned.Id) {
 		switch {
 		case lostMachines[m]:
-			machine := zonehealth.Machine{ID: m.ID, Zone: m.zone, Capacity: zh.core.machineTypes[m.machineType].Capacity(), BootSeconds: zh.core.machineTypes[m.machineType].BootSeconds,
-				ControllerInside: slices.Contains(zh.zones.records[m.zone].PartitionsInside, owned.id)}
-			for _, p := range zh.core.state.PlacementsOn(m.ID) {
-				if !p.Finishing && !p.Job.Terminal() && p.Partition == owned.id {
-					machine.Tasks = append(machine.Tasks, newTask(p.Job, p.Task.Index, p.OwnerState.runningSince))
+			machine := zonehealth.Machine{ID: m.ID, Zone: m.Zone, Capacity: zh.core.MachineTypes[m.MachineType].Capacity(), BootSeconds: zh.core.MachineTypes[m.MachineType].BootSeconds,
+				ControllerInside: slices.Contains(zh.zones.records[m.Zone].PartitionsInside, owned.Id)}
+			for _, p := range zh.core.State.PlacementsOn(m.ID) {
+				if !p.Finishing && !p.Job.Terminal() && p.Partition == owned.Id {
+					machine.Tasks = append(machine.Tasks, newTask(p.Job, p.Task.Index, p.OwnerState.RunningSince))
 				}
 			}
 			input.Machines = append(input.Machines, machine)
-		case m.deleting:
-			for _, p := range zh.core.state.PlacementsOn(m.ID) {
+		case m.Deleting:
+			for _, p := range zh.core.State.PlacementsOn(m.ID) {
 				if !p.Finishing && !p.Job.Terminal() {
 					input.PendingTasks = append(input.PendingTasks, newTask(p.Job, p.Task.Index, 0))
 				}
 			}
 		case zh.c.scheduler.IsSchedulable(m, owned) && zh.c.preemptor.ReservedFor(m) == "":
-			input.FreeCapacity = append(input.FreeCapacity, zonehealth.FreeCapacity{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: zh.c.scheduler.FreeCapacityOn(m, owned), FreeAfterPreemption: zh.c.gossiper.PreemptibleCapacity(m, owned), Count: 1,
-				HasImage: func(img api.Image) bool { _, has := m.cachedImages[img]; return has }})
+			input.FreeCapacity = append(input.FreeCapacity, zonehealth.FreeCapacity{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Free: zh.c.scheduler.FreeCapacityOn(m, owned), FreeAfterPreemption: zh.c.gossiper.PreemptibleCapacity(m, owned), Count: 1,
+				HasImage: func(img api.Image) bool { _, has := m.CachedImages[img]; return has }})
 		}
 	}
 	// Other parts' room: arrays' waiting tasks are moved there, and empty machines lent.
 	// All parts look at it, so each counts on its share.
-	parts := len(zh.core.state.Partitions)
-	zh.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k MachineClass, r FreeCapacity) {
-		if p != owned.id && k.Usable && !k.Closed && zh.core.machineTypes[k.Type] != nil {
-			empty := r.Free == zh.core.machineTypes[k.Type].Capacity()
+	parts := len(zh.core.State.Partitions)
+	zh.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
+		if p != owned.Id && k.Usable && !k.Closed && zh.core.MachineTypes[k.Type] != nil {
+			empty := r.Free == zh.core.MachineTypes[k.Type].Capacity()
 			input.FreeCapacity = append(input.FreeCapacity, zonehealth.FreeCapacity{Type: k.Type, Zone: k.Zone, Spot: k.Spot, Free: r.Free, FreeAfterPreemption: r.Free, Count: (r.Count + parts - 1) / parts,
 				OtherPartition: !empty})
 		}
 	})
 	budget := maxPendingInPlan
-	for _, ref := range slices.Sorted(maps.Keys(zh.core.state.PendingJobs)) {
-		j := zh.core.state.PendingJobs[ref]
+	for _, ref := range slices.Sorted(maps.Keys(zh.core.State.PendingJobs)) {
+		j := zh.core.State.PendingJobs[ref]
 		if zh.c.tenancy.StartsBlocked(j) {
 			continue
 		}
-		for i := range min(j.PendingTasks(owned.id), budget) {
+		for i := range min(j.PendingTasks(owned.Id), budget) {
 			input.PendingTasks = append(input.PendingTasks, newTask(j, -1-i, 0))
 			budget--
 		}
 	}
 	for _, evacuation := range zonehealth.PlanEvacuation(input) {
 		m := byID[evacuation.Machine]
-		slog.Debug("machine evacuated with its zone", "machine", m.ID, "zone", m.zone, "tasks", len(zh.core.state.PlacementsOn(m.ID)), "placeable", len(evacuation.Placements))
+		slog.Debug("machine evacuated with its zone", "machine", m.ID, "zone", m.Zone, "tasks", len(zh.core.State.PlacementsOn(m.ID)), "placeable", len(evacuation.Placements))
 		zh.c.autoscaler.ScheduleDeletion(m, owned, deleteReasonZoneLost)
 	}
 }
@@ -590,8 +582,8 @@
 const maxPendingInPlan = 1000
 
 // deadlineSlack is how many seconds a job has until it can't be in time any more.
-func (zh *ZoneHealth) deadlineSlack(j *Job) float64 {
-	elapsed := max(0, float64(zh.core.wallClock-j.AcceptedAt)/1000)
+func (zh *ZoneHealth) deadlineSlack(j *core.Job) float64 {
+	elapsed := max(0, float64(zh.core.WallClock-j.AcceptedAt)/1000)
 	limits := zh.c.scheduler.CompletionObjectives(j.Spec)
 	for _, l := range limits {
 		if remaining := l - elapsed - j.Spec.Estimate; remaining >= 0 {
@@ -613,7 +605,7 @@
 func (zh *ZoneHealth) countUnreachableTasks() (replacements, unreachable map[api.JobID]int) {
 	replacements, unreachable = map[api.JobID]int{}, map[api.JobID]int{}
 	preemptible := api.Quantity(0)
-	zh.c.gossiper.EachFreeCapacity(func(_ api.PartitionID, k MachineClass, r FreeCapacity) {
+	zh.c.gossiper.EachFreeCapacity(func(_ api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		if k.Usable {
 			preemptible += r.Could.CPU * api.Quantity(r.Count)
 		}
@@ -624,13 +616,13 @@
 		if r.State != zonehealth.Failed {
 			continue
 		}
-		silence, lease := zh.ZoneSilenceSeconds(h.Zone), zh.core.config.WorkerLease().Seconds()
+		silence, lease := zh.ZoneSilenceSeconds(h.Zone), zh.core.Config.WorkerLease().Seconds()
 		leaseActive := silence < lease
 		replace := !slices.Contains(r.PartitionsInside, zh.c.agents.PartitionOf(id)) && r.OutlastProbability(max(lease, silence+zh.c.autoscaler.BootSeconds(h.Type)), silence) >= minReplacementProbability
-		if m := zh.c.agents.machines[id]; m != nil && (m.deleting || m.lastHeartbeat != 0 && zh.core.now.Sub(m.lastHeartbeat) < zh.core.heartbeatTimeout) {
+		if m := zh.c.agents.machines[id]; m != nil && (m.Deleting || m.LastHeartbeat != 0 && zh.core.Now.Sub(m.LastHeartbeat) < zh.core.HeartbeatTimeout) {
 			continue
 		}
-		for _, placement := range zh.core.state.PlacementsOn(id) {
+		for _, placement := range zh.core.State.PlacementsOn(id) {
 			if placement.Finishing || placement.Job.Terminal() {
 				continue
 			}
--- a/controller/zones_test.go
+++ b/controller/zones_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
 	"basaltwall/zonehealth"
 )
 
@@ -12,7 +13,7 @@
 	n, owned, m, j := newTestOwner(t, testSpec(2))
 	j.Spec.Class = "batch"
 	for i := range 2 {
-		n.core.state.AddPlacement(&Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Job: j})
+		n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Job: j})
 	}
 	urgent := &api.JobSpec{Ref: "run-2", Kind: api.Service, Class: "web", Team: "red", Priority: api.Production, Tasks: 1, CPUs: 8, MemGB: 1}
 	preempted := func(spare float64) int {
@@ -39,26 +40,26 @@
 func TestZoneEvidenceOfAMachine(t *testing.T) {
 	for _, tc := range []struct {
 		what        string
-		change      func(*Controller, *Machine)
+		change      func(*Controller, *core.Machine)
 		all, silent int
 	}{
-		{"heard", func(*Controller, *Machine) {}, 1, 0},
-		{"heard again after calls that failed", func(_ *Controller, m *Machine) { m.missedCalls = 4 }, 1, 0},
-		{"heard by way of a peer, and calls fail", func(_ *Controller, m *Machine) { m.missedCalls, m.heartbeatForwarded = 2, true }, 1, 1},
-		{"not heard for long", func(n *Controller, _ *Machine) { n.core.now = n.core.now.Add(n.core.config.WorkerLease()) }, 1, 1},
-		{"never heard nor called", func(_ *Controller, m *Machine) { m.lastHeartbeat = 0 }, 0, 0},
-		{"never heard, called in vain, not known to be up", func(_ *Controller, m *Machine) { m.lastHeartbeat, m.missedCalls = 0, 3 }, 0, 0},
-		{"never heard, called in vain, listed as up", func(n *Controller, m *Machine) {
-			m.lastHeartbeat, m.missedCalls = 0, 3
+		{"heard", func(*Controller, *core.Machine) {}, 1, 0},
+		{"heard again after calls that failed", func(_ *Controller, m *core.Machine) { m.MissedCalls = 4 }, 1, 0},
+		{"heard by way of a peer, and calls fail", func(_ *Controller, m *core.Machine) { m.MissedCalls, m.HeartbeatForwarded = 2, true }, 1, 1},
+		{"not heard for long", func(n *Controller, _ *core.Machine) { n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease()) }, 1, 1},
+		{"never heard nor called", func(_ *Controller, m *core.Machine) { m.LastHeartbeat = 0 }, 0, 0},
+		{"never heard, called in vain, not known to be up", func(_ *Controller, m *core.Machine) { m.LastHeartbeat, m.MissedCalls = 0, 3 }, 0, 0},
+		{"never heard, called in vain, listed as up", func(n *Controller, m *core.Machine) {
+			m.LastHeartbeat, m.MissedCalls = 0, 3
 			n.autoscaler.fleet.listedMachines[m.ID] = api.Instance{ID: m.ID, State: api.MachineRunning}
 		}, 1, 1},
-		{"being returned", func(n *Controller, m *Machine) {
+		{"being returned", func(n *Controller, m *core.Machine) {
 			n.autoscaler.ScheduleDeletion(m, n.scheduler.partitions[0], deleteReasonIdle)
-			n.core.now = n.core.now.Add(n.core.config.WorkerLease())
+			n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease())
 		}, 0, 0},
-		{"being given up", func(n *Controller, m *Machine) {
+		{"being given up", func(n *Controller, m *core.Machine) {
 			n.autoscaler.ScheduleDeletion(m, n.scheduler.partitions[0], deleteReasonZoneLost)
-			n.core.now = n.core.now.Add(n.core.config.WorkerLease())
+			n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease())
 		}, 1, 1},
 	} {
 		n, owned, m, _ := newTestOwner(t, testSpec(1))
--- a/internal/emulator/admin_model_test.go
+++ b/internal/emulator/admin_model_test.go
@@ -14,6 +14,8 @@
 
 	"basaltwall/api"
 	"basaltwall/controller"
+	"basaltwall/controller/message"
+
 	_ "basaltwall/internal/proptest"
 	"basaltwall/tenant"
 )
@@ -112,13 +114,13 @@
 }
 
 // send sends something to one controller; its answer is noted.
-func (h *requestHistory) send(controllerName string, a *recordedRequest, command func(controller.ReqID, controller.Caller) controller.Command) {
+func (h *requestHistory) send(controllerName string, a *recordedRequest, command func(message.ReqID, message.Caller) message.Command) {
 	a.sentAt, a.answeredAt = h.sim.Now, -1
 	h.requests = append(h.requests, a)
-	caller := controller.Caller{Auth: "Bearer " + h.secrets[a.keyName]}
+	caller := message.Caller{Auth: "Bearer " + h.secrets[a.keyName]}
 	h.sim.externalRequest(controllerName, 6*time.Second, func(answer func(int, []byte)) {
 		if n := h.sim.controllers[controllerName]; n != nil {
-			h.sim.callController(n, func(req controller.ReqID) controller.Command { return command(req, caller) }, answer)
+			h.sim.callController(n, func(req message.ReqID) message.Command { return command(req, caller) }, answer)
 		}
 	}, func(status int, body []byte) {
 		a.status, a.body, a.answeredAt = status, body, h.sim.Now
@@ -410,13 +412,13 @@
 			if a.operation == "key-add" {
 				a.createdKeyID = fmt.Sprintf("02%02x%02x0000000000", byte(sim.Tenants.keyCount), byte(sim.Tenants.keyCount>>8))
 			}
-			h.send(n, a, func(req controller.ReqID, c controller.Caller) controller.Command {
-				return controller.AdminRequest{Req: req, What: a.operation, ID: a.name, Sub: a.sub, Body: data, Random: &random, Caller: c}
+			h.send(n, a, func(req message.ReqID, c message.Caller) message.Command {
+				return message.AdminRequest{Req: req, What: a.operation, ID: a.name, Sub: a.sub, Body: data, Random: &random, Caller: c}
 			})
 		}
 		poll := func(controllerName, name, key string) {
-			h.send(controllerName, &recordedRequest{operation: "poll", name: name, keyName: key}, func(req controller.ReqID, c controller.Caller) controller.Command {
-				return controller.Poll{Req: req, Ref: "run-0", Caller: c}
+			h.send(controllerName, &recordedRequest{operation: "poll", name: name, keyName: key}, func(req message.ReqID, c message.Caller) message.Command {
+				return message.Poll{Req: req, Ref: "run-0", Caller: c}
 			})
 		}
 		names := []string{"kipper", "lopresti"}
@@ -462,16 +464,16 @@
 					ref := api.JobID(fmt.Sprintf("run-%d", pick))
 					a.job, a.teams = sim.Tenants.RegisterJob(tenant.Name(name), ref), []string{team}
 					if what == "poll" {
-						h.send(n, a, func(req controller.ReqID, c controller.Caller) controller.Command {
-							return controller.Poll{Req: req, Ref: string(ref), Caller: c}
+						h.send(n, a, func(req message.ReqID, c message.Caller) message.Command {
+							return message.Poll{Req: req, Ref: string(ref), Caller: c}
 						})
 						return
 					}
 					spec := &api.JobSpec{Ref: ref, Class: "try", Team: api.Team(team), Kind: api.Array, Priority: api.Normal, Tasks: 3, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1, Estimate: 3}
 					data, err := json.Marshal(submissionFields(spec))
 					sim.must(err)
-					h.send(n, a, func(req controller.ReqID, c controller.Caller) controller.Command {
-						return controller.Submit{Req: req, Body: data, Caller: c}
+					h.send(n, a, func(req message.ReqID, c message.Caller) message.Command {
+						return message.Submit{Req: req, Body: data, Caller: c}
 					})
 					return
 				case "tenant-put":
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/peer"
 )
 
@@ -215,7 +215,7 @@
 }
 
 // deliver carries a user's request to a controller.
-func (f *Fleet) deliver(name, method, path string, _ controller.Caller, body []byte, answer func(int, []byte)) {
+func (f *Fleet) deliver(name, method, path string, _ message.Caller, body []byte, answer func(int, []byte)) {
 	addr := f.sim.configs[name].APIAddr
 	f.Traffic.countMessage(FlowUsers)
 	go f.forward(f.userClient, method, addr, path, body, answer)
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -14,7 +14,7 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/internal/testport"
 )
 
@@ -226,7 +226,7 @@
 }
 
 // deliver sends a worker's report to a controller.
-func (l *Live) deliver(name, method, path string, _ controller.Caller, body []byte, answer func(int, []byte)) {
+func (l *Live) deliver(name, method, path string, _ message.Caller, body []byte, answer func(int, []byte)) {
 	go l.forward(&l.client, method, l.sim.configs[name].APIAddr, path, body, answer)
 }
 
--- a/internal/emulator/reservations.go
+++ b/internal/emulator/reservations.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 )
 
 // ReservationClients stand in for those who promise skips to building sites, by phone and in the portal,
@@ -75,8 +75,8 @@
 		if h == nil || h.controller == nil {
 			return
 		}
-		o.sim.callController(h, func(req controller.ReqID) controller.Command {
-			return controller.AdminRequest{Req: req, What: "skips-do", ID: depot, Sub: operation, Body: data}
+		o.sim.callController(h, func(req message.ReqID) message.Command {
+			return message.AdminRequest{Req: req, What: "skips-do", ID: depot, Sub: operation, Body: data}
 		}, answer)
 	}, func(status int, b []byte) {
 		var a reservationResponse
@@ -246,8 +246,8 @@
 		if h == nil || h.controller == nil {
 			return
 		}
-		o.sim.callController(h, func(req controller.ReqID) controller.Command {
-			return controller.AdminRequest{Req: req, What: "skips", ID: depot, After: after, Limit: 100}
+		o.sim.callController(h, func(req message.ReqID) message.Command {
+			return message.AdminRequest{Req: req, What: "skips", ID: depot, After: after, Limit: 100}
 		}, answer)
 	}, func(status int, b []byte) {
 		if status != 200 {
--- a/internal/emulator/restart_test.go
+++ b/internal/emulator/restart_test.go
@@ -8,6 +8,7 @@
 
 	"basaltwall/api"
 	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/tenant"
 )
 
@@ -64,7 +65,7 @@
 		pages, bytes = sim.Store.PagesRead, sim.Store.PageBytesRead
 		for _, name := range []tenant.Name{"tenant-0000", "tenant-1999"} {
 			for _, controllerName := range sim.controllerNames {
-				caller := controller.Caller{Auth: "Bearer " + sim.Tenants.secrets[name]}
+				caller := message.Caller{Auth: "Bearer " + sim.Tenants.secrets[name]}
 				sim.Users.Request(controllerName, "GET", api.PathJobs+"/run-1", caller, nil, 2*time.Second, func(status int, _ []byte) {
 					if status == 200 || status == 404 {
 						answered++
@@ -152,7 +153,7 @@
 			sim.Tenants.RegisterJob("tenant-0000", ref)
 			body, err := json.Marshal(submissionFields(&api.JobSpec{Ref: ref, Class: "try", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1, Estimate: 2}))
 			sim.must(err)
-			caller := controller.Caller{Auth: "Bearer " + sim.Tenants.secrets["tenant-0000"]}
+			caller := message.Caller{Auth: "Bearer " + sim.Tenants.secrets["tenant-0000"]}
 			sim.Users.Request(sim.controllerNames[i%3], "POST", api.PathJobs, caller, body, 5*time.Second, func(status int, _ []byte) {
 				switch status {
 				case 201:
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -14,6 +14,7 @@
 	"basaltwall/cloud"
 	"basaltwall/config"
 	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/httpx"
 	"basaltwall/peer"
 	"basaltwall/state"
@@ -112,7 +113,7 @@
 	// Deliver carries a user's request, or a copy of a worker's, to a controller; Report
 	// carries a worker's report, whose answer counts. Address
 	// names a new machine's address and OnWorker is told when it is up.
-	Deliver       func(name, method, path string, caller controller.Caller, body []byte, answer func(int, []byte))
+	Deliver       func(name, method, path string, caller message.Caller, body []byte, answer func(int, []byte))
 	SendHeartbeat func(wk *Worker, name string, body []byte, answer func(int, []byte))
 	Address       func(number int) string
 	OnWorker      func(*Worker)
@@ -125,9 +126,9 @@
 	name           string
 	controller     *controller.Controller
 	incarnation    int
-	pendingReplies map[controller.ReqID]func(controller.Reply)
-	lastRequest    controller.ReqID
-	inbox          []controller.Command
+	pendingReplies map[message.ReqID]func(message.Reply)
+	lastRequest    message.ReqID
+	inbox          []message.Command
 	stepScheduled  bool
 	startedAt      time.Duration
 
@@ -157,7 +158,7 @@
 	}
 	sim.Deliver = sim.deliverRequest
 	sim.SendHeartbeat = func(_ *Worker, name string, body []byte, answer func(int, []byte)) {
-		sim.Deliver(name, "POST", api.PathHeartbeat, controller.Caller{}, body, answer)
+		sim.Deliver(name, "POST", api.PathHeartbeat, message.Caller{}, body, answer)
 	}
 	sim.Address = func(number int) string { return fmt.Sprintf("10.1.0.%d:9000", number) }
 	sim.OnWorker = func(*Worker) {}
@@ -201,7 +202,7 @@
 	if old := sim.controllers[name]; old != nil {
 		incarnation = old.incarnation + 1
 	}
-	h := &controllerHost{name: name, incarnation: incarnation, pendingReplies: map[controller.ReqID]func(controller.Reply){}, startedAt: sim.Now,
+	h := &controllerHost{name: name, incarnation: incarnation, pendingReplies: map[message.ReqID]func(message.Reply){}, startedAt: sim.Now,
 		controller: controller.New(sim.configs[name], int64(sim.Now)+int64(incarnation))}
 	sim.controllers[name] = h
 	sim.tickController(h)
@@ -226,7 +227,7 @@
 	sim.After(controller.TickInterval, func() { sim.tickController(h) })
 }
 
-func (sim *Simulation) enqueueCommand(h *controllerHost, c controller.Command) {
+func (sim *Simulation) enqueueCommand(h *controllerHost, c message.Command) {
 	if h.controller == nil || sim.controllers[h.name] != h {
 		return
 	}
@@ -265,14 +266,14 @@
 }
 
 // performEffect carries out an effect through the real adapters.
-func (sim *Simulation) performEffect(h *controllerHost, e controller.Effect) {
+func (sim *Simulation) performEffect(h *controllerHost, e message.Effect) {
 	switch e := e.(type) {
-	case controller.Reply:
+	case message.Reply:
 		if answer := h.pendingReplies[e.Req]; answer != nil {
 			delete(h.pendingReplies, e.Req)
 			answer(e)
 		}
-	case controller.StoreCall:
+	case message.StoreCall:
 		method, target, body, err := state.Request(e)
 		sim.must(err)
 		loseReply := e.Txn != nil && sim.rand.Float64() < sim.ReplyLossRate
@@ -286,14 +287,14 @@
 					answer(status, body)
 				}
 			})
-		}, func(r httpx.Response, err error) controller.Command { return state.ParseResponse(e, r, err) })
-	case controller.CloudCall:
+		}, func(r httpx.Response, err error) message.Command { return state.ParseResponse(e, r, err) })
+	case message.CloudCall:
 		method, target, body, err := cloud.Request(e)
 		sim.must(err)
 		sim.roundTrip(h, EndpointCloud, 100*time.Millisecond, e.Timeout, func(answer func(int, []byte)) {
 			answer(sim.Cloud.Serve(method, target, body))
-		}, func(r httpx.Response, err error) controller.Command { return cloud.ParseResponse(e, r, err) })
-	case controller.WorkerCall:
+		}, func(r httpx.Response, err error) message.Command { return cloud.ParseResponse(e, r, err) })
+	case message.WorkerCall:
 		_, _, body, err := worker.Request(e)
 		sim.must(err)
 		sim.roundTrip(h, EndpointWorkers, 0, e.Timeout, func(answer func(int, []byte)) {
@@ -303,8 +304,8 @@
 					wk.handleCommands(body, func(status int, body []byte) { sim.transmitToZone(h.name, wk.zone, func() { answer(status, body) }) })
 				})
 			}
-		}, func(r httpx.Response, err error) controller.Command { return worker.ParseResponse(e, r, err) })
-	case controller.PeerCall:
+		}, func(r httpx.Response, err error) message.Command { return worker.ParseResponse(e, r, err) })
+	case message.PeerCall:
 		_, _, body, err := peer.Request(e)
 		sim.must(err)
 		sim.roundTrip(h, EndpointPeers, 0, e.Timeout, func(answer func(int, []byte)) {
@@ -314,18 +315,18 @@
 			}
 			m, err := peer.ParseMessage(body)
 			sim.must(err)
-			sim.callControllerReply(to, func(req controller.ReqID) controller.Command {
-				return peer.Command(m, req, func(b []byte) controller.Command {
+			sim.callControllerReply(to, func(req message.ReqID) message.Command {
+				return peer.Command(m, req, func(b []byte) message.Command {
 					r, err := worker.ParseHeartbeat(b)
 					sim.must(err)
-					return controller.WorkerHeartbeat{Req: req, Heartbeat: r, Body: b, Forwarded: true}
+					return message.WorkerHeartbeat{Req: req, Heartbeat: r, Body: b, Forwarded: true}
 				})
-			}, func(e controller.Reply) {
-				data, err := peer.Encode(controller.PeerReply{Status: e.Status, Body: e.Body, RetryAfter: e.RetryAfter, Log: e.Log})
+			}, func(e message.Reply) {
+				data, err := peer.Encode(message.PeerReply{Status: e.Status, Body: e.Body, RetryAfter: e.RetryAfter, Log: e.Log})
 				sim.must(err)
 				answer(200, data)
 			})
-		}, func(r httpx.Response, err error) controller.Command { return peer.ParseReply(e, r, err) })
+		}, func(r httpx.Response, err error) message.Command { return peer.ParseReply(e, r, err) })
 	default:
 		panic(fmt.Sprintf("stand-in: effect %T", e))
 	}
@@ -338,11 +339,11 @@
 }
 
 // callController gives a controller a request and passes its answer on.
-func (sim *Simulation) callController(h *controllerHost, command func(controller.ReqID) controller.Command, answer func(int, []byte)) {
-	sim.callControllerReply(h, command, func(e controller.Reply) { answer(e.Status, e.Body) })
+func (sim *Simulation) callController(h *controllerHost, command func(message.ReqID) message.Command, answer func(int, []byte)) {
+	sim.callControllerReply(h, command, func(e message.Reply) { answer(e.Status, e.Body) })
 }
 
-func (sim *Simulation) callControllerReply(h *controllerHost, command func(controller.ReqID) controller.Command, answer func(controller.Reply)) {
+func (sim *Simulation) callControllerReply(h *controllerHost, command func(message.ReqID) message.Command, answer func(message.Reply)) {
 	if h.controller == nil {
 		return
 	}
@@ -359,7 +360,7 @@
 // back, exactly one command in the end. A cut may hold packets and deliver them
 // when it ends, though the sender has given up.
 func (sim *Simulation) roundTrip(h *controllerHost, side Endpoint, extraDelay, timeout time.Duration, serve func(answer func(int, []byte)),
-	answer func(httpx.Response, error) controller.Command) {
+	answer func(httpx.Response, error) message.Command) {
 	settled := false
 	settle := func(r httpx.Response, err error) {
 		if !settled {
@@ -460,7 +461,7 @@
 	for i, body := range sim.heldHeartbeats {
 		for _, name := range sim.controllerNames {
 			sim.After(sim.latency()+time.Duration(i%3)*time.Millisecond, func() {
-				sim.Deliver(name, "POST", api.PathHeartbeat, controller.Caller{}, body, func(int, []byte) {})
+				sim.Deliver(name, "POST", api.PathHeartbeat, message.Caller{}, body, func(int, []byte) {})
 			})
 		}
 	}
--- a/internal/emulator/tenants.go
+++ b/internal/emulator/tenants.go
@@ -10,6 +10,7 @@
 	"basaltwall/api"
 	"basaltwall/config"
 	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/tenant"
 )
 
@@ -53,12 +54,12 @@
 }
 
 // callerOf is what the user of a job brings with a request, and the reference it uses.
-func (sim *Simulation) callerOf(id api.JobID) (controller.Caller, api.JobID) {
+func (sim *Simulation) callerOf(id api.JobID) (message.Caller, api.JobID) {
 	if sim.Tenants == nil {
-		return controller.Caller{}, id
+		return message.Caller{}, id
 	}
 	o := sim.Tenants.jobs[id]
-	return controller.Caller{Auth: "Bearer " + sim.Tenants.secrets[o.name], From: netip.MustParseAddr("192.0.2.1")}, o.ref
+	return message.Caller{Auth: "Bearer " + sim.Tenants.secrets[o.name], From: netip.MustParseAddr("192.0.2.1")}, o.ref
 }
 
 // adminRequest sends an operator's question or act to any controller; status 0 is no answer.
@@ -70,8 +71,8 @@
 	controllerName := t.sim.Users.anyController()
 	t.sim.externalRequest(controllerName, 5*time.Second, func(answer func(int, []byte)) {
 		if h := t.sim.controllers[controllerName]; h != nil {
-			t.sim.callController(h, func(req controller.ReqID) controller.Command {
-				return controller.AdminRequest{Req: req, What: operation, ID: string(name), Body: data, Random: &random, Caller: controller.Caller{Auth: "Bearer " + t.adminSecret}}
+			t.sim.callController(h, func(req message.ReqID) message.Command {
+				return message.AdminRequest{Req: req, What: operation, ID: string(name), Body: data, Random: &random, Caller: message.Caller{Auth: "Bearer " + t.adminSecret}}
 			}, answer)
 		}
 	}, answer)
--- a/internal/emulator/user_behavior.go
+++ b/internal/emulator/user_behavior.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 )
 
 // UserBehavior are what users do beyond submitting, polling now and then and cancelling. Each holds
@@ -188,7 +188,7 @@
 
 func (h *UserBehavior) retryInvalidJob(ref api.JobID, field string, body []byte) {
 	sim := h.sim
-	sim.Users.Request(sim.Users.anyController(), "POST", api.PathJobs, controller.Caller{}, body, 5*time.Second, func(status int, answer []byte) {
+	sim.Users.Request(sim.Users.anyController(), "POST", api.PathJobs, message.Caller{}, body, 5*time.Second, func(status int, answer []byte) {
 		var e api.ErrorBody
 		if status == 400 || status == 422 {
 			sim.must(json.Unmarshal(answer, &e))
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/worker"
 )
 
@@ -64,29 +64,29 @@
 }
 
 // deliverRequest hands a request to a controller as its server would.
-func (sim *Simulation) deliverRequest(name, method, path string, caller controller.Caller, body []byte, answer func(int, []byte)) {
+func (sim *Simulation) deliverRequest(name, method, path string, caller message.Caller, body []byte, answer func(int, []byte)) {
 	h := sim.controllers[name]
 	if h == nil || h.controller == nil {
 		return
 	}
-	sim.callController(h, func(req controller.ReqID) controller.Command {
+	sim.callController(h, func(req message.ReqID) message.Command {
 		switch {
 		case path == api.PathHeartbeat:
 			r, err := worker.ParseHeartbeat(body)
 			sim.must(err)
-			return controller.WorkerHeartbeat{Req: req, Heartbeat: r, Body: body}
+			return message.WorkerHeartbeat{Req: req, Heartbeat: r, Body: body}
 		case method == "POST" && path == api.PathJobs:
-			return controller.Submit{Req: req, Body: body, Caller: caller}
+			return message.Submit{Req: req, Body: body, Caller: caller}
 		case method == "POST":
-			return controller.Cancel{Req: req, Ref: path[len(api.PathJobs)+1 : len(path)-len(api.PathSuffixCancel)-1], Caller: caller}
+			return message.Cancel{Req: req, Ref: path[len(api.PathJobs)+1 : len(path)-len(api.PathSuffixCancel)-1], Caller: caller}
 		}
-		return controller.Poll{Req: req, Ref: path[len(api.PathJobs)+1:], Caller: caller}
+		return message.Poll{Req: req, Ref: path[len(api.PathJobs)+1:], Caller: caller}
 	}, answer)
 }
 
 // Request sends one request to a node and passes on its answer, status 0 when
 // none comes.
-func (u *Users) Request(name, method, path string, caller controller.Caller, body []byte, timeout time.Duration, answer func(int, []byte)) {
+func (u *Users) Request(name, method, path string, caller message.Caller, body []byte, timeout time.Duration, answer func(int, []byte)) {
 	u.sim.externalRequest(name, timeout, func(answer func(int, []byte)) { u.sim.Deliver(name, method, path, caller, body, answer) }, answer)
 }
 
@@ -284,8 +284,8 @@
 	request := func(what string, body []byte, answer func(int, []byte)) {
 		sim.externalRequest(controllerName, 5*time.Second, func(answer func(int, []byte)) {
 			if h := sim.controllers[controllerName]; h != nil && h.controller != nil {
-				sim.callController(h, func(req controller.ReqID) controller.Command {
-					return controller.AdminRequest{Req: req, What: what, Body: body}
+				sim.callController(h, func(req message.ReqID) message.Command {
+					return message.AdminRequest{Req: req, What: what, Body: body}
 				}, answer)
 			}
 		}, answer)
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 )
 
 type gangKey struct {
@@ -260,7 +260,7 @@
 		// A copy comes again, from 2 s to well over a lease later, to whichever controller.
 		late := 2*time.Second + time.Duration(sim.rand.Int64N(int64(2*sim.configs[name].WorkerLease())))
 		to := sim.controllerNames[sim.rand.IntN(len(sim.controllerNames))]
-		sim.After(late, func() { sim.Deliver(to, "POST", api.PathHeartbeat, controller.Caller{}, body, func(int, []byte) {}) })
+		sim.After(late, func() { sim.Deliver(to, "POST", api.PathHeartbeat, message.Caller{}, body, func(int, []byte) {}) })
 	}
 	transmit(func() {
 		sim.SendHeartbeat(wk, name, body, func(status int, answer []byte) {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -9,6 +9,7 @@
 	"fmt"
 
 	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/httpx"
 )
 
@@ -25,8 +26,8 @@
 }
 
 // ParseMessage reads a message.
-func ParseMessage(body []byte) (controller.PeerMessage, error) {
-	var m controller.PeerMessage
+func ParseMessage(body []byte) (message.PeerMessage, error) {
+	var m message.PeerMessage
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&m); err != nil {
 		return m, fmt.Errorf("peer message: %w", err)
 	}
@@ -34,19 +35,19 @@
 }
 
 // Request is the HTTP request for a call.
-func Request(c controller.PeerCall) (method, target string, body []byte, err error) {
+func Request(c message.PeerCall) (method, target string, body []byte, err error) {
 	body, err = Encode(c.Message)
 	return "POST", Path, body, err
 }
 
 // Encoder writes requests. News that goes to many is written once.
 type Encoder struct {
-	lastGossip *controller.Gossip
+	lastGossip *message.Gossip
 	lastBody   []byte
 }
 
 // Request is the HTTP request for a call.
-func (e *Encoder) Request(c controller.PeerCall) (method, target string, body []byte, err error) {
+func (e *Encoder) Request(c message.PeerCall) (method, target string, body []byte, err error) {
 	if c.Message.Gossip == nil {
 		return Request(c)
 	}
@@ -61,8 +62,8 @@
 }
 
 // ParseReply is the owner's answer for a response.
-func ParseReply(c controller.PeerCall, r httpx.Response, callErr error) controller.PeerResponse {
-	a := controller.PeerResponse{ID: c.ID}
+func ParseReply(c message.PeerCall, r httpx.Response, callErr error) message.PeerResponse {
+	a := message.PeerResponse{ID: c.ID}
 	if callErr != nil || r.Status != 200 {
 		return a
 	}
@@ -74,24 +75,24 @@
 }
 
 // Command is what a message asks of the owner, as request req.
-func Command(m controller.PeerMessage, req controller.ReqID, parseHeartbeat func([]byte) controller.Command) controller.Command {
+func Command(m message.PeerMessage, req message.ReqID, parseHeartbeat func([]byte) message.Command) message.Command {
 	switch {
 	case m.Gossip != nil:
-		return controller.PeerGossip{Req: req, Gossip: m.Gossip}
+		return message.PeerGossip{Req: req, Gossip: m.Gossip}
 	case m.ReadLog != nil:
-		return controller.ReadLog{Req: req, Request: m.ReadLog}
+		return message.ReadLog{Req: req, Request: m.ReadLog}
 	case m.Forward != nil:
 		switch f := m.Forward; f.Kind {
 		case "submit":
-			return controller.Submit{Req: req, Body: f.Body, Forwarded: true}
+			return message.Submit{Req: req, Body: f.Body, Forwarded: true}
 		case "poll":
-			return controller.Poll{Req: req, Ref: f.Ref, Forwarded: true}
+			return message.Poll{Req: req, Ref: f.Ref, Forwarded: true}
 		case "cancel":
-			return controller.Cancel{Req: req, Ref: f.Ref, Forwarded: true}
+			return message.Cancel{Req: req, Ref: f.Ref, Forwarded: true}
 		case "checkin":
 			return parseHeartbeat(f.Body)
 		case controller.ForwardSkips:
-			var ask controller.AdminRequest
+			var ask message.AdminRequest
 			if json.Unmarshal(f.Body, &ask) != nil {
 				return nil
 			}
--- a/server/server.go
+++ b/server/server.go
@@ -18,6 +18,7 @@
 	"basaltwall/cloud"
 	"basaltwall/config"
 	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/httpx"
 	"basaltwall/peer"
 	"basaltwall/state"
@@ -38,16 +39,16 @@
 type Server struct {
 	config      *config.Config
 	controller  *controller.Controller
-	commands    chan controller.Command
-	heartbeats  chan controller.Command // of workers: they come when the rest is done
+	commands    chan message.Command
+	heartbeats  chan message.Command // of workers: they come when the rest is done
 	httpServer  *httpx.Server
 	httpClient  *httpx.Client
 	peerEncoder peer.Encoder // used by the owner's loop alone
 	startedAt   time.Time
 
 	mu              sync.Mutex
-	pendingRequests map[controller.ReqID]requestOrigin
-	lastReqID       controller.ReqID
+	pendingRequests map[message.ReqID]requestOrigin
+	lastReqID       message.ReqID
 }
 
 type requestOrigin struct {
@@ -57,8 +58,8 @@
 
 // New returns a controller that is not yet running.
 func New(cfg *config.Config) *Server {
-	s := &Server{config: cfg, commands: make(chan controller.Command, queueLength),
-		heartbeats: make(chan controller.Command, queueLength), startedAt: time.Now(), pendingRequests: map[controller.ReqID]requestOrigin{}}
+	s := &Server{config: cfg, commands: make(chan message.Command, queueLength),
+		heartbeats: make(chan message.Command, queueLength), startedAt: time.Now(), pendingRequests: map[message.ReqID]requestOrigin{}}
 	s.controller = controller.New(cfg, s.startedAt.UnixNano())
 	// Workers and users come first: one controller alone may have to carry all
 	// of them. An eighth of the sockets is kept for calls under way.
@@ -89,8 +90,8 @@
 	sweptAt := time.Now()
 	workTime := &workMeter{}
 	s.controller.OnWorkStart = workTime.switchTo
-	var spent controller.ResourceUsage
-	batch := make([]controller.Command, 0, 64)
+	var spent message.ResourceUsage
+	batch := make([]message.Command, 0, 64)
 	for {
 		batch = batch[:0]
 		select {
@@ -128,7 +129,7 @@
 }
 
 // fillBatch adds what waits to a batch, up to a length.
-func fillBatch(batch []controller.Command, commands chan controller.Command, limit int) []controller.Command {
+func fillBatch(batch []message.Command, commands chan message.Command, limit int) []message.Command {
 	for len(batch) < limit {
 		select {
 		case c := <-commands:
@@ -143,12 +144,12 @@
 // workMeter keeps account of the owner's time by kind of work.
 type workMeter struct {
 	since time.Time
-	work  controller.WorkKind
-	spent [controller.WorkKinds]time.Duration
+	work  message.WorkKind
+	spent [message.WorkKinds]time.Duration
 }
 
 // switchTo ends the account of one kind of work and begins that of another.
-func (m *workMeter) switchTo(w controller.WorkKind) {
+func (m *workMeter) switchTo(w message.WorkKind) {
 	now := time.Now()
 	m.spent[m.work] += now.Sub(m.since)
 	m.since, m.work = now, w
@@ -166,26 +167,26 @@
 
 // execute carries out an effect. Calls run apart, each with a deadline, and
 // come back as one command.
-func (s *Server) execute(ctx context.Context, effect controller.Effect) {
+func (s *Server) execute(ctx context.Context, effect message.Effect) {
 	switch e := effect.(type) {
-	case controller.Reply:
+	case message.Reply:
 		s.reply(e)
-	case controller.StoreCall:
+	case message.StoreCall:
 		method, target, body, err := state.Request(e)
-		go s.call(ctx, s.config.External.State, method, target, body, err, e.Timeout, func(r httpx.Response, err error) controller.Command {
+		go s.call(ctx, s.config.External.State, method, target, body, err, e.Timeout, func(r httpx.Response, err error) message.Command {
 			return state.ParseResponse(e, r, err)
 		})
-	case controller.WorkerCall:
+	case message.WorkerCall:
 		method, target, body, err := worker.Request(e)
-		go s.call(ctx, e.Address, method, target, body, err, e.Timeout, func(r httpx.Response, err error) controller.Command {
+		go s.call(ctx, e.Address, method, target, body, err, e.Timeout, func(r httpx.Response, err error) message.Command {
 			return worker.ParseResponse(e, r, err)
 		})
-	case controller.CloudCall:
+	case message.CloudCall:
 		method, target, body, err := cloud.Request(e)
-		go s.call(ctx, s.config.External.Cloud, method, target, body, err, e.Timeout, func(r httpx.Response, err error) controller.Command {
+		go s.call(ctx, s.config.External.Cloud, method, target, body, err, e.Timeout, func(r httpx.Response, err error) message.Command {
 			return cloud.ParseResponse(e, r, err)
 		})
-	case controller.PeerCall:
+	case message.PeerCall:
 		addr := ""
 		for _, p := range s.config.Peers {
 			if p.Label == e.To {
@@ -193,7 +194,7 @@
 			}
 		}
 		method, target, body, err := s.peerEncoder.Request(e)
-		go s.call(ctx, addr, method, target, body, err, e.Timeout, func(r httpx.Response, err error) controller.Command {
+		go s.call(ctx, addr, method, target, body, err, e.Timeout, func(r httpx.Response, err error) message.Command {
 			return peer.ParseReply(e, r, err)
 		})
 	default:
@@ -202,7 +203,7 @@
 }
 
 func (s *Server) call(ctx context.Context, addr, method, target string, body []byte, err error, timeout time.Duration,
-	toCommand func(httpx.Response, error) controller.Command) {
+	toCommand func(httpx.Response, error) message.Command) {
 	var r httpx.Response
 	if err == nil {
 		r, err = s.httpClient.Do(ctx, addr, method, target, body, timeout)
@@ -216,7 +217,7 @@
 	}
 }
 
-func (s *Server) reply(response controller.Reply) {
+func (s *Server) reply(response message.Reply) {
 	s.mu.Lock()
 	origin, ok := s.pendingRequests[response.Req]
 	delete(s.pendingRequests, response.Req)
@@ -225,7 +226,7 @@
 		return
 	}
 	if origin.listener == listenPeer {
-		body, err := peer.Encode(controller.PeerReply{Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter, Log: response.Log})
+		body, err := peer.Encode(message.PeerReply{Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter, Log: response.Log})
 		if err != nil {
 			slog.Error("peer reply could not be encoded", "err", err)
 			return
@@ -244,16 +245,16 @@
 	s.pendingRequests[req] = requestOrigin{conn, listener}
 	s.mu.Unlock()
 	refuse := func(status int, reason string) {
-		s.reply(controller.Reply{Req: req, Status: status, Body: []byte(`{"error":"` + reason + `"}`)})
+		s.reply(message.Reply{Req: req, Status: status, Body: []byte(`{"error":"` + reason + `"}`)})
 	}
-	var c controller.Command
+	var c message.Command
 	if listener == listenPeer {
 		m, err := peer.ParseMessage(r.Body)
 		if err == nil {
-			c = peer.Command(m, req, func(body []byte) controller.Command { return heartbeatCommand(req, body, true) })
+			c = peer.Command(m, req, func(body []byte) message.Command { return heartbeatCommand(req, body, true) })
 		}
 		if c == nil {
-			c = controller.MalformedMessage{Req: req, From: r.From.String()}
+			c = message.MalformedMessage{Req: req, From: r.From.String()}
 		}
 	} else {
 		var status int
@@ -267,42 +268,42 @@
 		return
 	}
 	commands := s.commands
-	if _, ok := c.(controller.WorkerHeartbeat); ok {
+	if _, ok := c.(message.WorkerHeartbeat); ok {
 		commands = s.heartbeats
 	}
 	select {
 	case commands <- c:
 	default:
 		// The owner is far behind: the client is told when to come back.
-		s.reply(controller.Reply{Req: req, Status: 503, Body: []byte(`{"error":"overloaded"}`), RetryAfter: 2})
+		s.reply(message.Reply{Req: req, Status: 503, Body: []byte(`{"error":"overloaded"}`), RetryAfter: 2})
 	}
 }
 
-func heartbeatCommand(req controller.ReqID, body []byte, forwarded bool) controller.Command {
+func heartbeatCommand(req message.ReqID, body []byte, forwarded bool) message.Command {
 	heartbeat, err := worker.ParseHeartbeat(body)
 	if err != nil {
 		return nil
 	}
-	return controller.WorkerHeartbeat{Req: req, Heartbeat: heartbeat, Body: body, Forwarded: forwarded}
+	return message.WorkerHeartbeat{Req: req, Heartbeat: heartbeat, Body: body, Forwarded: forwarded}
 }
 
 // tenantQuery is a tenant's question for its own jobs that are not over, or its usage.
-func tenantQuery(req controller.ReqID, what string, r httpx.Request, caller controller.Caller) (controller.Command, int) {
+func tenantQuery(req message.ReqID, what string, r httpx.Request, caller message.Caller) (message.Command, int) {
 	after, limit, ok := admin.ParsePage(r)
 	if !ok {
 		return nil, 400
 	}
-	return controller.TenantQuery{Req: req, What: what, After: after, Limit: limit, Caller: caller}, 0
+	return message.TenantQuery{Req: req, What: what, After: after, Limit: limit, Caller: caller}, 0
 }
 
 // route finds the command for a request of a user, a worker or the balancer,
 // or the status that refuses it.
-func (s *Server) route(req controller.ReqID, r httpx.Request) (controller.Command, int) {
-	var caller controller.Caller
+func (s *Server) route(req message.ReqID, r httpx.Request) (message.Command, int) {
+	var caller message.Caller
 	if s.config.Hosted != nil {
-		caller = controller.Caller{Auth: r.Auth, From: r.From, Forwarded: r.Forwarded}
+		caller = message.Caller{Auth: r.Auth, From: r.From, Forwarded: r.Forwarded}
 	}
-	method := func(want string, c controller.Command) (controller.Command, int) {
+	method := func(want string, c message.Command) (message.Command, int) {
 		if r.Method != want {
 			return nil, 405
 		}
@@ -313,14 +314,14 @@
 	}
 	switch r.Path {
 	case api.PathReady:
-		return method("GET", controller.ReadinessProbe{Req: req})
+		return method("GET", message.ReadinessProbe{Req: req})
 	case api.PathHeartbeat:
 		return method("POST", heartbeatCommand(req, r.Body, false))
 	case api.PathJobs:
 		if s.config.Hosted != nil && r.Method == "GET" {
 			return tenantQuery(req, "jobs", r, caller)
 		}
-		return method("POST", controller.Submit{Req: req, Body: r.Body, Caller: caller})
+		return method("POST", message.Submit{Req: req, Body: r.Body, Caller: caller})
 	}
 	if r.Path == api.PathUsage && s.config.Hosted != nil {
 		if r.Method != "GET" {
@@ -333,14 +334,14 @@
 		if !ok {
 			return nil, 400
 		}
-		return method("GET", controller.ListHistory{Req: req, After: after, Limit: limit, Caller: caller})
+		return method("GET", message.ListHistory{Req: req, After: after, Limit: limit, Caller: caller})
 	}
 	if strings.HasPrefix(r.Path, admin.Prefix) {
 		if s.config.Hosted == nil && admin.IsHostedPath(r.Path) {
 			return nil, 404
 		}
 		c, status := admin.Command(req, r)
-		if ask, ok := c.(controller.AdminRequest); ok {
+		if ask, ok := c.(message.AdminRequest); ok {
 			ask.Caller = caller
 			if strings.HasSuffix(ask.What, "key-add") {
 				ask.Random = new([tenant.RandomBytes]byte)
@@ -359,9 +360,9 @@
 	jobID, action, hasAction := strings.Cut(rest, "/")
 	switch {
 	case !hasAction:
-		return method("GET", controller.Poll{Req: req, Ref: jobID, Caller: caller})
+		return method("GET", message.Poll{Req: req, Ref: jobID, Caller: caller})
 	case action == api.PathSuffixCancel:
-		return method("POST", controller.Cancel{Req: req, Ref: jobID, Caller: caller})
+		return method("POST", message.Cancel{Req: req, Ref: jobID, Caller: caller})
 	}
 	return nil, 404
 }
--- a/state/state.go
+++ b/state/state.go
@@ -9,7 +9,7 @@
 	"strconv"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/httpx"
 )
 
@@ -17,7 +17,7 @@
 const watchedPrefix = "b/"
 
 // Request is the HTTP request for a call.
-func Request(c controller.StoreCall) (method, target string, body []byte, err error) {
+func Request(c message.StoreCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Txn != nil:
 		t := *c.Txn
@@ -70,8 +70,8 @@
 
 // ParseResponse is the owner's answer for a response; a failed exchange or a body
 // that makes no sense is no answer.
-func ParseResponse(c controller.StoreCall, r httpx.Response, callErr error) controller.StoreResponse {
-	a := controller.StoreResponse{ID: c.ID}
+func ParseResponse(c message.StoreCall, r httpx.Response, callErr error) message.StoreResponse {
+	a := message.StoreResponse{ID: c.ID}
 	if callErr != nil {
 		return a
 	}
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -7,7 +7,7 @@
 	"fmt"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/message"
 	"basaltwall/httpx"
 )
 
@@ -24,14 +24,14 @@
 }
 
 // Request is the HTTP request for a call.
-func Request(c controller.WorkerCall) (method, target string, body []byte, err error) {
+func Request(c message.WorkerCall) (method, target string, body []byte, err error) {
 	body, err = json.Marshal(c.Commands)
 	return "POST", api.PathCommands, body, err
 }
 
 // ParseResponse is the owner's answer for a response.
-func ParseResponse(c controller.WorkerCall, r httpx.Response, callErr error) controller.WorkerResponse {
-	a := controller.WorkerResponse{ID: c.ID}
+func ParseResponse(c message.WorkerCall, r httpx.Response, callErr error) message.WorkerResponse {
+	a := message.WorkerResponse{ID: c.ID}
 	if callErr != nil || r.Status != 200 && r.Status != 409 {
 		return a
 	}
