--- /dev/null
+++ b/admin/golden_test.go
@@ -0,0 +1,34 @@
+package admin
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"basaltwall/controller/message"
+	"basaltwall/httpx"
+	"basaltwall/internal/golden"
+)
+
+// What each path of the administration API asks of the owner, as in earlier versions.
+func TestGolden(t *testing.T) {
+	f := golden.Open(t)
+	var lines []string
+	for _, path := range []string{"members", "parts", "machines", "teams", "metrics", "settings", "jobs", "jobs?team=red&limit=7", "jobs?limit=x", "jobs/run-1", "machines/i-1/drain", "machines/i-1/undrain",
+		"skips", "skips/hof-nord?after=six-1&limit=9", "skips/hof-nord/offer", "skips/hof-nord/promise", "skips/hof-nord/release", "skips/hof-nord/deliver", "skips/hof-nord/return",
+		"skips/hof-nord/out", "skips/hof-nord/in", "skips/hof-nord/import", "audit", "audit?after=a&limit=3", "tenants", "tenants/kipper", "tenants/kipper/usage", "tenants/kipper/suspend",
+		"tenants/kipper/resume", "tenants/kipper/remove", "tenants/kipper/keys", "tenants/kipper/keys/laptop/revoke", "operators", "operators/keys", "operators/keys/desk/revoke",
+		"teams/dispo", "teams/dispo/remove", "pools", "pools/routing", "pools/routing/remove", "other"} {
+		for _, method := range []string{"GET", "PUT", "POST"} {
+			path, query, _ := strings.Cut(path, "?")
+			c, status := Command(3, httpx.Request{Method: method, Path: Prefix + path, Query: query, Body: []byte("b")})
+			ask, ok := c.(message.AdminRequest)
+			line := fmt.Sprint(status)
+			if ok {
+				line = fmt.Sprintf("what=%s id=%s sub=%s team=%s limit=%d after=%s body=%s", ask.What, ask.ID, ask.Sub, ask.Team, ask.Limit, ask.After, ask.Body)
+			}
+			lines = append(lines, fmt.Sprintf("%s %s%s?%s: %s", method, Prefix, path, query, line))
+		}
+	}
+	f.Text("paths", strings.Join(lines, "\n"))
+}
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -118,6 +118,9 @@
 	Address       func(number int) string
 	OnWorker      func(*Worker)
 
+	// Stepped, if set, is told what each controller's Step returned, before it is carried out.
+	Stepped func(name string, effects []message.Effect)
+
 	gangs         map[gangKey]*gang
 	savedProgress map[api.JobID]time.Duration
 }
@@ -260,6 +263,9 @@
 	cmds := h.inbox
 	h.inbox, h.stepScheduled = nil, false
 	effects := h.controller.Step(api.Time(sim.Now-h.startedAt)+1, sim.WallTime()+api.WallTime(sim.ClockSkew[h.name].Milliseconds()), cmds)
+	if sim.Stepped != nil {
+		sim.Stepped(h.name, effects)
+	}
 	for _, e := range effects {
 		sim.performEffect(h, e)
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -36,10 +36,12 @@
 
 func playScenario(t *testing.T, data []byte) {
 	t.Helper()
-	res, err := Run(data)
+	tr := newTranscript()
+	res, err := run(data, tr.watch)
 	if err != nil {
 		t.Fatal(err)
 	}
+	tr.save(t)
 	for _, p := range res.Problems {
 		t.Error(p)
 	}
--- /dev/null
+++ b/tenant/golden_test.go
@@ -0,0 +1,54 @@
+package tenant
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"basaltwall/api"
+	"basaltwall/internal/golden"
+)
+
+// Records of a hosted service, its keys and the ids of its jobs as earlier versions wrote them.
+func TestGolden(t *testing.T) {
+	f := golden.Open(t)
+	networks, err := ParseNetworks([]string{"10.0.0.0/8", "2001:db8::/32", "192.0.2.7"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.JSON(f, "networks", networks)
+	golden.JSON(f, "tenant", golden.Filled[Tenant](t, networks))
+	golden.JSON(f, "empty tenant", Tenant{})
+	golden.JSON(f, "operators", golden.Filled[Operators](t, networks))
+	golden.JSON(f, "empty operators", Operators{})
+	golden.JSON(f, "team", golden.Filled[Team](t))
+	golden.JSON(f, "empty team", Team{})
+	golden.JSON(f, "given", golden.Filled[GuaranteedTotal](t))
+	f.Text("values", fmt.Sprint(Active, Suspended, Removing, Removed, RoleRead, RoleChange, AdminKeyName))
+	f.Text("job id", string(JobID("kipper", "run-17")))
+
+	// What a key opens is kept as a hash: both are read as they were written.
+	random := [RandomBytes]byte{}
+	for i := range random {
+		random[i] = byte(i + 1)
+	}
+	key, secret, err := NewKey(random, "laptop", 1000, 2000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.Text("secret", secret.String())
+	record := Tenant{Name: "kipper", Teams: []api.Team{"red"}, State: Active, Retention: 3600, Keys: []Key{key}}
+	data := golden.JSON(f, "tenant with a key", record)
+	table := NewTable()
+	if err := table.Put("kipper", json.RawMessage(data), 7); err != nil {
+		t.Fatal(err)
+	}
+	golden.Same(t, "entry", *table.Get("kipper"), Entry{record, 7})
+	read, err := ParseSecret(secret.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if e, k := table.Find(read.ID); e == nil || k == nil || !k.Verify(read, 1500, 0) || k.Verify(read, 2000, 0) {
+		t.Error("the key does not open as it did")
+	}
+}
--- a/zonehealth/record_test.go
+++ b/zonehealth/record_test.go
@@ -153,7 +153,7 @@
 		for range rapid.IntRange(0, 10).Draw(t, "rooms") {
 			free := rapid.IntRange(0, 8).Draw(t, "free")
 			could := free + rapid.IntRange(0, 8-free).Draw(t, "could")
-			in.FreeCapacity = append(in.FreeCapacity, FreeCapacity{Type: "c8", Zone: rapid.SampledFrom([]api.Zone{"b", "c"}).Draw(t, "zone state changed"),
+			in.FreeCapacity = append(in.FreeCapacity, FreeCapacity{Type: "c8", Zone: rapid.SampledFrom([]api.Zone{"b", "c"}).Draw(t, "zone"),
 				Free: api.Resources{CPU: api.ToQuantity(float64(free)), Mem: api.ToQuantity(8)}, FreeAfterPreemption: api.Resources{CPU: api.ToQuantity(float64(could)), Mem: api.ToQuantity(8)},
 				Count: rapid.IntRange(1, 3).Draw(t, "count")})
 		}
