--- a/controller/admin.go
+++ b/controller/admin.go
@@ -110,7 +110,7 @@
 		ad.core.ReplyError(c.Req, 503, "starting")
 		return
 	}
-	if ad.c.tenancy.hosted != nil && !c.Forwarded {
+	if ad.c.tenancy.Enabled() && !c.Forwarded {
 		ad.c.tenancy.WithOperator(c, ad.handleHostedAdmin)
 		return
 	}
@@ -202,7 +202,7 @@
 		return
 	}
 	tx := api.Txn{If: []api.Condition{{Key: core.SettingsKey, Version: s.Revision}}, Writes: []api.Write{{Put: core.SettingsKey, Value: v}}}
-	if ad.c.tenancy.hosted != nil {
+	if ad.c.tenancy.Enabled() {
 		tx.Writes = append(tx.Writes, ad.c.tenancy.AuditWrite(c, "settings", settingsAuditView(ad.core.Settings), settingsAuditView(s.Settings)))
 	}
 	ad.core.CallStoreTxn(tx, func(a message.StoreResponse) {
@@ -243,9 +243,9 @@
 
 func (ad *AdminService) viewMachines() []MachineView {
 	out := []MachineView{}
-	for _, p := range slices.Sorted(maps.Keys(ad.c.scheduler.partitions)) {
+	for _, p := range slices.Sorted(maps.Keys(ad.core.Partitions)) {
 		for _, m := range ad.c.agents.MachinesOf(p) {
-			v := MachineView{ID: m.ID, Partition: p, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: []string{}, UnschedulableReason: ad.UnschedulableReason(m, ad.c.scheduler.partitions[p])}
+			v := MachineView{ID: m.ID, Partition: p, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: []string{}, UnschedulableReason: ad.UnschedulableReason(m, ad.core.Partitions[p])}
 			for _, placement := range ad.core.State.PlacementsOn(m.ID) {
 				v.Tasks = append(v.Tasks, placement.Task.String())
 			}
@@ -286,7 +286,7 @@
 		return "its zone is cut off"
 	case ad.outboundCutOff(m, owned):
 		return "its reports do not reach us, so its lease will end"
-	case m.ReportedToken < ad.c.agents.MinToken(owned, m.ID):
+	case m.ReportedToken < ad.core.MinToken(owned, m.ID):
 		return tokenNotAnnounced
 	}
 	return ""
@@ -295,25 +295,25 @@
 // outboundCutOff reports whether a machine answers calls while no report of its own comes, though there was
 // time for some: nobody renews its lease, and what is started there dies with it.
 func (ad *AdminService) outboundCutOff(m *core.Machine, owned *core.OwnedPartition) bool {
-	since := max(m.LeaseRenewedAt, m.FirstHeartbeat, m.DiscoveredAt, owned.OwnedSince, ad.c.agents.machineLoans[m.ID].knownAt)
+	since := max(m.LeaseRenewedAt, m.FirstHeartbeat, m.DiscoveredAt, owned.OwnedSince, ad.c.agents.LoanKnownAt(m.ID))
 	return ad.core.Now.Sub(since) >= 2*ad.core.Config.HeartbeatInterval()+2*time.Second
 }
 
 func (ad *AdminService) viewTeams() []TeamView {
 	out := []TeamView{}
-	usage, owners := ad.c.scheduler.TeamUsage(), ad.c.tenancy.TeamOwners()
+	usage, owners := ad.core.TeamUsage(), ad.c.tenancy.TeamOwners()
 	for _, name := range slices.Sorted(maps.Keys(ad.core.Teams)) {
 		team := ad.core.Teams[name]
 		v := TeamView{Team: name, UsedCPUs: usage[name].CPU.Float(), UsedGPUs: usage[name].GPU.Float(), GuaranteedCPUs: team.CPUs,
 			GuaranteedGPUs: team.GPUs, MaxCPUs: team.CPUsMax, MaxGPUs: team.GPUsMax}
-		if ad.c.tenancy.hosted != nil {
-			definition, ok := ad.c.tenancy.hosted.teams[name]
+		if ad.c.tenancy.Enabled() {
+			definition, ok := ad.c.tenancy.TeamRecord(name)
 			v.OperatorDefined, v.Revision, v.Tenant = ok, definition.Revision, string(owners[name])
 		}
 		if team.CPUsMax > 0 || team.GPUsMax > 0 {
 			v.Shares = slices.Grow(v.Shares, len(ad.core.State.Partitions))[:len(ad.core.State.Partitions)]
 			for i := range ad.core.State.Partitions {
-				s := ad.core.State.QuotaShare(api.PartitionID(i), name, quotaLimit(team))
+				s := ad.core.State.QuotaShare(api.PartitionID(i), name, core.QuotaLimit(team))
 				v.Shares[i].Part = api.PartitionID(i)
 				if team.CPUsMax > 0 {
 					v.Shares[i].UsedCPUs = s.CPU.Float()
--- a/controller/backfill.go
+++ b/controller/backfill.go
@@ -97,10 +97,10 @@
 
 // FragmentedCapacity is what is free of our parts' accelerators, and of no use to what is usual.
 func (bf *Backfiller) FragmentedCapacity() (out []FragmentationView) {
-	for _, p := range slices.Sorted(maps.Keys(bf.c.scheduler.partitions)) {
+	for _, p := range slices.Sorted(maps.Keys(bf.core.Partitions)) {
 		at := len(out)
 		for _, m := range bf.c.agents.MachinesOf(p) {
-			if !bf.c.jobs.HasAccelerators(m.MachineType) || !bf.c.scheduler.IsSchedulable(m, bf.c.scheduler.partitions[p]) {
+			if !bf.core.HasAccelerators(m.MachineType) || !bf.c.scheduler.IsSchedulable(m, bf.core.Partitions[p]) {
 				continue
 			}
 			i := slices.IndexFunc(out[at:], func(v FragmentationView) bool { return v.Type == m.MachineType && v.Zone == m.Zone })
@@ -108,7 +108,7 @@
 				i = len(out) - at
 				out = append(out, FragmentationView{Partition: p, Type: m.MachineType, Zone: m.Zone})
 			}
-			free := bf.c.scheduler.FreeCapacityOn(m, bf.c.scheduler.partitions[p])
+			free := bf.c.scheduler.FreeCapacityOn(m, bf.core.Partitions[p])
 			out[at+i].Free += free.GPU.Float()
 			out[at+i].Unusable += fragmentation.Measure(free, bf.TypicalDemands())
 		}
@@ -123,8 +123,8 @@
 // goes before others with no more than a quarter of the work that a part starts: where more of
 // it waits than that no order keeps the bound, and what has begun must end too.
 func (bf *Backfiller) RoundStage(owned *core.OwnedPartition, j *core.Job) (sched.AgingStage, float64) {
-	d, _ := bf.waitingTime(j, owned.Id)
-	stage := bf.WaitStage(j, owned.Id)
+	d, _ := bf.waitingTime(j, owned.ID)
+	stage := bf.WaitStage(j, owned.ID)
 	if stage != sched.NotAged && owned.MustStartCredit < 0 && !bf.c.balancer.HasReservationFor(owned, j.ID) {
 		stage = sched.NotAged
 	}
@@ -158,13 +158,13 @@
 func (bf *Backfiller) mustStartJobs(owned *core.OwnedPartition) []*core.Job {
 	var out []*core.Job
 	for _, j := range bf.core.State.PendingJobs {
-		if bf.WaitStage(j, owned.Id) != sched.NotAged && j.PendingTasks(owned.Id) > 0 {
+		if bf.WaitStage(j, owned.ID) != sched.NotAged && j.PendingTasks(owned.ID) > 0 {
 			out = append(out, j)
 		}
 	}
 	slices.SortFunc(out, func(a, b *core.Job) int {
-		x, _ := bf.waitingTime(a, owned.Id)
-		y, _ := bf.waitingTime(b, owned.Id)
+		x, _ := bf.waitingTime(a, owned.ID)
+		y, _ := bf.waitingTime(b, owned.ID)
 		return cmp.Or(cmp.Compare(backfill.AgingStageOf(y), backfill.AgingStageOf(x)), cmp.Compare(y, x), cmp.Compare(a.ID, b.ID))
 	})
 	return out[:min(len(out), maxMustStartJobs)]
@@ -202,10 +202,10 @@
 // spare, services that may move there count as what ends; a machine whose services have none is
 // not kept for what would never begin on it while they, or others, could use the rest of it.
 func (bf *Backfiller) ReservableHosts(owned *core.OwnedPartition, s *api.JobSpec, excluded map[api.MachineID]bool, candidates []*core.Machine, releases map[*core.Machine][]backfill.Release, capacity *relocationCapacity) (ms []*core.Machine, hosts []backfill.Machine) {
-	cpuOnly := bf.c.scheduler.IsCPUOnly(s)
+	cpuOnly := bf.core.IsCPUOnly(s)
 	for _, m := range candidates {
 		reservedJob := bf.c.preemptor.ReservedFor(m)
-		if reservedJob != "" && reservedJob != s.Ref && (!m.SoftReservation || s.Priority.Rank() <= m.ReservationRank) || excluded[m.ID] || !bf.c.scheduler.IsEligible(s, cpuOnly, m.MachineType, m.Zone, m.Spot) {
+		if reservedJob != "" && reservedJob != s.Ref && (!m.SoftReservation || s.Priority.Rank() <= m.ReservationRank) || excluded[m.ID] || !bf.core.IsEligible(s, cpuOnly, m.MachineType, m.Zone, m.Spot) {
 			continue
 		}
 		machineReleases, ok := releases[m]
@@ -235,20 +235,20 @@
 		return
 	}
 	var schedulable []*core.Machine
-	for _, m := range bf.c.agents.MachinesOf(owned.Id) {
+	for _, m := range bf.c.agents.MachinesOf(owned.ID) {
 		if bf.c.scheduler.IsSchedulable(m, owned) {
 			schedulable = append(schedulable, m)
 		}
 	}
 	ends, endsWithMoves := map[*core.Machine][]backfill.Release{}, map[*core.Machine][]backfill.Release{}
 	var capacity *relocationCapacity
-	remaining := bf.c.scheduler.RemainingQuota(owned.Id)
+	remaining := bf.core.RemainingQuota(owned.ID)
 	for _, j := range jobs {
-		stage, tasksNeeded := bf.WaitStage(j, owned.Id), 1
+		stage, tasksNeeded := bf.WaitStage(j, owned.ID), 1
 		if j.Spec.Kind == api.Gang {
 			tasksNeeded = j.Spec.Tasks
 		}
-		if j.Demand.Slots(remaining[j.Spec.Team]) < tasksNeeded || bf.c.pools.PendingReasonPool(j, owned.Id) != "" {
+		if j.Demand.Slots(remaining[j.Spec.Team]) < tasksNeeded || bf.c.pools.PendingReasonPool(j, owned.ID) != "" {
 			continue // it is no machine that it waits for, see dueShares and asking
 		}
 		var relocation *relocationCapacity
@@ -281,7 +281,7 @@
 			}
 		}
 		if len(chosen) > 0 {
-			slog.Debug("machines reserved for job", "job", j.ID, "part", owned.Id, "machines", len(chosen), "after", after)
+			slog.Debug("machines reserved for job", "job", j.ID, "partition", owned.ID, "machines", len(chosen), "after", after)
 		}
 	}
 }
@@ -312,7 +312,7 @@
 	}
 	jobs := map[*core.Job]bool{}
 	for _, p := range places {
-		if p.Partition != owned.Id || !bf.isRelocatable(p) || jobs[p.Job] {
+		if p.Partition != owned.ID || !bf.isRelocatable(p) || jobs[p.Job] {
 			return
 		}
 		jobs[p.Job] = true
@@ -364,9 +364,9 @@
 // cheapest first, and reports whether there was any.
 func (bf *Backfiller) claimCapacity(owned *core.OwnedPartition, excluded *core.Machine, capacity *relocationCapacity, j *core.Job) bool {
 	var best *core.Machine
-	bestCost, cpuOnly := 0.0, bf.c.scheduler.IsCPUOnly(j.Spec)
+	bestCost, cpuOnly := 0.0, bf.core.IsCPUOnly(j.Spec)
 	for _, candidate := range capacity.machines {
-		if candidate == excluded || bf.c.preemptor.ReservedFor(candidate) != "" || j.OwnerState.FailedOn[candidate.ID] || !bf.c.scheduler.IsEligible(j.Spec, cpuOnly, candidate.MachineType, candidate.Zone, candidate.Spot) {
+		if candidate == excluded || bf.c.preemptor.ReservedFor(candidate) != "" || j.OwnerState.FailedOn[candidate.ID] || !bf.core.IsEligible(j.Spec, cpuOnly, candidate.MachineType, candidate.Zone, candidate.Spot) {
 			continue
 		}
 		free := bf.c.scheduler.FreeCapacityOn(candidate, owned).Minus(capacity.claimed[candidate])
@@ -425,11 +425,11 @@
 // time: they come one by one, and the first would be returned as idle before the last is there.
 func (bf *Backfiller) extendLoanReservations(owned *core.OwnedPartition) {
 	for id, loan := range bf.core.State.Loans {
-		j, m := bf.core.State.Jobs[loan.Job], bf.c.agents.machines[id]
-		if loan.Partition != owned.Id || j == nil || m == nil || bf.core.Now.Sub(bf.c.agents.machineLoans[id].knownAt) > backfill.StartDeadline/2 || j.PendingTasks(owned.Id) == 0 {
+		j, m := bf.core.State.Jobs[loan.Job], bf.core.Machines[id]
+		if loan.Partition != owned.ID || j == nil || m == nil || bf.core.Now.Sub(bf.c.agents.LoanKnownAt(id)) > backfill.StartDeadline/2 || j.PendingTasks(owned.ID) == 0 {
 			continue
 		}
-		if _, waits := bf.waitingTime(j, owned.Id); waits && bf.c.preemptor.ReservedFor(m) != "" {
+		if _, waits := bf.waitingTime(j, owned.ID); waits && bf.c.preemptor.ReservedFor(m) != "" {
 			m.ReservedUntil, m.IdleSince = bf.core.Now.Add(reservationTTL), bf.core.Now
 		}
 	}
@@ -439,11 +439,11 @@
 // next of them: else each would be gathered for anew. Where a service is left on it, gatherDue
 // alone decides: it may have nowhere to go, and others wait for the rest of the machine.
 func (bf *Backfiller) extendWholeMachineReservations(owned *core.OwnedPartition) {
-	for _, m := range bf.c.agents.MachinesOf(owned.Id) {
+	for _, m := range bf.c.agents.MachinesOf(owned.ID) {
 		if !m.Consolidated || bf.c.preemptor.ReservedFor(m) == "" || bf.core.Now.Sub(m.ConsolidatedAt) > backfill.StartDeadline {
 			continue
 		}
-		if j, typ := bf.core.State.Jobs[m.ReservedFor], bf.core.MachineTypes[m.MachineType]; j.PendingTasks(owned.Id) > 0 && typ != nil && backfill.DominantShare(j.Demand, typ.Capacity()) > 0.5 &&
+		if j, typ := bf.core.State.Jobs[m.ReservedFor], bf.core.MachineTypes[m.MachineType]; j.PendingTasks(owned.ID) > 0 && typ != nil && backfill.DominantShare(j.Demand, typ.Capacity()) > 0.5 &&
 			!slices.ContainsFunc(bf.core.State.PlacementsOn(m.ID), func(p *core.Placement) bool {
 				return p.Job.Spec.Kind == api.Service && !p.Finishing && !p.OwnerState.StopRequested
 			}) {
@@ -457,15 +457,15 @@
 // chosen. A new owner finds by the record what was being emptied for whom.
 func (bf *Backfiller) ReservationChanges(owned *core.OwnedPartition) []clusterstate.Reservation {
 	var out []clusterstate.Reservation
-	recorded := bf.core.State.Partitions[owned.Id].Reservations
-	for _, m := range bf.c.agents.MachinesOf(owned.Id) {
+	recorded := bf.core.State.Partitions[owned.ID].Reservations
+	for _, m := range bf.c.agents.MachinesOf(owned.ID) {
 		if jobID := bf.c.preemptor.ReservedFor(m); m.Consolidated && jobID != "" && recorded[m.ID].Job != jobID && len(out) < maxReservationChanges {
 			out = append(out, clusterstate.Reservation{Machine: m.ID, Job: jobID, Since: bf.core.WallClock})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(recorded)) {
-		m := bf.c.agents.machines[id]
-		ended := m == nil || bf.c.agents.PartitionOf(id) != owned.Id || !m.Consolidated || bf.c.preemptor.ReservedFor(m) == ""
+		m := bf.core.Machines[id]
+		ended := m == nil || bf.core.PartitionOf(id) != owned.ID || !m.Consolidated || bf.c.preemptor.ReservedFor(m) == ""
 		if ended && len(out) < maxReservationChanges {
 			out = append(out, clusterstate.Reservation{Machine: id})
 		}
@@ -480,9 +480,9 @@
 // RestoreReservations goes on keeping what the part's former owner kept, for as long as it takes to look
 // at it anew.
 func (bf *Backfiller) RestoreReservations(owned *core.OwnedPartition) {
-	for id, recorded := range bf.core.State.Partitions[owned.Id].Reservations {
+	for id, recorded := range bf.core.State.Partitions[owned.ID].Reservations {
 		j := bf.core.State.Jobs[recorded.Job]
-		if bf.c.agents.PartitionOf(id) != owned.Id || j == nil {
+		if bf.core.PartitionOf(id) != owned.ID || j == nil {
 			continue
 		}
 		m := bf.c.agents.EnsureMachine(id)
@@ -505,13 +505,13 @@
 // FitsAttainableQuota reports whether so many tasks of a job fit its team's limit once all that ends by
 // itself has ended: only then is the limit left to it.
 func (bf *Backfiller) FitsAttainableQuota(j *core.Job, tasks int) bool {
-	remaining := quotaLimit(bf.core.Teams[j.Spec.Team])
+	remaining := core.QuotaLimit(bf.core.Teams[j.Spec.Team])
 	for _, o := range bf.core.State.Jobs {
 		if o.Spec.Team == j.Spec.Team && o.Spec.Kind == api.Service {
 			remaining = remaining.Minus(o.Demand.Times(o.LiveCount()))
 		}
 	}
-	remaining.Mem = quotaLimit(config.Team{}).Mem
+	remaining.Mem = core.QuotaLimit(config.Team{}).Mem
 	return tasks > 0 && j.Demand.Times(tasks).Fits(remaining)
 }
 
@@ -519,10 +519,10 @@
 // begin and lack nothing else. Of two parts that want of each other the lower one has it.
 func (bf *Backfiller) QuotaReservedForOthers(owned *core.OwnedPartition) map[api.PartitionID]map[api.Team]api.Resources {
 	out := map[api.PartitionID]map[api.Team]api.Resources{}
-	remaining := bf.c.scheduler.RemainingQuota(owned.Id)
+	remaining := bf.core.RemainingQuota(owned.ID)
 	for _, status := range bf.c.gossiper.OtherPartitionStatuses(owned) {
 		for _, team := range slices.Sorted(maps.Keys(status.Due)) {
-			if _, mustStartHere := owned.MustStartQuotaDemand[team]; mustStartHere && owned.Id < status.Part {
+			if _, mustStartHere := owned.MustStartQuotaDemand[team]; mustStartHere && owned.ID < status.Part {
 				continue
 			}
 			demand := status.Due[team]
--- a/controller/backfill_test.go
+++ b/controller/backfill_test.go
@@ -181,18 +181,18 @@
 	if n.preemptor.ReservedFor(m) != j.ID || !m.Consolidated {
 		t.Error("a new owner forgets what is kept")
 	}
-	if len(n.backfiller.ReservationChanges(n.scheduler.partitions[0])) != 0 {
+	if len(n.backfiller.ReservationChanges(n.core.Partitions[0])) != 0 {
 		t.Error("a new owner records it anew")
 	}
 	for i := range spec.Tasks {
 		n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j})
 	}
-	if ends := n.backfiller.ReservationChanges(n.scheduler.partitions[0]); len(ends) != 1 || ends[0] != (clusterstate.Reservation{Machine: m.ID}) {
+	if ends := n.backfiller.ReservationChanges(n.core.Partitions[0]); len(ends) != 1 || ends[0] != (clusterstate.Reservation{Machine: m.ID}) {
 		t.Errorf("its end is not recorded: %+v", ends)
 	}
 	applyRecord(clusterstate.Reservation{Machine: m.ID}, clusterstate.Reservation{Machine: "i-000009", Job: "run-99"})
 	n.scheduler.BeginOwnership(0, 9)
-	if n.agents.machines["i-000009"] != nil && n.preemptor.ReservedFor(n.agents.machines["i-000009"]) != "" {
+	if n.core.Machines["i-000009"] != nil && n.preemptor.ReservedFor(n.core.Machines["i-000009"]) != "" {
 		t.Error("kept for a job that there is none of")
 	}
 }
--- a/controller/cancel.go
+++ b/controller/cancel.go
@@ -24,15 +24,15 @@
 // we know, and one that fetches its image or waits for its gang begins by itself unless the halt
 // comes before, which may be held up.
 func (js *JobService) CanAcknowledgeCancellation(owned *core.OwnedPartition, j *core.Job) bool {
-	if j.PlacementCounts[owned.Id] == 0 || j.CancellationAcknowledged(owned.Id) || !js.core.LeaseCoversCancellation {
+	if j.PlacementCounts[owned.ID] == 0 || j.CancellationAcknowledged(owned.ID) || !js.core.LeaseCoversCancellation {
 		return false
 	}
 	for _, p := range j.Placements {
-		if p.Partition != owned.Id || p.Finishing {
+		if p.Partition != owned.ID || p.Finishing {
 			continue
 		}
-		m := js.c.agents.machines[p.Machine]
-		if m == nil || m.ReportedToken < js.c.agents.MinToken(owned, m.ID) || !p.OwnerState.Reported || !taskStarted(p.OwnerState.State) {
+		m := js.core.Machines[p.Machine]
+		if m == nil || m.ReportedToken < js.core.MinToken(owned, m.ID) || !p.OwnerState.Reported || !taskStarted(p.OwnerState.State) {
 			return false
 		}
 	}
@@ -46,12 +46,12 @@
 // cancellation is read: their next reports may be seconds away, and what has still to begin keeps
 // the cancellation from being told.
 func (js *JobService) StopCancelledTasks(owned *core.OwnedPartition, j *core.Job) {
-	if j.PlacementCounts[owned.Id] == 0 {
+	if j.PlacementCounts[owned.ID] == 0 {
 		return
 	}
 	for _, i := range slices.Sorted(maps.Keys(j.Placements)) { // in order: the calls are made in it
 		p := j.Placements[i]
-		if m := js.c.agents.machines[p.Machine]; p.Partition == owned.Id && !p.Finishing && !p.OwnerState.HaltRequested && m != nil {
+		if m := js.core.Machines[p.Machine]; p.Partition == owned.ID && !p.Finishing && !p.OwnerState.HaltRequested && m != nil {
 			p.OwnerState.HaltRequested = true
 			js.c.agents.ContactNow(m)
 		}
@@ -135,6 +135,6 @@
 			partitions, owners = append(partitions, id), append(owners, js.core.State.Partitions[p].Owner)
 		}
 	}
-	slog.Info("cancellation pending", tenantAttr(j), "job", jobID, "for_parts", partitions, "owners", owners,
+	slog.Info("cancellation pending", tenantAttr(j), "job", jobID, "for_partitions", partitions, "owners", owners,
 		"since_s", float64(js.core.WallClock-j.CancelledAt)/1000)
 }
--- a/controller/capacitytarget.go
+++ b/controller/capacitytarget.go
@@ -17,7 +17,7 @@
 func (as *Autoscaler) CountAccelerators(p api.PartitionID) map[message.AcceleratorKind]message.AcceleratorCount {
 	counts := map[message.AcceleratorKind]message.AcceleratorCount{}
 	for _, m := range as.c.agents.MachinesOf(p) {
-		if m.LastHeartbeat == 0 || m.Deleting || !as.c.jobs.HasAccelerators(m.MachineType) {
+		if m.LastHeartbeat == 0 || m.Deleting || !as.core.HasAccelerators(m.MachineType) {
 			continue
 		}
 		c := counts[message.AcceleratorKind{Type: m.MachineType, Spot: m.Spot}]
@@ -34,7 +34,7 @@
 // that needs them.
 func (as *Autoscaler) hasLongRunningWork(id api.MachineID) bool {
 	for _, p := range as.core.State.PlacementsOn(id) {
-		if p.Job.Spec.Kind != api.Array && !as.c.scheduler.IsCPUOnly(p.Job.Spec) {
+		if p.Job.Spec.Kind != api.Array && !as.core.IsCPUOnly(p.Job.Spec) {
 			return true
 		}
 	}
@@ -44,14 +44,14 @@
 // acceleratorsByPartition is what is known of all parts' machines with accelerators.
 func (as *Autoscaler) acceleratorsByPartition() map[api.PartitionID]map[message.AcceleratorKind]message.AcceleratorCount {
 	out := map[api.PartitionID]map[message.AcceleratorKind]message.AcceleratorCount{}
-	for p := range as.c.scheduler.partitions {
+	for p := range as.core.Partitions {
 		out[p] = as.CountAccelerators(p)
 	}
 	for _, status := range as.c.gossiper.PeerPartitionStatuses() {
 		out[status.Part] = status.Accelerated
 	}
 	as.c.gossiper.EachUnreportedMachine(func(p api.PartitionID, h api.Instance) {
-		if !as.c.jobs.HasAccelerators(h.Type) {
+		if !as.core.HasAccelerators(h.Type) {
 			return
 		}
 		if out[p] == nil {
@@ -112,7 +112,7 @@
 	as.recordSpotUptime()
 	samples := map[api.MachineTypeName]demandSample{}
 	for _, j := range as.core.State.Jobs {
-		if j.Terminal() || as.c.scheduler.IsCPUOnly(j.Spec) || as.c.tenancy.StartsBlocked(j) {
+		if j.Terminal() || as.core.IsCPUOnly(j.Spec) || as.c.tenancy.StartsBlocked(j) {
 			continue
 		}
 		typ := as.CheapestType(j.Spec)
@@ -154,7 +154,7 @@
 // IsLatencySensitive reports whether work should start sooner than a machine for it boots:
 // booting takes up to half as long again as the type's time.
 func (as *Autoscaler) IsLatencySensitive(s *api.JobSpec) bool {
-	within, typ := as.c.scheduler.StartObjective(s.Class), as.CheapestType(s)
+	within, typ := as.core.StartObjective(s.Class), as.CheapestType(s)
 	return within > 0 && typ != nil && within < slowBootFactor*typ.BootSeconds
 }
 
@@ -250,7 +250,7 @@
 				take = surplusOfKind*(freeBefore+c.Up-c.Lasting)/free - surplusOfKind*freeBefore/free
 			}
 			freeBefore += c.Up - c.Lasting
-			if owned := as.c.scheduler.partitions[p]; owned != nil {
+			if owned := as.core.Partitions[p]; owned != nil {
 				as.selectSurplus(p, s, take)
 				if target.latencySensitiveSpec != nil && (excess-free)/len(countsByPartition) > 0 {
 					as.consolidate(owned, s)
@@ -299,7 +299,7 @@
 		return
 	}
 	var from, to []*core.Machine
-	for _, m := range as.c.agents.MachinesOf(owned.Id) {
+	for _, m := range as.c.agents.MachinesOf(owned.ID) {
 		if m.MachineType != s.Type || m.Spot != s.Spot || m.Surplus || as.core.Now < m.ConsolidatingUntil || !as.c.scheduler.IsSchedulable(m, owned) || len(as.core.State.PlacementsOn(m.ID)) == 0 {
 			continue
 		}
@@ -347,7 +347,7 @@
 func (as *Autoscaler) allServicesMovable(m *core.Machine, owned *core.OwnedPartition) bool {
 	for _, p := range as.core.State.PlacementsOn(m.ID) {
 		s := p.Job.Spec
-		if s.Kind != api.Service || s.Spread || s.OneZone || p.Partition != owned.Id || p.Finishing || p.OwnerState.StopRequested || p.Job.Terminal() ||
+		if s.Kind != api.Service || s.Spread || s.OneZone || p.Partition != owned.ID || p.Finishing || p.OwnerState.StopRequested || p.Job.Terminal() ||
 			p.OwnerState.RunningSince == 0 || as.core.Now.Sub(p.OwnerState.RunningSince) < minServiceRuntime {
 			return false
 		}
--- a/controller/checkpoint.go
+++ b/controller/checkpoint.go
@@ -16,11 +16,11 @@
 // maybeCheckpoint writes the part's state when enough rounds have passed, so that
 // recovery reads a bounded amount and the ring of records can go round.
 func (rs *RoundScheduler) maybeCheckpoint(owned *core.OwnedPartition) {
-	ps := &rs.core.State.Partitions[owned.Id]
+	ps := &rs.core.State.Partitions[owned.ID]
 	if owned.Checkpointing || owned.HandingOver || ps.RoundSeq < ps.CheckpointHead.Seq+clusterstate.RingSize/2 || rs.core.Now < owned.NextArchive {
 		return
 	}
-	writes, err := rs.core.State.CheckpointWrites(owned.Id, int(rs.core.Config.Deployment.State.ValueKB*1024)-64)
+	writes, err := rs.core.State.CheckpointWrites(owned.ID, int(rs.core.Config.Deployment.State.ValueKB*1024)-64)
 	if err != nil {
 		slog.Error("checkpoint not encoded", "err", err)
 		return
@@ -38,7 +38,7 @@
 		tx.If = append(tx.If, rs.core.State.VersionCondition(w.Put))
 	}
 	rs.core.CallStoreTxn(tx, func(a message.StoreResponse) {
-		if rs.partitions[owned.Id] != owned {
+		if rs.core.Partitions[owned.ID] != owned {
 			return
 		}
 		if a.Status == 200 {
@@ -51,7 +51,7 @@
 			}
 			var head clusterstate.CheckpointHeadValue
 			if json.Unmarshal(writes[k-1].Value, &head) == nil {
-				rs.core.State.Partitions[owned.Id].CheckpointHead = head
+				rs.core.State.Partitions[owned.ID].CheckpointHead = head
 			}
 			owned.Checkpointing, owned.Dirty = false, true
 			return
@@ -72,7 +72,7 @@
 	var tx api.Txn
 	for _, ref := range slices.Sorted(maps.Keys(rs.core.State.FinishedJobs)) {
 		j := rs.core.State.FinishedJobs[ref]
-		if len(j.Split) == 0 || j.Split[0].Partition != owned.Id {
+		if len(j.Split) == 0 || j.Split[0].Partition != owned.ID {
 			continue
 		}
 		v, _ := json.Marshal(j.State())
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -78,7 +78,7 @@
 
 // New returns a controller; born tells this run of the process from others.
 func New(cfg *config.Config, incarnation int64) *Controller {
-	shared := core.NewCore(cfg, incarnation)
+	shared := core.New(cfg, incarnation)
 	n := &Controller{core: shared}
 	n.follower = &LogFollower{core: shared, c: n}
 	n.membership = newMembership(n)
@@ -86,7 +86,7 @@
 	n.agents = newAgentManager(n)
 	n.health = &ZoneHealth{core: shared, c: n}
 	n.autoscaler = newAutoscaler(n)
-	n.scheduler = &RoundScheduler{core: shared, c: n, partitions: map[api.PartitionID]*core.OwnedPartition{}}
+	n.scheduler = &RoundScheduler{core: shared, c: n}
 	n.preemptor = &Preemptor{core: shared, c: n}
 	n.priorities = &Priorities{core: shared, c: n}
 	n.backfiller = &Backfiller{core: shared, c: n}
@@ -195,8 +195,8 @@
 	n.tenancy.ReconcileTenants()
 	n.reporter.StartWork(message.WorkRounds)
 	n.scheduler.ObserveRounds()
-	for _, p := range slices.Sorted(maps.Keys(n.scheduler.partitions)) {
-		if owned := n.scheduler.partitions[p]; owned != nil {
+	for _, p := range slices.Sorted(maps.Keys(n.core.Partitions)) {
+		if owned := n.core.Partitions[p]; owned != nil {
 			n.scheduler.RunPartition(owned)
 		}
 	}
--- a/controller/core/core.go
+++ b/controller/core/core.go
@@ -44,7 +44,7 @@
 	retry := 0
 	if status == 503 {
 		retry = 1
-		slog.Debug("request refused, retry later", "why", reason)
+		slog.Debug("request refused, retry later", "reason", reason)
 	}
 	k.Reply(req, status, api.ErrorBody{Error: reason}, retry)
 }
@@ -178,12 +178,15 @@
 	MachineTypes      map[api.MachineTypeName]*api.MachineType
 	DeferredCalls     []DeferredCall
 	StartedAt         api.Time
+	Machines          map[api.MachineID]*Machine          // those that this controller knows
+	Partitions        map[api.PartitionID]*OwnedPartition // those that this controller owns
 	Metrics           Metrics
 	PendingRequests   map[message.ReqID]PendingRequest // requests that wait for their answer
 }
 
-func NewCore(cfg *config.Config, incarnation int64) *Core {
-	k := &Core{Intervals: NewIntervals(cfg), Config: cfg, Incarnation: incarnation,
+// New returns the core of a controller; incarnation tells this run of the process from others.
+func New(cfg *config.Config, incarnation int64) *Core {
+	k := &Core{Machines: map[api.MachineID]*Machine{}, Partitions: map[api.PartitionID]*OwnedPartition{}, Intervals: NewIntervals(cfg), Config: cfg, Incarnation: incarnation,
 		PendingCalls: map[message.CallID]func(any){}, pendingStoreCalls: map[message.CallID]api.Time{}, PendingRequests: map[message.ReqID]PendingRequest{},
 		MachineTypes: map[api.MachineTypeName]*api.MachineType{},
 		Controllers:  []api.ControllerID{cfg.Label},
@@ -229,3 +232,8 @@
 	At       api.Time
 	Callback func()
 }
+
+// PreferredOwner is the controller that owns a part when all live.
+func (k *Core) PreferredOwner(p api.PartitionID) api.ControllerID {
+	return k.Controllers[int(p)%len(k.Controllers)]
+}
--- a/controller/core/machine.go
+++ b/controller/core/machine.go
@@ -84,3 +84,16 @@
 		m.Address, m.MachineType, m.Zone, m.Spot = h.Address, h.Type, h.Zone, h.Spot
 	}
 }
+
+func (k *Core) PartitionOf(id api.MachineID) api.PartitionID {
+	if loan, ok := k.State.Loans[id]; ok {
+		return loan.Partition
+	}
+	return HashPartition(id, len(k.State.Partitions))
+}
+
+// MinToken is the lowest token under which the owner of a part may command a
+// machine: its term or, for a machine lent to it since, the lending's revision.
+func (k *Core) MinToken(owned *OwnedPartition, id api.MachineID) api.FencingToken {
+	return api.FencingToken(max(owned.Term, k.State.Loans[id].Revision))
+}
--- a/controller/core/partition.go
+++ b/controller/core/partition.go
@@ -10,7 +10,7 @@
 
 // OwnedPartition is a partition of the machines that this node owns, under one term.
 type OwnedPartition struct {
-	Id               api.PartitionID
+	ID               api.PartitionID
 	Term             api.Revision
 	OwnedSince       api.Time
 	LastRevision     api.Revision // of our latest durable record
@@ -62,7 +62,7 @@
 
 // OwnershipCondition is the condition that the part is still ours, under this term.
 func (owned *OwnedPartition) OwnershipCondition() api.Condition {
-	return api.Condition{Key: clusterstate.PartitionKey(clusterstate.KeyPartition, owned.Id), Version: owned.Term}
+	return api.Condition{Key: clusterstate.PartitionKey(clusterstate.KeyPartition, owned.ID), Version: owned.Term}
 }
 
 // RotateAfterCursor puts the jobs after the one last looked at first.
--- a/controller/deletions.go
+++ b/controller/deletions.go
@@ -44,7 +44,7 @@
 		}
 		return as.nonArrayTasks(b.machine) - as.nonArrayTasks(a.machine)
 	})
-	batch := slices.Clone(as.pendingDeletions[:min(len(as.pendingDeletions), maxDeletionBatch)])
+	batch := slices.Clone(as.pendingDeletions[:min(len(as.pendingDeletions), MaxDeletionBatch)])
 	as.pendingDeletions = slices.Clone(as.pendingDeletions[len(batch):])
 	finish := func(ok bool) {
 		if as.deletionInFlight = false; ok {
@@ -65,12 +65,12 @@
 		var ids []api.MachineID
 		var confirmed []pendingDeletion
 		for _, deletion := range batch {
-			if as.c.scheduler.partitions[deletion.partition.Id] != deletion.partition || as.c.agents.PartitionOf(deletion.machine.ID) != deletion.partition.Id || deletion.reason == deleteReasonIdle && len(as.core.State.PlacementsOn(deletion.machine.ID)) > 0 ||
-				deletion.reason == deleteReasonZoneLost && as.c.health.zones.records[deletion.machine.Zone].State != zonehealth.Failed {
+			if as.core.Partitions[deletion.partition.ID] != deletion.partition || as.core.PartitionOf(deletion.machine.ID) != deletion.partition.ID || deletion.reason == deleteReasonIdle && len(as.core.State.PlacementsOn(deletion.machine.ID)) > 0 ||
+				deletion.reason == deleteReasonZoneLost && as.c.health.RecordedState(deletion.machine.Zone) != zonehealth.Failed {
 				cancelDeletion(deletion) // what was decided is not so any more
 				continue
 			}
-			slog.Info("deleting machine", "machine", deletion.machine.ID, "why", deletion.reason, "tasks", len(as.core.State.PlacementsOn(deletion.machine.ID)))
+			slog.Info("deleting machine", "machine", deletion.machine.ID, "reason", deletion.reason, "tasks", len(as.core.State.PlacementsOn(deletion.machine.ID)))
 			ids, confirmed = append(ids, deletion.machine.ID), append(confirmed, deletion)
 		}
 		if len(ids) == 0 {
@@ -90,9 +90,9 @@
 					as.fleet.spotPreemptions++
 				}
 				as.c.balancer.DropLoanRecord(deletion.partition, deletion.machine.ID)
-				if as.c.scheduler.partitions[deletion.partition.Id] == deletion.partition {
+				if as.core.Partitions[deletion.partition.ID] == deletion.partition {
 					for _, p := range as.core.State.PlacementsOn(deletion.machine.ID) {
-						if p.Partition == deletion.partition.Id && !p.Finishing {
+						if p.Partition == deletion.partition.ID && !p.Finishing {
 							as.c.scheduler.RecordTaskEnd(deletion.partition, p, false, reasonMachineDeleted)
 						}
 					}
@@ -125,7 +125,7 @@
 
 // The protocol's bounds on names in a deletion and on machines in a rental.
 const (
-	maxDeletionBatch = 100
+	MaxDeletionBatch = 100
 	maxScaleOutBatch = 50
 )
 
@@ -136,3 +136,11 @@
 	deleteReasonZoneLost    = "lost with its zone"
 	deleteReasonCancelled   = "not reachable, with a cancelled task"
 )
+
+// PendingDeletionCount is how many machines wait for their deletion.
+func (as *Autoscaler) PendingDeletionCount() int { return len(as.pendingDeletions) }
+
+// DeletionsBackingOff reports whether deletions failed and the next is not due yet.
+func (as *Autoscaler) DeletionsBackingOff() bool {
+	return as.deletionFailures > 0 && as.core.Now < as.nextDeletionAt
+}
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -75,7 +75,7 @@
 		decay := math.Exp(-since.Seconds() / spotDecayTime.Seconds())
 		f.spotUptimeSeconds *= decay
 		f.spotPreemptions *= decay
-		for p := range as.c.scheduler.partitions {
+		for p := range as.core.Partitions {
 			for _, m := range as.c.agents.MachinesOf(p) {
 				if m.Spot && m.LastHeartbeat != 0 {
 					f.spotUptimeSeconds += since.Seconds()
@@ -132,21 +132,21 @@
 
 func (as *Autoscaler) ReconcileFleet() {
 	as.refreshMachineTypes()
-	if len(as.c.scheduler.partitions) == 0 || len(as.core.MachineTypes) == 0 {
+	if len(as.core.Partitions) == 0 || len(as.core.MachineTypes) == 0 {
 		return
 	}
 	as.refreshMachineList()
 	if as.core.Now >= as.fleet.nextDemandSample && !as.core.Overloaded() {
 		as.updateCapacityTargets()
 	}
-	if owned := as.c.scheduler.partitions[0]; owned != nil {
+	if owned := as.core.Partitions[0]; owned != nil {
 		as.scaleOut(owned)
 	}
 }
 
 func (as *Autoscaler) refreshMachineTypes() {
 	f := &as.fleet
-	if f.readingTypes || as.core.Now < f.nextTypesRead || len(as.core.MachineTypes) > 0 && as.c.scheduler.partitions[0] == nil {
+	if f.readingTypes || as.core.Now < f.nextTypesRead || len(as.core.MachineTypes) > 0 && as.core.Partitions[0] == nil {
 		return
 	}
 	f.readingTypes = true
@@ -158,7 +158,7 @@
 		}
 		f.nextTypesRead = as.core.Now.Add(typesInterval)
 		as.core.AddMachineTypes(a.Types)
-		if owned := as.c.scheduler.partitions[0]; owned != nil && len(as.core.RecordedTypes.Types) != len(a.Types) {
+		if owned := as.core.Partitions[0]; owned != nil && len(as.core.RecordedTypes.Types) != len(a.Types) {
 			// Kept so that a node that starts while the cloud is down knows them.
 			v, _ := json.Marshal(api.MachineTypes{Types: a.Types})
 			as.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.OwnershipCondition(), as.core.State.VersionCondition(core.MachineTypesKey)},
@@ -224,7 +224,7 @@
 	f := &as.fleet
 	for _, id := range f.listedOrder {
 		h := f.listedMachines[id]
-		owned := as.c.scheduler.partitions[as.c.agents.PartitionOf(id)]
+		owned := as.core.Partitions[as.core.PartitionOf(id)]
 		if owned == nil || f.deletedAt[id] != 0 {
 			continue
 		}
@@ -266,7 +266,7 @@
 	if target := f.capacityTargets[m.MachineType]; target != nil && target.latencySensitiveSpec != nil && !m.Surplus {
 		idle = false
 	}
-	m.ScaleInCandidate = idle && as.c.jobs.HasAccelerators(m.MachineType)
+	m.ScaleInCandidate = idle && as.core.HasAccelerators(m.MachineType)
 	if m.Deleting || len(as.core.State.PlacementsOn(m.ID)) > 0 {
 		return
 	}
@@ -287,7 +287,7 @@
 // one with accelerators only such as needs them.
 func (as *Autoscaler) hasRetainingWork(id api.MachineID, typ api.MachineTypeName) bool {
 	for _, p := range as.core.State.PlacementsOn(id) {
-		if !as.c.jobs.HasAccelerators(typ) || !as.c.scheduler.IsCPUOnly(p.Job.Spec) {
+		if !as.core.HasAccelerators(typ) || !as.core.IsCPUOnly(p.Job.Spec) {
 			return true
 		}
 	}
@@ -316,7 +316,7 @@
 	}
 	// After a takeover the machines there are must be heard of first; on an empty
 	// cloud there is nothing to hear of.
-	if (len(f.listedMachines) > 0 || len(as.c.agents.machines) > 0) && as.core.Now.Sub(owned.OwnedSince) < 3*time.Second {
+	if (len(f.listedMachines) > 0 || len(as.core.Machines) > 0) && as.core.Now.Sub(owned.OwnedSince) < 3*time.Second {
 		return
 	}
 	f.nextScaleOut = as.core.Now.Add(as.core.CloudCallInterval)
@@ -346,13 +346,13 @@
 		}
 	}
 	remaining := map[api.Team]api.Resources{}
-	use := as.c.scheduler.TeamUsage()
+	use := as.core.TeamUsage()
 	for name, team := range as.core.Teams {
-		remaining[name] = quotaLimit(team).Minus(use[name])
+		remaining[name] = core.QuotaLimit(team).Minus(use[name])
 	}
 	units := as.c.pools.FreePoolUnits()
 	zoneOpen := slices.Collect(maps.Values(as.core.State.PendingJobs))
-	for ref := range as.c.health.zones.replacementDemand {
+	for ref := range as.c.health.ReplacementDemand() {
 		if j := as.core.State.Jobs[ref]; j != nil && as.core.State.PendingJobs[ref] == nil {
 			zoneOpen = append(zoneOpen, j)
 		}
@@ -382,11 +382,11 @@
 		}
 		budget -= waiting
 		remaining[j.Spec.Team] = remaining[j.Spec.Team].Minus(j.Demand.Times(waiting))
-		waiting += as.c.health.zones.replacementDemand[j.ID]
+		waiting += as.c.health.ReplacementDemand()[j.ID]
 		if waiting <= 0 {
 			continue
 		}
-		cpuOnly := as.c.scheduler.IsCPUOnly(j.Spec)
+		cpuOnly := as.core.IsCPUOnly(j.Spec)
 		// A job whose tasks stay together does not leave its part once some have started.
 		bound, boundPartition := j.Spec.NeedsSinglePartition() && len(j.Placements) > 0, j.Split[0].Partition
 		var zone api.Zone
@@ -415,12 +415,12 @@
 		}
 		zoneOpen := func(z api.Zone) bool { return (zone == "" || z == zone) && zoneLimit(z) > 0 }
 		totalWaiting := waiting
-		if within := as.c.scheduler.StartObjective(j.Spec.Class); within > 0 && !cpuOnly && waiting > 0 {
+		if within := as.core.StartObjective(j.Spec.Class); within > 0 && !cpuOnly && waiting > 0 {
 			// Work that ends will make room; a machine is rented only when
 			// that comes too late.
 			if slots := as.totalCapacitySlots(j.Spec); slots > 0 {
 				queued += waiting
-				taskTurnaround := j.Spec.Estimate + j.Spec.ImageGB/as.SlowestFetchRate(j.Spec)
+				taskTurnaround := j.Spec.Estimate + j.Spec.ImageGB/as.core.SlowestFetchRate(j.Spec)
 				elapsed := max(0, float64(as.core.WallClock-j.AcceptedAt)/1000)
 				if elapsed+float64(queued)/float64(slots)*taskTurnaround < within {
 					continue
@@ -492,7 +492,7 @@
 	f := &as.fleet
 	accounted := map[api.MachineID]bool{}
 	for id := range f.listedMachines {
-		if m := as.c.agents.machines[id]; m != nil && m.LastHeartbeat != 0 || len(as.core.State.PlacementsOn(id)) > 0 {
+		if m := as.core.Machines[id]; m != nil && m.LastHeartbeat != 0 || len(as.core.State.PlacementsOn(id)) > 0 {
 			accounted[id] = true // the list lags
 		}
 	}
@@ -510,14 +510,14 @@
 			incoming[machineOffer{h.Type, h.Zone, h.Spot}]++
 		}
 	}
-	for id := range as.c.agents.machineLoans {
-		if h, listed := f.listedMachines[id]; listed && (accounted[id] || h.AgeSeconds > slowBootFactor*as.BootSeconds(h.Type)) && as.c.agents.LoanInTransit(id) {
+	for id := range as.c.agents.LoanedMachines() {
+		if h, listed := f.listedMachines[id]; listed && (accounted[id] || h.AgeSeconds > slowBootFactor*as.core.BootSeconds(h.Type)) && as.c.agents.LoanInTransit(id) {
 			incoming[machineOffer{h.Type, h.Zone, h.Spot}]++
 		}
 	}
 	for id, r := range f.provisioned {
 		if _, listed := f.listedMachines[id]; !listed && !accounted[id] && f.deletedAt[id] == 0 {
-			if m := as.c.agents.machines[id]; m == nil || m.LastHeartbeat == 0 {
+			if m := as.core.Machines[id]; m == nil || m.LastHeartbeat == 0 {
 				incoming[r.machineOffer]++
 			}
 		}
@@ -525,13 +525,6 @@
 	return incoming
 }
 
-func (as *Autoscaler) BootSeconds(t api.MachineTypeName) float64 {
-	if typ := as.core.MachineTypes[t]; typ != nil {
-		return typ.BootSeconds
-	}
-	return 0
-}
-
 // requestMachines asks the cloud for machines.
 func (as *Autoscaler) requestMachines(owned *core.OwnedPartition, o machineOffer, count int) {
 	f := &as.fleet
@@ -581,7 +574,7 @@
 // mayProbeZone reports whether one more machine may be rented in a zone: into one of which nothing
 // is left, and which may be back, a few at a time.
 func (as *Autoscaler) mayProbeZone(name api.Zone, need, incoming map[machineOffer]int) bool {
-	if s := as.c.health.zones.observations[name]; as.c.health.ZoneState(name) != zonehealth.Recovering || s.All > 0 {
+	if s := as.c.health.Observation(name); as.c.health.ZoneState(name) != zonehealth.Recovering || s.All > 0 {
 		return true
 	}
 	count := 0
@@ -609,25 +602,10 @@
 	return slots
 }
 
-// SlowestFetchRate is the lowest rate at which an allowed type fetches images.
-func (as *Autoscaler) SlowestFetchRate(s *api.JobSpec) float64 {
-	rate := 0.0
-	for _, t := range as.core.MachineTypes {
-		if t.FetchRate > 0 && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && s.Demand().Fits(t.Capacity()) &&
-			(rate == 0 || t.FetchRate < rate) {
-			rate = t.FetchRate
-		}
-	}
-	if rate == 0 {
-		return 1
-	}
-	return rate
-}
-
 // cheapestOffer finds the offer with the lowest price for one task of the job, in a zone
 // that is open to it.
 func (as *Autoscaler) cheapestOffer(s *api.JobSpec, needed, incoming map[machineOffer]int, open func(api.Zone) bool) (machineOffer, bool) {
-	demand, cpuOnly := s.Demand(), as.c.scheduler.IsCPUOnly(s)
+	demand, cpuOnly := s.Demand(), as.core.IsCPUOnly(s)
 	var best machineOffer
 	bestPrice := 0.0
 	for _, name := range slices.Sorted(maps.Keys(as.core.MachineTypes)) {
@@ -666,3 +644,36 @@
 	as.fleet.init()
 	return as
 }
+
+// IsDeleted reports whether a machine was deleted, by the cloud's word.
+func (as *Autoscaler) IsDeleted(id api.MachineID) bool { return as.fleet.deletedAt[id] != 0 }
+
+// ListedMachine is a machine as the cloud's list shows it.
+func (as *Autoscaler) ListedMachine(id api.MachineID) (api.Instance, bool) {
+	listed, ok := as.fleet.listedMachines[id]
+	return listed, ok
+}
+
+// ListedZone is a machine's zone by the cloud's list, empty if it is not listed.
+func (as *Autoscaler) ListedZone(id api.MachineID) api.Zone { return as.fleet.listedMachines[id].Zone }
+
+// ListedMachineIDs are the machines of the cloud's list, in order.
+func (as *Autoscaler) ListedMachineIDs() []api.MachineID { return as.fleet.listedOrder }
+
+// ListedAt is when the last whole list was had, 0 if none was.
+func (as *Autoscaler) ListedAt() api.Time { return as.fleet.listedAt }
+
+// ProvisionedNotListed are machines that were provisioned and the list does not show yet.
+func (as *Autoscaler) ProvisionedNotListed() []message.RecentScaleOut {
+	return as.fleet.provisionedNotListed()
+}
+
+// NoteProvisioned notes a machine that another controller has provisioned.
+func (as *Autoscaler) NoteProvisioned(id api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool) {
+	if _, known := as.fleet.provisioned[id]; !known {
+		as.fleet.provisioned[id] = provisionedMachine{machineOffer{typ, zone, spot}, as.core.Now}
+	}
+}
+
+// SpotLossRate is how often a spot machine is reclaimed, per second, as seen of late.
+func (as *Autoscaler) SpotLossRate() float64 { return as.fleet.spotLossRate() }
--- a/controller/gossip.go
+++ b/controller/gossip.go
@@ -32,19 +32,15 @@
 	}
 	previousGossipAt := gs.lastGossipAt
 	gs.nextGossipAt, gs.lastGossipAt = gs.core.Now.Add(core.GossipInterval), gs.core.Now
-	for id, r := range gs.c.agents.redirects {
-		if gs.core.Now.Sub(r.at) > gs.core.RedirectTTL {
-			delete(gs.c.agents.redirects, id)
-		}
-	}
+	gs.c.agents.ExpireRedirects()
 	gs.gossipNumber++
 	g := &message.Gossip{From: gs.core.Config.Label, Born: gs.core.Incarnation, Number: gs.gossipNumber, StateOK: !gs.core.StoreUnreachable()}
-	for _, p := range slices.Sorted(maps.Keys(gs.c.scheduler.partitions)) {
-		g.Parts = append(g.Parts, gs.partitionStatus(gs.c.scheduler.partitions[p]))
-		gs.recordDemand(p, gs.c.scheduler.partitions[p].QuotaDemand)
+	for _, p := range slices.Sorted(maps.Keys(gs.core.Partitions)) {
+		g.Parts = append(g.Parts, gs.partitionStatus(gs.core.Partitions[p]))
+		gs.recordDemand(p, gs.core.Partitions[p].QuotaDemand)
 	}
-	if gs.c.scheduler.partitions[0] != nil {
-		g.Rented = gs.c.autoscaler.fleet.provisionedNotListed()
+	if gs.core.Partitions[0] != nil {
+		g.Rented = gs.c.autoscaler.ProvisionedNotListed()
 	}
 	if !gs.c.follower.UsesRelays() {
 		gs.gossipTo(slices.Sorted(maps.Keys(gs.peers)), g)
@@ -113,7 +109,7 @@
 		gs.core.CallPeer(l, core.PeerTimeout, message.PeerMessage{Gossip: g}, func(a message.PeerResponse) {
 			p.sendInFlight = false
 			if !a.OK && gs.c.follower.UsesRelays() {
-				gs.c.follower.relayLink.MarkFailed(l, gs.core.Now)
+				gs.c.follower.MarkRelayFailed(l)
 			}
 		})
 	}
@@ -148,9 +144,7 @@
 	p.gossip.Passed = nil
 	for _, r := range g.Rented {
 		for _, id := range r.Machines {
-			if _, known := gs.c.autoscaler.fleet.provisioned[id]; !known {
-				gs.c.autoscaler.fleet.provisioned[id] = provisionedMachine{machineOffer{r.Type, r.Zone, r.Spot}, gs.core.Now}
-			}
+			gs.c.autoscaler.NoteProvisioned(id, r.Type, r.Zone, r.Spot)
 		}
 	}
 	for _, status := range g.Parts {
@@ -161,11 +155,11 @@
 // partitionStatus describes one of our parts to the others: machines that are alike are
 // counted, since there may be very many.
 func (gs *Gossiper) partitionStatus(owned *core.OwnedPartition) message.PartitionStatus {
-	status := message.PartitionStatus{Part: owned.Id, Want: owned.QuotaDemand, Due: owned.MustStartQuotaDemand, Starved: owned.QuotaStarvedDemand, Short: slices.Sorted(maps.Keys(owned.ShortTypes)), Spare: gs.c.scheduler.RemainingQuota(owned.Id), Waiting: owned.PendingTaskCount, Lack: owned.UnmetDemands,
-		Accelerated: gs.c.autoscaler.CountAccelerators(owned.Id), Zones: gs.c.health.SilentByZone(owned)}
+	status := message.PartitionStatus{Part: owned.ID, Want: owned.QuotaDemand, Due: owned.MustStartQuotaDemand, Starved: owned.QuotaStarvedDemand, Short: slices.Sorted(maps.Keys(owned.ShortTypes)), Spare: gs.core.RemainingQuota(owned.ID), Waiting: owned.PendingTaskCount, Lack: owned.UnmetDemands,
+		Accelerated: gs.c.autoscaler.CountAccelerators(owned.ID), Zones: gs.c.health.SilentByZone(owned)}
 	classIndex := map[message.MachineClass]int{}
 	capacityIndex := map[message.FreeCapacity]int{}
-	for _, m := range gs.c.agents.MachinesOf(owned.Id) {
+	for _, m := range gs.c.agents.MachinesOf(owned.ID) {
 		if m.LastHeartbeat == 0 || m.Deleting {
 			continue
 		}
@@ -174,7 +168,7 @@
 				status.Silent = append(status.Silent, m.ID)
 			}
 		}
-		if gs.core.Now.Sub(m.FirstHeartbeat) < max(time.Minute, api.Seconds(2*gs.c.autoscaler.BootSeconds(m.MachineType))) && len(status.Fresh) < message.MaxSilentMachines {
+		if gs.core.Now.Sub(m.FirstHeartbeat) < max(time.Minute, api.Seconds(2*gs.core.BootSeconds(m.MachineType))) && len(status.Fresh) < message.MaxSilentMachines {
 			status.Fresh = append(status.Fresh, m.ID)
 		}
 		class := gs.machineClassOf(m, owned)
@@ -238,7 +232,7 @@
 	if len(demand) == 0 {
 		return
 	}
-	for p, owned := range gs.c.scheduler.partitions {
+	for p, owned := range gs.core.Partitions {
 		owned.Dirty = owned.Dirty || p != by
 	}
 }
@@ -246,8 +240,8 @@
 // EachFreeCapacity visits the machines of all parts by what is free on them: others' as
 // their owners tell, a number that are alike at once.
 func (gs *Gossiper) EachFreeCapacity(visit func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity)) {
-	for _, p := range slices.Sorted(maps.Keys(gs.c.scheduler.partitions)) {
-		owned := gs.c.scheduler.partitions[p]
+	for _, p := range slices.Sorted(maps.Keys(gs.core.Partitions)) {
+		owned := gs.core.Partitions[p]
 		for _, m := range gs.c.agents.MachinesOf(p) {
 			if m.LastHeartbeat == 0 || m.Deleting {
 				continue
@@ -283,23 +277,23 @@
 		reported[status.Part] = true
 	}
 	for p := range reported {
-		owned := gs.c.scheduler.partitions[api.PartitionID(p)]
+		owned := gs.core.Partitions[api.PartitionID(p)]
 		reported[p] = reported[p] || owned != nil && gs.core.Now.Sub(owned.OwnedSince) > gs.core.HeartbeatTimeout
 		allReported = allReported && reported[p]
 	}
 	if allReported {
 		return
 	}
-	for _, id := range gs.c.autoscaler.fleet.listedOrder {
-		h, listed := gs.c.autoscaler.fleet.listedMachines[id]
-		if !listed || h.State != api.MachineRunning || gs.core.MachineTypes[h.Type] == nil || gs.c.autoscaler.fleet.deletedAt[id] != 0 {
+	for _, id := range gs.c.autoscaler.ListedMachineIDs() {
+		h, listed := gs.c.autoscaler.ListedMachine(id)
+		if !listed || h.State != api.MachineRunning || gs.core.MachineTypes[h.Type] == nil || gs.c.autoscaler.IsDeleted(id) {
 			continue
 		}
-		p := gs.c.agents.PartitionOf(id)
+		p := gs.core.PartitionOf(id)
 		if reported[p] {
 			continue
 		}
-		if m := gs.c.agents.machines[id]; gs.c.scheduler.partitions[p] != nil && m != nil && (m.LastHeartbeat != 0 || m.Deleting) {
+		if m := gs.core.Machines[id]; gs.core.Partitions[p] != nil && m != nil && (m.LastHeartbeat != 0 || m.Deleting) {
 			continue // told of as ours
 		}
 		visit(p, h)
@@ -333,8 +327,8 @@
 // OtherPartitionStatuses is what is known of all parts but one.
 func (gs *Gossiper) OtherPartitionStatuses(owned *core.OwnedPartition) []message.PartitionStatus {
 	out := gs.PeerPartitionStatuses()
-	for _, p := range slices.Sorted(maps.Keys(gs.c.scheduler.partitions)) {
-		if other := gs.c.scheduler.partitions[p]; other != owned {
+	for _, p := range slices.Sorted(maps.Keys(gs.core.Partitions)) {
+		if other := gs.core.Partitions[p]; other != owned {
 			out = append(out, message.PartitionStatus{Part: p, Want: other.QuotaDemand, Due: other.MustStartQuotaDemand, Starved: other.QuotaStarvedDemand, Lack: other.UnmetDemands})
 		}
 	}
@@ -348,3 +342,40 @@
 	}
 	return gs
 }
+
+// Peers are the other controllers, in order.
+func (gs *Gossiper) Peers() []api.ControllerID { return slices.Sorted(maps.Keys(gs.peers)) }
+
+// IsPeer reports whether a controller is one of the others.
+func (gs *Gossiper) IsPeer(id api.ControllerID) bool { return gs.peers[id] != nil }
+
+// HeardRecently reports whether what a controller told last is still worth believing.
+func (gs *Gossiper) HeardRecently(id api.ControllerID) bool {
+	p := gs.peers[id]
+	return p != nil && p.recent(gs.core.Now)
+}
+
+// PeersThatReachStore are the controllers that lately told that the key-value store answers them.
+func (gs *Gossiper) PeersThatReachStore() []api.ControllerID {
+	var out []api.ControllerID
+	for _, id := range gs.Peers() {
+		p := gs.peers[id]
+		if p.gossip.StateOK && p.receivedAt != 0 && gs.core.Now.Sub(p.receivedAt) < 3*core.GossipInterval {
+			out = append(out, id)
+		}
+	}
+	return out
+}
+
+// ReportsSilent reports whether a machine's owner says that it gets no heartbeat from it.
+func (gs *Gossiper) ReportsSilent(owner api.ControllerID, id api.MachineID) bool {
+	if !gs.HeardRecently(owner) {
+		return false
+	}
+	for _, status := range gs.peers[owner].gossip.Parts {
+		if slices.Contains(status.Silent, id) {
+			return true
+		}
+	}
+	return false
+}
--- a/controller/history.go
+++ b/controller/history.go
@@ -133,7 +133,7 @@
 // sweepHistory deletes what has been kept for long enough, the oldest first, a transaction
 // at a time. The owner of part 0 does.
 func (ts *TenantService) sweepHistory() {
-	service, owned := ts.hosted, ts.c.scheduler.partitions[0]
+	service, owned := ts.hosted, ts.core.Partitions[0]
 	if service == nil || owned == nil || service.sweeping || ts.core.Now.Sub(service.sweptAt) < historySweepInterval || ts.core.Overloaded() {
 		return
 	}
--- a/controller/hosted.go
+++ b/controller/hosted.go
@@ -437,7 +437,7 @@
 		for _, j := range tenantJobs {
 			deferred[j] = true
 		}
-		key := tenantPartition{name, owned.Id}
+		key := tenantPartition{name, owned.ID}
 		for _, i := range tenant.Window(len(tenantJobs), maxTenantJobsPerRound, ts.hosted.roundTurns[key]) {
 			delete(deferred, tenantJobs[i])
 		}
@@ -466,7 +466,7 @@
 		return
 	}
 	ts.flushKeyUses()
-	if len(ts.c.scheduler.partitions) == 0 {
+	if len(ts.core.Partitions) == 0 {
 		return
 	}
 	service.reconciledAt = ts.core.Now
@@ -498,7 +498,7 @@
 	if len(byTenant) == 0 {
 		return
 	}
-	for p := range ts.c.scheduler.partitions {
+	for p := range ts.core.Partitions {
 		for placement := range ts.core.State.PlacementsByPartition[p] {
 			name := tenant.Name(placement.Job.Tenant)
 			if running, drains := byTenant[name]; drains && placement.Job.Spec.Kind == api.Service && !placement.Finishing && !placement.OwnerState.StopRequested && !placement.Job.Terminal() {
@@ -525,17 +525,17 @@
 	remaining := 0
 	for _, j := range ts.core.State.JobsByTenant[string(entry.Name)] {
 		remaining++
-		if owned := ts.c.scheduler.partitions[j.Split[0].Partition]; owned != nil && !j.Terminal() {
+		if owned := ts.core.Partitions[j.Split[0].Partition]; owned != nil && !j.Terminal() {
 			open = append(open, j)
 		}
 	}
 	if entry.CancelJobs {
 		slices.SortFunc(open, func(a, b *core.Job) int { return strings.Compare(string(a.ID), string(b.ID)) })
-		for _, j := range open[:min(maxCancelledJobs*len(ts.c.scheduler.partitions), len(open))] {
+		for _, j := range open[:min(maxCancelledJobs*len(ts.core.Partitions), len(open))] {
 			ts.c.jobs.RecordCancellation(j.ID, 1, func(api.JobStatus) {}, func() {}, func() {})
 		}
 	}
-	if remaining > 0 || ts.c.scheduler.partitions[0] == nil || ts.hosted.finishingRemoval {
+	if remaining > 0 || ts.core.Partitions[0] == nil || ts.hosted.finishingRemoval {
 		return
 	}
 	ts.hosted.finishingRemoval = true
@@ -607,3 +607,12 @@
 	}
 	return slog.Group("tenant", "name", j.Tenant, "ref", string(j.TenantJobID))
 }
+
+// Enabled reports whether the service is hosted: it has tenants.
+func (ts *TenantService) Enabled() bool { return ts.hosted != nil }
+
+// TeamRecord is a team that operators made, if it is one.
+func (ts *TenantService) TeamRecord(name api.Team) (TeamRecordView, bool) {
+	record, ok := ts.hosted.teams[name]
+	return record, ok
+}
--- a/controller/jobs.go
+++ b/controller/jobs.go
@@ -74,7 +74,7 @@
 	elapsed := max(0, float64(js.core.WallClock-j.AcceptedAt)/1000)
 	hasPending := j.CompletedCount+len(j.Placements)-j.FinishingCount < j.Spec.Tasks
 	if j.Spec.Kind != api.Array { // what counts is when all of it runs
-		if startObjective := js.c.scheduler.StartObjective(j.Spec.Class); startObjective > 0 && hasPending {
+		if startObjective := js.core.StartObjective(j.Spec.Class); startObjective > 0 && hasPending {
 			return max(0, elapsed-startObjective)
 		}
 		if j.Spec.Kind == api.Service {
@@ -85,7 +85,7 @@
 	if hasPending {
 		remaining = j.Spec.Estimate
 	}
-	if limits := js.c.scheduler.CompletionObjectives(j.Spec); len(limits) > 0 {
+	if limits := js.core.CompletionObjectives(j.Spec); len(limits) > 0 {
 		return max(0, elapsed+remaining-limits[0])
 	}
 	return 0
@@ -173,7 +173,7 @@
 	if j.Spec.Kind == api.Gang {
 		demand = demand.Times(j.Spec.Tasks)
 	}
-	quotaLeft := js.c.scheduler.RemainingQuota(p)[j.Spec.Team]
+	quotaLeft := js.core.RemainingQuota(p)[j.Spec.Team]
 	demand.Mem = 0
 	if !demand.Fits(quotaLeft) {
 		return fmt.Sprintf("limit: team %s has %.1f CPUs and %.1f GPUs left here", j.Spec.Team, quotaLeft.CPU.Float(), quotaLeft.GPU.Float())
@@ -181,7 +181,7 @@
 	if reason := js.c.pools.PendingReasonPool(j, p); reason != "" {
 		return reason
 	}
-	if owned := js.c.scheduler.partitions[p]; owned != nil && js.c.balancer.HasReservationFor(owned, j.ID) {
+	if owned := js.core.Partitions[p]; owned != nil && js.c.balancer.HasReservationFor(owned, j.ID) {
 		return "room is gathered for it on machines that are kept"
 	}
 	allowed, usable, free := 0, 0, 0
@@ -190,7 +190,7 @@
 			continue
 		}
 		allowed += r.Count
-		if r.machineKind.Usable && !(r.machineKind.Closed && js.c.scheduler.IsCPUOnly(j.Spec)) {
+		if r.machineKind.Usable && !(r.machineKind.Closed && js.core.IsCPUOnly(j.Spec)) {
 			usable += r.Count
 			free += r.Count * j.Demand.Slots(r.Free)
 		}
--- a/controller/loan.go
+++ b/controller/loan.go
@@ -24,15 +24,15 @@
 	owned.NextLoan = bl.core.Now.Add(2 * core.GossipInterval)
 	for _, status := range bl.c.gossiper.OtherPartitionStatuses(owned) {
 		for _, demand := range status.Lack {
-			if demand.Spec == nil || len(owned.UnmetDemands) > 0 && status.Part > owned.Id {
+			if demand.Spec == nil || len(owned.UnmetDemands) > 0 && status.Part > owned.ID {
 				continue // of two that lack something, one must give
 			}
-			cpuOnly := bl.c.scheduler.IsCPUOnly(demand.Spec)
-			if cpuOnly && owned.PendingTaskCount > 0 && demand.Stage == sched.NotAged && !slices.Contains(demand.Lenders, owned.Id) {
+			cpuOnly := bl.core.IsCPUOnly(demand.Spec)
+			if cpuOnly && owned.PendingTaskCount > 0 && demand.Stage == sched.NotAged && !slices.Contains(demand.Lenders, owned.ID) {
 				continue // our own tasks can use what is free
 			}
 			var best preemptionPlan
-			for _, m := range bl.c.agents.MachinesOf(owned.Id) {
+			for _, m := range bl.c.agents.MachinesOf(owned.ID) {
 				if reservedJob := bl.c.preemptor.ReservedFor(m); reservedJob != "" && reservedJob != demand.Spec.Ref || !bl.isLendable(m, owned, &demand, cpuOnly) {
 					continue
 				}
@@ -66,14 +66,14 @@
 
 // isLendable reports whether a machine may be lent, as it is, to a job that lacks room.
 func (bl *Balancer) isLendable(m *core.Machine, owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) bool {
-	return bl.c.scheduler.IsSchedulable(m, owned) && !m.CallInFlight && (demand.Zone == "" || m.Zone == demand.Zone) && bl.c.scheduler.IsEligible(demand.Spec, cpuOnly, m.MachineType, m.Zone, m.Spot) &&
+	return bl.c.scheduler.IsSchedulable(m, owned) && !m.CallInFlight && (demand.Zone == "" || m.Zone == demand.Zone) && bl.core.IsEligible(demand.Spec, cpuOnly, m.MachineType, m.Zone, m.Spot) &&
 		sched.ZoneFeasible(demand.Spec, demand.Zones, m.Zone)
 }
 
 // reserveForLoan keeps the machine that is empty soonest for another part's job that must begin.
 func (bl *Balancer) reserveForLoan(owned *core.OwnedPartition, demand message.UnmetDemand) {
 	var candidates []*core.Machine
-	for _, m := range bl.c.agents.MachinesOf(owned.Id) {
+	for _, m := range bl.c.agents.MachinesOf(owned.ID) {
 		if bl.c.scheduler.IsSchedulable(m, owned) && (demand.Zone == "" || m.Zone == demand.Zone) && sched.ZoneFeasible(demand.Spec, demand.Zones, m.Zone) {
 			candidates = append(candidates, m)
 		}
@@ -96,14 +96,14 @@
 	settle := func() { owned.LoanInFlight, owned.Dirty = false, true }
 	attempt = func() {
 		bl.core.CallStoreTxn(tx, func(a message.StoreResponse) {
-			if bl.c.scheduler.partitions[owned.Id] != owned {
+			if bl.core.Partitions[owned.ID] != owned {
 				return
 			}
 			switch a.Status {
 			case 200, 409:
 				if a.Status == 200 {
 					bl.core.Metrics.MachinesLoaned++
-					slog.Info("machine lent", "machine", id, "from", owned.Id, "to", to, "for", jobID)
+					slog.Info("machine lent", "machine", id, "from", owned.ID, "to", to, "for", jobID)
 				}
 				bl.c.follower.LinearizableRead(settle, func() { bl.core.DeferCall(attempt) })
 			default:
--- a/controller/logfollow.go
+++ b/controller/logfollow.go
@@ -126,7 +126,7 @@
 		if len(lf.core.RecordedTypes.Types) > 0 && len(lf.core.MachineTypes) == 0 {
 			lf.core.AddMachineTypes(lf.core.RecordedTypes.Types)
 		}
-		for _, owned := range lf.c.scheduler.partitions {
+		for _, owned := range lf.core.Partitions {
 			owned.Dirty = true
 		}
 		lf.c.membership.DropLostPartitions()
@@ -137,7 +137,7 @@
 func (lf *LogFollower) reloadState() {
 	slog.Info("reloading state")
 	lf.core.Loaded = false
-	lf.c.scheduler.partitions = map[api.PartitionID]*core.OwnedPartition{}
+	lf.core.Partitions = map[api.PartitionID]*core.OwnedPartition{}
 	for _, w := range lf.readWaiters {
 		w.onFailure()
 	}
@@ -234,3 +234,6 @@
 	lf.readWaiters = append(lf.readWaiters, readWaiter{onRead: onRead, onFailure: onFailure})
 	lf.readRequestedAt = lf.core.Now
 }
+
+// LastReadAt is when the log was last read up to its end, 0 if it never was.
+func (lf *LogFollower) LastReadAt() api.Time { return lf.lastReadAt }
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"iter"
 	"log/slog"
 	"maps"
 	"slices"
@@ -18,7 +19,6 @@
 	core *core.Core
 	c    *Controller
 
-	machines                            map[api.MachineID]*core.Machine
 	sortedMachines                      []*core.Machine   // all of them in order; nil: to be listed anew
 	machinesByPartition                 [][]*core.Machine // the same by part
 	sortedLoanVersion                   int
@@ -30,25 +30,12 @@
 	redirects                           map[api.MachineID]redirect
 }
 
-func (am *AgentManager) PartitionOf(id api.MachineID) api.PartitionID {
-	if loan, ok := am.core.State.Loans[id]; ok {
-		return loan.Partition
-	}
-	return core.HashPartition(id, len(am.core.State.Partitions))
-}
-
-// MinToken is the lowest token under which the owner of a part may command a
-// machine: its term or, for a machine lent to it since, the lending's revision.
-func (am *AgentManager) MinToken(owned *core.OwnedPartition, id api.MachineID) api.FencingToken {
-	return api.FencingToken(max(owned.Term, am.core.State.Loans[id].Revision))
-}
-
 func (am *AgentManager) EnsureMachine(id api.MachineID) *core.Machine {
-	m := am.machines[id]
+	m := am.core.Machines[id]
 	if m == nil {
 		m = &core.Machine{ID: id, DiscoveredAt: am.core.Now, IdleSince: am.core.Now, ReportedTasks: map[core.AttemptKey]api.TaskStatus{},
 			CachedImages: map[api.Image]sched.CachedImage{}, RecentFailures: map[api.JobID]api.Time{}}
-		am.machines[id] = m
+		am.core.Machines[id] = m
 		am.sortedMachines = nil
 	}
 	return m
@@ -62,13 +49,13 @@
 		am.core.ReplyError(c.Req, 503, "starting")
 		return
 	}
-	p := am.PartitionOf(heartbeat.Machine)
-	owned := am.c.scheduler.partitions[p]
+	p := am.core.PartitionOf(heartbeat.Machine)
+	owned := am.core.Partitions[p]
 	if owned == nil {
 		am.redirectHeartbeat(c, am.core.State.Partitions[p].Owner)
 		return
 	}
-	if am.c.autoscaler.fleet.deletedAt[heartbeat.Machine] != 0 {
+	if am.c.autoscaler.IsDeleted(heartbeat.Machine) {
 		am.core.ReplyError(c.Req, 503, "machine was returned")
 		return
 	}
@@ -77,7 +64,7 @@
 		am.core.ReplyError(c.Req, 503, "machine is being returned")
 		return
 	}
-	m.CommandToken = max(m.CommandToken, am.MinToken(owned, m.ID))
+	m.CommandToken = max(m.CommandToken, am.core.MinToken(owned, m.ID))
 	m.HeartbeatForwarded = c.Forwarded
 	if heartbeat.Token > m.CommandToken {
 		// Somebody commands it under a later term: we were deposed for it.
@@ -117,7 +104,7 @@
 
 // ForgetMachine drops a machine of which nothing is left to know.
 func (am *AgentManager) ForgetMachine(id api.MachineID) {
-	delete(am.machines, id)
+	delete(am.core.Machines, id)
 	am.sortedMachines = nil
 }
 
@@ -131,14 +118,14 @@
 		am.recordLoans()
 	}
 	am.sortedLoanVersion = am.core.State.LoanGeneration
-	am.sortedMachines = make([]*core.Machine, 0, len(am.machines))
-	for _, m := range am.machines {
+	am.sortedMachines = make([]*core.Machine, 0, len(am.core.Machines))
+	for _, m := range am.core.Machines {
 		am.sortedMachines = append(am.sortedMachines, m)
 	}
 	slices.SortFunc(am.sortedMachines, func(a, b *core.Machine) int { return strings.Compare(string(a.ID), string(b.ID)) })
 	am.machinesByPartition = make([][]*core.Machine, len(am.core.State.Partitions))
 	for _, m := range am.sortedMachines {
-		p := am.PartitionOf(m.ID)
+		p := am.core.PartitionOf(m.ID)
 		am.machinesByPartition[p] = append(am.machinesByPartition[p], m)
 		if loan := am.core.State.Loans[m.ID]; loan.Revision != m.LoanRevision {
 			// It came for a job: until that has it, it is no one else's.
@@ -158,7 +145,7 @@
 	for id, loan := range am.core.State.Loans {
 		if am.machineLoans[id].revision != loan.Revision {
 			am.machineLoans[id] = machineLoan{loan.Revision, am.core.Now}
-			if loan.Transferred && am.c.scheduler.partitions[loan.Partition] != nil {
+			if loan.Transferred && am.core.Partitions[loan.Partition] != nil {
 				am.c.balancer.AdoptMachine(id)
 			}
 		}
@@ -174,10 +161,10 @@
 // likely to have heard it yet: it is in nobody's account of what is free.
 func (am *AgentManager) LoanInTransit(id api.MachineID) bool {
 	loan, ok := am.machineLoans[id]
-	if !ok || am.core.Now.Sub(loan.knownAt) > am.core.HeartbeatTimeout || len(am.core.State.PlacementsOn(id)) > 0 || am.c.autoscaler.fleet.deletedAt[id] != 0 {
+	if !ok || am.core.Now.Sub(loan.knownAt) > am.core.HeartbeatTimeout || len(am.core.State.PlacementsOn(id)) > 0 || am.c.autoscaler.IsDeleted(id) {
 		return false
 	}
-	m, owned := am.machines[id], am.c.scheduler.partitions[am.PartitionOf(id)]
+	m, owned := am.core.Machines[id], am.core.Partitions[am.core.PartitionOf(id)]
 	return owned == nil || m == nil || m.LastHeartbeat == 0 || !am.c.scheduler.IsSchedulable(m, owned)
 }
 
@@ -187,20 +174,6 @@
 	return am.machinesByPartition[p]
 }
 
-// reportedSilent reports whether a machine's owner says that it does not hear it.
-func (am *AgentManager) reportedSilent(owner api.ControllerID, id api.MachineID) bool {
-	p := am.c.gossiper.peers[owner]
-	if p == nil || !p.recent(am.core.Now) {
-		return false
-	}
-	for _, status := range p.gossip.Parts {
-		if slices.Contains(status.Silent, id) {
-			return true
-		}
-	}
-	return false
-}
-
 // redirectHeartbeat directs a worker to the owner of its part. A worker that comes back
 // soon can't reach the owner; its reports are then passed on.
 func (am *AgentManager) redirectHeartbeat(c message.WorkerHeartbeat, owner api.ControllerID) {
@@ -209,7 +182,7 @@
 		return
 	}
 	previous := am.redirects[c.Heartbeat.Machine]
-	if (previous.to == owner && am.core.Now.Sub(previous.at) < am.core.RedirectTTL || am.reportedSilent(owner, c.Heartbeat.Machine)) && am.c.gossiper.peers[owner] != nil {
+	if (previous.to == owner && am.core.Now.Sub(previous.at) < am.core.RedirectTTL || am.c.gossiper.ReportsSilent(owner, c.Heartbeat.Machine)) && am.c.gossiper.IsPeer(owner) {
 		am.redirects[c.Heartbeat.Machine] = redirect{owner, am.core.Now}
 		am.core.CallPeer(owner, core.PeerTimeout, message.PeerMessage{Forward: &message.Forward{Kind: "checkin", Body: c.Body}}, func(a message.PeerResponse) {
 			if !a.OK || a.Reply.Status == 0 {
@@ -232,7 +205,7 @@
 // be on its way. Launches by former owners carry less than our term or, if the machine was
 // lent to our part since, than the lending's revision.
 func (am *AgentManager) latestLaunchToken(p *core.Placement, owned *core.OwnedPartition) api.FencingToken {
-	return max(p.OwnerState.LaunchToken, am.MinToken(owned, p.Machine)-1)
+	return max(p.OwnerState.LaunchToken, am.core.MinToken(owned, p.Machine)-1)
 }
 
 // applyHeartbeat takes in a report if it is newer than what is known, and reports whether it was.
@@ -271,7 +244,7 @@
 		m.ReportedTasks[core.AttemptKey{Task: id, Attempt: taskReport.Attempt}] = taskReport
 	}
 	for _, p := range am.core.State.PlacementsOn(m.ID) {
-		if p.Partition != owned.Id || p.Finishing {
+		if p.Partition != owned.ID || p.Finishing {
 			continue
 		}
 		if p.Epoch < m.Epoch {
@@ -314,7 +287,7 @@
 // is left alone.
 func (am *AgentManager) stopBeforeReclaim(m *core.Machine, owned *core.OwnedPartition, notice float64) {
 	for _, p := range am.core.State.PlacementsOn(m.ID) {
-		if p.Partition != owned.Id || p.Finishing || p.Job.Spec.Kind == api.Gang {
+		if p.Partition != owned.ID || p.Finishing || p.Job.Spec.Kind == api.Gang {
 			continue
 		}
 		remaining := p.Job.Spec.Estimate
@@ -448,12 +421,12 @@
 // its last report. Composing them again is harmless.
 func (am *AgentManager) commandsFor(m *core.Machine, owned *core.OwnedPartition) []api.Command {
 	out := []api.Command{}
-	if m.ReportedToken < am.MinToken(owned, m.ID) {
+	if m.ReportedToken < am.core.MinToken(owned, m.ID) {
 		return out // the term is announced first
 	}
 	var launches []api.Command
 	for _, p := range am.core.State.PlacementsOn(m.ID) {
-		if p.Partition != owned.Id || p.Finishing || p.Epoch != m.Epoch {
+		if p.Partition != owned.ID || p.Finishing || p.Epoch != m.Epoch {
 			continue
 		}
 		_, listed := m.ReportedTasks[core.AttemptKey{Task: p.Task, Attempt: p.Attempt}]
@@ -479,7 +452,7 @@
 		if taskReport.State == api.TaskExited && !settled {
 			continue
 		}
-		if p := am.placementOf(m.ID, k); p != nil && p.Partition == owned.Id {
+		if p := am.placementOf(m.ID, k); p != nil && p.Partition == owned.ID {
 			continue
 		}
 		if taskReport.State != api.TaskExited {
@@ -511,11 +484,11 @@
 	pending := am.pendingContacts
 	am.pendingContacts = nil
 	for _, m := range pending {
-		if !m.ContactPending || am.machines[m.ID] != m {
+		if !m.ContactPending || am.core.Machines[m.ID] != m {
 			continue
 		}
 		m.ContactPending = false
-		owned := am.c.scheduler.partitions[am.PartitionOf(m.ID)]
+		owned := am.core.Partitions[am.core.PartitionOf(m.ID)]
 		if owned == nil || m.Deleting {
 			continue
 		}
@@ -540,7 +513,7 @@
 		}
 		m := am.sortedMachines[am.sweepIndex]
 		am.sweepIndex++
-		owned := am.c.scheduler.partitions[am.PartitionOf(m.ID)]
+		owned := am.core.Partitions[am.core.PartitionOf(m.ID)]
 		if owned != nil && !m.Deleting {
 			am.reconcileMachine(m, owned, false)
 		}
@@ -550,7 +523,7 @@
 
 // reconcileMachine does what is due for one machine.
 func (am *AgentManager) reconcileMachine(m *core.Machine, owned *core.OwnedPartition, urgent bool) {
-	m.CommandToken = max(m.CommandToken, am.MinToken(owned, m.ID))
+	m.CommandToken = max(m.CommandToken, am.core.MinToken(owned, m.ID))
 	if m.UncertainToken != 0 && m.CommandToken <= m.UncertainToken {
 		if api.FencingToken(owned.LastRevision) > m.UncertainToken {
 			m.CommandToken, urgent = api.FencingToken(owned.LastRevision), true
@@ -558,7 +531,7 @@
 			owned.NeedsNewToken = true
 		}
 	}
-	needsAnnouncement := m.ReportedToken < am.MinToken(owned, m.ID)
+	needsAnnouncement := m.ReportedToken < am.core.MinToken(owned, m.ID)
 	silent := am.core.Now.Sub(m.LastHeartbeat) > am.core.HeartbeatTimeout
 	// Calls on suspicion leave half of the calls to those that are known to
 	// answer, or a cut would hold up every start.
@@ -597,7 +570,7 @@
 			m.NextCallAt = am.core.Now.Add(500 * time.Millisecond)
 			return
 		}
-		if am.c.scheduler.partitions[owned.Id] != owned || m.Deleting {
+		if am.core.Partitions[owned.ID] != owned || m.Deleting {
 			return
 		}
 		m.LastDirectReply, m.MissedCalls, m.SuspectSince = am.core.Now, 0, 0
@@ -619,7 +592,7 @@
 }
 
 func newAgentManager(c *Controller) *AgentManager {
-	am := &AgentManager{core: c.core, c: c, machines: map[api.MachineID]*core.Machine{},
+	am := &AgentManager{core: c.core, c: c,
 		machineLoans: map[api.MachineID]machineLoan{}, redirects: map[api.MachineID]redirect{}}
 	// Sockets are for workers' and users' connections in the first place.
 	am.maxDirectCalls = 64
@@ -628,3 +601,21 @@
 	}
 	return am
 }
+
+// LoanKnownAt is when a machine's latest loan was first known here.
+func (am *AgentManager) LoanKnownAt(id api.MachineID) api.Time { return am.machineLoans[id].knownAt }
+
+// LoanedMachines are the machines that are on loan, in no order.
+func (am *AgentManager) LoanedMachines() iter.Seq[api.MachineID] { return maps.Keys(am.machineLoans) }
+
+// MaxDirectCalls is how many direct calls to agents may be under way at once.
+func (am *AgentManager) MaxDirectCalls() int { return am.maxDirectCalls }
+
+// ExpireRedirects forgets heartbeats that were redirected long ago.
+func (am *AgentManager) ExpireRedirects() {
+	for id, r := range am.redirects {
+		if am.core.Now.Sub(r.at) > am.core.RedirectTTL {
+			delete(am.redirects, id)
+		}
+	}
+}
--- a/controller/membership.go
+++ b/controller/membership.go
@@ -85,14 +85,9 @@
 	}
 }
 
-// PreferredOwner is the controller that owns a part when all live.
-func (ms *Membership) PreferredOwner(p api.PartitionID) api.ControllerID {
-	return ms.core.Controllers[int(p)%len(ms.core.Controllers)]
-}
-
 // successor is who takes a part that has no living owner.
 func (ms *Membership) successor(p api.PartitionID) api.ControllerID {
-	if owner := ms.PreferredOwner(p); ms.core.IsLive(owner) {
+	if owner := ms.core.PreferredOwner(p); ms.core.IsLive(owner) {
 		return owner
 	}
 	l := slices.Sorted(maps.Keys(ms.core.State.Members))
@@ -123,10 +118,10 @@
 	for i := range ms.core.State.Partitions {
 		p := api.PartitionID(i)
 		owner := ms.core.State.Partitions[i].Owner
-		owned := ms.c.scheduler.partitions[p]
+		owned := ms.core.Partitions[p]
 		switch {
 		case owned != nil:
-			preferred := ms.PreferredOwner(p)
+			preferred := ms.core.PreferredOwner(p)
 			owned.Releasing = preferred != ms.core.Config.Label && ms.core.IsLive(preferred) && ms.core.Now.Sub(ms.liveSince[preferred]) > ms.restartHistory.FailbackDelay(preferred, ms.core.Now, ms.core.HandoverDelay)
 			if owned.Releasing {
 				ms.handOverPartition(owned, preferred)
@@ -134,7 +129,7 @@
 		case ms.claimsInFlight[p] || ms.core.Now < ms.nextClaimAt[p]:
 		case owner == ms.core.Config.Label:
 			ms.claimPartition(p, nil)
-		case owner == "" && (ms.PreferredOwner(p) == ms.core.Config.Label || ms.core.Now.Sub(ms.core.StartedAt) > ms.core.HandoverDelay) && ms.successor(p) == ms.core.Config.Label:
+		case owner == "" && (ms.core.PreferredOwner(p) == ms.core.Config.Label || ms.core.Now.Sub(ms.core.StartedAt) > ms.core.HandoverDelay) && ms.successor(p) == ms.core.Config.Label:
 			ms.claimPartition(p, nil)
 		case owner != "" && !ms.core.IsLive(owner) && ms.successor(p) == ms.core.Config.Label:
 			ms.claimPartition(p, []api.Condition{{Key: clusterstate.KeyMember + string(owner)}})
@@ -174,13 +169,13 @@
 		return
 	}
 	owned.HandingOver = true
-	key := clusterstate.PartitionKey(clusterstate.KeyPartition, owned.Id)
+	key := clusterstate.PartitionKey(clusterstate.KeyPartition, owned.ID)
 	v, _ := json.Marshal(clusterstate.PartitionValue{Owner: newOwner})
 	ms.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.OwnershipCondition()}, Writes: []api.Write{{Put: key, Value: v}}}, func(a message.StoreResponse) {
 		owned.HandingOver = false
-		if a.Status == 200 && ms.c.scheduler.partitions[owned.Id] == owned {
-			slog.Info("partition handed over", "part", owned.Id, "to", newOwner)
-			delete(ms.c.scheduler.partitions, owned.Id)
+		if a.Status == 200 && ms.core.Partitions[owned.ID] == owned {
+			slog.Info("partition handed over", "partition", owned.ID, "to", newOwner)
+			delete(ms.core.Partitions, owned.ID)
 			ms.c.follower.LinearizableRead(func() {}, func() {})
 		}
 	})
@@ -188,10 +183,10 @@
 
 // DropLostPartitions drops the parts that the book says are no longer ours.
 func (ms *Membership) DropLostPartitions() {
-	for p, owned := range ms.c.scheduler.partitions {
+	for p, owned := range ms.core.Partitions {
 		if ps := ms.core.State.Partitions[p]; ps.Owner != ms.core.Config.Label || ps.Term != owned.Term {
-			slog.Info("partition lost", "part", p, "to", ps.Owner)
-			delete(ms.c.scheduler.partitions, p)
+			slog.Info("partition lost", "partition", p, "to", ps.Owner)
+			delete(ms.core.Partitions, p)
 		}
 	}
 }
@@ -201,3 +196,6 @@
 		liveSince: map[api.ControllerID]api.Time{}, memberFormats: map[api.ControllerID]int{},
 		claimsInFlight: map[api.PartitionID]bool{}, nextClaimAt: map[api.PartitionID]api.Time{}}
 }
+
+// Format is the newest form of records that a controller understands, as far as is known.
+func (ms *Membership) Format(id api.ControllerID) int { return ms.memberFormats[id] }
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -154,7 +154,7 @@
 	out, rooms, budget := map[string]int{}, mr.c.jobs.FreeCapacityGroups(), maxLongPending
 	for _, ref := range slices.Sorted(maps.Keys(mr.core.State.PendingJobs)) {
 		j := mr.core.State.PendingJobs[ref]
-		for _, p := range slices.Sorted(maps.Keys(mr.c.scheduler.partitions)) {
+		for _, p := range slices.Sorted(maps.Keys(mr.core.Partitions)) {
 			if waited := time.Duration(mr.core.WallClock-j.AcceptedAt) * time.Millisecond; waited < longPendingThreshold || j.PlacementCounts[p] > 0 || j.PendingTasks(p) == 0 {
 				continue
 			}
@@ -206,9 +206,9 @@
 			v.OldestPendingCancellationSeconds = max(v.OldestPendingCancellationSeconds, float64(mr.core.WallClock-j.CancelledAt)/1000)
 		}
 	}
-	for p, owned := range mr.c.scheduler.partitions {
+	for p, owned := range mr.core.Partitions {
 		for _, m := range mr.c.agents.MachinesOf(p) {
-			if m.LastHeartbeat != 0 && m.ReportedToken < mr.c.agents.MinToken(owned, m.ID) {
+			if m.LastHeartbeat != 0 && m.ReportedToken < mr.core.MinToken(owned, m.ID) {
 				v.MachinesNotResumed++
 			}
 		}
@@ -221,16 +221,16 @@
 		if v.Zones == nil {
 			v.Zones = map[api.Zone]ZoneView{}
 		}
-		sight := mr.c.health.zones.observations[name]
+		sight := mr.c.health.Observation(name)
 		v.Zones[name] = ZoneView{State: string(s), SilentSeconds: mr.c.health.ZoneSilenceSeconds(name), Machines: sight.All, SilentMachines: sight.Silent,
-			PartitionsInside: mr.c.health.zones.records[name].PartitionsInside, PendingTasks: mr.c.health.zones.expiredLeaseTasks[name]}
+			PartitionsInside: mr.c.health.PartitionsInside(name), PendingTasks: mr.c.health.ExpiredLeaseTasks(name)}
 	}
 	v.Reservations, v.Fragmentation = mr.c.reservations.ViewSkips(), mr.c.backfiller.FragmentedCapacity()
-	if h := mr.c.tenancy.hosted; h != nil && h.pools.table.Len() > 0 {
-		v.Pools, v.PoolShareMoves = map[api.PoolName]PoolMetrics{}, h.pools.shareMoves
-		names := h.pools.table.Names()
+	if mr.c.pools.Count() > 0 {
+		v.Pools, v.PoolShareMoves = map[api.PoolName]PoolMetrics{}, mr.c.pools.ShareMoves()
+		names := mr.c.pools.Names()
 		for _, name := range names[:min(maxPoolMetrics, len(names))] {
-			p := PoolMetrics{Size: h.pools.table.Get(name).Size, Held: mr.c.pools.PoolHeldTotal(name)}
+			p := PoolMetrics{Size: mr.c.pools.Size(name), Held: mr.c.pools.PoolHeldTotal(name)}
 			p.PendingUnits, p.OldestWaitSeconds = mr.c.pools.PoolBacklog(name)
 			v.Pools[name] = p
 		}
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -149,7 +149,7 @@
 		}
 	}, func() {
 		s, err := c.Caller.BearerSecret()
-		trusted := ts.c.follower.lastReadAt != 0 && ts.core.Now.Sub(ts.c.follower.lastReadAt) <= operatorKeyCacheTTL || err == nil && s.ID == ts.hosted.adminKey.ID
+		trusted := ts.c.follower.LastReadAt() != 0 && ts.core.Now.Sub(ts.c.follower.LastReadAt()) <= operatorKeyCacheTTL || err == nil && s.ID == ts.hosted.adminKey.ID
 		if !aboutController || !ts.core.Loaded || !trusted {
 			ts.core.ReplyError(c.Req, 503, "state service not reachable")
 			return
--- a/controller/partition.go
+++ b/controller/partition.go
@@ -20,21 +20,20 @@
 	core *core.Core
 	c    *Controller
 
-	partitions map[api.PartitionID]*core.OwnedPartition
-	roundRate  roundRate
+	roundRate roundRate
 }
 
 func (rs *RoundScheduler) BeginOwnership(p api.PartitionID, term api.Revision) {
-	owned := &core.OwnedPartition{Id: p, Term: term, OwnedSince: rs.core.Now, LastRevision: term, PendingEnds: map[*core.Placement]bool{}, Dirty: true,
+	owned := &core.OwnedPartition{ID: p, Term: term, OwnedSince: rs.core.Now, LastRevision: term, PendingEnds: map[*core.Placement]bool{}, Dirty: true,
 		NextQuotaTransfer: map[api.PartitionID]api.Time{}}
-	rs.partitions[p] = owned
+	rs.core.Partitions[p] = owned
 	for pl := range rs.core.State.PlacementsByPartition[p] {
 		rs.core.State.SetFinishing(pl, false)
 		pl.OwnerState.StopRequested, pl.OwnerState.HaltRequested, pl.OwnerState.LaunchToken, pl.OwnerState.Reported = false, false, 0, false
 		if pl.OwnerState.PlacedAt == 0 {
 			pl.OwnerState.PlacedAt = rs.core.Now
 		}
-		if rs.c.autoscaler.fleet.deletedAt[pl.Machine] == 0 {
+		if !rs.c.autoscaler.IsDeleted(pl.Machine) {
 			rs.c.agents.EnsureMachine(pl.Machine)
 		} else {
 			rs.RecordTaskEnd(owned, pl, false, reasonMachineDeleted)
@@ -42,12 +41,12 @@
 	}
 	rs.c.autoscaler.ReconcileMachineList() // the list we have tells where they are; the next may be long in coming
 	for _, m := range rs.c.agents.MachinesOf(p) {
-		m.CommandToken, m.UncertainToken, m.MissedCalls, m.DiscoveredAt = rs.c.agents.MinToken(owned, m.ID), 0, 0, rs.core.Now
+		m.CommandToken, m.UncertainToken, m.MissedCalls, m.DiscoveredAt = rs.core.MinToken(owned, m.ID), 0, 0, rs.core.Now
 	}
 	rs.c.backfiller.RestoreReservations(owned)
 	rs.c.priorities.ContactPriorityMachines(owned)
 	rs.core.Metrics.Takeovers++
-	slog.Info("partition acquired", "part", p, "term", term, "tasks", len(rs.core.State.PlacementsByPartition[p]))
+	slog.Info("partition acquired", "partition", p, "term", term, "tasks", len(rs.core.State.PlacementsByPartition[p]))
 }
 
 // RecordTaskEnd notes evidence that a place is over; the next round records it.
@@ -64,7 +63,7 @@
 			p.Job.OwnerState.LostTasks++
 			p.Job.OwnerState.LastLossAt, p.Job.OwnerState.PreemptedForStart = rs.core.Now, false
 		}
-		slog.Info("task ended", tenantAttr(p.Job), "task", p.Task, "machine", p.Machine, "why", reason)
+		slog.Info("task ended", tenantAttr(p.Job), "task", p.Task, "machine", p.Machine, "reason", reason)
 	}
 }
 
@@ -76,9 +75,9 @@
 
 // loseOwnership drops a part whose record can't be written any more.
 func (rs *RoundScheduler) loseOwnership(owned *core.OwnedPartition) {
-	if rs.partitions[owned.Id] == owned {
-		delete(rs.partitions, owned.Id)
-		slog.Info("partition lost", "part", owned.Id)
+	if rs.core.Partitions[owned.ID] == owned {
+		delete(rs.core.Partitions, owned.ID)
+		slog.Info("partition lost", "partition", owned.ID)
 	}
 	rs.c.follower.LinearizableRead(func() {}, func() {})
 }
@@ -124,7 +123,7 @@
 
 // planRound composes a round: the ends that evidence has shown, then new starts.
 func (rs *RoundScheduler) planRound(owned *core.OwnedPartition) *core.PendingRound {
-	round := &core.PendingRound{Record: clusterstate.Record{Seq: rs.core.State.Partitions[owned.Id].RoundSeq + 1}, Ends: map[*core.Placement]bool{}}
+	round := &core.PendingRound{Record: clusterstate.Record{Seq: rs.core.State.Partitions[owned.ID].RoundSeq + 1}, Ends: map[*core.Placement]bool{}}
 	deltas := map[api.JobID]*clusterstate.JobDelta{}
 	conditional := map[api.JobID]bool{}
 	delta := func(j *core.Job) *clusterstate.JobDelta {
@@ -136,8 +135,8 @@
 		return d
 	}
 	bytesLeft, maxConditions := rs.roundByteBudget(), rs.RoundConditionBudget()
-	if rs.c.tenancy.hosted != nil && rs.c.tenancy.hosted.pools.table.Len() > 0 {
-		maxConditions -= min(maxRoundPools, rs.c.tenancy.hosted.pools.table.Len())
+	if rs.c.pools.Count() > 0 {
+		maxConditions -= min(maxRoundPools, rs.c.pools.Count())
 	}
 	ends := slices.SortedFunc(maps.Keys(owned.PendingEnds), func(a, b *core.Placement) int {
 		if a.Task.Job != b.Task.Job {
@@ -149,7 +148,7 @@
 		return a.Task.Index - b.Task.Index
 	})
 	for _, p := range ends {
-		if p.Job.Placements[p.Task.Index] != p || p.Partition != owned.Id {
+		if p.Job.Placements[p.Task.Index] != p || p.Partition != owned.ID {
 			delete(owned.PendingEnds, p) // put away with its job, or gone with its machine
 			continue
 		}
@@ -269,22 +268,9 @@
 	return out
 }
 
-// RemainingQuota is what each team may still start in the part.
-func (rs *RoundScheduler) RemainingQuota(p api.PartitionID) map[api.Team]api.Resources {
-	use := rs.core.State.Partitions[p].TeamUsage
-	remaining := map[api.Team]api.Resources{}
-	for name, team := range rs.core.Teams {
-		limit := quotaLimit(team)
-		share := rs.core.State.QuotaShare(p, name, limit).Minus(use[name])
-		share.Mem = limit.Mem
-		remaining[name] = share
-	}
-	return remaining
-}
-
 // unreservedQuota is the same less what is reserved for others' jobs that must begin.
 func (rs *RoundScheduler) unreservedQuota(owned *core.OwnedPartition) map[api.Team]api.Resources {
-	remaining := rs.RemainingQuota(owned.Id)
+	remaining := rs.core.RemainingQuota(owned.ID)
 	for _, teams := range owned.ReservedQuota {
 		for team, r := range teams {
 			remaining[team] = remaining[team].Minus(r)
@@ -302,7 +288,7 @@
 	var smallestDemand api.Resources
 	for _, ref := range slices.Sorted(maps.Keys(rs.core.State.PendingJobs)) {
 		j := rs.core.State.PendingJobs[ref]
-		waiting := j.PendingTasks(owned.Id)
+		waiting := j.PendingTasks(owned.ID)
 		if rs.c.tenancy.StartsBlocked(j) {
 			continue
 		}
@@ -327,7 +313,7 @@
 	input := &sched.Input{AvailableUnits: units, LargestCapacity: rs.core.LargestMachine, TypicalDemands: rs.c.backfiller.TypicalDemands(), RemainingQuota: rs.unreservedQuota(owned), MaxStarts: maxStarts}
 	var machines []*core.Machine // with room for something
 	schedulableCPUs, schedulableCount := 0.0, 0
-	for _, m := range rs.c.agents.MachinesOf(owned.Id) {
+	for _, m := range rs.c.agents.MachinesOf(owned.ID) {
 		if !rs.IsSchedulable(m, owned) {
 			continue
 		}
@@ -342,7 +328,7 @@
 			AcceleratorOnly: m.ScaleInCandidate, FastStart: rs.c.autoscaler.SuitsLatencySensitive(m), Surplus: m.Surplus || rs.core.Now < m.ConsolidatingUntil, Slowdown: m.RelativeRuntime, FetchRate: typ.FetchRate, FetchingImages: rs.PendingImageFetches(m), CachedImages: m.CachedImages, ReservedFor: rs.c.preemptor.ReservedFor(m), SoftReservation: m.SoftReservation, ReservationRank: m.ReservationRank})
 		machines = append(machines, m)
 	}
-	total, incoming := rs.TeamUsage(), sync.OnceValue(rs.c.autoscaler.IncomingMachines)
+	total, incoming := rs.core.TeamUsage(), sync.OnceValue(rs.c.autoscaler.IncomingMachines)
 	schedulable := jobs[:0]
 	for _, j := range jobs {
 		pending := rs.startableTasks(owned, j, round, max(schedulableCount, 1))
@@ -363,8 +349,8 @@
 			continue // where its other tasks are is not known yet
 		}
 		request := sched.Job{Spec: j.Spec, Demand: j.Demand, Pending: pending, PlacedByZone: zones, Urgency: rs.urgency(j, schedulableCPUs), PriorityBoost: rs.c.priorities.PriorityBoost(j.Spec), AgingStage: stage, WaitedSeconds: waited, ReservesQuota: stage == sched.AgedAboveAll && rs.c.backfiller.FitsAttainableQuota(j, len(pending)),
-			WithinGuarantee: rs.IsWithinGuarantee(j, total), HoldsJobUnits: j.LiveCount() > 0, StartSLO: rs.StartObjective(j.Spec.Class), ExcludedMachines: j.OwnerState.FailedOn, NewMachineSeconds: rs.bootingMachineDelay(j, incoming),
-			FastStart: rs.c.autoscaler.IsLatencySensitive(j.Spec), AcceleratorOptional: rs.IsCPUOnly(j.Spec), SpotRisk: rs.SpotRisk(j)}
+			WithinGuarantee: rs.core.IsWithinGuarantee(j, total), HoldsJobUnits: j.LiveCount() > 0, StartSLO: rs.core.StartObjective(j.Spec.Class), ExcludedMachines: j.OwnerState.FailedOn, NewMachineSeconds: rs.bootingMachineDelay(j, incoming),
+			FastStart: rs.c.autoscaler.IsLatencySensitive(j.Spec), AcceleratorOptional: rs.core.IsCPUOnly(j.Spec), SpotRisk: rs.SpotRisk(j)}
 		if len(j.OwnerState.FailedOn)*2 > schedulableCount {
 			request.ExcludedMachines = nil
 		}
@@ -388,13 +374,13 @@
 		rs.c.backfiller.ChargeMustStartCredit(owned, j, input.Jobs[pl.JobIndex].AgingStage)
 		if !j.OwnerState.StartPlanned {
 			j.OwnerState.StartPlanned = true
-			slog.Info("job starts", tenantAttr(j), "job", j.ID, specAttr(j.Spec), "part", owned.Id, "after", float64(rs.core.WallClock-j.AcceptedAt)/1000)
+			slog.Info("job starts", tenantAttr(j), "job", j.ID, specAttr(j.Spec), "partition", owned.ID, "after", float64(rs.core.WallClock-j.AcceptedAt)/1000)
 		}
 		if j.OwnerState.LastLossAt != 0 && j.Spec.Kind == api.Service {
 			slog.Debug("replica restarted", "job", j.ID, "task", pl.Task, "machine", m.ID, "type", m.MachineType, "lost_s", rs.core.Now.Sub(j.OwnerState.LastLossAt).Seconds(),
 				"fetch_s", input.Machines[pl.MachineIndex].FetchTime(j.Spec))
 		}
-		starts = append(starts, &core.Placement{Task: api.TaskID{Job: j.ID, Index: pl.Task}, Partition: owned.Id, Machine: m.ID, Epoch: m.Epoch, Job: j})
+		starts = append(starts, &core.Placement{Task: api.TaskID{Job: j.ID, Index: pl.Task}, Partition: owned.ID, Machine: m.ID, Epoch: m.Epoch, Job: j})
 	}
 	rs.recordUnmetDemand(owned, input, jobs, placed)
 	if len(starts) > 0 {
@@ -407,7 +393,7 @@
 // only when all of it can start.
 func (rs *RoundScheduler) startableTasks(owned *core.OwnedPartition, j *core.Job, round *core.PendingRound, maxTasks int) []int {
 	if j.Spec.Kind == api.Gang {
-		if len(j.Split) == 0 || j.Split[0].Partition != owned.Id {
+		if len(j.Split) == 0 || j.Split[0].Partition != owned.ID {
 			return nil
 		}
 		for _, p := range j.Placements {
@@ -419,7 +405,7 @@
 	}
 	var out []int
 	for _, r := range j.Split {
-		if r.Partition != owned.Id {
+		if r.Partition != owned.ID {
 			continue
 		}
 		for i := r.From; i < r.To && len(out) < maxTasks; i++ {
@@ -427,7 +413,7 @@
 				continue
 			}
 			if p := j.Placements[i]; p != nil {
-				if done, ending := round.Ends[p]; !ending || done || p.Partition != owned.Id {
+				if done, ending := round.Ends[p]; !ending || done || p.Partition != owned.ID {
 					continue
 				}
 			}
@@ -461,23 +447,23 @@
 // MachineZone is a machine's zone, as it or the cloud's list tells: of other parts' machines
 // only the list does. It is empty if neither has yet.
 func (rs *RoundScheduler) MachineZone(id api.MachineID) api.Zone {
-	if m := rs.c.agents.machines[id]; m != nil && m.Zone != "" {
+	if m := rs.core.Machines[id]; m != nil && m.Zone != "" {
 		return m.Zone
 	}
-	return rs.c.autoscaler.fleet.listedMachines[id].Zone
+	return rs.c.autoscaler.ListedZone(id)
 }
 
 // bootingMachineDelay is how long a machine that boots takes until it has the image of a service's
 // replicas, in seconds; 0 if none boots that may take them. They wait for one rather than
 // for a fetch that takes longer, for twice as long at most: it may not come.
 func (rs *RoundScheduler) bootingMachineDelay(j *core.Job, incoming func() map[machineOffer]int) float64 {
-	if j.Spec.Kind != api.Service || rs.StartObjective(j.Spec.Class) <= 0 {
+	if j.Spec.Kind != api.Service || rs.core.StartObjective(j.Spec.Class) <= 0 {
 		return 0
 	}
 	shortest := 0.0
 	for o, count := range incoming() {
 		typ := rs.core.MachineTypes[o.machineType]
-		if count <= 0 || typ == nil || typ.FetchRate <= 0 || !rs.IsEligible(j.Spec, rs.IsCPUOnly(j.Spec), o.machineType, o.zone, o.spot) || !j.Demand.Fits(typ.Capacity()) {
+		if count <= 0 || typ == nil || typ.FetchRate <= 0 || !rs.core.IsEligible(j.Spec, rs.core.IsCPUOnly(j.Spec), o.machineType, o.zone, o.spot) || !j.Demand.Fits(typ.Capacity()) {
 			continue
 		}
 		if s := typ.BootSeconds + j.Spec.ImageGB/typ.FetchRate; shortest == 0 || s < shortest {
@@ -490,26 +476,6 @@
 	return shortest
 }
 
-// IsCPUOnly reports whether a type without accelerators can take the job's tasks.
-// Such work goes to the others last, and they are neither rented nor kept for
-// it: they are dear, and whole pieces of them should be free for the work that
-// needs them.
-func (rs *RoundScheduler) IsCPUOnly(s *api.JobSpec) bool {
-	demand := s.Demand()
-	for _, t := range rs.core.MachineTypes {
-		if t.GPUs == 0 && demand.Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) {
-			return true
-		}
-	}
-	return false
-}
-
-// IsEligible reports whether a job's tasks may run on such a machine; plain work runs on none with
-// accelerators.
-func (rs *RoundScheduler) IsEligible(s *api.JobSpec, cpuOnly bool, typ api.MachineTypeName, zone api.Zone, spot bool) bool {
-	return !(cpuOnly && rs.c.jobs.HasAccelerators(typ)) && sched.Feasible(s, typ, zone, spot)
-}
-
 // SpotRisk is the chance that a job is late because a spot machine is taken with a
 // task of it, as they were seen to be taken of late: that this happens when there
 // is no time left to find out, to fetch the image again and to run the task again.
@@ -519,14 +485,14 @@
 	}
 	elapsed := max(0, float64(rs.core.WallClock-j.AcceptedAt)/1000)
 	run := j.Spec.Estimate * runtimeSafetyFactor
-	singleRun := j.Spec.ImageGB/rs.c.autoscaler.SlowestFetchRate(j.Spec) + run
-	for _, objective := range rs.CompletionObjectives(j.Spec) {
+	singleRun := j.Spec.ImageGB/rs.core.SlowestFetchRate(j.Spec) + run
+	for _, objective := range rs.core.CompletionObjectives(j.Spec) {
 		slack := objective - elapsed
 		if slack < singleRun {
 			continue // late as it is
 		}
 		criticalWindow := min(run, max(0, singleRun+rs.core.LivenessTimeout.Seconds()+singleRun-slack))
-		survives := math.Exp(-rs.c.autoscaler.fleet.spotLossRate() * criticalWindow)
+		survives := math.Exp(-rs.c.autoscaler.SpotLossRate() * criticalWindow)
 		return 1 - math.Pow(survives, float64(j.Spec.Tasks-j.CompletedCount))
 	}
 	return 0
@@ -536,42 +502,13 @@
 // to run.
 const runtimeSafetyFactor = 1.2
 
-func (rs *RoundScheduler) StartObjective(c api.Class) float64 {
-	for _, o := range rs.core.Config.Deployment.Objectives {
-		if o.Kind == "wait" && o.Class == c {
-			return o.Within
-		}
-	}
-	return 0
-}
-
-// CompletionObjectives are the times after submission by which the job should be complete, by
-// its deadline and its class's aims, in order.
-func (rs *RoundScheduler) CompletionObjectives(s *api.JobSpec) []float64 {
-	var out []float64
-	for _, o := range rs.core.Config.Deployment.Objectives {
-		switch {
-		case o.Class != s.Class:
-		case o.Kind == "finished":
-			out = append(out, o.Within)
-		case o.Kind == "deadline" && s.Deadline != nil && o.Times > 0:
-			out = append(out, *s.Deadline*o.Times)
-		}
-	}
-	if len(out) == 0 && s.Deadline != nil {
-		out = append(out, *s.Deadline)
-	}
-	slices.Sort(out)
-	return out
-}
-
 // urgency orders jobs of one rank, between 0 and 1. Of the jobs that can still
 // be complete in time, those with least work left go first: so as many as
 // possible are in time when not all can be. A job that can't be in time any
 // more waits for the others.
 func (rs *RoundScheduler) urgency(j *core.Job, cpus float64) float64 {
 	elapsed := max(0, float64(rs.core.WallClock-j.AcceptedAt)/1000)
-	objectives := rs.CompletionObjectives(j.Spec)
+	objectives := rs.core.CompletionObjectives(j.Spec)
 	if len(objectives) == 0 {
 		return min(1, elapsed/600)
 	}
@@ -594,26 +531,6 @@
 // long as there is more work than room.
 const overdueFactor = 3
 
-func (rs *RoundScheduler) TeamUsage() map[api.Team]api.Resources {
-	total := map[api.Team]api.Resources{}
-	for p := range rs.core.State.Partitions {
-		for team, u := range rs.core.State.Partitions[p].TeamUsage {
-			total[team] = total[team].Plus(u)
-		}
-	}
-	return total
-}
-
-// IsWithinGuarantee reports whether one more task keeps the team within its guarantee.
-func (rs *RoundScheduler) IsWithinGuarantee(j *core.Job, total map[api.Team]api.Resources) bool {
-	team := rs.core.Teams[j.Spec.Team]
-	use := total[j.Spec.Team].Plus(j.Demand)
-	if j.Demand.GPU > 0 {
-		return use.GPU <= api.ToQuantity(team.GPUs)
-	}
-	return use.CPU <= api.ToQuantity(team.CPUs)
-}
-
 // recordUnmetDemand notes what found no room: what share is wanted, and which tasks of
 // lower priority must make way.
 func (rs *RoundScheduler) recordUnmetDemand(owned *core.OwnedPartition, input *sched.Input, jobs []*core.Job, placed []int) {
@@ -652,7 +569,7 @@
 		if placed[i] == 0 && j.Spec.NeedsSinglePartition() && len(owned.UnmetDemands) < message.MaxUnmetDemands {
 			owned.UnmetDemands = append(owned.UnmetDemands, rs.c.balancer.UnmetDemandOf(owned, j, &input.Jobs[i]))
 		}
-		if placed[i] == 0 && preemptionsLeft > 0 && rs.core.Now >= j.OwnerState.NextPreemptionAt && rs.c.preemptor.RunsLowerPriority(owned.Id, j.Spec.Priority.Rank()) {
+		if placed[i] == 0 && preemptionsLeft > 0 && rs.core.Now >= j.OwnerState.NextPreemptionAt && rs.c.preemptor.RunsLowerPriority(owned.ID, j.Spec.Priority.Rank()) {
 			preemptionsLeft--
 			j.OwnerState.NextPreemptionAt = rs.core.Now.Add(time.Second) // what was stopped takes a while to end
 			rs.c.preemptor.PreemptFor(owned, &input.Jobs[i], j, missing, 0)
@@ -689,7 +606,7 @@
 	if p.Job.Spec.Checkpoint > 0 {
 		p.OwnerState.StopGrace = p.Job.Spec.Save + 1
 	}
-	if m := rs.c.agents.machines[p.Machine]; m != nil {
+	if m := rs.core.Machines[p.Machine]; m != nil {
 		rs.c.agents.ContactNow(m)
 	}
 }
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -154,7 +154,7 @@
 		if e == nil || !pm.isPoolCurrent(e) {
 			continue
 		}
-		out[name] = e.Available(owned.Id, pm.poolHeldByPartition(name))
+		out[name] = e.Available(owned.ID, pm.poolHeldByPartition(name))
 		var reserving *core.Job // that reserves, and has room for what it reserves for
 		checksLeft := maxPoolRequests
 		for _, a := range pm.poolRequests(name) {
@@ -254,7 +254,7 @@
 	for i, name := range state.table.Names() {
 		e, requests := state.table.Get(name), pm.poolRequests(name)
 		pm.preemptPoolHolders(e, requests)
-		owned := pm.c.scheduler.partitions[api.PartitionID(i%len(pm.core.State.Partitions))]
+		owned := pm.core.Partitions[api.PartitionID(i%len(pm.core.State.Partitions))]
 		if owned == nil || state.shareWrites[name] || e.State != pool.Active || !pm.isPoolCurrent(e) {
 			continue
 		}
@@ -359,7 +359,7 @@
 		}
 		missing -= h.units
 		for _, pl := range h.places {
-			if pm.c.scheduler.partitions[pl.Partition] != nil && !pl.OwnerState.StopRequested {
+			if pm.core.Partitions[pl.Partition] != nil && !pl.OwnerState.StopRequested {
 				pm.c.scheduler.StopTask(pl)
 				pl.Job.OwnerState.PreemptedTasks++
 				slog.Info("task preempted", tenantAttr(pl.Job), "task", pl.Task, "machine", pl.Machine, "pool", e.Name)
@@ -586,3 +586,22 @@
 	}
 	return true
 }
+
+// Count is how many pools there are.
+func (pm *PoolManager) Count() int {
+	if pm.c.tenancy.hosted == nil {
+		return 0
+	}
+	return pm.c.tenancy.hosted.pools.table.Len()
+}
+
+// Names are the pools' names, in order.
+func (pm *PoolManager) Names() []api.PoolName { return pm.c.tenancy.hosted.pools.table.Names() }
+
+// Size is how many units a pool has.
+func (pm *PoolManager) Size(name api.PoolName) int {
+	return pm.c.tenancy.hosted.pools.table.Get(name).Size
+}
+
+// ShareMoves is how many shares of pools were moved between partitions.
+func (pm *PoolManager) ShareMoves() uint64 { return pm.c.tenancy.hosted.pools.shareMoves }
--- a/controller/preempt.go
+++ b/controller/preempt.go
@@ -65,7 +65,7 @@
 func (pr *Preemptor) PlanPreemption(m *core.Machine, owned *core.OwnedPartition, s *api.JobSpec, maxTasks int, avoidLate bool) preemptionPlan {
 	rank, effective, demand := s.Priority.Rank(), pr.c.priorities.EffectivePriority(s), s.Demand() // what a rule puts before it does not make way
 	available := pr.c.scheduler.FreeCapacityOn(m, owned)
-	needsAccelerator := pr.c.jobs.HasAccelerators(m.MachineType) && !pr.c.scheduler.IsCPUOnly(s) // its accelerators, which other work could leave
+	needsAccelerator := pr.core.HasAccelerators(m.MachineType) && !pr.core.IsCPUOnly(s) // its accelerators, which other work could leave
 	var candidates []*core.Placement
 	for _, p := range pr.core.State.PlacementsOn(m.ID) {
 		if p.Finishing {
@@ -73,7 +73,7 @@
 		}
 		if p.OwnerState.StopRequested || p.Job.Terminal() {
 			available = available.Plus(p.Job.Demand)
-		} else if p.Job.Spec.Priority.Rank() < rank && p.Partition == owned.Id && p.Job.Spec.Kind != api.Gang && (pr.c.priorities.EffectivePriority(p.Job.Spec) < effective || needsAccelerator && pr.c.scheduler.IsCPUOnly(p.Job.Spec)) &&
+		} else if p.Job.Spec.Priority.Rank() < rank && p.Partition == owned.ID && p.Job.Spec.Kind != api.Gang && (pr.c.priorities.EffectivePriority(p.Job.Spec) < effective || needsAccelerator && pr.core.IsCPUOnly(p.Job.Spec)) &&
 			pr.c.health.IsPreemptible(p) && !(avoidLate && pr.missedObjective(p) > 0) {
 			candidates = append(candidates, p)
 		}
@@ -107,7 +107,7 @@
 func (pr *Preemptor) missedObjective(p *core.Placement) float64 {
 	elapsed := max(0, float64(pr.core.WallClock-p.Job.AcceptedAt)/1000)
 	run := p.Job.Spec.Estimate * runtimeSafetyFactor
-	for _, l := range pr.c.scheduler.CompletionObjectives(p.Job.Spec) {
+	for _, l := range pr.core.CompletionObjectives(p.Job.Spec) {
 		if rest := max(0, p.Job.Spec.Estimate-pr.core.Now.Sub(p.OwnerState.PlacedAt).Seconds()); elapsed+rest <= l {
 			if elapsed+run > l {
 				return l
@@ -129,11 +129,11 @@
 	if gang {
 		tasksPerMachine = need
 	}
-	within := pr.c.scheduler.StartObjective(j.Spec.Class)
+	within := pr.core.StartObjective(j.Spec.Class)
 	byZone := map[api.Zone][]preemptionPlan{}
-	for _, m := range pr.c.agents.MachinesOf(owned.Id) {
+	for _, m := range pr.c.agents.MachinesOf(owned.ID) {
 		if reservedJob := pr.ReservedFor(m); reservedJob != "" && reservedJob != j.ID || !pr.c.scheduler.IsSchedulable(m, owned) || request.ExcludedMachines[m.ID] ||
-			!pr.c.scheduler.IsEligible(j.Spec, request.AcceleratorOptional, m.MachineType, m.Zone, m.Spot) || !sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.Zone) {
+			!pr.core.IsEligible(j.Spec, request.AcceleratorOptional, m.MachineType, m.Zone, m.Spot) || !sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.Zone) {
 			continue
 		}
 		fetch := fetchSlowdownFactor * (&sched.Machine{CachedImages: m.CachedImages, FetchRate: pr.core.MachineTypes[m.MachineType].FetchRate, FetchingImages: pr.c.scheduler.PendingImageFetches(m)}).FetchTime(j.Spec)
@@ -222,7 +222,7 @@
 func (pr *Preemptor) PreemptForFastStart(owned *core.OwnedPartition, input *sched.Input, request *sched.Job, j *core.Job) {
 	slack := request.StartSLO - pr.StartDelay(j) - preemptionDelay.Seconds()
 	rank := j.Spec.Priority.Rank()
-	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.PreemptedForStart || rank < preemptorRank || !pr.RunsLowerPriority(owned.Id, rank) {
+	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.PreemptedForStart || rank < preemptorRank || !pr.RunsLowerPriority(owned.ID, rank) {
 		return
 	}
 	byZone := map[api.Zone]int{}
--- a/controller/priority.go
+++ b/controller/priority.go
@@ -14,7 +14,6 @@
 	"basaltwall/controller/message"
 	"basaltwall/priority"
 	"basaltwall/sched"
-	"basaltwall/zonehealth"
 )
 
 // Priorities orders work by the operators' rules while capacity is short.
@@ -41,7 +40,7 @@
 }
 
 // shortageWriter is the part whose owner writes whether room is short.
-func (po *Priorities) shortageWriter() *core.OwnedPartition { return po.c.scheduler.partitions[0] }
+func (po *Priorities) shortageWriter() *core.OwnedPartition { return po.core.Partitions[0] }
 
 // maxOrderAge is how old the order may be: the work that there is, and what holds, changes.
 const maxOrderAge = time.Second
@@ -66,9 +65,7 @@
 	}
 	list := slices.SortedFunc(maps.Keys(kinds), compareWorkKinds)
 	c := priority.ActiveConditions{ControllerDown: len(po.core.State.Members) < len(po.core.Controllers)}
-	for _, r := range po.c.health.zones.records {
-		c.ZoneFailed = c.ZoneFailed || r.State == zonehealth.Failed || r.State == zonehealth.Recovering
-	}
+	c.ZoneFailed = po.c.health.AnyZoneFailedOrRecovering()
 	state.order = table.Resolve(list, c)
 	return &state.order
 }
@@ -102,7 +99,7 @@
 // EligibleTypes are the types that a job's tasks may use and fit, in order.
 func (po *Priorities) EligibleTypes(s *api.JobSpec) []api.MachineTypeName {
 	var out []api.MachineTypeName
-	demand, cpuOnly := s.Demand(), po.c.scheduler.IsCPUOnly(s)
+	demand, cpuOnly := s.Demand(), po.core.IsCPUOnly(s)
 	for _, name := range slices.Sorted(maps.Keys(po.core.MachineTypes)) {
 		if t := po.core.MachineTypes[name]; demand.Fits(t.Capacity()) && (len(s.Types) == 0 || slices.Contains(s.Types, name)) && !(cpuOnly && t.GPUs > 0) {
 			out = append(out, name)
@@ -151,7 +148,7 @@
 	}
 	state.checkedAt = po.core.Now
 	short := map[api.MachineTypeName]bool{}
-	for _, owned := range po.c.scheduler.partitions {
+	for _, owned := range po.core.Partitions {
 		for name := range owned.ShortTypes {
 			short[name] = true
 		}
@@ -209,7 +206,7 @@
 	}
 	priorities := map[*core.Machine]float64{}
 	var list []*core.Machine
-	for _, m := range po.c.agents.MachinesOf(owned.Id) {
+	for _, m := range po.c.agents.MachinesOf(owned.ID) {
 		for _, p := range po.core.State.PlacementsOn(m.ID) {
 			priorities[m] = max(priorities[m], 1+po.EffectivePriority(p.Job.Spec))
 		}
@@ -218,7 +215,7 @@
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *core.Machine) int { return sched.Descending(priorities[a], priorities[b]) })
-	for _, m := range list[:min(len(list), po.c.agents.maxDirectCalls/2)] {
+	for _, m := range list[:min(len(list), po.c.agents.MaxDirectCalls()/2)] {
 		po.c.agents.ContactNow(m)
 	}
 }
--- a/controller/quotatransfer.go
+++ b/controller/quotatransfer.go
@@ -12,7 +12,7 @@
 // SpareQuotaTransfers gives shares of teams' limits that this part does not use to parts
 // that could use them.
 func (bl *Balancer) SpareQuotaTransfers(owned *core.OwnedPartition) []clusterstate.QuotaTransfer {
-	remaining := bl.c.scheduler.RemainingQuota(owned.Id)
+	remaining := bl.core.RemainingQuota(owned.ID)
 	if owned.InFlight != nil {
 		return nil
 	}
@@ -49,13 +49,13 @@
 				demand, starved = status.Starved[team]
 				_, starvedHere := owned.QuotaStarvedDemand[team]
 				_, mustStartHere := owned.MustStartQuotaDemand[team] // what a job here that must begin is to have stays
-				if !starved || mustStartHere || starvedHere && owned.Id < status.Part {
+				if !starved || mustStartHere || starvedHere && owned.ID < status.Part {
 					continue
 				}
 			}
 			transfer := clusterstate.QuotaTransfer{To: status.Part, Team: team, Amount: api.Resources{
 				CPU: max(0, min(demand.CPU, unused.CPU)), GPU: max(0, min(demand.GPU, unused.GPU))}}
-			limit := quotaLimit(bl.core.Teams[team])
+			limit := core.QuotaLimit(bl.core.Teams[team])
 			transfer.Amount = bl.limitedResources(team, transfer.Amount)
 			if transfer.Amount.CPU > limit.CPU || transfer.Amount.CPU == 0 && transfer.Amount.GPU == 0 {
 				continue
--- a/controller/rebalance.go
+++ b/controller/rebalance.go
@@ -32,7 +32,7 @@
 		if j.OwnerState.BackoffUntil > bl.core.Now || bl.c.tenancy.StartsBlocked(j) || bl.core.Now.Sub(j.OwnerState.RebalancedAt) < 3*core.GossipInterval && j.OwnerState.RebalancedAt != 0 {
 			continue
 		}
-		waiting := j.PendingTasks(owned.Id)
+		waiting := j.PendingTasks(owned.ID)
 		if waiting == 0 {
 			continue
 		}
@@ -43,21 +43,21 @@
 		if bl.HasReservationFor(owned, jobID) {
 			continue // room is gathered for it here
 		}
-		stuck := j.OwnerState.Unplaceable && bl.c.backfiller.WaitStage(j, owned.Id) != sched.NotAged && bl.core.Now.Sub(j.OwnerState.RebalancedAt) > stuckMoveInterval
+		stuck := j.OwnerState.Unplaceable && bl.c.backfiller.WaitStage(j, owned.ID) != sched.NotAged && bl.core.Now.Sub(j.OwnerState.RebalancedAt) > stuckMoveInterval
 		freeSlots := bl.c.jobs.FreeSlotsByPartition(j.Spec)
-		if freeSlots[owned.Id] > 0 && j.Spec.Kind == api.Array {
+		if freeSlots[owned.ID] > 0 && j.Spec.Kind == api.Array {
 			continue // it will be placed here
 		}
 		best, moveCount := api.PartitionID(0), 0
 		for q := range freeSlots {
-			if api.PartitionID(q) == owned.Id {
+			if api.PartitionID(q) == owned.ID {
 				continue
 			}
 			if r := freeSlots[q] - bl.c.jobs.PendingTasksIn(api.PartitionID(q), j.Spec); r > moveCount {
 				best, moveCount = api.PartitionID(q), r
 			}
 		}
-		if capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec); j.Spec.NeedsSinglePartition() && moveCount == 0 && capacity[owned.Id] < j.Spec.Tasks {
+		if capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec); j.Spec.NeedsSinglePartition() && moveCount == 0 && capacity[owned.ID] < j.Spec.Tasks {
 			// It can never be placed here; there it may wait or have others
 			// make way.
 			for q, c := range capacity {
@@ -68,11 +68,11 @@
 		}
 		if j.Spec.NeedsSinglePartition() {
 			holdNow, holdAfterPreemption := bl.PartitionsWithCapacity(j.Spec)
-			if holdNow[owned.Id] {
+			if holdNow[owned.ID] {
 				continue
 			}
 			if len(holdNow) == 0 {
-				if holdAfterPreemption[owned.Id] {
+				if holdAfterPreemption[owned.ID] {
 					continue // others will make way here
 				}
 				holdNow = holdAfterPreemption
@@ -90,7 +90,7 @@
 			// part that has such machines may be better off.
 			capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec)
 			for i := 1; i < len(capacity) && moveCount == 0; i++ {
-				if q := (int(owned.Id) + i) % len(capacity); capacity[q] > 0 {
+				if q := (int(owned.ID) + i) % len(capacity); capacity[q] > 0 {
 					best, moveCount = api.PartitionID(q), waiting
 				}
 			}
@@ -99,7 +99,7 @@
 		if moveCount == 0 {
 			continue
 		}
-		split, ok := splitAfterMove(j, owned.Id, best, moveCount)
+		split, ok := splitAfterMove(j, owned.ID, best, moveCount)
 		if !ok {
 			continue
 		}
@@ -118,7 +118,7 @@
 			if a.Status == 200 {
 				bl.core.Metrics.TaskMoves++
 			}
-			slog.Info("pending tasks moved", "job", jobID, "from", owned.Id, "to", best, "most", moveCount, "status", a.Status)
+			slog.Info("pending tasks moved", "job", jobID, "from", owned.ID, "to", best, "most", moveCount, "status", a.Status)
 			bl.c.follower.LinearizableRead(func() { owned.MoveInFlight = false }, func() { owned.MoveInFlight = false })
 		})
 		return
@@ -133,9 +133,9 @@
 		return 0, 0
 	}
 	capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec)
-	ownWaiting, ownCapacity := bl.c.jobs.PendingTasksIn(owned.Id, j.Spec), float64(capacity[owned.Id])
+	ownWaiting, ownCapacity := bl.c.jobs.PendingTasksIn(owned.ID, j.Spec), float64(capacity[owned.ID])
 	for other, c := range capacity {
-		if api.PartitionID(other) == owned.Id || c == 0 {
+		if api.PartitionID(other) == owned.ID || c == 0 {
 			continue
 		}
 		otherWaiting := bl.c.jobs.PendingTasksIn(api.PartitionID(other), j.Spec)
@@ -154,7 +154,7 @@
 
 // HasReservationFor reports whether a part keeps a machine for a job because room is gathered for it.
 func (bl *Balancer) HasReservationFor(owned *core.OwnedPartition, ref api.JobID) bool {
-	return slices.ContainsFunc(bl.c.agents.MachinesOf(owned.Id), func(m *core.Machine) bool { return m.Consolidated && bl.c.preemptor.ReservedFor(m) == ref })
+	return slices.ContainsFunc(bl.c.agents.MachinesOf(owned.ID), func(m *core.Machine) bool { return m.Consolidated && bl.c.preemptor.ReservedFor(m) == ref })
 }
 
 // maxMoveCandidates bounds the jobs that are looked at at once for moving elsewhere.
@@ -205,11 +205,11 @@
 // PartitionsWithCapacity finds the parts that have room for all of a job's tasks: now, or
 // if others made way where the job is urgent enough for that.
 func (bl *Balancer) PartitionsWithCapacity(s *api.JobSpec) (now, afterPreemption map[api.PartitionID]bool) {
-	demand, cpuOnly := s.Demand(), bl.c.scheduler.IsCPUOnly(s)
+	demand, cpuOnly := s.Demand(), bl.core.IsCPUOnly(s)
 	urgent := s.Priority.Rank() >= preemptorRank
 	free, preemptible := map[api.PartitionID][]sched.Machine{}, map[api.PartitionID][]sched.Machine{}
 	bl.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
-		if !k.Usable || !bl.c.scheduler.IsEligible(s, cpuOnly, k.Type, k.Zone, k.Spot) {
+		if !k.Usable || !bl.core.IsEligible(s, cpuOnly, k.Type, k.Zone, k.Spot) {
 			return
 		}
 		m := sched.Machine{Type: k.Type, Zone: k.Zone, Spot: k.Spot}
--- a/controller/relays.go
+++ b/controller/relays.go
@@ -240,3 +240,8 @@
 	}
 	lf.logFollowers = nil
 }
+
+// MarkRelayFailed notes that a relay did not answer.
+func (lf *LogFollower) MarkRelayFailed(relay api.ControllerID) {
+	lf.relayLink.MarkFailed(relay, lf.core.Now)
+}
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -255,7 +255,7 @@
 	var writer []api.ControllerID
 	if request != nil {
 		p := api.PartitionID(rv.depotShard(request.Depot))
-		if owner := rv.core.State.Partitions[p].Owner; owner != rv.core.Config.Label && rv.core.IsLive(owner) && rv.c.gossiper.peers[owner] != nil && rv.c.gossiper.peers[owner].recent(rv.core.Now) {
+		if owner := rv.core.State.Partitions[p].Owner; owner != rv.core.Config.Label && rv.core.IsLive(owner) && rv.c.gossiper.HeardRecently(owner) {
 			writer = append(writer, owner)
 		}
 	}
@@ -403,7 +403,7 @@
 	if rv.core.Now.Sub(l.compactedAt) > ledgerCompactInterval {
 		l.compactedAt = rv.core.Now
 		for i := range rv.core.State.Partitions {
-			readNeeded = readNeeded || rv.c.scheduler.partitions[api.PartitionID(i)] != nil && l.replica.Idle(i) && l.replica.NeedsCleanup(i, rv.core.WallClock)
+			readNeeded = readNeeded || rv.core.Partitions[api.PartitionID(i)] != nil && l.replica.Idle(i) && l.replica.NeedsCleanup(i, rv.core.WallClock)
 		}
 	}
 	if !readNeeded {
@@ -555,7 +555,7 @@
 // sweepReservationArchive deletes what has been kept in the archive for long enough, the oldest first. The
 // owner of part 0 does.
 func (rv *ReservationService) sweepReservationArchive() {
-	l, owned := &rv.reservationLedger, rv.c.scheduler.partitions[0]
+	l, owned := &rv.reservationLedger, rv.core.Partitions[0]
 	if owned == nil || l.sweeping || rv.core.Now.Sub(l.sweptAt) < ledgerSweepInterval || rv.core.Overloaded() {
 		return
 	}
@@ -577,3 +577,9 @@
 		}
 	})
 }
+
+// RecentlyWrote reports whether the ledger was written of late, so that it has a share of the writes.
+func (rv *ReservationService) RecentlyWrote() bool {
+	wroteAt := rv.reservationLedger.wroteAt
+	return wroteAt != 0 && rv.core.Now.Sub(wroteAt) < ledgerActiveWindow
+}
--- a/controller/round.go
+++ b/controller/round.go
@@ -14,7 +14,7 @@
 
 // IsRecordRingFull reports whether the next record would overwrite one that no checkpoint covers.
 func (rs *RoundScheduler) IsRecordRingFull(owned *core.OwnedPartition) bool {
-	return rs.core.State.Partitions[owned.Id].RoundSeq+1 >= rs.core.State.Partitions[owned.Id].CheckpointHead.Seq+clusterstate.RingSize
+	return rs.core.State.Partitions[owned.ID].RoundSeq+1 >= rs.core.State.Partitions[owned.ID].CheckpointHead.Seq+clusterstate.RingSize
 }
 
 // CommitRound begins to write a round. Its record goes first among the writes.
@@ -24,8 +24,8 @@
 		slog.Error("round not encoded", "err", err)
 		return
 	}
-	slot := clusterstate.RoundKey(owned.Id, round.Record.Seq)
-	if rs.c.tenancy.hosted != nil {
+	slot := clusterstate.RoundKey(owned.ID, round.Record.Seq)
+	if rs.c.tenancy.Enabled() {
 		round.Txn.If = append(round.Txn.If, rs.core.State.VersionCondition(keyGate))
 	}
 	round.Txn.If = append(round.Txn.If, rs.core.State.VersionCondition(slot),
@@ -46,7 +46,7 @@
 	round := owned.InFlight
 	slot := round.Txn.Writes[0].Put
 	rs.core.CallStoreTxn(round.Txn, func(a message.StoreResponse) {
-		if rs.partitions[owned.Id] != owned || owned.InFlight != round {
+		if rs.core.Partitions[owned.ID] != owned || owned.InFlight != round {
 			return
 		}
 		round.OutcomeUnknown = round.OutcomeUnknown || a.Status == 0
@@ -56,7 +56,7 @@
 			rs.resolveRound(owned, round)
 		case a.Status == 200:
 			rs.applyCommittedRound(owned, a.Txn.Revision)
-		case a.Status == 409 && slices.Contains(a.Txn.Failed, clusterstate.PartitionKey(clusterstate.KeyPartition, owned.Id)):
+		case a.Status == 409 && slices.Contains(a.Txn.Failed, clusterstate.PartitionKey(clusterstate.KeyPartition, owned.ID)):
 			rs.loseOwnership(owned)
 		case a.Status == 409 && slices.Contains(a.Txn.Failed, slot):
 			// An earlier sending may have got through: the book tells.
@@ -75,7 +75,7 @@
 
 func (rs *RoundScheduler) retryRound(owned *core.OwnedPartition, round *core.PendingRound) {
 	rs.core.DeferCall(func() {
-		if rs.partitions[owned.Id] == owned && owned.InFlight == round {
+		if rs.core.Partitions[owned.ID] == owned && owned.InFlight == round {
 			rs.sendRound(owned)
 		}
 	})
@@ -83,10 +83,10 @@
 
 func (rs *RoundScheduler) resolveRound(owned *core.OwnedPartition, round *core.PendingRound) {
 	rs.c.follower.LinearizableRead(func() {
-		if rs.partitions[owned.Id] != owned || owned.InFlight != round {
+		if rs.core.Partitions[owned.ID] != owned || owned.InFlight != round {
 			return
 		}
-		if rs.core.State.Partitions[owned.Id].RoundSeq >= round.Record.Seq {
+		if rs.core.State.Partitions[owned.ID].RoundSeq >= round.Record.Seq {
 			rs.applyCommittedRound(owned, rs.core.State.Version(round.Txn.Writes[0].Put))
 			return
 		}
@@ -96,10 +96,10 @@
 
 // abandonRound gives up a record that has not been and never can be written.
 func (rs *RoundScheduler) abandonRound(owned *core.OwnedPartition, round *core.PendingRound) {
-	if rs.partitions[owned.Id] != owned || owned.InFlight != round {
+	if rs.core.Partitions[owned.ID] != owned || owned.InFlight != round {
 		return
 	}
-	if rs.core.State.Partitions[owned.Id].RoundSeq >= round.Record.Seq {
+	if rs.core.State.Partitions[owned.ID].RoundSeq >= round.Record.Seq {
 		rs.applyCommittedRound(owned, rs.core.State.Version(round.Txn.Writes[0].Put))
 		return
 	}
@@ -126,19 +126,19 @@
 	}
 	slot := round.Txn.Writes[0].Put
 	rs.core.State.SetVersion(slot, revision)
-	rs.core.State.ApplyRecord(owned.Id, &round.Record)
+	rs.core.State.ApplyRecord(owned.ID, &round.Record)
 	for _, d := range round.Record.Jobs {
 		rs.core.Metrics.Completions += uint64(len(d.Completed))
 		if j := rs.core.State.Jobs[d.Job]; j != nil && len(d.Completed) > 0 && j.State() == api.JobDone {
 			slog.Info("job done", tenantAttr(j), "job", d.Job, specAttr(j.Spec), "estimate", j.Spec.Estimate,
-				"after", float64(rs.core.WallClock-j.AcceptedAt)/1000, "limits", rs.CompletionObjectives(j.Spec))
+				"after", float64(rs.core.WallClock-j.AcceptedAt)/1000, "limits", rs.core.CompletionObjectives(j.Spec))
 		}
 	}
 	for _, s := range round.Starts {
 		if p := s.Job.Placements[s.Task.Index]; p != nil {
 			p.OwnerState.PlacedAt = rs.core.Now
 		}
-		if m := rs.c.agents.machines[s.Machine]; m != nil {
+		if m := rs.core.Machines[s.Machine]; m != nil {
 			m.IdleSince = rs.core.Now
 			rs.c.agents.ContactNow(m)
 		}
--- a/controller/safety_test.go
+++ b/controller/safety_test.go
@@ -40,7 +40,7 @@
 	n.scheduler.BeginOwnership(0, 7)
 	m := n.agents.EnsureMachine("i-000000")
 	m.MachineType, m.Zone, m.LastHeartbeat, m.Epoch, m.ReportedToken = "c8", "a", n.core.Now, 1, 7
-	return n, n.scheduler.partitions[0], m, n.core.State.Jobs[spec.Ref]
+	return n, n.core.Partitions[0], m, n.core.State.Jobs[spec.Ref]
 }
 
 // A deposed owner's late round must not be written even into a slot that nobody
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -53,11 +53,11 @@
 // as many as it takes; none if all together have too little, which for a gang is room for less
 // than all of it.
 func (bl *Balancer) findLenders(owned *core.OwnedPartition, j *core.Job, demand *message.UnmetDemand) []api.PartitionID {
-	cpuOnly := bl.c.scheduler.IsCPUOnly(j.Spec)
+	cpuOnly := bl.core.IsCPUOnly(j.Spec)
 	slots := make([]int, len(bl.core.State.Partitions))
 	var machines []sched.Machine
 	bl.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
-		if !k.Usable || demand.Zone != "" && k.Zone != demand.Zone || !bl.c.scheduler.IsEligible(j.Spec, cpuOnly, k.Type, k.Zone, k.Spot) || !sched.ZoneFeasible(j.Spec, demand.Zones, k.Zone) {
+		if !k.Usable || demand.Zone != "" && k.Zone != demand.Zone || !bl.core.IsEligible(j.Spec, cpuOnly, k.Type, k.Zone, k.Spot) || !sched.ZoneFeasible(j.Spec, demand.Zones, k.Zone) {
 			return
 		}
 		slotsPerMachine := j.Demand.Slots(r.Free)
@@ -71,13 +71,13 @@
 	if j.Spec.Kind == api.Gang && !sched.FitsAll(machines, j.Spec) {
 		return nil
 	}
-	missing := j.PendingTasks(owned.Id)
+	missing := j.PendingTasks(owned.ID)
 	if j.Spec.Kind == api.Gang {
-		missing -= slots[owned.Id]
+		missing -= slots[owned.ID]
 	}
 	var others []api.PartitionID
 	for p, s := range slots {
-		if api.PartitionID(p) != owned.Id && s > 0 {
+		if api.PartitionID(p) != owned.ID && s > 0 {
 			others = append(others, api.PartitionID(p))
 		}
 	}
@@ -92,18 +92,18 @@
 
 // allSupportFormat reports whether every controller has told that it understands a form of records.
 func (bl *Balancer) allSupportFormat(format int) bool {
-	return !slices.ContainsFunc(bl.core.Controllers, func(l api.ControllerID) bool { return bl.c.membership.memberFormats[l] < format })
+	return !slices.ContainsFunc(bl.core.Controllers, func(l api.ControllerID) bool { return bl.c.membership.Format(l) < format })
 }
 
 // selectTransferMachine is the machine of a part that has room for most of a job's tasks and, of
 // those, holds fewest others; nil if none can be lent with what runs there.
 func (bl *Balancer) selectTransferMachine(owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) *core.Machine {
-	if !slices.Contains(demand.Lenders, owned.Id) || bl.c.scheduler.IsRecordRingFull(owned) || !bl.allSupportFormat(clusterstate.FormatTransfers) {
+	if !slices.Contains(demand.Lenders, owned.ID) || bl.c.scheduler.IsRecordRingFull(owned) || !bl.allSupportFormat(clusterstate.FormatTransfers) {
 		return nil
 	}
 	var best *core.Machine
 	bestSlots := 0
-	for _, m := range bl.c.agents.MachinesOf(owned.Id) {
+	for _, m := range bl.c.agents.MachinesOf(owned.ID) {
 		if bl.c.preemptor.ReservedFor(m) != "" || !bl.isLendable(m, owned, demand, cpuOnly) || !bl.isTransferable(m, owned) {
 			continue
 		}
@@ -125,7 +125,7 @@
 	jobs := map[api.JobID]bool{}
 	for _, p := range bl.core.State.PlacementsOn(m.ID) {
 		s := p.Job.Spec
-		if p.Partition != owned.Id || p.Finishing || p.OwnerState.StopRequested || !p.OwnerState.Reported || p.Job.Terminal() || s.Kind == api.Gang || len(s.Needs) > 0 {
+		if p.Partition != owned.ID || p.Finishing || p.OwnerState.StopRequested || !p.OwnerState.Reported || p.Job.Terminal() || s.Kind == api.Gang || len(s.Needs) > 0 {
 			return false
 		}
 		jobs[p.Job.ID] = true
@@ -140,7 +140,7 @@
 	if err != nil || bl.core.ExceedsValueSize(value) {
 		return
 	}
-	round := &core.PendingRound{Record: clusterstate.Record{Seq: bl.core.State.Partitions[owned.Id].RoundSeq + 1}, Ends: map[*core.Placement]bool{}, Transfer: true}
+	round := &core.PendingRound{Record: clusterstate.Record{Seq: bl.core.State.Partitions[owned.ID].RoundSeq + 1}, Ends: map[*core.Placement]bool{}, Transfer: true}
 	round.Txn.If = []api.Condition{bl.core.State.VersionCondition(key)}
 	round.Txn.Writes = []api.Write{{Put: key, Value: value}}
 	use := map[api.Team]api.Resources{}
@@ -153,7 +153,7 @@
 		}
 	}
 	round.Record.QuotaTransfers = bl.usedQuotaTransfers(to, use)
-	slog.Info("machine lent with running tasks", "machine", m.ID, "from", owned.Id, "to", to, "for", jobID, "tasks", len(bl.core.State.PlacementsOn(m.ID)))
+	slog.Info("machine lent with running tasks", "machine", m.ID, "from", owned.ID, "to", to, "for", jobID, "tasks", len(bl.core.State.PlacementsOn(m.ID)))
 	bl.core.Metrics.MachinesTransferred++
 	bl.c.scheduler.CommitRound(owned, round)
 }
@@ -175,7 +175,7 @@
 func (bl *Balancer) AdoptMachine(id api.MachineID) {
 	m := bl.c.agents.EnsureMachine(id)
 	m.DiscoveredAt, m.MissedCalls = bl.core.Now, 0
-	if h, ok := bl.c.autoscaler.fleet.listedMachines[id]; ok {
+	if h, ok := bl.c.autoscaler.ListedMachine(id); ok {
 		m.ApplyListing(h)
 	}
 	bl.c.agents.ContactNow(m)
--- a/controller/usage.go
+++ b/controller/usage.go
@@ -167,7 +167,7 @@
 			v.PendingTasks += j.PendingTasks(api.PartitionID(p))
 		}
 	}
-	total := ts.c.scheduler.TeamUsage()
+	total := ts.core.TeamUsage()
 	for _, name := range e.Teams {
 		t, use := ts.core.Teams[name], total[name]
 		v.Teams = append(v.Teams, TeamUsage{name, use.CPU.Float(), use.GPU.Float(), t.CPUs, t.GPUs, t.CPUsMax, t.GPUsMax})
@@ -206,7 +206,7 @@
 	jobs := slices.DeleteFunc(slices.Collect(maps.Values(ts.core.State.JobsByTenant[string(e.Name)])), (*core.Job).Terminal)
 	v.Open = len(jobs)
 	slices.SortFunc(jobs, func(a, b *core.Job) int { return strings.Compare(queuePosition(a), queuePosition(b)) })
-	total := ts.c.scheduler.TeamUsage()
+	total := ts.core.TeamUsage()
 	from, found := slices.BinarySearchFunc(jobs, after, func(j *core.Job, at string) int { return strings.Compare(queuePosition(j), at) })
 	if found {
 		from++
@@ -235,7 +235,7 @@
 		return "suspended: " + e.Tenant.SuspendReason
 	case j.OwnerState.BackoffUntil > ts.core.Now:
 		return "its tasks failed: it is tried again later"
-	case !need.Fits(quotaLimit(ts.core.Teams[j.Spec.Team]).Minus(total[j.Spec.Team])):
+	case !need.Fits(core.QuotaLimit(ts.core.Teams[j.Spec.Team]).Minus(total[j.Spec.Team])):
 		return "the limit of team " + string(j.Spec.Team)
 	}
 	for p := range ts.core.State.Partitions {
--- a/controller/user.go
+++ b/controller/user.go
@@ -4,13 +4,11 @@
 	"cmp"
 	"encoding/json"
 	"log/slog"
-	"maps"
 	"slices"
 	"time"
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
-	"basaltwall/config"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
 	"basaltwall/fairqueue"
@@ -79,12 +77,7 @@
 // ForwardTargets are the peers that reach the state service, by turns another one first: one that
 // lags must not get the same user's question each time.
 func (js *JobService) ForwardTargets() []api.ControllerID {
-	var out []api.ControllerID
-	for _, label := range slices.Sorted(maps.Keys(js.c.gossiper.peers)) {
-		if p := js.c.gossiper.peers[label]; p.gossip.StateOK && p.receivedAt != 0 && js.core.Now.Sub(p.receivedAt) < 3*core.GossipInterval {
-			out = append(out, label)
-		}
-	}
+	out := js.c.gossiper.PeersThatReachStore()
 	if k := len(out); k > 0 {
 		out = slices.Concat(out[js.forwardedRequests%k:], out[:js.forwardedRequests%k])
 	}
@@ -131,7 +124,7 @@
 }
 
 func (js *JobService) Poll(c message.Poll) {
-	if js.c.tenancy.hosted != nil {
+	if js.c.tenancy.Enabled() {
 		js.c.tenancy.PollHosted(c)
 		return
 	}
@@ -165,19 +158,6 @@
 		"cpus", s.CPUs, "gpus", s.GPUs, "mem_gb", s.MemGB)
 }
 
-// quotaLimit is a team's limit; none is expressed by an amount nothing reaches.
-func quotaLimit(t config.Team) api.Resources {
-	const unlimited = api.Quantity(1) << 52
-	limit := api.Resources{CPU: unlimited, GPU: unlimited, Mem: unlimited}
-	if t.CPUsMax > 0 {
-		limit.CPU = api.ToQuantity(t.CPUsMax)
-	}
-	if t.GPUsMax > 0 {
-		limit.GPU = api.ToQuantity(t.GPUsMax)
-	}
-	return limit
-}
-
 // InfeasibleReason says why a job can never run, or nothing.
 func (js *JobService) InfeasibleReason(s *api.JobSpec) string {
 	team, ok := js.core.Teams[s.Team]
@@ -211,7 +191,7 @@
 		all = demand.Times(s.Tasks)
 	}
 	all.Mem = 0
-	if !all.Fits(quotaLimit(team)) {
+	if !all.Fits(core.QuotaLimit(team)) {
 		return "bottega: more than the team's limit"
 	}
 	return ""
@@ -221,7 +201,7 @@
 const specTooLarge = "banchi: too long"
 
 func (js *JobService) Submit(c message.Submit) {
-	if js.c.tenancy.hosted != nil {
+	if js.c.tenancy.Enabled() {
 		js.c.tenancy.SubmitHosted(c, 2)
 		return
 	}
@@ -296,7 +276,7 @@
 // controller has as many.
 func (js *JobService) allowSubmission() bool {
 	share := submissionWriteShare
-	if js.c.reservations.reservationLedger.wroteAt != 0 && js.core.Now.Sub(js.c.reservations.reservationLedger.wroteAt) < ledgerActiveWindow {
+	if js.c.reservations.RecentlyWrote() {
 		share -= ledgerWriteShare
 	}
 	rate := share * js.core.Config.Deployment.State.WriteRPS / float64(max(1, len(js.core.State.Members)))
@@ -365,7 +345,7 @@
 func (js *JobService) FreeSlotsByPartition(s *api.JobSpec) []int {
 	slots := make([]int, len(js.core.State.Partitions))
 	demand := s.Demand()
-	cpuOnly := js.c.scheduler.IsCPUOnly(s)
+	cpuOnly := js.core.IsCPUOnly(s)
 	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		if k.Usable && !(cpuOnly && k.Closed) && sched.Feasible(s, k.Type, k.Zone, k.Spot) {
 			slots[p] += r.Count * demand.Slots(r.Free)
@@ -378,7 +358,7 @@
 // hold if they were empty.
 func (js *JobService) TotalSlotsByPartition(s *api.JobSpec) []int {
 	slots := make([]int, len(js.core.State.Partitions))
-	demand, cpuOnly := s.Demand(), js.c.scheduler.IsCPUOnly(s)
+	demand, cpuOnly := s.Demand(), js.core.IsCPUOnly(s)
 	js.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		machineType := js.core.MachineTypes[k.Type]
 		if k.Usable && machineType != nil && sched.Feasible(s, k.Type, k.Zone, k.Spot) && !(cpuOnly && machineType.GPUs > 0) {
@@ -388,12 +368,6 @@
 	return slots
 }
 
-// HasAccelerators reports whether machines of a type have accelerators.
-func (js *JobService) HasAccelerators(t api.MachineTypeName) bool {
-	machineType := js.core.MachineTypes[t]
-	return machineType != nil && machineType.GPUs > 0
-}
-
 // PendingTasksIn counts tasks of a part that wait, in units of a job's demand, and that rules do not
 // put after it.
 func (js *JobService) PendingTasksIn(p api.PartitionID, s *api.JobSpec) int {
@@ -414,7 +388,7 @@
 }
 
 func (js *JobService) Cancel(c message.Cancel) {
-	if js.c.tenancy.hosted != nil {
+	if js.c.tenancy.Enabled() {
 		js.c.tenancy.CancelHosted(c)
 		return
 	}
--- a/controller/zones.go
+++ b/controller/zones.go
@@ -66,7 +66,7 @@
 }
 
 // zoneRecordPartition is the part whose owner writes the zones' records.
-func (zh *ZoneHealth) zoneRecordPartition() *core.OwnedPartition { return zh.c.scheduler.partitions[0] }
+func (zh *ZoneHealth) zoneRecordPartition() *core.OwnedPartition { return zh.core.Partitions[0] }
 
 // observeZones counts anew, now and then, what all controllers see of the zones.
 func (zh *ZoneHealth) observeZones() {
@@ -75,11 +75,11 @@
 		return
 	}
 	tracker.observedAt, tracker.observations, tracker.localObservation = zh.core.Now, map[api.Zone]zonehealth.Assessment{}, zonehealth.Observation{}
-	for _, p := range slices.Sorted(maps.Keys(zh.c.scheduler.partitions)) {
-		mergeZoneCounts(tracker.localObservation, zh.SilentByZone(zh.c.scheduler.partitions[p]))
+	for _, p := range slices.Sorted(maps.Keys(zh.core.Partitions)) {
+		mergeZoneCounts(tracker.localObservation, zh.SilentByZone(zh.core.Partitions[p]))
 	}
 	witnesses := []zonehealth.Observation{tracker.localObservation}
-	for _, l := range slices.Sorted(maps.Keys(zh.c.gossiper.peers)) {
+	for _, l := range zh.c.gossiper.Peers() {
 		witness := zonehealth.Observation{}
 		for _, status := range zh.c.gossiper.PartitionStatusesOf(l) {
 			mergeZoneCounts(witness, status.Zones)
@@ -106,7 +106,7 @@
 // owner has neither heard nor called yet, says nothing.
 func (zh *ZoneHealth) SilentByZone(owned *core.OwnedPartition) map[api.Zone]zonehealth.MachineCount {
 	counts := map[api.Zone]zonehealth.MachineCount{}
-	for _, m := range zh.c.agents.MachinesOf(owned.Id) {
+	for _, m := range zh.c.agents.MachinesOf(owned.ID) {
 		if m.Deleting && !m.Unreachable {
 			continue // it is we who do not answer it
 		}
@@ -174,7 +174,7 @@
 
 // ReconcileZones keeps the zones' records, where that is ours to do.
 func (zh *ZoneHealth) ReconcileZones() {
-	for l := range zh.c.gossiper.peers {
+	for _, l := range zh.c.gossiper.Peers() {
 		if zh.core.IsLive(l) {
 			delete(zh.zones.controllerLostAt, l)
 		} else if zh.zones.controllerLostAt[l] == 0 {
@@ -215,7 +215,7 @@
 		zh.core.CallStoreTxn(api.Txn{If: []api.Condition{owned.OwnershipCondition(), zh.core.State.VersionCondition(key)}, Writes: []api.Write{{Put: key, Value: v}}}, func(a message.StoreResponse) {
 			if a.Status == 200 {
 				slog.Info("zone state changed", "zone", name, "state", zoneStateName(record.State), "term", owned.Term, "machines", observation.All, "silent", observation.Silent,
-					"for", float64(record.Since-max(previous.LastHeartbeat, record.LastHeartbeat))/1000, "inside", len(record.PartitionsInside))
+					"for", float64(record.Since-max(previous.LastHeartbeat, record.LastHeartbeat))/1000, "partitions_inside", len(record.PartitionsInside))
 			}
 			zh.c.follower.LinearizableRead(func() { zh.zones.writeInFlight = false }, func() { zh.zones.writeInFlight = false })
 		})
@@ -236,7 +236,7 @@
 	lastHeard := cmp.Or(zh.zones.observations[name].Heard, zh.zones.records[name].LastHeartbeat)
 	var out []api.PartitionID
 	for i := range zh.core.State.Partitions {
-		owner := zh.c.membership.PreferredOwner(api.PartitionID(i))
+		owner := zh.core.PreferredOwner(api.PartitionID(i))
 		at, gone := zh.zones.controllerLostAt[owner]
 		if gone && zh.controllerZone(owner) == name && (at <= zh.core.StartedAt.Add(time.Second) || zh.core.ToWallClock(at) >= lastHeard) {
 			out = append(out, api.PartitionID(i))
@@ -300,7 +300,7 @@
 	if m.MissedCalls < minMissedCalls && m.Address != "" {
 		return
 	}
-	if m.Address == "" && (zh.c.autoscaler.fleet.listedAt == 0 || zh.c.autoscaler.fleet.listedAt.Sub(owned.OwnedSince) < 2*api.Seconds(zh.core.Config.Deployment.Cloud.ListLag)) {
+	if m.Address == "" && (zh.c.autoscaler.ListedAt() == 0 || zh.c.autoscaler.ListedAt().Sub(owned.OwnedSince) < 2*api.Seconds(zh.core.Config.Deployment.Cloud.ListLag)) {
 		return // nobody has called it yet, for want of a list that could show where it is
 	}
 	if m.LastHeartbeat == 0 && !zh.c.autoscaler.IsListedRunning(m) && len(zh.core.State.PlacementsOn(m.ID)) == 0 {
@@ -353,8 +353,8 @@
 	if !zoneLost {
 		return
 	}
-	for _, p := range slices.Sorted(maps.Keys(zh.c.scheduler.partitions)) {
-		zh.evacuatePartition(zh.c.scheduler.partitions[p])
+	for _, p := range slices.Sorted(maps.Keys(zh.core.Partitions)) {
+		zh.evacuatePartition(zh.core.Partitions[p])
 	}
 }
 
@@ -382,9 +382,9 @@
 		return float64(slots) * s.CPUs
 	}
 	maxUsable := map[api.Class]float64{}
-	remaining, usage := map[api.Team]api.Resources{}, zh.c.scheduler.TeamUsage()
+	remaining, usage := map[api.Team]api.Resources{}, zh.core.TeamUsage()
 	for name, team := range zh.core.Teams {
-		remaining[name] = quotaLimit(team).Minus(usage[name])
+		remaining[name] = core.QuotaLimit(team).Minus(usage[name])
 	}
 	classes, teams := map[api.Class]zonehealth.Usage{}, map[api.Team]zonehealth.Usage{}
 	for _, ref := range slices.Sorted(maps.Keys(zh.core.State.Jobs)) {
@@ -420,7 +420,7 @@
 
 // ownedShare is the share of the parts that are ours.
 func (zh *ZoneHealth) ownedShare() float64 {
-	return float64(len(zh.c.scheduler.partitions)) / float64(len(zh.core.State.Partitions))
+	return float64(len(zh.core.Partitions)) / float64(len(zh.core.State.Partitions))
 }
 
 // IsPreemptible reports whether a task may give way: while a zone is lost, no class and no team
@@ -475,21 +475,21 @@
 }
 
 func (zh *ZoneHealth) evacuatePartition(owned *core.OwnedPartition) {
-	input := &zonehealth.Input{PlacedByZone: map[api.JobID]map[api.Zone]int{}, RemainingQuota: zh.c.scheduler.RemainingQuota(owned.Id), PreemptingRank: preemptorRank,
+	input := &zonehealth.Input{PlacedByZone: map[api.JobID]map[api.Zone]int{}, RemainingQuota: zh.core.RemainingQuota(owned.ID), PreemptingRank: preemptorRank,
 		ExpectedOutage: func(name api.Zone) float64 {
 			return zh.zones.records[name].ExpectedRemaining(zh.ZoneSilenceSeconds(name))
 		},
-		MaxMachines: maxDeletionBatch - len(zh.c.autoscaler.pendingDeletions),
+		MaxMachines: MaxDeletionBatch - zh.c.autoscaler.PendingDeletionCount(),
 		Excluded: func(newTask *zonehealth.Task, r *zonehealth.FreeCapacity) bool {
-			return newTask.Spec.Kind == api.Service && zh.c.jobs.HasAccelerators(r.Type) && zh.c.scheduler.IsCPUOnly(newTask.Spec) || r.OtherPartition && newTask.Spec.NeedsSinglePartition()
+			return newTask.Spec.Kind == api.Service && zh.core.HasAccelerators(r.Type) && zh.core.IsCPUOnly(newTask.Spec) || r.OtherPartition && newTask.Spec.NeedsSinglePartition()
 		}}
-	if input.MaxMachines <= 0 || zh.c.autoscaler.deletionFailures > 0 && zh.core.Now < zh.c.autoscaler.nextDeletionAt {
+	if input.MaxMachines <= 0 || zh.c.autoscaler.DeletionsBackingOff() {
 		return // decided anew when it can be done: until then a machine may come back
 	}
 	lostMachines := map[*core.Machine]bool{}
 	unreachable := map[api.JobID]int{} // tasks on silent machines
 	byID := map[api.MachineID]*core.Machine{}
-	for _, m := range zh.c.agents.MachinesOf(owned.Id) {
+	for _, m := range zh.c.agents.MachinesOf(owned.ID) {
 		if m.Deleting || zh.zones.records[m.Zone].State != zonehealth.Failed || zh.core.MachineTypes[m.MachineType] == nil || zh.silentFor(m, owned)+evacuationInterval < zh.core.Config.WorkerLease() {
 			continue // the lease ends before the deletion does, or as it does
 		}
@@ -504,9 +504,9 @@
 	if len(lostMachines) == 0 {
 		return
 	}
-	usage := zh.c.scheduler.TeamUsage()
+	usage := zh.core.TeamUsage()
 	newTask := func(j *core.Job, i int, running api.Time) zonehealth.Task {
-		out := zonehealth.Task{ID: api.TaskID{Job: j.ID, Index: i}, Spec: j.Spec, Demand: j.Demand, WithinGuarantee: zh.c.scheduler.IsWithinGuarantee(j, usage),
+		out := zonehealth.Task{ID: api.TaskID{Job: j.ID, Index: i}, Spec: j.Spec, Demand: j.Demand, WithinGuarantee: zh.core.IsWithinGuarantee(j, usage),
 			RunningElsewhere: len(j.Placements) - j.FinishingCount - unreachable[j.ID], SlackSeconds: zh.deadlineSlack(j), PriorityBoost: zh.c.priorities.PriorityBoost(j.Spec)}
 		if running != 0 && j.Spec.Kind != api.Service {
 			out.LostWorkSeconds = zh.core.Now.Sub(running).Seconds()
@@ -517,20 +517,20 @@
 		if input.PlacedByZone[j.ID] == nil {
 			input.PlacedByZone[j.ID] = map[api.Zone]int{}
 			for _, p := range j.Placements {
-				if z := zh.c.scheduler.MachineZone(p.Machine); z != "" && !p.Finishing && !lostMachines[zh.c.agents.machines[p.Machine]] {
+				if z := zh.c.scheduler.MachineZone(p.Machine); z != "" && !p.Finishing && !lostMachines[zh.core.Machines[p.Machine]] {
 					input.PlacedByZone[j.ID][z]++
 				}
 			}
 		}
 		return out
 	}
-	for _, m := range zh.c.agents.MachinesOf(owned.Id) {
+	for _, m := range zh.c.agents.MachinesOf(owned.ID) {
 		switch {
 		case lostMachines[m]:
 			machine := zonehealth.Machine{ID: m.ID, Zone: m.Zone, Capacity: zh.core.MachineTypes[m.MachineType].Capacity(), BootSeconds: zh.core.MachineTypes[m.MachineType].BootSeconds,
-				ControllerInside: slices.Contains(zh.zones.records[m.Zone].PartitionsInside, owned.Id)}
+				ControllerInside: slices.Contains(zh.zones.records[m.Zone].PartitionsInside, owned.ID)}
 			for _, p := range zh.core.State.PlacementsOn(m.ID) {
-				if !p.Finishing && !p.Job.Terminal() && p.Partition == owned.Id {
+				if !p.Finishing && !p.Job.Terminal() && p.Partition == owned.ID {
 					machine.Tasks = append(machine.Tasks, newTask(p.Job, p.Task.Index, p.OwnerState.RunningSince))
 				}
 			}
@@ -550,7 +550,7 @@
 	// All parts look at it, so each counts on its share.
 	parts := len(zh.core.State.Partitions)
 	zh.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
-		if p != owned.Id && k.Usable && !k.Closed && zh.core.MachineTypes[k.Type] != nil {
+		if p != owned.ID && k.Usable && !k.Closed && zh.core.MachineTypes[k.Type] != nil {
 			empty := r.Free == zh.core.MachineTypes[k.Type].Capacity()
 			input.FreeCapacity = append(input.FreeCapacity, zonehealth.FreeCapacity{Type: k.Type, Zone: k.Zone, Spot: k.Spot, Free: r.Free, FreeAfterPreemption: r.Free, Count: (r.Count + parts - 1) / parts,
 				OtherPartition: !empty})
@@ -562,7 +562,7 @@
 		if zh.c.tenancy.StartsBlocked(j) {
 			continue
 		}
-		for i := range min(j.PendingTasks(owned.Id), budget) {
+		for i := range min(j.PendingTasks(owned.ID), budget) {
 			input.PendingTasks = append(input.PendingTasks, newTask(j, -1-i, 0))
 			budget--
 		}
@@ -584,7 +584,7 @@
 // deadlineSlack is how many seconds a job has until it can't be in time any more.
 func (zh *ZoneHealth) deadlineSlack(j *core.Job) float64 {
 	elapsed := max(0, float64(zh.core.WallClock-j.AcceptedAt)/1000)
-	limits := zh.c.scheduler.CompletionObjectives(j.Spec)
+	limits := zh.core.CompletionObjectives(j.Spec)
 	for _, l := range limits {
 		if remaining := l - elapsed - j.Spec.Estimate; remaining >= 0 {
 			return remaining
@@ -610,16 +610,16 @@
 			preemptible += r.Could.CPU * api.Quantity(r.Count)
 		}
 	})
-	for _, id := range zh.c.autoscaler.fleet.listedOrder {
-		h := zh.c.autoscaler.fleet.listedMachines[id]
+	for _, id := range zh.c.autoscaler.ListedMachineIDs() {
+		h, _ := zh.c.autoscaler.ListedMachine(id)
 		r := zh.zones.records[h.Zone]
 		if r.State != zonehealth.Failed {
 			continue
 		}
 		silence, lease := zh.ZoneSilenceSeconds(h.Zone), zh.core.Config.WorkerLease().Seconds()
 		leaseActive := silence < lease
-		replace := !slices.Contains(r.PartitionsInside, zh.c.agents.PartitionOf(id)) && r.OutlastProbability(max(lease, silence+zh.c.autoscaler.BootSeconds(h.Type)), silence) >= minReplacementProbability
-		if m := zh.c.agents.machines[id]; m != nil && (m.Deleting || m.LastHeartbeat != 0 && zh.core.Now.Sub(m.LastHeartbeat) < zh.core.HeartbeatTimeout) {
+		replace := !slices.Contains(r.PartitionsInside, zh.core.PartitionOf(id)) && r.OutlastProbability(max(lease, silence+zh.core.BootSeconds(h.Type)), silence) >= minReplacementProbability
+		if m := zh.core.Machines[id]; m != nil && (m.Deleting || m.LastHeartbeat != 0 && zh.core.Now.Sub(m.LastHeartbeat) < zh.core.HeartbeatTimeout) {
 			continue
 		}
 		for _, placement := range zh.core.State.PlacementsOn(id) {
@@ -643,3 +643,34 @@
 	}
 	return replacements, unreachable
 }
+
+// RecordedState is a zone's state by its record alone.
+func (zh *ZoneHealth) RecordedState(name api.Zone) zonehealth.State {
+	return zh.zones.records[name].State
+}
+
+// PartitionsInside are the partitions whose owners were lost with a zone and may go on inside.
+func (zh *ZoneHealth) PartitionsInside(name api.Zone) []api.PartitionID {
+	return zh.zones.records[name].PartitionsInside
+}
+
+// AnyZoneFailedOrRecovering reports whether some zone is recorded as failed or recovering.
+func (zh *ZoneHealth) AnyZoneFailedOrRecovering() bool {
+	for _, r := range zh.zones.records {
+		if r.State == zonehealth.Failed || r.State == zonehealth.Recovering {
+			return true
+		}
+	}
+	return false
+}
+
+// Observation is what all controllers together last saw of a zone.
+func (zh *ZoneHealth) Observation(name api.Zone) zonehealth.Assessment {
+	return zh.zones.observations[name]
+}
+
+// ReplacementDemand counts, by job, the tasks on lost machines for which machines are provisioned.
+func (zh *ZoneHealth) ReplacementDemand() map[api.JobID]int { return zh.zones.replacementDemand }
+
+// ExpiredLeaseTasks is how many tasks are on a zone's lost machines past their leases.
+func (zh *ZoneHealth) ExpiredLeaseTasks(name api.Zone) int { return zh.zones.expiredLeaseTasks[name] }
--- a/controller/zones_test.go
+++ b/controller/zones_test.go
@@ -54,11 +54,11 @@
 			n.autoscaler.fleet.listedMachines[m.ID] = api.Instance{ID: m.ID, State: api.MachineRunning}
 		}, 1, 1},
 		{"being returned", func(n *Controller, m *core.Machine) {
-			n.autoscaler.ScheduleDeletion(m, n.scheduler.partitions[0], deleteReasonIdle)
+			n.autoscaler.ScheduleDeletion(m, n.core.Partitions[0], deleteReasonIdle)
 			n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease())
 		}, 0, 0},
 		{"being given up", func(n *Controller, m *core.Machine) {
-			n.autoscaler.ScheduleDeletion(m, n.scheduler.partitions[0], deleteReasonZoneLost)
+			n.autoscaler.ScheduleDeletion(m, n.core.Partitions[0], deleteReasonZoneLost)
 			n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease())
 		}, 1, 1},
 	} {
