--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -68,13 +68,13 @@
 		case r.Header.Get("Authorization") != "Bearer bw1.x.y":
 			t.Errorf("%s %s with key %q", r.Method, r.URL, r.Header.Get("Authorization"))
 		case r.URL.Path == "/admin/v1/teams":
-			io.WriteString(w, `[{"team":"dispo","revision":7}]`)
+			_, _ = io.WriteString(w, `[{"team":"dispo","revision":7}]`)
 		case r.URL.Path == "/admin/v1/tenants" || r.URL.Path == "/admin/v1/pools":
-			io.WriteString(w, `[]`)
+			_, _ = io.WriteString(w, `[]`)
 		case strings.HasSuffix(r.URL.Path, "/usage"):
-			io.WriteString(w, `{"open":1}`)
+			_, _ = io.WriteString(w, `{"open":1}`)
 		default:
-			io.WriteString(w, `{"revision":7,"rate":2,"burst":4,"teams":["dispo"],"networks":["10.0.0.0/8"],"retention_s":60}`)
+			_, _ = io.WriteString(w, `{"revision":7,"rate":2,"burst":4,"teams":["dispo"],"networks":["10.0.0.0/8"],"retention_s":60}`)
 		}
 	}))
 	defer s.Close()
@@ -170,7 +170,7 @@
 			w.Header().Set("Retry-After", retry)
 		}
 		w.WriteHeader(status)
-		io.WriteString(w, `{"error":"name: is taken"}`)
+		_, _ = io.WriteString(w, `{"error":"name: is taken"}`)
 	}))
 	addr, key := strings.TrimPrefix(s.URL, "http://"), writeKeyFile(t)
 	for _, c := range []struct {
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	lines := csv.NewReader(f)
 	lines.FieldsPerRecord = 3
 	type one struct {
--- a/admin/tables.go
+++ b/admin/tables.go
@@ -34,17 +34,17 @@
 func writeRow(w io.Writer, cells ...any) {
 	for i, c := range cells {
 		if i > 0 {
-			fmt.Fprint(w, "\t")
+			_, _ = fmt.Fprint(w, "\t")
 		}
-		fmt.Fprint(w, c)
+		_, _ = fmt.Fprint(w, c)
 	}
-	fmt.Fprintln(w)
+	_, _ = fmt.Fprintln(w)
 }
 
 // writeNextPageHint says how to ask for the next page.
 func writeNextPageHint(w io.Writer, after string) {
 	if after != "" {
-		fmt.Fprintf(w, "more with --after %s\n", after)
+		_, _ = fmt.Fprintf(w, "more with --after %s\n", after)
 	}
 }
 
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -8,7 +8,7 @@
 	"basaltwall/internal/golden"
 )
 
-// Messages that users, workers, the cloud and the state service send and get, as earlier
+// Messages that users, workers, the cloud and the key-value store send and get, as earlier
 // versions wrote them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
--- a/api/types.go
+++ b/api/types.go
@@ -1,5 +1,5 @@
 // Package api owns the small types shared by every other package and the
-// names that the users', workers', cloud's and state service's messages carry
+// names that the users', workers', cloud's and key-value store's messages carry
 // on the wire. Nothing outside this package spells a protocol name.
 package api
 
@@ -24,7 +24,7 @@
 	ControllerID    string // a controller node
 	Attempt         uint64 // one start of a task
 	FencingToken    uint64 // entitlement to give commands to a machine
-	Revision        uint64 // of the state service
+	Revision        uint64 // of the key-value store
 	Epoch           uint64 // of a worker
 	Seq             uint64 // of a worker's messages within a session
 	LeaseID         uint64
--- a/api/wire.go
+++ b/api/wire.go
@@ -93,7 +93,7 @@
 	return slices.Index([]Priority{Low, Normal, High, Production}, p)
 }
 
-// JobSpec is a job as submitted and as kept in the state service.
+// JobSpec is a job as submitted and as kept in the key-value store.
 type JobSpec struct {
 	Ref        JobID             `json:"ref"`
 	Class      Class             `json:"mestiere"`
@@ -129,7 +129,7 @@
 	Job  int      `json:"a_lavoro,omitempty"`
 }
 
-// Units is what so many tasks take of it, the job's own part with it if it is not held yet.
+// Units is what so many tasks take of it, the job's own units with them if it is not held yet.
 func (n PoolRequest) Units(tasks int, held bool) int {
 	u := n.Task * tasks
 	if !held && tasks > 0 {
@@ -166,7 +166,7 @@
 }
 
 // NeedsSinglePartition reports whether the job's tasks constrain each other's placement, so
-// that one part must hold them all.
+// that one partition must hold them all.
 func (s *JobSpec) NeedsSinglePartition() bool {
 	return s.Kind != Array || s.OneZone || s.Spread || s.HasJobUnits()
 }
@@ -446,7 +446,7 @@
 	Log      []Change `json:"log"`
 }
 
-// LeaseRequest requests a lease, LeaseAnswer grants it.
+// LeaseRequest requests a lease, LeaseResponse grants it.
 type LeaseRequest struct {
 	TTL int64 `json:"life_ms"`
 }
--- a/backfill/backfill.go
+++ b/backfill/backfill.go
@@ -1,4 +1,4 @@
-// Package due owns the promise that whatever waits and can run begins within a bounded time,
+// Package backfill owns the promise that whatever waits and can run begins within a bounded time,
 // of whatever class, size and priority: when a job's turn comes before others', and which
 // machines are to be kept for one that finds no room, so that it comes free as a whole. It is
 // pure: it stores nothing and reads no clock.
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -10,7 +10,7 @@
 	"basaltwall/httpx"
 )
 
-// pageSize is the most machines a list response may hold.
+// listPageSize is the most machines a list response may hold.
 const pageSize = 500
 
 // Request is the HTTP request for a call.
--- a/clusterstate/checkpoint.go
+++ b/clusterstate/checkpoint.go
@@ -1,3 +1,5 @@
+// Checkpoints: a partition's whole state in a few values, and reading everything anew.
+
 package clusterstate
 
 import (
@@ -13,7 +15,7 @@
 	"basaltwall/api"
 )
 
-// Checkpoint describes a part's whole state.
+// Checkpoint describes a partition's whole state.
 func (s *State[J, P]) Checkpoint(partition api.PartitionID) Record {
 	c := Record{Seq: s.Partitions[partition].RoundSeq, Revision: s.Revision}
 	for _, jobID := range slices.Sorted(maps.Keys(s.Jobs)) {
@@ -43,7 +45,7 @@
 	return c
 }
 
-// CheckpointWrites are the writes of a part's checkpoint, none larger than size bytes; the last
+// CheckpointWrites are the writes of a partition's checkpoint, none larger than size bytes; the last
 // one, the head, makes them count.
 func (s *State[J, P]) CheckpointWrites(partition api.PartitionID, size int) ([]api.Write, error) {
 	c := s.Checkpoint(partition)
@@ -72,7 +74,7 @@
 }
 
 // encodeCheckpoint makes a checkpoint small: it names the same jobs and machines over and
-// over, and the state service's writes are scarce.
+// over, and the key-value store's writes are scarce.
 func encodeCheckpoint(c Record) ([]byte, error) {
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.BestSpeed)
@@ -101,11 +103,11 @@
 }
 
 // BeginLoad begins to read everything anew: until FinishLoad, what is put only gathers, since
-// a part's rounds can't be folded before its checkpoint.
+// a partition's rounds can't be folded before its checkpoint.
 func (s *State[J, P]) BeginLoad() { s.rawValues = map[string]json.RawMessage{} }
 
 // FinishLoad folds the gathered keys: first all that stand for themselves, then each
-// part's checkpoint and the rounds after it.
+// partition's checkpoint and the rounds after it.
 func (s *State[J, P]) FinishLoad() error {
 	raw := s.rawValues
 	s.rawValues = nil
@@ -146,7 +148,7 @@
 	revision api.Revision
 }
 
-// readCheckpoint puts a part's checkpoint together from its pieces; empty if it has none.
+// readCheckpoint puts a partition's checkpoint together from its pieces; empty if it has none.
 func (s *State[J, P]) readCheckpoint(partition api.PartitionID, raw map[string]json.RawMessage) (Record, error) {
 	head := s.Partitions[partition].CheckpointHead
 	if head.Chunks == 0 {
@@ -167,7 +169,7 @@
 	return c, nil
 }
 
-// restorePartition folds a part's checkpoint and, in the order of their revisions, the rounds after it
+// restorePartition folds a partition's checkpoint and, in the order of their revisions, the rounds after it
 // and the machines that came to it with their tasks.
 func (s *State[J, P]) restorePartition(partition api.PartitionID, c Record, rounds []loadedRound) error {
 	ps := &s.Partitions[partition]
--- a/clusterstate/keys.go
+++ b/clusterstate/keys.go
@@ -1,7 +1,9 @@
-// Package book is the durable state as a controller knows it: the fold of every key
-// under Root in the state service, in the order of their revisions. Two books at the
-// same revision agree. It decides nothing; what an owner notes of jobs and places
-// beyond the record are types of the caller's.
+// Package clusterstate owns the replicated state as a controller knows it: the fold of every key
+// under Root in the consensus-backed key-value store, in the order of their revisions. Two states
+// at the same revision agree. It decides nothing; what the owner of a partition tracks of jobs and
+// placements beyond their records is of the type parameters J and P.
+//
+// Not safe for concurrent use: the controller's single owner goroutine holds it.
 package clusterstate
 
 import (
@@ -13,8 +15,8 @@
 	"basaltwall/api"
 )
 
-// Keys in the state service. Everything a controller follows lies under Root;
-// final states lie outside, so that what a restart reads stays bounded.
+// Keys in the key-value store. Everything a controller follows lies under Root; the results of
+// finished jobs lie outside, so that what a restart reads stays bounded.
 const (
 	Root               = "b/"
 	KeyMember          = Root + "member/"
@@ -27,32 +29,33 @@
 	KeyJobResult       = "final/"
 )
 
-// RingSize is how many round records a part keeps before their keys are used
+// RingSize is how many round records a partition keeps before their keys are used
 // again; a checkpoint must have covered a record by then. A checkpoint grows with
 // the tasks that run, a record with those that start or end, so checkpoints must
 // be much rarer than rounds, or they would use up the writes; what is read after
 // a crash stays some hundred records.
 const RingSize = 128
 
-// PartitionKey is the key of a part under a prefix.
+// PartitionKey is the key of a partition under a prefix.
 func PartitionKey(prefix string, partition api.PartitionID) string {
 	return prefix + strconv.Itoa(int(partition))
 }
 
-// RoundKey is the key of a part's round in its ring.
+// RoundKey is the key of a partition's round in its ring.
 func RoundKey(partition api.PartitionID, seq uint64) string {
 	return fmt.Sprintf("%s%d/%d", KeyRound, partition, seq%RingSize)
 }
 
-// CheckpointChunkKey is the key of a piece of a part's checkpoint; two generations take turns.
+// CheckpointChunkKey is the key of a piece of a partition's checkpoint; two generations take turns.
 func CheckpointChunkKey(partition api.PartitionID, gen uint64, i int) string {
 	return fmt.Sprintf("%s%d/%d/%d", KeyCheckpointChunk, partition, gen%2, i)
 }
 
 // RecordKind is a kind of durable record: all keys that begin with a prefix, or the key that
-// is the prefix. It is declared in one place: a key's value is the record's whole state,
-// so it needs no place in the checkpoints, and what a restart reads of it are its keys.
-// A write of it is conditional on If, and on the part or member whose right it is.
+// is the prefix. A key's value is the record's whole state, so checkpoints need not contain it,
+// and a restart reads it from its keys.
+// A write of it is conditional on VersionCondition, and on the key of the partition or member
+// that is entitled to it.
 type RecordKind struct {
 	Prefix string
 	// Put takes in a value; name is what follows the prefix. It leaves all as it was
@@ -74,12 +77,12 @@
 	}}
 }
 
-// parsePartition reads the part's number from what follows a prefix.
+// parsePartition reads the partition's number from what follows a prefix.
 func parsePartition(name string, partitions int) (api.PartitionID, error) {
 	num, _, _ := strings.Cut(name, "/")
 	n, err := strconv.Atoi(num)
 	if err != nil || n < 0 || n >= partitions {
-		return 0, fmt.Errorf("%q: no such part", num)
+		return 0, fmt.Errorf("%q: %w", num, ErrNoSuchPartition)
 	}
 	return api.PartitionID(n), nil
 }
--- /dev/null
+++ b/clusterstate/partition.go
@@ -0,0 +1,78 @@
+// Partitions: their owner and term, their checkpoint and the quota shares they transferred.
+
+package clusterstate
+
+import (
+	"encoding/json"
+
+	"basaltwall/api"
+)
+
+// Partition is a partition of the fleet as the log describes it.
+type Partition struct {
+	TeamUsage        map[api.Team]api.Resources // of the placements that are not finishing
+	PoolUsage        map[api.PoolName]int       // pool units that these hold
+	CountByRank      [4]int                     // placements by priority rank, without those of gangs
+	Owner            api.ControllerID
+	Term             api.Revision
+	RoundSeq         uint64 // of its latest round
+	CheckpointHead   CheckpointHeadValue
+	Reservations     map[api.MachineID]Reservation
+	quotaTransferred map[api.PartitionID]map[api.Team]api.Resources
+}
+
+func (s *State[J, P]) putPartition(name string, value json.RawMessage, version api.Revision) error {
+	partition, err := parsePartition(name, len(s.Partitions))
+	if err != nil {
+		return err
+	}
+	var v PartitionValue
+	if err := json.Unmarshal(value, &v); err != nil {
+		return err
+	}
+	s.Partitions[partition].Owner, s.Partitions[partition].Term = v.Owner, version
+	return nil
+}
+
+func (s *State[J, P]) putCheckpointHead(name string, value json.RawMessage, _ api.Revision) error {
+	partition, err := parsePartition(name, len(s.Partitions))
+	if err != nil {
+		return err
+	}
+	var v CheckpointHeadValue
+	if err := json.Unmarshal(value, &v); err != nil {
+		return err
+	}
+	s.Partitions[partition].CheckpointHead = v
+	return nil
+}
+
+func (s *State[J, P]) addQuotaTransfers(partition api.PartitionID, transfers []QuotaTransfer) {
+	for _, g := range transfers {
+		m := s.Partitions[partition].quotaTransferred[g.To]
+		if m == nil {
+			m = map[api.Team]api.Resources{}
+			s.Partitions[partition].quotaTransferred[g.To] = m
+		}
+		m[g.Team] = m[g.Team].Plus(g.Amount)
+	}
+}
+
+// QuotaShare is the share of a team's limit that a partition may use.
+func (s *State[J, P]) QuotaShare(partition api.PartitionID, team api.Team, limit api.Resources) api.Resources {
+	n := api.Quantity(len(s.Partitions))
+	share := api.Resources{CPU: limit.CPU / n, GPU: limit.GPU / n}
+	if partition == 0 { // what can't be divided
+		share.CPU += limit.CPU % n
+		share.GPU += limit.GPU % n
+	}
+	for i := range s.Partitions {
+		if api.PartitionID(i) != partition {
+			share = share.Plus(s.Partitions[i].quotaTransferred[partition][team])
+		}
+	}
+	for _, teams := range s.Partitions[partition].quotaTransferred {
+		share = share.Minus(teams[team])
+	}
+	return share
+}
--- /dev/null
+++ b/clusterstate/placement.go
@@ -0,0 +1,125 @@
+// Placements: which task is on which machine, and what the placements use of it and of quotas.
+
+package clusterstate
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+
+	"basaltwall/api"
+)
+
+// Placement is a task's durable start whose end is not yet recorded. P is what the partition's owner
+// tracks of it.
+type Placement[J, P any] struct {
+	Task       api.TaskID
+	Partition  api.PartitionID
+	Machine    api.MachineID
+	Epoch      api.Epoch
+	Attempt    api.Attempt
+	Job        *Job[J, P]
+	Finishing  bool // its end is known by evidence, the record of it not yet durable; see SetFinishing
+	OwnerState P
+
+	transferred bool // in another partition than the one that starts the task, see transfer
+}
+
+// machinePlacements is what a machine holds by the durable record, in order of task.
+type machinePlacements[J, P any] struct {
+	placements []*Placement[J, P]
+	allocated  api.Resources // of the placements that are not finishing
+}
+
+// AttemptNumber numbers the starts of a round: unique for a task wherever it moves.
+func (s *State[J, P]) AttemptNumber(partition api.PartitionID, seq uint64) api.Attempt {
+	return api.Attempt(seq*uint64(len(s.Partitions)) + uint64(partition) + 1)
+}
+
+// comparePlacements orders the placements on a machine.
+func comparePlacements[J, P any](a, b *Placement[J, P]) int {
+	return cmp.Or(strings.Compare(string(a.Task.Job), string(b.Task.Job)), cmp.Compare(a.Task.Index, b.Task.Index),
+		cmp.Compare(a.Attempt, b.Attempt))
+}
+
+// AddPlacement adds a durable start.
+func (s *State[J, P]) AddPlacement(p *Placement[J, P]) {
+	p.Job.Placements[p.Task.Index] = p
+	s.countPlacement(p, 1)
+	h := s.machines[p.Machine]
+	if h == nil {
+		h = &machinePlacements[J, P]{}
+		s.machines[p.Machine] = h
+	}
+	i, _ := slices.BinarySearchFunc(h.placements, p, comparePlacements)
+	h.placements = slices.Insert(h.placements, i, p)
+	s.addUsage(p, 1)
+	s.reindex(p.Job)
+}
+
+func (s *State[J, P]) removePlacement(p *Placement[J, P]) {
+	s.SetFinishing(p, true)
+	p.Job.FinishingCount--
+	delete(p.Job.Placements, p.Task.Index)
+	s.countPlacement(p, -1)
+	if h := s.machines[p.Machine]; h != nil {
+		if i := slices.Index(h.placements, p); i >= 0 {
+			h.placements = slices.Delete(h.placements, i, i+1)
+		}
+		if len(h.placements) == 0 {
+			delete(s.machines, p.Machine)
+		}
+	}
+	s.reindex(p.Job)
+}
+
+// addUsage counts what a placement takes, or no longer takes, of its machine and of
+// its team's limit.
+func (s *State[J, P]) addUsage(p *Placement[J, P], n int) {
+	need := p.Job.Demand.Times(n)
+	if h := s.machines[p.Machine]; h != nil {
+		h.allocated = h.allocated.Plus(need)
+	}
+	use := s.Partitions[p.Partition].TeamUsage
+	use[p.Job.Spec.Team] = use[p.Job.Spec.Team].Plus(need)
+	before := p.Job.liveCount
+	p.Job.liveCount += n
+	for _, x := range p.Job.Spec.Needs {
+		s.Partitions[p.Partition].PoolUsage[x.Pool] += n * x.Task
+		if before == 0 || p.Job.liveCount == 0 { // the job's own, with the first and the last
+			s.Partitions[p.Partition].PoolUsage[x.Pool] += n * x.Job
+		}
+	}
+}
+
+// SetFinishing notes whether there is evidence that a placement's task has ended.
+func (s *State[J, P]) SetFinishing(p *Placement[J, P], over bool) {
+	if p.Finishing == over {
+		return
+	}
+	p.Finishing = over
+	if over {
+		p.Job.FinishingCount++
+		s.addUsage(p, -1)
+	} else {
+		p.Job.FinishingCount--
+		s.addUsage(p, 1)
+	}
+	s.reindex(p.Job)
+}
+
+// PlacementsOn lists the placements on a machine, in order.
+func (s *State[J, P]) PlacementsOn(id api.MachineID) []*Placement[J, P] {
+	if h := s.machines[id]; h != nil {
+		return h.placements
+	}
+	return nil
+}
+
+// Allocated is what the placements on a machine take, without those that are finishing.
+func (s *State[J, P]) Allocated(id api.MachineID) api.Resources {
+	if h := s.machines[id]; h != nil {
+		return h.allocated
+	}
+	return api.Resources{}
+}
--- a/clusterstate/records.go
+++ b/clusterstate/records.go
@@ -1,3 +1,5 @@
+// Record types: the values of the keys, with the JSON names in which they are stored.
+
 package clusterstate
 
 import (
@@ -6,7 +8,7 @@
 	"basaltwall/api"
 )
 
-// TaskRange is a run of a job's tasks, From included and To not, held by a part.
+// TaskRange is a run of a job's tasks, From included and To not, held by a partition.
 type TaskRange struct {
 	From, To  int
 	Partition api.PartitionID
@@ -50,14 +52,14 @@
 const Format = FormatRelays
 
 const (
-	// FormatTransfers is the form in which a lending may carry the tasks that run on the machine.
+	// FormatTransfers is the form in which a loan may carry the tasks that run on the machine.
 	FormatTransfers = 1
 	// FormatRelays is that of processes that answer questions for the log and pass on news. No
 	// record differs.
 	FormatRelays = 2
 )
 
-// PartitionValue is a part's key, whose revision is the term.
+// PartitionValue is a partition's key, whose revision is the term.
 type PartitionValue struct {
 	Owner api.ControllerID `json:"owner"`
 }
@@ -84,27 +86,27 @@
 	Starts                   []TaskStart `json:"+,omitempty"`
 	Completed                []int       `json:"d,omitempty"` // ended and done
 	Terminated               []int       `json:"l,omitempty"` // ended otherwise
-	CancellationAcknowledged bool        `json:"x,omitempty"` // its owner knows of the cancellation, see Job.Told
-	CompletedBits            []byte      `json:"b,omitempty"` // in checkpoints: all that this part completed
+	CancellationAcknowledged bool        `json:"x,omitempty"` // its owner acknowledges the cancellation, see Job.CancellationConfirmed
+	CompletedBits            []byte      `json:"b,omitempty"` // in checkpoints: all that this partition completed
 }
 
-// QuotaTransfer moves a share of a team's limit to another part.
+// QuotaTransfer moves a share of a team's limit to another partition.
 type QuotaTransfer struct {
 	To     api.PartitionID `json:"to"`
 	Team   api.Team        `json:"team"`
 	Amount api.Resources   `json:"n"`
 }
 
-// Reservation keeps a machine of the part for a job, so that room comes free on it as a whole, or, with no
-// job, does so no more. It bears on choices only.
+// Reservation reserves a machine of the partition for a job, so that it becomes free as a whole, or,
+// without a job, ends the reservation. It bears on choices only, never on a rule.
 type Reservation struct {
 	Machine api.MachineID `json:"m"`
 	Job     api.JobID     `json:"r,omitempty"`
 	Since   api.WallTime  `json:"t,omitempty"`
 }
 
-// Record is a part's round. A checkpoint is a part's whole state in the same form:
-// places as starts, completions as bits, gifts as totals since the beginning.
+// Record is a partition's round. A checkpoint is a partition's whole state in the same form:
+// placements as starts, completions as bits, quota transfers as totals since the beginning.
 type Record struct {
 	Seq uint64 `json:"q"`
 	// Revision, of a checkpoint, is the revision up to which its writer had folded the log.
--- /dev/null
+++ b/clusterstate/round.go
@@ -0,0 +1,93 @@
+// Rounds: how a partition's record changes placements, completions and reservations.
+
+package clusterstate
+
+import (
+	"encoding/json"
+	"slices"
+
+	"basaltwall/api"
+)
+
+func (s *State[J, P]) putRound(name string, value json.RawMessage, _ api.Revision) error {
+	partition, err := parsePartition(name, len(s.Partitions))
+	if err != nil {
+		return err
+	}
+	var r Record
+	if err := json.Unmarshal(value, &r); err != nil {
+		return err
+	}
+	s.ApplyRecord(partition, &r)
+	return nil
+}
+
+// applyDeltas applies a partition's deltas as they stood at a revision; 0: now.
+func (s *State[J, P]) applyDeltas(partition api.PartitionID, seq uint64, deltas []JobDelta, at api.Revision) {
+	for _, d := range deltas {
+		j := s.Jobs[d.Job]
+		if j == nil {
+			continue
+		}
+		for _, i := range slices.Concat(d.Completed, d.Terminated) {
+			if p := j.Placements[i]; p != nil && p.Partition == partition {
+				s.removePlacement(p)
+			}
+		}
+		if d.CancellationAcknowledged {
+			j.cancellationAcknowledged[partition] = true
+		}
+		j.RetryCount += len(d.Terminated)
+		for _, i := range d.Completed {
+			j.markCompleted(partition, i)
+		}
+		if len(d.CompletedBits) > 0 {
+			var set TaskSet
+			set.addBytes(d.CompletedBits, j.Spec.Tasks)
+			for i := range j.Spec.Tasks {
+				if set.Has(i) {
+					j.markCompleted(partition, i)
+				}
+			}
+		}
+		for _, start := range d.Starts {
+			attempt := start.Attempt
+			if attempt == 0 {
+				attempt = s.AttemptNumber(partition, seq)
+			}
+			if start.Task < 0 || start.Task >= j.Spec.Tasks || j.Placements[start.Task] != nil || s.transferredSince(start.Machine, at) {
+				continue
+			}
+			s.AddPlacement(&Placement[J, P]{Task: api.TaskID{Job: d.Job, Index: start.Task}, Partition: partition, Machine: start.Machine,
+				Epoch: start.Epoch, Attempt: attempt, Job: j})
+		}
+		s.reindex(j)
+	}
+}
+
+// ApplyRecord applies a round unless it was applied before.
+func (s *State[J, P]) ApplyRecord(partition api.PartitionID, r *Record) {
+	s.applyRound(partition, r, 0)
+}
+
+// applyRound applies a round as it stood at a revision; 0: now.
+func (s *State[J, P]) applyRound(partition api.PartitionID, r *Record, at api.Revision) {
+	ps := &s.Partitions[partition]
+	if r.Seq != ps.RoundSeq+1 {
+		return
+	}
+	ps.RoundSeq = r.Seq
+	s.applyDeltas(partition, r.Seq, r.Jobs, at)
+	s.addQuotaTransfers(partition, r.QuotaTransfers)
+	s.applyReservations(partition, r.Reservations)
+}
+
+func (s *State[J, P]) applyReservations(partition api.PartitionID, reservations []Reservation) {
+	for _, k := range reservations {
+		if k.Job == "" {
+			delete(s.Partitions[partition].Reservations, k.Machine)
+		} else {
+			s.Partitions[partition].Reservations[k.Machine] = k
+		}
+	}
+}
--- a/clusterstate/state_test.go
+++ b/clusterstate/state_test.go
@@ -50,7 +50,7 @@
 	return &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: tasks, CPUs: 1}
 }
 
-// What the book keeps up to date as places come and go is what counting anew
+// What the cluster state keeps up to date as places come and go is what counting anew
 // would give, and a checkpoint brings back the same.
 func TestStateKeepsCounts(t *testing.T) {
 	r := rand.New(rand.NewPCG(21, 22))
@@ -147,7 +147,7 @@
 	}
 }
 
-// That a part's owner knows of a cancellation outlives checkpoints and reloads: what was told once
+// That a partition's owner knows of a cancellation outlives checkpoints and reloads: what was told once
 // is told for ever.
 func TestCancellationAcknowledgementsSurviveReload(t *testing.T) {
 	put := func(state *State[struct{}, struct{}], key string, version api.Revision, v any) {
@@ -179,7 +179,7 @@
 	if j := state.Jobs["run-1"]; j.State() != api.JobCancelled {
 		t.Fatalf("%s when both know", j.State())
 	}
-	// Part 0 from a checkpoint, part 1 from its rounds.
+	// Partition 0 from a checkpoint, partition 1 from its rounds.
 	writes, err := state.CheckpointWrites(0, 8192)
 	if err != nil {
 		t.Fatal(err)
--- a/clusterstate/taskset.go
+++ b/clusterstate/taskset.go
@@ -1,3 +1,5 @@
+// Task sets: which of a job's tasks are completed, as bits.
+
 package clusterstate
 
 import "math/bits"
--- a/clusterstate/transfer.go
+++ b/clusterstate/transfer.go
@@ -1,3 +1,5 @@
+// Loans of machines, with and without the tasks that run there.
+
 package clusterstate
 
 import (
@@ -12,31 +14,31 @@
 	"basaltwall/api"
 )
 
-// A machine that is lent while tasks run on it takes them along: from the lending's revision on
-// they are places of the part that gets the machine, whose owner alone records their ends.
+// A machine that is lent while tasks run on it takes them along: from the loan's revision on
+// they are placements of the partition that borrows the machine, whose owner alone records their ends.
 //
-// A controller that follows the log moves the places when it folds the lending. One that reads
-// the state anew finds only the machine's latest lending, and checkpoints that may be older. So
-// a lending lists all tasks that the machine has at its revision, and what an older checkpoint
+// A controller that follows the log moves the placements when it folds the loan. One that reads
+// the state anew finds only the machine's latest loan, and checkpoints that may be older. So
+// a loan lists all tasks that the machine has at its revision, and what an older checkpoint
 // or round says was started on the machine no longer counts.
 
-// LoanValue is the key of a machine that was given to another part.
+// LoanValue is the value of the key of a machine that is on loan to another partition.
 type LoanValue struct {
 	Partition api.PartitionID
 	Job       api.JobID
-	// Transferred says that this lending of the machine or an earlier one carried tasks. Then
+	// Transferred says that this loan of the machine or an earlier one carried tasks. Then
 	// Tasks are all that were on the machine by the record at this revision.
 	Transferred bool
 	Tasks       []JobDelta
 }
 
-// Loan is a machine that was given to another part.
+// Loan is a machine that is on loan to another partition.
 type Loan struct {
 	LoanValue
 	Revision api.Revision
 }
 
-// loanJSON is a lending as it is written. Once tasks were transferred, the part is a string:
+// loanJSON is a loan as it is written. Once tasks were transferred, the partition is a string:
 // a process of a version that does not know transfers refuses the state rather than command a
 // machine by a record that it misreads.
 type loanJSON struct {
@@ -46,7 +48,7 @@
 	Tasks       []JobDelta      `json:"tasks,omitempty"`
 }
 
-// MarshalJSON writes a lending, see lendJSON.
+// MarshalJSON writes a loan, see loanJSON.
 func (v LoanValue) MarshalJSON() ([]byte, error) {
 	partition := strconv.Itoa(int(v.Partition))
 	if v.Transferred {
@@ -55,7 +57,7 @@
 	return json.Marshal(loanJSON{json.RawMessage(partition), v.Job, v.Transferred, v.Tasks})
 }
 
-// UnmarshalJSON reads a lending, see lendJSON.
+// UnmarshalJSON reads a loan, see loanJSON.
 func (v *LoanValue) UnmarshalJSON(data []byte) error {
 	var w loanJSON
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -63,7 +65,7 @@
 	}
 	partition, err := strconv.Atoi(strings.Trim(string(w.Partition), `"`))
 	if err != nil {
-		return fmt.Errorf("part: %s: not a part", w.Partition)
+		return fmt.Errorf("part: %s: %w", w.Partition, ErrNoSuchPartition)
 	}
 	*v = LoanValue{api.PartitionID(partition), w.Job, w.Transferred, w.Tasks}
 	return nil
@@ -75,12 +77,12 @@
 		return err
 	}
 	if v.Partition < 0 || int(v.Partition) >= len(s.Partitions) {
-		return fmt.Errorf("part: %d: no such part", v.Partition)
+		return fmt.Errorf("part: %d: %w", v.Partition, ErrNoSuchPartition)
 	}
 	id := api.MachineID(name)
 	s.Loans[id] = Loan{v, version}
 	s.LoanGeneration++
-	if v.Transferred { // of what is being read anew no place is folded yet, see foldPart
+	if v.Transferred { // of what is being read anew no placement is folded yet, see restorePartition
 		for _, p := range slices.Clone(s.PlacementsOn(id)) {
 			s.transfer(p, v.Partition)
 		}
@@ -88,8 +90,8 @@
 	return nil
 }
 
-// transfer makes a place one of another part. What its former owner found out of it and has not
-// recorded does not count: the new owner finds it out by itself.
+// transfer moves a placement to another partition. What the former owner tracked of it without
+// recording it does not count: the new owner learns it from the machine.
 func (s *State[J, P]) transfer(p *Placement[J, P], to api.PartitionID) {
 	if p.Partition == to {
 		return
@@ -104,7 +106,7 @@
 	s.countPlacement(p, 1)
 }
 
-// countPlacement counts a place among its part's, or no longer does.
+// countPlacement adds a placement to its partition's counts (n is 1) or removes it (-1).
 func (s *State[J, P]) countPlacement(p *Placement[J, P], n int) {
 	p.Job.PlacementCounts[p.Partition] += n
 	if n > 0 {
@@ -123,8 +125,8 @@
 	}
 }
 
-// transferAdjustment is how many more of a part's own tasks are unplaced than its count of places tells:
-// it counts places that came with their machines, and lacks those that went.
+// transferAdjustment is how many more of a partition's own tasks are unplaced than its count of placements tells:
+// that counts placements that came with their machines, and lacks those that went.
 func (j *Job[J, P]) transferAdjustment(partition api.PartitionID) int {
 	if j.transferredCount == 0 {
 		return 0
@@ -144,7 +146,7 @@
 	return more
 }
 
-// partitionOf is the part that starts a task.
+// partitionOf is the partition that starts a task.
 func (j *Job[J, P]) partitionOf(task int) api.PartitionID {
 	for _, r := range j.Split {
 		if r.From <= task && task < r.To {
@@ -155,19 +157,19 @@
 }
 
 // transferredSince reports whether a machine was lent with its tasks after a revision, so that
-// the lending says what is on it; not for 0, which is now.
+// the loan says what is on it; not for 0, which is now.
 func (s *State[J, P]) transferredSince(id api.MachineID, revision api.Revision) bool {
 	l, ok := s.Loans[id]
 	return revision != 0 && ok && l.Transferred && l.Revision > revision
 }
 
-// incomingTransfer is a machine that came to a part with its tasks.
+// incomingTransfer is a machine that came to a partition with its tasks.
 type incomingTransfer struct {
 	Loan
 	machine api.MachineID
 }
 
-// incomingTransfers are the machines that came to a part after a revision, in that order.
+// incomingTransfers are the machines that came to a partition after a revision, in that order.
 func (s *State[J, P]) incomingTransfers(partition api.PartitionID, revision api.Revision) []incomingTransfer {
 	var out []incomingTransfer
 	for _, id := range slices.Sorted(maps.Keys(s.Loans)) {
@@ -179,7 +181,7 @@
 	return out
 }
 
-// StartsOn are a machine's places as a lending lists them.
+// StartsOn are a machine's placements as a loan lists them.
 func (s *State[J, P]) StartsOn(id api.MachineID) []JobDelta {
 	var out []JobDelta
 	for _, p := range s.PlacementsOn(id) {
@@ -192,7 +194,7 @@
 	return out
 }
 
-// LoanCheckpointed reports whether every part's checkpoint was written after a machine's last lending, so
+// LoanCheckpointed reports whether every partition's checkpoint was written after a machine's last loan, so
 // that none names tasks that were transferred with it.
 func (s *State[J, P]) LoanCheckpointed(id api.MachineID) bool {
 	l := s.Loans[id]
--- a/clusterstate/transfer_test.go
+++ b/clusterstate/transfer_test.go
@@ -12,14 +12,14 @@
 	"basaltwall/api"
 )
 
-// stateService keeps the latest value of each key, as the state service does.
+// stateService keeps the latest value of each key, as the key-value store does.
 type stateService struct {
 	revision api.Revision
 	values   map[string]json.RawMessage
 	versions map[string]api.Revision
 }
 
-// write puts all values at one revision and has the books fold them.
+// write puts all values at one revision and has the cluster states fold them.
 func (s *stateService) write(t *testing.T, values map[string]any, states ...*testState) {
 	t.Helper()
 	s.revision++
@@ -57,7 +57,7 @@
 	return state
 }
 
-// dump is what two books must agree on.
+// dump is what two cluster states must agree on.
 func dump(state *testState) string {
 	var out strings.Builder
 	for _, jobID := range slices.Sorted(maps.Keys(state.Jobs)) {
@@ -113,7 +113,7 @@
 					KeyLoan + string(id):     LoanValue{Partition: api.PartitionID(r.IntN(partitions)), Transferred: true, Tasks: state.StartsOn(id)},
 					RoundKey(partition, seq): Record{Seq: seq},
 				}, state)
-			case 1: // a checkpoint of the part
+			case 1: // a checkpoint of the partition
 				if seq < state.Partitions[partition].CheckpointHead.Seq+RingSize/2 && r.IntN(3) > 0 {
 					continue
 				}
@@ -156,7 +156,7 @@
 	}
 }
 
-// checkPending counts anew the tasks that wait in each part.
+// checkPending counts anew the tasks that wait in each partition.
 func checkPending(t *testing.T, state *testState) {
 	t.Helper()
 	for jobID, j := range state.Jobs {
@@ -174,7 +174,7 @@
 	}
 }
 
-// A version that does not know transfers can't read a lending that carried tasks, so that it does
+// A version that does not know transfers can't read a loan that carried tasks, so that it does
 // not command the machine by what it misreads; it does read one that did not.
 func TestOlderVersionsRefuseTransfers(t *testing.T) {
 	type before struct {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,4 +1,4 @@
-// Package control owns all of a controller's state and every decision. It does
+// Package controller owns all of a controller's state and every decision. It does
 // no input or output, reads no clock and starts no goroutine: Step takes what
 // happened and returns what is to be done, and the same inputs give the same
 // outputs.
--- a/fairqueue/fairqueue.go
+++ b/fairqueue/fairqueue.go
@@ -1,4 +1,4 @@
-// Package turns owns whose questions are answered while not all can be: each job has its turn
+// Package fairqueue owns whose questions are answered while not all can be: each job has its turn
 // by the clock, alike at all controllers, so that whoever asks every few seconds is answered
 // within a bounded time whatever others ask. Refusing costs next to nothing; answering those
 // that happen to come first would leave some unanswered for minutes, by chance. It is pure.
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -125,7 +125,7 @@
 				continue
 			}
 			if int(it.node) == sink {
-				break // what is farther needs no exact distance, see below
+				break // what is farther needs no exact distance, see checkServiceLevels
 			}
 			for _, id := range g.adjacency[it.node] {
 				e := g.edges[id]
--- a/fragmentation/fragmentation.go
+++ b/fragmentation/fragmentation.go
@@ -1,4 +1,4 @@
-// Package pack owns accelerators that are left over in pieces: how much of what is free on a
+// Package fragmentation owns accelerators that are left over in pieces: how much of what is free on a
 // machine work can't use, and how a placement changes that. The measure is that of fragmentation
 // gradient descent (Weng et al., USENIX ATC 2023, as published): what is free counts as lost to a
 // demand that does not fit into it, by how usual that demand is. It is pure.
--- a/fragmentation/fragmentation_test.go
+++ b/fragmentation/fragmentation_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Of any demands: what is lost lies between nothing and all that is free, and of the places for a
+// Of any demands: what is lost lies between nothing and all that is free, and of the placements for a
 // task the one that makes least leaves no more in pieces than any other.
 func TestLeastIncreaseLeavesLeastFragmentation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/fragmentation/model_test.go
+++ b/fragmentation/model_test.go
@@ -9,7 +9,7 @@
 // A. An owner keeps A for it, has the replica stopped, records its end by evidence, records its
 // start on B, and then the large task's start on A; it drops the keep once the large task has
 // begun or was cancelled. There are two controllers: each reads the record, composes one change
-// of it, and that lands then or later, perhaps after the other has taken the part over. Commands
+// of it, and that lands then or later, perhaps after the other has taken the partition over. Commands
 // are sent for what is recorded, also late, under the token of who sends them.
 
 // modelState is what is recorded.
@@ -33,7 +33,7 @@
 
 type modelOwner struct {
 	read                modelState
-	fresh, owns         bool // the record, and who owns the part, are as it read them
+	fresh, owns         bool // the record, and who owns the partition, are as it read them
 	sent                modelChange
 	sentFresh, sentOwns bool // the same of what it has sent
 	reservedBySelf      bool // that it kept A itself
@@ -50,10 +50,10 @@
 }
 
 type modelRules struct {
-	term             bool // records name the part's term
+	term             bool // records name the partition's term
 	version          bool // and follow the one that they were composed from
 	evidence         bool // an end is recorded once the task is gone
-	anyOwnerReleases bool // whoever owns the part ends what its record says is kept
+	anyOwnerReleases bool // whoever owns the partition ends what its record says is kept
 	requiresEmpty    bool // the large task starts once nothing of the record is on A
 }
 
@@ -85,7 +85,7 @@
 		visit(n)
 	}
 	for i := range w.owners {
-		// It takes the part over, and reads.
+		// It takes the partition over, and reads.
 		n = w
 		n.owner = uint8(i)
 		for k := range n.owners {
@@ -271,7 +271,7 @@
 	return len(all), ""
 }
 
-// However ends, takeovers, late records and late commands fall, the replica is never on two
+// However ends, failovers, late records and late commands fall, the replica is never on two
 // machines nor lost, A never holds both, and in the end nothing is kept; and each guard is needed.
 func TestEveryInterleavingOfAMove(t *testing.T) {
 	all := modelRules{true, true, true, true, true}
--- a/httpx/client.go
+++ b/httpx/client.go
@@ -30,7 +30,7 @@
 const idleTimeout = 20 * time.Second
 
 // NewClient returns a pool that accepts bodies up to maxBody and keeps up to
-// maxIdle unused connections to each address and maxAll to all together.
+// maxIdlePerHost unused connections to each address and maxIdleTotal to all together.
 func NewClient(maxBody, maxIdlePerHost, maxIdleTotal int) *Client {
 	return &Client{maxBody: maxBody, maxIdlePerHost: maxIdlePerHost, maxIdleTotal: maxIdleTotal, idle: map[string][]idleConn{}}
 }
@@ -49,7 +49,7 @@
 		if time.Since(conn.idleSince) < idleTimeout {
 			return conn.Conn
 		}
-		conn.Close()
+		_ = conn.Close()
 	}
 	return nil
 }
@@ -58,7 +58,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[addr]) >= c.maxIdlePerHost || c.idleCount >= c.maxIdleTotal {
-		conn.Close()
+		_ = conn.Close()
 		return
 	}
 	c.idleCount++
@@ -76,7 +76,7 @@
 				kept = append(kept, conn)
 			} else {
 				c.idleCount--
-				conn.Close()
+				_ = conn.Close()
 			}
 		}
 		if len(kept) == 0 {
@@ -113,7 +113,7 @@
 
 func (c *Client) exchange(conn net.Conn, addr, method, target string, body []byte, deadline time.Time) (Response, error) {
 	fail := func(err error) (Response, error) {
-		conn.Close()
+		_ = conn.Close()
 		return Response{}, fmt.Errorf("%s %s: %w", method, target, err)
 	}
 	if err := conn.SetDeadline(deadline); err != nil {
@@ -135,7 +135,7 @@
 			return fail(parseErr)
 		case used > 0:
 			if r.Close || used < len(buf) || err != nil {
-				conn.Close()
+				_ = conn.Close()
 			} else {
 				c.putIdle(addr, conn)
 			}
--- a/httpx/server_test.go
+++ b/httpx/server_test.go
@@ -34,7 +34,7 @@
 	}()
 	for range 200 {
 		if c, err := net.Dial("tcp", addr); err == nil {
-			c.Close()
+			_ = c.Close()
 			return addr
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/admin_model_test.go
+++ b/internal/emulator/admin_model_test.go
@@ -98,7 +98,7 @@
 	return p, err
 }
 
-// requestHistory is what was asked, and what the state service's log made of it.
+// requestHistory is what was asked, and what the key-value store's log made of it.
 type requestHistory struct {
 	sim        *Simulation
 	requests   []*recordedRequest
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// JobSubmitted notes that a user has tried to submit a job, AskedCancel that one
+// JobSubmitted notes that a user has tried to submit a job, CancelRequested that one
 // has asked for its cancellation.
 func (c *Checker) JobSubmitted(at time.Duration, s *api.JobSpec, run time.Duration) {
 	c.submitted[s.Ref] = true
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -37,8 +37,8 @@
 	Zone  api.Zone
 }
 
-// Fleet runs the stand-ins of a large deployment in real time on loopback: thousands of hollow
-// workers, each at an address of its own, hollow users, state service and cloud, and relays
+// Fleet runs the emulators of a large deployment in real time on loopback: thousands of hollow
+// workers, each at an address of its own, hollow users, key-value store and cloud, and relays
 // between the controllers. All that passes between controllers and anything else goes through
 // it, so that it can be delayed, cut and counted.
 //
@@ -59,7 +59,7 @@
 // workerPort stands for the port in a worker's address, which differs by who is told of it.
 const workerPort = "9000"
 
-// StartFleet starts the stand-ins of a plan.
+// StartFleet starts the emulators of a plan.
 func StartFleet(ctx context.Context, fleetConfig FleetConfig) (*Fleet, error) {
 	f := &Fleet{Live: &Live{ctx: ctx, clockInterval: cmp.Or(fleetConfig.ClockInterval, time.Millisecond)}, Traffic: newTraffic(), config: fleetConfig, workerPorts: map[string]string{},
 		peerAddrs: map[string]string{}, workerClients: map[api.MachineID]*http.Client{}}
@@ -345,7 +345,7 @@
 	return "other"
 }
 
-// storeRequestKind tells what a request to the state service is for: of a transaction by the key that
+// storeRequestKind tells what a request to the key-value store is for: of a transaction by the key that
 // it writes first.
 func storeRequestKind(method, target string, body []byte) string {
 	path, query, _ := strings.Cut(target, "?")
@@ -373,7 +373,7 @@
 // APIAddr is where a controller is reached.
 func (f *Fleet) APIAddr(i int) string { return f.Configs[i].APIAddr }
 
-// StoredByKind is how many keys the state service holds, and how many bytes, by kind of key.
+// StoredByKind is how many keys the key-value store holds, and how many bytes, by kind of key.
 func (f *Fleet) StoredByKind() map[string]StoredSize {
 	out := map[string]StoredSize{}
 	f.Do(func(sim *Simulation) {
@@ -386,18 +386,18 @@
 	return out
 }
 
-// StoredSize is what the state service holds of a kind.
+// StoredSize is what the key-value store holds of a kind.
 type StoredSize struct {
 	Keys  int `json:"keys"`
 	Bytes int `json:"bytes"`
 }
 
-// StoreCounts are the state service's own counts.
+// StoreCounts are the key-value store's own counts.
 type StoreCounts struct {
 	Requests, Writes, Over int
 }
 
-// StoreCounts tells how much was asked of the state service, and refused for its limits.
+// StoreCounts tells how much was asked of the key-value store, and refused for its limits.
 func (f *Fleet) StoreCounts() (c StoreCounts) {
 	f.Do(func(sim *Simulation) {
 		c = StoreCounts{sim.Store.Requests, sim.Store.Writes, sim.Store.ThrottledRequests}
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -18,7 +18,7 @@
 	"basaltwall/internal/testport"
 )
 
-// Live runs the stand-ins in real time on loopback, for controllers that are
+// Live runs the emulators in real time on loopback, for controllers that are
 // real processes. Its door takes users' requests to the controllers, as a load
 // balancer would, and remembers what they submit for the workers.
 type Live struct {
@@ -51,7 +51,7 @@
 	return []api.MachineType{{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootSeconds: 5, Zones: []api.Zone{"a", "b"}}}
 }
 
-// StartLive starts the stand-ins with a few machines of a small type.
+// StartLive starts the emulators with a few machines of a small type.
 func StartLive(ctx context.Context, controllers, machines int) (*Live, error) {
 	l := &Live{ctx: ctx, clockInterval: clockInterval, client: http.Client{Timeout: 4 * time.Second}}
 	var open []net.Listener
@@ -100,7 +100,7 @@
 	return l, nil
 }
 
-// reserveAddr keeps an address until the stand-ins end.
+// reserveAddr keeps an address until the emulators end.
 func (l *Live) reserveAddr() (string, error) {
 	addr, release, err := testport.Reserve()
 	if err != nil {
@@ -202,12 +202,12 @@
 	})
 }
 
-// writeResponse answers a request once there is an answer, unless its sender or the stand-ins end first.
+// writeResponse answers a request once there is an answer, unless its sender or the emulators end first.
 func (l *Live) writeResponse(rw http.ResponseWriter, r *http.Request, answer <-chan response) {
 	select {
 	case a := <-answer:
 		rw.WriteHeader(a.status)
-		rw.Write(a.body)
+		_, _ = rw.Write(a.body)
 	case <-r.Context().Done():
 	case <-l.ctx.Done():
 	}
@@ -221,8 +221,8 @@
 		}
 		handle(rw, r, body)
 	})}
-	go s.Serve(ln)
-	context.AfterFunc(l.ctx, func() { s.Close() })
+	go func() { _ = s.Serve(ln) }()
+	context.AfterFunc(l.ctx, func() { _ = s.Close() })
 }
 
 // deliver sends a worker's report to a controller.
@@ -254,7 +254,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	b, err := io.ReadAll(res.Body)
 	if err != nil {
 		return 0, nil
@@ -280,7 +280,7 @@
 			if status, b := l.send(&l.client, r.Method, c.APIAddr, r.URL.RequestURI(), r.Header.Get("Authorization"), body); status != 0 {
 				rw.Header().Set("Content-Type", "application/json")
 				rw.WriteHeader(status)
-				rw.Write(b)
+				_, _ = rw.Write(b)
 				return
 			}
 		}
--- a/internal/emulator/live/main.go
+++ b/internal/emulator/live/main.go
@@ -1,4 +1,4 @@
-// Command live runs the stand-ins for the state service, the cloud and its
+// Command live runs the emulators for the key-value store, the cloud and its
 // workers on loopback and in real time, so that controllers can be tried on one
 // machine.
 package main
--- a/internal/emulator/reservations.go
+++ b/internal/emulator/reservations.go
@@ -275,7 +275,7 @@
 	})
 }
 
-// CheckLog goes through the records of the ledger as the state service was sent them, by themselves:
+// CheckLog goes through the records of the ledger as the key-value store was sent them, by themselves:
 // no skip is held by two for the same day, and every promise that somebody was told is there.
 func (o *ReservationClients) CheckLog() {
 	type held struct {
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -1,4 +1,4 @@
-// Package standin owns stand-ins for everything a controller meets (state
+// Package emulator emulates everything a controller meets (state
 // service, cloud, workers, users and the network between them) on one virtual
 // clock, and an independent checker of the rules. The controllers in it are the
 // real owners behind the real message adapters.
@@ -88,8 +88,8 @@
 	ReservationClients *ReservationClients
 	Tenants            *Tenants // nil unless the service is hosted
 
-	// ReplyLossRate makes that share of the state service's answers get lost
-	// after the request was carried out; DelayState that share of requests
+	// ReplyLossRate makes that share of the key-value store's answers get lost
+	// after the request was carried out; TransactionDelayRate that share of requests
 	// arrive seconds late, after their sender has given up.
 	ReplyLossRate, TransactionDelayRate float64
 
@@ -97,7 +97,7 @@
 	StaleHeartbeatRate float64
 
 	// HeldHeartbeatRate is the share of workers' reports of which a copy is kept for the next owner of
-	// any part: it reaches all controllers once a part has changed hands.
+	// any partition: it reaches all controllers once a partition has changed hands.
 	HeldHeartbeatRate float64
 	heldHeartbeats    [][]byte
 
@@ -143,7 +143,7 @@
 	return api.WallTime(1_000_000 + sim.Now.Milliseconds())
 }
 
-// NewSimulation builds a deployment; StartAll starts its controllers.
+// NewSimulation builds a deployment; StartControllers starts its controllers.
 func NewSimulation(seed uint64, configs []*config.Config) *Simulation {
 	sim := &Simulation{
 		rand: rand.New(rand.NewPCG(seed, 7)), configs: map[string]*config.Config{}, controllers: map[string]*controllerHost{},
@@ -474,7 +474,7 @@
 	sim.heldHeartbeats = nil
 }
 
-// CutLink parts a controller from one side for a while; with hold, packets are
+// CutLink partitions a controller from one side for a while; with hold, packets are
 // delivered when it ends.
 func (sim *Simulation) CutLink(controllerName string, side Endpoint, length time.Duration, hold bool) {
 	k := linkKey{controllerName, side}
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -26,7 +26,7 @@
 	closed         bool
 }
 
-// Store stands in for the state service.
+// Store stands in for the key-value store.
 type Store struct {
 	sim               *Simulation
 	revision          api.Revision
@@ -42,10 +42,10 @@
 	// RetainedChanges is how many changes are retained for who asks for what is new; 0: all.
 	RetainedChanges int
 	// Requests and Writes count what was asked, Largest is the largest value, Pages and
-	// PageBytes what was read page by page.
+	// PageBytesRead what was read page by page.
 	Requests, Writes, LargestValue, PagesRead, PageBytesRead int
 	refusedControllers                                       map[string]bool // these nodes are not served
-	OwnershipChanges                                         int             // changes of a part's owner or term
+	OwnershipChanges                                         int             // changes of a partition's owner or term
 	ShortageWrites                                           int             // writes of whether room is short
 
 	// RateLimited makes it keep its limits on requests and writes; Over counts what it refused
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -34,7 +34,7 @@
 	mu                sync.Mutex
 	flows             map[FlowName]Flow
 	peers             map[string]Flow
-	storeByKind       map[string]Flow // requests to the state service by kind
+	storeByKind       map[string]Flow // requests to the key-value store by kind
 	storeByController map[string]Flow // and by controller
 	storeStatuses     map[int]int64   // and by answer
 }
--- a/internal/emulator/user_behavior.go
+++ b/internal/emulator/user_behavior.go
@@ -18,7 +18,7 @@
 	// CancelAtEndShare is the share of the jobs that are called off at the moment of their end.
 	CancelAtEndShare float64
 	// PollOnChange makes users ask at all nodes within milliseconds after news of a job, and repeat its
-	// submission there; CancelNew is the share of new jobs that they also call off at once.
+	// submission there; CancelNewShare is the share of new jobs that they also call off at once.
 	PollOnChange   bool
 	CancelNewShare float64
 
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -156,7 +156,7 @@
 	})
 }
 
-// pollInterval and pollPatience are how often users ask about a job, and for how long they wait.
+// pollInterval and pollTimeout are how often users ask about a job, and for how long they wait.
 const (
 	pollInterval = 5 * time.Second
 	pollTimeout  = 2 * time.Second
@@ -246,7 +246,7 @@
 }
 
 // jobSpec is a job's description, which workers fetch themselves. Of jobs whose users are
-// no stand-ins it is taken from the state service, where hosted ones have other ids.
+// no emulators it is taken from the key-value store, where hosted ones have other ids.
 func (sim *Simulation) jobSpec(id api.JobID) *api.JobSpec {
 	if s := sim.Users.specs[id]; s != nil {
 		return s
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -64,7 +64,7 @@
 	dead                 bool
 	hungUntil            time.Duration
 	heldCalls            []func()
-	delayedCommands      []func() // direct commands on their way, see HoldDirect
+	delayedCommands      []func() // direct commands on their way, see DelayCommands
 	commandsDelayedUntil time.Duration
 	inboundCutUntil      time.Duration // answers and direct commands are lost until then
 	outboundCutUntil     time.Duration // it reaches no controller until then
--- a/internal/emulator/write_guards.go
+++ b/internal/emulator/write_guards.go
@@ -19,7 +19,7 @@
 	exemptBecause string   // why it needs none
 }
 
-// partitionPrefix is what every owner's write names: the term of its part.
+// partitionPrefix is what every owner's write names: the term of its partition.
 const partitionPrefix = "b/part/"
 
 // writeGuards names every kind of key that controllers write, by prefix, the longest first where one
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,4 +1,4 @@
-// Package explore is for exhaustive models in tests: it looks at every state that can be reached.
+// Package modelcheck is for exhaustive models in tests: it looks at every state that can be reached.
 package modelcheck
 
 // Explore looks at the states that follow from the first in so many steps at most, 0: all there are.
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,4 +1,4 @@
-// Package seeded is imported by tests for its effect: properties draw the same cases in
+// Package proptest is imported by tests for its effect: properties draw the same cases in
 // every run, so that CI gives the same verdict every time. With -rapid.seed=0 (or any other
 // number) a run draws others.
 package proptest
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,6 @@
 // Package scenario owns the tests' scenarios: small text files, each a
 // deployment, what its users do and what goes wrong, and the one runner that
-// plays them against the stand-ins and reports every broken rule and every
+// plays them against the emulators and reports every broken rule and every
 // expectation that is not met.
 //
 // A scenario is a txtar archive. Its comment says what it is about; the file
@@ -16,7 +16,7 @@
 //	                                    are; instead of three that are in none
 //	machines N [spot] [TYPE] [in=ZONE]  machines that are up at the start, in the zones by turns or in one
 //	capacity N [ZONE]                   machines the cloud has, in all or in a zone
-//	submit AT REF KIND key=value...     a job; see submit for the keys
+//	submit AT REF KIND key=value...     a job; see submitted for the keys
 //	cancel AT REF [NODE]
 //	ask AT REF                          a poll for a job nobody submitted
 //	crash AT NODE|all BACK              a controller ends and returns after BACK seconds
@@ -26,11 +26,11 @@
 //	                                    or as said
 //	cut AT FOR NODE SIDE hold|drop      SIDE: state, workers, peers, cloud, users or all
 //	cutzone AT FOR ZONE hold|drop       a zone is cut off, with the controllers in it
-//	outage AT FOR                       the state service is down
-//	refuse AT FOR NODE                  the state service refuses one node
-//	limits                              the state service keeps its limits: what is beyond gets 429
+//	outage AT FOR                       the key-value store is down
+//	refuse AT FOR NODE                  the key-value store refuses one node
+//	limits                              the key-value store keeps its limits: what is beyond gets 429
 //	polls AT FOR EACH                   users ask so many times as often about each open job
-//	lose AT FOR SHARE                   answers of the state service get lost
+//	lose AT FOR SHARE                   answers of the key-value store get lost
 //	delay AT FOR SHARE                  transactions arrive seconds late
 //	cloud AT FOR                        the cloud is down
 //	kill AT MACHINE                     a machine fails silently
@@ -40,7 +40,7 @@
 //	slow AT FOR SECONDS                 each passage over the network takes so much longer, on average
 //	boots SECONDS                       how long new machines take to be up, instead of 20 s
 //	mute AT FOR MACHINE|all             it reaches no controller, direct commands reach it
-//	keep AT FOR SHARE                   of so many reports copies are kept until a part changes hands,
+//	keep AT FOR SHARE                   of so many reports copies are kept until a partition changes hands,
 //	                                    and reach all controllers then
 //	cancelnow AT N HANG                 users call off so many running jobs with long to go, within a
 //	                                    fifth of a second; up to eight of their machines hang, 0: none
@@ -84,7 +84,7 @@
 //	up AT SHARE                         of the replicas that are due so many are up then, at least
 //	sofar AT WHAT MIN MAX               the same by then: deleted, rented (machines), calls (to the cloud) or starts
 //	most WHAT N                         cancel (seconds until a cancellation was told), state-rps, state-writes, cloud-rps (a second, on
-//	                                    average), value (bytes), direct-calls a start, claims (parts taken or given), shorts (writes of what is short), rentals
+//	                                    average), value (bytes), direct-calls a start, claims (partitions taken or given), shorts (writes of what is short), rentals
 //	                                    (calls) or rented (machines), at most
 package scenario
 
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -1,4 +1,4 @@
-// Package loopback keeps ports of 127.0.0.1 for servers that are told their
+// Package testport keeps ports of 127.0.0.1 for servers that are told their
 // address before they listen.
 package testport
 
@@ -18,7 +18,7 @@
 	if err != nil {
 		return "", nil, fmt.Errorf("reserving a port: %w", err)
 	}
-	release = sync.OnceFunc(func() { syscall.Close(fd) })
+	release = sync.OnceFunc(func() { _ = syscall.Close(fd) })
 	syscall.CloseOnExec(fd)
 	if err = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err == nil {
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
--- a/internal/testport/testport_test.go
+++ b/internal/testport/testport_test.go
@@ -18,19 +18,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
+	defer func() { _ = far.Close() }()
 	near, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := net.Dialer{LocalAddr: near}
 	if c, err := d.Dial("tcp", far.Addr().String()); err == nil {
-		c.Close()
+		_ = c.Close()
 		t.Error("a connection took the reserved port")
 	}
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatalf("the server can't have its port: %v", err)
 	}
-	l.Close()
+	_ = l.Close()
 }
--- a/jobresult/jobresult.go
+++ b/jobresult/jobresult.go
@@ -1,5 +1,5 @@
-// Package finals owns in which order the final states of jobs are looked up that a controller
-// does not remember: after a restart that may be thousands at once, of which the state service
+// Package jobresult owns in which order the final states of jobs are looked up that a controller
+// does not remember: after a restart that may be thousands at once, of which the key-value store
 // answers a few a second. The questions are met in the order of their keys, as a lift meets
 // floors, with pages that answer all that lie on them: so each is met within one turn, however
 // many others there are and however often those are asked. It is pure.
@@ -19,7 +19,7 @@
 // for each costs less.
 const pageThreshold = 3
 
-// Request is a request to the state service: for one key, or for a page of keys that come after
+// Request is a request to the key-value store: for one key, or for a page of keys that come after
 // one, in their order.
 type Request struct {
 	JobID  api.JobID // if set
--- a/jobresult/jobresult_test.go
+++ b/jobresult/jobresult_test.go
@@ -11,7 +11,7 @@
 	_ "basaltwall/internal/proptest"
 )
 
-// fakeStore answers as the state service does, of the final states it has.
+// fakeStore answers as the key-value store does, of the final states it has.
 func fakeStore(stored []api.JobID, a Request) (states []Result, more bool) {
 	slices.Sort(stored)
 	for _, jobID := range stored {
--- a/membership/restarts.go
+++ b/membership/restarts.go
@@ -1,5 +1,5 @@
-// Package member owns how far controllers that come and go are trusted with parts of the
-// machines: who has ended several times of late gets its parts back later and later, so that a
+// Package membership owns how far controllers that come and go are trusted with parts of the
+// machines: who has ended several times of late gets its partitions back later and later, so that a
 // process that keeps ending costs the others no more than a few changes of hands. It is pure.
 package membership
 
@@ -15,7 +15,7 @@
 	historyWindow = 2 * time.Minute
 	// freeRestarts is how many lives within that time cost no trust: a restart, and one more.
 	freeRestarts = 2
-	// maxFailbackDelay is how long a controller waits for its parts at most.
+	// maxFailbackDelay is how long a controller waits for its partitions at most.
 	maxFailbackDelay = time.Minute
 )
 
@@ -48,7 +48,7 @@
 	return true
 }
 
-// FailbackDelay is how long a controller must have lived before its parts go home, usually so long.
+// FailbackDelay is how long a controller must have lived before its partitions go home, usually so long.
 func (l *RestartTracker) FailbackDelay(controller api.ControllerID, now api.Time, base time.Duration) time.Duration {
 	history := l.controllers[controller]
 	if history == nil {
--- a/pool/model_test.go
+++ b/pool/model_test.go
@@ -7,10 +7,10 @@
 	"basaltwall/internal/modelcheck"
 )
 
-// The model: two parts and one pool. An owner of a part reads the state, composes a round
+// The model: two partitions and one pool. An owner of a partition reads the state, composes a round
 // that hands out a unit, and the round is written at some later moment, perhaps after its
-// owner was deposed, on the condition that the pool's record and the part are as they were
-// read. At any moment units may come back, a part be taken over, and the pool get another
+// owner was deposed, on the condition that the pool's record and the partition are as they were
+// read. At any moment units may come back, a partition be taken over, and the pool get another
 // size with any shares that fit it: whoever moves shares may know little of what is held.
 
 const (
@@ -18,7 +18,7 @@
 	modelSize       = 3
 )
 
-// partitionRead is what an owner has read; newPool and newPart are whether the pool's record and the
+// partitionRead is what an owner has read; poolCurrent and partitionCurrent are whether the pool's record and the
 // part have not changed since.
 type partitionRead struct {
 	size                          int8
@@ -40,7 +40,7 @@
 // modelRules are what the protocol rests on; a model without one of them must go wrong.
 type modelRules struct {
 	checksPoolVersion, checksPartitionVersion bool // in the conditions of a round
-	countsOverage                             bool // a part minds what others hold beyond their shares
+	countsOverage                             bool // a partition minds what others hold beyond their shares
 }
 
 func (w modelState) total() int8 { return w.held[0] + w.held[1] }
@@ -117,7 +117,7 @@
 	return wrong
 }
 
-// invalidateReads is when a part's record or its owner is another.
+// invalidateReads is when a partition's record or its owner is another.
 func (w *modelState) invalidateReads(p int) {
 	w.reads[p].partitionCurrent = false
 	for i := range w.rounds[p] {
@@ -129,7 +129,7 @@
 	return modelcheck.Explore(modelState{}, steps, func(w modelState, do func(modelState)) bool { return w.next(r, do) })
 }
 
-// No sequence of reads, rounds written late, returns, takeovers, resizings and moves of
+// No sequence of reads, rounds written late, returns, failovers, resizings and moves of
 // shares hands out a unit beyond the size in force; and each rule is needed for that.
 func TestEveryInterleaving(t *testing.T) {
 	states, wrong := exploreAll(modelRules{true, true, true}, 9)
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,6 +1,6 @@
 // Package pool owns what there is of counted resources, licences and connections: their
-// records, how their units are shared out among the parts of the machines, and how many of
-// them a part may hand out. It is pure: it stores nothing and reads no clock.
+// records, how their units are shared out among the partitions of the machines, and how many of
+// them a partition may hand out. It is pure: it stores nothing and reads no clock.
 package pool
 
 import (
@@ -38,7 +38,7 @@
 	Guaranteed map[api.Team]int `json:"guaranteed,omitempty"`
 	State      State            `json:"state"`
 	Reclaim    bool             `json:"reclaim,omitempty"` // holders make way when more is held than there is
-	Shares     []int            `json:"shares"`            // by part; their sum is the size at most
+	Shares     []int            `json:"shares"`            // by partition; their sum is the size at most
 }
 
 const (
@@ -99,12 +99,12 @@
 	return len(p.Teams)+len(p.Tenants) == 0 || slices.Contains(p.Teams, team) || name != "" && slices.Contains(p.Tenants, name)
 }
 
-// Available is how many units a part may hand out that holds as many as held says, exactly;
-// what the other parts hold may be more by now than it says, or less.
+// Available is how many units a partition may hand out that holds as many as held says, exactly;
+// what the other partitions hold may be more by now than it says, or less.
 //
 // It is to be used under the version of the record that was read together with held, or
 // later. Whatever the others handed out under an earlier version is in held then, and under
-// this one no part comes to hold more than its share unless it did before. So together they
+// this one no partition comes to hold more than its share unless it did before. So together they
 // hold no more than the larger of the two, each; what that leaves of the size may be
 // handed out here, within our share. A share below what is held, after the pool was made
 // smaller or its shares were moved on old knowledge, so keeps all from handing out anything
@@ -131,7 +131,7 @@
 	Reserves  bool // it has waited for long enough: nobody after it takes what it lacks
 }
 
-// AllocateShares shares a pool out: to each part what it holds, then to those who ask, in their
+// AllocateShares shares a pool out: to each partition what it holds, then to those who ask, in their
 // order, and what is left to all alike, so that whoever asks next need not wait for a
 // share. An ask of which not even one start fits is passed over unless it reserves.
 func AllocateShares(size int, held []int, demands []Demand) []int {
@@ -166,7 +166,7 @@
 	return shares
 }
 
-// SatisfiedUnits is how many units of what is asked for the parts could hand out under shares, those
+// SatisfiedUnits is how many units of what is asked for the partitions could hand out under shares, those
 // with it that are gathered for an ask that reserves.
 func SatisfiedUnits(p *Pool, held []int, demands []Demand) int {
 	free := make([]int, len(held))
@@ -202,7 +202,7 @@
 	Revision api.Revision
 }
 
-// Table is the pools as the state service's log tells of them.
+// Table is the pools as the key-value store's log tells of them.
 type Table struct {
 	partitions int
 	entries    map[api.PoolName]*Entry
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -12,8 +12,8 @@
 	"basaltwall/tenant"
 )
 
-// However a pool is divided, the shares are one for each part, none below 0, together the
-// size; what is held stays with its holder as far as there is enough; and all parts
+// However a pool is divided, the shares are one for each partition, none below 0, together the
+// size; what is held stays with its holder as far as there is enough; and all partitions
 // together may hand out no more than is free.
 func TestAllocateShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/priority/priority.go
+++ b/priority/priority.go
@@ -1,4 +1,4 @@
-// Package precedence owns which work goes before which when there is too little: the users' rules,
+// Package priority owns which work goes before which when there is too little: the users' rules,
 // whether room is short, and one number for each kind of work, its level, by which everything
 // that orders work orders it. It is pure.
 package priority
--- a/priority/priority_test.go
+++ b/priority/priority_test.go
@@ -168,7 +168,7 @@
 	if changes != 1 {
 		t.Errorf("%d changes while it flaps", changes)
 	}
-	var fresh ShortageTracker // a takeover
+	var fresh ShortageTracker // a failover
 	if next := fresh.Next(now, at(165), at(160), 0); !next.Includes("g8") {
 		t.Error("a new writer ends what it has not watched")
 	}
--- a/relay/changelog.go
+++ b/relay/changelog.go
@@ -13,7 +13,7 @@
 	maxBytes   = 8 << 20
 )
 
-// ChangeLog is the latest part of the state service's log, without gaps: all changes after one revision
+// ChangeLog is the latest part of the key-value store's log, without gaps: all changes after one revision
 // up to another.
 type ChangeLog struct {
 	startRevision, endRevision api.Revision
--- a/relay/model_test.go
+++ b/relay/model_test.go
@@ -6,7 +6,7 @@
 	"basaltwall/internal/modelcheck"
 )
 
-// The model: a state service whose log grows, a relay, and a controller that reads through it for a
+// The model: a key-value store whose log grows, a relay, and a controller that reads through it for a
 // user. Reads, questions and answers come late, doubled or never; the relay stands still or is
 // started anew, in which case it reads the state first; the controller falls back to a read of its
 // own. A change is a bit: the controller must never tell a user less than what was durable when the
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay decides which controllers read the state service's log for the others, and keeps
-// what they pass on. Controllers beyond a number that follows from the state service's limit on
+// Package relay decides which controllers read the key-value store's log for the others, and keeps
+// what they pass on. Controllers beyond a number that follows from the key-value store's limit on
 // requests read through a relay, so that a read takes no longer with each controller that is
 // added. It does no input or output; docs/relays.md tells why nothing that is read through a relay
 // can be older than what a read of one's own would tell.
@@ -18,14 +18,14 @@
 // ReadInterval is the time between two reads of a relay, and so about what a read through it takes.
 const ReadInterval = 100 * time.Millisecond
 
-// readShare is the share of the state service's requests that reads of the log may take.
+// readShare is the share of the key-value store's requests that reads of the log may take.
 const readShare = 1.0 / 3
 
 // minReaders is how many controllers read for themselves whatever the limit: two may end at once and
 // one still reads.
 const minReaders = 3
 
-// MaxRelays is how many relays the state service's limit on requests carries.
+// MaxRelays is how many relays the key-value store's limit on requests carries.
 func MaxRelays(requestsPerSecond float64) int {
 	return max(minReaders, int(requestsPerSecond*readShare*ReadInterval.Seconds()))
 }
--- a/reservation/booking.go
+++ b/reservation/booking.go
@@ -1,4 +1,4 @@
-// Package skips owns the ledger of promises: which skip is held, promised to which building
+// Package reservation owns the ledger of promises: which skip is held, promised to which building
 // site, delivered or back, for which days. It is pure: a shard of the ledger is folded from
 // records in their order, composes the next one, and says which blocks of it are to be written
 // with it. docs/skips.md gives the reasons.
--- a/reservation/booking_test.go
+++ b/reservation/booking_test.go
@@ -15,7 +15,7 @@
 
 const clockError = 250 * time.Millisecond
 
-// fakeStore is what the state service holds of a shard.
+// fakeStore is what the key-value store holds of a shard.
 type fakeStore struct {
 	archived int // items in the archive
 	records  map[uint64]*Record
--- a/reservation/golden_test.go
+++ b/reservation/golden_test.go
@@ -10,7 +10,7 @@
 	"basaltwall/internal/golden"
 )
 
-// What the ledger keeps in the state service, as earlier versions wrote it.
+// What the ledger keeps in the key-value store, as earlier versions wrote it.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	golden.JSON(f, "block", golden.Filled[Block](t))
--- a/reservation/ledger.go
+++ b/reservation/ledger.go
@@ -21,7 +21,7 @@
 )
 
 // KeyArchive is where what is forgotten is kept, by the time of that in milliseconds: nobody follows
-// it. KeepOld is for how long.
+// it. ArchiveRetention is for how long.
 const (
 	KeyArchive       = "skipold/" // TIME/SHARD-RECORD
 	ArchiveRetention = 5 * 366 * 24 * time.Hour
--- a/reservation/ledger_test.go
+++ b/reservation/ledger_test.go
@@ -7,7 +7,7 @@
 	"basaltwall/api"
 )
 
-// twoLedgers are two controllers' ledgers over one state service, with ten skips of a kind.
+// twoLedgers are two controllers' ledgers over one key-value store, with ten skips of a kind.
 func twoLedgers(t *testing.T) (a, b *Ledger, service *fakeLog) {
 	t.Helper()
 	service = &fakeLog{versions: map[string]api.Revision{}}
--- a/reservation/model_test.go
+++ b/reservation/model_test.go
@@ -57,7 +57,7 @@
 	ledger      ledgerState
 	seq         uint8
 	controllers [2]modelController
-	answered    [2]uint8 // never, isOffered, isPromised, or isOver once its end was asked for
+	answered    [2]uint8 // never, isOffered, isPromised, or isClosed once its end was asked for
 }
 
 // modelRules are the guards; without any one the model must go wrong.
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -30,7 +30,7 @@
 	FetchRate       float64      // GB per second
 	FetchingImages  []ImageFetch // that it is fetching: they may share the rate
 	ReservedFor     api.JobID    // only for this job, for which others made way or room is gathered
-	SoftReservation bool         // work of a higher rank than KeptOf may use it all the same
+	SoftReservation bool         // work of a higher rank than ReservationRank may use it all the same
 	ReservationRank int
 }
 
@@ -117,7 +117,7 @@
 	RemainingQuota  map[api.Team]api.Resources // what each team may still start here
 	LargestCapacity api.Resources              // the largest capacity of any type
 	TypicalDemands  []fragmentation.Demand     // what work asks for that needs accelerators
-	AvailableUnits  map[api.PoolName]int       // what the part may hand out of pools that jobs need
+	AvailableUnits  map[api.PoolName]int       // what the partition may hand out of pools that jobs need
 	MaxStarts       int                        // starts at most
 }
 
--- a/server/server.go
+++ b/server/server.go
@@ -1,4 +1,4 @@
-// Package node wires a controller together: the server and the client pool
+// Package server wires a controller together: the server and the client pool
 // around the one owner, which works through its commands in batches. It
 // decides nothing.
 package server
@@ -28,7 +28,7 @@
 
 const (
 	maxRequest     = 64 << 10
-	maxPeerMessage = 4 << 20  // news of a part with very many machines
+	maxPeerMessage = 4 << 20  // news of a partition with very many machines
 	maxResponse    = 64 << 20 // a watch's answer has no stated limit
 	listenAPI      = 0
 	listenPeer     = 1
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return 0, api.JobStatus{}
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	var s api.JobStatus
 	if data, err := io.ReadAll(res.Body); err == nil && res.StatusCode < 300 {
 		if err := json.Unmarshal(data, &s); err != nil {
@@ -137,7 +137,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer res.Body.Close()
+		defer func() { _ = res.Body.Close() }()
 		data, err := io.ReadAll(res.Body)
 		if err != nil {
 			t.Fatal(err)
@@ -214,7 +214,7 @@
 		if err != nil {
 			return 0, ""
 		}
-		defer res.Body.Close()
+		defer func() { _ = res.Body.Close() }()
 		data, err := io.ReadAll(res.Body)
 		if err != nil {
 			return 0, ""
@@ -473,7 +473,7 @@
 		if err != nil {
 			return 0, ""
 		}
-		defer res.Body.Close()
+		defer func() { _ = res.Body.Close() }()
 		data, _ := io.ReadAll(res.Body)
 		return res.StatusCode, string(data)
 	}
--- a/state/golden_test.go
+++ b/state/golden_test.go
@@ -11,7 +11,7 @@
 	"basaltwall/internal/golden"
 )
 
-// Requests to the state service as earlier versions wrote them, and its answers as they read
+// Requests to the key-value store as earlier versions wrote them, and its answers as they read
 // them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
--- a/state/state.go
+++ b/state/state.go
@@ -1,4 +1,4 @@
-// Package state owns the messages to and from the state service: it turns the
+// Package state owns the messages to and from the key-value store: it turns the
 // owner's calls into requests and responses into answers.
 package state
 
--- a/tenant/admission.go
+++ b/tenant/admission.go
@@ -42,7 +42,7 @@
 // FairLimiter divides the submissions that a controller can write among the tenants that want to
 // submit: deficit round robin in which nobody waits. Each tenant that has come lately is
 // credited an equal part, up to a bound; what is beyond it goes into a pot for whoever
-// needs more. A tenant that stays within its part is not refused, whatever others do.
+// needs more. A tenant that stays within its share is not refused, whatever others do.
 type FairLimiter struct {
 	accounts     map[Name]*account
 	order        []*account // in the order they came, so that sums are the same each time
@@ -59,7 +59,7 @@
 const (
 	// activeWindow is for how long a tenant that has come counts as one that wants to submit.
 	activeWindow = 2 * time.Second
-	// maxCreditSeconds is how much of its part a tenant may have credited, and the pot of the whole.
+	// maxCreditSeconds is how much of its share a tenant may have credited, and the pot of the whole.
 	maxCreditSeconds = 1.0 // seconds
 )
 
--- a/tenant/operators.go
+++ b/tenant/operators.go
@@ -94,7 +94,7 @@
 	return o, o.Check()
 }
 
-// Revoke makes a key open nothing any more; the one called FirstKey is that of the file. One
+// Revoke makes a key open nothing any more; the one called AdminKeyName is that of the file. One
 // that changes things and does not expire must be left, or nobody could come in again.
 func (o Operators) Revoke(adminKey Key, name string) (Operators, error) {
 	if name == AdminKeyName {
@@ -159,7 +159,7 @@
 }
 
 // Change replaces what a team has; the zero team is one that is new. A limit lies in
-// shares in the parts, some of which may have been given away, so it can't be taken
+// shares in the partitions, some of which may have been given away, so it can't be taken
 // back: it may only grow, or end.
 func (t Team) Change(to Team) (Team, error) {
 	shrinks := func(from, to float64) bool { return t.Name != "" && to != 0 && (from == 0 || to < from) }
--- a/tenant/operators_test.go
+++ b/tenant/operators_test.go
@@ -129,7 +129,7 @@
 	})
 }
 
-// A limit lies in shares of the parts, some of them given away, and can't be taken back.
+// A limit lies in shares of the partitions, some of them given away, and can't be taken back.
 func TestTeamLimitNeverShrinks(t *testing.T) {
 	team := Team{Name: "dispo", CPUs: 2, CPUsMax: 4}
 	for max, ok := range map[float64]bool{3: false, 4: true, 9: true, 0: true} {
--- a/tenant/table.go
+++ b/tenant/table.go
@@ -14,7 +14,7 @@
 	Revision api.Revision
 }
 
-// Table is the tenants of a service as the state service's log tells of them.
+// Table is the tenants of a service as the key-value store's log tells of them.
 type Table struct {
 	entries map[Name]*Entry
 	keys    map[KeyID]*Entry
--- a/tenant/tenant.go
+++ b/tenant/tenant.go
@@ -86,7 +86,7 @@
 }
 
 // CheckName accepts lower-case letters, digits and hyphens, beginning with a letter: what
-// may be part of a key of the state service and of a command line.
+// may be part of a key of the key-value store and of a command line.
 func CheckName(field, s string) *Error {
 	if s == "" || len(s) > maxName {
 		return invalid(field, "must have 1 to %d characters", maxName)
@@ -160,7 +160,7 @@
 }
 
 // DefaultOpenJobs bounds a tenant with which no other bound was agreed: what is open of one
-// is read at every takeover and looked at in every round.
+// is read at every failover and looked at in every round.
 const DefaultOpenJobs = 2000
 
 // OpenJobLimit is how many of its jobs may be open.
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -332,7 +332,7 @@
 	})
 }
 
-// However many tenants flood, one that stays within its part is never refused, and all
+// However many tenants flood, one that stays within its share is never refused, and all
 // together get no more than there is.
 func TestFairLimiterIsolatesTenants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/tools/regress/grow.go
+++ b/tools/regress/grow.go
@@ -10,7 +10,7 @@
 
 // growDeployment writes a copy of a deployment into a folder, with so many times the machines, the
 // work and the teams' limits, and processes that are back so many seconds after they end.
-// What the controllers and the state service may use stays. It returns the copy's path.
+// What the controllers and the key-value store may use stays. It returns the copy's path.
 func growDeployment(file, dir string, factor, restartDelay float64) (string, error) {
 	var deployment map[string]any
 	if _, err := toml.DecodeFile(file, &deployment); err != nil {
--- a/tools/regress/main.go
+++ b/tools/regress/main.go
@@ -168,7 +168,7 @@
 	} `json:"teams"`
 }
 
-// leastServed names the class and the team that were served least, and to which share.
+// minServedShare names the class and the team that were served least, and to which share.
 func (r *dayReport) leastServed() (class string, classShare float64, team string, teamShare float64) {
 	classShare, teamShare = 2, 2
 	share := func(got, of int) float64 {
@@ -207,7 +207,7 @@
 	if err != nil {
 		return []string{err.Error()}
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	lines, problems := make([]string, len(days)), make([]string, len(days))
 	var wait sync.WaitGroup
 	semaphore := make(chan struct{}, cli.Jobs)
@@ -271,7 +271,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	if files, err = grownCopies(files, dir); err != nil {
 		return err
 	}
--- a/tools/regress/resize.go
+++ b/tools/regress/resize.go
@@ -28,7 +28,7 @@
 
 // resizeDeployment writes a copy of a deployment with so many machines, controllers, zones and teams into a
 // folder; work and limits grow with the machines. Teams and zones are multiplied: each has copies
-// that share what it had. Limits of the controllers and of the state service stay. It returns the
+// that share what it had. Limits of the controllers and of the key-value store stay. It returns the
 // copy's path.
 func resizeDeployment(file, dir string, to deploymentSize) (string, error) {
 	var deployment tomlTable
@@ -72,7 +72,7 @@
 	return sum
 }
 
-// zonesOf are the zones that a deployment's machines are in.
+// taskZones are the zones that a deployment's machines are in.
 func zonesOf(deployment tomlTable) []string {
 	seen := map[string]bool{}
 	rows, _ := deployment["capacity"].([]tomlTable)
@@ -195,7 +195,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	return out, toml.NewEncoder(f).Encode(deployment)
 }
 
@@ -216,7 +216,7 @@
 	return problems
 }
 
-// scaleDays are the days that are played of such copies, and scaleUntil until when, in seconds: all
+// scaleDays are the days that are played of such copies, and scaleEndSeconds until when, in seconds: all
 // controllers have ended and a zone was cut off by then.
 var scaleDays = []string{"restart", "zone"}
 
--- a/tools/scale/agent.go
+++ b/tools/scale/agent.go
@@ -54,8 +54,8 @@
 	}
 	stubController := &stubControllerHandler{targetTasks: c.Tasks}
 	server := &http.Server{Handler: stubController}
-	go server.Serve(ln)
-	defer server.Close()
+	go func() { _ = server.Serve(ln) }()
+	defer func() { _ = server.Close() }()
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -66,8 +66,8 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	defer cmd.Wait()
-	defer cmd.Process.Kill()
+	defer func() { _ = cmd.Wait() }()
+	defer func() { _ = cmd.Process.Kill() }()
 	if err := sleep(ctx, 10*time.Second); err != nil { // until the tasks run
 		return err
 	}
@@ -164,5 +164,5 @@
 	}
 	b.counts.heartbeats++
 	b.counts.bytes += len(body) + len(answer) + headerBytes
-	rw.Write(answer)
+	_, _ = rw.Write(answer)
 }
--- a/tools/scale/main.go
+++ b/tools/scale/main.go
@@ -1,5 +1,5 @@
 // Command scale measures the service at large size on one machine: controllers are real processes
-// of the shipped program; workers, users, state service and cloud are hollow and share one process
+// of the shipped program; workers, users, key-value store and cloud are hollow and share one process
 // on loopback. What it measures lies in docs/capacity, and docs/CAPACITY.md is made from that.
 package main
 
--- a/tools/scale/page.go
+++ b/tools/scale/page.go
@@ -26,7 +26,7 @@
 	Check   bool   `help:"Change nothing, and fail if the page is not what the results give."`
 }
 
-// The page's generated parts lie between such lines.
+// The page's generated sections lie between such lines.
 const (
 	markBegin = "<!-- scale: %s -->"
 	markEnd   = "<!-- scale: end -->"
@@ -38,7 +38,7 @@
 // errStale is returned when the page is not what the results give.
 var errStale = errors.New("the page is not what the results give: run scale page")
 
-// Run writes the page's parts and the plots.
+// Run writes the page's sections and the plots.
 func (c *pageCmd) Run() error {
 	results, err := readResults(c.Results)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return writePlots(results, c.Results)
 }
 
-// replacePart replaces what lies between a part's markers.
+// replacePart replaces what lies between a section's markers.
 func replacePart(page, name, part string) (string, error) {
 	begin := fmt.Sprintf(markBegin, name)
 	before, rest, ok := strings.Cut(page, begin)
--- a/tools/scale/page_test.go
+++ b/tools/scale/page_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// A page without a part's markers is an error that names them.
+// A page without a section's markers is an error that names them.
 func TestPageWithoutMarkers(t *testing.T) {
 	if _, err := replacePart("text", "roles", "x"); err == nil || !strings.Contains(err.Error(), "scale: roles") {
 		t.Errorf("%v", err)
--- a/tools/scale/process.go
+++ b/tools/scale/process.go
@@ -45,8 +45,8 @@
 	p.cmd, p.killRequested = cmd, false
 	p.mu.Unlock()
 	go func() {
-		cmd.Wait()
-		log.Close()
+		_ = cmd.Wait()
+		_ = log.Close()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if p.cmd == cmd {
@@ -74,7 +74,7 @@
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		p.killRequested = true
-		p.cmd.Process.Kill()
+		_ = p.cmd.Process.Kill()
 	}
 }
 
@@ -130,16 +130,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", p.cmd.Process.Pid), []byte("5"), 0)
+		_ = os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", p.cmd.Process.Pid), []byte("5"), 0)
 	}
 }
 
 // What a run may use of this machine.
 const (
 	maxProcesses  = 300
-	memoryDivisor = 2 // of the machine's memory, at most one part of so many
+	memoryDivisor = 2 // of the machine's memory, at most one part in so many
 	baseMemory    = 64 << 20
-	memoryPerTask = 3 << 10 // in each controller, and in the stand-ins
+	memoryPerTask = 3 << 10 // in each controller, and in the emulators
 )
 
 // memoryLimit is half of the machine's memory.
--- a/tools/scale/result.go
+++ b/tools/scale/result.go
@@ -97,7 +97,7 @@
 		h = hdrhistogram.New(1, maxLatencyMicros, 3)
 		l[name] = h
 	}
-	h.RecordValue(min(maxLatencyMicros, max(1, d.Microseconds())))
+	_ = h.RecordValue(min(maxLatencyMicros, max(1, d.Microseconds())))
 }
 
 func (l latencies) describe() map[string]latency {
--- a/tools/scale/run.go
+++ b/tools/scale/run.go
@@ -175,7 +175,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	return res.StatusCode, data, err
 }
--- a/tools/scale/tenants.go
+++ b/tools/scale/tenants.go
@@ -22,7 +22,7 @@
 	"basaltwall/tenant"
 )
 
-// tenantsCmd measures a hosted service of real processes, beside the stand-ins: what a tenant that
+// tenantsCmd measures a hosted service of real processes, beside the emulators: what a tenant that
 // keeps within its rate sees alone and beside a flood, and what a request costs with tenants and
 // without. It is bounded in time and in requests.
 type tenantsCmd struct {
@@ -47,7 +47,7 @@
 	return request(ctx, s.client, method, s.live.Configs[index%len(s.live.Configs)].APIAddr+path, key, body)
 }
 
-// startDeployment starts the stand-ins and the controllers and waits until they answer.
+// startDeployment starts the emulators and the controllers and waits until they answer.
 func startDeployment(ctx context.Context, c *tenantsCmd, dir string, hosted bool) (*hostedDeployment, error) {
 	l, err := emulator.StartLive(ctx, 3, 8)
 	if err != nil {
@@ -78,7 +78,7 @@
 		if err := p.Start(); err != nil {
 			return nil, fmt.Errorf("controller: %w", err)
 		}
-		go p.Wait()
+		go func() { _ = p.Wait() }()
 	}
 	for range 200 {
 		ready := 0
@@ -88,7 +88,7 @@
 			}
 		}
 		if ready == len(l.Configs) {
-			time.Sleep(2 * time.Second) // all parts owned, all machines heard
+			time.Sleep(2 * time.Second) // all partitions owned, all machines heard
 			return s, nil
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -162,7 +162,7 @@
 			switch {
 			case err == nil && code == 201:
 				v.accepted++
-				v.acceptLatency.RecordValue(max(1, time.Since(begun).Microseconds()))
+				_ = v.acceptLatency.RecordValue(max(1, time.Since(begun).Microseconds()))
 			case code == 429:
 				v.refused++
 			default:
@@ -177,7 +177,7 @@
 				var st api.JobStatus
 				if err == nil && json.Unmarshal(body, &st) == nil && (st.State == api.JobRunning || st.State == api.JobDone) {
 					v.mu.Lock()
-					v.startLatency.RecordValue(max(1, time.Since(begun).Microseconds()))
+					_ = v.startLatency.RecordValue(max(1, time.Since(begun).Microseconds()))
 					v.mu.Unlock()
 					return
 				}
@@ -234,7 +234,7 @@
 			}
 			done.Add(1)
 			mu.Lock()
-			lat.RecordValue(max(1, time.Since(at).Microseconds()))
+			_ = lat.RecordValue(max(1, time.Since(at).Microseconds()))
 			mu.Unlock()
 		})
 	}
@@ -254,7 +254,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	for _, hosted := range []bool{false, true} {
 		ctx, stop := context.WithCancel(context.Background())
 		err := func() error {
--- a/zonehealth/evacuation.go
+++ b/zonehealth/evacuation.go
@@ -17,7 +17,7 @@
 	WithinGuarantee  bool    // within its team's guarantee
 	RunningElsewhere int     // of the job's tasks elsewhere
 	PriorityBoost    float64 // by so many priorities rules put it above its own, or below
-	SlackSeconds     float64 // seconds until its job can't be in time any more, see Forever
+	SlackSeconds     float64 // seconds until its job can't be in time any more, see NoDeadline
 	LostWorkSeconds  float64 // seconds of work that are lost if it is ended while it may still run
 }
 
@@ -43,13 +43,13 @@
 	FreeAfterPreemption api.Resources // if what urgent work may stop made way
 	Count               int
 	HasImage            func(api.Image) bool // whether it is there; nil: not known
-	OtherPartition      bool                 // of another part, and not to be had as a whole
+	OtherPartition      bool                 // of another partition, and not to be had as a whole
 }
 
 // Input is what a plan looks at.
 type Input struct {
 	Machines       []Machine
-	PendingTasks   []Task // work of the same part that waits already: it needs no machine given up
+	PendingTasks   []Task // work of the same partition that waits already: it needs no machine given up
 	FreeCapacity   []FreeCapacity
 	PlacedByZone   map[api.JobID]map[api.Zone]int // where each job's other tasks are
 	RemainingQuota map[api.Team]api.Resources     // what each team may start beyond what it holds; nil: no limit
--- a/zonehealth/floor.go
+++ b/zonehealth/floor.go
@@ -26,7 +26,7 @@
 type Allowance struct{ Preemptible, Headroom, Shortfall float64 }
 
 // Allowances reckons for each class or team what it may give way by while a zone is lost, and
-// what it may take of the room that is left. Its fair part of that is as large as its part
+// what it may take of the room that is left. Its fair share of that is as large as its share
 // of all that is wanted; half of it is its floor. While some lack to their floors, none of
 // the others takes what comes free and they lack: work that never ends would else take all
 // of it, and can't be made to give it back to less urgent work. That is what the floors cost.
--- a/zonehealth/record.go
+++ b/zonehealth/record.go
@@ -1,4 +1,4 @@
-// Package zone owns what is known and decided of a zone as a whole: whether it is whole,
+// Package zonehealth owns what is known and decided of a zone as a whole: whether it is whole,
 // cut off or coming back, by the evidence of all controllers; how long a cut is likely to
 // last; and which machines of a lost zone are given up, and in which order. It is pure: the
 // same evidence gives the same state and the same plan, in whatever order it came.
@@ -39,7 +39,7 @@
 // maxOutageHistory bounds the losses that are remembered.
 const maxOutageHistory = 8
 
-// MachineCount is what the owner of parts sees of a zone's machines.
+// MachineCount is what the owner of partitions sees of a zone's machines.
 type MachineCount struct {
 	All, Silent int
 	Heard       api.WallTime // the last of the silent ones, 0: none was ever heard
