--- a/backfill/backfill.go
+++ b/backfill/backfill.go
@@ -142,8 +142,21 @@
 
 // selectFrom is Choose among some of the machines.
 func selectFrom(machines []Machine, among []int, request Request) ([]int, float64) {
-	// When each machine could hold its next task, in order: the last of those needed says
-	// how soon all of them can start.
+	last, ok := earliestStart(machines, among, request)
+	if !ok {
+		return nil, math.Inf(1)
+	}
+	reserved := mostCapacityBy(machines, among, request, last)
+	if reserved == nil {
+		return nil, math.Inf(1)
+	}
+	return reserved, last
+}
+
+// earliestStart is how soon all tasks of a request can start on some of the machines, in seconds:
+// when each machine could hold its next task, in order, the last of those needed says so. It is
+// false if they never can.
+func earliestStart(machines []Machine, among []int, request Request) (last float64, ok bool) {
 	type slot struct {
 		at   float64
 		host int
@@ -161,7 +174,7 @@
 	slices.SortStableFunc(slots, func(a, b slot) int { return cmp.Compare(a.at, b.at) })
 	zones := map[api.Zone]int{}
 	maps.Copy(zones, request.PlacedByZone)
-	remaining, last := request.Tasks, 0.0
+	remaining := request.Tasks
 	for _, s := range slots {
 		if z := machines[s.host].Zone; request.MaxPerZone > 0 {
 			if zones[z] >= request.MaxPerZone {
@@ -174,10 +187,12 @@
 			break
 		}
 	}
-	if remaining > 0 {
-		return nil, math.Inf(1)
-	}
-	// Of the machines that have room by then, those with most of it.
+	return last, remaining <= 0
+}
+
+// mostCapacityBy chooses, of the machines that have free capacity for the request's tasks by a time in
+// seconds, those with the most of it; nil if they can't hold all tasks.
+func mostCapacityBy(machines []Machine, among []int, request Request, last float64) []int {
 	byCapacity := slices.Clone(among)
 	slotCount := func(i int) int {
 		at := last
@@ -196,9 +211,9 @@
 		return cmp.Compare(slotCount(b), slotCount(a))
 	})
 	var reserved []int
-	clear(zones)
+	zones := map[api.Zone]int{}
 	maps.Copy(zones, request.PlacedByZone)
-	remaining = request.Tasks
+	remaining := request.Tasks
 	for _, i := range byCapacity {
 		n := min(remaining, slotCount(i))
 		if request.MaxPerZone > 0 {
@@ -210,10 +225,10 @@
 		reserved = append(reserved, i)
 		zones[machines[i].Zone] += n
 		if remaining -= n; remaining == 0 {
-			return reserved, last
+			return reserved
 		}
 	}
-	return nil, math.Inf(1)
+	return nil
 }
 
 // SoonestEmpty names the machine that is empty soonest and can then hold a task of the demand, -1 if
--- a/httpx/parse.go
+++ b/httpx/parse.go
@@ -76,41 +76,8 @@
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
 			return head{}, ErrMalformed
 		}
-		value = strings.Trim(value, " \t")
-		switch {
-		case strings.EqualFold(name, "Content-Length"):
-			n, err := strconv.ParseUint(value, 10, 62)
-			if err != nil || (h.contentLength >= 0 && h.contentLength != int(n)) {
-				return head{}, ErrMalformed
-			}
-			h.contentLength = int(n)
-		case strings.EqualFold(name, "Transfer-Encoding"):
-			if !strings.EqualFold(value, "chunked") {
-				return head{}, ErrMalformed
-			}
-			h.chunked = true
-		case strings.EqualFold(name, "Connection"):
-			for tok := range strings.SplitSeq(value, ",") {
-				tok = strings.TrimSpace(tok)
-				h.close = h.close || strings.EqualFold(tok, "close")
-				h.keepAlive = h.keepAlive || strings.EqualFold(tok, "keep-alive")
-			}
-		case strings.EqualFold(name, "Authorization"):
-			if h.auth != "" {
-				value = h.auth + "," + value // of two keys none is the one that counts
-			}
-			h.auth = value
-		case strings.EqualFold(name, "X-Forwarded-For"):
-			if h.forwarded != "" {
-				value = h.forwarded + "," + value
-			}
-			h.forwarded = value
-		case strings.EqualFold(name, "Retry-After"):
-			if s, err := strconv.Atoi(value); err == nil && s >= 0 {
-				h.retryAfter = s
-			}
-		case strings.EqualFold(name, "Expect"):
-			h.expect = strings.EqualFold(value, "100-continue")
+		if err := h.setHeader(name, strings.Trim(value, " \t")); err != nil {
+			return head{}, err
 		}
 	}
 	if h.chunked && h.contentLength >= 0 {
@@ -122,6 +89,46 @@
 	return h, nil
 }
 
+// setHeader notes a header that bears on how the message is read; others are passed over.
+func (h *head) setHeader(name, value string) error {
+	switch {
+	case strings.EqualFold(name, "Content-Length"):
+		n, err := strconv.ParseUint(value, 10, 62)
+		if err != nil || (h.contentLength >= 0 && h.contentLength != int(n)) {
+			return ErrMalformed
+		}
+		h.contentLength = int(n)
+	case strings.EqualFold(name, "Transfer-Encoding"):
+		if !strings.EqualFold(value, "chunked") {
+			return ErrMalformed
+		}
+		h.chunked = true
+	case strings.EqualFold(name, "Connection"):
+		for tok := range strings.SplitSeq(value, ",") {
+			tok = strings.TrimSpace(tok)
+			h.close = h.close || strings.EqualFold(tok, "close")
+			h.keepAlive = h.keepAlive || strings.EqualFold(tok, "keep-alive")
+		}
+	case strings.EqualFold(name, "Authorization"):
+		if h.auth != "" {
+			value = h.auth + "," + value // of two keys none is the one that counts
+		}
+		h.auth = value
+	case strings.EqualFold(name, "X-Forwarded-For"):
+		if h.forwarded != "" {
+			value = h.forwarded + "," + value
+		}
+		h.forwarded = value
+	case strings.EqualFold(name, "Retry-After"):
+		if s, err := strconv.Atoi(value); err == nil && s >= 0 {
+			h.retryAfter = s
+		}
+	case strings.EqualFold(name, "Expect"):
+		h.expect = strings.EqualFold(value, "100-continue")
+	}
+	return nil
+}
+
 // parseBody reads what follows the head; n 0 means more is needed.
 func parseBody(buf []byte, h head, maxBody int) (body []byte, n int, err error) {
 	if !h.chunked {
--- a/httpx/server.go
+++ b/httpx/server.go
@@ -146,21 +146,7 @@
 		return nil, evio.None
 	}
 	if sc.responseReady {
-		out, sc.outbuf, sc.responseReady = sc.outbuf, nil, false
-		sc.busy, sc.continueSent = false, false
-		closing := sc.closing
-		sc.mu.Unlock()
-		if closing {
-			return out, evio.Close
-		}
-		// evio replaces output that it has not written yet by that of a
-		// later wake, so a request that has already come waits for a turn.
-		if sc.inbuf = append(sc.inbuf, in...); len(sc.inbuf) > 0 {
-			c.Wake()
-		} else {
-			sc.inbuf = nil
-		}
-		return out, evio.None
+		return sc.sendResponse(c, in)
 	}
 	sc.mu.Unlock()
 	sc.inbuf = append(sc.inbuf, in...)
@@ -169,12 +155,37 @@
 		if len(sc.inbuf) > maxHead+s.maxBody[c.AddrIndex()] {
 			return nil, evio.Close
 		}
-		return out, evio.None
+		return nil, evio.None
 	}
 	if len(sc.inbuf) == 0 {
 		sc.inbuf = nil
-		return out, evio.None
+		return nil, evio.None
 	}
+	return s.nextRequest(c, sc)
+}
+
+// sendResponse hands out the response that is ready and keeps what has come meanwhile. It is
+// called with the connection's lock held, and releases it.
+func (sc *serverConn) sendResponse(c evio.Conn, in []byte) (out []byte, action evio.Action) {
+	out, sc.outbuf, sc.responseReady = sc.outbuf, nil, false
+	sc.busy, sc.continueSent = false, false
+	closing := sc.closing
+	sc.mu.Unlock()
+	if closing {
+		return out, evio.Close
+	}
+	// evio replaces output that it has not written yet by that of a
+	// later wake, so a request that has already come waits for a turn.
+	if sc.inbuf = append(sc.inbuf, in...); len(sc.inbuf) > 0 {
+		c.Wake()
+	} else {
+		sc.inbuf = nil
+	}
+	return out, evio.None
+}
+
+// nextRequest parses what has come and hands a whole request to the handler.
+func (s *Server) nextRequest(c evio.Conn, sc *serverConn) (out []byte, action evio.Action) {
 	r, n, err := ParseRequest(sc.inbuf, s.maxBody[c.AddrIndex()])
 	if err != nil {
 		status := 400
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -312,35 +312,40 @@
 			}
 		}, func(r httpx.Response, err error) message.Command { return worker.ParseResponse(e, r, err) })
 	case message.PeerCall:
-		_, _, body, err := peer.Request(e)
+		sim.callPeer(h, e)
+	default:
+		panic(fmt.Sprintf("emulator: effect %T", e))
+	}
+}
+
+// callPeer carries a message to another controller and its reply back.
+func (sim *Simulation) callPeer(h *controllerHost, e message.PeerCall) {
+	_, _, body, err := peer.Request(e)
+	sim.must(err)
+	sim.roundTrip(h, EndpointPeers, 0, e.Timeout, func(answer func(int, []byte)) {
+		to := sim.controllers[string(e.To)]
+		if to.controller == nil || sim.linkCuts[linkKey{to.name, EndpointPeers}] != nil || sim.cutBetween(sim.configs[h.name].Zone, sim.configs[to.name].Zone) != nil {
+			return
+		}
+		m, err := peer.ParseMessage(body)
 		sim.must(err)
-		sim.roundTrip(h, EndpointPeers, 0, e.Timeout, func(answer func(int, []byte)) {
-			to := sim.controllers[string(e.To)]
-			if to.controller == nil || sim.linkCuts[linkKey{to.name, EndpointPeers}] != nil || sim.cutBetween(sim.configs[h.name].Zone, sim.configs[to.name].Zone) != nil {
-				return
-			}
-			m, err := peer.ParseMessage(body)
-			sim.must(err)
-			sim.callControllerReply(to, func(req message.ReqID) message.Command {
-				return peer.Command(m, req, func(b []byte) message.Command {
-					r, err := worker.ParseHeartbeat(b)
-					sim.must(err)
-					return message.WorkerHeartbeat{Req: req, Heartbeat: r, Body: b, Forwarded: true}
-				})
-			}, func(e message.Reply) {
-				data, err := peer.Encode(message.PeerReply{Status: e.Status, Body: e.Body, RetryAfter: e.RetryAfter, Log: e.Log})
+		sim.callControllerReply(to, func(req message.ReqID) message.Command {
+			return peer.Command(m, req, func(b []byte) message.Command {
+				r, err := worker.ParseHeartbeat(b)
 				sim.must(err)
-				answer(200, data)
+				return message.WorkerHeartbeat{Req: req, Heartbeat: r, Body: b, Forwarded: true}
 			})
-		}, func(r httpx.Response, err error) message.Command { return peer.ParseReply(e, r, err) })
-	default:
-		panic(fmt.Sprintf("stand-in: effect %T", e))
-	}
+		}, func(e message.Reply) {
+			data, err := peer.Encode(message.PeerReply{Status: e.Status, Body: e.Body, RetryAfter: e.RetryAfter, Log: e.Log})
+			sim.must(err)
+			answer(200, data)
+		})
+	}, func(r httpx.Response, err error) message.Command { return peer.ParseReply(e, r, err) })
 }
 
 func (sim *Simulation) must(err error) {
 	if err != nil {
-		panic(fmt.Sprintf("stand-in: %v", err))
+		panic(fmt.Sprintf("emulator: %v", err))
 	}
 }
 
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -213,15 +213,7 @@
 	case method == "POST" && u.Path == api.PathTxn:
 		s.commitTransaction(body, answer)
 	case method == "POST" && u.Path == api.PathLeases:
-		var request api.LeaseRequest
-		if json.Unmarshal(body, &request) != nil || request.TTL < 100 {
-			answer(400, nil)
-			return
-		}
-		s.lastLease++
-		s.leaseTTL[s.lastLease] = time.Duration(request.TTL) * time.Millisecond
-		s.leaseExpiry[s.lastLease] = s.sim.Now + s.leaseTTL[s.lastLease]
-		writeJSON(answer, 200, api.LeaseResponse{Lease: s.lastLease})
+		s.grantLease(body, answer)
 	case method == "POST" && strings.HasPrefix(u.Path, api.PathLeases+"/"):
 		n, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
 		id := api.LeaseID(n)
@@ -242,30 +234,48 @@
 		}
 		writeJSON(answer, 200, api.KeyValue{Key: key, Value: e.value, Version: e.version})
 	case method == "GET" && u.Path == api.PathChanges:
-		since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
-		wait, _ := strconv.Atoi(q.Get("wait_ms"))
-		w := &storeWatch{controllerName: controllerName, prefix: q.Get("under"), sinceRevision: api.Revision(since), answer: answer}
-		if w.sinceRevision < s.compactedRevision {
-			answer(410, []byte(`{}`))
-			return
-		}
-		log := s.changesSince(w.prefix, w.sinceRevision)
-		if len(log) > 0 || wait == 0 {
-			writeJSON(answer, 200, api.Changes{Revision: s.revision, Log: log})
-			return
-		}
-		s.watches = append(s.watches, w)
-		s.sim.After(time.Duration(wait)*time.Millisecond, func() {
-			if !w.closed && !s.unavailable && !s.refusedControllers[controllerName] {
-				w.closed = true
-				writeJSON(answer, 200, api.Changes{Revision: s.revision})
-			}
-		})
+		s.watch(controllerName, q, answer)
 	default:
 		answer(400, nil)
 	}
 }
 
+// grantLease grants a lease; its time to live is 100 ms at least.
+func (s *Store) grantLease(body []byte, answer func(int, []byte)) {
+	var request api.LeaseRequest
+	if json.Unmarshal(body, &request) != nil || request.TTL < 100 {
+		answer(400, nil)
+		return
+	}
+	s.lastLease++
+	s.leaseTTL[s.lastLease] = time.Duration(request.TTL) * time.Millisecond
+	s.leaseExpiry[s.lastLease] = s.sim.Now + s.leaseTTL[s.lastLease]
+	writeJSON(answer, 200, api.LeaseResponse{Lease: s.lastLease})
+}
+
+// watch answers with the changes since a revision, at once or when there are some.
+func (s *Store) watch(controllerName string, q url.Values, answer func(int, []byte)) {
+	since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
+	wait, _ := strconv.Atoi(q.Get("wait_ms"))
+	w := &storeWatch{controllerName: controllerName, prefix: q.Get("under"), sinceRevision: api.Revision(since), answer: answer}
+	if w.sinceRevision < s.compactedRevision {
+		answer(410, []byte(`{}`))
+		return
+	}
+	log := s.changesSince(w.prefix, w.sinceRevision)
+	if len(log) > 0 || wait == 0 {
+		writeJSON(answer, 200, api.Changes{Revision: s.revision, Log: log})
+		return
+	}
+	s.watches = append(s.watches, w)
+	s.sim.After(time.Duration(wait)*time.Millisecond, func() {
+		if !w.closed && !s.unavailable && !s.refusedControllers[controllerName] {
+			w.closed = true
+			writeJSON(answer, 200, api.Changes{Revision: s.revision})
+		}
+	})
+}
+
 func (s *Store) commitTransaction(body []byte, answer func(int, []byte)) {
 	var t api.Txn
 	cfg := s.sim.configs[s.sim.controllerNames[0]].Deployment.State
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -272,21 +272,11 @@
 					return
 				}
 				settled = true
-				switch status {
-				case 200:
+				switch {
+				case status == 200:
 					wk.heartbeatPending = false
 					wk.applyHeartbeatReply(answer, sent, incarnation)
-				case 421:
-					var r api.Redirect
-					sim.must(json.Unmarshal(answer, &r))
-					for i, other := range sim.controllerNames {
-						if other == string(r.Owner) && i != wk.controllerIndex {
-							wk.controllerIndex, wk.heartbeatPending, wk.nextHeartbeat = i, false, 0
-							return
-						}
-					}
-					other()
-				default:
+				case status != 421 || !wk.followRedirect(answer):
 					other()
 				}
 			})
@@ -294,6 +284,19 @@
 	})
 }
 
+// followRedirect turns to the controller that an answer names, and reports whether it names another.
+func (wk *Worker) followRedirect(answer []byte) bool {
+	var r api.Redirect
+	wk.sim.must(json.Unmarshal(answer, &r))
+	for i, name := range wk.sim.controllerNames {
+		if name == string(r.Owner) && i != wk.controllerIndex {
+			wk.controllerIndex, wk.heartbeatPending, wk.nextHeartbeat = i, false, 0
+			return true
+		}
+	}
+	return false
+}
+
 // applyHeartbeatReply carries out the answer to a report.
 func (wk *Worker) applyHeartbeatReply(body []byte, sent time.Duration, incarnation api.Epoch) {
 	var o api.CommandBatch
--- a/reservation/booking.go
+++ b/reservation/booking.go
@@ -195,35 +195,54 @@
 	if sk == nil {
 		return Result{Reason: ReasonNoSuchSkip}
 	}
-	refuse := func(reason RefusalReason) Result { return Result{Reason: reason, Skip: sk.ID} }
-	booking := sk.booking(op.Booking)
 	switch op.Type {
 	case OpOutOfService, OpInService:
 		sk.OutOfService = op.Type == OpOutOfService
 		return Result{Skip: sk.ID}
 	case OpOffer, OpPromise:
-		if op.Booking != 0 { // an offer is taken
-			switch {
-			case booking == nil:
-				return refuse(ReasonNoSuchBooking)
-			case booking.Stage != Offered:
-				return refuse(ReasonClosed)
-			}
-			booking.Stage, booking.Site, booking.ConfirmationKey, booking.ExpiresAt, booking.OfferedAt = Promised, op.Site, op.Key, 0, 0
-			s.recordKey(sk, op.Key, booking.ID)
-			return Result{Skip: sk.ID, Booking: *booking}
-		}
-		if reason := sk.CheckFree(op.From, op.To); reason != "" {
-			return refuse(reason)
-		}
-		created := Booking{ID: bookingID, Key: op.Key, Site: op.Site, From: op.From, To: op.To, ExpiresAt: op.ExpiresAt, Stage: Promised}
-		if op.Type == OpOffer {
-			created.Stage, created.OfferedAt = Offered, op.At
+		if op.Booking != 0 {
+			return s.confirmOffer(sk, op)
 		}
-		sk.Bookings = append(sk.Bookings, created)
-		s.recordKey(sk, op.Key, bookingID)
-		return Result{Skip: sk.ID, Booking: created}
+		return s.addBooking(sk, op, bookingID)
 	}
+	return s.closeBooking(sk, op)
+}
+
+// refused is the result of a change that is not made.
+func refused(sk *Skip, reason RefusalReason) Result { return Result{Reason: reason, Skip: sk.ID} }
+
+// confirmOffer turns an offer into a promise.
+func (s *Shard) confirmOffer(sk *Skip, op *Op) Result {
+	booking := sk.booking(op.Booking)
+	switch {
+	case booking == nil:
+		return refused(sk, ReasonNoSuchBooking)
+	case booking.Stage != Offered:
+		return refused(sk, ReasonClosed)
+	}
+	booking.Stage, booking.Site, booking.ConfirmationKey, booking.ExpiresAt, booking.OfferedAt = Promised, op.Site, op.Key, 0, 0
+	s.recordKey(sk, op.Key, booking.ID)
+	return Result{Skip: sk.ID, Booking: *booking}
+}
+
+// addBooking offers or promises a skip that is free on the days in question.
+func (s *Shard) addBooking(sk *Skip, op *Op, bookingID BookingID) Result {
+	if reason := sk.CheckFree(op.From, op.To); reason != "" {
+		return refused(sk, reason)
+	}
+	created := Booking{ID: bookingID, Key: op.Key, Site: op.Site, From: op.From, To: op.To, ExpiresAt: op.ExpiresAt, Stage: Promised}
+	if op.Type == OpOffer {
+		created.Stage, created.OfferedAt = Offered, op.At
+	}
+	sk.Bookings = append(sk.Bookings, created)
+	s.recordKey(sk, op.Key, bookingID)
+	return Result{Skip: sk.ID, Booking: created}
+}
+
+// closeBooking moves a booking on: to its delivery, its end, or out of the ledger.
+func (s *Shard) closeBooking(sk *Skip, op *Op) Result {
+	booking := sk.booking(op.Booking)
+	refuse := func(reason RefusalReason) Result { return refused(sk, reason) }
 	if booking == nil {
 		return refuse(ReasonNoSuchBooking)
 	}
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -350,8 +350,27 @@
 		}
 		return nil
 	}
-	// Machines with the image first, and those with least to spare: whole
-	// pieces stay whole.
+	order := gangMachines(in, j, free)
+	for _, zone := range gangZones(in, j, order) {
+		assignments := gangAssignments(in, jobIndex, free, order, zone)
+		if len(assignments) == len(j.Pending) {
+			for _, p := range assignments {
+				free[p.MachineIndex] = free[p.MachineIndex].Minus(j.Demand)
+			}
+			remainingQuota[j.Spec.Team] = remainingQuota[j.Spec.Team].Minus(j.Demand.Times(len(assignments)))
+			j.ConsumeUnits(units, len(assignments))
+			return assignments
+		}
+	}
+	if j.ReservesQuota { // it lacks machines now, and must not lack the limit when they are there
+		remainingQuota[j.Spec.Team] = remainingQuota[j.Spec.Team].Minus(j.Demand.Times(len(j.Pending)))
+	}
+	return nil
+}
+
+// gangMachines are the machines that may take a task of a gang, those with its image first and
+// among them those with the least to spare, so that whole machines stay whole.
+func gangMachines(in *Input, j *Job, free []api.Resources) []int {
 	var order []int
 	for machineIndex := range in.Machines {
 		m := &in.Machines[machineIndex]
@@ -369,47 +388,46 @@
 		}
 		return j.Demand.Slots(free[a]) - j.Demand.Slots(free[b])
 	})
+	return order
+}
+
+// gangZones are the zones to try a gang in, each by itself, if it must be in one zone; else the empty
+// zone, which stands for all of them together.
+func gangZones(in *Input, j *Job, order []int) []api.Zone {
+	if !j.Spec.OneZone {
+		return []api.Zone{""}
+	}
 	var zones []api.Zone
-	if j.Spec.OneZone {
-		for _, machineIndex := range order {
-			if z := in.Machines[machineIndex].Zone; !slices.Contains(zones, z) {
-				zones = append(zones, z)
-			}
+	for _, machineIndex := range order {
+		if z := in.Machines[machineIndex].Zone; !slices.Contains(zones, z) {
+			zones = append(zones, z)
 		}
-	} else {
-		zones = []api.Zone{""}
 	}
-	for _, zone := range zones {
-		counts := map[api.Zone]int{}
-		for z, n := range j.PlacedByZone {
-			counts[z] = n
-		}
-		var assignments []Assignment
-		for _, machineIndex := range order {
-			m := &in.Machines[machineIndex]
-			if zone != "" && m.Zone != zone {
-				continue
-			}
-			available := free[machineIndex]
-			for len(assignments) < len(j.Pending) && j.Demand.Fits(available) && ZoneFeasible(j.Spec, counts, m.Zone) {
-				assignments = append(assignments, Assignment{jobIndex, j.Pending[len(assignments)], machineIndex})
-				available = available.Minus(j.Demand)
-				counts[m.Zone]++
-			}
+	return zones
+}
+
+// gangAssignments places as many tasks of a gang as fit, first-fit, on machines of a zone; the empty
+// zone stands for any.
+func gangAssignments(in *Input, jobIndex int, free []api.Resources, order []int, zone api.Zone) []Assignment {
+	j := &in.Jobs[jobIndex]
+	counts := map[api.Zone]int{}
+	for z, n := range j.PlacedByZone {
+		counts[z] = n
+	}
+	var assignments []Assignment
+	for _, machineIndex := range order {
+		m := &in.Machines[machineIndex]
+		if zone != "" && m.Zone != zone {
+			continue
 		}
-		if len(assignments) == len(j.Pending) {
-			for _, p := range assignments {
-				free[p.MachineIndex] = free[p.MachineIndex].Minus(j.Demand)
-			}
-			remainingQuota[j.Spec.Team] = remainingQuota[j.Spec.Team].Minus(j.Demand.Times(len(assignments)))
-			j.ConsumeUnits(units, len(assignments))
-			return assignments
+		available := free[machineIndex]
+		for len(assignments) < len(j.Pending) && j.Demand.Fits(available) && ZoneFeasible(j.Spec, counts, m.Zone) {
+			assignments = append(assignments, Assignment{jobIndex, j.Pending[len(assignments)], machineIndex})
+			available = available.Minus(j.Demand)
+			counts[m.Zone]++
 		}
 	}
-	if j.ReservesQuota { // it lacks machines now, and must not lack the limit when they are there
-		remainingQuota[j.Spec.Team] = remainingQuota[j.Spec.Team].Minus(j.Demand.Times(len(j.Pending)))
-	}
-	return nil
+	return assignments
 }
 
 // candidateEdge is an edge from a job, or from a job's tasks of one zone, to a machine.
@@ -418,6 +436,7 @@
 	machine int
 	job     int
 	edge    flow.EdgeID
+	used    bool // the flow goes through it
 }
 
 // flowNode is a node that tasks flow through: a job, or what a job that is
@@ -440,6 +459,17 @@
 	if maxStarts <= 0 || len(in.Machines) == 0 {
 		return nil
 	}
+	nodes, total := flowNodes(in, order, free, remainingQuota, units, maxStarts)
+	if total == 0 {
+		return nil
+	}
+	solveFlow(nodes, total, maxStarts)
+	return flowAssignments(in, nodes)
+}
+
+// flowNodes are the nodes of the jobs that take part in a round's flow, in order, and how many units
+// of supply they have together. Quota and pool units are taken for all of them.
+func flowNodes(in *Input, order []int, free []api.Resources, remainingQuota map[api.Team]api.Resources, units map[api.PoolName]int, maxStarts int) ([]flowNode, int) {
 	var nodes []flowNode
 	total := 0
 	for _, jobIndex := range order {
@@ -475,9 +505,11 @@
 			break // enough to fill the round; the others come after these
 		}
 	}
-	if total == 0 {
-		return nil
-	}
+	return nodes, total
+}
+
+// solveFlow finds the min-cost flow of at most maxStarts units and marks the edges that carry it.
+func solveFlow(nodes []flowNode, total, maxStarts int) {
 	// Machines without an edge need no node.
 	machineNodes := make(map[int]int)
 	for i := range nodes {
@@ -508,11 +540,21 @@
 		}
 	}
 	g.MinCostFlow(source, sink, min(total, maxStarts))
+	for i := range nodes {
+		for k := range nodes[i].edges {
+			l := &nodes[i].edges[k]
+			l.used = g.Flow(l.edge) > 0
+		}
+	}
+}
+
+// flowAssignments turns the edges that carry flow into assignments of each job's next pending task.
+func flowAssignments(in *Input, nodes []flowNode) []Assignment {
 	var plan []Assignment
 	next := map[int]int{}
 	for i := range nodes {
 		for _, l := range nodes[i].edges {
-			if g.Flow(l.edge) > 0 {
+			if l.used {
 				j := &in.Jobs[l.job]
 				plan = append(plan, Assignment{l.job, j.Pending[next[l.job]], l.machine})
 				next[l.job]++
--- a/server/server.go
+++ b/server/server.go
@@ -337,21 +337,7 @@
 		return method("GET", message.ListHistory{Req: req, After: after, Limit: limit, Caller: caller})
 	}
 	if strings.HasPrefix(r.Path, admin.Prefix) {
-		if s.config.Hosted == nil && admin.IsHostedPath(r.Path) {
-			return nil, 404
-		}
-		c, status := admin.Command(req, r)
-		if ask, ok := c.(message.AdminRequest); ok {
-			ask.Caller = caller
-			if strings.HasSuffix(ask.What, "key-add") {
-				ask.Random = new([tenant.RandomBytes]byte)
-				if _, err := rand.Read(ask.Random[:]); err != nil {
-					return nil, 503
-				}
-			}
-			c = ask
-		}
-		return c, status
+		return s.routeAdmin(req, r, caller)
 	}
 	rest, ok := strings.CutPrefix(r.Path, api.PathJobs+"/")
 	if !ok || rest == "" {
@@ -366,3 +352,24 @@
 	}
 	return nil, 404
 }
+
+// routeAdmin finds the command for an operator's request. Random bytes for a new key come from
+// here: the controller's decisions read no source of chance of the machine's.
+func (s *Server) routeAdmin(req message.ReqID, r httpx.Request, caller message.Caller) (message.Command, int) {
+	if s.config.Hosted == nil && admin.IsHostedPath(r.Path) {
+		return nil, 404
+	}
+	c, status := admin.Command(req, r)
+	request, ok := c.(message.AdminRequest)
+	if !ok {
+		return c, status
+	}
+	request.Caller = caller
+	if strings.HasSuffix(request.What, "key-add") {
+		request.Random = new([tenant.RandomBytes]byte)
+		if _, err := rand.Read(request.Random[:]); err != nil {
+			return nil, 503
+		}
+	}
+	return request, status
+}
