--- a/controller/admin.go
+++ b/controller/admin.go
@@ -164,7 +164,7 @@
 			ad.core.ReplyError(c.Req, 404, "no such job, or it is over")
 			return
 		}
-		ad.core.Reply(c.Req, 200, ad.c.jobs.ViewJob(j, ad.c.jobs.FreeCapacityGroups()), 0)
+		ad.core.Reply(c.Req, 200, ad.c.jobs.ViewJob(j, ad.c.capacity.FreeCapacityGroups()), 0)
 	case "skips", "skips-do":
 		ad.c.reservations.HandleSkipsRequest(c)
 	case "settings":
--- a/controller/backfill.go
+++ b/controller/backfill.go
@@ -334,7 +334,7 @@
 type relocationCapacity struct {
 	machines    []*core.Machine
 	claimed     map[*core.Machine]api.Resources
-	otherOwners []freeCapacityGroup
+	otherOwners []core.FreeCapacityGroup
 }
 
 // maxCapacityClaims bounds the waiting tasks that have their room before anything moves into it.
@@ -384,8 +384,8 @@
 		return true
 	}
 	// A job that is all in one place may go to another part that has room.
-	i := slices.IndexFunc(capacity.otherOwners, func(other freeCapacityGroup) bool {
-		return j.Spec.Tasks == 1 && j.Demand.Fits(other.Free) && sched.Feasible(j.Spec, other.machineKind.Type, other.machineKind.Zone, other.machineKind.Spot)
+	i := slices.IndexFunc(capacity.otherOwners, func(other core.FreeCapacityGroup) bool {
+		return j.Spec.Tasks == 1 && j.Demand.Fits(other.Free) && sched.Feasible(j.Spec, other.Class.Type, other.Class.Zone, other.Class.Spot)
 	})
 	if i < 0 {
 		return false
@@ -406,18 +406,18 @@
 }
 
 // freeCapacityElsewhere is the room of other owners' machines, one by one, the fullest first.
-func (bf *Backfiller) freeCapacityElsewhere() []freeCapacityGroup {
-	var out []freeCapacityGroup
+func (bf *Backfiller) freeCapacityElsewhere() []core.FreeCapacityGroup {
+	var out []core.FreeCapacityGroup
 	for _, status := range bf.c.gossiper.PeerPartitionStatuses() {
 		for _, r := range status.Rooms {
 			if k := r.Kind; k >= 0 && k < len(status.Kinds) && status.Kinds[k].Usable && r.Free.GPU > 0 {
 				for range r.Count {
-					out = append(out, freeCapacityGroup{status.Part, status.Kinds[k], message.FreeCapacity{Free: r.Free, Count: 1}})
+					out = append(out, core.FreeCapacityGroup{Partition: status.Part, Class: status.Kinds[k], FreeCapacity: message.FreeCapacity{Free: r.Free, Count: 1}})
 				}
 			}
 		}
 	}
-	slices.SortStableFunc(out, func(a, b freeCapacityGroup) int { return cmp.Compare(a.Free.GPU, b.Free.GPU) })
+	slices.SortStableFunc(out, func(a, b core.FreeCapacityGroup) int { return cmp.Compare(a.Free.GPU, b.Free.GPU) })
 	return out
 }
 
--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -95,8 +95,8 @@
 		t.Errorf("after a second %d were told, %d are to come again", answered, retried)
 	}
 	n.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 2, Jobs: []clusterstate.JobDelta{{Job: j.ID, CancellationAcknowledged: true}}})
-	if n.jobs.AnswerCancellations(); retried != 1 || answered != 1 || len(n.jobs.pendingCancellations) != 0 {
-		t.Errorf("%d were told, %d are to come again, %d wait", answered, retried, len(n.jobs.pendingCancellations))
+	if n.jobs.AnswerCancellations(); retried != 1 || answered != 1 || n.jobs.PendingCancellations() != 0 {
+		t.Errorf("%d were told, %d are to come again, %d wait", answered, retried, n.jobs.PendingCancellations())
 	}
 	if v := n.reporter.ViewMetrics(); v.PendingCancellations != 0 {
 		t.Errorf("%d cancellations wait", v.PendingCancellations)
--- a/controller/capacitytarget_test.go
+++ b/controller/capacitytarget_test.go
@@ -44,12 +44,12 @@
 	for range 10 * 20 { // ten seconds, a thousand submissions
 		n.core.Now = n.core.Now.Add(50 * time.Millisecond)
 		for range 5 {
-			if n.jobs.allowSubmission() {
+			if n.jobs.AllowSubmission() {
 				accepted++
 			}
 		}
 	}
-	if most := int(submissionWriteShare * n.core.Config.Deployment.State.WriteRPS * 11); accepted > most || accepted < most/2 {
+	if most := int(core.SubmissionWriteShare * n.core.Config.Deployment.State.WriteRPS * 11); accepted > most || accepted < most/2 {
 		t.Errorf("%d of 1000 submissions in ten seconds are written, expected %d at most and not much less", accepted, most)
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -12,7 +12,9 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/capacity"
 	"basaltwall/controller/core"
+	"basaltwall/controller/jobs"
 	"basaltwall/controller/message"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
@@ -37,7 +39,8 @@
 	priorities   *Priorities
 	backfiller   *Backfiller
 	balancer     *Balancer
-	jobs         *JobService
+	capacity     *capacity.Counter
+	jobs         *jobs.Service
 	tenancy      *TenantService
 	pools        *PoolManager
 	reservations *ReservationService
@@ -91,12 +94,18 @@
 	n.priorities = &Priorities{core: shared, c: n}
 	n.backfiller = &Backfiller{core: shared, c: n}
 	n.balancer = &Balancer{core: shared, c: n}
-	n.jobs = newJobService(n)
+	n.capacity = capacity.New(shared)
+	n.jobs = jobs.New(shared)
 	n.tenancy = &TenantService{core: shared, c: n}
 	n.pools = &PoolManager{core: shared, c: n}
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.capacity.Connect(capacity.Siblings{Gossip: n.gossiper, Priorities: n.priorities, Tenants: n.tenancy})
+	n.jobs.Connect(jobs.Siblings{
+		Agents: n.agents, Balancer: n.balancer, Capacity: n.capacity, Gossip: n.gossiper, Log: n.follower, Pools: n.pools,
+		Priorities: n.priorities, Reservations: n.reservations, Tenants: n.tenancy,
+	})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -596,7 +596,7 @@
 // if they were empty.
 func (as *Autoscaler) totalCapacitySlots(s *api.JobSpec) int {
 	slots := 0
-	for _, c := range as.c.jobs.TotalSlotsByPartition(s) {
+	for _, c := range as.c.capacity.TotalSlotsByPartition(s) {
 		slots += c
 	}
 	return slots
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -13,6 +13,7 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/controller/core"
+	"basaltwall/controller/jobs"
 	"basaltwall/controller/message"
 	"basaltwall/internal/golden"
 	"basaltwall/pool"
@@ -115,7 +116,7 @@
 	golden.JSON(f, "parts", golden.Filled[[]PartitionView](t))
 	golden.JSON(f, "machines", golden.Filled[[]MachineView](t))
 	golden.JSON(f, "teams", golden.Filled[[]TeamView](t))
-	golden.JSON(f, "jobs", golden.Filled[JobsView](t))
+	golden.JSON(f, "jobs", golden.Filled[jobs.Listing](t))
 	golden.JSON(f, "settings", golden.Filled[VersionedSettings](t))
 	golden.JSON(f, "metrics", golden.Filled[MetricsView](t))
 	golden.JSON(f, "skips", golden.Filled[SkipsView](t))
@@ -137,7 +138,7 @@
 	// Without what may be left out.
 	golden.JSON(f, "empty machine", MachineView{})
 	golden.JSON(f, "empty team", TeamView{})
-	golden.JSON(f, "empty job", JobView{})
+	golden.JSON(f, "empty job", jobs.View{})
 	golden.JSON(f, "empty metrics", MetricsView{Fragmentation: []FragmentationView{{}}, Zones: map[api.Zone]ZoneView{"a": {}}})
 	golden.JSON(f, "empty key", KeyView{})
 	golden.JSON(f, "empty skip", SkipView{Items: []SkipItem{{}}})
--- a/controller/hosted.go
+++ b/controller/hosted.go
@@ -210,7 +210,7 @@
 	ts.withTenantJob(c.Req, hostedForward{Kind: "cancel", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
 		ts.c.jobs.RecordCancellation(id, 5, ts.c.jobs.RespondWhenAcknowledged(c.Forwarded, func(s api.JobStatus) {
 			ts.core.Reply(c.Req, 200, api.JobStatus{JobID: api.JobID(c.Ref), State: s.State}, 0)
-		}, func() { ts.core.ReplyError(c.Req, 503, cancellationPending) }), notFound, forward)
+		}, func() { ts.core.ReplyError(c.Req, 503, core.ReasonCancellationPending) }), notFound, forward)
 	})
 }
 
@@ -283,7 +283,7 @@
 	value := clusterstate.JobValue{Spec: spec, Split: ts.c.jobs.SplitAcrossPartitions(spec), AcceptedAt: ts.core.WallClock, Tenant: string(entry.Name), TenantJobID: tenantJobID}
 	data, err := json.Marshal(value)
 	if err != nil || ts.core.JobExceedsValueSize(data) {
-		refuse(400, specTooLarge, 0)
+		refuse(400, core.ReasonSpecTooLarge, 0)
 		return
 	}
 	jobKey := clusterstate.KeyJob + string(spec.Ref)
@@ -298,7 +298,7 @@
 		case 200:
 			ts.countSubmission(entry.Name, "")
 			ts.core.Reply(c.Req, 201, api.JobStatus{JobID: tenantJobID, State: api.JobPending}, 0)
-			slog.Info("job accepted", "job", spec.Ref, specAttr(spec))
+			slog.Info("job accepted", "job", spec.Ref, core.SpecAttr(spec))
 			written := func() { ts.removePendingSubmission(entry.Name, spec.Ref) }
 			ts.c.follower.LinearizableRead(written, written)
 			return
@@ -333,7 +333,7 @@
 			return false, wait, "rate", "more submissions than agreed"
 		}
 	}
-	if ok, wait := service.fairLimiter.Take(ts.core.Now, entry.Name, submissionWriteShare*ts.core.Config.Deployment.State.WriteRPS/float64(max(1, members))); !ok {
+	if ok, wait := service.fairLimiter.Take(ts.core.Now, entry.Name, core.SubmissionWriteShare*ts.core.Config.Deployment.State.WriteRPS/float64(max(1, members))); !ok {
 		return false, wait, "writes", "more submissions at once than can be written"
 	}
 	return true, 0, "", ""
@@ -600,14 +600,6 @@
 	})
 }
 
-// tenantAttr says in the log whose a job is; of a service without tenants, nothing.
-func tenantAttr(j *core.Job) slog.Attr {
-	if j.Tenant == "" {
-		return slog.Attr{}
-	}
-	return slog.Group("tenant", "name", j.Tenant, "ref", string(j.TenantJobID))
-}
-
 // Enabled reports whether the service is hosted: it has tenants.
 func (ts *TenantService) Enabled() bool { return ts.hosted != nil }
 
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -116,7 +116,7 @@
 		if got := len(n.scheduler.planRound(owned).Starts) > 0; got != starts || n.tenancy.StartsBlocked(j) == starts {
 			t.Errorf("%q: starts %v, held %v", state, got, n.tenancy.StartsBlocked(j))
 		}
-		if waiting := n.jobs.PendingTasksIn(0, j.Spec); (waiting > 0) != starts {
+		if waiting := n.capacity.PendingTasksIn(0, j.Spec); (waiting > 0) != starts {
 			t.Errorf("%q: %d tasks count as waiting", state, waiting)
 		}
 	}
--- /dev/null
+++ b/controller/jobs/query.go
@@ -0,0 +1,92 @@
+package jobs
+
+import (
+	"net/http"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/fairqueue"
+)
+
+// This file answers what has become of a job: from the cluster state if a state that it holds
+// can't change any more, else by a read that is current as of the request.
+
+const reasonNoSuchJob = "no such job"
+
+// JobStatus describes a job that the cluster state holds.
+func (s *Service) JobStatus(id api.JobID) (api.JobStatus, bool) {
+	if j := s.core.State.Jobs[id]; j != nil {
+		status := api.JobStatus{JobID: id, State: j.State()}
+		done, running := j.CompletedCount, len(j.Placements)
+		if status.Terminal() {
+			running = 0
+		}
+		status.Done, status.Running = &done, &running
+		return status, true
+	}
+	if state, ok := s.core.State.JobResults[id]; ok {
+		return api.JobStatus{JobID: id, State: state}, true
+	}
+	return api.JobStatus{}, false
+}
+
+// finalStatus is a job's status if it is final, so that no later read can change it.
+func (s *Service) finalStatus(id api.JobID) (api.JobStatus, bool) {
+	status, ok := s.JobStatus(id)
+	return status, ok && status.Terminal()
+}
+
+// LookupJob finds a job by a read that is current as of the call.
+func (s *Service) LookupJob(id api.JobID, found func(api.JobStatus), notFound, fail func()) {
+	s.siblings.Log.LinearizableRead(func() { s.FindJob(id, found, notFound, fail) }, fail)
+}
+
+// FindJob finds a job in the cluster state, which must be current, or else by its stored result.
+func (s *Service) FindJob(id api.JobID, found func(api.JobStatus), notFound, fail func()) {
+	if status, ok := s.JobStatus(id); ok {
+		found(status)
+		return
+	}
+	s.lookups.add(id, resultWaiter{since: s.core.Now, found: found, notFound: notFound, fail: fail})
+}
+
+// Poll answers a query for a job's status.
+func (s *Service) Poll(c message.Poll) {
+	if s.siblings.Tenants.Enabled() {
+		s.siblings.Tenants.PollHosted(c)
+		return
+	}
+	id := api.JobID(c.Ref)
+	if !api.ValidJobID(c.Ref) {
+		s.core.ReplyError(c.Req, http.StatusNotFound, reasonNoSuchJob)
+		return
+	}
+	reply := func(status api.JobStatus) { s.core.Reply(c.Req, http.StatusOK, status, 0) }
+	if status, ok := s.finalStatus(id); ok {
+		reply(status)
+		return
+	}
+	if s.deferPoll(c.Req, id) {
+		return
+	}
+	forward := func() { s.Forward(c.Req, message.Forward{Kind: forwardPoll, Ref: c.Ref}, c.Forwarded) }
+	if s.ShouldForward(c.Forwarded) {
+		forward()
+		return
+	}
+	notFound := func() { s.core.ReplyError(c.Req, http.StatusNotFound, reasonNoSuchJob) }
+	s.LookupJob(id, reply, notFound, forward)
+}
+
+// deferPoll has a query retried later, if in an overload it is other jobs' turn.
+func (s *Service) deferPoll(req message.ReqID, id api.JobID) bool {
+	sliceCount := fairqueue.SliceCount(s.core.Metrics.Usage.QueuedRequests, core.OverloadQueueLength)
+	eligible, retryIn := fairqueue.Admit(id, s.core.WallClock, sliceCount)
+	if eligible {
+		return false
+	}
+	s.core.Metrics.PollsDeferred++
+	s.core.Reply(req, http.StatusServiceUnavailable, api.ErrorBody{Error: "overloaded: other jobs have their turn"}, int(retryIn.Seconds())+1)
+	return true
+}
--- /dev/null
+++ b/controller/jobs/resultlookup.go
@@ -0,0 +1,160 @@
+package jobs
+
+import (
+	"encoding/json"
+	"log/slog"
+	"net/http"
+	"slices"
+	"strings"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/jobresult"
+)
+
+// This file looks up the final states of jobs that the cluster state no longer holds, one
+// request to the state service at a time.
+
+// resultLookups are the queries for final states that this process does not hold.
+type resultLookups struct {
+	queue    jobresult.Queue
+	waiters  map[api.JobID][]resultWaiter
+	inFlight bool
+	nextAt   api.Time
+}
+
+// resultWaiter is a request that waits for a job's final state.
+type resultWaiter struct {
+	since    api.Time
+	sequence uint64 // of its query
+	found    func(api.JobStatus)
+	notFound func()
+	fail     func()
+}
+
+func newResultLookups() resultLookups {
+	return resultLookups{waiters: map[api.JobID][]resultWaiter{}}
+}
+
+func (l *resultLookups) add(id api.JobID, w resultWaiter) {
+	w.sequence = l.queue.Add(id)
+	l.waiters[id] = append(l.waiters[id], w)
+}
+
+// maxPendingLookups bounds the queries that stay queued though no request waits for them any
+// more.
+const maxPendingLookups = 10_000
+
+// SendResultLookup sends the next request for final states. A user's request that has waited
+// for as long as users do fails; its query stays queued, so that the state is known when the
+// user retries. So each query is answered within one cycle of the queue, whatever else is
+// asked.
+func (s *Service) SendResultLookup() {
+	s.expireResultWaiters()
+	lookups := &s.lookups
+	if lookups.inFlight || s.core.Now < lookups.nextAt {
+		return
+	}
+	query, ok := lookups.queue.Next()
+	if !ok {
+		return
+	}
+	lookups.inFlight, lookups.nextAt = true, s.core.Now.Add(s.core.LookupInterval)
+	s.core.CallStore(resultQuery(query), func(response message.StoreResponse) {
+		lookups.inFlight = false
+		switch {
+		case query.JobID != "" && (response.Status == http.StatusOK || response.Status == http.StatusNotFound):
+			s.handleSingleResult(query, response)
+		case query.JobID == "" && response.Status == http.StatusOK:
+			s.handleResultPage(query, response)
+		}
+	})
+}
+
+// expireResultWaiters fails the requests that have waited for too long, in the order of their
+// jobs, so that the effects do not depend on the order of a map.
+func (s *Service) expireResultWaiters() {
+	lookups := &s.lookups
+	expired := func(w resultWaiter) bool { return s.core.Now.Sub(w.since) > core.StoreTimeout }
+	var late []api.JobID
+	for id, waiters := range lookups.waiters {
+		if expired(waiters[0]) {
+			late = append(late, id)
+		}
+	}
+	slices.Sort(late)
+	for _, id := range late {
+		waiters := lookups.waiters[id]
+		count := 0
+		for ; count < len(waiters) && expired(waiters[count]); count++ {
+			waiters[count].fail()
+		}
+		if count < len(waiters) {
+			lookups.waiters[id] = waiters[count:]
+			continue
+		}
+		delete(lookups.waiters, id)
+		if lookups.queue.Len() > maxPendingLookups {
+			lookups.queue.Remove(id)
+		}
+	}
+}
+
+// resultQuery is the read of one job's final state, or of a page of them.
+func resultQuery(query jobresult.Request) message.StoreCall {
+	if query.JobID != "" {
+		return message.StoreCall{Get: clusterstate.KeyJobResult + string(query.JobID)}
+	}
+	return message.StoreCall{Page: &message.PageRequest{
+		Prefix: clusterstate.KeyJobResult,
+		After:  clusterstate.KeyJobResult + query.After,
+		Limit:  jobresult.PageSize,
+	}}
+}
+
+func (s *Service) handleSingleResult(query jobresult.Request, response message.StoreResponse) {
+	var state api.JobState
+	if response.Status == http.StatusOK && json.Unmarshal(response.Pair.Value, &state) != nil {
+		return
+	}
+	if result, ok := s.lookups.queue.HandleSingle(query, state); ok {
+		s.deliverResult(result)
+	}
+}
+
+func (s *Service) handleResultPage(query jobresult.Request, response message.StoreResponse) {
+	var states []jobresult.Result
+	for _, pair := range response.Page.Pairs {
+		result := jobresult.Result{JobID: api.JobID(strings.TrimPrefix(pair.Key, clusterstate.KeyJobResult))}
+		if err := json.Unmarshal(pair.Value, &result.State); err != nil {
+			slog.Error("final job state could not be decoded", "key", pair.Key, "err", err)
+		}
+		states = append(states, result)
+	}
+	for _, result := range s.lookups.queue.HandlePage(query, states, response.Page.More) {
+		s.deliverResult(result)
+	}
+}
+
+// deliverResult answers the requests that wait for a job's final state. That there is none is
+// an answer only for those that came before it was read: a later one may come after the job's
+// end, of which another controller has told the user.
+func (s *Service) deliverResult(result jobresult.Result) {
+	waiters := s.lookups.waiters[result.JobID]
+	delete(s.lookups.waiters, result.JobID)
+	if result.State != "" {
+		s.core.State.SetJobResult(result.JobID, result.State)
+		for _, w := range waiters {
+			w.found(api.JobStatus{JobID: result.JobID, State: result.State})
+		}
+		return
+	}
+	if first := slices.IndexFunc(waiters, func(w resultWaiter) bool { return w.sequence > result.MaxSeq }); first >= 0 {
+		s.lookups.waiters[result.JobID], waiters = waiters[first:], waiters[:first]
+	}
+	for _, w := range waiters {
+		w.notFound()
+	}
+}
--- /dev/null
+++ b/controller/jobs/split.go
@@ -0,0 +1,84 @@
+package jobs
+
+import (
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+)
+
+// This file divides a new job's tasks among the partitions.
+
+// minPartitionWeight is the weight of a partition that has no capacity to spare: it may get a
+// few of a large job's tasks all the same.
+const minPartitionWeight = 0.01
+
+// SplitAcrossPartitions divides a new job's tasks among the partitions by the capacity that is
+// free there and not waited for already. All tasks go to one partition where the job needs that.
+func (s *Service) SplitAcrossPartitions(spec *api.JobSpec) []clusterstate.TaskRange {
+	freeSlots := s.siblings.Capacity.FreeSlotsByPartition(spec)
+	weights := make([]float64, len(s.core.State.Partitions))
+	for i := range weights {
+		weights[i] = float64(freeSlots[i]) - float64(s.siblings.Capacity.PendingTasksIn(api.PartitionID(i), spec))
+	}
+	switch {
+	case spec.NeedsSinglePartition():
+		return allIn(s.partitionFor(spec, weights, freeSlots), spec.Tasks)
+	case spec.Tasks == 1:
+		return allIn(heaviest(weights, nil), spec.Tasks)
+	}
+	return splitByWeight(weights, spec.Tasks)
+}
+
+// partitionFor is the partition for a job whose tasks must be in one: with capacity for all of
+// them if there is one, or else with capacity once others are preempted.
+func (s *Service) partitionFor(spec *api.JobSpec, weights []float64, freeSlots []int) api.PartitionID {
+	fitting, afterPreemption := s.siblings.Balancer.PartitionsWithCapacity(spec)
+	if len(fitting) == 0 {
+		fitting = afterPreemption
+	}
+	if len(fitting) == 0 {
+		// It has to wait, or to preempt lower work, where there are machines for it at all.
+		for i, total := range s.siblings.Capacity.TotalSlotsByPartition(spec) {
+			weights[i] += float64(total) - float64(freeSlots[i])
+		}
+	}
+	return heaviest(weights, fitting)
+}
+
+// heaviest is the partition of the highest weight, of the preferred ones if there are any.
+func heaviest(weights []float64, preferred map[api.PartitionID]bool) api.PartitionID {
+	best := 0
+	for i := range weights {
+		isPreferred, bestPreferred := preferred[api.PartitionID(i)], preferred[api.PartitionID(best)]
+		if isPreferred && !bestPreferred || isPreferred == bestPreferred && weights[i] > weights[best] {
+			best = i
+		}
+	}
+	return api.PartitionID(best)
+}
+
+func allIn(partition api.PartitionID, tasks int) []clusterstate.TaskRange {
+	return []clusterstate.TaskRange{{From: 0, To: tasks, Partition: partition}}
+}
+
+// splitByWeight gives each partition a range of tasks in proportion to its weight.
+func splitByWeight(weights []float64, tasks int) []clusterstate.TaskRange {
+	total := 0.0
+	for i := range weights {
+		weights[i] = max(weights[i], minPartitionWeight)
+		total += weights[i]
+	}
+	var ranges []clusterstate.TaskRange
+	start, sum := 0, 0.0
+	for i, weight := range weights {
+		sum += weight
+		end := int(float64(tasks)*sum/total + 0.5)
+		if i == len(weights)-1 {
+			end = tasks
+		}
+		if end > start {
+			ranges = append(ranges, clusterstate.TaskRange{From: start, To: end, Partition: api.PartitionID(i)})
+			start = end
+		}
+	}
+	return ranges
+}
--- /dev/null
+++ b/controller/jobs/submit.go
@@ -0,0 +1,117 @@
+package jobs
+
+import (
+	"cmp"
+	"encoding/json"
+	"log/slog"
+	"net/http"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+)
+
+// This file accepts jobs: a submission is checked, admitted and written to the state service.
+
+// hostedSubmitTries is how often a hosted service decides anew, by a current read, what it
+// would refuse.
+const hostedSubmitTries = 2
+
+// Submit accepts or refuses a job. It is idempotent: a job accepted earlier must not be
+// refused now, by anything but the request's own bytes, since machine types, limits, and how
+// its tasks would be split, which its record holds, change.
+func (s *Service) Submit(c message.Submit) {
+	if s.siblings.Tenants.Enabled() {
+		s.siblings.Tenants.SubmitHosted(c, hostedSubmitTries)
+		return
+	}
+	spec, err := api.ParseJob(c.Body)
+	if err != nil {
+		s.core.ReplyError(c.Req, http.StatusBadRequest, err.Error())
+		return
+	}
+	sub := &submission{service: s, request: c, spec: spec}
+	if status, ok := s.finalStatus(spec.Ref); ok {
+		sub.replyKnown(status)
+		return
+	}
+	if s.ShouldForward(c.Forwarded) || len(s.core.MachineTypes) == 0 {
+		sub.forward()
+		return
+	}
+	if _, ok := s.core.State.Jobs[spec.Ref]; ok {
+		s.LookupJob(spec.Ref, sub.replyKnown, sub.forward, sub.forward)
+		return
+	}
+	if reason := cmp.Or(s.InfeasibleReason(spec), s.siblings.Pools.CheckPoolNeeds(spec, "")); reason != "" {
+		sub.refuse(http.StatusUnprocessableEntity, reason)
+		return
+	}
+	if !s.AllowSubmission() {
+		s.core.ReplyError(c.Req, http.StatusServiceUnavailable, "more submissions at once than the state service can take")
+		return
+	}
+	sub.write()
+}
+
+// submission is a job that a user submits.
+type submission struct {
+	service *Service
+	request message.Submit
+	spec    *api.JobSpec
+}
+
+func (sub *submission) forward() {
+	f := message.Forward{Kind: forwardSubmit, Body: sub.request.Body}
+	sub.service.Forward(sub.request.Req, f, sub.request.Forwarded)
+}
+
+// replyKnown answers with the state of a job that was accepted earlier.
+func (sub *submission) replyKnown(status api.JobStatus) {
+	sub.service.core.Reply(sub.request.Req, http.StatusOK, api.JobStatus{JobID: status.JobID, State: status.State}, 0)
+}
+
+// refuse refuses the job unless a current read shows that it was accepted earlier.
+func (sub *submission) refuse(status int, reason string) {
+	notFound := func() { sub.service.core.ReplyError(sub.request.Req, status, reason) }
+	sub.service.LookupJob(sub.spec.Ref, sub.replyKnown, notFound, sub.forward)
+}
+
+// write writes the job's record, on the condition that no job of that id was ever accepted.
+func (sub *submission) write() {
+	s := sub.service
+	value, err := json.Marshal(clusterstate.JobValue{Spec: sub.spec, Split: s.SplitAcrossPartitions(sub.spec), AcceptedAt: s.core.WallClock})
+	if err != nil || s.core.JobExceedsValueSize(value) {
+		sub.refuse(http.StatusBadRequest, core.ReasonSpecTooLarge)
+		return
+	}
+	jobKey, resultKey := clusterstate.KeyJob+string(sub.spec.Ref), clusterstate.KeyJobResult+string(sub.spec.Ref)
+	tx := api.Txn{
+		If:     []api.Condition{{Key: jobKey}, {Key: resultKey}},
+		Writes: []api.Write{{Put: jobKey, Value: value}},
+	}
+	// With a peer that can help, an answer that does not come soon is not waited for: the
+	// peer may write the same job, and one of the two counts.
+	timeout := core.StoreTimeout
+	if !sub.request.Forwarded && len(s.ForwardTargets()) > 0 {
+		timeout = core.StoreSlowAfter
+	}
+	s.core.CallStore(message.StoreCall{Txn: &tx, Timeout: timeout}, sub.handleWritten)
+}
+
+func (sub *submission) handleWritten(response message.StoreResponse) {
+	s, id := sub.service, sub.spec.Ref
+	switch response.Status {
+	case http.StatusOK:
+		s.core.Reply(sub.request.Req, http.StatusCreated, api.JobStatus{JobID: id, State: api.JobPending}, 0)
+		slog.Info("job accepted", "job", id, core.SpecAttr(sub.spec))
+		s.siblings.Log.LinearizableRead(func() {}, func() {}) // so that its first round comes soon
+	case http.StatusConflict:
+		s.LookupJob(id, sub.replyKnown, sub.forward, sub.forward)
+	case http.StatusTooManyRequests: // a peer would be refused too
+		s.core.ReplyError(sub.request.Req, http.StatusServiceUnavailable, "the state service is at its limit")
+	default:
+		sub.forward()
+	}
+}
--- a/controller/jobs_test.go
+++ b/controller/jobs_test.go
@@ -9,6 +9,7 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/jobs"
 )
 
 // manyJobs is a controller with so many waiting jobs of two teams, each a second
@@ -48,7 +49,7 @@
 	if j := v.Jobs[0]; j.JobID != "run-100199" || j.Team != "blue" || j.Tardiness != 109 || len(j.Reasons) == 0 {
 		t.Errorf("first comes %+v", j)
 	}
-	if !slices.IsSortedFunc(v.Jobs, func(a, b JobView) int { return int(b.Tardiness - a.Tardiness) }) {
+	if !slices.IsSortedFunc(v.Jobs, func(a, b jobs.View) int { return int(b.Tardiness - a.Tardiness) }) {
 		t.Errorf("not by lateness: %+v", v.Jobs)
 	}
 	for _, j := range n.jobs.ViewJobs("blue", 1000).Jobs {
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -271,7 +271,7 @@
 			if taskReport.State != api.TaskFetching {
 				am.cacheImage(m, p.Job.Spec)
 			}
-			owned.Dirty = owned.Dirty || p.Job.Cancelled && !(p.OwnerState.Reported && taskStarted(p.OwnerState.State)) // takesIn may hold now
+			owned.Dirty = owned.Dirty || p.Job.Cancelled && !(p.OwnerState.Reported && core.TaskStarted(p.OwnerState.State)) // takesIn may hold now
 			p.OwnerState.Reported, p.OwnerState.State = true, taskReport.State
 		}
 	}
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -151,7 +151,7 @@
 
 // longPendingJobs counts the jobs of our parts that have waited for long without a task there, by reason.
 func (mr *MetricsReporter) longPendingJobs() map[string]int {
-	out, rooms, budget := map[string]int{}, mr.c.jobs.FreeCapacityGroups(), maxLongPending
+	out, rooms, budget := map[string]int{}, mr.c.capacity.FreeCapacityGroups(), maxLongPending
 	for _, ref := range slices.Sorted(maps.Keys(mr.core.State.PendingJobs)) {
 		j := mr.core.State.PendingJobs[ref]
 		for _, p := range slices.Sorted(maps.Keys(mr.core.Partitions)) {
--- a/controller/partition.go
+++ b/controller/partition.go
@@ -63,7 +63,7 @@
 			p.Job.OwnerState.LostTasks++
 			p.Job.OwnerState.LastLossAt, p.Job.OwnerState.PreemptedForStart = rs.core.Now, false
 		}
-		slog.Info("task ended", tenantAttr(p.Job), "task", p.Task, "machine", p.Machine, "reason", reason)
+		slog.Info("task ended", core.TenantAttr(p.Job), "task", p.Task, "machine", p.Machine, "reason", reason)
 	}
 }
 
@@ -374,7 +374,7 @@
 		rs.c.backfiller.ChargeMustStartCredit(owned, j, input.Jobs[pl.JobIndex].AgingStage)
 		if !j.OwnerState.StartPlanned {
 			j.OwnerState.StartPlanned = true
-			slog.Info("job starts", tenantAttr(j), "job", j.ID, specAttr(j.Spec), "partition", owned.ID, "after", float64(rs.core.WallClock-j.AcceptedAt)/1000)
+			slog.Info("job starts", core.TenantAttr(j), "job", j.ID, core.SpecAttr(j.Spec), "partition", owned.ID, "after", float64(rs.core.WallClock-j.AcceptedAt)/1000)
 		}
 		if j.OwnerState.LastLossAt != 0 && j.Spec.Kind == api.Service {
 			slog.Debug("replica restarted", "job", j.ID, "task", pl.Task, "machine", m.ID, "type", m.MachineType, "lost_s", rs.core.Now.Sub(j.OwnerState.LastLossAt).Seconds(),
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -175,7 +175,7 @@
 // hasCapacityFor reports whether work that asks for units could start where it does. Work that moves
 // whole, or makes others make way, needs its units first.
 func (pm *PoolManager) hasCapacityFor(a poolRequest) bool {
-	return a.job.Spec.NeedsSinglePartition() || pm.c.jobs.FreeSlotsByPartition(a.job.Spec)[a.partition] > 0
+	return a.job.Spec.NeedsSinglePartition() || pm.c.capacity.FreeSlotsByPartition(a.job.Spec)[a.partition] > 0
 }
 
 func (pm *PoolManager) poolEntry(name api.PoolName) *pool.Entry {
@@ -362,7 +362,7 @@
 			if pm.core.Partitions[pl.Partition] != nil && !pl.OwnerState.StopRequested {
 				pm.c.scheduler.StopTask(pl)
 				pl.Job.OwnerState.PreemptedTasks++
-				slog.Info("task preempted", tenantAttr(pl.Job), "task", pl.Task, "machine", pl.Machine, "pool", e.Name)
+				slog.Info("task preempted", core.TenantAttr(pl.Job), "task", pl.Task, "machine", pl.Machine, "pool", e.Name)
 			}
 		}
 	}
@@ -400,7 +400,7 @@
 			continue
 		}
 		if freeSlots[a.job] == nil {
-			freeSlots[a.job] = pm.c.jobs.FreeSlotsByPartition(a.job.Spec)
+			freeSlots[a.job] = pm.c.capacity.FreeSlotsByPartition(a.job.Spec)
 		}
 		startable := a.ask
 		startable.Starts = min(startable.Starts, freeSlots[a.job][a.partition])
@@ -467,7 +467,7 @@
 func (pm *PoolManager) PoolBacklog(name api.PoolName) (units int, oldest float64) {
 	for _, a := range pm.poolRequests(name) {
 		units += a.ask.Units * a.ask.Starts
-		oldest = max(oldest, roundToTenth(float64(pm.core.WallClock-a.job.AcceptedAt)/1000))
+		oldest = max(oldest, core.RoundToTenth(float64(pm.core.WallClock-a.job.AcceptedAt)/1000))
 	}
 	return units, oldest
 }
--- a/controller/rebalance.go
+++ b/controller/rebalance.go
@@ -44,7 +44,7 @@
 			continue // room is gathered for it here
 		}
 		stuck := j.OwnerState.Unplaceable && bl.c.backfiller.WaitStage(j, owned.ID) != sched.NotAged && bl.core.Now.Sub(j.OwnerState.RebalancedAt) > stuckMoveInterval
-		freeSlots := bl.c.jobs.FreeSlotsByPartition(j.Spec)
+		freeSlots := bl.c.capacity.FreeSlotsByPartition(j.Spec)
 		if freeSlots[owned.ID] > 0 && j.Spec.Kind == api.Array {
 			continue // it will be placed here
 		}
@@ -53,11 +53,11 @@
 			if api.PartitionID(q) == owned.ID {
 				continue
 			}
-			if r := freeSlots[q] - bl.c.jobs.PendingTasksIn(api.PartitionID(q), j.Spec); r > moveCount {
+			if r := freeSlots[q] - bl.c.capacity.PendingTasksIn(api.PartitionID(q), j.Spec); r > moveCount {
 				best, moveCount = api.PartitionID(q), r
 			}
 		}
-		if capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec); j.Spec.NeedsSinglePartition() && moveCount == 0 && capacity[owned.ID] < j.Spec.Tasks {
+		if capacity := bl.c.capacity.TotalSlotsByPartition(j.Spec); j.Spec.NeedsSinglePartition() && moveCount == 0 && capacity[owned.ID] < j.Spec.Tasks {
 			// It can never be placed here; there it may wait or have others
 			// make way.
 			for q, c := range capacity {
@@ -88,7 +88,7 @@
 		if moveCount == 0 && stuck {
 			// It must begin, and nothing that it may use comes free here by itself: the next
 			// part that has such machines may be better off.
-			capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec)
+			capacity := bl.c.capacity.TotalSlotsByPartition(j.Spec)
 			for i := 1; i < len(capacity) && moveCount == 0; i++ {
 				if q := (int(owned.ID) + i) % len(capacity); capacity[q] > 0 {
 					best, moveCount = api.PartitionID(q), waiting
@@ -132,13 +132,13 @@
 	if len(bl.core.Settings.Priority) == 0 {
 		return 0, 0
 	}
-	capacity := bl.c.jobs.TotalSlotsByPartition(j.Spec)
-	ownWaiting, ownCapacity := bl.c.jobs.PendingTasksIn(owned.ID, j.Spec), float64(capacity[owned.ID])
+	capacity := bl.c.capacity.TotalSlotsByPartition(j.Spec)
+	ownWaiting, ownCapacity := bl.c.capacity.PendingTasksIn(owned.ID, j.Spec), float64(capacity[owned.ID])
 	for other, c := range capacity {
 		if api.PartitionID(other) == owned.ID || c == 0 {
 			continue
 		}
-		otherWaiting := bl.c.jobs.PendingTasksIn(api.PartitionID(other), j.Spec)
+		otherWaiting := bl.c.capacity.PendingTasksIn(api.PartitionID(other), j.Spec)
 		if surplus := (float64(ownWaiting)*float64(c) - float64(otherWaiting)*ownCapacity) / (ownCapacity + float64(c)); int(surplus) > moveCount && surplus > minRebalanceShare*float64(ownWaiting) {
 			to, moveCount = api.PartitionID(other), min(waiting, int(surplus))
 		}
--- a/controller/submit_test.go
+++ b/controller/submit_test.go
@@ -116,7 +116,7 @@
 		answerRead(t, n)
 	}
 	answer := func(status int, state string) {
-		n.jobs.resultLookups.nextAt = 0
+		n.core.Now = n.core.Now.Add(n.core.LookupInterval)
 		n.jobs.SendResultLookup()
 		for _, e := range n.core.Effects {
 			if c, ok := e.(message.StoreCall); ok && c.Get != "" && n.core.PendingCalls[c.ID] != nil {
@@ -127,7 +127,7 @@
 		t.Fatal("no final state is looked for")
 	}
 	ask(1)
-	n.jobs.resultLookups.nextAt = 0
+	n.core.Now = n.core.Now.Add(n.core.LookupInterval)
 	n.jobs.SendResultLookup() // its request is on its way
 	ask(2)
 	answer(404, "")
