--- a/controller/controller.go
+++ b/controller/controller.go
@@ -13,6 +13,7 @@
 	"basaltwall/clusterstate"
 	"basaltwall/config"
 	"basaltwall/controller/core"
+	"basaltwall/controller/logfollow"
 	"basaltwall/controller/message"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
@@ -26,7 +27,7 @@
 	started bool
 
 	core         *core.Core
-	follower     *LogFollower
+	follower     *logfollow.Follower
 	membership   *Membership
 	gossiper     *Gossiper
 	agents       *AgentManager
@@ -45,9 +46,9 @@
 	reporter     *MetricsReporter
 }
 
+// readWaiter waits for a read of the reservation ledger.
 type readWaiter struct {
 	onRead, onFailure func()
-	direct            bool // it wants a read of our own
 }
 
 type redirect struct {
@@ -80,7 +81,7 @@
 func New(cfg *config.Config, incarnation int64) *Controller {
 	shared := core.New(cfg, incarnation)
 	n := &Controller{core: shared}
-	n.follower = &LogFollower{core: shared, c: n}
+	n.follower = logfollow.New(shared)
 	n.membership = newMembership(n)
 	n.gossiper = newGossiper(n)
 	n.agents = newAgentManager(n)
@@ -97,6 +98,7 @@
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.follower.Connect(logfollow.Siblings{State: n, Ownership: n.membership})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
@@ -186,7 +188,7 @@
 		return
 	}
 	n.follower.FollowLog()
-	n.follower.ReplyToFollowers()
+	n.follower.ReplyToSubscribers()
 	n.jobs.SendResultLookup()
 	n.reservations.SyncLedger()
 	n.membership.ClaimPartitions()
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -230,13 +230,12 @@
 func goldenTalk(t *testing.T, n *Controller, command func(), kept map[string][]api.KeyValue) string {
 	t.Helper()
 	var out strings.Builder
-	n.core.Effects, n.follower.readWaiters = nil, nil
+	n.core.Effects = nil
+	n.follower.TakeWaiters()
 	command()
-	for len(n.core.Effects)+len(n.follower.readWaiters) > 0 {
-		waiters := n.follower.readWaiters
-		n.follower.readWaiters = nil
-		for _, w := range waiters {
-			w.onRead()
+	for len(n.core.Effects)+n.follower.WaiterCount() > 0 {
+		for _, w := range n.follower.TakeWaiters() {
+			w.OnRead()
 		}
 		effects := n.core.Effects
 		n.core.Effects = nil
--- a/controller/gossip.go
+++ b/controller/gossip.go
@@ -54,7 +54,7 @@
 // controllers with all that we were told.
 func (gs *Gossiper) gossipThroughRelays(ownGossip *message.Gossip, since api.Time) {
 	relays := gs.c.follower.CurrentRelays()
-	if !isRelay(relays, gs.core.Config.Label) {
+	if !relay.Contains(relays, gs.core.Config.Label) {
 		targets := slices.Sorted(maps.Keys(gs.peers)) // no relay answers
 		if via := gs.c.follower.NextRelay(); via != "" {
 			targets = []api.ControllerID{via}
@@ -65,7 +65,7 @@
 	toRelays, toOthers := *ownGossip, *ownGossip
 	var others []api.ControllerID
 	for _, l := range slices.Sorted(maps.Keys(gs.peers)) {
-		if !isRelay(relays, l) {
+		if !relay.Contains(relays, l) {
 			others = append(others, l)
 		}
 		p := gs.peers[l]
@@ -74,7 +74,7 @@
 		}
 		forwarded := p.gossip
 		toOthers.Passed = append(toOthers.Passed, &forwarded)
-		if p.receivedDirectly && !isRelay(relays, l) {
+		if p.receivedDirectly && !relay.Contains(relays, l) {
 			toRelays.Passed = append(toRelays.Passed, &forwarded)
 		}
 	}
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -244,14 +244,12 @@
 		t.Fatal(err)
 	}
 	n.tenancy.hosted.operators.Keys = []tenant.OperatorKey{{Key: watch, Role: tenant.RoleRead}}
-	n.follower.lastReadAt = n.core.Now
+	n.follower.RecordRead()
 	asks := func(key tenant.Secret, what string) int {
 		n.core.Effects = nil
 		n.dispatch(message.AdminRequest{Req: 1, What: what, Caller: message.Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
-		waiting := n.follower.readWaiters
-		n.follower.readWaiters = nil
-		for _, w := range waiting {
-			w.onFailure() // the state service does not answer
+		for _, w := range n.follower.TakeWaiters() {
+			w.OnFailure() // the state service does not answer
 		}
 		for _, e := range n.core.Effects {
 			if r, ok := e.(message.Reply); ok {
@@ -269,7 +267,7 @@
 		{operatorKeyCacheTTL - time.Second, secret, "machines", 200}, {2 * time.Second, secret, "machines", 503}, {0, first, "machines", 200}, {0, first, "operators", 503}} {
 		n.core.Now = n.core.Now.Add(c.after)
 		if got := asks(c.key, c.what); got != c.want {
-			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.core.Now.Sub(n.follower.lastReadAt), got, c.want)
+			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.core.Now.Sub(n.follower.LastReadAt()), got, c.want)
 		}
 	}
 	n.tenancy.hosted.operators.RetiredAdminKeys = []tenant.KeyID{first.ID}
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -187,7 +187,7 @@
 		StoreRequests: m.StoreRequests, StoreWrites: m.StoreWrites, StoreFailures: m.StoreFailures,
 		StoreRPSLimit: mr.core.Config.Deployment.State.RPS, StoreWriteRPSLimit: mr.core.Config.Deployment.State.WriteRPS,
 		ReadsRelayed: m.ReadsRelayed, ReadsServed: m.ReadsServed, ReadFallbacks: m.ReadFallbacks, ReadsInvalid: m.ReadsInvalid,
-		IsRelay:       mr.c.follower.UsesRelays() && isRelay(mr.c.follower.CurrentRelays(), mr.core.Config.Label),
+		IsRelay:       mr.c.follower.IsRelay(),
 		CloudRequests: m.CloudRequests, CloudRPSLimit: mr.core.Config.Deployment.Cloud.RPS, WorkerCalls: m.WorkerCalls, WorkerHeartbeats: m.WorkerHeartbeats,
 		FlowTasks: m.FlowTasks, FlowMachines: m.FlowMachines, Jobs: len(mr.core.State.Jobs), PendingCalls: len(mr.core.PendingCalls),
 		RequestsWithoutRead: m.RequestsWithoutRead, IndeterminateWrites: m.IndeterminateWrites, IndeterminateWritten: m.IndeterminateWritten, IndeterminateUnwritten: m.IndeterminateUnwritten, LongPendingJobs: mr.longPendingJobs(),
--- a/controller/submit_test.go
+++ b/controller/submit_test.go
@@ -39,7 +39,7 @@
 // answerRead answers the node's current read with changes.
 func answerRead(t *testing.T, n *Controller, log ...api.Change) {
 	t.Helper()
-	n.follower.nextReadAt = 0
+	n.follower.NextReadAt = 0
 	n.follower.FollowLog()
 	for _, e := range n.core.Effects {
 		if c, ok := e.(message.StoreCall); ok && c.Changes != nil && c.Changes.Wait == 0 && n.core.PendingCalls[c.ID] != nil {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -80,6 +80,11 @@
 	return out
 }
 
+// Contains reports whether a controller is among the members.
+func Contains(members []Member, id api.ControllerID) bool {
+	return slices.ContainsFunc(members, func(m Member) bool { return m.ID == id })
+}
+
 // PreferenceOrder is the order in which a controller asks the relays: those of its own zone first.
 func PreferenceOrder(member Member, relays []Member) []api.ControllerID {
 	var out []api.ControllerID
