--- a/controller/controller.go
+++ b/controller/controller.go
@@ -15,6 +15,7 @@
 	"basaltwall/controller/core"
 	"basaltwall/controller/logfollow"
 	"basaltwall/controller/message"
+	"basaltwall/controller/ownership"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
 )
@@ -28,7 +29,7 @@
 
 	core         *core.Core
 	follower     *logfollow.Follower
-	membership   *Membership
+	membership   *ownership.Manager
 	gossiper     *Gossiper
 	agents       *AgentManager
 	health       *ZoneHealth
@@ -82,7 +83,7 @@
 	shared := core.New(cfg, incarnation)
 	n := &Controller{core: shared}
 	n.follower = logfollow.New(shared)
-	n.membership = newMembership(n)
+	n.membership = ownership.New(shared)
 	n.gossiper = newGossiper(n)
 	n.agents = newAgentManager(n)
 	n.health = &ZoneHealth{core: shared, c: n}
@@ -98,6 +99,7 @@
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.membership.Connect(ownership.Siblings{Log: n.follower, Scheduler: n.scheduler})
 	n.follower.Connect(logfollow.Siblings{State: n, Ownership: n.membership})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
@@ -181,7 +183,7 @@
 		callback()
 	}
 	n.reporter.StartWork(message.WorkMembership)
-	n.membership.MaintainMembership()
+	n.membership.MaintainLease()
 	n.jobs.AnswerCancellations()
 	if !n.core.Loaded {
 		n.follower.LoadState()
@@ -191,7 +193,7 @@
 	n.follower.ReplyToSubscribers()
 	n.jobs.SendResultLookup()
 	n.reservations.SyncLedger()
-	n.membership.ClaimPartitions()
+	n.membership.ReconcilePartitions()
 	n.reporter.StartWork(message.WorkFleet)
 	n.autoscaler.ReconcileFleet()
 	n.tenancy.ReconcileTenants()
