--- a/controller/admin.go
+++ b/controller/admin.go
@@ -245,7 +245,7 @@
 	out := []MachineView{}
 	for _, p := range slices.Sorted(maps.Keys(ad.core.Partitions)) {
 		for _, m := range ad.c.agents.MachinesOf(p) {
-			v := MachineView{ID: m.ID, Partition: p, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: []string{}, UnschedulableReason: ad.UnschedulableReason(m, ad.core.Partitions[p])}
+			v := MachineView{ID: m.ID, Partition: p, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: []string{}, UnschedulableReason: string(ad.UnschedulableReason(m, ad.core.Partitions[p]))}
 			for _, placement := range ad.core.State.PlacementsOn(m.ID) {
 				v.Tasks = append(v.Tasks, placement.Task.String())
 			}
@@ -255,12 +255,8 @@
 	return out
 }
 
-// tokenNotAnnounced is why a machine gets no tasks that was heard but does not know our
-// term yet: it will within a moment.
-const tokenNotAnnounced = "our term has not been announced to it"
-
 // UnschedulableReason says why a machine gets no new tasks, or nothing.
-func (ad *AdminService) UnschedulableReason(m *core.Machine, owned *core.OwnedPartition) string {
+func (ad *AdminService) UnschedulableReason(m *core.Machine, owned *core.OwnedPartition) core.UnschedulableReason {
 	switch {
 	case m.Deleting:
 		return "is being returned"
@@ -287,7 +283,7 @@
 	case ad.outboundCutOff(m, owned):
 		return "its reports do not reach us, so its lease will end"
 	case m.ReportedToken < ad.core.MinToken(owned, m.ID):
-		return tokenNotAnnounced
+		return core.ReasonTokenNotAnnounced
 	}
 	return ""
 }
--- a/controller/backfill_test.go
+++ b/controller/backfill_test.go
@@ -64,7 +64,8 @@
 func TestForwardingRotatesPeers(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	for _, l := range []api.ControllerID{"x", "y"} {
-		n.gossiper.peers[l] = &peerStatus{gossip: message.Gossip{From: l, StateOK: true}, receivedAt: n.core.Now}
+		n.gossiper.AddPeer(l)
+		n.gossiper.Merge(&message.Gossip{From: l, StateOK: true}, false)
 	}
 	n.core.StoreHealthy = false
 	firstAsked := map[api.ControllerID]int{}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -13,6 +13,7 @@
 	"basaltwall/clusterstate"
 	"basaltwall/config"
 	"basaltwall/controller/core"
+	"basaltwall/controller/gossip"
 	"basaltwall/controller/logfollow"
 	"basaltwall/controller/message"
 	"basaltwall/controller/ownership"
@@ -30,7 +31,7 @@
 	core         *core.Core
 	follower     *logfollow.Follower
 	membership   *ownership.Manager
-	gossiper     *Gossiper
+	gossiper     *gossip.Exchange
 	agents       *AgentManager
 	health       *ZoneHealth
 	autoscaler   *Autoscaler
@@ -57,18 +58,6 @@
 	at api.Time
 }
 
-type peerStatus struct {
-	gossip           message.Gossip
-	receivedAt       api.Time
-	receivedDirectly bool // it came from the controller itself
-	sendInFlight     bool
-}
-
-// recent reports whether a peer's news is still worth believing.
-func (p *peerStatus) recent(now api.Time) bool {
-	return p.receivedAt != 0 && now.Sub(p.receivedAt) <= 5*time.Second
-}
-
 // NewState is an empty book; the kinds of records that stand for themselves are
 // registered here.
 func (n *Controller) NewState() *core.ClusterState {
@@ -84,7 +73,7 @@
 	n := &Controller{core: shared}
 	n.follower = logfollow.New(shared)
 	n.membership = ownership.New(shared)
-	n.gossiper = newGossiper(n)
+	n.gossiper = gossip.New(shared)
 	n.agents = newAgentManager(n)
 	n.health = &ZoneHealth{core: shared, c: n}
 	n.autoscaler = newAutoscaler(n)
@@ -100,6 +89,10 @@
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
 	n.membership.Connect(ownership.Siblings{Log: n.follower, Scheduler: n.scheduler})
+	n.gossiper.Connect(gossip.Siblings{
+		Log: n.follower, Agents: n.agents, Inventory: n.autoscaler, Autoscaler: n.autoscaler,
+		Scheduler: n.scheduler, Health: n.health, Eligibility: n.admin, Preemptor: n.preemptor,
+	})
 	n.follower.Connect(logfollow.Siblings{State: n, Ownership: n.membership})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
@@ -157,7 +150,7 @@
 	case message.WorkerHeartbeat:
 		n.agents.HandleHeartbeat(c)
 	case message.PeerGossip:
-		n.gossiper.HandleGossip(c)
+		n.gossiper.Handle(c)
 	case message.ReadLog:
 		n.follower.HandleReadLog(c)
 	case message.MalformedMessage:
@@ -211,5 +204,5 @@
 	n.health.EvacuateZones()
 	n.autoscaler.ProcessDeletions()
 	n.reporter.StartWork(message.WorkGossip)
-	n.gossiper.SendGossip()
+	n.gossiper.Send()
 }
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -213,7 +213,7 @@
 	f := golden.Open(t)
 	n := manyControllers(t, 2)
 	n.core.Loaded, n.core.StoreHealthy = true, false
-	n.gossiper.peers["n-00"].receivedAt, n.gossiper.peers["n-00"].gossip.StateOK = n.core.Now, true
+	n.gossiper.Merge(&message.Gossip{From: "n-00", StateOK: true}, false)
 	n.dispatch(message.AdminRequest{Req: 1, What: "skips-do", ID: "hof-nord", Sub: "out", After: "six-1", Limit: 2, Body: []byte(`{"skip":"six-1"}`), Caller: message.Caller{Auth: "Bearer x"}})
 	if len(n.core.Effects) != 1 {
 		t.Fatalf("%+v", n.core.Effects)
--- /dev/null
+++ b/controller/gossip/send.go
@@ -0,0 +1,130 @@
+package gossip
+
+import (
+	"maps"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/relay"
+)
+
+// This file sends this controller's gossip: to all peers, or, where there are relays, to a relay,
+// which forwards it. So the number of messages grows with the controllers and not with their square.
+
+// overloadFactor is how many times rarer an overloaded controller sends its gossip: it is trusted for
+// a few seconds.
+const overloadFactor = 5
+
+// Send sends this controller's gossip if it is due.
+func (x *Exchange) Send() {
+	if x.core.Now < x.nextSendAt || x.core.Overloaded() && x.core.Now < x.nextSendAt.Add((overloadFactor-1)*core.GossipInterval) {
+		return
+	}
+	previouslySentAt := x.lastSentAt
+	x.nextSendAt, x.lastSentAt = x.core.Now.Add(core.GossipInterval), x.core.Now
+	x.siblings.Agents.ExpireRedirects()
+	own := x.ownGossip()
+	if x.siblings.Log.UsesRelays() {
+		x.sendThroughRelays(own, previouslySentAt)
+	} else {
+		x.sendTo(x.Peers(), own)
+	}
+}
+
+// ownGossip is what this controller sends of itself.
+func (x *Exchange) ownGossip() *message.Gossip {
+	x.lastNumber++
+	own := &message.Gossip{
+		From: x.core.Config.Label, Born: x.core.Incarnation, Number: x.lastNumber,
+		StateOK: !x.core.StoreUnreachable(),
+	}
+	for _, p := range slices.Sorted(maps.Keys(x.core.Partitions)) {
+		owned := x.core.Partitions[p]
+		own.Parts = append(own.Parts, x.partitionStatus(owned))
+		x.recordDemand(p, owned.QuotaDemand)
+	}
+	if x.core.Partitions[0] != nil { // its owner scales out for the whole cluster
+		own.Rented = x.siblings.Inventory.ProvisionedNotListed()
+	}
+	return own
+}
+
+// sendThroughRelays sends this controller's gossip where there are relays. A controller that is none
+// sends it to one. A relay sends it to the other relays with what its clients have sent since its last
+// gossip, and to its clients with all that it has received since.
+func (x *Exchange) sendThroughRelays(own *message.Gossip, since api.Time) {
+	relays := x.siblings.Log.CurrentRelays()
+	if !relay.Contains(relays, x.core.Config.Label) {
+		x.sendToRelay(own)
+		return
+	}
+	toRelays, toClients := *own, *own
+	var nonRelays []api.ControllerID
+	for _, id := range x.Peers() {
+		isRelay := relay.Contains(relays, id)
+		if !isRelay {
+			nonRelays = append(nonRelays, id)
+		}
+		p := x.peers[id]
+		if p.receivedAt == 0 || p.receivedAt < since {
+			continue
+		}
+		forwarded := p.gossip
+		toClients.Passed = append(toClients.Passed, &forwarded)
+		if p.receivedDirectly && !isRelay {
+			toRelays.Passed = append(toRelays.Passed, &forwarded)
+		}
+	}
+	x.sendTo(x.otherRelays(relays), &toRelays)
+	x.sendTo(x.clientsOf(relays, nonRelays), &toClients)
+}
+
+// sendToRelay sends gossip to the relay of this controller, or to all peers if no relay answers.
+func (x *Exchange) sendToRelay(own *message.Gossip) {
+	targets := x.Peers()
+	if via := x.siblings.Log.NextRelay(); via != "" {
+		targets = []api.ControllerID{via}
+	}
+	x.sendTo(targets, own)
+}
+
+// otherRelays are the relays without this controller.
+func (x *Exchange) otherRelays(relays []relay.Member) []api.ControllerID {
+	var others []api.ControllerID
+	for _, r := range relays {
+		if r.ID != x.core.Config.Label {
+			others = append(others, r.ID)
+		}
+	}
+	return others
+}
+
+// clientsOf are the controllers that this one serves as a relay: those that prefer it or have chosen
+// it, and those that are not known to be live, since nobody knows which relay they use.
+func (x *Exchange) clientsOf(relays []relay.Member, nonRelays []api.ControllerID) []api.ControllerID {
+	return slices.DeleteFunc(nonRelays, func(id api.ControllerID) bool {
+		member := relay.Member{ID: id, Zone: x.siblings.Log.ZoneOfController(id)}
+		prefersUs := relay.PreferenceOrder(member, relays)[0] == x.core.Config.Label
+		hasChosenUs := x.peers[id].receivedDirectly && x.peers[id].recent(x.core.Now)
+		return x.core.IsLive(id) && !prefersUs && !hasChosenUs
+	})
+}
+
+// sendTo sends gossip to peers, except those to which a message is still on its way.
+func (x *Exchange) sendTo(targets []api.ControllerID, g *message.Gossip) {
+	for _, id := range targets {
+		p := x.peers[id]
+		if p == nil || p.sendInFlight {
+			continue
+		}
+		p.sendInFlight = true
+		x.core.CallPeer(id, core.PeerTimeout, message.PeerMessage{Gossip: g}, func(response message.PeerResponse) {
+			p.sendInFlight = false
+			if !response.OK && x.siblings.Log.UsesRelays() {
+				x.siblings.Log.MarkRelayFailed(id)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/controller/gossip/status.go
@@ -0,0 +1,90 @@
+package gossip
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+)
+
+// This file describes the partitions that this controller owns to its peers.
+
+// minFreshDuration is for how long after its first heartbeat a machine counts as fresh at least.
+const minFreshDuration = time.Minute
+
+// demandOf is the part of a partition's status that says what its waiting tasks lack.
+func demandOf(owned *core.OwnedPartition) message.PartitionStatus {
+	return message.PartitionStatus{
+		Part: owned.ID, Want: owned.QuotaDemand, Due: owned.MustStartQuotaDemand,
+		Starved: owned.QuotaStarvedDemand, Lack: owned.UnmetDemands,
+	}
+}
+
+// partitionStatus describes a partition. Machines that are alike are counted, since there may be very
+// many.
+func (x *Exchange) partitionStatus(owned *core.OwnedPartition) message.PartitionStatus {
+	status := demandOf(owned)
+	status.Short = slices.Sorted(maps.Keys(owned.ShortTypes))
+	status.Spare = x.core.RemainingQuota(owned.ID)
+	status.Waiting = owned.PendingTaskCount
+	status.Accelerated = x.siblings.Autoscaler.CountAccelerators(owned.ID)
+	status.Zones = x.siblings.Health.SilentByZone(owned)
+	summary := machineSummary{status: &status, classes: map[message.MachineClass]int{}, capacities: map[message.FreeCapacity]int{}}
+	for _, m := range x.siblings.Agents.MachinesOf(owned.ID) {
+		if m.LastHeartbeat == 0 || m.Deleting {
+			continue
+		}
+		if x.isSilent(m) && len(status.Silent) < message.MaxSilentMachines {
+			status.Silent = append(status.Silent, m.ID)
+		}
+		if x.isFresh(m) && len(status.Fresh) < message.MaxSilentMachines {
+			status.Fresh = append(status.Fresh, m.ID)
+		}
+		summary.add(x.describeMachine(m, owned))
+	}
+	return status
+}
+
+func (x *Exchange) isSilent(m *core.Machine) bool {
+	return x.core.Now.Sub(m.LastHeartbeat) > x.core.HeartbeatTimeout
+}
+
+// isFresh reports whether a machine has come up lately, within twice the time that its type boots.
+func (x *Exchange) isFresh(m *core.Machine) bool {
+	freshDuration := max(minFreshDuration, api.Seconds(2*x.core.BootSeconds(m.MachineType)))
+	return x.core.Now.Sub(m.FirstHeartbeat) < freshDuration
+}
+
+// machineSummary counts the machines of a status by class and free capacity.
+type machineSummary struct {
+	status     *message.PartitionStatus
+	classes    map[message.MachineClass]int // index in status.Kinds
+	capacities map[message.FreeCapacity]int // index in status.Rooms, by capacity with count 0
+}
+
+// add counts the machines of one class that have the same free capacity.
+func (s *machineSummary) add(class message.MachineClass, capacity message.FreeCapacity) {
+	count := capacity.Count
+	capacity.Count = 0
+	capacity.Kind = s.classIndex(class)
+	i, known := s.capacities[capacity]
+	if !known {
+		i = len(s.status.Rooms)
+		s.capacities[capacity] = i
+		s.status.Rooms = append(s.status.Rooms, capacity)
+	}
+	s.status.Rooms[i].Count += count
+}
+
+func (s *machineSummary) classIndex(class message.MachineClass) int {
+	i, known := s.classes[class]
+	if !known {
+		i = len(s.status.Kinds)
+		s.classes[class] = i
+		s.status.Kinds = append(s.status.Kinds, class)
+	}
+	return i
+}
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -108,7 +108,7 @@
 			if entitled {
 				a.Starts = min(a.Starts, (e.Guaranteed[j.Spec.Team]-teams[j.Spec.Team])/a.Units)
 			}
-			a.Reserves = entitled || pm.c.backfiller.WaitStage(j, api.PartitionID(p)) != sched.NotAged || j.Spec.Priority.Rank() >= preemptorRank || a.Units > 1 && pool.ShouldReserve(time.Duration(pm.core.WallClock-j.AcceptedAt)*time.Millisecond)
+			a.Reserves = entitled || pm.c.backfiller.WaitStage(j, api.PartitionID(p)) != sched.NotAged || j.Spec.Priority.Rank() >= core.PreemptorRank || a.Units > 1 && pool.ShouldReserve(time.Duration(pm.core.WallClock-j.AcceptedAt)*time.Millisecond)
 			out = append(out, poolRequest{j, api.PartitionID(p), entitled, a})
 		}
 	}
@@ -375,7 +375,7 @@
 		return nil
 	}
 	for _, a := range requests {
-		if a.job.Spec.Priority.Rank() < preemptorRank {
+		if a.job.Spec.Priority.Rank() < core.PreemptorRank {
 			return nil
 		}
 		if a.ask.Units <= e.Size && pm.hasCapacityFor(a) {
