--- a/controller/controller.go
+++ b/controller/controller.go
@@ -15,7 +15,10 @@
 	"basaltwall/controller/capacity"
 	"basaltwall/controller/core"
 	"basaltwall/controller/jobs"
+	"basaltwall/controller/gossip"
+	"basaltwall/controller/logfollow"
 	"basaltwall/controller/message"
+	"basaltwall/controller/ownership"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
 )
@@ -28,9 +31,9 @@
 	started bool
 
 	core         *core.Core
-	follower     *LogFollower
-	membership   *Membership
-	gossiper     *Gossiper
+	follower     *logfollow.Follower
+	membership   *ownership.Manager
+	gossiper     *gossip.Exchange
 	agents       *AgentManager
 	health       *ZoneHealth
 	autoscaler   *Autoscaler
@@ -48,9 +51,9 @@
 	reporter     *MetricsReporter
 }
 
+// readWaiter waits for a read of the reservation ledger.
 type readWaiter struct {
 	onRead, onFailure func()
-	direct            bool // it wants a read of our own
 }
 
 type redirect struct {
@@ -58,18 +61,6 @@
 	at api.Time
 }
 
-type peerStatus struct {
-	gossip           message.Gossip
-	receivedAt       api.Time
-	receivedDirectly bool // it came from the controller itself
-	sendInFlight     bool
-}
-
-// recent reports whether a peer's news is still worth believing.
-func (p *peerStatus) recent(now api.Time) bool {
-	return p.receivedAt != 0 && now.Sub(p.receivedAt) <= 5*time.Second
-}
-
 // NewState is an empty book; the kinds of records that stand for themselves are
 // registered here.
 func (n *Controller) NewState() *core.ClusterState {
@@ -83,9 +74,9 @@
 func New(cfg *config.Config, incarnation int64) *Controller {
 	shared := core.New(cfg, incarnation)
 	n := &Controller{core: shared}
-	n.follower = &LogFollower{core: shared, c: n}
-	n.membership = newMembership(n)
-	n.gossiper = newGossiper(n)
+	n.follower = logfollow.New(shared)
+	n.membership = ownership.New(shared)
+	n.gossiper = gossip.New(shared)
 	n.agents = newAgentManager(n)
 	n.health = &ZoneHealth{core: shared, c: n}
 	n.autoscaler = newAutoscaler(n)
@@ -106,6 +97,12 @@
 		Agents: n.agents, Balancer: n.balancer, Capacity: n.capacity, Gossip: n.gossiper, Log: n.follower, Pools: n.pools,
 		Priorities: n.priorities, Reservations: n.reservations, Tenants: n.tenancy,
 	})
+	n.membership.Connect(ownership.Siblings{Log: n.follower, Scheduler: n.scheduler})
+	n.gossiper.Connect(gossip.Siblings{
+		Log: n.follower, Agents: n.agents, Inventory: n.autoscaler, Autoscaler: n.autoscaler,
+		Scheduler: n.scheduler, Health: n.health, Eligibility: n.admin, Preemptor: n.preemptor,
+	})
+	n.follower.Connect(logfollow.Siblings{State: n, Ownership: n.membership})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
@@ -162,7 +159,7 @@
 	case message.WorkerHeartbeat:
 		n.agents.HandleHeartbeat(c)
 	case message.PeerGossip:
-		n.gossiper.HandleGossip(c)
+		n.gossiper.Handle(c)
 	case message.ReadLog:
 		n.follower.HandleReadLog(c)
 	case message.MalformedMessage:
@@ -188,17 +185,17 @@
 		callback()
 	}
 	n.reporter.StartWork(message.WorkMembership)
-	n.membership.MaintainMembership()
+	n.membership.MaintainLease()
 	n.jobs.AnswerCancellations()
 	if !n.core.Loaded {
 		n.follower.LoadState()
 		return
 	}
 	n.follower.FollowLog()
-	n.follower.ReplyToFollowers()
+	n.follower.ReplyToSubscribers()
 	n.jobs.SendResultLookup()
 	n.reservations.SyncLedger()
-	n.membership.ClaimPartitions()
+	n.membership.ReconcilePartitions()
 	n.reporter.StartWork(message.WorkFleet)
 	n.autoscaler.ReconcileFleet()
 	n.tenancy.ReconcileTenants()
@@ -216,5 +213,5 @@
 	n.health.EvacuateZones()
 	n.autoscaler.ProcessDeletions()
 	n.reporter.StartWork(message.WorkGossip)
-	n.gossiper.SendGossip()
+	n.gossiper.Send()
 }
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -214,7 +214,7 @@
 	f := golden.Open(t)
 	n := manyControllers(t, 2)
 	n.core.Loaded, n.core.StoreHealthy = true, false
-	n.gossiper.peers["n-00"].receivedAt, n.gossiper.peers["n-00"].gossip.StateOK = n.core.Now, true
+	n.gossiper.Merge(&message.Gossip{From: "n-00", StateOK: true}, false)
 	n.dispatch(message.AdminRequest{Req: 1, What: "skips-do", ID: "hof-nord", Sub: "out", After: "six-1", Limit: 2, Body: []byte(`{"skip":"six-1"}`), Caller: message.Caller{Auth: "Bearer x"}})
 	if len(n.core.Effects) != 1 {
 		t.Fatalf("%+v", n.core.Effects)
@@ -231,13 +231,12 @@
 func goldenTalk(t *testing.T, n *Controller, command func(), kept map[string][]api.KeyValue) string {
 	t.Helper()
 	var out strings.Builder
-	n.core.Effects, n.follower.readWaiters = nil, nil
+	n.core.Effects = nil
+	n.follower.TakeWaiters()
 	command()
-	for len(n.core.Effects)+len(n.follower.readWaiters) > 0 {
-		waiters := n.follower.readWaiters
-		n.follower.readWaiters = nil
-		for _, w := range waiters {
-			w.onRead()
+	for len(n.core.Effects)+n.follower.WaiterCount() > 0 {
+		for _, w := range n.follower.TakeWaiters() {
+			w.OnRead()
 		}
 		effects := n.core.Effects
 		n.core.Effects = nil
