--- a/controller/cancel.go
+++ b/controller/cancel.go
@@ -32,16 +32,13 @@
 			continue
 		}
 		m := js.core.Machines[p.Machine]
-		if m == nil || m.ReportedToken < js.core.MinToken(owned, m.ID) || !p.OwnerState.Reported || !taskStarted(p.OwnerState.State) {
+		if m == nil || m.ReportedToken < js.core.MinToken(owned, m.ID) || !p.OwnerState.Reported || !core.TaskStarted(p.OwnerState.State) {
 			return false
 		}
 	}
 	return true
 }
 
-// taskStarted reports whether a task in that state has started, so that it can't do so any more.
-func taskStarted(s api.TaskState) bool { return s != api.TaskFetching && s != api.TaskWaiting }
-
 // StopCancelledTasks has the machines called that hold a cancelled job's tasks, once, as soon as the
 // cancellation is read: their next reports may be seconds away, and what has still to begin keeps
 // the cancellation from being told.
--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -170,7 +170,7 @@
 		t.Errorf("%d calls with %d halts, expected 1 with 2", count, stops)
 	}
 	n.jobs.StopCancelledTasks(owned, j)
-	if len(n.agents.pendingContacts) != 0 {
+	if n.agents.PendingContactCount() != 0 {
 		t.Error("it is called again for the same")
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -12,10 +12,11 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/agent"
 	"basaltwall/controller/core"
+	"basaltwall/controller/health"
 	"basaltwall/controller/message"
 	"basaltwall/priority"
-	"basaltwall/zonehealth"
 )
 
 // Controller is one controller.
@@ -29,8 +30,8 @@
 	follower     *LogFollower
 	membership   *Membership
 	gossiper     *Gossiper
-	agents       *AgentManager
-	health       *ZoneHealth
+	agents       *agent.Manager
+	health       *health.Monitor
 	autoscaler   *Autoscaler
 	scheduler    *RoundScheduler
 	preemptor    *Preemptor
@@ -50,11 +51,6 @@
 	direct            bool // it wants a read of our own
 }
 
-type redirect struct {
-	to api.ControllerID
-	at api.Time
-}
-
 type peerStatus struct {
 	gossip           message.Gossip
 	receivedAt       api.Time
@@ -71,8 +67,8 @@
 // registered here.
 func (n *Controller) NewState() *core.ClusterState {
 	n.core.Settings, n.core.RecordedTypes, n.priorities.priorityState.shortage = core.Settings{}, api.MachineTypes{}, priority.Shortage{}
-	n.health.zones.records = map[api.Zone]zonehealth.Record{}
-	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.ZoneRecordKind()}, n.tenancy.HostedRecordKinds()...)
+	n.health.ResetRecords()
+	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.RecordKind()}, n.tenancy.HostedRecordKinds()...)
 	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
 }
 
@@ -83,8 +79,8 @@
 	n.follower = &LogFollower{core: shared, c: n}
 	n.membership = newMembership(n)
 	n.gossiper = newGossiper(n)
-	n.agents = newAgentManager(n)
-	n.health = &ZoneHealth{core: shared, c: n}
+	n.agents = agent.New(shared)
+	n.health = health.New(shared)
 	n.autoscaler = newAutoscaler(n)
 	n.scheduler = &RoundScheduler{core: shared, c: n}
 	n.preemptor = &Preemptor{core: shared, c: n}
@@ -97,9 +93,27 @@
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.agents.Connect(agent.Siblings{
+		Autoscaler: n.autoscaler,
+		Balancer:   n.balancer,
+		Follower:   n.follower,
+		Gossiper:   n.gossiper,
+		Health:     n.health,
+		Preemptor:  n.preemptor,
+		Scheduler:  n.scheduler,
+	})
+	n.health.Connect(health.Siblings{
+		Agents:     n.agents,
+		Autoscaler: n.autoscaler,
+		Follower:   n.follower,
+		Gossiper:   n.gossiper,
+		Preemptor:  n.preemptor,
+		Priorities: n.priorities,
+		Scheduler:  n.scheduler,
+		Tenancy:    n.tenancy,
+	})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
-	n.health.InitZones()
 	n.core.State = n.NewState()
 	return n
 }
--- a/controller/deletions.go
+++ b/controller/deletions.go
@@ -12,7 +12,7 @@
 )
 
 // ScheduleDeletion has the cloud delete a machine; its answer proves the tasks over.
-func (as *Autoscaler) ScheduleDeletion(m *core.Machine, owned *core.OwnedPartition, reason string) {
+func (as *Autoscaler) ScheduleDeletion(m *core.Machine, owned *core.OwnedPartition, reason core.DeletionReason) {
 	m.Deleting = true
 	m.Unreachable = reason == deleteReasonUnreachable || reason == deleteReasonCancelled || reason == deleteReasonZoneLost
 	as.pendingDeletions = append(as.pendingDeletions, pendingDeletion{m, owned, reason})
@@ -22,7 +22,7 @@
 type pendingDeletion struct {
 	machine   *core.Machine
 	partition *core.OwnedPartition
-	reason    string
+	reason    core.DeletionReason
 }
 
 // ProcessDeletions deletes what is to be deleted, many by one call. That the parts
@@ -36,7 +36,7 @@
 	// What a rule wants gone in time first, then a lost zone's in the order of the plan,
 	// then work that should never stop or that others of its gang wait for.
 	rank := func(deletion pendingDeletion) int {
-		return slices.Index([]string{deleteReasonCancelled, deleteReasonZoneLost, deletion.reason}, deletion.reason)
+		return slices.Index([]core.DeletionReason{deleteReasonCancelled, deleteReasonZoneLost, deletion.reason}, deletion.reason)
 	}
 	slices.SortStableFunc(as.pendingDeletions, func(a, b pendingDeletion) int {
 		if c := rank(a) - rank(b); c != 0 || a.reason == deleteReasonZoneLost {
@@ -125,16 +125,16 @@
 
 // The protocol's bounds on names in a deletion and on machines in a rental.
 const (
-	MaxDeletionBatch = 100
+	MaxDeletionBatch = core.MaxDeletionBatch
 	maxScaleOutBatch = 50
 )
 
 // Why a machine is deleted.
 const (
-	deleteReasonIdle        = "idle"
-	deleteReasonUnreachable = "not reachable"
-	deleteReasonZoneLost    = "lost with its zone"
-	deleteReasonCancelled   = "not reachable, with a cancelled task"
+	deleteReasonIdle        = core.DeletionReasonIdle
+	deleteReasonUnreachable = core.DeletionReasonUnreachable
+	deleteReasonZoneLost    = core.DeletionReasonZoneLost
+	deleteReasonCancelled   = core.DeletionReasonCancelled
 )
 
 // PendingDeletionCount is how many machines wait for their deletion.
--- a/controller/gossip.go
+++ b/controller/gossip.go
@@ -195,7 +195,7 @@
 
 // preemptorRank is the rank from which on work has the rest make way when parts
 // are compared.
-var preemptorRank = api.High.Rank()
+var preemptorRank = core.PreemptorRank
 
 // PreemptibleCapacity is what would be free on a machine if all work below urgentRank made
 // way.
--- /dev/null
+++ b/controller/health/evacuationinput.go
@@ -0,0 +1,219 @@
+package health
+
+import (
+	"maps"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/zonehealth"
+)
+
+// This file gathers what the plan of an evacuation looks at.
+
+// maxPendingInPlan bounds the pending tasks that a plan looks at.
+const maxPendingInPlan = 1000
+
+// lateSlackDivisor makes the slack of a job that is late as it is shorter than none.
+const lateSlackDivisor = 10
+
+// inputBuilder gathers the input of one partition's plan.
+type inputBuilder struct {
+	mon         *Monitor
+	owned       *core.OwnedPartition
+	lost        map[api.MachineID]*core.Machine
+	unreachable map[api.JobID]int // tasks on the lost machines
+	teamUsage   map[api.Team]api.Resources
+	input       *zonehealth.Input
+}
+
+// evacuationInput gathers what the plan of a partition's evacuation looks at.
+func (mon *Monitor) evacuationInput(owned *core.OwnedPartition, lost map[api.MachineID]*core.Machine, maxMachines int) *zonehealth.Input {
+	b := &inputBuilder{
+		mon:         mon,
+		owned:       owned,
+		lost:        lost,
+		unreachable: mon.tasksOn(lost),
+		teamUsage:   mon.core.TeamUsage(),
+		input: &zonehealth.Input{
+			PlacedByZone:   map[api.JobID]map[api.Zone]int{},
+			RemainingQuota: mon.core.RemainingQuota(owned.ID),
+			PreemptingRank: core.PreemptorRank,
+			ExpectedOutage: mon.expectedOutage,
+			MaxMachines:    maxMachines,
+			Excluded:       mon.isExcluded,
+		},
+	}
+	for _, m := range mon.siblings.Agents.MachinesOf(owned.ID) {
+		b.addMachine(m)
+	}
+	b.addOtherPartitions()
+	b.addPendingTasks()
+	return b.input
+}
+
+// tasksOn counts the tasks on some machines by job.
+func (mon *Monitor) tasksOn(machines map[api.MachineID]*core.Machine) map[api.JobID]int {
+	counts := map[api.JobID]int{}
+	for id := range machines {
+		for _, p := range mon.core.State.PlacementsOn(id) {
+			if !p.Finishing {
+				counts[p.Job.ID]++
+			}
+		}
+	}
+	return counts
+}
+
+// expectedOutage is for how many seconds a zone is likely to stay silent.
+func (mon *Monitor) expectedOutage(name api.Zone) float64 {
+	return mon.records[name].ExpectedRemaining(mon.ZoneSilenceSeconds(name))
+}
+
+// isExcluded bars a task from capacity that its job's needs allow: a service that needs no accelerators
+// from machines with some, and work that needs a single partition from the others.
+func (mon *Monitor) isExcluded(task *zonehealth.Task, free *zonehealth.FreeCapacity) bool {
+	if task.Spec.Kind == api.Service && mon.core.HasAccelerators(free.Type) && mon.core.IsCPUOnly(task.Spec) {
+		return true
+	}
+	return free.OtherPartition && task.Spec.NeedsSinglePartition()
+}
+
+// addMachine adds a machine of the partition: a lost one with its tasks, the tasks of one that is being
+// deleted, or the free capacity of another.
+func (b *inputBuilder) addMachine(m *core.Machine) {
+	mon := b.mon
+	switch {
+	case b.lost[m.ID] != nil:
+		b.input.Machines = append(b.input.Machines, b.lostMachine(m))
+	case m.Deleting:
+		for _, p := range mon.core.State.PlacementsOn(m.ID) {
+			if !p.Finishing && !p.Job.Terminal() {
+				b.input.PendingTasks = append(b.input.PendingTasks, b.task(p.Job, p.Task.Index, 0))
+			}
+		}
+	case mon.siblings.Scheduler.IsSchedulable(m, b.owned) && mon.siblings.Preemptor.ReservedFor(m) == "":
+		b.input.FreeCapacity = append(b.input.FreeCapacity, zonehealth.FreeCapacity{
+			Type:                m.MachineType,
+			Zone:                m.Zone,
+			Spot:                m.Spot,
+			Free:                mon.siblings.Scheduler.FreeCapacityOn(m, b.owned),
+			FreeAfterPreemption: mon.siblings.Gossiper.PreemptibleCapacity(m, b.owned),
+			Count:               1,
+			HasImage: func(img api.Image) bool {
+				_, cached := m.CachedImages[img]
+				return cached
+			},
+		})
+	}
+}
+
+// lostMachine describes a lost machine with its tasks.
+func (b *inputBuilder) lostMachine(m *core.Machine) zonehealth.Machine {
+	mon := b.mon
+	typ := mon.core.MachineTypes[m.MachineType]
+	machine := zonehealth.Machine{
+		ID:               m.ID,
+		Zone:             m.Zone,
+		Capacity:         typ.Capacity(),
+		BootSeconds:      typ.BootSeconds,
+		ControllerInside: slices.Contains(mon.records[m.Zone].PartitionsInside, b.owned.ID),
+	}
+	for _, p := range mon.core.State.PlacementsOn(m.ID) {
+		if !p.Finishing && !p.Job.Terminal() && p.Partition == b.owned.ID {
+			machine.Tasks = append(machine.Tasks, b.task(p.Job, p.Task.Index, p.OwnerState.RunningSince))
+		}
+	}
+	return machine
+}
+
+// addOtherPartitions adds the free capacity of other partitions: arrays' pending tasks are moved there,
+// and empty machines are lent. All partitions look at it, so each counts on its share.
+func (b *inputBuilder) addOtherPartitions() {
+	partitions := len(b.mon.core.State.Partitions)
+	b.mon.siblings.Gossiper.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, free message.FreeCapacity) {
+		typ := b.mon.core.MachineTypes[class.Type]
+		if p == b.owned.ID || !class.Usable || class.Closed || typ == nil {
+			return
+		}
+		empty := free.Free == typ.Capacity()
+		b.input.FreeCapacity = append(b.input.FreeCapacity, zonehealth.FreeCapacity{
+			Type:                class.Type,
+			Zone:                class.Zone,
+			Spot:                class.Spot,
+			Free:                free.Free,
+			FreeAfterPreemption: free.Free,
+			Count:               (free.Count + partitions - 1) / partitions,
+			OtherPartition:      !empty,
+		})
+	})
+}
+
+// addPendingTasks adds the partition's pending tasks, up to a bound. They have negative indexes, as
+// they are not numbered yet.
+func (b *inputBuilder) addPendingTasks() {
+	budget := maxPendingInPlan
+	for _, id := range slices.Sorted(maps.Keys(b.mon.core.State.PendingJobs)) {
+		j := b.mon.core.State.PendingJobs[id]
+		if b.mon.siblings.Tenancy.StartsBlocked(j) {
+			continue
+		}
+		for i := range min(j.PendingTasks(b.owned.ID), budget) {
+			b.input.PendingTasks = append(b.input.PendingTasks, b.task(j, -1-i, 0))
+			budget--
+		}
+	}
+}
+
+// task describes a task of a job; runningSince is 0 if it does not run.
+func (b *inputBuilder) task(j *core.Job, index int, runningSince api.Time) zonehealth.Task {
+	mon := b.mon
+	task := zonehealth.Task{
+		ID:               api.TaskID{Job: j.ID, Index: index},
+		Spec:             j.Spec,
+		Demand:           j.Demand,
+		WithinGuarantee:  mon.core.IsWithinGuarantee(j, b.teamUsage),
+		RunningElsewhere: len(j.Placements) - j.FinishingCount - b.unreachable[j.ID],
+		SlackSeconds:     mon.deadlineSlack(j),
+		PriorityBoost:    mon.siblings.Priorities.PriorityBoost(j.Spec),
+	}
+	if runningSince != 0 && j.Spec.Kind != api.Service {
+		task.LostWorkSeconds = mon.core.Now.Sub(runningSince).Seconds()
+		if j.Spec.Checkpoint > 0 {
+			task.LostWorkSeconds = min(task.LostWorkSeconds, j.Spec.Checkpoint)
+		}
+	}
+	b.countPlacedByZone(j)
+	return task
+}
+
+// countPlacedByZone counts a job's tasks elsewhere by zone, once.
+func (b *inputBuilder) countPlacedByZone(j *core.Job) {
+	if b.input.PlacedByZone[j.ID] != nil {
+		return
+	}
+	placed := map[api.Zone]int{}
+	b.input.PlacedByZone[j.ID] = placed
+	for _, p := range j.Placements {
+		zone := b.mon.siblings.Scheduler.MachineZone(p.Machine)
+		if zone != "" && !p.Finishing && b.lost[p.Machine] == nil {
+			placed[zone]++
+		}
+	}
+}
+
+// deadlineSlack is for how many seconds a job may still wait and be in time.
+func (mon *Monitor) deadlineSlack(j *core.Job) float64 {
+	elapsed := max(0, float64(mon.core.WallClock-j.AcceptedAt)/1000)
+	limits := mon.core.CompletionObjectives(j.Spec)
+	for _, limit := range limits {
+		if remaining := limit - elapsed - j.Spec.Estimate; remaining >= 0 {
+			return remaining
+		}
+	}
+	if len(limits) > 0 {
+		return zonehealth.NoDeadline / lateSlackDivisor // late as it is
+	}
+	return zonehealth.NoDeadline
+}
--- a/controller/partition.go
+++ b/controller/partition.go
@@ -69,8 +69,8 @@
 
 // Why a task is over that went with its machine, or with its worker's session.
 const (
-	reasonMachineDeleted = "machine deleted"
-	reasonEpochOver      = "session over"
+	reasonMachineDeleted = core.EndReasonMachineDeleted
+	reasonEpochOver      = core.EndReasonEpochOver
 )
 
 // loseOwnership drops a part whose record can't be written any more.
--- a/controller/safety_test.go
+++ b/controller/safety_test.go
@@ -67,7 +67,7 @@
 	k := core.AttemptKey{Task: api.TaskID{Job: "run-9", Index: 0}, Attempt: 3}
 	m.ReportedTasks[k] = api.TaskStatus{Task: k.Task.String(), Attempt: 3, State: api.TaskExited}
 	forgets := func() bool {
-		return slices.ContainsFunc(n.agents.commandsFor(m, owned), func(command api.Command) bool { return command.Op == api.OpReap })
+		return slices.ContainsFunc(n.agents.CommandsFor(m, owned), func(command api.Command) bool { return command.Op == api.OpReap })
 	}
 	if !forgets() {
 		t.Error("an attempt that is over and recorded is not forgotten")
--- a/controller/zones_test.go
+++ b/controller/zones_test.go
@@ -5,6 +5,7 @@
 
 	"basaltwall/api"
 	"basaltwall/controller/core"
+	"basaltwall/controller/health"
 	"basaltwall/zonehealth"
 )
 
@@ -17,8 +18,8 @@
 	}
 	urgent := &api.JobSpec{Ref: "run-2", Kind: api.Service, Class: "web", Team: "red", Priority: api.Production, Tasks: 1, CPUs: 8, MemGB: 1}
 	preempted := func(spare float64) int {
-		n.health.zones.classFloors = map[api.Class]zonehealth.Allowance{"batch": {Preemptible: spare}}
-		n.health.zones.teamFloors = map[api.Team]zonehealth.Allowance{"red": {Preemptible: 100}}
+		n.health.Floors.Classes = map[api.Class]zonehealth.Allowance{"batch": {Preemptible: spare}}
+		n.health.Floors.Teams = map[api.Team]zonehealth.Allowance{"red": {Preemptible: 100}}
 		return n.preemptor.PlanPreemption(m, owned, urgent, 1, false).tasks
 	}
 	if preempted(2) != 1 {
@@ -27,7 +28,7 @@
 	if preempted(0.5) != 0 {
 		t.Error("what is at its floor makes way")
 	}
-	n.health.zones.classFloors, n.health.zones.teamFloors = nil, nil
+	n.health.Floors = health.Floors{}
 	if n.preemptor.PlanPreemption(m, owned, urgent, 1, false).tasks != 1 {
 		t.Error("without a lost zone there is a floor")
 	}
