--- a/controller/agent/command.go
+++ b/controller/agent/command.go
@@ -1,3 +1,5 @@
+// The commands that a machine should have.
+
 package agent
 
 import (
@@ -9,8 +11,6 @@
 	"basaltwall/controller/core"
 )
 
-// This file composes the commands that a machine should have.
-
 // CommandsFor are the commands that a machine should have now, by the durable record and its last
 // heartbeat; none is an empty list, never nil, as the agent gets it so. Composing them again is
 // harmless. Launches come last, after what frees their capacity.
--- a/controller/agent/directcall.go
+++ b/controller/agent/directcall.go
@@ -1,3 +1,5 @@
+// Direct calls to agents, which do not wait for their heartbeats.
+
 package agent
 
 import (
@@ -8,8 +10,6 @@
 	"basaltwall/controller/message"
 )
 
-// This file calls agents directly, without waiting for their heartbeats.
-
 const (
 	callInterval        = 100 * time.Millisecond // between two calls to a machine, at least
 	unansweredCallDelay = 500 * time.Millisecond // before a machine that did not answer is called again
--- a/controller/agent/exit.go
+++ b/controller/agent/exit.go
@@ -1,3 +1,6 @@
+// What follows from how tasks ended: failures of machines and jobs, how fast a machine is, and which
+// images it holds.
+
 package agent
 
 import (
@@ -11,9 +14,6 @@
 	"basaltwall/sched"
 )
 
-// This file draws the conclusions from how tasks ended: failures of machines and jobs, how fast a
-// machine is, and which images it holds.
-
 const (
 	noCapacityBackoff    = 2 * time.Second // a machine that refused a task for want of capacity
 	unknownReasonBackoff = time.Second     // a job whose task ended for a reason that the agent does not know
--- a/controller/agent/heartbeat.go
+++ b/controller/agent/heartbeat.go
@@ -1,3 +1,5 @@
+// Answers to heartbeats, and their redirection to the owners of other partitions.
+
 package agent
 
 import (
@@ -6,8 +8,6 @@
 	"basaltwall/controller/message"
 )
 
-// This file answers heartbeats, or directs them to the controller that owns the machine's partition.
-
 // HTTP statuses of the answers to heartbeats.
 const (
 	statusOK          = 200
--- a/controller/agent/machines.go
+++ b/controller/agent/machines.go
@@ -1,3 +1,5 @@
+// The known machines in order, and those of them on loan.
+
 package agent
 
 import (
@@ -10,8 +12,6 @@
 	"basaltwall/controller/core"
 )
 
-// This file lists the known machines in order and keeps track of those on loan.
-
 // machineLoan is when a machine's latest loan was first known here.
 type machineLoan struct {
 	revision api.Revision
@@ -80,7 +80,10 @@
 // have had a heartbeat of it: until then nobody counts it as free capacity.
 func (am *Manager) LoanInTransit(id api.MachineID) bool {
 	loan, ok := am.machineLoans[id]
-	if !ok || am.core.Now.Sub(loan.knownAt) > am.core.HeartbeatTimeout || len(am.core.State.PlacementsOn(id)) > 0 || am.siblings.Autoscaler.IsDeleted(id) {
+	if !ok || am.core.Now.Sub(loan.knownAt) > am.core.HeartbeatTimeout {
+		return false
+	}
+	if len(am.core.State.PlacementsOn(id)) > 0 || am.siblings.Autoscaler.IsDeleted(id) {
 		return false
 	}
 	m, owned := am.core.Machines[id], am.core.Partitions[am.core.PartitionOf(id)]
--- a/controller/agent/reconcile.go
+++ b/controller/agent/reconcile.go
@@ -1,3 +1,5 @@
+// Reconciliation of heartbeats with the durable record.
+
 package agent
 
 import (
@@ -5,8 +7,6 @@
 	"basaltwall/controller/core"
 )
 
-// This file reconciles what a heartbeat reports with the durable record.
-
 // LatestLaunchToken is the highest token under which a launch of the placement may still be on its
 // way. Launches by former owners carry less than this owner's term or, if the machine was lent to the
 // partition since, than the loan's revision.
--- a/controller/agent/siblings.go
+++ b/controller/agent/siblings.go
@@ -1,3 +1,5 @@
+// What the manager needs of other components.
+
 package agent
 
 import (
--- a/controller/core/deletion.go
+++ b/controller/core/deletion.go
@@ -19,6 +19,3 @@
 
 // MaxDeletionBatch is the cloud protocol's limit of machines in one deletion.
 const MaxDeletionBatch = 100
-
-// ReasonMachineDeleted is why a task ended whose machine was deleted.
-const ReasonMachineDeleted = "machine deleted"
--- a/controller/health/evacuation.go
+++ b/controller/health/evacuation.go
@@ -1,3 +1,5 @@
+// When the machines of failed zones are evacuated; evacuationinput.go gathers what the plan looks at.
+
 package health
 
 import (
@@ -11,9 +13,6 @@
 	"basaltwall/zonehealth"
 )
 
-// This file decides when the machines of failed zones are evacuated; evacuationinput.go gathers what
-// the plan looks at.
-
 // evacuationInterval is how often the plan is made anew.
 const evacuationInterval = 500 * time.Millisecond
 
--- a/controller/health/evacuationinput.go
+++ b/controller/health/evacuationinput.go
@@ -1,3 +1,5 @@
+// What the plan of an evacuation looks at.
+
 package health
 
 import (
@@ -10,8 +12,6 @@
 	"basaltwall/zonehealth"
 )
 
-// This file gathers what the plan of an evacuation looks at.
-
 // maxPendingInPlan bounds the pending tasks that a plan looks at.
 const maxPendingInPlan = 1000
 
--- a/controller/health/floors.go
+++ b/controller/health/floors.go
@@ -1,3 +1,5 @@
+// Floors below which the work of a class or team is not preempted.
+
 package health
 
 import (
@@ -12,8 +14,6 @@
 	"basaltwall/zonehealth"
 )
 
-// This file keeps the floors below which the work of a class or team is not preempted.
-
 // floorInterval is how often floors are computed while no zone has failed.
 const floorInterval = 2 * time.Second
 
--- a/controller/health/liveness.go
+++ b/controller/health/liveness.go
@@ -1,3 +1,5 @@
+// Which silent machines are deleted one by one.
+
 package health
 
 import (
@@ -9,8 +11,6 @@
 	"basaltwall/zonehealth"
 )
 
-// This file decides which silent machines are deleted one by one.
-
 // minMissedCalls is how many direct calls in a row must go unanswered before a machine is deleted.
 const minMissedCalls = 3
 
--- a/controller/health/observation.go
+++ b/controller/health/observation.go
@@ -1,3 +1,5 @@
+// Evidence of which zones are unreachable.
+
 package health
 
 import (
@@ -10,8 +12,6 @@
 	"basaltwall/zonehealth"
 )
 
-// This file gathers the evidence of which zones are unreachable.
-
 // lateHeartbeatMargin is how late a heartbeat may be before its machine counts as silent.
 const lateHeartbeatMargin = 2 * time.Second
 
--- a/controller/health/record.go
+++ b/controller/health/record.go
@@ -1,3 +1,5 @@
+// The zones' durable records.
+
 package health
 
 import (
@@ -15,8 +17,6 @@
 	"basaltwall/zonehealth"
 )
 
-// This file keeps the zones' durable records.
-
 // RecordKeyPrefix is before a zone's name in the key of its record, a zonehealth.Record.
 const RecordKeyPrefix = clusterstate.Root + "zone/"
 
--- a/controller/health/replacement.go
+++ b/controller/health/replacement.go
@@ -1,3 +1,5 @@
+// Counts of the tasks on lost machines, for which machines are provisioned elsewhere.
+
 package health
 
 import (
@@ -9,8 +11,6 @@
 	"basaltwall/zonehealth"
 )
 
-// This file counts the tasks on lost machines for which machines are provisioned elsewhere.
-
 // minReplacementProbability is how likely a zone must be to stay silent until another machine is up for
 // one to be provisioned in its stead.
 const minReplacementProbability = 0.5
--- a/controller/health/siblings.go
+++ b/controller/health/siblings.go
@@ -1,3 +1,5 @@
+// What the monitor needs of other components.
+
 package health
 
 import (
