--- a/controller/controller.go
+++ b/controller/controller.go
@@ -12,15 +12,16 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/agent"
 	"basaltwall/controller/capacity"
 	"basaltwall/controller/core"
-	"basaltwall/controller/jobs"
 	"basaltwall/controller/gossip"
+	"basaltwall/controller/health"
+	"basaltwall/controller/jobs"
 	"basaltwall/controller/logfollow"
 	"basaltwall/controller/message"
 	"basaltwall/controller/ownership"
 	"basaltwall/priority"
-	"basaltwall/zonehealth"
 )
 
 // Controller is one controller.
@@ -34,8 +35,8 @@
 	follower     *logfollow.Follower
 	membership   *ownership.Manager
 	gossiper     *gossip.Exchange
-	agents       *AgentManager
-	health       *ZoneHealth
+	agents       *agent.Manager
+	health       *health.Monitor
 	autoscaler   *Autoscaler
 	scheduler    *RoundScheduler
 	preemptor    *Preemptor
@@ -56,17 +57,12 @@
 	onRead, onFailure func()
 }
 
-type redirect struct {
-	to api.ControllerID
-	at api.Time
-}
-
 // NewState is an empty book; the kinds of records that stand for themselves are
 // registered here.
 func (n *Controller) NewState() *core.ClusterState {
 	n.core.Settings, n.core.RecordedTypes, n.priorities.priorityState.shortage = core.Settings{}, api.MachineTypes{}, priority.Shortage{}
-	n.health.zones.records = map[api.Zone]zonehealth.Record{}
-	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.ZoneRecordKind()}, n.tenancy.HostedRecordKinds()...)
+	n.health.ResetRecords()
+	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.RecordKind()}, n.tenancy.HostedRecordKinds()...)
 	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
 }
 
@@ -77,8 +73,8 @@
 	n.follower = logfollow.New(shared)
 	n.membership = ownership.New(shared)
 	n.gossiper = gossip.New(shared)
-	n.agents = newAgentManager(n)
-	n.health = &ZoneHealth{core: shared, c: n}
+	n.agents = agent.New(shared)
+	n.health = health.New(shared)
 	n.autoscaler = newAutoscaler(n)
 	n.scheduler = &RoundScheduler{core: shared, c: n}
 	n.preemptor = &Preemptor{core: shared, c: n}
@@ -103,9 +99,27 @@
 		Scheduler: n.scheduler, Health: n.health, Eligibility: n.admin, Preemptor: n.preemptor,
 	})
 	n.follower.Connect(logfollow.Siblings{State: n, Ownership: n.membership})
+	n.agents.Connect(agent.Siblings{
+		Autoscaler: n.autoscaler,
+		Balancer:   n.balancer,
+		Follower:   n.follower,
+		Gossiper:   n.gossiper,
+		Health:     n.health,
+		Preemptor:  n.preemptor,
+		Scheduler:  n.scheduler,
+	})
+	n.health.Connect(health.Siblings{
+		Agents:     n.agents,
+		Autoscaler: n.autoscaler,
+		Follower:   n.follower,
+		Gossiper:   n.gossiper,
+		Preemptor:  n.preemptor,
+		Priorities: n.priorities,
+		Scheduler:  n.scheduler,
+		Tenancy:    n.tenancy,
+	})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
-	n.health.InitZones()
 	n.core.State = n.NewState()
 	return n
 }
