--- /dev/null
+++ b/controller/autoscale/deletions.go
@@ -0,0 +1,238 @@
+// Deletions: the queue of machines to delete, and the calls that delete them in batches.
+
+package autoscale
+
+import (
+	"log/slog"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/zonehealth"
+)
+
+const (
+	// maxDeletionBackoff is how long the next deletion waits at most after failures.
+	maxDeletionBackoff = 8 * time.Second
+	// maxBackoffDoublings bounds the exponent of the backoff, against overflow.
+	maxBackoffDoublings = 16
+	// cancelledDeletionDelay is how long a machine is not called after its deletion was
+	// given up.
+	cancelledDeletionDelay = time.Second
+
+	// labelHashRange is the range that the controller's label is hashed into for the
+	// seed of the backoff's jitter.
+	labelHashRange = 1 << 30
+)
+
+// deletionQueue holds the machines to delete and the state of the call that deletes them.
+type deletionQueue struct {
+	pending  []pendingDeletion
+	inFlight bool
+	nextAt   api.Time
+	failures int        // failed calls in a row
+	rng      *rand.Rand // of the backoff's jitter
+}
+
+// pendingDeletion is a machine to delete.
+type pendingDeletion struct {
+	machine   *core.Machine
+	partition *core.OwnedPartition
+	reason    core.DeletionReason
+}
+
+func newDeletionQueue(shared *core.Core) deletionQueue {
+	seed := core.HashPartition(api.MachineID(shared.Config.Label), labelHashRange)
+	return deletionQueue{rng: rand.New(rand.NewPCG(uint64(shared.Incarnation), uint64(seed)))}
+}
+
+// ScheduleDeletion has the cloud delete a machine. The cloud's confirmation proves that the
+// machine's tasks have ended.
+func (as *Manager) ScheduleDeletion(m *core.Machine, owned *core.OwnedPartition, reason core.DeletionReason) {
+	m.Deleting = true
+	m.Unreachable = reason == core.DeletionReasonUnreachable || reason == core.DeletionReasonCancelled || reason == core.DeletionReasonZoneLost
+	as.deletions.pending = append(as.deletions.pending, pendingDeletion{machine: m, partition: owned, reason: reason})
+}
+
+// PendingDeletionCount is how many machines wait for their deletion.
+func (as *Manager) PendingDeletionCount() int { return len(as.deletions.pending) }
+
+// DeletionsBackingOff reports whether deletions failed and the next is not due yet.
+func (as *Manager) DeletionsBackingOff() bool {
+	return as.deletions.failures > 0 && as.core.Now < as.deletions.nextAt
+}
+
+// ProcessDeletions deletes what is scheduled, many machines by one call. It first reads
+// that the partitions are still ours: a deposed owner, perhaps cut off, must not delete
+// what another owner uses.
+func (as *Manager) ProcessDeletions() {
+	queue := &as.deletions
+	if queue.inFlight || len(queue.pending) == 0 || as.core.Now < queue.nextAt {
+		return
+	}
+	queue.inFlight = true
+	batch := as.takeDeletionBatch()
+	as.siblings.Follower.LinearizableRead(
+		func() { as.deleteBatch(batch) },
+		func() {
+			as.finishDeletionCall(false)
+			as.cancelDeletions(batch)
+		})
+}
+
+// takeDeletionBatch takes the most urgent deletions off the queue: those by which a
+// cancellation must be proven in time, then a lost zone's in the order of its plan, then
+// those of work that should never stop or that others of its gang wait for.
+func (as *Manager) takeDeletionBatch() []pendingDeletion {
+	queue := &as.deletions
+	slices.SortStableFunc(queue.pending, func(a, b pendingDeletion) int {
+		if c := a.rank() - b.rank(); c != 0 || a.reason == core.DeletionReasonZoneLost {
+			return c
+		}
+		return as.nonArrayTasks(b.machine) - as.nonArrayTasks(a.machine)
+	})
+	size := min(len(queue.pending), core.MaxDeletionBatch)
+	batch := slices.Clone(queue.pending[:size])
+	queue.pending = slices.Clone(queue.pending[size:])
+	return batch
+}
+
+// rank orders deletions by reason, the most urgent first.
+func (deletion pendingDeletion) rank() int {
+	switch deletion.reason {
+	case core.DeletionReasonCancelled:
+		return 0
+	case core.DeletionReasonZoneLost:
+		return 1
+	default:
+		return 2
+	}
+}
+
+// nonArrayTasks counts the tasks on a machine that are not of an array.
+func (as *Manager) nonArrayTasks(m *core.Machine) int {
+	count := 0
+	for _, p := range as.core.State.PlacementsOn(m.ID) {
+		if p.Job.Spec.Kind != api.Array && !p.Job.Terminal() {
+			count++
+		}
+	}
+	return count
+}
+
+// deleteBatch asks the cloud to delete those of a batch whose deletion is still right.
+func (as *Manager) deleteBatch(batch []pendingDeletion) {
+	confirmed := as.confirmDeletions(batch)
+	if len(confirmed) == 0 {
+		as.finishDeletionCall(true)
+		return
+	}
+	var ids []api.MachineID
+	for _, deletion := range confirmed {
+		ids = append(ids, deletion.machine.ID)
+	}
+	as.core.CallCloud(message.CloudCall{Delete: ids}, func(response message.CloudResponse) {
+		deleted := response.Status == statusOK
+		as.finishDeletionCall(deleted)
+		if !deleted {
+			as.cancelDeletions(confirmed)
+			return
+		}
+		for _, deletion := range confirmed {
+			as.completeDeletion(deletion)
+		}
+	})
+}
+
+// confirmDeletions cancels the deletions that were decided on grounds that have changed,
+// and returns the others.
+func (as *Manager) confirmDeletions(batch []pendingDeletion) []pendingDeletion {
+	var confirmed []pendingDeletion
+	for _, deletion := range batch {
+		if !as.stillDue(deletion) {
+			as.cancelDeletion(deletion)
+			continue
+		}
+		id := deletion.machine.ID
+		slog.Info("deleting machine", "machine", id, "reason", string(deletion.reason), "tasks", len(as.core.State.PlacementsOn(id)))
+		confirmed = append(confirmed, deletion)
+	}
+	return confirmed
+}
+
+// stillDue reports whether the grounds for a deletion still hold.
+func (as *Manager) stillDue(deletion pendingDeletion) bool {
+	m, owned := deletion.machine, deletion.partition
+	if as.core.Partitions[owned.ID] != owned || as.core.PartitionOf(m.ID) != owned.ID {
+		return false
+	}
+	switch deletion.reason {
+	case core.DeletionReasonIdle:
+		return len(as.core.State.PlacementsOn(m.ID)) == 0
+	case core.DeletionReasonZoneLost:
+		return as.siblings.Health.RecordedState(m.Zone) == zonehealth.Failed
+	default:
+		return true
+	}
+}
+
+// cancelDeletions leaves machines as they are; they may be scheduled again.
+func (as *Manager) cancelDeletions(deletions []pendingDeletion) {
+	for _, deletion := range deletions {
+		as.cancelDeletion(deletion)
+	}
+}
+
+func (as *Manager) cancelDeletion(deletion pendingDeletion) {
+	deletion.machine.Deleting = false
+	deletion.machine.NextCallAt = as.core.Now.Add(cancelledDeletionDelay)
+}
+
+// finishDeletionCall sets when the next call may be made. After a failure that is twice as
+// long each time, with jitter: when a zone is lost all owners have much to delete, and the
+// cloud may be down just then.
+func (as *Manager) finishDeletionCall(ok bool) {
+	queue, interval := &as.deletions, as.core.CloudCallInterval
+	queue.inFlight = false
+	if ok {
+		queue.failures, queue.nextAt = 0, as.core.Now.Add(interval)
+		return
+	}
+	queue.failures++
+	backoff := min(maxDeletionBackoff, interval<<min(queue.failures, maxBackoffDoublings))
+	jitter := time.Duration(queue.rng.Int64N(int64(backoff/2) + 1))
+	queue.nextAt = as.core.Now.Add(backoff/2 + jitter)
+}
+
+// completeDeletion accounts for a machine that the cloud has deleted and ends its tasks.
+func (as *Manager) completeDeletion(deletion pendingDeletion) {
+	m, owned := deletion.machine, deletion.partition
+	as.deletedAt[m.ID] = as.core.Now
+	delete(as.scaleOuts.backoffUntil, core.MachineOffer{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot}) // there may be capacity again
+	if m.Spot && deletion.wasReclaimed() {
+		as.spot.reclaimed++
+	}
+	as.siblings.Balancer.DropLoanRecord(owned, m.ID)
+	if as.core.Partitions[owned.ID] == owned {
+		as.endTasks(m, owned)
+	}
+	as.siblings.Agents.ForgetMachine(m.ID)
+}
+
+// wasReclaimed reports whether the cloud seems to have taken a spot machine.
+func (deletion pendingDeletion) wasReclaimed() bool {
+	return deletion.reason == core.DeletionReasonUnreachable || deletion.reason == core.DeletionReasonCancelled || deletion.machine.ReclaimNotice
+}
+
+// endTasks records that the tasks of a deleted machine have ended.
+func (as *Manager) endTasks(m *core.Machine, owned *core.OwnedPartition) {
+	for _, p := range as.core.State.PlacementsOn(m.ID) {
+		if p.Partition == owned.ID && !p.Finishing {
+			as.siblings.Scheduler.RecordTaskEnd(owned, p, false, core.EndReasonMachineDeleted)
+		}
+	}
+	owned.Dirty = true
+}
--- /dev/null
+++ b/controller/autoscale/incoming.go
@@ -0,0 +1,66 @@
+// Incoming machines: those that are not counted as free capacity yet but will be soon.
+
+package autoscale
+
+import (
+	"basaltwall/api"
+	"basaltwall/controller/core"
+)
+
+// IncomingMachines counts the machines that no owner reports yet but will soon: they boot,
+// were requested a moment ago, or were just loaned to another partition.
+func (as *Manager) IncomingMachines() map[core.MachineOffer]int {
+	accounted := as.accountedMachines()
+	incoming := map[core.MachineOffer]int{}
+	for id, listed := range as.Listed {
+		if as.isBooting(listed) && !accounted[id] && !as.IsDeleted(id) {
+			incoming[offerOf(listed)]++
+		}
+	}
+	for id := range as.siblings.Agents.LoanedMachines() {
+		listed, ok := as.Listed[id]
+		if !ok {
+			continue
+		}
+		slow := listed.AgeSeconds > slowBootFactor*as.core.BootSeconds(listed.Type)
+		if (accounted[id] || slow) && as.siblings.Agents.LoanInTransit(id) {
+			incoming[offerOf(listed)]++
+		}
+	}
+	for id, provisioned := range as.Provisioned {
+		if as.awaitsListing(id) && !accounted[id] && !as.hasHeartbeat(id) {
+			incoming[provisioned.Offer]++
+		}
+	}
+	return incoming
+}
+
+// accountedMachines are the machines that owners report or that have work.
+func (as *Manager) accountedMachines() map[api.MachineID]bool {
+	accounted := map[api.MachineID]bool{}
+	for id := range as.Listed {
+		if as.hasHeartbeat(id) || len(as.core.State.PlacementsOn(id)) > 0 {
+			accounted[id] = true // the list lags
+		}
+	}
+	for _, status := range as.siblings.Gossip.PeerPartitionStatuses() {
+		for _, id := range status.Fresh {
+			accounted[id] = true
+		}
+	}
+	as.siblings.Gossip.EachUnreportedMachine(func(_ api.PartitionID, listed api.Instance) { accounted[listed.ID] = true })
+	return accounted
+}
+
+// isBooting reports whether a listed machine may be expected to send its first heartbeat. One
+// that is late is not; one that the list shows to run may not have sent any yet.
+func (as *Manager) isBooting(listed api.Instance) bool {
+	typ := as.core.MachineTypes[listed.Type]
+	return typ != nil && listed.State != api.MachineFailed && listed.AgeSeconds <= slowBootFactor*typ.BootSeconds
+}
+
+// hasHeartbeat reports whether a machine has sent a heartbeat to us.
+func (as *Manager) hasHeartbeat(id api.MachineID) bool {
+	m := as.core.Machines[id]
+	return m != nil && m.LastHeartbeat != 0
+}
--- /dev/null
+++ b/controller/autoscale/machinelist.go
@@ -0,0 +1,95 @@
+// Reading the cloud's machine list, page by page, and acting on what it shows.
+
+package autoscale
+
+import (
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+)
+
+const (
+	listInterval = 4 * time.Second // at least; see nextListDelay
+	listPageSize = 500             // machines in a page of the list
+
+	// listCallShare is the inverse of the part of the cloud's calls that lists may take.
+	listCallShare = 3
+
+	// A machine usually boots within slowBootFactor times its type's boot time. After
+	// that it is not counted on any more, and replacements are requested; after
+	// failedBootFactor, and bootGraceSeconds more, it is deleted.
+	slowBootFactor   = 1.5
+	failedBootFactor = 2.5
+	bootGraceSeconds = 10
+)
+
+// refreshMachineList begins to read the list when that is due.
+func (as *Manager) refreshMachineList() {
+	if as.listing || as.core.Now < as.nextListAt {
+		return
+	}
+	as.listing = true
+	as.partialList = map[api.MachineID]api.Instance{}
+	as.readMachinePage("")
+}
+
+// readMachinePage reads the page after a machine and the pages after it.
+func (as *Manager) readMachinePage(since api.MachineID) {
+	as.core.CallCloud(message.CloudCall{List: &message.ListRequest{Since: since}}, func(response message.CloudResponse) {
+		if response.Status != statusOK {
+			as.listing, as.nextListAt = false, as.core.Now.Add(listInterval/2)
+			return
+		}
+		page := response.Hosts.Machines
+		for _, listed := range page {
+			as.partialList[listed.ID] = listed
+		}
+		if response.Hosts.More && len(page) > 0 {
+			as.readMachinePage(page[len(page)-1].ID)
+			return
+		}
+		as.adoptList()
+		as.nextListAt = as.core.Now.Add(as.nextListDelay())
+		as.expire()
+		as.ReconcileMachineList()
+	})
+}
+
+// nextListDelay keeps lists within their share of the cloud's calls, however many pages
+// they have and controllers read them.
+func (as *Manager) nextListDelay() time.Duration {
+	pages := float64(len(as.Listed)/listPageSize + 1)
+	calls := listCallShare * pages * float64(len(as.core.Controllers))
+	return max(listInterval, api.Seconds(calls/as.core.Config.Deployment.Cloud.RPS))
+}
+
+// ReconcileMachineList notes the machines that the list shows and deletes those that
+// failed or do not boot. A list may be old: it never proves that a task has ended.
+func (as *Manager) ReconcileMachineList() {
+	for _, id := range as.listedOrder {
+		owned := as.core.Partitions[as.core.PartitionOf(id)]
+		if owned == nil || as.IsDeleted(id) {
+			continue
+		}
+		listed := as.Listed[id]
+		m := as.siblings.Agents.EnsureMachine(id)
+		m.ApplyListing(listed)
+		if m.Deleting || as.core.Now < m.NextCallAt && m.LastHeartbeat == 0 {
+			continue
+		}
+		switch {
+		case listed.State == api.MachineFailed:
+			as.ScheduleDeletion(m, owned, core.DeletionReasonFailed)
+		case listed.State == api.MachineBooting && m.LastHeartbeat == 0 && as.bootFailed(listed):
+			as.ScheduleDeletion(m, owned, core.DeletionReasonBootTimeout)
+		}
+	}
+}
+
+// bootFailed reports whether a machine boots for so long that it will not come up.
+func (as *Manager) bootFailed(listed api.Instance) bool {
+	typ := as.core.MachineTypes[listed.Type]
+	return typ != nil && listed.AgeSeconds > failedBootFactor*typ.BootSeconds+bootGraceSeconds
+}
--- /dev/null
+++ b/controller/autoscale/plan.go
@@ -0,0 +1,228 @@
+// The scale-out plan: what free and incoming capacity takes of the waiting tasks, and the
+// machines to request for the rest.
+
+package autoscale
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/sched"
+)
+
+// maxPlannedTasks bounds the tasks that a plan looks at.
+const maxPlannedTasks = 20000
+
+// scaleOutPlan assigns waiting tasks, job by job, to the machines that are up, incoming or
+// planned, and plans more where they do not suffice.
+type scaleOutPlan struct {
+	manager        *Manager
+	machines       []plannedMachine
+	incoming       map[core.MachineOffer]int
+	requests       map[core.MachineOffer]int
+	requestOrder   []core.MachineOffer        // in the order of the work that needs them
+	remainingQuota map[api.Team]api.Resources // what teams may still start
+	freeUnits      map[api.PoolName]int       // what pools still have
+	taskBudget     int                        // tasks that may still be looked at
+	queuedTasks    int                        // tasks that wait for accelerators
+}
+
+// plannedMachine is a machine with what is free on it after the plan so far.
+type plannedMachine struct {
+	offer           core.MachineOffer
+	free            api.Resources
+	acceleratorOnly bool // only for work that needs its accelerators
+	partition       api.PartitionID
+	empty           bool // it may be loaned to another partition
+}
+
+func (as *Manager) newScaleOutPlan() *scaleOutPlan {
+	plan := &scaleOutPlan{
+		manager:        as,
+		requests:       map[core.MachineOffer]int{},
+		remainingQuota: map[api.Team]api.Resources{},
+		taskBudget:     maxPlannedTasks,
+	}
+	plan.addFreeMachines()
+	plan.addIncomingMachines()
+	use := as.core.TeamUsage()
+	for name, team := range as.core.Teams {
+		plan.remainingQuota[name] = core.QuotaLimit(team).Minus(use[name])
+	}
+	plan.freeUnits = as.siblings.Pools.FreePoolUnits()
+	return plan
+}
+
+// addFreeMachines adds the machines that are up.
+func (plan *scaleOutPlan) addFreeMachines() {
+	types := plan.manager.core.MachineTypes
+	plan.manager.siblings.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+		if !class.Usable {
+			return
+		}
+		m := plannedMachine{
+			offer:           core.MachineOffer{Type: class.Type, Zone: class.Zone, Spot: class.Spot},
+			free:            capacity.Free,
+			acceleratorOnly: class.Closed,
+			partition:       p,
+			empty:           types[class.Type] != nil && capacity.Free == types[class.Type].Capacity(),
+		}
+		for range capacity.Count {
+			plan.machines = append(plan.machines, m)
+		}
+	})
+}
+
+// addIncomingMachines adds the machines that will be up soon.
+func (plan *scaleOutPlan) addIncomingMachines() {
+	plan.incoming = plan.manager.IncomingMachines()
+	for _, offer := range slices.SortedFunc(maps.Keys(plan.incoming), compareOffers) {
+		typ := plan.manager.core.MachineTypes[offer.Type]
+		if typ == nil {
+			continue
+		}
+		for range plan.incoming[offer] {
+			plan.machines = append(plan.machines, plannedMachine{offer: offer, free: typ.Capacity(), empty: true})
+		}
+	}
+}
+
+// jobsByUrgency are the jobs with tasks that wait or must be replaced, the most urgent
+// first: those that have waited for so long that they go before all, then by priority,
+// then by how long they have waited.
+func (as *Manager) jobsByUrgency() []*core.Job {
+	jobs := slices.Collect(maps.Values(as.core.State.PendingJobs))
+	for id := range as.siblings.Health.ReplacementDemand() {
+		if j := as.core.State.Jobs[id]; j != nil && as.core.State.PendingJobs[id] == nil {
+			jobs = append(jobs, j)
+		}
+	}
+	stage := func(j *core.Job) sched.AgingStage { return as.siblings.Backfiller.WaitStage(j, core.AllPartitions) }
+	priority := as.siblings.Priorities.EffectivePriority
+	slices.SortFunc(jobs, func(a, b *core.Job) int {
+		return cmp.Or(
+			compareBools(stage(b) == sched.AgedAboveAll, stage(a) == sched.AgedAboveAll),
+			sched.Descending(priority(a.Spec), priority(b.Spec)),
+			cmp.Compare(stage(b), stage(a)),
+			cmp.Compare(a.ID, b.ID))
+	})
+	return jobs
+}
+
+// addJob plans for a job's tasks that wait.
+func (plan *scaleOutPlan) addJob(j *core.Job) {
+	if j.OwnerState.BackoffUntil > plan.manager.core.Now || plan.manager.siblings.Tenancy.StartsBlocked(j) {
+		return
+	}
+	waiting := plan.takeStartable(j)
+	waiting += plan.manager.siblings.Health.ReplacementDemand()[j.ID]
+	if waiting <= 0 {
+		return
+	}
+	demand := plan.newJobDemand(j, waiting)
+	if plan.startsInTimeWithout(demand) {
+		return
+	}
+	plan.assignToMachines(demand)
+	plan.requestFor(demand)
+}
+
+// takeStartable counts the tasks of a job that could start if there were machines, and
+// takes what they need off the quota, the pools and the budget.
+func (plan *scaleOutPlan) takeStartable(j *core.Job) int {
+	waiting := 0
+	for p := range plan.manager.core.State.Partitions {
+		waiting += j.PendingTasks(api.PartitionID(p))
+	}
+	waiting = min(waiting, j.Demand.Slots(plan.remainingQuota[j.Spec.Team]), plan.taskBudget)
+	if len(j.Spec.Needs) > 0 { // no machine for work that its pools keep waiting
+		request := sched.Job{Spec: j.Spec, HoldsJobUnits: j.LiveCount() > 0}
+		if waiting = request.TasksWithinUnits(plan.freeUnits, waiting); waiting > 0 {
+			request.ConsumeUnits(plan.freeUnits, waiting)
+		}
+	}
+	plan.taskBudget -= waiting
+	plan.remainingQuota[j.Spec.Team] = plan.remainingQuota[j.Spec.Team].Minus(j.Demand.Times(waiting))
+	return waiting
+}
+
+// startsInTimeWithout reports whether a job that needs accelerators starts in time on the
+// machines that there are: work that ends frees capacity, and more machines are requested
+// only when that comes too late. It notes the job's tasks as queued.
+func (plan *scaleOutPlan) startsInTimeWithout(demand *jobDemand) bool {
+	spec, shared := demand.job.Spec, plan.manager.core
+	within := shared.StartObjective(spec.Class)
+	if within <= 0 || demand.cpuOnly {
+		return false
+	}
+	slots := plan.manager.totalCapacitySlots(spec)
+	if slots <= 0 {
+		return false
+	}
+	plan.queuedTasks += demand.waiting
+	taskTurnaround := spec.Estimate + spec.ImageGB/shared.SlowestFetchRate(spec)
+	elapsed := max(0, float64(shared.WallClock-demand.job.AcceptedAt)/1000)
+	return elapsed+float64(plan.queuedTasks)/float64(slots)*taskTurnaround < within
+}
+
+// totalCapacitySlots counts how many of a job's tasks the machines that are up could hold
+// if they were empty.
+func (as *Manager) totalCapacitySlots(s *api.JobSpec) int {
+	slots := 0
+	for _, count := range as.siblings.Jobs.TotalSlotsByPartition(s) {
+		slots += count
+	}
+	return slots
+}
+
+// assignToMachines assigns tasks to the machines of the plan.
+func (plan *scaleOutPlan) assignToMachines(demand *jobDemand) {
+	for i := range plan.machines {
+		if demand.waiting == 0 {
+			return
+		}
+		if m := &plan.machines[i]; demand.mayUse(m) {
+			count := demand.assign(m.offer.Zone, m.free)
+			m.free = m.free.Minus(demand.job.Demand.Times(count))
+			m.empty = m.empty && count == 0
+		}
+	}
+}
+
+// requestFor plans more machines for the tasks that are left.
+func (plan *scaleOutPlan) requestFor(demand *jobDemand) {
+	for demand.waiting > 0 {
+		offer, ok := plan.offerFor(demand)
+		if !ok {
+			return
+		}
+		if plan.requests[offer]++; plan.requests[offer] == 1 {
+			plan.requestOrder = append(plan.requestOrder, offer)
+		}
+		if demand.job.Spec.OneZone {
+			demand.zone = offer.Zone
+		}
+		capacity := plan.manager.core.MachineTypes[offer.Type].Capacity()
+		count := demand.assign(offer.Zone, capacity)
+		free := capacity.Minus(demand.job.Demand.Times(count))
+		plan.machines = append(plan.machines, plannedMachine{offer: offer, free: free, partition: demand.partition})
+	}
+}
+
+// offerFor is the cheapest offer for a job. Where its zone has none, all of the job goes
+// to another.
+func (plan *scaleOutPlan) offerFor(demand *jobDemand) (core.MachineOffer, bool) {
+	offer, ok := plan.cheapestOffer(demand.job.Spec, demand.zoneOpen)
+	if ok || demand.zone == "" {
+		return offer, ok
+	}
+	demand.zone, demand.waiting = "", demand.total
+	if offer, ok = plan.cheapestOffer(demand.job.Spec, demand.zoneOpen); ok {
+		demand.zone = offer.Zone
+	}
+	return offer, ok
+}
--- a/controller/backfill.go
+++ b/controller/backfill.go
@@ -33,7 +33,7 @@
 )
 
 // allPartitions stands for all parts together.
-const allPartitions = api.PartitionID(-1)
+const allPartitions = core.AllPartitions
 
 // waitingTime is for how long nothing of a job has run in a part: since it was accepted, or since
 // its last task ended. ok is false when something runs or it may not start now.
@@ -76,7 +76,7 @@
 // TypicalDemands is what work that needs accelerators asks for, looked at once a second.
 func (bf *Backfiller) TypicalDemands() []fragmentation.Demand {
 	profile := &bf.demandProfile
-	if profile.computedAt != 0 && bf.core.Now.Sub(profile.computedAt) < demandSampleInterval {
+	if profile.computedAt != 0 && bf.core.Now.Sub(profile.computedAt) < core.DemandSampleInterval {
 		return profile.typical
 	}
 	demandCounts := map[api.Resources]int{}
@@ -298,7 +298,7 @@
 func (bf *Backfiller) isRelocatable(p *core.Placement) bool {
 	s := p.Job.Spec
 	return s.Kind == api.Service && !s.Spread && !s.OneZone && !p.Finishing && !p.OwnerState.StopRequested && !p.Job.Terminal() && p.OwnerState.RunningSince != 0 &&
-		bf.core.Now.Sub(p.OwnerState.RunningSince) > minServiceRuntime && p.Job.FinishingCount == 0 && (p.Job.OwnerState.ReplicaMovedAt == 0 || bf.core.Now.Sub(p.Job.OwnerState.ReplicaMovedAt) > relocationInterval)
+		bf.core.Now.Sub(p.OwnerState.RunningSince) > core.MinServiceRuntime && p.Job.FinishingCount == 0 && (p.Job.OwnerState.ReplicaMovedAt == 0 || bf.core.Now.Sub(p.Job.OwnerState.ReplicaMovedAt) > relocationInterval)
 }
 
 // relocateServices has the services of a machine that is kept start elsewhere, once nothing else is left
--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -108,8 +108,8 @@
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	n.dispatch(message.MalformedMessage{Req: 1, From: "10.0.0.9:1"})
 	n.dispatch(message.PeerGossip{Req: 2, Gossip: &message.Gossip{From: "nobody", Rented: []message.RecentScaleOut{{Machines: []api.MachineID{"i-9"}}}}})
-	if n.core.Metrics.MalformedMessages != 2 || len(n.autoscaler.fleet.provisioned) != 0 {
-		t.Errorf("%d counted, %d rentals believed", n.core.Metrics.MalformedMessages, len(n.autoscaler.fleet.provisioned))
+	if n.core.Metrics.MalformedMessages != 2 || len(n.autoscaler.Provisioned) != 0 {
+		t.Errorf("%d counted, %d rentals believed", n.core.Metrics.MalformedMessages, len(n.autoscaler.Provisioned))
 	}
 	for _, e := range n.core.Effects {
 		if r, ok := e.(message.Reply); ok && r.Status != 400 {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -12,6 +12,7 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/autoscale"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
 	"basaltwall/priority"
@@ -31,7 +32,7 @@
 	gossiper     *Gossiper
 	agents       *AgentManager
 	health       *ZoneHealth
-	autoscaler   *Autoscaler
+	autoscaler   *autoscale.Manager
 	scheduler    *RoundScheduler
 	preemptor    *Preemptor
 	priorities   *Priorities
@@ -85,7 +86,7 @@
 	n.gossiper = newGossiper(n)
 	n.agents = newAgentManager(n)
 	n.health = &ZoneHealth{core: shared, c: n}
-	n.autoscaler = newAutoscaler(n)
+	n.autoscaler = autoscale.New(shared)
 	n.scheduler = &RoundScheduler{core: shared, c: n}
 	n.preemptor = &Preemptor{core: shared, c: n}
 	n.priorities = &Priorities{core: shared, c: n}
@@ -97,6 +98,20 @@
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.autoscaler.Connect(autoscale.Siblings{
+		Agents:     n.agents,
+		Backfiller: n.backfiller,
+		Balancer:   n.balancer,
+		Follower:   n.follower,
+		Gossip:     n.gossiper,
+		Health:     n.health,
+		Jobs:       n.jobs,
+		Pools:      n.pools,
+		Preemptor:  n.preemptor,
+		Priorities: n.priorities,
+		Scheduler:  n.scheduler,
+		Tenancy:    n.tenancy,
+	})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
@@ -191,7 +206,7 @@
 	n.reservations.SyncLedger()
 	n.membership.ClaimPartitions()
 	n.reporter.StartWork(message.WorkFleet)
-	n.autoscaler.ReconcileFleet()
+	n.autoscaler.Reconcile()
 	n.tenancy.ReconcileTenants()
 	n.reporter.StartWork(message.WorkRounds)
 	n.scheduler.ObserveRounds()
--- a/controller/partition.go
+++ b/controller/partition.go
@@ -69,7 +69,7 @@
 
 // Why a task is over that went with its machine, or with its worker's session.
 const (
-	reasonMachineDeleted = "machine deleted"
+	reasonMachineDeleted = core.EndReasonMachineDeleted
 	reasonEpochOver      = "session over"
 )
 
@@ -456,14 +456,14 @@
 // bootingMachineDelay is how long a machine that boots takes until it has the image of a service's
 // replicas, in seconds; 0 if none boots that may take them. They wait for one rather than
 // for a fetch that takes longer, for twice as long at most: it may not come.
-func (rs *RoundScheduler) bootingMachineDelay(j *core.Job, incoming func() map[machineOffer]int) float64 {
+func (rs *RoundScheduler) bootingMachineDelay(j *core.Job, incoming func() map[core.MachineOffer]int) float64 {
 	if j.Spec.Kind != api.Service || rs.core.StartObjective(j.Spec.Class) <= 0 {
 		return 0
 	}
 	shortest := 0.0
 	for o, count := range incoming() {
-		typ := rs.core.MachineTypes[o.machineType]
-		if count <= 0 || typ == nil || typ.FetchRate <= 0 || !rs.core.IsEligible(j.Spec, rs.core.IsCPUOnly(j.Spec), o.machineType, o.zone, o.spot) || !j.Demand.Fits(typ.Capacity()) {
+		typ := rs.core.MachineTypes[o.Type]
+		if count <= 0 || typ == nil || typ.FetchRate <= 0 || !rs.core.IsEligible(j.Spec, rs.core.IsCPUOnly(j.Spec), o.Type, o.Zone, o.Spot) || !j.Demand.Fits(typ.Capacity()) {
 			continue
 		}
 		if s := typ.BootSeconds + j.Spec.ImageGB/typ.FetchRate; shortest == 0 || s < shortest {
--- a/controller/zones.go
+++ b/controller/zones.go
@@ -287,7 +287,7 @@
 		// However likely it is that the network is at fault: somebody who is cut off
 		// from us may keep its lease alive. With very many silent machines the calls that
 		// would have to fail first take longer than the cancellation has.
-		zh.c.autoscaler.ScheduleDeletion(m, owned, deleteReasonCancelled)
+		zh.c.autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonCancelled)
 		return
 	}
 	lease := zh.core.Config.WorkerLease()
@@ -309,7 +309,7 @@
 	if zh.recentlySilent(zh.inboundCutOff(), "") && silence < 2*lease {
 		return // it is we who do not hear, as it seems
 	}
-	zh.c.autoscaler.ScheduleDeletion(m, owned, deleteReasonUnreachable)
+	zh.c.autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonUnreachable)
 }
 
 // cancellationOverdue reports whether a machine holds a task whose cancellation was told so long ago
@@ -479,7 +479,7 @@
 		ExpectedOutage: func(name api.Zone) float64 {
 			return zh.zones.records[name].ExpectedRemaining(zh.ZoneSilenceSeconds(name))
 		},
-		MaxMachines: MaxDeletionBatch - zh.c.autoscaler.PendingDeletionCount(),
+		MaxMachines: core.MaxDeletionBatch - zh.c.autoscaler.PendingDeletionCount(),
 		Excluded: func(newTask *zonehealth.Task, r *zonehealth.FreeCapacity) bool {
 			return newTask.Spec.Kind == api.Service && zh.core.HasAccelerators(r.Type) && zh.core.IsCPUOnly(newTask.Spec) || r.OtherPartition && newTask.Spec.NeedsSinglePartition()
 		}}
@@ -570,7 +570,7 @@
 	for _, evacuation := range zonehealth.PlanEvacuation(input) {
 		m := byID[evacuation.Machine]
 		slog.Debug("machine evacuated with its zone", "machine", m.ID, "zone", m.Zone, "tasks", len(zh.core.State.PlacementsOn(m.ID)), "placeable", len(evacuation.Placements))
-		zh.c.autoscaler.ScheduleDeletion(m, owned, deleteReasonZoneLost)
+		zh.c.autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonZoneLost)
 	}
 }
 
--- a/controller/zones_test.go
+++ b/controller/zones_test.go
@@ -51,14 +51,14 @@
 		{"never heard, called in vain, not known to be up", func(_ *Controller, m *core.Machine) { m.LastHeartbeat, m.MissedCalls = 0, 3 }, 0, 0},
 		{"never heard, called in vain, listed as up", func(n *Controller, m *core.Machine) {
 			m.LastHeartbeat, m.MissedCalls = 0, 3
-			n.autoscaler.fleet.listedMachines[m.ID] = api.Instance{ID: m.ID, State: api.MachineRunning}
+			n.autoscaler.Listed[m.ID] = api.Instance{ID: m.ID, State: api.MachineRunning}
 		}, 1, 1},
 		{"being returned", func(n *Controller, m *core.Machine) {
-			n.autoscaler.ScheduleDeletion(m, n.core.Partitions[0], deleteReasonIdle)
+			n.autoscaler.ScheduleDeletion(m, n.core.Partitions[0], core.DeletionReasonIdle)
 			n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease())
 		}, 0, 0},
 		{"being given up", func(n *Controller, m *core.Machine) {
-			n.autoscaler.ScheduleDeletion(m, n.core.Partitions[0], deleteReasonZoneLost)
+			n.autoscaler.ScheduleDeletion(m, n.core.Partitions[0], core.DeletionReasonZoneLost)
 			n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease())
 		}, 1, 1},
 	} {
