--- a/controller/autoscale/machinelist.go
+++ b/controller/autoscale/machinelist.go
@@ -14,8 +14,8 @@
 	listInterval = 4 * time.Second // at least; see nextListDelay
 	listPageSize = 500             // machines in a page of the list
 
-	// listCallShare is the inverse of the part of the cloud's calls that lists may take.
-	listCallShare = 3
+	// listCallDivisor: one in so many of the cloud's calls may be for lists.
+	listCallDivisor = 3
 
 	// A machine usually boots within slowBootFactor times its type's boot time. After
 	// that it is not counted on any more, and replacements are requested; after
@@ -61,7 +61,7 @@
 // they have and controllers read them.
 func (as *Manager) nextListDelay() time.Duration {
 	pages := float64(len(as.Listed)/listPageSize + 1)
-	calls := listCallShare * pages * float64(len(as.core.Controllers))
+	calls := listCallDivisor * pages * float64(len(as.core.Controllers))
 	return max(listInterval, api.Seconds(calls/as.core.Config.Deployment.Cloud.RPS))
 }
 
--- a/controller/autoscale/scaleout.go
+++ b/controller/autoscale/scaleout.go
@@ -21,8 +21,8 @@
 	// takeoverSettleTime is how long after a takeover the machines that there are may
 	// take to send their heartbeats.
 	takeoverSettleTime = 3 * time.Second
-	// placementSettleTime is how long tasks must have lacked machines: what is about to
-	// be placed is placed first.
+	// placementSettleTime is how long tasks must have been short of machines: what is
+	// about to be placed is placed first.
 	placementSettleTime = time.Second
 
 	offerBackoff       = 20 * time.Second // for offers of which the cloud has no more
@@ -36,7 +36,7 @@
 	lastUrgent   bool // the last request was for the most urgent work
 	requestCount int
 	backoffUntil map[core.MachineOffer]api.Time // no requests of an offer before
-	unmetSince   api.Time                       // since when tasks have lacked machines, 0: they do not
+	unmetSince   api.Time                       // since when tasks are short of machines, 0: they are not
 }
 
 // scaleOut finds the waiting tasks that fit nowhere, neither on machines that are up nor
--- a/controller/autoscale/siblings.go
+++ b/controller/autoscale/siblings.go
@@ -35,8 +35,8 @@
 	ForgetMachine(api.MachineID)
 	// LoanedMachines are the machines whose partition changed of late.
 	LoanedMachines() iter.Seq[api.MachineID]
-	// LoanInTransit reports whether a machine was loaned and its new owner has not
-	// heard of it yet.
+	// LoanInTransit reports whether a machine was loaned of late and has not sent a
+	// heartbeat to its new owner yet.
 	LoanInTransit(api.MachineID) bool
 }
 
