--- a/controller/controller.go
+++ b/controller/controller.go
@@ -13,6 +13,7 @@
 	"basaltwall/clusterstate"
 	"basaltwall/config"
 	"basaltwall/controller/agent"
+	"basaltwall/controller/autoscale"
 	"basaltwall/controller/capacity"
 	"basaltwall/controller/core"
 	"basaltwall/controller/gossip"
@@ -37,7 +38,7 @@
 	gossiper     *gossip.Exchange
 	agents       *agent.Manager
 	health       *health.Monitor
-	autoscaler   *Autoscaler
+	autoscaler   *autoscale.Manager
 	scheduler    *RoundScheduler
 	preemptor    *Preemptor
 	priorities   *Priorities
@@ -75,7 +76,7 @@
 	n.gossiper = gossip.New(shared)
 	n.agents = agent.New(shared)
 	n.health = health.New(shared)
-	n.autoscaler = newAutoscaler(n)
+	n.autoscaler = autoscale.New(shared)
 	n.scheduler = &RoundScheduler{core: shared, c: n}
 	n.preemptor = &Preemptor{core: shared, c: n}
 	n.priorities = &Priorities{core: shared, c: n}
@@ -88,36 +89,7 @@
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
-	n.capacity.Connect(capacity.Siblings{Gossip: n.gossiper, Priorities: n.priorities, Tenants: n.tenancy})
-	n.jobs.Connect(jobs.Siblings{
-		Agents: n.agents, Balancer: n.balancer, Capacity: n.capacity, Gossip: n.gossiper, Log: n.follower, Pools: n.pools,
-		Priorities: n.priorities, Reservations: n.reservations, Tenants: n.tenancy,
-	})
-	n.membership.Connect(ownership.Siblings{Log: n.follower, Scheduler: n.scheduler})
-	n.gossiper.Connect(gossip.Siblings{
-		Log: n.follower, Agents: n.agents, Inventory: n.autoscaler, Autoscaler: n.autoscaler,
-		Scheduler: n.scheduler, Health: n.health, Eligibility: n.admin, Preemptor: n.preemptor,
-	})
-	n.follower.Connect(logfollow.Siblings{State: n, Ownership: n.membership})
-	n.agents.Connect(agent.Siblings{
-		Autoscaler: n.autoscaler,
-		Balancer:   n.balancer,
-		Follower:   n.follower,
-		Gossiper:   n.gossiper,
-		Health:     n.health,
-		Preemptor:  n.preemptor,
-		Scheduler:  n.scheduler,
-	})
-	n.health.Connect(health.Siblings{
-		Agents:     n.agents,
-		Autoscaler: n.autoscaler,
-		Follower:   n.follower,
-		Gossiper:   n.gossiper,
-		Preemptor:  n.preemptor,
-		Priorities: n.priorities,
-		Scheduler:  n.scheduler,
-		Tenancy:    n.tenancy,
-	})
+	n.connect()
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.core.State = n.NewState()
@@ -211,7 +183,7 @@
 	n.reservations.SyncLedger()
 	n.membership.ReconcilePartitions()
 	n.reporter.StartWork(message.WorkFleet)
-	n.autoscaler.ReconcileFleet()
+	n.autoscaler.Reconcile()
 	n.tenancy.ReconcileTenants()
 	n.reporter.StartWork(message.WorkRounds)
 	n.scheduler.ObserveRounds()
--- /dev/null
+++ b/controller/wiring.go
@@ -0,0 +1,63 @@
+// Wiring: which component asks which others.
+
+package controller
+
+import (
+	"basaltwall/controller/agent"
+	"basaltwall/controller/autoscale"
+	"basaltwall/controller/capacity"
+	"basaltwall/controller/gossip"
+	"basaltwall/controller/health"
+	"basaltwall/controller/jobs"
+	"basaltwall/controller/logfollow"
+	"basaltwall/controller/ownership"
+)
+
+// connect hands each component what it asks of the others. Components know these by their own
+// interfaces and never import each other.
+func (n *Controller) connect() {
+	n.follower.Connect(logfollow.Siblings{State: n, Ownership: n.membership})
+	n.membership.Connect(ownership.Siblings{Log: n.follower, Scheduler: n.scheduler})
+	n.gossiper.Connect(gossip.Siblings{
+		Log: n.follower, Agents: n.agents, Inventory: n.autoscaler, Autoscaler: n.autoscaler,
+		Scheduler: n.scheduler, Health: n.health, Eligibility: n.admin, Preemptor: n.preemptor,
+	})
+	n.agents.Connect(agent.Siblings{
+		Autoscaler: n.autoscaler,
+		Balancer:   n.balancer,
+		Follower:   n.follower,
+		Gossiper:   n.gossiper,
+		Health:     n.health,
+		Preemptor:  n.preemptor,
+		Scheduler:  n.scheduler,
+	})
+	n.health.Connect(health.Siblings{
+		Agents:     n.agents,
+		Autoscaler: n.autoscaler,
+		Follower:   n.follower,
+		Gossiper:   n.gossiper,
+		Preemptor:  n.preemptor,
+		Priorities: n.priorities,
+		Scheduler:  n.scheduler,
+		Tenancy:    n.tenancy,
+	})
+	n.autoscaler.Connect(autoscale.Siblings{
+		Agents:     n.agents,
+		Backfiller: n.backfiller,
+		Balancer:   n.balancer,
+		Follower:   n.follower,
+		Gossip:     n.gossiper,
+		Health:     n.health,
+		Capacity:   n.capacity,
+		Pools:      n.pools,
+		Preemptor:  n.preemptor,
+		Priorities: n.priorities,
+		Scheduler:  n.scheduler,
+		Tenancy:    n.tenancy,
+	})
+	n.capacity.Connect(capacity.Siblings{Gossip: n.gossiper, Priorities: n.priorities, Tenants: n.tenancy})
+	n.jobs.Connect(jobs.Siblings{
+		Agents: n.agents, Balancer: n.balancer, Capacity: n.capacity, Gossip: n.gossiper, Log: n.follower, Pools: n.pools,
+		Priorities: n.priorities, Reservations: n.reservations, Tenants: n.tenancy,
+	})
+}
