--- a/controller/backfill.go
+++ b/controller/backfill.go
@@ -181,7 +181,7 @@
 		case p.Finishing:
 			continue // its room is free already
 		case p.OwnerState.StopRequested || p.Job.Terminal():
-			after = preemptionDelay.Seconds() + p.Job.Spec.Save
+			after = core.PreemptionDelay.Seconds() + p.Job.Spec.Save
 		case p.Job.Spec.Kind == api.Service:
 			if includeRelocatable && bf.isRelocatable(p) {
 				after = relocationDelay.Seconds()
@@ -191,7 +191,7 @@
 			if at := cmp.Or(p.OwnerState.RunningSince, p.OwnerState.PlacedAt); at != 0 {
 				ran = bf.core.Now.Sub(at).Seconds()
 			}
-			after = max(p.Job.Spec.Estimate*runtimeSafetyFactor-ran, (ran-p.Job.Spec.Estimate)/2, 1)
+			after = max(p.Job.Spec.Estimate*core.RuntimeSafetyFactor-ran, (ran-p.Job.Spec.Estimate)/2, 1)
 		}
 		out = append(out, backfill.Release{AfterSeconds: after, Resources: p.Job.Demand})
 	}
@@ -307,7 +307,7 @@
 // the same; what it costs is its fetch.
 func (bf *Backfiller) relocateServices(owned *core.OwnedPartition, m *core.Machine, capacity *relocationCapacity) {
 	places := bf.core.State.PlacementsOn(m.ID)
-	if len(places) == 0 || bf.core.Now.Sub(owned.ServicesMovedAt) < reservationTTL {
+	if len(places) == 0 || bf.core.Now.Sub(owned.ServicesMovedAt) < core.ReservationTTL {
 		return
 	}
 	jobs := map[*core.Job]bool{}
@@ -430,7 +430,7 @@
 			continue
 		}
 		if _, waits := bf.waitingTime(j, owned.ID); waits && bf.c.preemptor.ReservedFor(m) != "" {
-			m.ReservedUntil, m.IdleSince = bf.core.Now.Add(reservationTTL), bf.core.Now
+			m.ReservedUntil, m.IdleSince = bf.core.Now.Add(core.ReservationTTL), bf.core.Now
 		}
 	}
 }
@@ -447,7 +447,7 @@
 			!slices.ContainsFunc(bf.core.State.PlacementsOn(m.ID), func(p *core.Placement) bool {
 				return p.Job.Spec.Kind == api.Service && !p.Finishing && !p.OwnerState.StopRequested
 			}) {
-			m.ReservedUntil = bf.core.Now.Add(reservationTTL)
+			m.ReservedUntil = bf.core.Now.Add(core.ReservationTTL)
 		}
 	}
 }
@@ -487,7 +487,7 @@
 		}
 		m := bf.c.agents.EnsureMachine(id)
 		m.ReservedFor, m.ReservationRank, m.SoftReservation, m.Consolidated = recorded.Job, j.Spec.Priority.Rank(), true, true
-		m.ReservedUntil, m.ConsolidatedAt = bf.core.Now.Add(reservationTTL), bf.core.Now
+		m.ReservedUntil, m.ConsolidatedAt = bf.core.Now.Add(core.ReservationTTL), bf.core.Now
 	}
 }
 
@@ -499,7 +499,7 @@
 		slog.Info("machine reserved", "machine", m.ID, "for", jobID, "tasks", len(bf.core.State.PlacementsOn(m.ID)))
 		owned.Dirty = true
 	}
-	m.ReservedFor, m.ReservationRank, m.SoftReservation, m.ReservedUntil, m.Consolidated = jobID, rank, stage != sched.AgedAboveAll, bf.core.Now.Add(reservationTTL), true
+	m.ReservedFor, m.ReservationRank, m.SoftReservation, m.ReservedUntil, m.Consolidated = jobID, rank, stage != sched.AgedAboveAll, bf.core.Now.Add(core.ReservationTTL), true
 }
 
 // FitsAttainableQuota reports whether so many tasks of a job fit its team's limit once all that ends by
--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -67,7 +67,7 @@
 			for _, d := range owned.InFlight.Record.Jobs {
 				acknowledged = acknowledged || d.CancellationAcknowledged
 			}
-			n.scheduler.applyCommittedRound(owned, 10)
+			n.scheduler.ApplyCommittedRound(owned, 10)
 		}
 		s, _ := n.jobs.JobStatus(j.ID)
 		if acknowledged != tc.want || s.Terminal() != tc.want {
@@ -137,7 +137,7 @@
 	if lost != 2 {
 		t.Errorf("%d are recorded as lost, expected 2", lost)
 	}
-	n.scheduler.applyCommittedRound(owned, 10)
+	n.scheduler.ApplyCommittedRound(owned, 10)
 	if s, _ := n.jobs.JobStatus(j.ID); s.State != api.JobCancelled {
 		t.Errorf("the job is called %s", s.State)
 	}
--- a/controller/capacitytarget.go
+++ b/controller/capacitytarget.go
@@ -319,7 +319,7 @@
 	if !as.fitsElsewhere(m, owned, to) {
 		return
 	}
-	m.ConsolidatingUntil = as.core.Now.Add(reservationTTL)
+	m.ConsolidatingUntil = as.core.Now.Add(core.ReservationTTL)
 	slog.Info("services relocated", "machine", m.ID, "tasks", len(as.core.State.PlacementsOn(m.ID)))
 	for _, p := range slices.Clone(as.core.State.PlacementsOn(m.ID)) {
 		as.c.scheduler.StopTask(p)
@@ -375,7 +375,7 @@
 			}
 			for _, byOffer := range []map[machineOffer]int{need, incoming} {
 				for o, k := range byOffer {
-					if o.machineType == name && matches(o.spot) {
+					if o.Type == name && matches(o.Spot) {
 						sum += k
 					}
 				}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -14,6 +14,8 @@
 	"basaltwall/config"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
+	"basaltwall/controller/preemption"
+	"basaltwall/controller/rounds"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
 )
@@ -32,8 +34,8 @@
 	agents       *AgentManager
 	health       *ZoneHealth
 	autoscaler   *Autoscaler
-	scheduler    *RoundScheduler
-	preemptor    *Preemptor
+	scheduler    *rounds.Scheduler
+	preemptor    *preemption.Planner
 	priorities   *Priorities
 	backfiller   *Backfiller
 	balancer     *Balancer
@@ -86,8 +88,8 @@
 	n.agents = newAgentManager(n)
 	n.health = &ZoneHealth{core: shared, c: n}
 	n.autoscaler = newAutoscaler(n)
-	n.scheduler = &RoundScheduler{core: shared, c: n}
-	n.preemptor = &Preemptor{core: shared, c: n}
+	n.scheduler = rounds.New(shared)
+	n.preemptor = preemption.New(shared)
 	n.priorities = &Priorities{core: shared, c: n}
 	n.backfiller = &Backfiller{core: shared, c: n}
 	n.balancer = &Balancer{core: shared, c: n}
@@ -97,6 +99,26 @@
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.scheduler.Connect(rounds.Siblings{
+		Admin:      n.admin,
+		Agents:     n.agents,
+		Autoscaler: n.autoscaler,
+		Backfiller: n.backfiller,
+		Balancer:   n.balancer,
+		Follower:   n.follower,
+		Health:     n.health,
+		Jobs:       n.jobs,
+		Pools:      n.pools,
+		Preemptor:  n.preemptor,
+		Priorities: n.priorities,
+		Tenancy:    n.tenancy,
+	})
+	n.preemptor.Connect(preemption.Siblings{
+		Agents:     n.agents,
+		Health:     n.health,
+		Priorities: n.priorities,
+		Scheduler:  n.scheduler,
+	})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
--- a/controller/deletions.go
+++ b/controller/deletions.go
@@ -85,7 +85,7 @@
 					continue
 				}
 				as.fleet.deletedAt[deletion.machine.ID] = as.core.Now
-				delete(as.fleet.offerBackoff, machineOffer{deletion.machine.MachineType, deletion.machine.Zone, deletion.machine.Spot}) // there may be room again
+				delete(as.fleet.offerBackoff, machineOffer{Type: deletion.machine.MachineType, Zone: deletion.machine.Zone, Spot: deletion.machine.Spot}) // there may be room again
 				if deletion.machine.Spot && (deletion.reason == deleteReasonUnreachable || deletion.reason == deleteReasonCancelled || deletion.machine.ReclaimNotice) {
 					as.fleet.spotPreemptions++
 				}
@@ -93,7 +93,7 @@
 				if as.core.Partitions[deletion.partition.ID] == deletion.partition {
 					for _, p := range as.core.State.PlacementsOn(deletion.machine.ID) {
 						if p.Partition == deletion.partition.ID && !p.Finishing {
-							as.c.scheduler.RecordTaskEnd(deletion.partition, p, false, reasonMachineDeleted)
+							as.c.scheduler.RecordTaskEnd(deletion.partition, p, false, core.EndReasonMachineDeleted)
 						}
 					}
 					deletion.partition.Dirty = true
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -87,11 +87,7 @@
 }
 
 // machineOffer is something the cloud may rent.
-type machineOffer struct {
-	machineType api.MachineTypeName
-	zone        api.Zone
-	spot        bool
-}
+type machineOffer = core.MachineOffer
 
 type provisionedMachine struct {
 	machineOffer
@@ -109,7 +105,7 @@
 	}
 	var out []message.RecentScaleOut
 	for _, o := range slices.SortedFunc(maps.Keys(byOffer), compareOffers) {
-		out = append(out, message.RecentScaleOut{Type: o.machineType, Zone: o.zone, Spot: o.spot, Machines: byOffer[o]})
+		out = append(out, message.RecentScaleOut{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Machines: byOffer[o]})
 	}
 	return out
 }
@@ -334,12 +330,12 @@
 		}
 		empty := as.core.MachineTypes[k.Type] != nil && r.Free == as.core.MachineTypes[k.Type].Capacity()
 		for range r.Count {
-			spaces = append(spaces, space{machineOffer{k.Type, k.Zone, k.Spot}, r.Free, k.Closed, p, empty})
+			spaces = append(spaces, space{machineOffer{Type: k.Type, Zone: k.Zone, Spot: k.Spot}, r.Free, k.Closed, p, empty})
 		}
 	})
 	incoming := as.IncomingMachines()
 	for _, o := range slices.SortedFunc(maps.Keys(incoming), compareOffers) {
-		if typ := as.core.MachineTypes[o.machineType]; typ != nil {
+		if typ := as.core.MachineTypes[o.Type]; typ != nil {
 			for range incoming[o] {
 				spaces = append(spaces, space{o, typ.Capacity(), false, 0, true})
 			}
@@ -393,8 +389,8 @@
 		if j.Spec.OneZone && waiting > 0 {
 			freeSlots := map[api.Zone]int{}
 			for _, s := range spaces {
-				if sched.Feasible(j.Spec, s.machineType, s.zone, s.spot) {
-					freeSlots[s.zone] += j.Demand.Slots(s.free)
+				if sched.Feasible(j.Spec, s.Type, s.Zone, s.Spot) {
+					freeSlots[s.Zone] += j.Demand.Slots(s.free)
 				}
 			}
 			// Where there is some room, the rest is rented beside it.
@@ -435,12 +431,12 @@
 			if bound && !s.empty && s.part != boundPartition {
 				continue // its tasks stay in one part, and what is not empty is not lent
 			}
-			if zoneOpen(s.zone) && !(cpuOnly && s.closed) && sched.Feasible(j.Spec, s.machineType, s.zone, s.spot) {
-				k := min(zoneLimit(s.zone), j.Demand.Slots(s.free))
+			if zoneOpen(s.Zone) && !(cpuOnly && s.closed) && sched.Feasible(j.Spec, s.Type, s.Zone, s.Spot) {
+				k := min(zoneLimit(s.Zone), j.Demand.Slots(s.free))
 				s.free = s.free.Minus(j.Demand.Times(k))
 				s.empty = s.empty && k == 0
 				waiting -= k
-				zones[s.zone] += k
+				zones[s.Zone] += k
 			}
 		}
 		for waiting > 0 {
@@ -448,7 +444,7 @@
 			if !ok && zone != "" {
 				zone, waiting = "", totalWaiting // all of it somewhere else
 				if o, ok = as.cheapestOffer(j.Spec, need, incoming, zoneOpen); ok {
-					zone = o.zone
+					zone = o.Zone
 				}
 			}
 			if !ok {
@@ -458,12 +454,12 @@
 				offerOrder = append(offerOrder, o)
 			}
 			if j.Spec.OneZone {
-				zone = o.zone
+				zone = o.Zone
 			}
-			free := as.core.MachineTypes[o.machineType].Capacity()
-			k := min(zoneLimit(o.zone), j.Demand.Slots(free))
+			free := as.core.MachineTypes[o.Type].Capacity()
+			k := min(zoneLimit(o.Zone), j.Demand.Slots(free))
 			waiting -= k
-			zones[o.zone] += k
+			zones[o.Zone] += k
 			spaces = append(spaces, space{o, free.Minus(j.Demand.Times(k)), false, boundPartition, false})
 		}
 	}
@@ -507,12 +503,12 @@
 		if typ := as.core.MachineTypes[h.Type]; typ != nil && h.State != api.MachineFailed && !accounted[id] && f.deletedAt[id] == 0 && h.AgeSeconds <= slowBootFactor*typ.BootSeconds {
 			// One that is late is not counted on any more; one that the list shows
 			// to run may not have been heard of yet.
-			incoming[machineOffer{h.Type, h.Zone, h.Spot}]++
+			incoming[machineOffer{Type: h.Type, Zone: h.Zone, Spot: h.Spot}]++
 		}
 	}
 	for id := range as.c.agents.LoanedMachines() {
 		if h, listed := f.listedMachines[id]; listed && (accounted[id] || h.AgeSeconds > slowBootFactor*as.core.BootSeconds(h.Type)) && as.c.agents.LoanInTransit(id) {
-			incoming[machineOffer{h.Type, h.Zone, h.Spot}]++
+			incoming[machineOffer{Type: h.Type, Zone: h.Zone, Spot: h.Spot}]++
 		}
 	}
 	for id, r := range f.provisioned {
@@ -529,7 +525,7 @@
 func (as *Autoscaler) requestMachines(owned *core.OwnedPartition, o machineOffer, count int) {
 	f := &as.fleet
 	f.requestCount++
-	r := &api.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", owned.Term, f.requestCount), Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: count}
+	r := &api.ScaleOutRequest{Name: fmt.Sprintf("r-%d-%d", owned.Term, f.requestCount), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count}
 	f.scaleOutInFlight = true
 	begun := as.core.Now
 	as.core.CallCloud(message.CloudCall{Create: r}, func(a message.CloudResponse) {
@@ -551,7 +547,7 @@
 		if r.Count == maxScaleOutBatch {
 			f.nextScaleOut = begun.Add(as.core.CloudCallInterval * 2 / 3) // a ramp: half of the calls
 		}
-		slog.Info("machines provisioned", "type", o.machineType, "zone", o.zone, "spot", o.spot, "asked", r.Count, "got", len(a.Machines))
+		slog.Info("machines provisioned", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", r.Count, "got", len(a.Machines))
 		if len(a.Machines) < r.Count {
 			f.offerBackoff[o] = as.core.Now.Add(20 * time.Second)
 		}
@@ -563,12 +559,12 @@
 
 func compareOffers(a, b machineOffer) int {
 	spot := func(o machineOffer) int {
-		if o.spot {
+		if o.Spot {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(a.machineType, b.machineType), cmp.Compare(a.zone, b.zone), spot(a)-spot(b))
+	return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), spot(a)-spot(b))
 }
 
 // mayProbeZone reports whether one more machine may be rented in a zone: into one of which nothing
@@ -580,7 +576,7 @@
 	count := 0
 	for _, of := range []map[machineOffer]int{need, incoming} {
 		for o, k := range of {
-			if o.zone == name {
+			if o.Zone == name {
 				count += k
 			}
 		}
@@ -620,7 +616,7 @@
 		}
 		for _, z := range zones {
 			for _, spot := range []bool{true, false} {
-				o := machineOffer{name, z, spot}
+				o := machineOffer{Type: name, Zone: z, Spot: spot}
 				if !open(z) || !sched.Feasible(s, name, z, spot) || as.fleet.offerBackoff[o] > as.core.Now || as.c.health.ZoneUnavailable(z) || !as.mayProbeZone(z, needed, incoming) {
 					continue
 				}
@@ -671,7 +667,7 @@
 // NoteProvisioned notes a machine that another controller has provisioned.
 func (as *Autoscaler) NoteProvisioned(id api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool) {
 	if _, known := as.fleet.provisioned[id]; !known {
-		as.fleet.provisioned[id] = provisionedMachine{machineOffer{typ, zone, spot}, as.core.Now}
+		as.fleet.provisioned[id] = provisionedMachine{machineOffer{Type: typ, Zone: zone, Spot: spot}, as.core.Now}
 	}
 }
 
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -113,7 +113,7 @@
 			e.State = state
 			putTenant(t, n, e)
 		}
-		if got := len(n.scheduler.planRound(owned).Starts) > 0; got != starts || n.tenancy.StartsBlocked(j) == starts {
+		if got := len(n.scheduler.PlanRound(owned).Starts) > 0; got != starts || n.tenancy.StartsBlocked(j) == starts {
 			t.Errorf("%q: starts %v, held %v", state, got, n.tenancy.StartsBlocked(j))
 		}
 		if waiting := n.jobs.PendingTasksIn(0, j.Spec); (waiting > 0) != starts {
@@ -203,7 +203,7 @@
 	starts := func(round *core.PendingRound, j *core.Job) bool {
 		return slices.ContainsFunc(round.Starts, func(p *core.Placement) bool { return p.Job == j })
 	}
-	round := n.scheduler.planRound(owned)
+	round := n.scheduler.PlanRound(owned)
 	if !starts(round, j) {
 		t.Error("another tenant's job waits behind the queue")
 	}
@@ -213,7 +213,7 @@
 	delete(n.core.State.PendingJobs, j.ID) // a round places one task on each machine
 	rounds := 1
 	for !starts(round, fits) && rounds <= queue {
-		round = n.scheduler.planRound(owned)
+		round = n.scheduler.PlanRound(owned)
 		rounds++
 	}
 	if limit := tenant.RoundsToCoverAll(queue, maxTenantJobsPerRound); rounds > limit {
--- a/controller/intervals_test.go
+++ b/controller/intervals_test.go
@@ -96,7 +96,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawConfig(t)
 		n := New(c, 1)
-		if room, conditions := n.scheduler.roundByteBudget(), n.scheduler.RoundConditionBudget(); room < 64 || conditions < 2 {
+		if room, conditions := n.scheduler.RoundByteBudget(), n.scheduler.RoundConditionBudget(); room < 64 || conditions < 2 {
 			t.Errorf("%.2f KB and %d writes leave %d bytes and %d conditions", c.Deployment.State.ValueKB, c.Deployment.State.TxnOps, room, conditions)
 		}
 	})
--- a/controller/loan.go
+++ b/controller/loan.go
@@ -31,7 +31,7 @@
 			if cpuOnly && owned.PendingTaskCount > 0 && demand.Stage == sched.NotAged && !slices.Contains(demand.Lenders, owned.ID) {
 				continue // our own tasks can use what is free
 			}
-			var best preemptionPlan
+			var best core.PreemptionPlan
 			for _, m := range bl.c.agents.MachinesOf(owned.ID) {
 				if reservedJob := bl.c.preemptor.ReservedFor(m); reservedJob != "" && reservedJob != demand.Spec.Ref || !bl.isLendable(m, owned, &demand, cpuOnly) {
 					continue
@@ -47,12 +47,12 @@
 					continue
 				}
 				plan := bl.c.preemptor.PlanPreemption(m, owned, demand.Spec, demand.Spec.Tasks, false)
-				if plan.tasks > 0 && len(plan.victims) == len(bl.core.State.PlacementsOn(m.ID)) && (best.machine == nil || plan.cost < best.cost) {
+				if plan.Tasks > 0 && len(plan.Victims) == len(bl.core.State.PlacementsOn(m.ID)) && (best.Machine == nil || plan.Cost < best.Cost) {
 					best = plan
 				}
 			}
-			if best.machine != nil {
-				bl.c.preemptor.ReserveExclusively(best.machine, demand.Spec.Ref)
+			if best.Machine != nil {
+				bl.c.preemptor.ReserveExclusively(best.Machine, demand.Spec.Ref)
 				bl.c.preemptor.ExecutePreemption(best, demand.Spec.Ref)
 			} else if m := bl.selectTransferMachine(owned, &demand, cpuOnly); m != nil {
 				bl.lendMachineWithTasks(owned, m, status.Part, demand.Spec.Ref)
--- a/controller/machine.go
+++ b/controller/machine.go
@@ -248,7 +248,7 @@
 			continue
 		}
 		if p.Epoch < m.Epoch {
-			am.c.scheduler.RecordTaskEnd(owned, p, false, reasonEpochOver)
+			am.c.scheduler.RecordTaskEnd(owned, p, false, core.EndReasonEpochOver)
 			continue
 		}
 		taskReport, ok := m.ReportedTasks[core.AttemptKey{Task: p.Task, Attempt: p.Attempt}]
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -569,24 +569,6 @@
 	return nil
 }
 
-// addRoundPools adds pools to those that a round names, or reports that they would be too many:
-// jobs that hold their own units already may start tasks whatever pools a round looks at.
-func addRoundPools(named map[api.PoolName]bool, needs []api.PoolRequest) bool {
-	added := 0
-	for _, need := range needs {
-		if !named[need.Pool] {
-			added++
-		}
-	}
-	if len(named)+added > maxRoundPools {
-		return false
-	}
-	for _, need := range needs {
-		named[need.Pool] = true
-	}
-	return true
-}
-
 // Count is how many pools there are.
 func (pm *PoolManager) Count() int {
 	if pm.c.tenancy.hosted == nil {
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -73,11 +73,11 @@
 		"not understood": func(n *Controller) { n.core.State.SetVersion(keyPool+"routing", 11) },
 	} {
 		n, owned, j := pooledOwner(t, 3)
-		if len(n.scheduler.planRound(owned).Starts) == 0 {
+		if len(n.scheduler.PlanRound(owned).Starts) == 0 {
 			t.Fatal("nothing starts though there are units")
 		}
 		disable(n)
-		if starts := n.scheduler.planRound(owned).Starts; len(starts) != 0 {
+		if starts := n.scheduler.PlanRound(owned).Starts; len(starts) != 0 {
 			t.Errorf("%s: %d tasks start", what, len(starts))
 		}
 		if len(owned.UnmetDemands) > 0 {
@@ -139,7 +139,7 @@
 				putJob(b, n, spec, "kipper", 0)
 			}
 			for b.Loop() {
-				n.scheduler.planRound(owned)
+				n.scheduler.PlanRound(owned)
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 		spec.Needs = []api.PoolRequest{{Pool: name, Job: 1}}
 		n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: spec.Ref}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: putJob(t, n, spec, "kipper", 0)})
 	}
-	round := n.scheduler.planRound(owned)
+	round := n.scheduler.PlanRound(owned)
 	got := 0
 	for _, c := range round.Txn.If {
 		if strings.HasPrefix(c.Key, keyPool) {
@@ -177,7 +177,7 @@
 // Metrics tell of each pool what it holds and who waits, of two hundred at most.
 func TestPoolMetrics(t *testing.T) {
 	n, owned, _ := pooledOwner(t, 3)
-	round := n.scheduler.planRound(owned)
+	round := n.scheduler.PlanRound(owned)
 	n.core.State.ApplyRecord(0, &round.Record)
 	if got := n.reporter.ViewMetrics().Pools["routing"]; got.Size != 3 || got.Held != len(round.Starts) || got.Held == 0 || got.PendingUnits != 4-got.Held {
 		t.Errorf("%+v after %d starts of 4 tasks", got, len(round.Starts))
--- a/controller/roundrate_test.go
+++ b/controller/roundrate_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"strings"
 	"testing"
-	"time"
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
@@ -30,59 +29,6 @@
 	return n
 }
 
-// However many partitions write rounds, together they stay within half of the writes; those that
-// write nothing leave theirs to the others. With few nothing depends on who writes.
-func TestRoundsShareWriteBudget(t *testing.T) {
-	for _, all := range []int{1, 3, 7, 23} {
-		for active := range all + 1 {
-			n := manyControllers(t, all)
-			n.scheduler.ObserveRounds()
-			n.core.Now = n.core.Now.Add(time.Minute)
-			for i := range active {
-				n.core.State.Partitions[i].RoundSeq++
-			}
-			n.scheduler.ObserveRounds()
-			pause := n.scheduler.currentRoundInterval()
-			if rate := float64(active) / pause.Seconds(); rate > 1.001*0.5*50 {
-				t.Errorf("%d of %d partitions write %.1f rounds a second", active, all, rate)
-			}
-			if all <= n.core.MaxRelays && pause != n.core.RoundInterval {
-				t.Errorf("%d of %d: %v, expected %v", active, all, pause, n.core.RoundInterval)
-			}
-			if active <= n.core.MaxRelays && all > n.core.MaxRelays && pause >= n.core.RoundInterval {
-				t.Errorf("%d of %d: %v, as if all wrote", active, all, pause)
-			}
-			n.core.Now = n.core.Now.Add(2 * activeWindow)
-			if n.scheduler.ObserveRounds(); n.scheduler.currentRoundInterval() > pause {
-				t.Errorf("%d of %d: slower once they are idle", active, all)
-			}
-		}
-	}
-}
-
-// A refusal makes rounds as rare as if all partitions wrote, at once, and they come back slowly.
-func TestRefusalBacksOffRounds(t *testing.T) {
-	n := manyControllers(t, 23)
-	n.scheduler.ObserveRounds()
-	fast := n.scheduler.currentRoundInterval()
-	n.scheduler.backOffRounds()
-	if got := n.scheduler.currentRoundInterval(); got != n.core.RoundInterval || got <= fast {
-		t.Errorf("%v after a refusal, %v before", got, fast)
-	}
-	last := n.scheduler.currentRoundInterval()
-	for range 20 {
-		n.core.Now = n.core.Now.Add(time.Second)
-		if got := n.scheduler.currentRoundInterval(); got > last {
-			t.Errorf("slower by itself: %v after %v", got, last)
-		} else {
-			last = got
-		}
-	}
-	if last != fast {
-		t.Errorf("%v in the end, %v before", last, fast)
-	}
-}
-
 // Of many controllers the first few relays read for themselves, each other one reads through one of
 // them, and through another when that fails; of three all read for themselves.
 func TestRelaySelection(t *testing.T) {
--- /dev/null
+++ b/controller/rounds/archive.go
@@ -0,0 +1,64 @@
+package rounds
+
+// This file replaces the records of finished jobs by their results.
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+)
+
+// archiveInterval is how often a partition's finished jobs are archived.
+const archiveInterval = 2 * time.Second
+
+// archiveJobs replaces the keys of finished jobs by their results. Only the owner of a job's
+// first task does so, and only when no placement of the job is left: every start is conditional
+// on the job's key, so none can follow.
+func (s *Scheduler) archiveJobs(owned *core.OwnedPartition) {
+	if owned.ArchivingResults || owned.HandingOver || s.core.Now < owned.NextArchive {
+		return
+	}
+	txn := s.archiveTxn(owned)
+	owned.NextArchive = s.core.Now.Add(archiveInterval)
+	if len(txn.Writes) == 0 {
+		return
+	}
+	txn.If = append(txn.If, owned.OwnershipCondition())
+	owned.ArchivingResults = true
+	s.core.CallStoreTxn(txn, func(message.StoreResponse) { owned.ArchivingResults = false })
+}
+
+// archiveTxn replaces the records of as many finished jobs as fit into a transaction.
+func (s *Scheduler) archiveTxn(owned *core.OwnedPartition) api.Txn {
+	var txn api.Txn
+	for _, id := range slices.Sorted(maps.Keys(s.core.State.FinishedJobs)) {
+		j := s.core.State.FinishedJobs[id]
+		if !ownsFirstTask(owned.ID, j) {
+			continue
+		}
+		writes := s.archiveWrites(j)
+		if len(txn.Writes)+len(writes) > s.core.Config.Deployment.State.TxnOps {
+			break
+		}
+		txn.If = append(txn.If, api.Condition{Key: clusterstate.KeyJob + string(id), Version: j.Version}, api.Condition{Key: clusterstate.KeyJobResult + string(id)})
+		txn.Writes = append(txn.Writes, writes...)
+	}
+	return txn
+}
+
+// archiveWrites replaces the record of a job by its result and, if it is a tenant's, adds it to
+// the tenant's history.
+func (s *Scheduler) archiveWrites(j *core.Job) []api.Write {
+	result, _ := json.Marshal(j.State()) // a string can always be encoded
+	writes := []api.Write{{Drop: clusterstate.KeyJob + string(j.ID)}, {Put: clusterstate.KeyJobResult + string(j.ID), Value: result}}
+	if j.Tenant != "" {
+		writes = append(writes, s.siblings.Tenancy.HistoryWrite(j))
+	}
+	return writes
+}
--- /dev/null
+++ b/controller/rounds/capacity.go
@@ -0,0 +1,82 @@
+package rounds
+
+// This file tells what is free on machines and where a job's tasks are.
+
+import (
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/sched"
+)
+
+// IsSchedulable reports whether a machine may get new tasks.
+func (s *Scheduler) IsSchedulable(m *core.Machine, owned *core.OwnedPartition) bool {
+	return s.siblings.Admin.UnschedulableReason(m, owned) == ""
+}
+
+// FreeCapacityOn is the free capacity of a machine: its capacity less all that is or may be on
+// it. It is zero where an unknown task runs, as that may take anything.
+func (s *Scheduler) FreeCapacityOn(m *core.Machine, owned *core.OwnedPartition) api.Resources {
+	machineType := s.core.MachineTypes[m.MachineType]
+	if machineType == nil || m.HasUnknownTasks {
+		return api.Resources{}
+	}
+	return machineType.Capacity().Minus(m.UntrackedUsage).Minus(owned.InFlightDemand[m.ID]).Minus(s.core.State.Allocated(m.ID))
+}
+
+// PendingImageFetches is what images a machine has still to fetch for its tasks, as far as is
+// known.
+func (s *Scheduler) PendingImageFetches(m *core.Machine) []sched.ImageFetch {
+	var fetches []sched.ImageFetch
+	for _, placement := range s.core.State.PlacementsOn(m.ID) {
+		if !needsFetch(m, placement) {
+			continue
+		}
+		fetch := sched.ImageFetch{Name: placement.Job.Spec.Image, SizeGB: placement.Job.Spec.ImageGB}
+		if placement.OwnerState.PlacedAt != 0 {
+			fetch.ElapsedSeconds = s.core.Now.Sub(placement.OwnerState.PlacedAt).Seconds()
+		}
+		if i := slices.IndexFunc(fetches, func(other sched.ImageFetch) bool { return other.Name == fetch.Name }); i >= 0 {
+			fetches[i].ElapsedSeconds = max(fetches[i].ElapsedSeconds, fetch.ElapsedSeconds)
+		} else {
+			fetches = append(fetches, fetch)
+		}
+	}
+	return fetches
+}
+
+// needsFetch reports whether a machine has still to fetch the image of a task on it.
+func needsFetch(m *core.Machine, placement *core.Placement) bool {
+	if _, cached := m.CachedImages[placement.Job.Spec.Image]; cached || placement.Finishing {
+		return false
+	}
+	return !placement.OwnerState.Reported || placement.OwnerState.State == api.TaskFetching
+}
+
+// TaskZones counts a job's tasks by zone, those that may still be there included; known is false
+// when a machine's zone is not known.
+func (s *Scheduler) TaskZones(j *core.Job) (zones map[api.Zone]int, known bool) {
+	zones, known = map[api.Zone]int{}, true
+	for _, placement := range j.Placements {
+		if placement.Finishing {
+			continue
+		}
+		zone := s.MachineZone(placement.Machine)
+		if zone == "" {
+			known = false
+			continue
+		}
+		zones[zone]++
+	}
+	return zones, known
+}
+
+// MachineZone is a machine's zone by its own heartbeats or by the cloud's list, which alone tells
+// it of other partitions' machines. It is empty if neither has yet.
+func (s *Scheduler) MachineZone(id api.MachineID) api.Zone {
+	if m := s.core.Machines[id]; m != nil && m.Zone != "" {
+		return m.Zone
+	}
+	return s.siblings.Autoscaler.ListedZone(id)
+}
--- /dev/null
+++ b/controller/rounds/flow.go
@@ -0,0 +1,311 @@
+package rounds
+
+// This file composes the input of a round's flow problem from the partition's machines and its
+// pending tasks, and turns the solution into starts.
+
+import (
+	"log/slog"
+	"maps"
+	"slices"
+	"sync"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/sched"
+)
+
+// flowProblem is a round's flow problem and what its parts stand for.
+type flowProblem struct {
+	owned            *core.OwnedPartition
+	round            *core.PendingRound // the ends that it records make room for starts
+	input            *sched.Input
+	machines         []*core.Machine // by their index in the input
+	jobs             []*core.Job     // by their index in the input
+	schedulableCount int             // machines that may get new tasks, full ones included
+	schedulableCPUs  float64
+	teamUsage        map[api.Team]api.Resources
+	incomingMachines func() map[core.MachineOffer]int
+}
+
+// scheduleTasks finds machines for the partition's pending tasks and notes which demand is unmet.
+func (s *Scheduler) scheduleTasks(owned *core.OwnedPartition, round *core.PendingRound, maxStarts int) []*core.Placement {
+	resetDemand(owned)
+	pendingJobs, smallestDemand := s.pendingJobs(owned)
+	units, jobs := s.siblings.Pools.AllocatePoolUnits(owned, s.siblings.Tenancy.LimitTenantJobs(owned, pendingJobs))
+	if len(jobs) == 0 {
+		return nil
+	}
+	problem := &flowProblem{
+		owned: owned,
+		round: round,
+		input: &sched.Input{
+			AvailableUnits:  units,
+			LargestCapacity: s.core.LargestMachine,
+			TypicalDemands:  s.siblings.Backfiller.TypicalDemands(),
+			RemainingQuota:  s.unreservedQuota(owned),
+			MaxStarts:       maxStarts,
+		},
+	}
+	s.addMachines(problem, smallestDemand)
+	s.addJobs(problem, jobs)
+	for i, j := range problem.jobs {
+		s.siblings.Preemptor.PreemptForFastStart(owned, problem.input, &problem.input.Jobs[i], j)
+	}
+	s.recordFlowSize(problem)
+	starts, placed := s.solve(problem)
+	s.recordUnmetDemand(problem, placed)
+	if len(starts) > 0 {
+		owned.Dirty = true // more may follow next round
+	}
+	return starts
+}
+
+// resetDemand forgets what the round before found unmet.
+func resetDemand(owned *core.OwnedPartition) {
+	owned.ShortTypes = nil
+	owned.QuotaDemand = map[api.Team]api.Resources{}
+	owned.MustStartQuotaDemand = map[api.Team]api.Resources{}
+	owned.QuotaStarvedDemand = map[api.Team]api.Resources{}
+	owned.UnmetDemands = nil
+	owned.PendingTaskCount = 0
+}
+
+// pendingJobs lists the jobs of which tasks may start in the partition, and the least that a task
+// of any of them takes of each resource.
+func (s *Scheduler) pendingJobs(owned *core.OwnedPartition) (jobs []*core.Job, smallestDemand api.Resources) {
+	for _, id := range slices.Sorted(maps.Keys(s.core.State.PendingJobs)) {
+		j := s.core.State.PendingJobs[id]
+		pending := j.PendingTasks(owned.ID)
+		if s.siblings.Tenancy.StartsBlocked(j) {
+			continue
+		}
+		if j.OwnerState.BackoffUntil > s.core.Now {
+			owned.Dirty = owned.Dirty || pending > 0
+			continue
+		}
+		if pending == 0 && j.FinishingCount == 0 {
+			continue
+		}
+		owned.PendingTaskCount += pending
+		if len(jobs) == 0 {
+			smallestDemand = j.Demand
+		}
+		smallestDemand.CPU = min(smallestDemand.CPU, j.Demand.CPU)
+		smallestDemand.GPU = min(smallestDemand.GPU, j.Demand.GPU)
+		smallestDemand.Mem = min(smallestDemand.Mem, j.Demand.Mem)
+		jobs = append(jobs, j)
+	}
+	return jobs, smallestDemand
+}
+
+// unreservedQuota is what each team may still start in the partition, less what is reserved for
+// jobs of other partitions that must start.
+func (s *Scheduler) unreservedQuota(owned *core.OwnedPartition) map[api.Team]api.Resources {
+	remaining := s.core.RemainingQuota(owned.ID)
+	for _, teams := range owned.ReservedQuota {
+		for team, reserved := range teams {
+			remaining[team] = remaining[team].Minus(reserved)
+		}
+	}
+	return remaining
+}
+
+// addMachines adds the partition's schedulable machines that have free capacity for something.
+func (s *Scheduler) addMachines(problem *flowProblem, smallestDemand api.Resources) {
+	for _, m := range s.siblings.Agents.MachinesOf(problem.owned.ID) {
+		if !s.IsSchedulable(m, problem.owned) {
+			continue
+		}
+		problem.schedulableCPUs += s.core.MachineTypes[m.MachineType].CPUs
+		problem.schedulableCount++
+		free := s.FreeCapacityOn(m, problem.owned)
+		if !smallestDemand.Fits(free) {
+			continue
+		}
+		problem.input.Machines = append(problem.input.Machines, s.flowMachine(m, free))
+		problem.machines = append(problem.machines, m)
+	}
+}
+
+// flowMachine describes a machine to the flow problem.
+func (s *Scheduler) flowMachine(m *core.Machine, free api.Resources) sched.Machine {
+	machineType := s.core.MachineTypes[m.MachineType]
+	return sched.Machine{
+		ID:              m.ID,
+		Type:            m.MachineType,
+		Zone:            m.Zone,
+		Spot:            m.Spot,
+		Free:            free,
+		GPU:             machineType.GPUs > 0,
+		AcceleratorOnly: m.ScaleInCandidate,
+		FastStart:       s.siblings.Autoscaler.SuitsLatencySensitive(m),
+		Surplus:         m.Surplus || s.core.Now < m.ConsolidatingUntil,
+		Slowdown:        m.RelativeRuntime,
+		FetchRate:       machineType.FetchRate,
+		FetchingImages:  s.PendingImageFetches(m),
+		CachedImages:    m.CachedImages,
+		ReservedFor:     s.siblings.Preemptor.ReservedFor(m),
+		SoftReservation: m.SoftReservation,
+		ReservationRank: m.ReservationRank,
+	}
+}
+
+// addJobs adds those of the jobs of which tasks may start in this round.
+func (s *Scheduler) addJobs(problem *flowProblem, jobs []*core.Job) {
+	problem.teamUsage = s.core.TeamUsage()
+	problem.incomingMachines = sync.OnceValue(s.siblings.Autoscaler.IncomingMachines)
+	problem.jobs = jobs[:0]
+	for _, j := range jobs {
+		if request, ok := s.flowJob(problem, j); ok {
+			problem.input.Jobs = append(problem.input.Jobs, request)
+			problem.jobs = append(problem.jobs, j)
+		}
+	}
+}
+
+// flowJob describes a job to the flow problem; ok is false if none of its tasks may start.
+func (s *Scheduler) flowJob(problem *flowProblem, j *core.Job) (request sched.Job, ok bool) {
+	pending := s.startableTasks(problem.owned, j, problem.round, max(problem.schedulableCount, 1))
+	stage, waited := s.siblings.Backfiller.RoundStage(problem.owned, j)
+	pending = s.limitStarts(j, pending, stage)
+	if len(pending) == 0 {
+		return sched.Job{}, false
+	}
+	zones, known := s.TaskZones(j)
+	if !known && (j.Spec.OneZone || j.Spec.Spread) {
+		return sched.Job{}, false // where its other tasks are is not known yet
+	}
+	request = sched.Job{
+		Spec:                j.Spec,
+		Demand:              j.Demand,
+		Pending:             pending,
+		PlacedByZone:        zones,
+		Urgency:             s.urgency(j, problem.schedulableCPUs),
+		PriorityBoost:       s.siblings.Priorities.PriorityBoost(j.Spec),
+		AgingStage:          stage,
+		WaitedSeconds:       waited,
+		ReservesQuota:       stage == sched.AgedAboveAll && s.siblings.Backfiller.FitsAttainableQuota(j, len(pending)),
+		WithinGuarantee:     s.core.IsWithinGuarantee(j, problem.teamUsage),
+		HoldsJobUnits:       j.LiveCount() > 0,
+		StartSLO:            s.core.StartObjective(j.Spec.Class),
+		ExcludedMachines:    j.OwnerState.FailedOn,
+		NewMachineSeconds:   s.bootingMachineDelay(j, problem.incomingMachines),
+		FastStart:           s.siblings.Autoscaler.IsLatencySensitive(j.Spec),
+		AcceleratorOptional: s.core.IsCPUOnly(j.Spec),
+		SpotRisk:            s.SpotRisk(j),
+	}
+	if len(j.OwnerState.FailedOn)*2 > problem.schedulableCount {
+		request.ExcludedMachines = nil // with most machines excluded, the job is at fault
+	}
+	return request, true
+}
+
+// limitStarts leaves out pending tasks of a job that are not to start in this round: of an array
+// that has aged all but one, as its other tasks take their turn, and those that its zones' health
+// does not allow. A gang starts as a whole or not at all.
+func (s *Scheduler) limitStarts(j *core.Job, pending []int, stage sched.AgingStage) []int {
+	if stage != sched.NotAged && j.Spec.Kind == api.Array {
+		pending = pending[:min(len(pending), 1)]
+	}
+	allowed := s.siblings.Health.StartAllowance(j)
+	if allowed >= len(pending) || stage == sched.AgedAboveAll {
+		return pending
+	}
+	if j.Spec.Kind == api.Gang {
+		return nil
+	}
+	return pending[:allowed]
+}
+
+// startableTasks lists at most maxTasks of the job's tasks that are pending in this partition; a
+// gang's only when all of it can start.
+func (s *Scheduler) startableTasks(owned *core.OwnedPartition, j *core.Job, round *core.PendingRound, maxTasks int) []int {
+	isGang := j.Spec.Kind == api.Gang
+	if isGang {
+		if !ownsFirstTask(owned.ID, j) || !allEnding(j, round) {
+			return nil
+		}
+		maxTasks = j.Spec.Tasks
+	}
+	var tasks []int
+	for _, taskRange := range j.Split {
+		if taskRange.Partition != owned.ID {
+			continue
+		}
+		for i := taskRange.From; i < taskRange.To && len(tasks) < maxTasks; i++ {
+			if isStartable(owned, j, round, i) {
+				tasks = append(tasks, i)
+			}
+		}
+	}
+	if isGang && len(tasks) != j.Spec.Tasks {
+		return nil
+	}
+	return tasks
+}
+
+// allEnding reports whether a round records the end of every placement of a job.
+func allEnding(j *core.Job, round *core.PendingRound) bool {
+	for _, placement := range j.Placements {
+		if _, ending := round.Ends[placement]; !ending {
+			return false
+		}
+	}
+	return true
+}
+
+// isStartable reports whether a task is not completed, and has no placement but one of this
+// partition that the round records as terminated.
+func isStartable(owned *core.OwnedPartition, j *core.Job, round *core.PendingRound, task int) bool {
+	if j.Completed.Has(task) {
+		return false
+	}
+	placement := j.Placements[task]
+	if placement == nil {
+		return true
+	}
+	done, ending := round.Ends[placement]
+	return ending && !done && placement.Partition == owned.ID
+}
+
+// recordFlowSize notes the size of the flow problem in the metrics.
+func (s *Scheduler) recordFlowSize(problem *flowProblem) {
+	s.core.Metrics.FlowTasks, s.core.Metrics.FlowMachines = 0, len(problem.machines)
+	for i := range problem.input.Jobs {
+		s.core.Metrics.FlowTasks += len(problem.input.Jobs[i].Pending)
+	}
+}
+
+// solve solves the flow problem. It returns the placements that are to start, and how many tasks
+// of each job they are.
+func (s *Scheduler) solve(problem *flowProblem) (starts []*core.Placement, placed []int) {
+	placed = make([]int, len(problem.jobs))
+	for _, assignment := range sched.PlanRound(problem.input) {
+		m, j := problem.machines[assignment.MachineIndex], problem.jobs[assignment.JobIndex]
+		s.siblings.Health.AdjustFloors(j.Spec, j.Demand.CPU.Float())
+		placed[assignment.JobIndex]++
+		s.siblings.Backfiller.ChargeMustStartCredit(problem.owned, j, problem.input.Jobs[assignment.JobIndex].AgingStage)
+		s.logStart(problem, assignment)
+		starts = append(starts, &core.Placement{
+			Task:      api.TaskID{Job: j.ID, Index: assignment.Task},
+			Partition: problem.owned.ID,
+			Machine:   m.ID,
+			Epoch:     m.Epoch,
+			Job:       j,
+		})
+	}
+	return starts, placed
+}
+
+// logStart logs the first start of a job, and each start of a service that has lost replicas.
+func (s *Scheduler) logStart(problem *flowProblem, assignment sched.Assignment) {
+	m, j := problem.machines[assignment.MachineIndex], problem.jobs[assignment.JobIndex]
+	if !j.OwnerState.StartPlanned {
+		j.OwnerState.StartPlanned = true
+		slog.Info("job starts", core.TenantAttr(j), "job", j.ID, core.SpecAttr(j.Spec), "partition", problem.owned.ID, "after", s.core.SecondsSinceAcceptance(j))
+	}
+	if j.OwnerState.LastLossAt != 0 && j.Spec.Kind == api.Service {
+		slog.Debug("replica restarted", "job", j.ID, "task", assignment.Task, "machine", m.ID, "type", m.MachineType,
+			"lost_s", s.core.Now.Sub(j.OwnerState.LastLossAt).Seconds(), "fetch_s", problem.input.Machines[assignment.MachineIndex].FetchTime(j.Spec))
+	}
+}
--- /dev/null
+++ b/controller/rounds/ownership.go
@@ -0,0 +1,63 @@
+package rounds
+
+// This file begins and ends the ownership of partitions.
+
+import (
+	"log/slog"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+)
+
+// BeginOwnership makes this controller the owner of a partition under a term. It adopts the
+// partition's tasks and machines with nothing known of them beyond the cluster state.
+func (s *Scheduler) BeginOwnership(p api.PartitionID, term api.Revision) {
+	owned := &core.OwnedPartition{
+		ID:                p,
+		Term:              term,
+		OwnedSince:        s.core.Now,
+		LastRevision:      term,
+		PendingEnds:       map[*core.Placement]bool{},
+		Dirty:             true,
+		NextQuotaTransfer: map[api.PartitionID]api.Time{},
+	}
+	s.core.Partitions[p] = owned
+	for placement := range s.core.State.PlacementsByPartition[p] {
+		s.adoptPlacement(owned, placement)
+	}
+	// The list that is known already tells where the machines are; the next may take long.
+	s.siblings.Autoscaler.ReconcileMachineList()
+	for _, m := range s.siblings.Agents.MachinesOf(p) {
+		m.CommandToken, m.UncertainToken, m.MissedCalls, m.DiscoveredAt = s.core.MinToken(owned, m.ID), 0, 0, s.core.Now
+	}
+	s.siblings.Backfiller.RestoreReservations(owned)
+	s.siblings.Priorities.ContactPriorityMachines(owned)
+	s.core.Metrics.Takeovers++
+	slog.Info("partition acquired", "partition", p, "term", term, "tasks", len(s.core.State.PlacementsByPartition[p]))
+}
+
+// adoptPlacement forgets what an earlier ownership knew of a placement, and has its machine
+// contacted or, if that is deleted, its end recorded.
+func (s *Scheduler) adoptPlacement(owned *core.OwnedPartition, placement *core.Placement) {
+	s.core.State.SetFinishing(placement, false)
+	tracking := &placement.OwnerState
+	tracking.StopRequested, tracking.HaltRequested, tracking.LaunchToken, tracking.Reported = false, false, 0, false
+	if tracking.PlacedAt == 0 {
+		tracking.PlacedAt = s.core.Now
+	}
+	if s.siblings.Autoscaler.IsDeleted(placement.Machine) {
+		s.RecordTaskEnd(owned, placement, false, core.EndReasonMachineDeleted)
+	} else {
+		s.siblings.Agents.EnsureMachine(placement.Machine)
+	}
+}
+
+// loseOwnership drops a partition whose record can't be written any more, as another controller
+// owns it.
+func (s *Scheduler) loseOwnership(owned *core.OwnedPartition) {
+	if s.core.Partitions[owned.ID] == owned {
+		delete(s.core.Partitions, owned.ID)
+		slog.Info("partition lost", "partition", owned.ID)
+	}
+	s.siblings.Follower.LinearizableRead(func() {}, func() {})
+}
--- /dev/null
+++ b/controller/rounds/scheduler.go
@@ -0,0 +1,89 @@
+// Package rounds runs the rounds of the partitions that a controller owns. A round records in one
+// transaction which tasks have ended and which start where; only once that record is durable do
+// the starts take effect. The package also writes the checkpoints that bound how many records a
+// recovery reads, and replaces the records of finished jobs by their results.
+//
+// The state of a partition's rounds is in core.OwnedPartition, and what is durable of them in
+// core.ClusterState. The Scheduler itself only keeps how often rounds were written lately.
+package rounds
+
+import (
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+)
+
+// Scheduler runs the rounds of owned partitions and makes them durable.
+type Scheduler struct {
+	core     *core.Core
+	siblings Siblings
+
+	roundRate roundRate
+}
+
+// New returns a scheduler; Connect must be called before any other method.
+func New(shared *core.Core) *Scheduler {
+	return &Scheduler{core: shared}
+}
+
+// Connect sets the other components that the scheduler asks.
+func (s *Scheduler) Connect(siblings Siblings) { s.siblings = siblings }
+
+// RunPartition does what is due for an owned partition: a checkpoint, the results of finished
+// jobs, and a round if something has changed since the last one.
+func (s *Scheduler) RunPartition(owned *core.OwnedPartition) {
+	s.maybeCheckpoint(owned)
+	s.archiveJobs(owned)
+	if !s.core.Overloaded() {
+		s.siblings.Balancer.RebalancePending(owned)
+		s.siblings.Balancer.LendMachines(owned)
+	}
+	s.siblings.Backfiller.Backfill(owned)
+	if s.isRecheckDue(owned) {
+		owned.Dirty = true
+	}
+	if !s.isRoundDue(owned) || s.IsRecordRingFull(owned) {
+		return
+	}
+	owned.Dirty, owned.PlannedAt = false, s.core.Now
+	round := s.PlanRound(owned)
+	if isEmptyRecord(&round.Record) && !owned.NeedsNewToken {
+		owned.NextRound = s.core.Now.Add(s.currentRoundInterval())
+		return
+	}
+	owned.NeedsNewToken = false
+	s.CommitRound(owned, round)
+}
+
+// isRecheckDue reports whether a round should look again at jobs that the last one left out, or
+// found no free capacity for, although nothing has changed.
+func (s *Scheduler) isRecheckDue(owned *core.OwnedPartition) bool {
+	sincePlanned := s.core.Now.Sub(owned.PlannedAt)
+	return owned.UnexaminedJobs > 0 && sincePlanned >= core.DeferredJobsInterval ||
+		len(owned.UnmetDemands) > 0 && sincePlanned >= core.UnmetDemandRecheckInterval
+}
+
+// isRoundDue reports whether a partition should run a round now: something has changed, no other
+// record of it is being written, and the interval since the last round is over.
+func (s *Scheduler) isRoundDue(owned *core.OwnedPartition) bool {
+	if owned.InFlight != nil || owned.Releasing || owned.LoanInFlight {
+		return false
+	}
+	return s.core.Now >= owned.NextRound && (owned.Dirty || owned.NeedsNewToken)
+}
+
+// isEmptyRecord reports whether a round has nothing to record.
+func isEmptyRecord(record *clusterstate.Record) bool {
+	return len(record.Jobs) == 0 && len(record.QuotaTransfers) == 0 && len(record.Reservations) == 0
+}
+
+// valueBytes is how large a value of the state service may be.
+func (s *Scheduler) valueBytes() int {
+	return int(s.core.Config.Deployment.State.ValueKB * 1024)
+}
+
+// ownsFirstTask reports whether the first task of a job is in the partition: its owner decides
+// what concerns the job as a whole.
+func ownsFirstTask(p api.PartitionID, j *core.Job) bool {
+	return len(j.Split) > 0 && j.Split[0].Partition == p
+}
--- a/controller/safety_test.go
+++ b/controller/safety_test.go
@@ -89,7 +89,7 @@
 		spec.Spread = bound
 		n, owned, _, j := newTestOwner(t, spec)
 		n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: j.ID, Index: 0}, Machine: "i-000009", Epoch: 1, Attempt: 1, Job: j})
-		round := n.scheduler.planRound(owned)
+		round := n.scheduler.PlanRound(owned)
 		if got := len(round.Starts) > 0; got == bound {
 			t.Errorf("spread %v, a place in an unknown zone: %d starts", bound, len(round.Starts))
 		}
@@ -111,7 +111,7 @@
 	}
 	rounds := 0
 	for ; len(owned.PendingEnds) > 0 && rounds < 100; rounds++ {
-		round := n.scheduler.planRound(owned)
+		round := n.scheduler.PlanRound(owned)
 		body, err := json.Marshal(round.Record)
 		if err != nil || len(body) > 8<<10 {
 			t.Fatalf("a record of %d bytes: %v", len(body), err)
--- a/controller/zones_test.go
+++ b/controller/zones_test.go
@@ -19,7 +19,7 @@
 	preempted := func(spare float64) int {
 		n.health.zones.classFloors = map[api.Class]zonehealth.Allowance{"batch": {Preemptible: spare}}
 		n.health.zones.teamFloors = map[api.Team]zonehealth.Allowance{"red": {Preemptible: 100}}
-		return n.preemptor.PlanPreemption(m, owned, urgent, 1, false).tasks
+		return n.preemptor.PlanPreemption(m, owned, urgent, 1, false).Tasks
 	}
 	if preempted(2) != 1 {
 		t.Error("what is above its floor does not make way")
@@ -28,7 +28,7 @@
 		t.Error("what is at its floor makes way")
 	}
 	n.health.zones.classFloors, n.health.zones.teamFloors = nil, nil
-	if n.preemptor.PlanPreemption(m, owned, urgent, 1, false).tasks != 1 {
+	if n.preemptor.PlanPreemption(m, owned, urgent, 1, false).Tasks != 1 {
 		t.Error("without a lost zone there is a floor")
 	}
 }
