--- a/controller/preemption/planner.go
+++ b/controller/preemption/planner.go
@@ -30,11 +30,12 @@
 	MachinesOf(p api.PartitionID) []*core.Machine
 }
 
-// Health is what the planner needs of the component that watches zones and service floors.
+// Health is what the planner needs of the component that watches zones. While one is lost, classes
+// and teams have floors of CPUs that preemption does not go below.
 type Health interface {
-	// IsPreemptible reports whether a task's service would keep enough replicas without it.
+	// IsPreemptible reports whether a task's class and team stay above their floors without it.
 	IsPreemptible(placement *core.Placement) bool
-	// AdjustFloors accounts for tasks of a job that start, or stop if cpus is negative.
+	// AdjustFloors notes that a job's class and team have so many CPUs more, or less.
 	AdjustFloors(spec *api.JobSpec, cpus float64)
 }
 
--- a/controller/rounds/flow.go
+++ b/controller/rounds/flow.go
@@ -195,14 +195,14 @@
 		SpotRisk:            s.SpotRisk(j),
 	}
 	if len(j.OwnerState.FailedOn)*2 > problem.schedulableCount {
-		request.ExcludedMachines = nil // with most machines excluded, the job is at fault
+		request.ExcludedMachines = nil // where it fails everywhere, the machines are not the cause
 	}
 	return request, true
 }
 
 // limitStarts leaves out pending tasks of a job that are not to start in this round: of an array
-// that has aged all but one, as its other tasks take their turn, and those that its zones' health
-// does not allow. A gang starts as a whole or not at all.
+// that has aged all but one, as its other tasks take their turn, and those that would take capacity
+// from the floors of other classes and teams. A gang starts as a whole or not at all.
 func (s *Scheduler) limitStarts(j *core.Job, pending []int, stage sched.AgingStage) []int {
 	if stage != sched.NotAged && j.Spec.Kind == api.Array {
 		pending = pending[:min(len(pending), 1)]
--- a/controller/rounds/siblings.go
+++ b/controller/rounds/siblings.go
@@ -50,7 +50,7 @@
 	ListedZone(id api.MachineID) api.Zone
 	// IncomingMachines counts the machines that were requested and are not ready yet.
 	IncomingMachines() map[core.MachineOffer]int
-	// SpotLossRate is how many times a second a spot machine is reclaimed, as lately seen.
+	// SpotLossRate is how often a spot machine is reclaimed, per second, as lately seen.
 	SpotLossRate() float64
 	IsLatencySensitive(spec *api.JobSpec) bool
 	// SuitsLatencySensitive reports whether latency-sensitive jobs should start on a machine.
@@ -63,11 +63,17 @@
 	Backfill(owned *core.OwnedPartition)
 	RestoreReservations(owned *core.OwnedPartition)
 	ReservationChanges(owned *core.OwnedPartition) []clusterstate.Reservation
+	// QuotaReservedForOthers is the quota, by partition and team, that is left to other
+	// partitions' jobs that must start.
 	QuotaReservedForOthers(owned *core.OwnedPartition) map[api.PartitionID]map[api.Team]api.Resources
 	TypicalDemands() []fragmentation.Demand
 	// RoundStage is how far a job has aged, and for how many seconds it has waited.
 	RoundStage(owned *core.OwnedPartition, j *core.Job) (sched.AgingStage, float64)
+	// FitsAttainableQuota reports whether so many tasks of a job fit into its team's quota once
+	// all has ended that ends by itself.
 	FitsAttainableQuota(j *core.Job, tasks int) bool
+	// ChargeMustStartCredit accounts for a start: jobs that must start may take no more than a
+	// share of what the partition starts before others.
 	ChargeMustStartCredit(owned *core.OwnedPartition, j *core.Job, stage sched.AgingStage)
 }
 
@@ -87,11 +93,12 @@
 	LinearizableRead(onRead, onFailure func())
 }
 
-// Health is what rounds need of the component that watches zones and service floors.
+// Health is what rounds need of the component that watches zones. While one is lost, classes and
+// teams have floors of CPUs that others' starts must leave them.
 type Health interface {
-	// StartAllowance is how many more tasks of a job may start now.
+	// StartAllowance is how many more tasks of a job may start beside the floors of others.
 	StartAllowance(j *core.Job) int
-	// AdjustFloors accounts for tasks of a job that start, or stop if cpus is negative.
+	// AdjustFloors notes that a job's class and team have so many CPUs more, or less.
 	AdjustFloors(spec *api.JobSpec, cpus float64)
 }
 
@@ -103,7 +110,7 @@
 
 // Pools is what rounds need of the component that hands out pool units.
 type Pools interface {
-	// Count is how many pools there are.
+	// Count is the number of pools.
 	Count() int
 	// AllocatePoolUnits is the units that the partition may hand out, and the jobs that a round
 	// can start tasks of with them.
