--- a/controller/core/rounds.go
+++ b/controller/core/rounds.go
@@ -2,9 +2,7 @@
 
 // This file has what rounds share with the components that they ask.
 
-import (
-	"time"
-)
+import "time"
 
 // UnmetDemandRecheckInterval is how often a round looks again at jobs that found no free capacity
 // when nothing else changes.
