--- a/controller/controller.go
+++ b/controller/controller.go
@@ -22,6 +22,8 @@
 	"basaltwall/controller/logfollow"
 	"basaltwall/controller/message"
 	"basaltwall/controller/ownership"
+	"basaltwall/controller/preemption"
+	"basaltwall/controller/rounds"
 	"basaltwall/priority"
 )
 
@@ -39,8 +41,8 @@
 	agents       *agent.Manager
 	health       *health.Monitor
 	autoscaler   *autoscale.Manager
-	scheduler    *RoundScheduler
-	preemptor    *Preemptor
+	scheduler    *rounds.Scheduler
+	preemptor    *preemption.Planner
 	priorities   *Priorities
 	backfiller   *Backfiller
 	balancer     *Balancer
@@ -77,8 +79,8 @@
 	n.agents = agent.New(shared)
 	n.health = health.New(shared)
 	n.autoscaler = autoscale.New(shared)
-	n.scheduler = &RoundScheduler{core: shared, c: n}
-	n.preemptor = &Preemptor{core: shared, c: n}
+	n.scheduler = rounds.New(shared)
+	n.preemptor = preemption.New(shared)
 	n.priorities = &Priorities{core: shared, c: n}
 	n.backfiller = &Backfiller{core: shared, c: n}
 	n.balancer = &Balancer{core: shared, c: n}
--- a/controller/wiring.go
+++ b/controller/wiring.go
@@ -11,6 +11,8 @@
 	"basaltwall/controller/jobs"
 	"basaltwall/controller/logfollow"
 	"basaltwall/controller/ownership"
+	"basaltwall/controller/preemption"
+	"basaltwall/controller/rounds"
 )
 
 // connect hands each component what it asks of the others. Components know these by their own
@@ -56,6 +58,26 @@
 		Tenancy:    n.tenancy,
 	})
 	n.capacity.Connect(capacity.Siblings{Gossip: n.gossiper, Priorities: n.priorities, Tenants: n.tenancy})
+	n.scheduler.Connect(rounds.Siblings{
+		Eligibility: n.admin,
+		Agents:      n.agents,
+		Autoscaler:  n.autoscaler,
+		Backfiller:  n.backfiller,
+		Balancer:    n.balancer,
+		Follower:    n.follower,
+		Health:      n.health,
+		Jobs:        n.jobs,
+		Pools:       n.pools,
+		Preemptor:   n.preemptor,
+		Priorities:  n.priorities,
+		Tenancy:     n.tenancy,
+	})
+	n.preemptor.Connect(preemption.Siblings{
+		Agents:     n.agents,
+		Health:     n.health,
+		Priorities: n.priorities,
+		Scheduler:  n.scheduler,
+	})
 	n.jobs.Connect(jobs.Siblings{
 		Agents: n.agents, Balancer: n.balancer, Capacity: n.capacity, Gossip: n.gossiper, Log: n.follower, Pools: n.pools,
 		Priorities: n.priorities, Reservations: n.reservations, Tenants: n.tenancy,
