--- a/controller/admin.go
+++ b/controller/admin.go
@@ -135,7 +135,7 @@
 		ad.handleCommonAdmin(c)
 	}
 	if err != nil {
-		ad.c.tenancy.RefuseError(c.Req, err)
+		ad.core.RefuseError(c.Req, err)
 	}
 }
 
@@ -203,7 +203,7 @@
 	}
 	tx := api.Txn{If: []api.Condition{{Key: core.SettingsKey, Version: s.Revision}}, Writes: []api.Write{{Put: core.SettingsKey, Value: v}}}
 	if ad.c.tenancy.Enabled() {
-		tx.Writes = append(tx.Writes, ad.c.tenancy.AuditWrite(c, "settings", settingsAuditView(ad.core.Settings), settingsAuditView(s.Settings)))
+		tx.Writes = append(tx.Writes, ad.c.tenancy.AuditWrite(c, "settings", ad.core.Settings.AuditView(), s.Settings.AuditView()))
 	}
 	ad.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		ad.c.tenancy.ReplyChange(req, a.Status, a.Txn.Revision, "the settings have", func(rev api.Revision) any {
--- a/controller/cancel.go
+++ b/controller/cancel.go
@@ -73,8 +73,6 @@
 	cancellationWaitForwarded = forwardTimeout * 3 / 4
 )
 
-const cancellationPending = "recorded, but a controller that commands machines of its tasks may not know yet"
-
 // RespondWhenAcknowledged answers with a final state: at once, or when the book comes to it. Otherwise the
 // user is to ask again later.
 func (js *JobService) RespondWhenAcknowledged(forwarded bool, respond func(api.JobStatus), retryLater func()) func(api.JobStatus) {
@@ -135,6 +133,6 @@
 			partitions, owners = append(partitions, id), append(owners, js.core.State.Partitions[p].Owner)
 		}
 	}
-	slog.Info("cancellation pending", tenantAttr(j), "job", jobID, "for_partitions", partitions, "owners", owners,
+	slog.Info("cancellation pending", core.TenantAttr(j), "job", jobID, "for_partitions", partitions, "owners", owners,
 		"since_s", float64(js.core.WallClock-j.CancelledAt)/1000)
 }
--- a/controller/capacitytarget_test.go
+++ b/controller/capacitytarget_test.go
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	if most := int(submissionWriteShare * n.core.Config.Deployment.State.WriteRPS * 11); accepted > most || accepted < most/2 {
+	if most := int(core.SubmissionWriteShare * n.core.Config.Deployment.State.WriteRPS * 11); accepted > most || accepted < most/2 {
 		t.Errorf("%d of 1000 submissions in ten seconds are written, expected %d at most and not much less", accepted, most)
 	}
 }
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -358,7 +358,7 @@
 		}
 	}
 	jobs := slices.SortedFunc(slices.Values(zoneOpen), func(a, b *core.Job) int {
-		return cmp.Or(boolToInt(as.c.backfiller.WaitStage(b, allPartitions) == sched.AgedAboveAll)-boolToInt(as.c.backfiller.WaitStage(a, allPartitions) == sched.AgedAboveAll), sched.Descending(as.c.priorities.EffectivePriority(a.Spec), as.c.priorities.EffectivePriority(b.Spec)),
+		return cmp.Or(core.BoolToInt(as.c.backfiller.WaitStage(b, allPartitions) == sched.AgedAboveAll)-core.BoolToInt(as.c.backfiller.WaitStage(a, allPartitions) == sched.AgedAboveAll), sched.Descending(as.c.priorities.EffectivePriority(a.Spec), as.c.priorities.EffectivePriority(b.Spec)),
 			cmp.Compare(as.c.backfiller.WaitStage(b, allPartitions), as.c.backfiller.WaitStage(a, allPartitions)), cmp.Compare(a.ID, b.ID))
 	})
 	need := map[machineOffer]int{}
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -34,8 +34,8 @@
 // Records that stand for themselves, and their keys, as earlier versions wrote them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
-	f.Text("keys", strings.Join([]string{core.SettingsKey, core.MachineTypesKey, keyShortage, zoneKeyPrefix, keyPool, keyTenant, keyTeamOf, keyGate, keyOperators, keyTeam, keyGuaranteedTotal,
-		keyUsed, keyHistory, keyAudit, clusterstate.KeyJobResult, string(operatorsHolder), timeKey(1234567)}, "\n"))
+	f.Text("keys", strings.Join([]string{core.SettingsKey, core.MachineTypesKey, keyShortage, zoneKeyPrefix, core.KeyPool, keyTenant, keyTeamOf, core.KeyGate, keyOperators, keyTeam, keyGuaranteedTotal,
+		keyUsed, keyHistory, keyAudit, clusterstate.KeyJobResult, string(operatorsHolder), core.TimeKey(1234567)}, "\n"))
 	golden.JSON(f, "settings", golden.Filled[core.Settings](t))
 	golden.JSON(f, "empty settings", core.Settings{})
 	golden.JSON(f, "types", golden.Filled[api.MachineTypes](t))
@@ -101,7 +101,7 @@
 	golden.Same(t, "operators", n.tenancy.hosted.operators, tenant.Operators{Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "00aa00aa00aa00aa", Name: "watch", Hash: []byte{1, 2}, Created: 5, Expires: 6}, Role: tenant.RoleRead}},
 		Networks: networks("10.0.0.0/8"), Proxies: networks("192.0.2.0/24"), CPUs: 7.5, GPUs: 8.5, RetiredAdminKeys: []tenant.KeyID{"11bb"}})
 	golden.Same(t, "given", n.tenancy.hosted.guaranteed, tenant.GuaranteedTotal{CPUs: 1.5, GPUs: 2.5})
-	golden.Same(t, "team", n.tenancy.hosted.teams["dispo"], TeamRecordView{Team: tenant.Team{Name: "dispo", CPUs: 1, GPUs: 2, CPUsMax: 3, GPUsMax: 4}, Revision: 26})
+	golden.Same(t, "team", n.tenancy.hosted.teams["dispo"], core.TeamRecord{Team: tenant.Team{Name: "dispo", CPUs: 1, GPUs: 2, CPUsMax: 3, GPUsMax: 4}, Revision: 26})
 	golden.Same(t, "tenant", *n.tenancy.hosted.tenants.Get("kipper"), tenant.Entry{Tenant: tenant.Tenant{Name: "kipper", Display: "Kipper", Teams: []api.Team{"dispo"}, State: tenant.Suspended,
 		Rate: 1.5, Burst: 2.5, OpenJobs: 3, Networks: networks("10.0.0.0/8"), Retention: 4.5, SuspendReason: "unpaid", SuspendedAt: 5, Drain: 6.5, CancelJobs: true}, Revision: 27})
 	golden.Same(t, "pool", *n.tenancy.hosted.pools.table.Get("routing"), pool.Entry{Pool: pool.Pool{Name: "routing", Unit: "seats", Size: 9, Largest: 10, Teams: []api.Team{"dispo"},
@@ -128,7 +128,7 @@
 	golden.JSON(f, "tenants", tenants)
 	golden.JSON(f, "new key", golden.Filled[NewKeyView](t))
 	golden.JSON(f, "operators", golden.Filled[OperatorsView](t, networks))
-	golden.JSON(f, "team", golden.Filled[TeamRecordView](t))
+	golden.JSON(f, "team", golden.Filled[core.TeamRecord](t))
 	golden.JSON(f, "pools", golden.Filled[[]PoolView](t))
 	golden.JSON(f, "usage", golden.Filled[UsageView](t))
 	golden.JSON(f, "queue", golden.Filled[QueueView](t))
@@ -151,7 +151,7 @@
 	t.Helper()
 	want := golden.Filled[T](t, own...)
 	var got T
-	if err := decodeRequest(golden.JSON(f, name, want), &got); err != nil {
+	if err := core.DecodeRequest(golden.JSON(f, name, want), &got); err != nil {
 		t.Errorf("%s: %v", name, err)
 	}
 	golden.Same(t, name, got, want)
--- a/controller/gossip.go
+++ b/controller/gossip.go
@@ -193,10 +193,6 @@
 	return status
 }
 
-// preemptorRank is the rank from which on work has the rest make way when parts
-// are compared.
-var preemptorRank = api.High.Rank()
-
 // PreemptibleCapacity is what would be free on a machine if all work below urgentRank made
 // way.
 func (gs *Gossiper) PreemptibleCapacity(m *core.Machine, owned *core.OwnedPartition) api.Resources {
@@ -206,7 +202,7 @@
 func (gs *Gossiper) withPreemptibleFreed(id api.MachineID, free api.Resources) api.Resources {
 	capacity := free
 	for _, p := range gs.core.State.PlacementsOn(id) {
-		if !p.Finishing && p.Job.Spec.Kind != api.Gang && p.Job.Spec.Priority.Rank() < preemptorRank && gs.c.health.IsPreemptible(p) {
+		if !p.Finishing && p.Job.Spec.Kind != api.Gang && p.Job.Spec.Priority.Rank() < core.PreemptorRank && gs.c.health.IsPreemptible(p) {
 			capacity = capacity.Plus(p.Job.Demand)
 		}
 	}
--- a/controller/history.go
+++ b/controller/history.go
@@ -3,8 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"log/slog"
-	"strings"
 	"time"
 
 	"basaltwall/api"
@@ -58,13 +56,10 @@
 	}
 )
 
-// timeKey is a time as part of a key, so that keys are in order of time.
-func timeKey(at api.WallTime) string { return fmt.Sprintf("%013d", max(0, at)) }
-
 // HistoryWrite is the record of a tenant's job that is put away.
 func (ts *TenantService) HistoryWrite(j *core.Job) api.Write {
 	v, _ := json.Marshal(FinishedJob{JobID: j.TenantJobID, State: j.State(), Class: j.Spec.Class, Team: j.Spec.Team, Tasks: j.Spec.Tasks, AcceptedAt: j.AcceptedAt, EndedAt: ts.core.WallClock})
-	return api.Write{Put: keyHistory + j.Tenant + "/" + timeKey(ts.core.WallClock) + "-" + string(j.TenantJobID), Value: v}
+	return api.Write{Put: keyHistory + j.Tenant + "/" + core.TimeKey(ts.core.WallClock) + "-" + string(j.TenantJobID), Value: v}
 }
 
 // AuditWrite is the record of an operator's change, written with it: what was and is, as
@@ -80,48 +75,20 @@
 	entry.After, _ = json.Marshal(after)
 	v, _ := json.Marshal(entry)
 	ts.hosted.auditSequence++
-	return api.Write{Put: fmt.Sprintf("%s%s-%s-%d", keyAudit, timeKey(ts.core.WallClock), ts.core.Config.Label, ts.hosted.auditSequence), Value: v}
-}
-
-// readPage reads a page of what is kept under a prefix, and what to ask for next.
-func readPage[T any](n *Controller, prefix, after string, limit int, callback func(items []T, next string), fail func()) {
-	start := ""
-	if after != "" {
-		start = prefix + after
-	}
-	n.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: prefix, After: start, Limit: limit}}, func(a message.StoreResponse) {
-		if a.Status != 200 {
-			fail()
-			return
-		}
-		items, next := []T{}, ""
-		for _, p := range a.Page.Pairs {
-			var x T
-			if err := json.Unmarshal(p.Value, &x); err != nil {
-				slog.Error("record could not be decoded", "key", p.Key, "err", err)
-			} else {
-				items = append(items, x)
-			}
-			next = strings.TrimPrefix(p.Key, prefix)
-		}
-		if !a.Page.More {
-			next = ""
-		}
-		callback(items, next)
-	})
+	return api.Write{Put: fmt.Sprintf("%s%s-%s-%d", keyAudit, core.TimeKey(ts.core.WallClock), ts.core.Config.Label, ts.hosted.auditSequence), Value: v}
 }
 
 func (ts *TenantService) ListHistory(c message.ListHistory) {
 	fail := func() { ts.core.ReplyError(c.Req, 503, "state service not reachable") }
 	ts.withTenant(c.Req, c.Caller, func(e *tenant.Entry) {
-		readPage(ts.c, keyHistory+string(e.Name)+"/", c.After, c.Limit, func(jobs []FinishedJob, next string) {
+		core.ReadPage(ts.core, keyHistory+string(e.Name)+"/", c.After, c.Limit, func(jobs []FinishedJob, next string) {
 			ts.core.Reply(c.Req, 200, HistoryView{jobs, next}, 0)
 		}, fail)
 	}, fail)
 }
 
 func (ts *TenantService) ListAudit(c message.AdminRequest) {
-	readPage(ts.c, keyAudit, c.After, c.Limit, func(entries []AuditEntry, next string) {
+	core.ReadPage(ts.core, keyAudit, c.After, c.Limit, func(entries []AuditEntry, next string) {
 		ts.core.Reply(c.Req, 200, AuditView{entries, next}, 0)
 	}, func() { ts.core.ReplyError(c.Req, 503, "state service not reachable") })
 }
@@ -146,26 +113,5 @@
 	} else {
 		service.sweepNext = 0
 	}
-	ts.SweepPrefix(owned, prefix, retention, func() { service.sweeping = false })
-}
-
-// SweepPrefix deletes some of the keys under a prefix that have been kept for long enough; a time
-// follows the prefix.
-func (ts *TenantService) SweepPrefix(owned *core.OwnedPartition, prefix string, retention time.Duration, done func()) {
-	cutoff := timeKey(ts.core.WallClock - api.WallTime(retention.Milliseconds()))
-	ts.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: prefix, Limit: ts.core.Config.Deployment.State.TxnOps}}, func(a message.StoreResponse) {
-		tx := api.Txn{If: []api.Condition{owned.OwnershipCondition()}}
-		if a.Status == 200 {
-			for _, p := range a.Page.Pairs {
-				if strings.TrimPrefix(p.Key, prefix) < cutoff {
-					tx.Writes = append(tx.Writes, api.Write{Drop: p.Key})
-				}
-			}
-		}
-		if len(tx.Writes) == 0 {
-			done()
-			return
-		}
-		ts.core.CallStoreTxn(tx, func(message.StoreResponse) { done() })
-	})
+	ts.core.SweepPrefix(owned, prefix, retention, func() { service.sweeping = false })
 }
--- a/controller/hosted.go
+++ b/controller/hosted.go
@@ -33,9 +33,6 @@
 const (
 	keyTenant = clusterstate.Root + "tenant/"
 	keyTeamOf = clusterstate.Root + "teamof/" // claims a team for one tenant
-	// keyGate is written with every suspension. Every round is conditional on it, so that
-	// none composed before can be written after; see docs/tenants.md.
-	keyGate = clusterstate.Root + "gate"
 )
 
 // hostedService is what a controller of a hosted service keeps of its tenants.
@@ -46,7 +43,7 @@
 	fairLimiter tenant.FairLimiter
 
 	operators   tenant.Operators
-	teams       map[api.Team]TeamRecordView // that operators made
+	teams       map[api.Team]core.TeamRecord // that operators made
 	pools       poolState
 	guaranteed  tenant.GuaranteedTotal
 	keyUses     keyUses
@@ -77,10 +74,10 @@
 		return nil
 	}
 	tenants, service := tenant.NewTable(), ts.hosted
-	service.tenants, service.operators, service.teams, service.guaranteed = tenants, tenant.Operators{}, map[api.Team]TeamRecordView{}, tenant.GuaranteedTotal{}
+	service.tenants, service.operators, service.teams, service.guaranteed = tenants, tenant.Operators{}, map[api.Team]core.TeamRecord{}, tenant.GuaranteedTotal{}
 	service.pools.table, service.pools.shareWrites = pool.NewTable(ts.core.Config.Deployment.InitialSize), map[api.PoolName]bool{}
 	ts.ResetPlatformTeams()
-	return []clusterstate.RecordKind{{Prefix: keyPool, Put: service.pools.table.Put}, {Prefix: keyTenant, Put: tenants.Put, Delete: tenants.Drop}, {Prefix: keyTeam, Put: ts.applyTeam},
+	return []clusterstate.RecordKind{{Prefix: core.KeyPool, Put: service.pools.table.Put}, {Prefix: keyTenant, Put: tenants.Put, Delete: tenants.Drop}, {Prefix: keyTeam, Put: ts.applyTeam},
 		clusterstate.SingleKey(keyOperators, &service.operators), clusterstate.SingleKey(keyGuaranteedTotal, &service.guaranteed)}
 }
 
@@ -90,10 +87,6 @@
 	return tenant.ClientAddr(c.From, c.Forwarded, ts.hosted.operators.Proxies)
 }
 
-func (ts *TenantService) MaxClockError() time.Duration {
-	return time.Duration(ts.core.Config.Deployment.ClockErrorMS * float64(time.Millisecond))
-}
-
 // errInvalidKey says as little of a key that opens nothing as of one that is not there.
 var errInvalidKey = &tenant.Error{Status: 401, Reason: "not a key that opens anything"}
 
@@ -104,7 +97,7 @@
 		return nil, err
 	}
 	entry, key := ts.hosted.tenants.Find(secret.ID)
-	if entry == nil || !key.Verify(secret, ts.core.WallClock, ts.MaxClockError()) {
+	if entry == nil || !key.Verify(secret, ts.core.WallClock, ts.core.MaxClockError()) {
 		return nil, errInvalidKey
 	}
 	if !entry.Networks.Allows(ts.clientAddr(c)) {
@@ -114,15 +107,6 @@
 	return entry, nil
 }
 
-// RefuseError refuses with the status and the words of an error.
-func (ts *TenantService) RefuseError(req message.ReqID, err error) {
-	status := 400
-	if e, ok := err.(*tenant.Error); ok {
-		status = e.Status
-	}
-	ts.core.ReplyError(req, status, err.Error())
-}
-
 // withTenant does something for the tenant whose key a caller brings, by what is current
 // now: a revoked key opens nothing on any controller that answers, and one that can't know
 // passes the request on or says so.
@@ -130,7 +114,7 @@
 	ts.c.follower.LinearizableRead(func() {
 		entry, err := ts.authenticateTenant(c)
 		if err != nil {
-			ts.RefuseError(req, err)
+			ts.core.RefuseError(req, err)
 			return
 		}
 		callback(entry)
@@ -210,7 +194,7 @@
 	ts.withTenantJob(c.Req, hostedForward{Kind: "cancel", Ref: c.Ref, Caller: c.Caller}, c.Forwarded, func(id api.JobID, notFound, forward func()) {
 		ts.c.jobs.RecordCancellation(id, 5, ts.c.jobs.RespondWhenAcknowledged(c.Forwarded, func(s api.JobStatus) {
 			ts.core.Reply(c.Req, 200, api.JobStatus{JobID: api.JobID(c.Ref), State: s.State}, 0)
-		}, func() { ts.core.ReplyError(c.Req, 503, cancellationPending) }), notFound, forward)
+		}, func() { ts.core.ReplyError(c.Req, 503, core.ReasonCancellationPending) }), notFound, forward)
 	})
 }
 
@@ -235,7 +219,7 @@
 	}
 	entry, err := ts.authenticateTenant(c.Caller)
 	if err != nil {
-		retry(func() { ts.RefuseError(c.Req, err) })
+		retry(func() { ts.core.RefuseError(c.Req, err) })
 		return
 	}
 	spec, err := api.ParseJob(c.Body)
@@ -283,14 +267,14 @@
 	value := clusterstate.JobValue{Spec: spec, Split: ts.c.jobs.SplitAcrossPartitions(spec), AcceptedAt: ts.core.WallClock, Tenant: string(entry.Name), TenantJobID: tenantJobID}
 	data, err := json.Marshal(value)
 	if err != nil || ts.core.JobExceedsValueSize(data) {
-		refuse(400, specTooLarge, 0)
+		refuse(400, core.ReasonSpecTooLarge, 0)
 		return
 	}
 	jobKey := clusterstate.KeyJob + string(spec.Ref)
 	tx := api.Txn{If: []api.Condition{{Key: jobKey}, {Key: clusterstate.KeyJobResult + string(spec.Ref)}, ts.core.State.VersionCondition(keyTenant + string(entry.Name))},
 		Writes: []api.Write{{Put: jobKey, Value: data}}}
 	for _, need := range spec.Needs { // or it would wait for a pool that was removed meanwhile
-		tx.If = append(tx.If, ts.core.State.VersionCondition(keyPool+string(need.Pool)))
+		tx.If = append(tx.If, ts.core.State.VersionCondition(core.KeyPool+string(need.Pool)))
 	}
 	ts.addPendingSubmission(entry.Name, spec.Ref)
 	ts.core.CallStoreTxn(tx, func(a message.StoreResponse) {
@@ -298,7 +282,7 @@
 		case 200:
 			ts.countSubmission(entry.Name, "")
 			ts.core.Reply(c.Req, 201, api.JobStatus{JobID: tenantJobID, State: api.JobPending}, 0)
-			slog.Info("job accepted", "job", spec.Ref, specAttr(spec))
+			slog.Info("job accepted", "job", spec.Ref, core.SpecAttr(spec))
 			written := func() { ts.removePendingSubmission(entry.Name, spec.Ref) }
 			ts.c.follower.LinearizableRead(written, written)
 			return
@@ -333,7 +317,7 @@
 			return false, wait, "rate", "more submissions than agreed"
 		}
 	}
-	if ok, wait := service.fairLimiter.Take(ts.core.Now, entry.Name, submissionWriteShare*ts.core.Config.Deployment.State.WriteRPS/float64(max(1, members))); !ok {
+	if ok, wait := service.fairLimiter.Take(ts.core.Now, entry.Name, core.SubmissionWriteShare*ts.core.Config.Deployment.State.WriteRPS/float64(max(1, members))); !ok {
 		return false, wait, "writes", "more submissions at once than can be written"
 	}
 	return true, 0, "", ""
@@ -405,10 +389,6 @@
 // makes the rounds of the others longer.
 const maxTenantJobsPerRound = 200
 
-// deferredJobsInterval is how soon the jobs that a round left out get their turn if nothing else
-// makes the part run one.
-const deferredJobsInterval = time.Second
-
 type tenantPartition struct {
 	tenant    string
 	partition api.PartitionID
@@ -600,19 +580,11 @@
 	})
 }
 
-// tenantAttr says in the log whose a job is; of a service without tenants, nothing.
-func tenantAttr(j *core.Job) slog.Attr {
-	if j.Tenant == "" {
-		return slog.Attr{}
-	}
-	return slog.Group("tenant", "name", j.Tenant, "ref", string(j.TenantJobID))
-}
-
 // Enabled reports whether the service is hosted: it has tenants.
 func (ts *TenantService) Enabled() bool { return ts.hosted != nil }
 
 // TeamRecord is a team that operators made, if it is one.
-func (ts *TenantService) TeamRecord(name api.Team) (TeamRecordView, bool) {
+func (ts *TenantService) TeamRecord(name api.Team) (core.TeamRecord, bool) {
 	record, ok := ts.hosted.teams[name]
 	return record, ok
 }
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -84,7 +84,7 @@
 		n.scheduler.RunPartition(owned)
 		for _, c := range stateCalls(n) {
 			if c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
-				return len(c.Txn.If), slices.ContainsFunc(c.Txn.If, func(x api.Condition) bool { return x.Key == keyGate })
+				return len(c.Txn.If), slices.ContainsFunc(c.Txn.If, func(x api.Condition) bool { return x.Key == core.KeyGate })
 			}
 		}
 		t.Fatal("no round is written")
@@ -168,7 +168,7 @@
 		t.Fatalf("asked for %+v", calls)
 	}
 	key := func(at api.WallTime, ref int) string {
-		return fmt.Sprintf("history/kipper/%s-run-%d", timeKey(at), ref)
+		return fmt.Sprintf("history/kipper/%s-run-%d", core.TimeKey(at), ref)
 	}
 	page := api.KeyPage{Pairs: []api.KeyValue{{Key: key(899_000, 1)}, {Key: key(899_999, 2)}, {Key: key(900_000, 3)}, {Key: key(999_000, 4)}}}
 	n.dispatch(message.StoreResponse{ID: calls[0].ID, Status: 200, Page: page})
@@ -222,7 +222,7 @@
 	// A round comes by itself for those who were left out.
 	owned.Dirty, owned.NextRound = false, 0
 	owned.PlannedAt = n.core.Now
-	n.core.Now = n.core.Now.Add(deferredJobsInterval)
+	n.core.Now = n.core.Now.Add(core.DeferredJobsInterval)
 	before := n.tenancy.hosted.roundTurns[tenantPartition{"flood", 0}]
 	n.scheduler.RunPartition(owned)
 	if n.tenancy.hosted.roundTurns[tenantPartition{"flood", 0}] == before {
--- a/controller/jobs.go
+++ b/controller/jobs.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"fmt"
-	"math"
 	"slices"
 
 	"basaltwall/api"
@@ -91,8 +90,6 @@
 	return 0
 }
 
-func roundToTenth(s float64) float64 { return math.Round(s*10) / 10 }
-
 // freeCapacityGroup is what machines that are alike have free in a part.
 type freeCapacityGroup struct {
 	partition   api.PartitionID
@@ -121,7 +118,7 @@
 
 func (js *JobService) ViewJob(j *core.Job, capacityGroups []freeCapacityGroup) JobView {
 	v := JobView{JobID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, State: j.State(), Tasks: j.Spec.Tasks, Completed: j.CompletedCount,
-		Placed: len(j.Placements), Partitions: []api.PartitionID{}, Elapsed: roundToTenth(float64(js.core.WallClock-j.AcceptedAt) / 1000)}
+		Placed: len(j.Placements), Partitions: []api.PartitionID{}, Elapsed: core.RoundToTenth(float64(js.core.WallClock-j.AcceptedAt) / 1000)}
 	for _, r := range j.Split {
 		if !slices.Contains(v.Partitions, r.Partition) {
 			v.Partitions = append(v.Partitions, r.Partition)
@@ -130,7 +127,7 @@
 	if j.Terminal() {
 		return v
 	}
-	v.Tardiness = roundToTenth(js.tardiness(j))
+	v.Tardiness = core.RoundToTenth(js.tardiness(j))
 	if rule := js.c.priorities.PendingReasonPriority(j.Spec); rule != "" && j.HasPendingTasks() {
 		v.Reasons = append(v.Reasons, fmt.Sprintf("rule %q puts other work before it", rule))
 	}
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"log/slog"
 	"slices"
-	"strings"
 	"time"
 
 	"basaltwall/api"
@@ -47,12 +46,6 @@
 		KeyView
 		Role tenant.Role `json:"role"`
 	}
-	// TeamRecordView is a team that operators made, as it is shown.
-	TeamRecordView struct {
-		tenant.Team
-		Tenant   tenant.Name  `json:"tenant,omitempty"` // whose it is
-		Revision api.Revision `json:"revision"`
-	}
 	// operatorsRequest is what an act on the operators' record may bring.
 	operatorsRequest struct {
 		Revision *api.Revision   `json:"revision"`
@@ -83,7 +76,7 @@
 	if err := team.Check(); err != nil {
 		return err
 	}
-	ts.hosted.teams[api.Team(name)] = TeamRecordView{Team: team, Revision: version}
+	ts.hosted.teams[api.Team(name)] = core.TeamRecord{Team: team, Revision: version}
 	delete(ts.core.Teams, team.Name)
 	if !team.Removed {
 		ts.core.Teams[team.Name] = config.Team{Name: team.Name, CPUs: team.CPUs, GPUs: team.GPUs, CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
@@ -106,7 +99,7 @@
 	if err != nil {
 		return "", "", err
 	}
-	role, ok := ts.hosted.operators.Authenticate(ts.hosted.adminKey, s, ts.core.WallClock, ts.MaxClockError())
+	role, ok := ts.hosted.operators.Authenticate(ts.hosted.adminKey, s, ts.core.WallClock, ts.core.MaxClockError())
 	if !ok {
 		return "", "", errInvalidKey
 	}
@@ -136,7 +129,7 @@
 			err = &tenant.Error{Status: 403, Reason: "this key may not change anything"}
 		}
 		if err != nil {
-			ts.RefuseError(c.Req, err)
+			ts.core.RefuseError(c.Req, err)
 			return false
 		}
 		ts.recordKeyUse(operatorsHolder, id)
@@ -160,22 +153,6 @@
 	})
 }
 
-// decodeRequest reads what an act brings; the error names the field.
-func decodeRequest(body []byte, target any) error {
-	if len(body) == 0 {
-		return nil
-	}
-	decoder := json.NewDecoder(strings.NewReader(string(body)))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(target); err != nil {
-		if typeErr, ok := err.(*json.UnmarshalTypeError); ok {
-			return &tenant.Error{Status: 400, Field: typeErr.Field, Reason: "wrong type"}
-		}
-		return &tenant.Error{Status: 400, Reason: err.Error()}
-	}
-	return nil
-}
-
 // newKey makes a key of what a request was given of random.
 func (ts *TenantService) newKey(c message.AdminRequest, name string, expires api.WallTime) (tenant.Key, *NewKeyView, error) {
 	if c.Random == nil {
@@ -188,14 +165,6 @@
 	return k, &NewKeyView{KeyView: viewKey(k), Secret: s.String()}, nil
 }
 
-// checkRevision refuses a change that names another revision than the one it would replace.
-func checkRevision(expected *api.Revision, current api.Revision, what string) error {
-	if expected == nil || *expected != current {
-		return &tenant.Error{Status: 409, Field: "revision", Reason: what + " changed since, or no revision is named"}
-	}
-	return nil
-}
-
 func (ts *TenantService) viewOperators(record tenant.Operators, revision api.Revision) OperatorsView {
 	v := OperatorsView{AdminKey: ts.hosted.adminKey.ID, AdminKeyRetired: slices.Contains(record.RetiredAdminKeys, ts.hosted.adminKey.ID), Keys: []OperatorKeyView{},
 		Networks: record.Networks, Proxies: record.Proxies, CPUs: record.CPUs, GPUs: record.GPUs, Guaranteed: ts.hosted.guaranteed, Revision: revision}
@@ -219,7 +188,7 @@
 		return nil
 	}
 	var request operatorsRequest
-	if err := decodeRequest(c.Body, &request); err != nil {
+	if err := core.DecodeRequest(c.Body, &request); err != nil {
 		return err
 	}
 	updated := old
@@ -241,11 +210,11 @@
 		return err
 	}
 	before, after := operatorsAuditView(old), operatorsAuditView(updated)
-	if secret == nil && equalJSON(old, updated) {
+	if secret == nil && core.EqualJSON(old, updated) {
 		ts.core.Reply(c.Req, 200, ts.viewOperators(old, revision), 0) // it is so already: asked again, perhaps
 		return nil
 	}
-	if err := checkRevision(request.Revision, revision, "the operators' record"); err != nil {
+	if err := core.CheckRevision(request.Revision, revision, "the operators' record"); err != nil {
 		return err
 	}
 	if err := ts.hosted.guaranteed.CheckBudget(updated); err != nil {
@@ -321,7 +290,7 @@
 // HandleTeamRequest makes, changes or removes a team beside the platform's.
 func (ts *TenantService) HandleTeamRequest(c message.AdminRequest) error {
 	var request teamRequest
-	if err := decodeRequest(c.Body, &request); err != nil {
+	if err := core.DecodeRequest(c.Body, &request); err != nil {
 		return err
 	}
 	name := api.Team(c.ID)
@@ -345,10 +314,10 @@
 		return err
 	}
 	if known && updated == old.Team {
-		ts.core.Reply(c.Req, 200, TeamRecordView{updated, ts.TeamOwners()[name], old.Revision}, 0) // asked again, perhaps
+		ts.core.Reply(c.Req, 200, core.TeamRecord{Team: updated, Tenant: ts.TeamOwners()[name], Revision: old.Revision}, 0) // asked again, perhaps
 		return nil
 	}
-	if err := checkRevision(request.Revision, old.Revision, "the team"); err != nil {
+	if err := core.CheckRevision(request.Revision, old.Revision, "the team"); err != nil {
 		return err
 	}
 	guaranteed, err := ts.hosted.guaranteed.Adjust(old.Team, updated, ts.hosted.operators)
@@ -365,7 +334,7 @@
 		tx.If = append(tx.If, api.Condition{Key: keyTeamOf + c.ID})
 	}
 	ts.CommitChange(c, tx, "the team, or what is set aside for teams,", func(revision api.Revision) any {
-		return TeamRecordView{updated, ts.TeamOwners()[name], revision}
+		return core.TeamRecord{Team: updated, Tenant: ts.TeamOwners()[name], Revision: revision}
 	})
 	return nil
 }
@@ -385,18 +354,3 @@
 	}
 	return map[string]any{"keys": keys, "networks": record.Networks.Len(), "proxies": record.Proxies.Len(), "cpus": record.CPUs, "gpus": record.GPUs, "retired": record.RetiredAdminKeys}
 }
-
-// equalJSON reports whether two values are the same as they are written.
-func equalJSON(a, b any) bool {
-	x, errX := json.Marshal(a)
-	y, errY := json.Marshal(b)
-	return errX == nil && errY == nil && string(x) == string(y)
-}
-
-// settingsAuditView is the settings as the audit shows them: a long list of machines, counted.
-func settingsAuditView(s core.Settings) any {
-	if len(s.Drained) <= 20 {
-		return s
-	}
-	return map[string]any{"drained": len(s.Drained), "idle_hold_s": s.IdleTimeout, "no_rent": s.DisableScaleOut}
-}
--- a/controller/partition.go
+++ b/controller/partition.go
@@ -63,7 +63,7 @@
 			p.Job.OwnerState.LostTasks++
 			p.Job.OwnerState.LastLossAt, p.Job.OwnerState.PreemptedForStart = rs.core.Now, false
 		}
-		slog.Info("task ended", tenantAttr(p.Job), "task", p.Task, "machine", p.Machine, "reason", reason)
+		slog.Info("task ended", core.TenantAttr(p.Job), "task", p.Task, "machine", p.Machine, "reason", reason)
 	}
 }
 
@@ -91,7 +91,7 @@
 		rs.c.balancer.LendMachines(owned)
 	}
 	rs.c.backfiller.Backfill(owned)
-	if owned.UnexaminedJobs > 0 && rs.core.Now.Sub(owned.PlannedAt) >= deferredJobsInterval || len(owned.UnmetDemands) > 0 && rs.core.Now.Sub(owned.PlannedAt) >= unmetDemandRecheckInterval {
+	if owned.UnexaminedJobs > 0 && rs.core.Now.Sub(owned.PlannedAt) >= core.DeferredJobsInterval || len(owned.UnmetDemands) > 0 && rs.core.Now.Sub(owned.PlannedAt) >= unmetDemandRecheckInterval {
 		owned.Dirty = true
 	}
 	if owned.InFlight != nil || owned.Releasing || owned.LoanInFlight || rs.core.Now < owned.NextRound || !owned.Dirty && !owned.NeedsNewToken {
@@ -136,7 +136,7 @@
 	}
 	bytesLeft, maxConditions := rs.roundByteBudget(), rs.RoundConditionBudget()
 	if rs.c.pools.Count() > 0 {
-		maxConditions -= min(maxRoundPools, rs.c.pools.Count())
+		maxConditions -= min(core.MaxRoundPools, rs.c.pools.Count())
 	}
 	ends := slices.SortedFunc(maps.Keys(owned.PendingEnds), func(a, b *core.Placement) int {
 		if a.Task.Job != b.Task.Job {
@@ -194,7 +194,7 @@
 	maxStarts := bytesLeft / 64
 	poolsNamed := map[api.PoolName]bool{}
 	for _, s := range rs.scheduleRound(owned, round, maxStarts) {
-		if !conditional[s.Job.ID] && len(conditional) >= maxConditions || !addRoundPools(poolsNamed, s.Job.Spec.Needs) {
+		if !conditional[s.Job.ID] && len(conditional) >= maxConditions || !core.AddRoundPools(poolsNamed, s.Job.Spec.Needs) {
 			owned.Dirty = true
 			continue
 		}
@@ -211,7 +211,7 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(poolsNamed)) {
-		round.Txn.If = append(round.Txn.If, rs.core.State.VersionCondition(keyPool+string(name)))
+		round.Txn.If = append(round.Txn.If, rs.core.State.VersionCondition(core.KeyPool+string(name)))
 	}
 	round.Record.QuotaTransfers = rs.c.balancer.SpareQuotaTransfers(owned)
 	round.Record.Reservations = rs.c.backfiller.ReservationChanges(owned)
@@ -374,7 +374,7 @@
 		rs.c.backfiller.ChargeMustStartCredit(owned, j, input.Jobs[pl.JobIndex].AgingStage)
 		if !j.OwnerState.StartPlanned {
 			j.OwnerState.StartPlanned = true
-			slog.Info("job starts", tenantAttr(j), "job", j.ID, specAttr(j.Spec), "partition", owned.ID, "after", float64(rs.core.WallClock-j.AcceptedAt)/1000)
+			slog.Info("job starts", core.TenantAttr(j), "job", j.ID, core.SpecAttr(j.Spec), "partition", owned.ID, "after", float64(rs.core.WallClock-j.AcceptedAt)/1000)
 		}
 		if j.OwnerState.LastLossAt != 0 && j.Spec.Kind == api.Service {
 			slog.Debug("replica restarted", "job", j.ID, "task", pl.Task, "machine", m.ID, "type", m.MachineType, "lost_s", rs.core.Now.Sub(j.OwnerState.LastLossAt).Seconds(),
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/clusterstate"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
 	"basaltwall/pool"
@@ -24,15 +23,8 @@
 	c    *Controller
 }
 
-// keyPool holds a pool's record. A round that hands out units is conditional on it as it was
-// folded; see docs/pools.md.
-const keyPool = clusterstate.Root + "pool/"
-
-// Bounds on what a round and a second do for pools.
-const (
-	maxRoundPools     = 8           // a round hands out units of so many pools at most
-	poolShareInterval = time.Second // how often a pool's shares are looked at
-)
+// poolShareInterval is how often a pool's shares are looked at.
+const poolShareInterval = time.Second
 
 // poolState is what a controller keeps of pools beyond their records.
 type poolState struct {
@@ -108,25 +100,18 @@
 			if entitled {
 				a.Starts = min(a.Starts, (e.Guaranteed[j.Spec.Team]-teams[j.Spec.Team])/a.Units)
 			}
-			a.Reserves = entitled || pm.c.backfiller.WaitStage(j, api.PartitionID(p)) != sched.NotAged || j.Spec.Priority.Rank() >= preemptorRank || a.Units > 1 && pool.ShouldReserve(time.Duration(pm.core.WallClock-j.AcceptedAt)*time.Millisecond)
+			a.Reserves = entitled || pm.c.backfiller.WaitStage(j, api.PartitionID(p)) != sched.NotAged || j.Spec.Priority.Rank() >= core.PreemptorRank || a.Units > 1 && pool.ShouldReserve(time.Duration(pm.core.WallClock-j.AcceptedAt)*time.Millisecond)
 			out = append(out, poolRequest{j, api.PartitionID(p), entitled, a})
 		}
 	}
 	slices.SortFunc(out, func(a, b poolRequest) int {
-		return cmp.Or(boolToInt(pm.c.backfiller.WaitStage(b.job, b.partition) == sched.AgedAboveAll)-boolToInt(pm.c.backfiller.WaitStage(a.job, a.partition) == sched.AgedAboveAll),
-			sched.Descending(pm.c.priorities.EffectivePriority(a.job.Spec), pm.c.priorities.EffectivePriority(b.job.Spec)), boolToInt(b.entitled)-boolToInt(a.entitled),
+		return cmp.Or(core.BoolToInt(pm.c.backfiller.WaitStage(b.job, b.partition) == sched.AgedAboveAll)-core.BoolToInt(pm.c.backfiller.WaitStage(a.job, a.partition) == sched.AgedAboveAll),
+			sched.Descending(pm.c.priorities.EffectivePriority(a.job.Spec), pm.c.priorities.EffectivePriority(b.job.Spec)), core.BoolToInt(b.entitled)-core.BoolToInt(a.entitled),
 			cmp.Compare(a.job.AcceptedAt, b.job.AcceptedAt), cmp.Compare(a.job.ID, b.job.ID), int(a.partition-b.partition))
 	})
 	return out
 }
 
-func boolToInt(is bool) int {
-	if is {
-		return 1
-	}
-	return 0
-}
-
 // AllocatePoolUnits is what a part may hand out of the pools that jobs need, and the jobs that may ask
 // for it: those that come after one that reserves what it lacks are left out. Of more
 // pools than a round may name some are looked at by turns.
@@ -143,10 +128,10 @@
 		return nil, jobs
 	}
 	slices.Sort(names)
-	if len(names) > maxRoundPools {
+	if len(names) > core.MaxRoundPools {
 		from := owned.PoolCursor % len(names)
-		owned.PoolCursor += maxRoundPools
-		names = slices.Concat(names[from:], names[:from])[:maxRoundPools]
+		owned.PoolCursor += core.MaxRoundPools
+		names = slices.Concat(names[from:], names[:from])[:core.MaxRoundPools]
 	}
 	out, blocked := map[api.PoolName]int{}, map[*core.Job]bool{}
 	for _, name := range names {
@@ -188,7 +173,7 @@
 // isPoolCurrent reports whether what is known of a pool is its latest record. Where that could
 // not be read the one before is kept, under which nothing may be handed out any more.
 func (pm *PoolManager) isPoolCurrent(e *pool.Entry) bool {
-	return e.Revision == pm.core.State.Version(keyPool+string(e.Name))
+	return e.Revision == pm.core.State.Version(core.KeyPool+string(e.Name))
 }
 
 // CheckPoolNeeds says why a job may not ask for what it needs of pools, or nothing.
@@ -274,7 +259,7 @@
 			continue
 		}
 		state.shareWrites[name] = true
-		key := keyPool + string(name)
+		key := core.KeyPool + string(name)
 		tx := api.Txn{If: []api.Condition{{Key: key, Version: e.Revision}, owned.OwnershipCondition()}, Writes: []api.Write{{Put: key, Value: data}}}
 		pm.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 			delete(state.shareWrites, name)
@@ -319,7 +304,7 @@
 			h.places, h.units = append(h.places, pl), h.units+need.Task
 		}
 	}
-	gang := func(h poolHolding) int { return boolToInt(h.job.Spec.Kind == api.Gang) }
+	gang := func(h poolHolding) int { return core.BoolToInt(h.job.Spec.Kind == api.Gang) }
 	slices.SortFunc(all, func(a, b poolHolding) int {
 		return cmp.Or(sched.Descending(pm.c.priorities.EffectivePriority(b.job.Spec), pm.c.priorities.EffectivePriority(a.job.Spec)), gang(a)-gang(b), cmp.Compare(b.job.AcceptedAt, a.job.AcceptedAt),
 			cmp.Compare(b.job.ID, a.job.ID), b.places[0].Task.Index-a.places[0].Task.Index)
@@ -362,7 +347,7 @@
 			if pm.core.Partitions[pl.Partition] != nil && !pl.OwnerState.StopRequested {
 				pm.c.scheduler.StopTask(pl)
 				pl.Job.OwnerState.PreemptedTasks++
-				slog.Info("task preempted", tenantAttr(pl.Job), "task", pl.Task, "machine", pl.Machine, "pool", e.Name)
+				slog.Info("task preempted", core.TenantAttr(pl.Job), "task", pl.Task, "machine", pl.Machine, "pool", e.Name)
 			}
 		}
 	}
@@ -375,7 +360,7 @@
 		return nil
 	}
 	for _, a := range requests {
-		if a.job.Spec.Priority.Rank() < preemptorRank {
+		if a.job.Spec.Priority.Rank() < core.PreemptorRank {
 			return nil
 		}
 		if a.ask.Units <= e.Size && pm.hasCapacityFor(a) {
@@ -467,7 +452,7 @@
 func (pm *PoolManager) PoolBacklog(name api.PoolName) (units int, oldest float64) {
 	for _, a := range pm.poolRequests(name) {
 		units += a.ask.Units * a.ask.Starts
-		oldest = max(oldest, roundToTenth(float64(pm.core.WallClock-a.job.AcceptedAt)/1000))
+		oldest = max(oldest, core.RoundToTenth(float64(pm.core.WallClock-a.job.AcceptedAt)/1000))
 	}
 	return units, oldest
 }
@@ -508,7 +493,7 @@
 		return nil
 	}
 	var ask poolUpdate
-	if err := decodeRequest(c.Body, &ask); err != nil {
+	if err := core.DecodeRequest(c.Body, &ask); err != nil {
 		return err
 	}
 	var previous, next pool.Pool
@@ -543,11 +528,11 @@
 			return &tenant.Error{Status: 422, Field: "tenants", Reason: "there is no tenant " + string(name)}
 		}
 	}
-	if e != nil && equalJSON(previous, next) {
+	if e != nil && core.EqualJSON(previous, next) {
 		pm.core.Reply(c.Req, 200, pm.viewPool(next, rev), 0) // asked again, perhaps
 		return nil
 	}
-	if err := checkRevision(ask.Revision, rev, "the pool"); err != nil {
+	if err := core.CheckRevision(ask.Revision, rev, "the pool"); err != nil {
 		return err
 	}
 	if c.What == "pool-remove" {
@@ -563,30 +548,12 @@
 	if e != nil {
 		before = previous
 	}
-	key := keyPool + c.ID
+	key := core.KeyPool + c.ID
 	tx := api.Txn{If: []api.Condition{{Key: key, Version: rev}}, Writes: []api.Write{{Put: key, Value: data}, pm.c.tenancy.AuditWrite(c, "pool "+c.ID, before, next)}}
 	pm.c.tenancy.CommitChange(c, tx, "the pool", func(rev api.Revision) any { return pm.viewPool(next, rev) })
 	return nil
 }
 
-// addRoundPools adds pools to those that a round names, or reports that they would be too many:
-// jobs that hold their own units already may start tasks whatever pools a round looks at.
-func addRoundPools(named map[api.PoolName]bool, needs []api.PoolRequest) bool {
-	added := 0
-	for _, need := range needs {
-		if !named[need.Pool] {
-			added++
-		}
-	}
-	if len(named)+added > maxRoundPools {
-		return false
-	}
-	for _, need := range needs {
-		named[need.Pool] = true
-	}
-	return true
-}
-
 // Count is how many pools there are.
 func (pm *PoolManager) Count() int {
 	if pm.c.tenancy.hosted == nil {
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -34,7 +34,7 @@
 	if err := n.tenancy.hosted.pools.table.Put(string(name), data, 9); err != nil {
 		t.Fatal(err)
 	}
-	n.core.State.SetVersion(keyPool+string(name), 9)
+	n.core.State.SetVersion(core.KeyPool+string(name), 9)
 }
 
 // A round that hands out units names the pool's version; a round that does not, names no
@@ -51,12 +51,12 @@
 		return nil
 	}
 	n, owned, _ := pooledOwner(t, 3)
-	if got := conditions(n, owned); !slices.Contains(got, api.Condition{Key: keyPool + "routing", Version: 9}) {
+	if got := conditions(n, owned); !slices.Contains(got, api.Condition{Key: core.KeyPool + "routing", Version: 9}) {
 		t.Errorf("a round that hands out units is written on %v", got)
 	}
 	n, owned, j := pooledOwner(t, 3)
 	j.Spec.Needs = nil
-	if got := conditions(n, owned); slices.ContainsFunc(got, func(c api.Condition) bool { return strings.HasPrefix(c.Key, keyPool) }) {
+	if got := conditions(n, owned); slices.ContainsFunc(got, func(c api.Condition) bool { return strings.HasPrefix(c.Key, core.KeyPool) }) {
 		t.Errorf("a round that hands out none is written on %v", got)
 	}
 }
@@ -70,7 +70,7 @@
 		"no pool":  func(n *Controller) { n.tenancy.hosted.pools.table = pool.NewTable(1) },
 		// The latest record could not be read: the one before it is kept, and a round would
 		// be conditional on the version of the latest.
-		"not understood": func(n *Controller) { n.core.State.SetVersion(keyPool+"routing", 11) },
+		"not understood": func(n *Controller) { n.core.State.SetVersion(core.KeyPool+"routing", 11) },
 	} {
 		n, owned, j := pooledOwner(t, 3)
 		if len(n.scheduler.planRound(owned).Starts) == 0 {
@@ -165,12 +165,12 @@
 	round := n.scheduler.planRound(owned)
 	got := 0
 	for _, c := range round.Txn.If {
-		if strings.HasPrefix(c.Key, keyPool) {
+		if strings.HasPrefix(c.Key, core.KeyPool) {
 			got++
 		}
 	}
-	if got != maxRoundPools || len(round.Starts) != maxRoundPools || !owned.Dirty {
-		t.Errorf("%d pools are named by %d starts, expected %d; more rounds follow: %v", got, len(round.Starts), maxRoundPools, owned.Dirty)
+	if got != core.MaxRoundPools || len(round.Starts) != core.MaxRoundPools || !owned.Dirty {
+		t.Errorf("%d pools are named by %d starts, expected %d; more rounds follow: %v", got, len(round.Starts), core.MaxRoundPools, owned.Dirty)
 	}
 }
 
--- a/controller/preempt.go
+++ b/controller/preempt.go
@@ -222,7 +222,7 @@
 func (pr *Preemptor) PreemptForFastStart(owned *core.OwnedPartition, input *sched.Input, request *sched.Job, j *core.Job) {
 	slack := request.StartSLO - pr.StartDelay(j) - preemptionDelay.Seconds()
 	rank := j.Spec.Priority.Rank()
-	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.PreemptedForStart || rank < preemptorRank || !pr.RunsLowerPriority(owned.ID, rank) {
+	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.PreemptedForStart || rank < core.PreemptorRank || !pr.RunsLowerPriority(owned.ID, rank) {
 		return
 	}
 	byZone := map[api.Zone]int{}
--- a/controller/priority.go
+++ b/controller/priority.go
@@ -72,7 +72,7 @@
 
 func compareWorkKinds(a, b priority.Workload) int {
 	return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Team, b.Team), cmp.Compare(a.Form, b.Form), cmp.Compare(a.Priority, b.Priority),
-		boolToInt(b.CapacityShort)-boolToInt(a.CapacityShort))
+		core.BoolToInt(b.CapacityShort)-core.BoolToInt(a.CapacityShort))
 }
 
 // workKind is what rules see of a job.
--- a/controller/rebalance.go
+++ b/controller/rebalance.go
@@ -206,7 +206,7 @@
 // if others made way where the job is urgent enough for that.
 func (bl *Balancer) PartitionsWithCapacity(s *api.JobSpec) (now, afterPreemption map[api.PartitionID]bool) {
 	demand, cpuOnly := s.Demand(), bl.core.IsCPUOnly(s)
-	urgent := s.Priority.Rank() >= preemptorRank
+	urgent := s.Priority.Rank() >= core.PreemptorRank
 	free, preemptible := map[api.PartitionID][]sched.Machine{}, map[api.PartitionID][]sched.Machine{}
 	bl.c.gossiper.EachFreeCapacity(func(p api.PartitionID, k message.MachineClass, r message.FreeCapacity) {
 		if !k.Usable || !bl.core.IsEligible(s, cpuOnly, k.Type, k.Zone, k.Spot) {
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -142,7 +142,7 @@
 		return nil
 	}
 	var body skipRequestBody
-	if err := decodeRequest(c.Body, &body); err != nil {
+	if err := core.DecodeRequest(c.Body, &body); err != nil {
 		return nil, err
 	}
 	request := &reservation.Request{Type: skipOperations[c.Sub], Depot: reservation.Depot(c.ID), Key: body.Name, Skip: body.Skip, Kind: body.Kind, Booking: body.Number, Site: body.Site}
@@ -227,7 +227,7 @@
 	if c.What == "skips-do" {
 		var err error
 		if request, err = parseSkipRequest(c); err != nil {
-			rv.c.tenancy.RefuseError(c.Req, err)
+			rv.core.RefuseError(c.Req, err)
 			return
 		}
 	}
@@ -333,7 +333,7 @@
 			byKind[c.Kind] = reservation.Counts{Kind: c.Kind, Skips: sum.Skips + c.Skips, Free: sum.Free + c.Free, Offered: sum.Offered + c.Offered, Promised: sum.Promised + c.Promised, OutOfService: sum.OutOfService + c.OutOfService}
 		}
 		if since := s.OldestOfferTime(); since != 0 {
-			v.OldestOffer = max(v.OldestOffer, roundToTenth(float64(rv.core.WallClock-since)/1000))
+			v.OldestOffer = max(v.OldestOffer, core.RoundToTenth(float64(rv.core.WallClock-since)/1000))
 		}
 	}
 	for _, k := range slices.Sorted(maps.Keys(byKind)) {
@@ -348,7 +348,7 @@
 		rv.core.ReplyError(c.Req, 503, "the ledger of skips is being read")
 		return
 	}
-	v := SkipCountsView{Kinds: []reservation.Counts{}, AgeSeconds: roundToTenth(rv.core.Now.Sub(rv.reservationLedger.readAt).Seconds())}
+	v := SkipCountsView{Kinds: []reservation.Counts{}, AgeSeconds: core.RoundToTenth(rv.core.Now.Sub(rv.reservationLedger.readAt).Seconds())}
 	for i := range rv.core.State.Partitions {
 		v.Kinds = append(v.Kinds, rv.reservationLedger.replica.Shard(i).Count(rv.today(), rv.today()+1)...)
 	}
@@ -517,7 +517,7 @@
 			pairs = append(pairs, latest[key])
 		}
 		limits := rv.core.Config.Deployment.State
-		replica := reservation.NewLedger(fmt.Sprintf("%s-%d", rv.core.Config.Label, rv.core.Incarnation), len(rv.core.State.Partitions), rv.c.tenancy.MaxClockError(),
+		replica := reservation.NewLedger(fmt.Sprintf("%s-%d", rv.core.Config.Label, rv.core.Incarnation), len(rv.core.State.Partitions), rv.core.MaxClockError(),
 			reservation.Limits{MaxValueBytes: int(limits.ValueKB*1024) - 512, MaxPuts: limits.TxnOps})
 		if err := replica.Load(pairs, a.Changes.Revision); err != nil {
 			slog.Error("reservation ledger load failed", "err", err)
@@ -560,7 +560,7 @@
 		return
 	}
 	l.sweptAt, l.sweeping = rv.core.Now, true
-	rv.c.tenancy.SweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { l.sweeping = false })
+	rv.core.SweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { l.sweeping = false })
 }
 
 // sendLedgerWrite sends a record until its outcome is known.
--- a/controller/round.go
+++ b/controller/round.go
@@ -26,7 +26,7 @@
 	}
 	slot := clusterstate.RoundKey(owned.ID, round.Record.Seq)
 	if rs.c.tenancy.Enabled() {
-		round.Txn.If = append(round.Txn.If, rs.core.State.VersionCondition(keyGate))
+		round.Txn.If = append(round.Txn.If, rs.core.State.VersionCondition(core.KeyGate))
 	}
 	round.Txn.If = append(round.Txn.If, rs.core.State.VersionCondition(slot),
 		owned.OwnershipCondition())
@@ -130,7 +130,7 @@
 	for _, d := range round.Record.Jobs {
 		rs.core.Metrics.Completions += uint64(len(d.Completed))
 		if j := rs.core.State.Jobs[d.Job]; j != nil && len(d.Completed) > 0 && j.State() == api.JobDone {
-			slog.Info("job done", tenantAttr(j), "job", d.Job, specAttr(j.Spec), "estimate", j.Spec.Estimate,
+			slog.Info("job done", core.TenantAttr(j), "job", d.Job, core.SpecAttr(j.Spec), "estimate", j.Spec.Estimate,
 				"after", float64(rs.core.WallClock-j.AcceptedAt)/1000, "limits", rs.core.CompletionObjectives(j.Spec))
 		}
 	}
--- a/controller/tenantadmin.go
+++ b/controller/tenantadmin.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"basaltwall/api"
+	"basaltwall/controller/core"
 	"basaltwall/controller/message"
 	"basaltwall/tenant"
 )
@@ -98,7 +99,7 @@
 		return nil
 	}
 	var request tenantRequest
-	if err := decodeRequest(c.Body, &request); err != nil {
+	if err := core.DecodeRequest(c.Body, &request); err != nil {
 		return err
 	}
 	var old tenant.Tenant
@@ -117,7 +118,7 @@
 	if entry != nil {
 		revision = entry.Revision
 	}
-	if err := checkRevision(request.Revision, revision, "the tenant"); err != nil {
+	if err := core.CheckRevision(request.Revision, revision, "the tenant"); err != nil {
 		return err
 	}
 	if err := updated.Check(); err != nil {
@@ -180,7 +181,7 @@
 	extraWrites := []api.Write{ts.AuditWrite(c, "tenant "+string(updated.Name), tenantAuditView(previous), tenantAuditView(updated))}
 	if c.What == "suspend" {
 		v, _ := json.Marshal(updated.Name)
-		extraWrites = append(extraWrites, api.Write{Put: keyGate, Value: v})
+		extraWrites = append(extraWrites, api.Write{Put: core.KeyGate, Value: v})
 	}
 	ts.writeTenant(updated, old, extraWrites, func(status int, rev api.Revision) {
 		switch status {
--- a/controller/usage.go
+++ b/controller/usage.go
@@ -198,7 +198,9 @@
 )
 
 // queuePosition is a job's place in its tenant's list.
-func queuePosition(j *core.Job) string { return timeKey(j.AcceptedAt) + "-" + string(j.TenantJobID) }
+func queuePosition(j *core.Job) string {
+	return core.TimeKey(j.AcceptedAt) + "-" + string(j.TenantJobID)
+}
 
 // viewQueue is a page of a tenant's jobs that are not over, after a place in the list.
 func (ts *TenantService) viewQueue(e *tenant.Entry, after string, limit int) QueueView {
--- a/controller/user.go
+++ b/controller/user.go
@@ -151,13 +151,6 @@
 		func() { js.core.ReplyError(c.Req, 404, "no such job") }, forward)
 }
 
-// specAttr is what a job asks for, for the log: its line of acceptance, and those of its start
-// and its end, as the first may have been written by a controller that never heard of it.
-func specAttr(s *api.JobSpec) slog.Attr {
-	return slog.Group("asks", "class", s.Class, "team", s.Team, "priority", s.Priority, "form", s.Kind, "tasks", s.Tasks,
-		"cpus", s.CPUs, "gpus", s.GPUs, "mem_gb", s.MemGB)
-}
-
 // InfeasibleReason says why a job can never run, or nothing.
 func (js *JobService) InfeasibleReason(s *api.JobSpec) string {
 	team, ok := js.core.Teams[s.Team]
@@ -197,9 +190,6 @@
 	return ""
 }
 
-// specTooLarge is why a job is refused whose record would exceed a value: its allowed types may be many.
-const specTooLarge = "banchi: too long"
-
 func (js *JobService) Submit(c message.Submit) {
 	if js.c.tenancy.Enabled() {
 		js.c.tenancy.SubmitHosted(c, 2)
@@ -241,7 +231,7 @@
 	}
 	v, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: js.SplitAcrossPartitions(spec), AcceptedAt: js.core.WallClock})
 	if err != nil || js.core.JobExceedsValueSize(v) {
-		refuse(400, specTooLarge)
+		refuse(400, core.ReasonSpecTooLarge)
 		return
 	}
 	jobKey, resultKey := clusterstate.KeyJob+string(spec.Ref), clusterstate.KeyJobResult+string(spec.Ref)
@@ -256,7 +246,7 @@
 		switch a.Status {
 		case 200:
 			js.core.Reply(c.Req, 201, api.JobStatus{JobID: spec.Ref, State: api.JobPending}, 0)
-			slog.Info("job accepted", "job", spec.Ref, specAttr(spec))
+			slog.Info("job accepted", "job", spec.Ref, core.SpecAttr(spec))
 			js.c.follower.LinearizableRead(func() {}, func() {}) // so that its first round comes soon
 		case 409:
 			js.LookupJob(spec.Ref, replyKnown, forward, forward)
@@ -268,14 +258,10 @@
 	})
 }
 
-// submissionWriteShare is how much of the state service's writes submissions may take: what
-// is beyond it would be refused there, and with it the renewal of our lease.
-const submissionWriteShare = 0.85
-
 // allowSubmission takes one of the writes that submissions may use, of which every living
 // controller has as many.
 func (js *JobService) allowSubmission() bool {
-	share := submissionWriteShare
+	share := core.SubmissionWriteShare
 	if js.c.reservations.RecentlyWrote() {
 		share -= ledgerWriteShare
 	}
@@ -398,7 +384,7 @@
 		return
 	}
 	respond := func(s api.JobStatus) { js.core.Reply(c.Req, 200, api.JobStatus{JobID: jobID, State: s.State}, 0) }
-	retryLater := func() { js.core.ReplyError(c.Req, 503, cancellationPending) }
+	retryLater := func() { js.core.ReplyError(c.Req, 503, core.ReasonCancellationPending) }
 	if s, ok := js.finalStatus(jobID); ok {
 		respond(s)
 		return
--- a/controller/zones.go
+++ b/controller/zones.go
@@ -475,7 +475,7 @@
 }
 
 func (zh *ZoneHealth) evacuatePartition(owned *core.OwnedPartition) {
-	input := &zonehealth.Input{PlacedByZone: map[api.JobID]map[api.Zone]int{}, RemainingQuota: zh.core.RemainingQuota(owned.ID), PreemptingRank: preemptorRank,
+	input := &zonehealth.Input{PlacedByZone: map[api.JobID]map[api.Zone]int{}, RemainingQuota: zh.core.RemainingQuota(owned.ID), PreemptingRank: core.PreemptorRank,
 		ExpectedOutage: func(name api.Zone) float64 {
 			return zh.zones.records[name].ExpectedRemaining(zh.ZoneSilenceSeconds(name))
 		},
@@ -628,7 +628,7 @@
 			}
 			unreachable[placement.Job.ID]++
 			if leaseActive {
-				if urgent := placement.Job.Spec.Priority.Rank() >= preemptorRank; replace && urgent && preemptible < placement.Job.Demand.CPU {
+				if urgent := placement.Job.Spec.Priority.Rank() >= core.PreemptorRank; replace && urgent && preemptible < placement.Job.Demand.CPU {
 					replacements[placement.Job.ID]++
 				} else if urgent {
 					preemptible -= placement.Job.Demand.CPU
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -17,6 +17,7 @@
 	"basaltwall/api"
 	"basaltwall/config"
 	"basaltwall/controller"
+	"basaltwall/controller/core"
 	"basaltwall/internal/emulator"
 	"basaltwall/tenant"
 )
@@ -405,7 +406,7 @@
 	expect("a limit below", 400, "cpus_max:")(call(0, root, "PUT", "/admin/v1/teams/dispo", `{"revision":0,"cpus":3,"cpus_max":2}`))
 	expect("the platform's", 409, "name:")(call(0, root, "PUT", "/admin/v1/teams/red", `{"revision":0,"cpus":1}`))
 	expect("no such team", 404, "name:")(call(0, root, "POST", "/admin/v1/teams/dispo/remove", `{"revision":0}`))
-	var team controller.TeamRecordView
+	var team core.TeamRecord
 	body := expect("a team", 200, `"name":"dispo"`)(call(0, root, "PUT", "/admin/v1/teams/dispo", `{"revision":0,"cpus":3,"cpus_max":6}`))
 	if err := json.Unmarshal([]byte(body), &team); err != nil {
 		t.Fatal(err)
