--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/getkin/kin-openapi/openapi3"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/tenancy"
 	"basaltwall/tenant"
 )
 
@@ -200,11 +200,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tenantTable(&out, controller.TenantView{Tenant: tenant.Tenant{Name: "kipper", State: tenant.Suspended, SuspendReason: "unpaid", Teams: []api.Team{"dispo", "red"}, Networks: networks, Retention: 3600},
-		Keys: []controller.KeyView{{ID: "00aa", Name: "laptop", Created: 1}}, Jobs: 3, Tasks: 9, Revision: 12})
-	operatorsTable(&out, controller.OperatorsView{AdminKey: "11bb", AdminKeyRetired: true, Keys: []controller.OperatorKeyView{{KeyView: controller.KeyView{Name: "watch"}, Role: tenant.RoleRead}}, CPUs: 4, Guaranteed: tenant.GuaranteedTotal{CPUs: 3}})
-	queueTable(&out, controller.QueueView{Open: 2, Jobs: []controller.UnfinishedJob{{Ref: "run-7", State: api.JobPending, Reason: "suspended: unpaid"}}, After: "x-run-7"})
-	usageTable(&out, controller.UsageView{Open: 2, OpenJobs: 2000, Teams: []controller.TeamUsage{{Team: "dispo", UsedCPUs: 2, MaxCPUs: 6}}})
+	tenantTable(&out, tenancy.TenantView{Tenant: tenant.Tenant{Name: "kipper", State: tenant.Suspended, SuspendReason: "unpaid", Teams: []api.Team{"dispo", "red"}, Networks: networks, Retention: 3600},
+		Keys: []tenancy.KeyView{{ID: "00aa", Name: "laptop", Created: 1}}, Jobs: 3, Tasks: 9, Revision: 12})
+	operatorsTable(&out, tenancy.OperatorsView{AdminKey: "11bb", AdminKeyRetired: true, Keys: []tenancy.OperatorKeyView{{KeyView: tenancy.KeyView{Name: "watch"}, Role: tenant.RoleRead}}, CPUs: 4, Guaranteed: tenant.GuaranteedTotal{CPUs: 3}})
+	queueTable(&out, tenancy.QueueView{Open: 2, Jobs: []tenancy.UnfinishedJob{{Ref: "run-7", State: api.JobPending, Reason: "suspended: unpaid"}}, After: "x-run-7"})
+	usageTable(&out, tenancy.UsageView{Open: 2, OpenJobs: 2000, Teams: []tenancy.TeamUsage{{Team: "dispo", UsedCPUs: 2, MaxCPUs: 6}}})
 	for _, part := range []string{"suspended\tunpaid", "dispo,red", "3\tof 2000", "10.0.0.0/8,2001:db8::/32", "laptop\t00aa", "1h0m0s", "rate\tnone",
 		"11bb\tretired", "4 CPUs, 3 given", "\tread", "run-7\tpending", "2 open", "more with --after x-run-7", "2 of 2000", "dispo\t2\t0\t6\t0\t0\tnone"} {
 		if !strings.Contains(out.String(), part) {
--- a/admin/operators.go
+++ b/admin/operators.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"basaltwall/controller"
+	"basaltwall/controller/tenancy"
 )
 
 type operatorsCmd struct {
@@ -66,7 +67,7 @@
 }
 
 func (c *Cmd) putOperators(p operatorsPutCmd) error {
-	at, err := fetch[controller.OperatorsView](c, "operators")
+	at, err := fetch[tenancy.OperatorsView](c, "operators")
 	if err != nil {
 		return err
 	}
--- a/admin/pools.go
+++ b/admin/pools.go
@@ -8,7 +8,7 @@
 	"net/url"
 	"slices"
 
-	"basaltwall/controller"
+	"basaltwall/controller/pools"
 	"basaltwall/pool"
 )
 
@@ -52,7 +52,7 @@
 
 func (c *Cmd) putPool(p poolPutCmd) error {
 	path := "pools/" + url.PathEscape(p.Name)
-	at, err := fetch[controller.PoolView](c, path)
+	at, err := fetch[pools.View](c, path)
 	var refused *RequestError
 	if err != nil && !(errors.As(err, &refused) && refused.Status == 404) { // which is a new one
 		return err
@@ -82,14 +82,14 @@
 	return s
 }
 
-func poolsTable(w io.Writer, all []controller.PoolView) {
+func poolsTable(w io.Writer, all []pools.View) {
 	writeRow(w, "POOL", "STATE", "SIZE", "HELD", "WAITING", "OLDEST WAIT", "UNIT")
 	for _, p := range all {
 		writeRow(w, p.Name, p.State, p.Size, sum(p.Held), p.WaitingUnits, fmt.Sprintf("%.0f s", p.OldestWait), p.Unit)
 	}
 }
 
-func poolTable(w io.Writer, p controller.PoolView) {
+func poolTable(w io.Writer, p pools.View) {
 	writeRow(w, "pool", p.Name, p.Unit)
 	writeRow(w, "state", p.State)
 	writeRow(w, "size", p.Size, fmt.Sprintf("largest %d", p.Largest))
--- a/admin/tables.go
+++ b/admin/tables.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/tenancy"
 	"basaltwall/tenant"
 )
 
@@ -73,18 +73,18 @@
 	return strings.Join(prefixStrings(n), ",")
 }
 
-func tenantsTable(w io.Writer, all []controller.TenantView) {
+func tenantsTable(w io.Writer, all []tenancy.TenantView) {
 	writeRow(w, "TENANT", "STATE", "TEAMS", "OPEN JOBS", "TASKS", "KEYS", "WHY")
 	for _, t := range all {
 		writeRow(w, t.Name, t.State, joinNames(t.Teams), t.Jobs, t.Tasks, len(t.Keys), t.SuspendReason)
 	}
 }
 
-func keyRows(w io.Writer, k controller.KeyView, extra ...any) {
+func keyRows(w io.Writer, k tenancy.KeyView, extra ...any) {
 	writeRow(w, append([]any{k.Name, k.ID, formatTime(k.Created), formatTime(k.Expires), formatTime(k.LastUsed)}, extra...)...)
 }
 
-func tenantTable(w io.Writer, t controller.TenantView) {
+func tenantTable(w io.Writer, t tenancy.TenantView) {
 	writeRow(w, "tenant", t.Name)
 	writeRow(w, "called", t.Display)
 	writeRow(w, "state", t.State, t.SuspendReason)
@@ -102,7 +102,7 @@
 	}
 }
 
-func operatorsTable(w io.Writer, o controller.OperatorsView) {
+func operatorsTable(w io.Writer, o tenancy.OperatorsView) {
 	first := "opens everything"
 	if o.AdminKeyRetired {
 		first = "retired"
@@ -119,7 +119,7 @@
 	}
 }
 
-func auditTable(w io.Writer, v controller.AuditView) {
+func auditTable(w io.Writer, v tenancy.AuditView) {
 	writeRow(w, "AT", "KEY", "FROM", "WHAT", "ABOUT", "KEY CHANGED")
 	for _, c := range v.Entries {
 		writeRow(w, formatTime(c.Time), c.Key, c.From, c.Action, c.Subject, c.KeyName)
@@ -127,7 +127,7 @@
 	writeNextPageHint(w, v.After)
 }
 
-func historyTable(w io.Writer, v controller.HistoryView) {
+func historyTable(w io.Writer, v tenancy.HistoryView) {
 	writeRow(w, "JOB", "STATE", "CLASS", "TEAM", "TASKS", "ACCEPTED", "ENDED")
 	for _, j := range v.Jobs {
 		writeRow(w, j.JobID, j.State, j.Class, j.Team, j.Tasks, formatTime(j.AcceptedAt), formatTime(j.EndedAt))
@@ -135,7 +135,7 @@
 	writeNextPageHint(w, v.After)
 }
 
-func queueTable(w io.Writer, v controller.QueueView) {
+func queueTable(w io.Writer, v tenancy.QueueView) {
 	writeRow(w, "JOB", "STATE", "CLASS", "TEAM", "DONE", "RUNNING", "TASKS", "ACCEPTED", "WHY IT WAITS")
 	for _, j := range v.Jobs {
 		writeRow(w, j.Ref, j.State, j.Class, j.Team, j.Done, j.Running, j.Tasks, formatTime(j.Accepted), j.Reason)
@@ -144,7 +144,7 @@
 	writeNextPageHint(w, v.After)
 }
 
-func usageTable(w io.Writer, v controller.UsageView) {
+func usageTable(w io.Writer, v tenancy.UsageView) {
 	writeRow(w, "open jobs", fmt.Sprintf("%d of %d", v.Open, v.OpenJobs))
 	writeRow(w, "waiting tasks", v.PendingTasks)
 	writeRow(w, "running tasks", v.RunningTasks)
--- a/admin/tenants.go
+++ b/admin/tenants.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/tenancy"
 	"basaltwall/tenant"
 )
 
@@ -79,9 +79,9 @@
 	case "usage <name>":
 		return printTable(c, "tenants/"+url.PathEscape(t.Usage.Name)+"/usage", usageTable)
 	case "add <name>":
-		return c.putTenant(t.Add, controller.TenantView{Tenant: tenant.Tenant{Retention: (90 * 24 * time.Hour).Seconds()}})
+		return c.putTenant(t.Add, tenancy.TenantView{Tenant: tenant.Tenant{Retention: (90 * 24 * time.Hour).Seconds()}})
 	case "change <name>":
-		at, err := fetch[controller.TenantView](c, "tenants/"+url.PathEscape(t.Change.Name))
+		at, err := fetch[tenancy.TenantView](c, "tenants/"+url.PathEscape(t.Change.Name))
 		if err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 }
 
 // putTenant sends what is agreed: what is there already, but for what is named.
-func (c *Cmd) putTenant(p tenantPutCmd, at controller.TenantView) error {
+func (c *Cmd) putTenant(p tenantPutCmd, at tenancy.TenantView) error {
 	t := at.Tenant
 	override(&t.Display, p.Display)
 	override(&t.Rate, p.Rate)
--- a/controller/cancel.go
+++ b/controller/cancel.go
@@ -70,7 +70,7 @@
 // peers that have passed a request on less.
 const (
 	cancellationWait          = 2 * time.Second
-	cancellationWaitForwarded = forwardTimeout * 3 / 4
+	cancellationWaitForwarded = core.PeerForwardTimeout * 3 / 4
 )
 
 // RespondWhenAcknowledged answers with a final state: at once, or when the book comes to it. Otherwise the
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -14,6 +14,8 @@
 	"basaltwall/config"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
+	"basaltwall/controller/pools"
+	"basaltwall/controller/tenancy"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
 )
@@ -38,8 +40,8 @@
 	backfiller   *Backfiller
 	balancer     *Balancer
 	jobs         *JobService
-	tenancy      *TenantService
-	pools        *PoolManager
+	tenancy      *tenancy.Service
+	pools        *pools.Manager
 	reservations *ReservationService
 	admin        *AdminService
 	reporter     *MetricsReporter
@@ -72,7 +74,9 @@
 func (n *Controller) NewState() *core.ClusterState {
 	n.core.Settings, n.core.RecordedTypes, n.priorities.priorityState.shortage = core.Settings{}, api.MachineTypes{}, priority.Shortage{}
 	n.health.zones.records = map[api.Zone]zonehealth.Record{}
-	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.ZoneRecordKind()}, n.tenancy.HostedRecordKinds()...)
+	kinds := []clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.ZoneRecordKind()}
+	kinds = append(kinds, n.pools.RecordKinds()...)
+	kinds = append(kinds, n.tenancy.RecordKinds()...)
 	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
 }
 
@@ -92,13 +96,13 @@
 	n.backfiller = &Backfiller{core: shared, c: n}
 	n.balancer = &Balancer{core: shared, c: n}
 	n.jobs = newJobService(n)
-	n.tenancy = &TenantService{core: shared, c: n}
-	n.pools = &PoolManager{core: shared, c: n}
+	n.tenancy = tenancy.New(shared)
+	n.pools = pools.New(shared)
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
-	n.tenancy.ResetPlatformTeams()
-	n.tenancy.InitHosted()
+	n.tenancy.Connect(tenancy.Siblings{Follower: n.follower, Jobs: n.jobs, Pools: n.pools, Scheduler: n.scheduler})
+	n.pools.Connect(pools.Siblings{Backfiller: n.backfiller, Capacity: n.jobs, Follower: n.follower, Priorities: n.priorities, Scheduler: n.scheduler, Tenancy: n.tenancy})
 	n.health.InitZones()
 	n.core.State = n.NewState()
 	return n
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"bytes"
-	"encoding/gob"
 	"encoding/json"
 	"fmt"
 	"net/netip"
@@ -14,6 +12,8 @@
 	"basaltwall/clusterstate"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
+	"basaltwall/controller/pools"
+	"basaltwall/controller/tenancy"
 	"basaltwall/internal/golden"
 	"basaltwall/pool"
 	"basaltwall/priority"
@@ -34,8 +34,8 @@
 // Records that stand for themselves, and their keys, as earlier versions wrote them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
-	f.Text("keys", strings.Join([]string{core.SettingsKey, core.MachineTypesKey, keyShortage, zoneKeyPrefix, core.KeyPool, keyTenant, keyTeamOf, core.KeyGate, keyOperators, keyTeam, keyGuaranteedTotal,
-		keyUsed, keyHistory, keyAudit, clusterstate.KeyJobResult, string(operatorsHolder), core.TimeKey(1234567)}, "\n"))
+	f.Text("keys", strings.Join([]string{core.SettingsKey, core.MachineTypesKey, keyShortage, zoneKeyPrefix, core.KeyPool, tenancy.KeyTenant, tenancy.KeyTeamOf, core.KeyGate, tenancy.KeyOperators, tenancy.KeyTeam, tenancy.KeyGuaranteedTotal,
+		tenancy.KeyLastUse, tenancy.KeyHistory, tenancy.KeyAudit, clusterstate.KeyJobResult, string(tenancy.OperatorsHolder), core.TimeKey(1234567)}, "\n"))
 	golden.JSON(f, "settings", golden.Filled[core.Settings](t))
 	golden.JSON(f, "empty settings", core.Settings{})
 	golden.JSON(f, "types", golden.Filled[api.MachineTypes](t))
@@ -52,8 +52,8 @@
 	golden.JSON(f, "gate", tenant.Name("kipper"))
 	golden.JSON(f, "team of", tenant.Name("kipper"))
 	golden.JSON(f, "used", api.WallTime(3600000))
-	golden.JSON(f, "history", golden.Filled[FinishedJob](t))
-	golden.JSON(f, "audit", golden.Filled[AuditEntry](t))
+	golden.JSON(f, "history", golden.Filled[tenancy.FinishedJob](t))
+	golden.JSON(f, "audit", golden.Filled[tenancy.AuditEntry](t))
 	golden.JSON(f, "final", api.JobDone)
 	f.Text("values", fmt.Sprint(zonehealth.Healthy, zonehealth.Suspect, zonehealth.Failed, zonehealth.Recovering, pool.Active, pool.Frozen, pool.Removed,
 		priority.Always, priority.CapacityShort, priority.ControllerDown, priority.ZoneFailed))
@@ -98,13 +98,14 @@
 	golden.Same(t, "types", n.core.RecordedTypes, api.MachineTypes{Types: []api.MachineType{{Name: "c8", CPUs: 8, GPUs: 1, MemGB: 32, CacheGB: 20, FetchRate: 2, Price: 3, SpotPrice: 1.5, BootSeconds: 25, Zones: []api.Zone{"a", "b"}}}})
 	golden.Same(t, "short", n.priorities.priorityState.shortage, priority.Shortage{Types: []api.MachineTypeName{"c8", "g8"}, Since: 77})
 	golden.Same(t, "zone", n.health.zones.records["a"], zonehealth.Record{State: zonehealth.Failed, Since: 78, LastHeartbeat: 79, PartitionsInside: []api.PartitionID{1, 2}, OutageHistory: []float64{3.5, 4.5}})
-	golden.Same(t, "operators", n.tenancy.hosted.operators, tenant.Operators{Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "00aa00aa00aa00aa", Name: "watch", Hash: []byte{1, 2}, Created: 5, Expires: 6}, Role: tenant.RoleRead}},
+	golden.Same(t, "operators", *n.tenancy.Operators(), tenant.Operators{Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "00aa00aa00aa00aa", Name: "watch", Hash: []byte{1, 2}, Created: 5, Expires: 6}, Role: tenant.RoleRead}},
 		Networks: networks("10.0.0.0/8"), Proxies: networks("192.0.2.0/24"), CPUs: 7.5, GPUs: 8.5, RetiredAdminKeys: []tenant.KeyID{"11bb"}})
-	golden.Same(t, "given", n.tenancy.hosted.guaranteed, tenant.GuaranteedTotal{CPUs: 1.5, GPUs: 2.5})
-	golden.Same(t, "team", n.tenancy.hosted.teams["dispo"], core.TeamRecord{Team: tenant.Team{Name: "dispo", CPUs: 1, GPUs: 2, CPUsMax: 3, GPUsMax: 4}, Revision: 26})
-	golden.Same(t, "tenant", *n.tenancy.hosted.tenants.Get("kipper"), tenant.Entry{Tenant: tenant.Tenant{Name: "kipper", Display: "Kipper", Teams: []api.Team{"dispo"}, State: tenant.Suspended,
+	golden.Same(t, "given", n.tenancy.Guaranteed(), tenant.GuaranteedTotal{CPUs: 1.5, GPUs: 2.5})
+	team, _ := n.tenancy.TeamRecord("dispo")
+	golden.Same(t, "team", team, core.TeamRecord{Team: tenant.Team{Name: "dispo", CPUs: 1, GPUs: 2, CPUsMax: 3, GPUsMax: 4}, Revision: 26})
+	golden.Same(t, "tenant", *n.tenancy.Tenants().Get("kipper"), tenant.Entry{Tenant: tenant.Tenant{Name: "kipper", Display: "Kipper", Teams: []api.Team{"dispo"}, State: tenant.Suspended,
 		Rate: 1.5, Burst: 2.5, OpenJobs: 3, Networks: networks("10.0.0.0/8"), Retention: 4.5, SuspendReason: "unpaid", SuspendedAt: 5, Drain: 6.5, CancelJobs: true}, Revision: 27})
-	golden.Same(t, "pool", *n.tenancy.hosted.pools.table.Get("routing"), pool.Entry{Pool: pool.Pool{Name: "routing", Unit: "seats", Size: 9, Largest: 10, Teams: []api.Team{"dispo"},
+	golden.Same(t, "pool", *n.pools.Table().Get("routing"), pool.Entry{Pool: pool.Pool{Name: "routing", Unit: "seats", Size: 9, Largest: 10, Teams: []api.Team{"dispo"},
 		Tenants: []tenant.Name{"kipper"}, Guaranteed: map[api.Team]int{"dispo": 2}, State: pool.Frozen, Reclaim: true, Shares: []int{8}}, Revision: 28})
 }
 
@@ -121,29 +122,29 @@
 	golden.JSON(f, "skips", golden.Filled[SkipsView](t))
 	golden.JSON(f, "depots", golden.Filled[SkipCountsView](t))
 	golden.JSON(f, "skip answer", golden.Filled[SkipResult](t))
-	tenants := golden.Filled[[]TenantView](t, networks)
+	tenants := golden.Filled[[]tenancy.TenantView](t, networks)
 	for i := range tenants {
 		tenants[i].Tenant.Keys = nil // it is not shown
 	}
 	golden.JSON(f, "tenants", tenants)
-	golden.JSON(f, "new key", golden.Filled[NewKeyView](t))
-	golden.JSON(f, "operators", golden.Filled[OperatorsView](t, networks))
+	golden.JSON(f, "new key", golden.Filled[tenancy.NewKeyView](t))
+	golden.JSON(f, "operators", golden.Filled[tenancy.OperatorsView](t, networks))
 	golden.JSON(f, "team", golden.Filled[core.TeamRecord](t))
-	golden.JSON(f, "pools", golden.Filled[[]PoolView](t))
-	golden.JSON(f, "usage", golden.Filled[UsageView](t))
-	golden.JSON(f, "queue", golden.Filled[QueueView](t))
-	golden.JSON(f, "history", golden.Filled[HistoryView](t))
-	golden.JSON(f, "audit", golden.Filled[AuditView](t))
+	golden.JSON(f, "pools", golden.Filled[[]pools.View](t))
+	golden.JSON(f, "usage", golden.Filled[tenancy.UsageView](t))
+	golden.JSON(f, "queue", golden.Filled[tenancy.QueueView](t))
+	golden.JSON(f, "history", golden.Filled[tenancy.HistoryView](t))
+	golden.JSON(f, "audit", golden.Filled[tenancy.AuditView](t))
 	// Without what may be left out.
 	golden.JSON(f, "empty machine", MachineView{})
 	golden.JSON(f, "empty team", TeamView{})
 	golden.JSON(f, "empty job", JobView{})
 	golden.JSON(f, "empty metrics", MetricsView{Fragmentation: []FragmentationView{{}}, Zones: map[api.Zone]ZoneView{"a": {}}})
-	golden.JSON(f, "empty key", KeyView{})
+	golden.JSON(f, "empty key", tenancy.KeyView{})
 	golden.JSON(f, "empty skip", SkipView{Items: []SkipItem{{}}})
 	golden.JSON(f, "empty skip answer", SkipResult{})
-	golden.JSON(f, "empty usage", UsageView{Submissions: &submissionCounts{}})
-	golden.JSON(f, "empty holder", HolderView{})
+	golden.JSON(f, "empty usage", tenancy.UsageView{Submissions: &tenancy.SubmissionCounts{}})
+	golden.JSON(f, "empty holder", pools.HolderView{})
 }
 
 // asksOf reads what an earlier version's client sent, no field of which may be unknown.
@@ -161,52 +162,13 @@
 func TestGoldenAsks(t *testing.T) {
 	f, networks := golden.Open(t), goldenNetworks(t)
 	asksOf[VersionedSettings](t, f, "settings")
-	asksOf[tenantRequest](t, f, "tenant", networks)
-	asksOf[operatorsRequest](t, f, "operators", networks)
-	asksOf[teamRequest](t, f, "team")
-	asksOf[poolUpdate](t, f, "pool")
+	asksOf[tenancy.TenantRequest](t, f, "tenant", networks)
+	asksOf[tenancy.OperatorsRequest](t, f, "operators", networks)
+	asksOf[tenancy.TeamRequest](t, f, "team")
+	asksOf[pools.ChangeRequest](t, f, "pool")
 	asksOf[skipRequestBody](t, f, "skip")
 }
 
-// oldHostedForward is hostedForward with the names that encoding/gob put into messages between
-// controllers when this was written; see package peer's test.
-type oldHostedForward struct {
-	Kind, Ref string
-	Body      []byte
-	Caller    struct {
-		Auth      string
-		From      netip.Addr
-		Forwarded string
-	}
-}
-
-// Requests of a hosted service as earlier versions passed them on.
-func TestGoldenHostedForward(t *testing.T) {
-	f := golden.Open(t)
-	golden.Gob[hostedForward, oldHostedForward](f, "forward", golden.Filled[hostedForward](t))
-	caller := message.Caller{Auth: "Bearer x", From: netip.MustParseAddr("2001:db8::7"), Forwarded: "192.0.2.7"}
-	for _, x := range []struct {
-		kind string
-		want message.Command
-	}{
-		{"submit", message.Submit{Req: 3, Body: []byte("{}"), Forwarded: true, Caller: caller}},
-		{"poll", message.Poll{Req: 3, Ref: "run-1", Forwarded: true, Caller: caller}},
-		{"cancel", message.Cancel{Req: 3, Ref: "run-1", Forwarded: true, Caller: caller}},
-	} {
-		data := golden.Gob[hostedForward, oldHostedForward](f, x.kind, hostedForward{Kind: x.kind, Ref: "run-1", Body: []byte("{}"), Caller: caller})
-		golden.Same(t, x.kind, DecodeHostedForward(data, 3), x.want)
-		w, err := encodeHostedForward(hostedForward{Kind: x.kind, Ref: "run-1", Body: []byte("{}"), Caller: caller})
-		if err != nil || w.Kind != "hosted" {
-			t.Errorf("%s: %v, kind %q", x.kind, err, w.Kind)
-		}
-		var old oldHostedForward
-		if err := gob.NewDecoder(bytes.NewReader(w.Body)).Decode(&old); err != nil {
-			t.Errorf("%s: %v", x.kind, err)
-		}
-		golden.Same(t, x.kind+" by the type that was", old, hostedForward{x.kind, "run-1", []byte("{}"), caller})
-	}
-}
-
 // A question about skips that is passed on to another controller, as earlier versions wrote it;
 // package peer's test reads it.
 func TestGoldenSkipsForward(t *testing.T) {
@@ -326,9 +288,9 @@
 	if err := n.core.State.Put("b/job/run-1", []byte(`{"s":{"ref":"run-1","mestiere":"batch","bottega":"red","forma":"sweep","urgenza":"normal","pezzi":4,"cores":1,"gpus":0,"ram_gb":1,"stampo":"x","image_gb":1,"stima_s":5,"gettoni":[{"nome":"routing","a_pezzo":1}]},"p":[[0,4,0]],"t":900,"n":"kipper","u":"run-1"}`), 10); err != nil {
 		t.Fatal(err)
 	}
-	n.tenancy.hosted.operators = tenant.Operators{CPUs: 100, GPUs: 10, Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "0102030405060708", Name: "watch", Hash: make([]byte, 32), Created: 4}, Role: tenant.RoleRead}}}
-	n.tenancy.countSubmission("kipper", "")
-	n.tenancy.countSubmission("kipper", "rate")
+	*n.tenancy.Operators() = tenant.Operators{CPUs: 100, GPUs: 10, Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "0102030405060708", Name: "watch", Hash: make([]byte, 32), Created: 4}, Role: tenant.RoleRead}}}
+	n.tenancy.CountSubmission("kipper", "")
+	n.tenancy.CountSubmission("kipper", "rate")
 	random := [tenant.RandomBytes]byte{7}
 	kept := map[string][]api.KeyValue{
 		"used/kipper/":    {{Key: "used/kipper/0200000000000000", Value: []byte("3600000")}},
@@ -353,7 +315,7 @@
 	f.Text("own usage", goldenTalk(t, n, func() { n.dispatch(message.TenantQuery{What: "usage", Caller: caller}) }, kept))
 	f.Text("own history", goldenTalk(t, n, func() { n.dispatch(message.ListHistory{Limit: 5, Caller: caller}) }, kept))
 	f.Text("no key", goldenTalk(t, n, func() { n.dispatch(message.ListHistory{Limit: 5}) }, kept))
-	f.Text("other controllers' forward", fmt.Sprint(ForwardHosted, " ", ForwardSkips))
+	f.Text("other controllers' forward", fmt.Sprint(tenancy.ForwardKind, " ", ForwardSkips))
 	write := n.tenancy.HistoryWrite(n.core.State.Jobs["run-1"])
 	f.Text("history", fmt.Sprintf("%s %s", write.Put, write.Value))
 }
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -13,6 +13,7 @@
 	"basaltwall/config"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
+	"basaltwall/controller/tenancy"
 	"basaltwall/tenant"
 )
 
@@ -27,7 +28,8 @@
 	}
 	n.core.Config.Hosted = &config.Hosted{AdminKey: admin.Key("admin")}
 	n.tenancy.InitHosted()
-	n.tenancy.HostedRecordKinds()
+	n.tenancy.RecordKinds()
+	n.pools.RecordKinds()
 	k, s, err := tenant.NewKey([tenant.RandomBytes]byte{2}, "first", 1000, 60_000)
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.tenancy.hosted.tenants.Put(string(x.Name), data, 8); err != nil {
+	if err := n.tenancy.Tenants().Put(string(x.Name), data, 8); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -107,9 +109,9 @@
 	for state, starts := range map[tenant.State]bool{tenant.Active: true, tenant.Suspended: false, tenant.Removing: false, "": false} {
 		n, owned, j, _ := hostedOwner(t)
 		if state == "" {
-			n.tenancy.hosted.tenants.Drop("kipper")
+			n.tenancy.Tenants().Drop("kipper")
 		} else {
-			e := n.tenancy.hosted.tenants.Get("kipper").Tenant
+			e := n.tenancy.Tenants().Get("kipper").Tenant
 			e.State = state
 			putTenant(t, n, e)
 		}
@@ -131,58 +133,6 @@
 	return a
 }
 
-func TestTenantAuthentication(t *testing.T) {
-	n, _, _, s := hostedOwner(t)
-	n.core.WallClock = 2000
-	at := func(auth, from string) int {
-		c := message.Caller{Auth: auth, From: mustAddr(t, from)}
-		if _, err := n.tenancy.authenticateTenant(c); err != nil {
-			return err.(*tenant.Error).Status
-		}
-		return 200
-	}
-	good := "Bearer " + s.String()
-	for _, c := range []struct {
-		auth, from string
-		want       int
-	}{{good, "192.0.2.7", 200}, {good, "::ffff:192.0.2.7", 200}, {good, "198.51.100.1", 403}, {"", "192.0.2.7", 401},
-		{"Basic " + s.String(), "192.0.2.7", 401}, {good + "," + good, "192.0.2.7", 401}, {good[:len(good)-1], "192.0.2.7", 401}} {
-		if got := at(c.auth, c.from); got != c.want {
-			t.Errorf("%q from %s: %d, expected %d", c.auth, c.from, got, c.want)
-		}
-	}
-	n.core.WallClock = 60_000
-	if got := at(good, "192.0.2.7"); got != 401 {
-		t.Errorf("an expired key: %d", got)
-	}
-}
-
-// What is older than it is to be kept goes, and nothing else, under the term of part 0.
-func TestHistorySweep(t *testing.T) {
-	n, _, _, _ := hostedOwner(t)
-	n.core.WallClock = 1_000_000
-	n.core.Now = n.core.Now.Add(time.Minute)
-	n.tenancy.sweepHistory()
-	calls := stateCalls(n)
-	if len(calls) != 1 || calls[0].Page == nil || calls[0].Page.Prefix != "history/kipper/" {
-		t.Fatalf("asked for %+v", calls)
-	}
-	key := func(at api.WallTime, ref int) string {
-		return fmt.Sprintf("history/kipper/%s-run-%d", core.TimeKey(at), ref)
-	}
-	page := api.KeyPage{Pairs: []api.KeyValue{{Key: key(899_000, 1)}, {Key: key(899_999, 2)}, {Key: key(900_000, 3)}, {Key: key(999_000, 4)}}}
-	n.dispatch(message.StoreResponse{ID: calls[0].ID, Status: 200, Page: page})
-	calls = stateCalls(n)
-	if len(calls) != 1 || calls[0].Txn == nil {
-		t.Fatalf("wrote %+v", calls)
-	}
-	want := []api.Write{{Drop: key(899_000, 1)}, {Drop: key(899_999, 2)}}
-	if got := calls[0].Txn; !slices.EqualFunc(got.Writes, want, func(a, b api.Write) bool { return a.Drop == b.Drop && a.Put == "" }) ||
-		!slices.Contains(got.If, api.Condition{Key: clusterstate.KeyPartition + "0", Version: 7}) {
-		t.Errorf("wrote %+v", got)
-	}
-}
-
 // A queue of one tenant makes nobody's rounds longer than by the jobs of it that a round
 // looks at, and each of them has its turn though all those before it find no room.
 func TestLongQueueRotatesAcrossRounds(t *testing.T) {
@@ -207,7 +157,7 @@
 	if !starts(round, j) {
 		t.Error("another tenant's job waits behind the queue")
 	}
-	if examined, limit := n.core.Metrics.FlowTasks, maxTenantJobsPerRound+j.Spec.Tasks; examined > limit {
+	if examined, limit := n.core.Metrics.FlowTasks, tenancy.MaxJobsPerRound+j.Spec.Tasks; examined > limit {
 		t.Errorf("a round looks at %d tasks, expected %d at most", examined, limit)
 	}
 	delete(n.core.State.PendingJobs, j.ID) // a round places one task on each machine
@@ -216,16 +166,16 @@
 		round = n.scheduler.planRound(owned)
 		rounds++
 	}
-	if limit := tenant.RoundsToCoverAll(queue, maxTenantJobsPerRound); rounds > limit {
+	if limit := tenant.RoundsToCoverAll(queue, tenancy.MaxJobsPerRound); rounds > limit {
 		t.Errorf("a job has its turn after %d rounds, expected %d at most", rounds, limit)
 	}
 	// A round comes by itself for those who were left out.
 	owned.Dirty, owned.NextRound = false, 0
 	owned.PlannedAt = n.core.Now
 	n.core.Now = n.core.Now.Add(core.DeferredJobsInterval)
-	before := n.tenancy.hosted.roundTurns[tenantPartition{"flood", 0}]
+	before := n.tenancy.RoundTurns("flood", 0)
 	n.scheduler.RunPartition(owned)
-	if n.tenancy.hosted.roundTurns[tenantPartition{"flood", 0}] == before {
+	if n.tenancy.RoundTurns("flood", 0) == before {
 		t.Error("nobody has a turn when nothing else happens")
 	}
 }
@@ -243,7 +193,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.tenancy.hosted.operators.Keys = []tenant.OperatorKey{{Key: watch, Role: tenant.RoleRead}}
+	n.tenancy.Operators().Keys = []tenant.OperatorKey{{Key: watch, Role: tenant.RoleRead}}
 	n.follower.lastReadAt = n.core.Now
 	asks := func(key tenant.Secret, what string) int {
 		n.core.Effects = nil
@@ -266,13 +216,13 @@
 		what  string
 		want  int
 	}{{0, secret, "metrics", 200}, {0, secret, "tenants", 503}, {0, secret, "drain", 503}, {0, first, "set", 503}, {0, first, "members", 200},
-		{operatorKeyCacheTTL - time.Second, secret, "machines", 200}, {2 * time.Second, secret, "machines", 503}, {0, first, "machines", 200}, {0, first, "operators", 503}} {
+		{tenancy.OperatorKeyCacheTTL - time.Second, secret, "machines", 200}, {2 * time.Second, secret, "machines", 503}, {0, first, "machines", 200}, {0, first, "operators", 503}} {
 		n.core.Now = n.core.Now.Add(c.after)
 		if got := asks(c.key, c.what); got != c.want {
 			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.core.Now.Sub(n.follower.lastReadAt), got, c.want)
 		}
 	}
-	n.tenancy.hosted.operators.RetiredAdminKeys = []tenant.KeyID{first.ID}
+	n.tenancy.Operators().RetiredAdminKeys = []tenant.KeyID{first.ID}
 	if got := asks(first, "metrics"); got != 401 {
 		t.Errorf("the retired key of the file: %d", got)
 	}
--- /dev/null
+++ b/controller/pools/admin.go
@@ -0,0 +1,136 @@
+package pools
+
+// This file answers operators' requests about pools.
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/pool"
+	"basaltwall/tenant"
+)
+
+// ChangeRequest is the body of a request that makes or changes a pool.
+type ChangeRequest struct {
+	Revision *api.Revision `json:"revision"`
+	Unit     string        `json:"unit"`
+	Size     int           `json:"size"`
+	Largest  int           `json:"largest"`
+	Teams    []api.Team    `json:"teams"`
+	Tenants  []tenant.Name `json:"tenants"`
+	Frozen   bool          `json:"frozen"`
+	Reclaim  bool          `json:"reclaim"`
+
+	Guaranteed map[api.Team]int `json:"guaranteed"`
+}
+
+// HandlePoolRequest answers an operator's question about pools or change of one. A returned
+// error is the refusal, which the caller answers with.
+func (pm *Manager) HandlePoolRequest(c message.AdminRequest) error {
+	if c.What == "pools" {
+		views := []View{}
+		for _, name := range pm.table.Names() {
+			entry := pm.table.Get(name)
+			views = append(views, pm.view(entry.Pool, entry.Revision))
+		}
+		pm.core.Reply(c.Req, 200, views, 0)
+		return nil
+	}
+	name := api.PoolName(c.ID)
+	entry := pm.table.Get(name)
+	if entry == nil && c.What != "pool-put" {
+		return &tenant.Error{Status: 404, Field: "name", Reason: "there is no pool " + c.ID}
+	}
+	if c.What == "pool" {
+		v := pm.view(entry.Pool, entry.Revision)
+		v.Holders = pm.holders(name)
+		pm.core.Reply(c.Req, 200, v, 0)
+		return nil
+	}
+	var request ChangeRequest
+	if err := core.DecodeRequest(c.Body, &request); err != nil {
+		return err
+	}
+	return pm.changePool(c, entry, request)
+}
+
+// changePool makes, changes or removes a pool; entry is nil for a new one.
+func (pm *Manager) changePool(c message.AdminRequest, entry *pool.Entry, request ChangeRequest) error {
+	name := api.PoolName(c.ID)
+	var previous pool.Pool
+	var revision api.Revision
+	if entry != nil {
+		previous, revision = entry.Pool, entry.Revision
+	}
+	next := applyChange(c, previous, request)
+	// What is held is known of the same moment as the record, or of a later one: nobody
+	// hands out a unit under the old record after this is written.
+	if next.Size != previous.Size || len(next.Shares) == 0 {
+		next.Shares = pool.AllocateShares(next.Size, pm.heldByPartition(name), pm.preferPlaceable(pm.requests(name)))
+	}
+	if err := pm.checkPool(next); err != nil {
+		return err
+	}
+	if entry != nil && core.EqualJSON(previous, next) {
+		pm.core.Reply(c.Req, 200, pm.view(next, revision), 0) // nothing changes: a retry, perhaps
+		return nil
+	}
+	if err := core.CheckRevision(request.Revision, revision, "the pool"); err != nil {
+		return err
+	}
+	if c.What == "pool-remove" {
+		if held, waiting := pm.PoolHeldTotal(name), len(pm.requests(name)); held > 0 || waiting > 0 {
+			return &tenant.Error{Status: 409, Field: "name", Reason: fmt.Sprintf("%d units of %s are held, and %d jobs wait for it: freeze it, or cancel them", held, name, waiting)}
+		}
+	}
+	data, err := json.Marshal(next)
+	if err != nil || pm.core.ExceedsValueSize(data) {
+		return &tenant.Error{Status: 400, Field: "teams", Reason: "the record is too large"}
+	}
+	var before any
+	if entry != nil {
+		before = previous
+	}
+	key := core.KeyPool + c.ID
+	txn := api.Txn{If: []api.Condition{{Key: key, Version: revision}}, Writes: []api.Write{{Put: key, Value: data}, pm.siblings.Tenancy.AuditWrite(c, "pool "+c.ID, before, next)}}
+	pm.siblings.Tenancy.CommitChange(c, txn, "the pool", func(committed api.Revision) any { return pm.view(next, committed) })
+	return nil
+}
+
+// applyChange is a pool after a request, with its shares as they were.
+func applyChange(c message.AdminRequest, p pool.Pool, request ChangeRequest) pool.Pool {
+	if c.What == "pool-remove" {
+		p.State = pool.Removed
+		return p
+	}
+	p.Name, p.Unit, p.Size, p.Largest = api.PoolName(c.ID), request.Unit, request.Size, max(request.Largest, request.Size)
+	p.Teams, p.Tenants, p.Guaranteed = request.Teams, request.Tenants, request.Guaranteed
+	p.State, p.Reclaim = pool.Active, request.Reclaim
+	if request.Frozen {
+		p.State = pool.Frozen
+	}
+	return p
+}
+
+// checkPool refuses a pool that is not valid, or names teams or tenants that do not exist.
+func (pm *Manager) checkPool(p pool.Pool) error {
+	if err := p.Validate(len(pm.core.State.Partitions)); err != nil {
+		return err
+	}
+	for _, team := range slices.Concat(p.Teams, slices.Sorted(maps.Keys(p.Guaranteed))) {
+		if _, known := pm.core.Teams[team]; !known {
+			return &tenant.Error{Status: 422, Field: "teams", Reason: "there is no team " + string(team)}
+		}
+	}
+	for _, name := range p.Tenants {
+		if !pm.siblings.Tenancy.HasTenant(name) {
+			return &tenant.Error{Status: 422, Field: "tenants", Reason: "there is no tenant " + string(name)}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/controller/pools/views.go
@@ -0,0 +1,58 @@
+package pools
+
+// This file shows pools to operators.
+
+import (
+	"cmp"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/pool"
+)
+
+type (
+	// View is a pool and what is held of it.
+	View struct {
+		pool.Pool
+		Held         []int        `json:"held"` // by partition
+		Free         []int        `json:"free"` // that each partition may hand out
+		WaitingUnits int          `json:"waiting_units"`
+		OldestWait   float64      `json:"oldest_wait_s"`
+		Revision     api.Revision `json:"revision"`
+		Holders      []HolderView `json:"holders,omitempty"`
+	}
+	// HolderView is a job that holds units.
+	HolderView struct {
+		Job    api.JobID `json:"job"`
+		Tenant string    `json:"tenant,omitempty"`
+		Ref    api.JobID `json:"ref,omitempty"` // as the tenant chose it
+		Team   api.Team  `json:"team"`
+		Units  int       `json:"units"`
+		Tasks  int       `json:"tasks"`
+	}
+)
+
+// maxHolders bounds the jobs that a pool's view names.
+const maxHolders = 200
+
+// view is a pool under a revision, without the jobs that hold its units.
+func (pm *Manager) view(p pool.Pool, revision api.Revision) View {
+	v := View{Pool: p, Held: pm.heldByPartition(p.Name), Revision: revision}
+	for partition := range v.Held {
+		v.Free = append(v.Free, p.Available(api.PartitionID(partition), v.Held))
+	}
+	v.WaitingUnits, v.OldestWait = pm.PoolBacklog(p.Name)
+	return v
+}
+
+// holders lists the jobs that hold units of a pool, those that hold most first.
+func (pm *Manager) holders(name api.PoolName) []HolderView {
+	out := []HolderView{}
+	for _, j := range pm.core.State.Jobs {
+		if need, ok := j.Spec.PoolRequest(name); ok && j.LiveCount() > 0 {
+			out = append(out, HolderView{Job: j.ID, Tenant: j.Tenant, Ref: j.TenantJobID, Team: j.Spec.Team, Units: need.Units(j.LiveCount(), false), Tasks: j.LiveCount()})
+		}
+	}
+	slices.SortFunc(out, func(a, b HolderView) int { return cmp.Or(b.Units-a.Units, cmp.Compare(a.Job, b.Job)) })
+	return out[:min(maxHolders, len(out))]
+}
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.tenancy.hosted.pools.table.Put(string(name), data, 9); err != nil {
+	if err := n.pools.Table().Put(string(name), data, 9); err != nil {
 		t.Fatal(err)
 	}
 	n.core.State.SetVersion(core.KeyPool+string(name), 9)
@@ -65,9 +65,9 @@
 // nothing is rented or makes way for it.
 func TestNoPoolUnitsNoStarts(t *testing.T) {
 	for what, disable := range map[string]func(*Controller){
-		"no units": func(n *Controller) { n.tenancy.hosted.pools.table.Get("routing").Shares[0] = 0 },
-		"frozen":   func(n *Controller) { n.tenancy.hosted.pools.table.Get("routing").State = pool.Frozen },
-		"no pool":  func(n *Controller) { n.tenancy.hosted.pools.table = pool.NewTable(1) },
+		"no units": func(n *Controller) { n.pools.Table().Get("routing").Shares[0] = 0 },
+		"frozen":   func(n *Controller) { n.pools.Table().Get("routing").State = pool.Frozen },
+		"no pool":  func(n *Controller) { *n.pools.Table() = *pool.NewTable(1) },
 		// The latest record could not be read: the one before it is kept, and a round would
 		// be conditional on the version of the latest.
 		"not understood": func(n *Controller) { n.core.State.SetVersion(core.KeyPool+"routing", 11) },
@@ -103,7 +103,7 @@
 // there.
 func TestPoolAccess(t *testing.T) {
 	n, _, j := pooledOwner(t, 3)
-	e := n.tenancy.hosted.pools.table.Get("routing")
+	e := n.pools.Table().Get("routing")
 	e.Tenants = []tenant.Name{"lopresti"}
 	refusal := n.pools.CheckPoolNeeds(j.Spec, "kipper")
 	other := *j.Spec
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -28,7 +28,6 @@
 // What the ledger of skips may use, so that scheduling never waits for it: a fifth of the
 // writes, which submissions leave while it is used, and a sixth of the requests (lookGap).
 const (
-	ledgerWriteShare   = 0.2
 	ledgerActiveWindow = 10 * time.Second
 	// ledgerRequestTimeout is how long a request waits for its outcome: less than who asks does.
 	ledgerRequestTimeout = 4 * time.Second
@@ -237,7 +236,7 @@
 			then()
 			return
 		}
-		rv.core.CallPeer(to[0], forwardTimeout, message.PeerMessage{Forward: &message.Forward{Kind: ForwardSkips, Body: body}}, func(a message.PeerResponse) {
+		rv.core.CallPeer(to[0], core.PeerForwardTimeout, message.PeerMessage{Forward: &message.Forward{Kind: ForwardSkips, Body: body}}, func(a message.PeerResponse) {
 			if a.OK && a.Reply.Status != 0 && a.Reply.Status != 503 {
 				rv.core.ReplyFromPeer(c.Req, a.Reply)
 				return
@@ -537,7 +536,7 @@
 // writeLedgerShard writes a shard's next record, if there is one and the writes for it.
 func (rv *ReservationService) writeLedgerShard(shard int, readAt api.Time) {
 	l := &rv.reservationLedger
-	rate := ledgerWriteShare * rv.core.Config.Deployment.State.WriteRPS / float64(max(1, len(rv.core.State.Members)))
+	rate := core.LedgerWriteShare * rv.core.Config.Deployment.State.WriteRPS / float64(max(1, len(rv.core.State.Members)))
 	l.writeTokens = min(max(rate, float64(rv.core.Config.Deployment.State.TxnOps)), l.writeTokens+rate*rv.core.Now.Sub(l.writeTokensAt).Seconds())
 	l.writeTokensAt = rv.core.Now
 	if l.writeTokens < 1 || !l.replica.Idle(shard) {
--- /dev/null
+++ b/controller/tenancy/audit.go
@@ -0,0 +1,63 @@
+package tenancy
+
+// This file keeps the audit of operators' changes.
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/tenant"
+)
+
+// KeyAudit holds operators' changes: TIME-CONTROLLER-NUMBER. It lies outside the root, so that
+// what a restart reads does not grow with it.
+const KeyAudit = "audit/"
+
+// auditRetention is for how long operators' changes are kept.
+const auditRetention = 90 * 24 * time.Hour
+
+type (
+	// AuditEntry is an operator's change.
+	AuditEntry struct {
+		Time    api.WallTime    `json:"at"` // in milliseconds since 1970
+		Key     tenant.KeyID    `json:"key"`
+		From    string          `json:"from,omitempty"`
+		Action  string          `json:"what"`
+		KeyName string          `json:"sub,omitempty"` // the key it is about
+		Subject string          `json:"about"`         // "tenant NAME", "team NAME", "operators", "settings"
+		Before  json.RawMessage `json:"before,omitempty"`
+		After   json.RawMessage `json:"after"`
+	}
+	// AuditView is a page of the operators' changes, the oldest first.
+	AuditView struct {
+		Entries []AuditEntry `json:"changes"`
+		After   string       `json:"after,omitempty"`
+	}
+)
+
+// AuditWrite is the record of an operator's change, written with it: what was and is, as
+// it may be shown.
+func (ts *Service) AuditWrite(c message.AdminRequest, subject string, before, after any) api.Write {
+	entry := AuditEntry{Time: ts.core.WallClock, Key: c.KeyID, Action: string(c.What), KeyName: c.Sub, Subject: subject}
+	if from := ts.clientAddr(c.Caller); from.IsValid() {
+		entry.From = from.String()
+	}
+	if before != nil {
+		entry.Before, _ = json.Marshal(before)
+	}
+	entry.After, _ = json.Marshal(after)
+	value, _ := json.Marshal(entry)
+	ts.hosted.auditSequence++
+	return api.Write{Put: fmt.Sprintf("%s%s-%s-%d", KeyAudit, core.TimeKey(ts.core.WallClock), ts.core.Config.Label, ts.hosted.auditSequence), Value: value}
+}
+
+// ListAudit answers an operator with a page of the changes.
+func (ts *Service) ListAudit(c message.AdminRequest) {
+	core.ReadPage(ts.core, KeyAudit, c.After, c.Limit, func(entries []AuditEntry, next string) {
+		ts.core.Reply(c.Req, 200, AuditView{Entries: entries, After: next}, 0)
+	}, func() { ts.core.ReplyError(c.Req, 503, reasonStoreUnreachable) })
+}
--- /dev/null
+++ b/controller/tenancy/changes.go
@@ -0,0 +1,50 @@
+package tenancy
+
+// This file has what all changes by operators share: new keys, the commit and its answer.
+
+import (
+	"log/slog"
+
+	"basaltwall/api"
+	"basaltwall/controller/message"
+	"basaltwall/tenant"
+)
+
+// errNoRandom refuses to make a key for a request that came without random bytes.
+var errNoRandom = &tenant.Error{Status: 503, Reason: "no random bytes"}
+
+// newKey makes a key of the random bytes that a request was given.
+func (ts *Service) newKey(c message.AdminRequest, name string, expires api.WallTime) (tenant.Key, *NewKeyView, error) {
+	if c.Random == nil {
+		return tenant.Key{}, nil, errNoRandom
+	}
+	k, secret, err := tenant.NewKey(*c.Random, name, ts.core.WallClock, expires)
+	if err != nil {
+		return k, nil, err
+	}
+	return k, &NewKeyView{KeyView: viewKey(k), Secret: secret.String()}, nil
+}
+
+// CommitChange writes an operators' change and answers with what view shows of it then.
+func (ts *Service) CommitChange(c message.AdminRequest, txn api.Txn, what string, view func(api.Revision) any) {
+	ts.core.CallStoreTxn(txn, func(response message.StoreResponse) {
+		if response.Status == 200 {
+			slog.Info("operator change committed", "what", c.What, "id", c.ID, "key", c.KeyID, "from", ts.clientAddr(c.Caller), "revision", response.Txn.Revision)
+		}
+		ts.ReplyChange(c.Req, response.Status, response.Txn.Revision, what, view)
+	})
+}
+
+// ReplyChange answers an operators' change by how its write ended: what names the record that was
+// to change, and view is what is shown once it has.
+func (ts *Service) ReplyChange(req message.ReqID, status int, revision api.Revision, what string, view func(api.Revision) any) {
+	switch status {
+	case 200:
+		ts.core.Reply(req, 200, view(revision), 0)
+		ts.siblings.Follower.LinearizableRead(func() {}, func() {})
+	case 409:
+		ts.core.ReplyError(req, 409, "revision: "+what+" changed since")
+	default:
+		ts.core.ReplyError(req, 503, "state service not reachable; the change may or may not have been made")
+	}
+}
--- /dev/null
+++ b/controller/tenancy/reconcile.go
@@ -0,0 +1,136 @@
+package tenancy
+
+// This file goes on with what suspensions and removals of tenants have begun.
+
+import (
+	"cmp"
+	"log/slog"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/tenant"
+)
+
+// Draining and cancelling are bounded, for each reconciliation.
+const (
+	maxDrainedTasks         = 32 // of a tenant
+	maxCancelledJobs        = 2  // of a partition that this controller owns
+	tenantReconcileInterval = time.Second
+)
+
+// ReconcileTenants goes on with what suspensions and removals have begun, writes uses of keys,
+// moves pools' shares and deletes old history, each as often as it is due.
+func (ts *Service) ReconcileTenants() {
+	service := ts.hosted
+	if service == nil || !ts.core.Loaded || ts.core.Now.Sub(service.reconciledAt) < tenantReconcileInterval {
+		return
+	}
+	ts.flushKeyUses()
+	if len(ts.core.Partitions) == 0 {
+		return
+	}
+	service.reconciledAt = ts.core.Now
+	ts.siblings.Pools.ReconcilePools()
+	ts.sweepHistory()
+	draining := map[tenant.Name][]*core.Placement{} // services whose time is up
+	var removing []*tenant.Entry
+	for _, name := range service.tenants.Names() {
+		entry := service.tenants.Get(name)
+		if entry.State != tenant.Suspended && entry.State != tenant.Removing {
+			continue
+		}
+		if float64(ts.core.WallClock-entry.SuspendedAt)/1000 >= entry.Drain {
+			draining[name] = nil
+		}
+		if entry.State == tenant.Removing {
+			removing = append(removing, entry)
+		}
+	}
+	ts.drainServices(draining)
+	for _, entry := range removing {
+		ts.continueRemoval(entry)
+	}
+}
+
+// drainServices stops services of tenants, of each the least urgent and youngest first.
+// Whatever else runs of them ends by itself.
+func (ts *Service) drainServices(byTenant map[tenant.Name][]*core.Placement) {
+	if len(byTenant) == 0 {
+		return
+	}
+	for p := range ts.core.Partitions {
+		for placement := range ts.core.State.PlacementsByPartition[p] {
+			name := tenant.Name(placement.Job.Tenant)
+			if running, drains := byTenant[name]; drains && isDrainable(placement) {
+				byTenant[name] = append(running, placement)
+			}
+		}
+	}
+	for _, name := range slices.Sorted(maps.Keys(byTenant)) {
+		running := byTenant[name]
+		slices.SortFunc(running, compareDrainOrder)
+		for _, placement := range running[:min(maxDrainedTasks, len(running))] {
+			ts.siblings.Scheduler.StopTask(placement)
+		}
+	}
+}
+
+// isDrainable reports whether a placement is a service's that runs on unless it is stopped.
+func isDrainable(placement *core.Placement) bool {
+	return placement.Job.Spec.Kind == api.Service && !placement.Finishing && !placement.OwnerState.StopRequested && !placement.Job.Terminal()
+}
+
+// compareDrainOrder orders services as they are stopped.
+func compareDrainOrder(a, b *core.Placement) int {
+	return cmp.Or(a.Job.Spec.Priority.Rank()-b.Job.Spec.Priority.Rank(), cmp.Compare(b.Job.AcceptedAt, a.Job.AcceptedAt),
+		cmp.Compare(a.Job.ID, b.Job.ID), b.Task.Index-a.Task.Index)
+}
+
+// continueRemoval cancels jobs of a tenant that is being removed, each by the owner of its
+// first task, and ends the removal when none is left.
+func (ts *Service) continueRemoval(entry *tenant.Entry) {
+	var open []*core.Job
+	remaining := 0
+	for _, j := range ts.core.State.JobsByTenant[string(entry.Name)] {
+		remaining++
+		if owned := ts.core.Partitions[j.Split[0].Partition]; owned != nil && !j.Terminal() {
+			open = append(open, j)
+		}
+	}
+	if entry.CancelJobs {
+		slices.SortFunc(open, func(a, b *core.Job) int { return strings.Compare(string(a.ID), string(b.ID)) })
+		for _, j := range open[:min(maxCancelledJobs*len(ts.core.Partitions), len(open))] {
+			ts.siblings.Jobs.RecordCancellation(j.ID, 1, func(api.JobStatus) {}, func() {}, func() {})
+		}
+	}
+	if remaining > 0 || ts.core.Partitions[0] == nil || ts.hosted.finishingRemoval {
+		return
+	}
+	ts.finishRemoval(entry.Name, entry.Revision)
+}
+
+// finishRemoval writes that a tenant without jobs is removed, if its record still has the revision.
+func (ts *Service) finishRemoval(name tenant.Name, revision api.Revision) {
+	ts.hosted.finishingRemoval = true
+	release := func() { ts.hosted.finishingRemoval = false }
+	ts.siblings.Follower.LinearizableRead(func() {
+		entry := ts.hosted.tenants.Get(name)
+		if entry == nil || entry.Revision != revision {
+			release()
+			return
+		}
+		removed, err := entry.FinishRemoval(ts.countTenant(name).jobs)
+		if err != nil {
+			release()
+			return
+		}
+		ts.writeTenant(removed, entry, nil, func(int, api.Revision) {
+			slog.Info("tenant removed", "tenant", name)
+			release()
+		})
+	}, release)
+}
--- /dev/null
+++ b/controller/tenancy/service_test.go
@@ -0,0 +1,150 @@
+package tenancy
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+	"testing"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/config"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/tenant"
+)
+
+// newTestService is the service of a controller that owns partition 0, with tenant kipper of team
+// red, and kipper's key.
+func newTestService(t testing.TB) (*Service, tenant.Secret) {
+	t.Helper()
+	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
+"external":{"cloud":"10.0.0.2:1","state":"10.0.0.3:1"},"deployment":{"initial_size":1,"zones":["a","b"],
+"teams":[{"name":"red"}],"workers":{"report_s":3,"lease_s":30,"cancel_s":60},
+"state":{"rps":100,"write_rps":50,"value_kb":8,"txn_ops":12},"cloud":{"rps":10}}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, admin, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg.Hosted = &config.Hosted{AdminKey: admin.Key("admin")}
+	k := core.New(cfg, 1)
+	k.Now, k.Loaded = api.Time(time.Minute), true
+	ts := New(k)
+	k.State = clusterstate.New[core.JobTracking, core.PlacementTracking](cfg.Deployment.InitialSize, ts.RecordKinds()...)
+	k.Partitions[0] = &core.OwnedPartition{ID: 0, Term: 7}
+	key, secret, err := tenant.NewKey([tenant.RandomBytes]byte{2}, "first", 1000, 60_000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	networks, err := tenant.ParseNetworks([]string{"192.0.2.0/24"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	putTenant(t, ts, tenant.Tenant{Name: "kipper", State: tenant.Active, Teams: []api.Team{"red"}, Keys: []tenant.Key{key}, Networks: networks, Retention: 100})
+	return ts, secret
+}
+
+func putTenant(t testing.TB, ts *Service, record tenant.Tenant) {
+	t.Helper()
+	data, err := json.Marshal(record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := ts.Tenants().Put(string(record.Name), data, 8); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// storeCalls are the calls to the state service that were wanted since the last time.
+func storeCalls(ts *Service) []message.StoreCall {
+	var calls []message.StoreCall
+	for _, effect := range ts.core.Effects {
+		if call, ok := effect.(message.StoreCall); ok {
+			calls = append(calls, call)
+		}
+	}
+	ts.core.Effects = nil
+	return calls
+}
+
+// respond answers a call to the state service.
+func respond(t testing.TB, ts *Service, response message.StoreResponse) {
+	t.Helper()
+	callback := ts.core.PendingCalls[response.ID]
+	if callback == nil {
+		t.Fatalf("no call %d is under way", response.ID)
+	}
+	delete(ts.core.PendingCalls, response.ID)
+	callback(response)
+}
+
+func mustAddr(t testing.TB, s string) netip.Addr {
+	t.Helper()
+	a, err := netip.ParseAddr(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return a
+}
+
+func TestTenantAuthentication(t *testing.T) {
+	ts, secret := newTestService(t)
+	ts.core.WallClock = 2000
+	status := func(auth, from string) int {
+		_, err := ts.authenticateTenant(message.Caller{Auth: auth, From: mustAddr(t, from)})
+		if err == nil {
+			return 200
+		}
+		var refusal *tenant.Error
+		if !errors.As(err, &refusal) {
+			t.Fatal(err)
+		}
+		return refusal.Status
+	}
+	good := "Bearer " + secret.String()
+	for _, c := range []struct {
+		auth, from string
+		want       int
+	}{{good, "192.0.2.7", 200}, {good, "::ffff:192.0.2.7", 200}, {good, "198.51.100.1", 403}, {"", "192.0.2.7", 401},
+		{"Basic " + secret.String(), "192.0.2.7", 401}, {good + "," + good, "192.0.2.7", 401}, {good[:len(good)-1], "192.0.2.7", 401}} {
+		if got := status(c.auth, c.from); got != c.want {
+			t.Errorf("%q from %s: %d, expected %d", c.auth, c.from, got, c.want)
+		}
+	}
+	ts.core.WallClock = 60_000
+	if got := status(good, "192.0.2.7"); got != 401 {
+		t.Errorf("an expired key: %d", got)
+	}
+}
+
+// What is older than it is to be kept goes, and nothing else, under the term of partition 0.
+func TestHistorySweep(t *testing.T) {
+	ts, _ := newTestService(t)
+	ts.core.WallClock = 1_000_000
+	ts.core.Now = ts.core.Now.Add(time.Minute)
+	ts.sweepHistory()
+	calls := storeCalls(ts)
+	if len(calls) != 1 || calls[0].Page == nil || calls[0].Page.Prefix != "history/kipper/" {
+		t.Fatalf("asked for %+v", calls)
+	}
+	key := func(at api.WallTime, ref int) string {
+		return fmt.Sprintf("history/kipper/%s-run-%d", core.TimeKey(at), ref)
+	}
+	page := api.KeyPage{Pairs: []api.KeyValue{{Key: key(899_000, 1)}, {Key: key(899_999, 2)}, {Key: key(900_000, 3)}, {Key: key(999_000, 4)}}}
+	respond(t, ts, message.StoreResponse{ID: calls[0].ID, Status: 200, Page: page})
+	calls = storeCalls(ts)
+	if len(calls) != 1 || calls[0].Txn == nil {
+		t.Fatalf("wrote %+v", calls)
+	}
+	want := []api.Write{{Drop: key(899_000, 1)}, {Drop: key(899_999, 2)}}
+	if got := calls[0].Txn; !slices.EqualFunc(got.Writes, want, func(a, b api.Write) bool { return a.Drop == b.Drop && a.Put == "" }) ||
+		!slices.Contains(got.If, api.Condition{Key: clusterstate.KeyPartition + "0", Version: 7}) {
+		t.Errorf("wrote %+v", got)
+	}
+}
--- /dev/null
+++ b/controller/tenancy/siblings.go
@@ -0,0 +1,51 @@
+package tenancy
+
+// This file declares what the service needs of the other components of a controller.
+
+import (
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/tenant"
+)
+
+// Siblings are the other components that a Service asks.
+type Siblings struct {
+	Follower  Follower
+	Jobs      Jobs
+	Pools     Pools
+	Scheduler Scheduler
+}
+
+// Follower is what a Service needs of the log's follower.
+type Follower interface {
+	LinearizableRead(onRead, onFailure func())
+	// LastReadAt is when the log was last read, 0 before.
+	LastReadAt() api.Time
+}
+
+// Jobs is what a Service needs to serve tenants' requests about jobs.
+type Jobs interface {
+	FindJob(id api.JobID, found func(api.JobStatus), notFound, fail func())
+	LookupJob(id api.JobID, found func(api.JobStatus), notFound, fail func())
+	JobStatus(id api.JobID) (api.JobStatus, bool)
+	Forward(req message.ReqID, f message.Forward, forwarded bool)
+	ShouldForward(forwarded bool) bool
+	InfeasibleReason(s *api.JobSpec) string
+	SplitAcrossPartitions(s *api.JobSpec) []clusterstate.TaskRange
+	RecordCancellation(id api.JobID, tries int, respond func(api.JobStatus), notFound, fail func())
+	RespondWhenAcknowledged(forwarded bool, respond func(api.JobStatus), retryLater func()) func(api.JobStatus)
+}
+
+// Pools is what a Service needs to know of the pools that tenants' jobs use.
+type Pools interface {
+	CheckPoolNeeds(s *api.JobSpec, name tenant.Name) string
+	PendingReasonPool(j *core.Job, p api.PartitionID) string
+	ReconcilePools()
+}
+
+// Scheduler is what a Service needs to drain tenants.
+type Scheduler interface {
+	StopTask(*core.Placement)
+}
--- /dev/null
+++ b/controller/tenancy/tenantrecord.go
@@ -0,0 +1,124 @@
+package tenancy
+
+// This file writes tenants' records.
+
+import (
+	"encoding/json"
+	"log/slog"
+	"slices"
+	"strings"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/tenant"
+)
+
+// Statuses that writeTenant reports beside those of the state service.
+const (
+	statusRecordTooLarge = 400 // the record exceeds a value
+	statusTooManyWrites  = 413 // the teams exceed a transaction
+	statusTeamTaken      = 422 // a team belongs to another tenant
+)
+
+// commitTenantChange writes a change and answers. With a suspension the gate is written, so that
+// no round that was composed before starts work of the tenant after.
+func (ts *Service) commitTenantChange(c message.AdminRequest, updated tenant.Tenant, old *tenant.Entry, secret *NewKeyView) {
+	var previous tenant.Tenant
+	if old != nil {
+		previous = old.Tenant
+	}
+	extraWrites := []api.Write{ts.AuditWrite(c, "tenant "+string(updated.Name), tenantAuditView(previous), tenantAuditView(updated))}
+	if c.What == "suspend" {
+		value, _ := json.Marshal(updated.Name)
+		extraWrites = append(extraWrites, api.Write{Put: core.KeyGate, Value: value})
+	}
+	ts.writeTenant(updated, old, extraWrites, func(status int, revision api.Revision) {
+		switch status {
+		case 200:
+			slog.Info("tenant changed", "tenant", updated.Name, "by", c.What, "key", c.KeyID, "from", ts.clientAddr(c.Caller), "state", updated.State, "revision", revision)
+		case statusRecordTooLarge:
+			ts.core.ReplyError(c.Req, 400, "networks: the record is too large")
+			return
+		case statusTooManyWrites:
+			ts.core.ReplyError(c.Req, 400, "teams: too many at once for one transaction")
+			return
+		case statusTeamTaken:
+			ts.core.ReplyError(c.Req, 422, "teams: one belongs to another tenant")
+			return
+		}
+		ts.ReplyChange(c.Req, status, revision, "the tenant has", func(revision api.Revision) any {
+			if secret != nil {
+				secret.Revision = revision
+				return secret
+			}
+			return viewTenant(&tenant.Entry{Tenant: updated, Revision: revision}, ts.countTenant(updated.Name))
+		})
+	})
+}
+
+// writeTenant writes a tenant's record in place of what was read of it, nil if it is new, together
+// with extraWrites. It claims the teams that the tenant gets and releases those that it loses.
+func (ts *Service) writeTenant(t tenant.Tenant, old *tenant.Entry, extraWrites []api.Write, respond func(status int, revision api.Revision)) {
+	key := KeyTenant + string(t.Name)
+	data, err := json.Marshal(t)
+	if err != nil || ts.core.ExceedsValueSize(data) {
+		respond(statusRecordTooLarge, 0)
+		return
+	}
+	condition := api.Condition{Key: key}
+	var teams []api.Team
+	if old != nil {
+		condition.Version = old.Revision
+		teams = old.Teams
+	}
+	txn := api.Txn{If: []api.Condition{condition}, Writes: append([]api.Write{{Put: key, Value: data}}, extraWrites...)}
+	ts.claimTeams(&txn, t, teams)
+	if len(txn.Writes) > ts.core.Config.Deployment.State.TxnOps {
+		respond(statusTooManyWrites, 0)
+		return
+	}
+	ts.core.CallStoreTxn(txn, func(response message.StoreResponse) {
+		status := response.Status
+		if status == 409 && slices.ContainsFunc(response.Txn.Failed, func(k string) bool { return strings.HasPrefix(k, KeyTeamOf) }) {
+			status = statusTeamTaken
+		}
+		respond(status, response.Txn.Revision)
+	})
+}
+
+// claimTeams adds to a transaction the claims of teams that a tenant gets, and the releases of
+// those that it had and loses. A claim is conditional on the team's record, as the team may be
+// removed meanwhile.
+func (ts *Service) claimTeams(txn *api.Txn, t tenant.Tenant, had []api.Team) {
+	for _, team := range t.Teams {
+		if !slices.Contains(had, team) {
+			claim, _ := json.Marshal(t.Name)
+			txn.If = append(txn.If, api.Condition{Key: KeyTeamOf + string(team)}, ts.core.State.VersionCondition(KeyTeam+string(team)))
+			txn.Writes = append(txn.Writes, api.Write{Put: KeyTeamOf + string(team), Value: claim})
+		}
+	}
+	for _, team := range had {
+		if !slices.Contains(t.Teams, team) {
+			txn.Writes = append(txn.Writes, api.Write{Drop: KeyTeamOf + string(team)})
+		}
+	}
+}
+
+// tenantAuditView is a record as the audit shows it: networks counted, keys by their names.
+func tenantAuditView(t tenant.Tenant) any {
+	if t.Name == "" {
+		return nil
+	}
+	names := []string{}
+	for _, k := range t.Keys {
+		names = append(names, k.Name)
+	}
+	networks := t.Networks.Len()
+	t.Networks, t.Keys = tenant.Networks{}, nil
+	return struct {
+		tenant.Tenant
+		Keys     []string `json:"keys"`
+		Networks int      `json:"networks"`
+	}{t, names, networks}
+}
--- a/controller/tenantadmin.go
+++ b/controller/tenancy/tenants.go
@@ -1,8 +1,8 @@
-package controller
+package tenancy
+
+// This file answers operators' requests about tenants.
 
 import (
-	"encoding/json"
-	"log/slog"
 	"reflect"
 	"slices"
 
@@ -12,7 +12,6 @@
 	"basaltwall/tenant"
 )
 
-// What an operator of a hosted service sends and is shown.
 type (
 	// TenantView is a tenant as it is shown, with the revision that a change must name. Of
 	// its keys only what is public is shown.
@@ -37,8 +36,9 @@
 		Secret   string       `json:"secret"`
 		Revision api.Revision `json:"revision"`
 	}
-	// tenantRequest is what an act on a tenant may bring.
-	tenantRequest struct {
+	// TenantRequest is the body of a request that changes a tenant; which fields count depends
+	// on the change.
+	TenantRequest struct {
 		Revision  *api.Revision   `json:"revision"`
 		Display   string          `json:"display"`
 		Teams     []api.Team      `json:"teams"`
@@ -68,13 +68,11 @@
 	return v
 }
 
-func (ts *TenantService) HandleTenantRequest(c message.AdminRequest) error {
+// HandleTenantRequest answers an operator's question about tenants or change of one. A returned
+// error is the refusal, which the caller answers with.
+func (ts *Service) HandleTenantRequest(c message.AdminRequest) error {
 	if c.What == "tenants" {
-		out := []TenantView{}
-		for _, name := range ts.hosted.tenants.Names() {
-			out = append(out, viewTenant(ts.hosted.tenants.Get(name), ts.countTenant(name)))
-		}
-		ts.core.Reply(c.Req, 200, out, 0)
+		ts.listTenants(c)
 		return nil
 	}
 	name := tenant.Name(c.ID)
@@ -84,13 +82,7 @@
 	}
 	switch c.What {
 	case "tenant":
-		ts.readKeyUses(c, name, func(lastUsed map[tenant.KeyID]api.WallTime) {
-			v := viewTenant(entry, ts.countTenant(name))
-			for i := range v.Keys {
-				v.Keys[i].LastUsed = lastUsed[v.Keys[i].ID]
-			}
-			ts.core.Reply(c.Req, 200, v, 0)
-		})
+		ts.showTenant(c, entry)
 		return nil
 	case "usage":
 		v := ts.viewUsage(entry)
@@ -98,26 +90,49 @@
 		ts.core.Reply(c.Req, 200, v, 0)
 		return nil
 	}
-	var request tenantRequest
+	return ts.changeTenant(c, entry)
+}
+
+func (ts *Service) listTenants(c message.AdminRequest) {
+	views := []TenantView{}
+	for _, name := range ts.hosted.tenants.Names() {
+		views = append(views, viewTenant(ts.hosted.tenants.Get(name), ts.countTenant(name)))
+	}
+	ts.core.Reply(c.Req, 200, views, 0)
+}
+
+// showTenant answers with a tenant and when its keys were last used.
+func (ts *Service) showTenant(c message.AdminRequest, entry *tenant.Entry) {
+	name := tenant.Name(c.ID)
+	ts.readKeyUses(c, name, func(lastUsed map[tenant.KeyID]api.WallTime) {
+		v := viewTenant(entry, ts.countTenant(name))
+		for i := range v.Keys {
+			v.Keys[i].LastUsed = lastUsed[v.Keys[i].ID]
+		}
+		ts.core.Reply(c.Req, 200, v, 0)
+	})
+}
+
+// changeTenant makes or changes a tenant; entry is nil for a new one.
+func (ts *Service) changeTenant(c message.AdminRequest, entry *tenant.Entry) error {
+	var request TenantRequest
 	if err := core.DecodeRequest(c.Body, &request); err != nil {
 		return err
 	}
+	name := tenant.Name(c.ID)
 	var old tenant.Tenant
+	var revision api.Revision
 	if entry != nil {
-		old = entry.Tenant
+		old, revision = entry.Tenant, entry.Revision
 	}
 	updated, secret, err := ts.applyTenantChange(c, old, request, ts.countTenant(name).jobs)
 	if err != nil {
 		return err
 	}
 	if entry != nil && reflect.DeepEqual(updated, old) {
-		ts.core.Reply(c.Req, 200, viewTenant(entry, ts.countTenant(name)), 0) // it is so already: asked again, perhaps
+		ts.core.Reply(c.Req, 200, viewTenant(entry, ts.countTenant(name)), 0) // nothing changes: a retry, perhaps
 		return nil
 	}
-	var revision api.Revision
-	if entry != nil {
-		revision = entry.Revision
-	}
 	if err := core.CheckRevision(request.Revision, revision, "the tenant"); err != nil {
 		return err
 	}
@@ -133,8 +148,8 @@
 	return nil
 }
 
-// applyTenantChange is a tenant, who has so many jobs, after an act.
-func (ts *TenantService) applyTenantChange(c message.AdminRequest, t tenant.Tenant, request tenantRequest, openJobs int) (tenant.Tenant, *NewKeyView, error) {
+// applyTenantChange is a tenant, which has so many jobs, after a change, and the key that it makes.
+func (ts *Service) applyTenantChange(c message.AdminRequest, t tenant.Tenant, request TenantRequest, jobs int) (tenant.Tenant, *NewKeyView, error) {
 	var err error
 	switch c.What {
 	case "tenant-put":
@@ -151,17 +166,9 @@
 	case "resume":
 		t, err = t.Resume()
 	case "remove":
-		t, err = t.Remove(openJobs, request.Cancel)
+		t, err = t.Remove(jobs, request.Cancel)
 	case "key-add":
-		if slices.ContainsFunc(t.Keys, func(k tenant.Key) bool { return k.Name == request.Name }) {
-			return t, nil, &tenant.Error{Status: 409, Field: "name", Reason: "there is a key of that name; its secret is not shown again"}
-		}
-		k, secret, err := ts.newKey(c, request.Name, request.Expires)
-		if err != nil {
-			return t, nil, err
-		}
-		t.Keys = append(slices.Clone(t.Keys), k)
-		return t, secret, nil
+		return ts.addTenantKey(c, t, request)
 	case "key-revoke":
 		t.Keys = slices.DeleteFunc(slices.Clone(t.Keys), func(k tenant.Key) bool { return k.Name == c.Sub })
 		if len(t.Keys) == 0 {
@@ -171,56 +178,15 @@
 	return t, nil, err
 }
 
-// commitTenantChange writes a change and answers. With what holds a tenant's work the gate is
-// written, at the version that was read with it.
-func (ts *TenantService) commitTenantChange(c message.AdminRequest, updated tenant.Tenant, old *tenant.Entry, secret *NewKeyView) {
-	var previous tenant.Tenant
-	if old != nil {
-		previous = old.Tenant
-	}
-	extraWrites := []api.Write{ts.AuditWrite(c, "tenant "+string(updated.Name), tenantAuditView(previous), tenantAuditView(updated))}
-	if c.What == "suspend" {
-		v, _ := json.Marshal(updated.Name)
-		extraWrites = append(extraWrites, api.Write{Put: core.KeyGate, Value: v})
-	}
-	ts.writeTenant(updated, old, extraWrites, func(status int, rev api.Revision) {
-		switch status {
-		case 200:
-			slog.Info("tenant changed", "tenant", updated.Name, "by", c.What, "key", c.KeyID, "from", ts.clientAddr(c.Caller), "state", updated.State, "revision", rev)
-		case 400:
-			ts.core.ReplyError(c.Req, 400, "networks: the record is too large")
-			return
-		case 413:
-			ts.core.ReplyError(c.Req, 400, "teams: too many at once for one transaction")
-			return
-		case 422:
-			ts.core.ReplyError(c.Req, 422, "teams: one belongs to another tenant")
-			return
-		}
-		ts.ReplyChange(c.Req, status, rev, "the tenant has", func(rev api.Revision) any {
-			if secret != nil {
-				secret.Revision = rev
-				return secret
-			}
-			return viewTenant(&tenant.Entry{Tenant: updated, Revision: rev}, ts.countTenant(updated.Name))
-		})
-	})
-}
-
-// tenantAuditView is a record as the audit shows it: networks counted, keys by their names.
-func tenantAuditView(t tenant.Tenant) any {
-	if t.Name == "" {
-		return nil
+// addTenantKey is a tenant with one more key, and that key.
+func (ts *Service) addTenantKey(c message.AdminRequest, t tenant.Tenant, request TenantRequest) (tenant.Tenant, *NewKeyView, error) {
+	if slices.ContainsFunc(t.Keys, func(k tenant.Key) bool { return k.Name == request.Name }) {
+		return t, nil, &tenant.Error{Status: 409, Field: "name", Reason: "there is a key of that name; its secret is not shown again"}
 	}
-	names := []string{}
-	for _, k := range t.Keys {
-		names = append(names, k.Name)
+	k, secret, err := ts.newKey(c, request.Name, request.Expires)
+	if err != nil {
+		return t, nil, err
 	}
-	networks := t.Networks.Len()
-	t.Networks, t.Keys = tenant.Networks{}, nil
-	return struct {
-		tenant.Tenant
-		Keys     []string `json:"keys"`
-		Networks int      `json:"networks"`
-	}{t, names, networks}
+	t.Keys = append(slices.Clone(t.Keys), k)
+	return t, secret, nil
 }
--- a/controller/user.go
+++ b/controller/user.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"log/slog"
 	"slices"
-	"time"
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
@@ -84,9 +83,6 @@
 	return out
 }
 
-// forwardTimeout is how long one of several helpers may take: two of them within a user's patience.
-const forwardTimeout = 800 * time.Millisecond
-
 // Forward passes a request to a peer that reaches the state service, and to another if that
 // does not answer, or refuses it at once.
 func (js *JobService) Forward(req message.ReqID, f message.Forward, forwarded bool) {
@@ -103,7 +99,7 @@
 func (js *JobService) forwardTo(req message.ReqID, f message.Forward, targets []api.ControllerID) {
 	timeout := core.PeerTimeout
 	if len(targets) > 1 {
-		timeout = forwardTimeout
+		timeout = core.PeerForwardTimeout
 	}
 	js.core.CallPeer(targets[0], timeout, message.PeerMessage{Forward: &f}, func(a message.PeerResponse) {
 		switch {
@@ -263,7 +259,7 @@
 func (js *JobService) allowSubmission() bool {
 	share := core.SubmissionWriteShare
 	if js.c.reservations.RecentlyWrote() {
-		share -= ledgerWriteShare
+		share -= core.LedgerWriteShare
 	}
 	rate := share * js.core.Config.Deployment.State.WriteRPS / float64(max(1, len(js.core.State.Members)))
 	js.submitTokens = min(max(1, rate), js.submitTokens+rate*js.core.Now.Sub(js.submitTokensAt).Seconds())
--- a/internal/emulator/admin_model_test.go
+++ b/internal/emulator/admin_model_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 
 	"basaltwall/api"
-	"basaltwall/controller"
 	"basaltwall/controller/message"
+	"basaltwall/controller/tenancy"
 
 	_ "basaltwall/internal/proptest"
 	"basaltwall/tenant"
@@ -124,7 +124,7 @@
 		}
 	}, func(status int, body []byte) {
 		a.status, a.body, a.answeredAt = status, body, h.sim.Now
-		var k controller.NewKeyView
+		var k tenancy.NewKeyView
 		if a.createdKeyID != "" && status == 200 && json.Unmarshal(body, &k) == nil {
 			name := a.name + "/" + a.sub + "/" + a.createdKeyID
 			h.secrets[name], h.keyIDs[name] = k.Secret, string(k.ID)
--- a/internal/emulator/pools.go
+++ b/internal/emulator/pools.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/pools"
 	"basaltwall/tenant"
 )
 
@@ -108,14 +108,14 @@
 
 // UpdatePool makes a pool or changes it as change says of what it is, until that is answered
 // with 200.
-func (t *Tenants) UpdatePool(name api.PoolName, change func(*controller.PoolView)) {
+func (t *Tenants) UpdatePool(name api.PoolName, change func(*pools.View)) {
 	t.enqueueChange(tenant.Name("pool "+name), func(done func()) { t.tryUpdatePool(name, change, done) })
 }
 
-func (t *Tenants) tryUpdatePool(name api.PoolName, change func(*controller.PoolView), done func()) {
+func (t *Tenants) tryUpdatePool(name api.PoolName, change func(*pools.View), done func()) {
 	retry := func() { t.sim.After(t.sim.latency()*200, func() { t.tryUpdatePool(name, change, done) }) }
 	t.adminRequest("pool", tenant.Name(name), nil, func(status int, b []byte) {
-		var at controller.PoolView
+		var at pools.View
 		switch status {
 		case 200:
 			t.sim.must(json.Unmarshal(b, &at))
--- a/internal/emulator/restart_test.go
+++ b/internal/emulator/restart_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"basaltwall/api"
-	"basaltwall/controller"
 	"basaltwall/controller/message"
+	"basaltwall/controller/tenancy"
 	"basaltwall/tenant"
 )
 
@@ -48,7 +48,7 @@
 		name := tenant.Name(fmt.Sprintf("tenant-%04d", i%tenants))
 		ref := api.JobID(fmt.Sprintf("run-%d", i))
 		put("final/"+string(tenant.JobID(name, ref)), api.JobDone)
-		put(fmt.Sprintf("history/%s/%013d-%s", name, 900_000+i, ref), controller.FinishedJob{JobID: ref, State: api.JobDone, Class: "try", Team: "red", Tasks: 3, AcceptedAt: 800_000, EndedAt: 900_000})
+		put(fmt.Sprintf("history/%s/%013d-%s", name, 900_000+i, ref), tenancy.FinishedJob{JobID: ref, State: api.JobDone, Class: "try", Team: "red", Tasks: 3, AcceptedAt: 800_000, EndedAt: 900_000})
 	}
 	sim.Store.changes, sim.Store.changeTimes = nil, nil // nobody reads that far back
 	return sim
--- a/internal/emulator/tenants.go
+++ b/internal/emulator/tenants.go
@@ -9,8 +9,8 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
-	"basaltwall/controller"
 	"basaltwall/controller/message"
+	"basaltwall/controller/tenancy"
 	"basaltwall/tenant"
 )
 
@@ -82,7 +82,7 @@
 func (t *Tenants) applyChange(name tenant.Name, operation string, body func(revision api.Revision) any, done func([]byte)) {
 	retry := func() { t.sim.After(time.Second, func() { t.applyChange(name, operation, body, done) }) }
 	t.adminRequest("tenant", name, nil, func(status int, b []byte) {
-		var at controller.TenantView
+		var at tenancy.TenantView
 		switch {
 		case status == 200:
 			t.sim.must(json.Unmarshal(b, &at))
@@ -126,7 +126,7 @@
 		t.applyChange(name, "key-add", func(r api.Revision) any {
 			return map[string]any{"revision": r, "name": fmt.Sprint("k", t.keyCount)}
 		}, func(b []byte) {
-			var k controller.NewKeyView
+			var k tenancy.NewKeyView
 			t.sim.must(json.Unmarshal(b, &k))
 			t.secrets[name] = k.Secret
 		})
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -103,7 +103,7 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
-	"basaltwall/controller"
+	"basaltwall/controller/pools"
 	"basaltwall/internal/emulator"
 	"basaltwall/tenant"
 )
@@ -610,11 +610,11 @@
 		sim.After(durations[0], func() { sim.Tenants.Resume(tenant.Name(names[0])) })
 	case "pool", "reclaim":
 		sim.After(durations[0], func() {
-			sim.Tenants.UpdatePool(api.PoolName(names[0]), func(p *controller.PoolView) { p.Size, p.Reclaim = int(numbers[0]), words[0] == "reclaim" })
+			sim.Tenants.UpdatePool(api.PoolName(names[0]), func(p *pools.View) { p.Size, p.Reclaim = int(numbers[0]), words[0] == "reclaim" })
 		})
 	case "guarantee":
 		sim.After(durations[0], func() {
-			sim.Tenants.UpdatePool(api.PoolName(names[0]), func(p *controller.PoolView) { p.Guaranteed = map[api.Team]int{api.Team(names[1]): int(numbers[0])} })
+			sim.Tenants.UpdatePool(api.PoolName(names[0]), func(p *pools.View) { p.Guaranteed = map[api.Team]int{api.Team(names[1]): int(numbers[0])} })
 		})
 	case "holds":
 		sim.After(durations[0], func() {
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -19,6 +19,7 @@
 
 	"basaltwall/controller"
 	"basaltwall/controller/message"
+	"basaltwall/controller/tenancy"
 	"basaltwall/internal/emulator"
 )
 
@@ -79,8 +80,8 @@
 			return []any{"peer", e}
 		}
 		switch f.Kind {
-		case controller.ForwardHosted:
-			return []any{"hosted", e.ID, e.To, e.Timeout, f.Ref, controller.DecodeHostedForward(f.Body, 0)}
+		case tenancy.ForwardKind:
+			return []any{"hosted", e.ID, e.To, e.Timeout, f.Ref, tenancy.DecodeForward(f.Body, 0)}
 		case controller.ForwardSkips:
 			var ask message.AdminRequest
 			if err := json.Unmarshal(f.Body, &ask); err != nil {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -10,6 +10,7 @@
 
 	"basaltwall/controller"
 	"basaltwall/controller/message"
+	"basaltwall/controller/tenancy"
 	"basaltwall/httpx"
 )
 
@@ -98,8 +99,8 @@
 			}
 			ask.Req, ask.Forwarded = req, true
 			return ask
-		case controller.ForwardHosted:
-			return controller.DecodeHostedForward(f.Body, req)
+		case tenancy.ForwardKind:
+			return tenancy.DecodeForward(f.Body, req)
 		}
 	}
 	return nil
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -16,8 +16,9 @@
 
 	"basaltwall/api"
 	"basaltwall/config"
-	"basaltwall/controller"
 	"basaltwall/controller/core"
+	"basaltwall/controller/pools"
+	"basaltwall/controller/tenancy"
 	"basaltwall/internal/emulator"
 	"basaltwall/tenant"
 )
@@ -225,7 +226,7 @@
 	}
 	expect := newExpect(t)
 	revision := func(name string) string {
-		var at controller.TenantView
+		var at tenancy.TenantView
 		if _, body := call(0, admin.String(), "GET", "/admin/v1/tenants/"+name, ""); json.Unmarshal([]byte(body), &at) != nil {
 			t.Fatalf("tenant %s: %s", name, body)
 		}
@@ -260,7 +261,7 @@
 		put := `{"revision":0,"teams":["` + team + `"],"retention_s":60}`
 		expect("a tenant", 200, `"state":"active"`)(call(0, root, "PUT", "/admin/v1/tenants/"+name, put))
 		expect("the same again", 200, `"state":"active"`)(call(1, root, "PUT", "/admin/v1/tenants/"+name, put))
-		var k controller.NewKeyView
+		var k tenancy.NewKeyView
 		body := expect("a key", 200, `"secret"`)(call(1, root, "POST", "/admin/v1/tenants/"+name+"/keys", `{"revision":`+revision(name)+`,"name":"first"}`))
 		if err := json.Unmarshal([]byte(body), &k); err != nil {
 			t.Fatal(err)
@@ -325,7 +326,7 @@
 		return strings.Contains(body, `"stato":"done"`)
 	})
 	poolAt := func() string {
-		var v controller.PoolView
+		var v pools.View
 		if _, body := call(0, root, "GET", "/admin/v1/pools/routing", ""); json.Unmarshal([]byte(body), &v) != nil {
 			t.Fatalf("pool: %s", body)
 		}
@@ -367,7 +368,7 @@
 // createdSecret reads a key's secret from the answer that makes it.
 func createdSecret(t *testing.T, body string) string {
 	t.Helper()
-	var k controller.NewKeyView
+	var k tenancy.NewKeyView
 	if err := json.Unmarshal([]byte(body), &k); err != nil {
 		t.Fatalf("%s: %v", body, err)
 	}
@@ -377,7 +378,7 @@
 // operatorsRevision is the revision of the operators' record.
 func operatorsRevision(t *testing.T, key string, call callFunc) string {
 	t.Helper()
-	var at controller.OperatorsView
+	var at tenancy.OperatorsView
 	if _, body := call(0, key, "GET", "/admin/v1/operators", ""); json.Unmarshal([]byte(body), &at) != nil {
 		t.Fatalf("operators: %s", body)
 	}
@@ -419,7 +420,7 @@
 	expect("it is not removed then", 409, "belongs to sortier")(call(0, root, "POST", "/admin/v1/teams/dispo/remove", fmt.Sprintf(`{"revision":%d}`, team.Revision)))
 	expect("a pool of nothing", 400, "size:")(call(0, root, "PUT", "/admin/v1/pools/routing", `{"revision":0,"size":-1}`))
 	expect("a pool of a team that is not there", 422, "teams:")(call(0, root, "PUT", "/admin/v1/pools/routing", `{"revision":0,"size":2,"teams":["green"]}`))
-	var view controller.PoolView
+	var view pools.View
 	body = expect("a pool", 200, `"size":2`)(call(0, root, "PUT", "/admin/v1/pools/routing", `{"revision":0,"size":2,"unit":"licences","tenants":["kipper"]}`))
 	if err := json.Unmarshal([]byte(body), &view); err != nil {
 		t.Fatal(err)
--- a/tools/scale/tenants.go
+++ b/tools/scale/tenants.go
@@ -17,7 +17,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"basaltwall/api"
-	"basaltwall/controller"
+	"basaltwall/controller/tenancy"
 	"basaltwall/internal/emulator"
 	"basaltwall/tenant"
 )
@@ -103,12 +103,12 @@
 		return "", err
 	}
 	code, body, err := s.request(0, s.adminKey, "PUT", "/admin/v1/tenants/"+name, put)
-	var at controller.TenantView
+	var at tenancy.TenantView
 	if err != nil || code != 200 || json.Unmarshal(body, &at) != nil {
 		return "", fmt.Errorf("tenant %s: %d %s %w", name, code, body, err)
 	}
 	code, body, err = s.request(0, s.adminKey, "POST", "/admin/v1/tenants/"+name+"/keys", fmt.Appendf(nil, `{"revision":%d,"name":"load"}`, at.Revision))
-	var k controller.NewKeyView
+	var k tenancy.NewKeyView
 	if err != nil || code != 200 || json.Unmarshal(body, &k) != nil {
 		return "", fmt.Errorf("key of %s: %d %s %w", name, code, body, err)
 	}
