--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// putJob has a tenant's job accepted, all of it in part 0.
+// putJob has a tenant's job accepted, all of it in partition 0.
 func putJob(t testing.TB, n *Controller, spec *api.JobSpec, name string, accepted api.WallTime) *core.Job {
 	t.Helper()
 	data, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}, AcceptedAt: accepted, Tenant: name, TenantJobID: spec.Ref})
@@ -79,9 +79,9 @@
 	return out
 }
 
-// A round names the gate where there are tenants, and only there: one condition more is all
-// that a hosted service's rounds differ by.
-func TestRoundNamesTheGate(t *testing.T) {
+// A round is conditional on the gate where there are tenants, and only there: one condition more
+// is all that a hosted service's rounds differ by.
+func TestRoundIsConditionalOnGate(t *testing.T) {
 	gate := func(n *Controller, owned *core.OwnedPartition) (int, bool) {
 		n.scheduler.RunPartition(owned)
 		for _, c := range stateCalls(n) {
@@ -134,7 +134,7 @@
 }
 
 // A queue of one tenant makes nobody's rounds longer than by the jobs of it that a round
-// looks at, and each of them has its turn though all those before it find no room.
+// looks at, and each of them has its turn though no machine has the free capacity for those before it.
 func TestLongQueueRotatesAcrossRounds(t *testing.T) {
 	n, owned, j, _ := hostedOwner(t)
 	putTenant(t, n, tenant.Tenant{Name: "flood", State: tenant.Active, Teams: []api.Team{"blue"}, Retention: 100})
--- a/controller/pools/manager.go
+++ b/controller/pools/manager.go
@@ -1,6 +1,6 @@
 // Package pools manages pools of counted resources, such as licences, of which the partitions of
 // a hosted service hold shares. A Manager owns the table of the pools' records, as far as this
-// controller has read them, and notes which share moves it is writing. What is held of a pool is
+// controller has read them, and which share moves it is writing. What is held of a pool is
 // part of the cluster state and of the rounds that start tasks; see docs/pools.md.
 package pools
 
@@ -47,7 +47,7 @@
 
 // Capacity is what a Manager needs to know of the machines' free capacity.
 type Capacity interface {
-	// FreeSlotsByPartition is how many tasks of a job each partition's machines have room for.
+	// FreeSlotsByPartition is how many tasks of a job each partition's machines could start.
 	FreeSlotsByPartition(*api.JobSpec) []int
 }
 
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -11,7 +11,6 @@
 	"basaltwall/clusterstate"
 	"basaltwall/controller/core"
 	"basaltwall/pool"
-	"basaltwall/tenant"
 )
 
 // pooledOwner is a controller of a hosted service whose job's tasks need a unit each of a pool
@@ -24,7 +23,7 @@
 	return n, owned, j
 }
 
-// putPool makes a pool of so many, all of them part 0's.
+// putPool makes a pool of so many, all of them partition 0's.
 func putPool(t testing.TB, n *Controller, name api.PoolName, size int) {
 	t.Helper()
 	data, err := json.Marshal(pool.Pool{Name: name, Size: size, Largest: size, State: pool.Active, Shares: []int{size}})
@@ -62,7 +61,7 @@
 }
 
 // What is not there, frozen, used up or known by an old record only is not handed out, and
-// nothing is rented or makes way for it.
+// neither is capacity added nor work preempted for it.
 func TestNoPoolUnitsNoStarts(t *testing.T) {
 	for what, disable := range map[string]func(*Controller){
 		"no units": func(n *Controller) { n.pools.Table().Get("routing").Shares[0] = 0 },
@@ -89,38 +88,6 @@
 	}
 }
 
-// Jobs that need no pool cost a round nothing for there being some.
-func TestJobsWithoutPoolsAllocateNothing(t *testing.T) {
-	n, owned, j := pooledOwner(t, 3)
-	j.Spec.Needs = nil
-	jobs := slices.Repeat([]*core.Job{j}, 1000)
-	if allocs := testing.AllocsPerRun(10, func() { n.pools.AllocatePoolUnits(owned, jobs) }); allocs != 0 {
-		t.Errorf("%v allocations", allocs)
-	}
-}
-
-// Who may not use a pool learns nothing of it: the answer is that of a pool which is not
-// there.
-func TestPoolAccess(t *testing.T) {
-	n, _, j := pooledOwner(t, 3)
-	e := n.pools.Table().Get("routing")
-	e.Tenants = []tenant.Name{"lopresti"}
-	refusal := n.pools.CheckPoolNeeds(j.Spec, "kipper")
-	other := *j.Spec
-	other.Needs = []api.PoolRequest{{Pool: "nothing", Task: 1}}
-	if strings.ReplaceAll(n.pools.CheckPoolNeeds(&other, "kipper"), "nothing", "routing") != refusal || refusal == "" {
-		t.Errorf("%q, and of a pool that is not there %q", refusal, n.pools.CheckPoolNeeds(&other, "kipper"))
-	}
-	if why := n.pools.CheckPoolNeeds(j.Spec, "lopresti"); why != "" {
-		t.Errorf("who may use it is refused: %s", why)
-	}
-	tooMany := *j.Spec
-	tooMany.Needs = []api.PoolRequest{{Pool: "routing", Task: 4}}
-	if why := n.pools.CheckPoolNeeds(&tooMany, "lopresti"); !strings.Contains(why, "never more than 3") {
-		t.Errorf("4 of 3 units: %q", why)
-	}
-}
-
 // BenchmarkRoundWithPools plans a round of 500 jobs that wait, of which each needs a unit of
 // one of so many pools.
 func BenchmarkRoundWithPools(b *testing.B) {
@@ -147,7 +114,7 @@
 
 // A round names eight pools at most, also where more jobs than that hold their own units
 // already and start further tasks: one with too many conditions could never be written, and
-// its part would try for ever.
+// its partition would try for ever.
 func TestRoundLimitsPools(t *testing.T) {
 	n, owned, j := pooledOwner(t, 3)
 	delete(n.core.State.PendingJobs, j.ID)
--- a/controller/tenancy/admission.go
+++ b/controller/tenancy/admission.go
@@ -18,7 +18,7 @@
 // openJobLimitRetryAfter is when a tenant at that limit is to try again.
 const openJobLimitRetryAfter = 2 * time.Second
 
-// admission is what a controller notes of submissions to limit them.
+// admission is the state by which a controller limits submissions.
 type admission struct {
 	rateBuckets           map[tenant.Name]*tenant.TokenBucket
 	fairLimiter           tenant.FairLimiter
@@ -115,7 +115,7 @@
 	return true
 }
 
-// addPendingSubmission notes a job that is being written.
+// addPendingSubmission adds a job that is being written.
 func (ts *Service) addPendingSubmission(name tenant.Name, id api.JobID) {
 	pending := ts.hosted.admission.pending
 	if pending[name] == nil {
@@ -124,7 +124,7 @@
 	pending[name][id] = true
 }
 
-// removePendingSubmission notes that a job is not written, or that the cluster state has it.
+// removePendingSubmission removes a job that was not written, or that the cluster state has.
 func (ts *Service) removePendingSubmission(name tenant.Name, id api.JobID) {
 	pending := ts.hosted.admission.pending
 	if jobs := pending[name]; jobs != nil {
--- a/controller/tenancy/keyuse.go
+++ b/controller/tenancy/keyuse.go
@@ -22,7 +22,7 @@
 const OperatorsHolder = tenant.Name("-")
 
 const (
-	// lastUseGranularity is how coarse the last use of a key is told.
+	// lastUseGranularity is how coarse the last use of a key is recorded.
 	lastUseGranularity = time.Hour
 	// lastUseWriteInterval is how often a transaction of them is written at most.
 	lastUseWriteInterval = 10 * time.Second
@@ -34,7 +34,7 @@
 	key    tenant.KeyID
 }
 
-// keyUses is what a controller notes of the use of keys. What it has not written yet is lost
+// keyUses is what a controller records of the use of keys. What it has not written yet is lost
 // with its process: an hour at most, or longer if more keys are used than it may write.
 type keyUses struct {
 	lastUsed      map[keyUse]api.WallTime // the hour of the last use, written or waiting to be
@@ -43,12 +43,12 @@
 	writeInFlight bool
 }
 
-// recordKeyUse notes that a key was used.
+// recordKeyUse records that a key was used; the admin key of the configuration is left out.
 func (ts *Service) recordKeyUse(holder tenant.Name, key tenant.KeyID) {
 	use := keyUse{holder: holder, key: key}
 	at := ts.core.WallClock - ts.core.WallClock%api.WallTime(lastUseGranularity.Milliseconds())
 	uses := &ts.hosted.keyUses
-	if before, noted := uses.lastUsed[use]; noted && before >= at || ts.hosted.adminKey.ID == key {
+	if before, recorded := uses.lastUsed[use]; recorded && before >= at || ts.hosted.adminKey.ID == key {
 		return
 	}
 	if uses.lastUsed == nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// flushKeyUses writes what was noted of uses, a transaction at a time.
+// flushKeyUses writes the uses that were recorded, a transaction at a time.
 func (ts *Service) flushKeyUses() {
 	uses := &ts.hosted.keyUses
 	if uses.writeInFlight || len(uses.pending) == 0 || ts.core.Now < uses.nextWrite || ts.core.Overloaded() || ts.core.StoreUnreachable() {
--- a/controller/tenancy/queue.go
+++ b/controller/tenancy/queue.go
@@ -34,12 +34,12 @@
 	}
 )
 
-// queuePosition is a job's place in its tenant's list.
+// queuePosition is a job's position in its tenant's list.
 func queuePosition(j *core.Job) string {
 	return core.TimeKey(j.AcceptedAt) + "-" + string(j.TenantJobID)
 }
 
-// viewQueue is a page of a tenant's jobs that are not over, after a place in the list.
+// viewQueue is a page of a tenant's jobs that are not over, after a position in the list.
 func (ts *Service) viewQueue(entry *tenant.Entry, after string, limit int) QueueView {
 	v := QueueView{Jobs: []UnfinishedJob{}}
 	jobs := slices.DeleteFunc(slices.Collect(maps.Values(ts.core.State.JobsByTenant[string(entry.Name)])), (*core.Job).Terminal)
--- a/controller/tenancy/submission.go
+++ b/controller/tenancy/submission.go
@@ -28,7 +28,7 @@
 
 // SubmitHosted takes a tenant's submission. It is written on the condition that the
 // tenant's record is as it was read: whatever is decided here by an older one, a
-// suspension or a revoked key that this controller has not heard of, is not written.
+// suspension or a revoked key that this controller has not read yet, is not written.
 func (ts *Service) SubmitHosted(c message.Submit, tries int) {
 	s := &submission{service: ts, command: c, tries: tries}
 	if ts.siblings.Jobs.ShouldForward(c.Forwarded) || len(ts.core.MachineTypes) == 0 {
