--- a/controller/controller.go
+++ b/controller/controller.go
@@ -22,8 +22,10 @@
 	"basaltwall/controller/logfollow"
 	"basaltwall/controller/message"
 	"basaltwall/controller/ownership"
+	"basaltwall/controller/pools"
 	"basaltwall/controller/preemption"
 	"basaltwall/controller/rounds"
+	"basaltwall/controller/tenancy"
 	"basaltwall/priority"
 )
 
@@ -48,8 +50,8 @@
 	balancer     *Balancer
 	capacity     *capacity.Counter
 	jobs         *jobs.Service
-	tenancy      *TenantService
-	pools        *PoolManager
+	tenancy      *tenancy.Service
+	pools        *pools.Manager
 	reservations *ReservationService
 	admin        *AdminService
 	reporter     *MetricsReporter
@@ -65,7 +67,9 @@
 func (n *Controller) NewState() *core.ClusterState {
 	n.core.Settings, n.core.RecordedTypes, n.priorities.priorityState.shortage = core.Settings{}, api.MachineTypes{}, priority.Shortage{}
 	n.health.ResetRecords()
-	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.RecordKind()}, n.tenancy.HostedRecordKinds()...)
+	kinds := []clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.RecordKind()}
+	kinds = append(kinds, n.pools.RecordKinds()...)
+	kinds = append(kinds, n.tenancy.RecordKinds()...)
 	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
 }
 
@@ -86,14 +90,12 @@
 	n.balancer = &Balancer{core: shared, c: n}
 	n.capacity = capacity.New(shared)
 	n.jobs = jobs.New(shared)
-	n.tenancy = &TenantService{core: shared, c: n}
-	n.pools = &PoolManager{core: shared, c: n}
+	n.tenancy = tenancy.New(shared)
+	n.pools = pools.New(shared)
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
 	n.connect()
-	n.tenancy.ResetPlatformTeams()
-	n.tenancy.InitHosted()
 	n.core.State = n.NewState()
 	return n
 }
--- /dev/null
+++ b/controller/core/ordering.go
@@ -0,0 +1,9 @@
+package core
+
+// BoolToInt is 1 for true and 0 for false, for comparison functions.
+func BoolToInt(is bool) int {
+	if is {
+		return 1
+	}
+	return 0
+}
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -141,7 +141,7 @@
 		return nil
 	}
 	var body skipRequestBody
-	if err := decodeRequest(c.Body, &body); err != nil {
+	if err := core.DecodeRequest(c.Body, &body); err != nil {
 		return nil, err
 	}
 	request := &reservation.Request{Type: skipOperations[c.Sub], Depot: reservation.Depot(c.ID), Key: body.Name, Skip: body.Skip, Kind: body.Kind, Booking: body.Number, Site: body.Site}
@@ -226,7 +226,7 @@
 	if c.What == "skips-do" {
 		var err error
 		if request, err = parseSkipRequest(c); err != nil {
-			rv.c.tenancy.RefuseError(c.Req, err)
+			rv.core.RefuseError(c.Req, err)
 			return
 		}
 	}
@@ -516,7 +516,7 @@
 			pairs = append(pairs, latest[key])
 		}
 		limits := rv.core.Config.Deployment.State
-		replica := reservation.NewLedger(fmt.Sprintf("%s-%d", rv.core.Config.Label, rv.core.Incarnation), len(rv.core.State.Partitions), rv.c.tenancy.MaxClockError(),
+		replica := reservation.NewLedger(fmt.Sprintf("%s-%d", rv.core.Config.Label, rv.core.Incarnation), len(rv.core.State.Partitions), rv.core.MaxClockError(),
 			reservation.Limits{MaxValueBytes: int(limits.ValueKB*1024) - 512, MaxPuts: limits.TxnOps})
 		if err := replica.Load(pairs, a.Changes.Revision); err != nil {
 			slog.Error("reservation ledger load failed", "err", err)
@@ -559,7 +559,7 @@
 		return
 	}
 	l.sweptAt, l.sweeping = rv.core.Now, true
-	rv.c.tenancy.SweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { l.sweeping = false })
+	rv.core.SweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { l.sweeping = false })
 }
 
 // sendLedgerWrite sends a record until its outcome is known.
--- a/controller/wiring.go
+++ b/controller/wiring.go
@@ -11,8 +11,10 @@
 	"basaltwall/controller/jobs"
 	"basaltwall/controller/logfollow"
 	"basaltwall/controller/ownership"
+	"basaltwall/controller/pools"
 	"basaltwall/controller/preemption"
 	"basaltwall/controller/rounds"
+	"basaltwall/controller/tenancy"
 )
 
 // connect hands each component what it asks of the others. Components know these by their own
@@ -82,4 +84,6 @@
 		Agents: n.agents, Balancer: n.balancer, Capacity: n.capacity, Gossip: n.gossiper, Log: n.follower, Pools: n.pools,
 		Priorities: n.priorities, Reservations: n.reservations, Tenants: n.tenancy,
 	})
+	n.tenancy.Connect(tenancy.Siblings{Follower: n.follower, Jobs: n.jobs, Pools: n.pools, Scheduler: n.scheduler})
+	n.pools.Connect(pools.Siblings{Backfiller: n.backfiller, Capacity: n.capacity, Follower: n.follower, Priorities: n.priorities, Scheduler: n.scheduler, Tenancy: n.tenancy})
 }
