--- a/controller/controller.go
+++ b/controller/controller.go
@@ -112,7 +112,7 @@
 		n.started, n.core.StartedAt = true, now
 	}
 	for _, c := range cmds {
-		n.reporter.StartWork(workKindOf(c))
+		n.startWork(message.WorkKindOf(c))
 		n.dispatch(c)
 	}
 	n.tick()
@@ -121,6 +121,13 @@
 	return out
 }
 
+// startWork tells whoever has a clock which kind of work comes next.
+func (n *Controller) startWork(kind message.WorkKind) {
+	if n.OnWorkStart != nil {
+		n.OnWorkStart(kind)
+	}
+}
+
 // TickInterval is how often Step wants to be called when nothing happens.
 const TickInterval = 50 * time.Millisecond
 
@@ -178,7 +185,7 @@
 		n.core.DeferredCalls = n.core.DeferredCalls[1:]
 		callback()
 	}
-	n.reporter.StartWork(message.WorkMembership)
+	n.startWork(message.WorkMembership)
 	n.membership.MaintainMembership()
 	n.jobs.AnswerCancellations()
 	if !n.core.Loaded {
@@ -190,22 +197,22 @@
 	n.jobs.SendResultLookup()
 	n.reservations.SyncLedger()
 	n.membership.ClaimPartitions()
-	n.reporter.StartWork(message.WorkFleet)
+	n.startWork(message.WorkFleet)
 	n.autoscaler.ReconcileFleet()
 	n.tenancy.ReconcileTenants()
-	n.reporter.StartWork(message.WorkRounds)
+	n.startWork(message.WorkRounds)
 	n.scheduler.ObserveRounds()
 	for _, p := range slices.Sorted(maps.Keys(n.core.Partitions)) {
 		if owned := n.core.Partitions[p]; owned != nil {
 			n.scheduler.RunPartition(owned)
 		}
 	}
-	n.reporter.StartWork(message.WorkMachines)
+	n.startWork(message.WorkMachines)
 	n.health.ReconcileZones()
 	n.priorities.UpdateShortage()
 	n.agents.ReconcileMachines()
 	n.health.EvacuateZones()
 	n.autoscaler.ProcessDeletions()
-	n.reporter.StartWork(message.WorkGossip)
+	n.startWork(message.WorkGossip)
 	n.gossiper.SendGossip()
 }
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -353,7 +353,7 @@
 	f.Text("own usage", goldenTalk(t, n, func() { n.dispatch(message.TenantQuery{What: "usage", Caller: caller}) }, kept))
 	f.Text("own history", goldenTalk(t, n, func() { n.dispatch(message.ListHistory{Limit: 5, Caller: caller}) }, kept))
 	f.Text("no key", goldenTalk(t, n, func() { n.dispatch(message.ListHistory{Limit: 5}) }, kept))
-	f.Text("other controllers' forward", fmt.Sprint(ForwardHosted, " ", ForwardSkips))
+	f.Text("other controllers' forward", fmt.Sprint(ForwardHosted, " ", message.ForwardSkips))
 	write := n.tenancy.HistoryWrite(n.core.State.Jobs["run-1"])
 	f.Text("history", fmt.Sprintf("%s %s", write.Put, write.Value))
 }
--- a/controller/message/capacitytarget.go
+++ b/controller/message/accelerators.go
@@ -1,8 +1,8 @@
 package message
 
-import (
-	"basaltwall/api"
-)
+// This file holds how controllers count machines with accelerators, for capacity targets.
+
+import "basaltwall/api"
 
 // AcceleratorKind is machines with accelerators that cost alike.
 type AcceleratorKind struct {
@@ -10,6 +10,6 @@
 	Spot bool
 }
 
-// AcceleratorCount says how many machines of a supply are up, and how many of these have
+// AcceleratorCount says how many machines of an AcceleratorKind are up, and how many of these have
 // work that they are kept for and that does not end soon: services and gangs.
 type AcceleratorCount struct{ Up, Lasting int }
--- a/controller/message/history.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package message
-
-// ListHistory asks for a page of the tenant's finished jobs.
-type ListHistory struct {
-	Req    ReqID
-	After  string
-	Limit  int
-	Caller Caller
-}
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -18,35 +18,6 @@
 	c    *Controller
 }
 
-var workKindNames = [message.WorkKinds]string{"users", "reports", "state_answers", "worker_answers", "cloud_answers", "peers", "operators",
-	"membership", "fleet", "rounds", "machines", "gossip"}
-
-// workKindOf is the kind of work that a command makes.
-func workKindOf(c message.Command) message.WorkKind {
-	switch c.(type) {
-	case message.Submit, message.Poll, message.Cancel, message.ReadinessProbe, message.ListHistory, message.TenantQuery:
-		return message.WorkUsers
-	case message.WorkerHeartbeat:
-		return message.WorkHeartbeats
-	case message.StoreResponse:
-		return message.WorkStore
-	case message.WorkerResponse:
-		return message.WorkWorkers
-	case message.CloudResponse:
-		return message.WorkCloud
-	case message.PeerGossip, message.MalformedMessage, message.ReadLog, message.PeerResponse:
-		return message.WorkPeers
-	}
-	return message.WorkOperators
-}
-
-// StartWork tells whoever has a clock which kind of work comes next.
-func (mr *MetricsReporter) StartWork(w message.WorkKind) {
-	if mr.c.OnWorkStart != nil {
-		mr.c.OnWorkStart(w)
-	}
-}
-
 // MetricsView is what an operator is shown of a node's doings.
 type MetricsView struct {
 	UpSeconds                        float64                        `json:"up_s"`
@@ -193,7 +164,7 @@
 		RequestsWithoutRead: m.RequestsWithoutRead, IndeterminateWrites: m.IndeterminateWrites, IndeterminateWritten: m.IndeterminateWritten, IndeterminateUnwritten: m.IndeterminateUnwritten, LongPendingJobs: mr.longPendingJobs(),
 		Latencies: map[string]core.LatencySummary{}, WorkSeconds: map[string]float64{}, ProcessSeconds: m.Usage.ProcessTime.Seconds(), QueueLength: m.Usage.QueueLength, OptionalWorkShed: m.OptionalWorkShed, MalformedMessages: m.MalformedMessages}
 	for w, d := range m.Usage.WorkTime {
-		v.WorkSeconds[workKindNames[w]] = d.Seconds()
+		v.WorkSeconds[message.WorkKind(w).MetricName()] = d.Seconds()
 	}
 	for _, j := range mr.core.State.PendingJobs {
 		for p := range mr.core.State.Partitions {
--- a/controller/reservations.go
+++ b/controller/reservations.go
@@ -212,9 +212,6 @@
 	return request, nil
 }
 
-// ForwardSkips is the kind of a Forward that holds a question about skips.
-const ForwardSkips = "skips"
-
 // HandleSkipsRequest answers what is asked of the skips.
 func (rv *ReservationService) HandleSkipsRequest(c message.AdminRequest) {
 	l := &rv.reservationLedger
@@ -237,7 +234,7 @@
 			then()
 			return
 		}
-		rv.core.CallPeer(to[0], forwardTimeout, message.PeerMessage{Forward: &message.Forward{Kind: ForwardSkips, Body: body}}, func(a message.PeerResponse) {
+		rv.core.CallPeer(to[0], forwardTimeout, message.PeerMessage{Forward: &message.Forward{Kind: message.ForwardSkips, Body: body}}, func(a message.PeerResponse) {
 			if a.OK && a.Reply.Status != 0 && a.Reply.Status != 503 {
 				rv.core.ReplyFromPeer(c.Req, a.Reply)
 				return
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -81,7 +81,7 @@
 		switch f.Kind {
 		case controller.ForwardHosted:
 			return []any{"hosted", e.ID, e.To, e.Timeout, f.Ref, controller.DecodeHostedForward(f.Body, 0)}
-		case controller.ForwardSkips:
+		case message.ForwardSkips:
 			var ask message.AdminRequest
 			if err := json.Unmarshal(f.Body, &ask); err != nil {
 				panic(fmt.Sprintf("transcript: %v", err))
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -91,7 +91,7 @@
 			return message.Cancel{Req: req, Ref: f.Ref, Forwarded: true}
 		case "checkin":
 			return parseHeartbeat(f.Body)
-		case controller.ForwardSkips:
+		case message.ForwardSkips:
 			var ask message.AdminRequest
 			if json.Unmarshal(f.Body, &ask) != nil {
 				return nil
