--- a/controller/admin.go
+++ b/controller/admin.go
@@ -7,7 +7,6 @@
 	"maps"
 	"slices"
 	"strings"
-	"time"
 
 	"basaltwall/api"
 	"basaltwall/controller/core"
@@ -75,13 +74,13 @@
 	}
 	// MachineView is a machine of a part that this node owns.
 	MachineView struct {
-		ID                  api.MachineID       `json:"machine"`
-		Partition           api.PartitionID     `json:"part"`
-		Type                api.MachineTypeName `json:"type"`
-		Zone                api.Zone            `json:"zone"`
-		Spot                bool                `json:"spot"`
-		Tasks               []string            `json:"tasks"`
-		UnschedulableReason string              `json:"avoided,omitempty"`
+		ID                  api.MachineID            `json:"machine"`
+		Partition           api.PartitionID          `json:"part"`
+		Type                api.MachineTypeName      `json:"type"`
+		Zone                api.Zone                 `json:"zone"`
+		Spot                bool                     `json:"spot"`
+		Tasks               []string                 `json:"tasks"`
+		UnschedulableReason core.UnschedulableReason `json:"avoided,omitempty"`
 	}
 	// TeamView is a team.
 	TeamView struct {
@@ -245,7 +244,7 @@
 	out := []MachineView{}
 	for _, p := range slices.Sorted(maps.Keys(ad.core.Partitions)) {
 		for _, m := range ad.c.agents.MachinesOf(p) {
-			v := MachineView{ID: m.ID, Partition: p, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: []string{}, UnschedulableReason: ad.UnschedulableReason(m, ad.core.Partitions[p])}
+			v := MachineView{ID: m.ID, Partition: p, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Tasks: []string{}, UnschedulableReason: ad.c.eligibility.UnschedulableReason(m, ad.core.Partitions[p])}
 			for _, placement := range ad.core.State.PlacementsOn(m.ID) {
 				v.Tasks = append(v.Tasks, placement.Task.String())
 			}
@@ -255,50 +254,6 @@
 	return out
 }
 
-// tokenNotAnnounced is why a machine gets no tasks that was heard but does not know our
-// term yet: it will within a moment.
-const tokenNotAnnounced = "our term has not been announced to it"
-
-// UnschedulableReason says why a machine gets no new tasks, or nothing.
-func (ad *AdminService) UnschedulableReason(m *core.Machine, owned *core.OwnedPartition) string {
-	switch {
-	case m.Deleting:
-		return "is being returned"
-	case slices.Contains(ad.core.Settings.Drained, m.ID):
-		return "drained by an operator"
-	case m.LastHeartbeat == 0:
-		return "has not been heard yet"
-	case m.ReclaimNotice:
-		return "the cloud takes it back"
-	case ad.core.MachineTypes[m.MachineType] == nil:
-		return "of an unknown type"
-	case m.QuarantinedUntil >= ad.core.Now:
-		return "different jobs fail on it"
-	case m.FullUntil >= ad.core.Now:
-		return "it refused a task for want of room"
-	case ad.core.Now.Sub(m.LastHeartbeat) >= 2*ad.core.Config.HeartbeatInterval()+2*time.Second:
-		return "is silent"
-	case m.MissedCalls > 0 && ad.core.Now.Sub(m.LastHeartbeat) > time.Second:
-		return "does not answer"
-	case m.SuspectSince != 0:
-		return "it was silent, and its report may be an old one"
-	case ad.c.health.ZoneUnavailable(m.Zone) && ad.core.Now.Sub(m.LastHeartbeat) > ad.core.Config.HeartbeatInterval()*5/4:
-		return "its zone is cut off"
-	case ad.outboundCutOff(m, owned):
-		return "its reports do not reach us, so its lease will end"
-	case m.ReportedToken < ad.core.MinToken(owned, m.ID):
-		return tokenNotAnnounced
-	}
-	return ""
-}
-
-// outboundCutOff reports whether a machine answers calls while no report of its own comes, though there was
-// time for some: nobody renews its lease, and what is started there dies with it.
-func (ad *AdminService) outboundCutOff(m *core.Machine, owned *core.OwnedPartition) bool {
-	since := max(m.LeaseRenewedAt, m.FirstHeartbeat, m.DiscoveredAt, owned.OwnedSince, ad.c.agents.LoanKnownAt(m.ID))
-	return ad.core.Now.Sub(since) >= 2*ad.core.Config.HeartbeatInterval()+2*time.Second
-}
-
 func (ad *AdminService) viewTeams() []TeamView {
 	out := []TeamView{}
 	usage, owners := ad.core.TeamUsage(), ad.c.tenancy.TeamOwners()
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -13,6 +13,7 @@
 	"basaltwall/clusterstate"
 	"basaltwall/config"
 	"basaltwall/controller/core"
+	"basaltwall/controller/eligibility"
 	"basaltwall/controller/message"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
@@ -31,6 +32,7 @@
 	gossiper     *Gossiper
 	agents       *AgentManager
 	health       *ZoneHealth
+	eligibility  *eligibility.Checker
 	autoscaler   *Autoscaler
 	scheduler    *RoundScheduler
 	preemptor    *Preemptor
@@ -85,6 +87,7 @@
 	n.gossiper = newGossiper(n)
 	n.agents = newAgentManager(n)
 	n.health = &ZoneHealth{core: shared, c: n}
+	n.eligibility = eligibility.New(shared)
 	n.autoscaler = newAutoscaler(n)
 	n.scheduler = &RoundScheduler{core: shared, c: n}
 	n.preemptor = &Preemptor{core: shared, c: n}
@@ -97,6 +100,7 @@
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.eligibility.Connect(eligibility.Siblings{Agents: n.agents, Health: n.health})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
--- a/controller/gossip.go
+++ b/controller/gossip.go
@@ -214,9 +214,9 @@
 }
 
 func (gs *Gossiper) machineClassOf(m *core.Machine, owned *core.OwnedPartition) message.MachineClass {
-	reason := gs.c.admin.UnschedulableReason(m, owned)
+	reason := gs.c.eligibility.UnschedulableReason(m, owned)
 	reserved := m.Consolidated && gs.c.preemptor.ReservedFor(m) != "" // its room is spoken for
-	return message.MachineClass{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Usable: (reason == "" || reason == tokenNotAnnounced) && !reserved, Closed: m.ScaleInCandidate}
+	return message.MachineClass{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Usable: (reason == core.Schedulable || reason == core.ReasonTokenNotAnnounced) && !reserved, Closed: m.ScaleInCandidate}
 }
 
 // RejectMalformed refuses a message that is not understood or comes from nobody we know: it changes
--- a/controller/partition.go
+++ b/controller/partition.go
@@ -232,7 +232,7 @@
 
 // IsSchedulable reports whether a machine may get new tasks.
 func (rs *RoundScheduler) IsSchedulable(m *core.Machine, owned *core.OwnedPartition) bool {
-	return rs.c.admin.UnschedulableReason(m, owned) == ""
+	return rs.c.eligibility.UnschedulableReason(m, owned) == core.Schedulable
 }
 
 // FreeCapacityOn is the room on a machine: its capacity less all that is or may be on it.
