--- a/admin/admin.go
+++ b/admin/admin.go
@@ -35,12 +35,12 @@
 // Command is what a request asks of the owner, or the status that refuses it.
 func Command(req message.ReqID, r httpx.Request) (message.Command, int) {
 	parts := strings.Split(strings.TrimPrefix(r.Path, Prefix), "/")
-	ask := message.AdminRequest{Req: req, What: parts[0], Body: r.Body}
+	ask := message.AdminRequest{Req: req, What: message.AdminOperation(parts[0]), Body: r.Body}
 	method := "GET"
 	switch {
 	case len(parts) == 1 && parts[0] == "settings":
 		if r.Method == "PUT" {
-			ask.What, method = "set", "PUT"
+			ask.What, method = message.AdminChangeSettings, "PUT"
 		}
 	case len(parts) == 1 && parts[0] == "jobs":
 		q, err := url.ParseQuery(r.Query)
@@ -54,9 +54,9 @@
 		}
 	case len(parts) == 1 && slices.Contains([]string{"members", "parts", "machines", "teams", "metrics"}, parts[0]):
 	case len(parts) == 2 && parts[0] == "jobs" && parts[1] != "":
-		ask.What, ask.ID = "job", parts[1]
+		ask.What, ask.ID = message.AdminJob, parts[1]
 	case len(parts) == 3 && parts[0] == "machines" && parts[1] != "" && (parts[2] == "drain" || parts[2] == "undrain"):
-		ask.What, ask.ID, method = parts[2], parts[1], "POST"
+		ask.What, ask.ID, method = message.AdminOperation(parts[2]), parts[1], "POST"
 	case parts[0] == "skips":
 		return skipsCommand(ask, parts, r)
 	case IsHostedPath(r.Path):
--- a/admin/hosted.go
+++ b/admin/hosted.go
@@ -9,27 +9,30 @@
 
 // hostedRoutes are the requests of a hosted service alone. In a path ID stands for what is asked
 // about, and SUB for the name of one of its keys.
-var hostedRoutes = []struct{ method, path, what string }{
-	{"GET", "audit", "audit"},
-	{"GET", "tenants", "tenants"},
-	{"GET", "tenants/ID", "tenant"},
-	{"PUT", "tenants/ID", "tenant-put"},
-	{"GET", "tenants/ID/usage", "usage"},
-	{"POST", "tenants/ID/suspend", "suspend"},
-	{"POST", "tenants/ID/resume", "resume"},
-	{"POST", "tenants/ID/remove", "remove"},
-	{"POST", "tenants/ID/keys", "key-add"},
-	{"POST", "tenants/ID/keys/SUB/revoke", "key-revoke"},
-	{"GET", "operators", "operators"},
-	{"PUT", "operators", "operators-put"},
-	{"POST", "operators/keys", "operators-key-add"},
-	{"POST", "operators/keys/SUB/revoke", "operators-key-revoke"},
-	{"PUT", "teams/ID", "team-put"},
-	{"POST", "teams/ID/remove", "team-remove"},
-	{"GET", "pools", "pools"},
-	{"GET", "pools/ID", "pool"},
-	{"PUT", "pools/ID", "pool-put"},
-	{"POST", "pools/ID/remove", "pool-remove"},
+var hostedRoutes = []struct {
+	method, path string
+	what         message.AdminOperation
+}{
+	{"GET", "audit", message.AdminAudit},
+	{"GET", "tenants", message.AdminTenants},
+	{"GET", "tenants/ID", message.AdminTenant},
+	{"PUT", "tenants/ID", message.AdminPutTenant},
+	{"GET", "tenants/ID/usage", message.AdminUsage},
+	{"POST", "tenants/ID/suspend", message.AdminSuspendTenant},
+	{"POST", "tenants/ID/resume", message.AdminResumeTenant},
+	{"POST", "tenants/ID/remove", message.AdminRemoveTenant},
+	{"POST", "tenants/ID/keys", message.AdminAddKey},
+	{"POST", "tenants/ID/keys/SUB/revoke", message.AdminRevokeKey},
+	{"GET", "operators", message.AdminOperators},
+	{"PUT", "operators", message.AdminPutOperators},
+	{"POST", "operators/keys", message.AdminAddOperatorKey},
+	{"POST", "operators/keys/SUB/revoke", message.AdminRevokeOperatorKey},
+	{"PUT", "teams/ID", message.AdminPutTeam},
+	{"POST", "teams/ID/remove", message.AdminRemoveTeam},
+	{"GET", "pools", message.AdminPools},
+	{"GET", "pools/ID", message.AdminPool},
+	{"PUT", "pools/ID", message.AdminPutPool},
+	{"POST", "pools/ID/remove", message.AdminRemovePool},
 }
 
 // matchPath reports whether a path is of a form, and reads what it names.
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -30,7 +30,7 @@
 			return nil, 400
 		}
 	case len(parts) == 3 && parts[1] != "" && slices.Contains([]string{"offer", "promise", "release", "deliver", "return", "out", "in", "import"}, parts[2]):
-		ask.What, ask.Sub, method = "skips-do", parts[2], "POST"
+		ask.What, ask.Sub, method = message.AdminChangeReservation, parts[2], "POST"
 	default:
 		return nil, 404
 	}
--- a/controller/history.go
+++ b/controller/history.go
@@ -70,7 +70,7 @@
 // AuditWrite is the record of an operator's change, written with it: what was and is, as
 // it may be shown.
 func (ts *TenantService) AuditWrite(c message.AdminRequest, subject string, before, after any) api.Write {
-	entry := AuditEntry{Time: ts.core.WallClock, Key: c.KeyID, Action: c.What, KeyName: c.Sub, Subject: subject}
+	entry := AuditEntry{Time: ts.core.WallClock, Key: c.KeyID, Action: string(c.What), KeyName: c.Sub, Subject: subject}
 	if from := ts.clientAddr(c.Caller); from.IsValid() {
 		entry.From = from.String()
 	}
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -247,7 +247,7 @@
 	n.follower.lastReadAt = n.core.Now
 	asks := func(key tenant.Secret, what string) int {
 		n.core.Effects = nil
-		n.dispatch(message.AdminRequest{Req: 1, What: what, Caller: message.Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
+		n.dispatch(message.AdminRequest{Req: 1, What: message.AdminOperation(what), Caller: message.Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
 		waiting := n.follower.readWaiters
 		n.follower.readWaiters = nil
 		for _, w := range waiting {
--- a/controller/message/commands.go
+++ b/controller/message/commands.go
@@ -56,7 +56,7 @@
 	// AdminRequest is an operator's question or order; What says which.
 	AdminRequest struct {
 		Req   ReqID
-		What  string
+		What  AdminOperation
 		ID    string
 		Team  string // jobs: only this team's
 		Limit int    // jobs: so many at most
@@ -65,7 +65,7 @@
 		Sub    string // of ID, the name of a key
 		After  string // audit: what comes after
 		Caller Caller
-		Random *[tenant.RandomBytes]byte // for a new key
+		Random *[tenant.RandomBytes]byte // set if What.AddsKey
 
 		Forwarded bool // by a peer, which has looked at the key
 
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -119,8 +119,10 @@
 // What operators may ask without changing anything: of the record, and of what the
 // controller that answers knows.
 var (
-	recordQueries     = []string{"tenants", "tenant", "usage", "operators", "pools", "pool", "audit", "skips"}
-	controllerQueries = []string{"metrics", "members", "parts", "machines", "teams", "jobs", "job", "settings"}
+	recordQueries = []message.AdminOperation{message.AdminTenants, message.AdminTenant, message.AdminUsage, message.AdminOperators,
+		message.AdminPools, message.AdminPool, message.AdminAudit, message.AdminReservations}
+	controllerQueries = []message.AdminOperation{message.AdminMetrics, message.AdminMembers, message.AdminPartitions, message.AdminMachines,
+		message.AdminTeams, message.AdminJobs, message.AdminJob, message.AdminSettings}
 )
 
 // WithOperator does what an operator of a hosted service asks if the key that comes with it
--- a/internal/emulator/admin_model_test.go
+++ b/internal/emulator/admin_model_test.go
@@ -413,7 +413,7 @@
 				a.createdKeyID = fmt.Sprintf("02%02x%02x0000000000", byte(sim.Tenants.keyCount), byte(sim.Tenants.keyCount>>8))
 			}
 			h.send(n, a, func(req message.ReqID, c message.Caller) message.Command {
-				return message.AdminRequest{Req: req, What: a.operation, ID: a.name, Sub: a.sub, Body: data, Random: &random, Caller: c}
+				return message.AdminRequest{Req: req, What: message.AdminOperation(a.operation), ID: a.name, Sub: a.sub, Body: data, Random: &random, Caller: c}
 			})
 		}
 		poll := func(controllerName, name, key string) {
--- a/internal/emulator/tenants.go
+++ b/internal/emulator/tenants.go
@@ -63,7 +63,7 @@
 }
 
 // adminRequest sends an operator's question or act to any controller; status 0 is no answer.
-func (t *Tenants) adminRequest(operation string, name tenant.Name, body any, answer func(int, []byte)) {
+func (t *Tenants) adminRequest(operation message.AdminOperation, name tenant.Name, body any, answer func(int, []byte)) {
 	data, err := json.Marshal(body)
 	t.sim.must(err)
 	t.keyCount++
@@ -79,7 +79,7 @@
 }
 
 // applyChange reads a tenant and does what make says, until it is answered with 200.
-func (t *Tenants) applyChange(name tenant.Name, operation string, body func(revision api.Revision) any, done func([]byte)) {
+func (t *Tenants) applyChange(name tenant.Name, operation message.AdminOperation, body func(revision api.Revision) any, done func([]byte)) {
 	retry := func() { t.sim.After(time.Second, func() { t.applyChange(name, operation, body, done) }) }
 	t.adminRequest("tenant", name, nil, func(status int, b []byte) {
 		var at controller.TenantView
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -281,7 +281,7 @@
 // time by what the settings are then, so that of two operators both get theirs, one by one.
 func (sim *Simulation) SetPriorityRules(rules []byte) {
 	controllerName := sim.Users.anyController()
-	request := func(what string, body []byte, answer func(int, []byte)) {
+	request := func(what message.AdminOperation, body []byte, answer func(int, []byte)) {
 		sim.externalRequest(controllerName, 5*time.Second, func(answer func(int, []byte)) {
 			if h := sim.controllers[controllerName]; h != nil && h.controller != nil {
 				sim.callController(h, func(req message.ReqID) message.Command {
--- a/server/server.go
+++ b/server/server.go
@@ -343,7 +343,7 @@
 		c, status := admin.Command(req, r)
 		if ask, ok := c.(message.AdminRequest); ok {
 			ask.Caller = caller
-			if strings.HasSuffix(ask.What, "key-add") {
+			if ask.What.AddsKey() {
 				ask.Random = new([tenant.RandomBytes]byte)
 				if _, err := rand.Read(ask.Random[:]); err != nil {
 					return nil, 503
