--- a/admin/skips.go
+++ b/admin/skips.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"basaltwall/controller"
 	"basaltwall/controller/message"
+	"basaltwall/controller/reservations"
 	"basaltwall/httpx"
 	"basaltwall/reservation"
 )
@@ -203,14 +203,14 @@
 	return nil
 }
 
-func skipCountsTable(w io.Writer, v controller.SkipCountsView) {
+func skipCountsTable(w io.Writer, v reservations.CountsView) {
 	writeRow(w, "DEPOT", "KIND", "SKIPS", "FREE TODAY, ABOUT", "OFFERED", "PROMISED", "OUT")
 	for _, k := range v.Kinds {
 		writeRow(w, k.Depot, k.Kind, k.Skips, k.Free, k.Offered, k.Promised, k.OutOfService)
 	}
 }
 
-func skipsTable(w io.Writer, v controller.SkipsView) {
+func skipsTable(w io.Writer, v reservations.SkipsView) {
 	writeRow(w, "SKIP", "KIND", "STATE", "NUMBER", "FROM", "TO", "SITE")
 	for _, s := range v.Skips {
 		if s.OutOfService {
--- a/controller/admin.go
+++ b/controller/admin.go
@@ -165,7 +165,7 @@
 		}
 		ad.core.Reply(c.Req, 200, ad.c.jobs.ViewJob(j, ad.c.jobs.FreeCapacityGroups()), 0)
 	case "skips", "skips-do":
-		ad.c.reservations.HandleSkipsRequest(c)
+		ad.c.reservations.HandleRequest(c)
 	case "settings":
 		ad.core.Reply(c.Req, 200, ad.currentSettings(), 0)
 	case "set":
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -15,6 +15,7 @@
 	"basaltwall/controller/core"
 	"basaltwall/controller/eligibility"
 	"basaltwall/controller/message"
+	"basaltwall/controller/reservations"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
 )
@@ -42,7 +43,7 @@
 	jobs         *JobService
 	tenancy      *TenantService
 	pools        *PoolManager
-	reservations *ReservationService
+	reservations *reservations.Service
 	admin        *AdminService
 	reporter     *MetricsReporter
 }
@@ -97,9 +98,10 @@
 	n.jobs = newJobService(n)
 	n.tenancy = &TenantService{core: shared, c: n}
 	n.pools = &PoolManager{core: shared, c: n}
-	n.reservations = &ReservationService{core: shared, c: n}
+	n.reservations = reservations.New(shared)
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.reservations.Connect(reservations.Siblings{Jobs: n.jobs, Gossip: n.gossiper, Log: n.follower})
 	n.eligibility.Connect(eligibility.Siblings{Agents: n.agents, Health: n.health})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -14,6 +14,7 @@
 	"basaltwall/clusterstate"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
+	"basaltwall/controller/reservations"
 	"basaltwall/internal/golden"
 	"basaltwall/pool"
 	"basaltwall/priority"
@@ -118,9 +119,9 @@
 	golden.JSON(f, "jobs", golden.Filled[JobsView](t))
 	golden.JSON(f, "settings", golden.Filled[VersionedSettings](t))
 	golden.JSON(f, "metrics", golden.Filled[MetricsView](t))
-	golden.JSON(f, "skips", golden.Filled[SkipsView](t))
-	golden.JSON(f, "depots", golden.Filled[SkipCountsView](t))
-	golden.JSON(f, "skip answer", golden.Filled[SkipResult](t))
+	golden.JSON(f, "skips", golden.Filled[reservations.SkipsView](t))
+	golden.JSON(f, "depots", golden.Filled[reservations.CountsView](t))
+	golden.JSON(f, "skip answer", golden.Filled[reservations.ChangeView](t))
 	tenants := golden.Filled[[]TenantView](t, networks)
 	for i := range tenants {
 		tenants[i].Tenant.Keys = nil // it is not shown
@@ -140,8 +141,8 @@
 	golden.JSON(f, "empty job", JobView{})
 	golden.JSON(f, "empty metrics", MetricsView{Fragmentation: []FragmentationView{{}}, Zones: map[api.Zone]ZoneView{"a": {}}})
 	golden.JSON(f, "empty key", KeyView{})
-	golden.JSON(f, "empty skip", SkipView{Items: []SkipItem{{}}})
-	golden.JSON(f, "empty skip answer", SkipResult{})
+	golden.JSON(f, "empty skip", reservations.SkipView{Items: []reservations.BookingView{{}}})
+	golden.JSON(f, "empty skip answer", reservations.ChangeView{})
 	golden.JSON(f, "empty usage", UsageView{Submissions: &submissionCounts{}})
 	golden.JSON(f, "empty holder", HolderView{})
 }
@@ -165,7 +166,7 @@
 	asksOf[operatorsRequest](t, f, "operators", networks)
 	asksOf[teamRequest](t, f, "team")
 	asksOf[poolUpdate](t, f, "pool")
-	asksOf[skipRequestBody](t, f, "skip")
+	asksOf[reservations.RequestBody](t, f, "skip")
 }
 
 // oldHostedForward is hostedForward with the names that encoding/gob put into messages between
@@ -302,16 +303,16 @@
 	if err := l.Load([]api.KeyValue{{Key: "s/b/0/257", Value: []byte(`{"u":1,"s":[{"d":"hof-nord","i":"six-1","k":"six"}]}`), Version: 3}}, 5); err != nil {
 		t.Fatal(err)
 	}
-	n.reservations.reservationLedger.replica = l
+	n.reservations.Install(l)
 	f.Text("skips counted", goldenTalk(t, n, func() { n.dispatch(message.AdminRequest{What: "skips"}) }, nil))
 	f.Text("skips listed", goldenTalk(t, n, func() {
 		n.dispatch(message.AdminRequest{What: "skips", ID: "hof-nord", Limit: 5})
-		n.reservations.reservationLedger.pendingLists[0].onRead()
+		n.reservations.PendingReads()[0].OnRead()
 	}, nil))
 	request := &reservation.Request{Type: reservation.OpOffer, Depot: "hof-nord"}
 	for name, r := range map[string]reservation.Result{"skip offered": {Skip: "six-1", Booking: reservation.Booking{ID: 7, Key: "x", Site: "y", From: 20788, To: 20790, ExpiresAt: 8, Stage: reservation.Offered}},
 		"skip done": {Skip: "six-1"}, "skip refused": {Reason: reservation.ReasonNoneFree}, "no skip": {Reason: reservation.ReasonNoSuchSkip}, "skips busy": {Reason: reservation.ReasonBusy}} {
-		f.Text(name, goldenTalk(t, n, func() { n.reservations.replySkips(1, request, r) }, nil))
+		f.Text(name, goldenTalk(t, n, func() { n.reservations.ReplyResult(1, request, r) }, nil))
 	}
 }
 
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -77,7 +77,7 @@
 	Fragmentation []FragmentationView `json:"accelerators_in_pieces,omitempty"`
 
 	// Reservations, once somebody asked this controller for one.
-	Reservations *SkipMetrics `json:"skips,omitempty"`
+	Reservations *core.ReservationMetrics `json:"skips,omitempty"`
 
 	// Of a hosted service: pools, the first 200 by name, and how often this controller
 	// moved shares of any.
@@ -196,7 +196,7 @@
 		v.Zones[name] = ZoneView{State: string(s), SilentSeconds: mr.c.health.ZoneSilenceSeconds(name), Machines: sight.All, SilentMachines: sight.Silent,
 			PartitionsInside: mr.c.health.PartitionsInside(name), PendingTasks: mr.c.health.ExpiredLeaseTasks(name)}
 	}
-	v.Reservations, v.Fragmentation = mr.c.reservations.ViewSkips(), mr.c.backfiller.FragmentedCapacity()
+	v.Reservations, v.Fragmentation = mr.c.reservations.ViewMetrics(), mr.c.backfiller.FragmentedCapacity()
 	if mr.c.pools.Count() > 0 {
 		v.Pools, v.PoolShareMoves = map[api.PoolName]PoolMetrics{}, mr.c.pools.ShareMoves()
 		names := mr.c.pools.Names()
--- /dev/null
+++ b/controller/reservations/views.go
@@ -0,0 +1,88 @@
+package reservations
+
+// This file holds what is shown of reservations; the fields' JSON names are the wire.
+
+import (
+	"maps"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/reservation"
+)
+
+type (
+	// SkipView is a skip with what holds it.
+	SkipView struct {
+		Depot        reservation.Depot  `json:"depot"`
+		Skip         reservation.SkipID `json:"skip"`
+		Kind         reservation.Kind   `json:"kind"`
+		OutOfService bool               `json:"out_of_service,omitempty"`
+		Items        []BookingView      `json:"items"`
+	}
+	// BookingView is an offer or a promise.
+	BookingView struct {
+		Number    reservation.BookingID      `json:"number"`
+		Name      reservation.IdempotencyKey `json:"name"`
+		Stage     reservation.Stage          `json:"state"`
+		Site      reservation.Site           `json:"site,omitempty"`
+		From      string                     `json:"from"`
+		To        string                     `json:"to"`
+		ExpiresAt api.WallTime               `json:"until,omitempty"` // of an offer, in milliseconds since 1970
+	}
+	// ChangeView is what became of a change: the skip and, if it is about one, the offer or
+	// promise.
+	ChangeView struct {
+		Depot reservation.Depot  `json:"depot"`
+		Skip  reservation.SkipID `json:"skip,omitempty"`
+		*BookingView
+	}
+	// SkipsView is a page of a depot's skips. After is what to ask for next, empty at the end.
+	SkipsView struct {
+		Skips []SkipView         `json:"skips"`
+		After reservation.SkipID `json:"after,omitempty"`
+	}
+	// CountsView counts skips by depot and kind, for today, as they were AgeSeconds ago.
+	CountsView struct {
+		Kinds      []reservation.Counts `json:"kinds"`
+		AgeSeconds float64              `json:"about_s_old"`
+	}
+)
+
+func viewBooking(b *reservation.Booking) BookingView {
+	return BookingView{Number: b.ID, Name: b.Key, Stage: b.Stage, Site: b.Site, From: b.From.String(), To: b.To.String(), ExpiresAt: b.ExpiresAt}
+}
+
+// ViewMetrics sums up the replica; nil before there is one.
+func (s *Service) ViewMetrics() *core.ReservationMetrics {
+	if s.replica == nil {
+		return nil
+	}
+	v := &core.ReservationMetrics{Refused: s.replica.Refused, Records: s.replica.Records, Conflicts: s.replica.Conflicts, Kinds: []reservation.Counts{}}
+	byKind := map[reservation.Kind]reservation.Counts{}
+	for i := range s.core.State.Partitions {
+		shard := s.replica.Shard(i)
+		for _, c := range shard.Count(s.today(), s.today()+1) {
+			byKind[c.Kind] = addCounts(byKind[c.Kind], c)
+		}
+		if since := shard.OldestOfferTime(); since != 0 {
+			v.OldestOffer = max(v.OldestOffer, core.RoundToTenth(float64(s.core.WallClock-since)/1000))
+		}
+	}
+	for _, kind := range slices.Sorted(maps.Keys(byKind)) {
+		v.Kinds = append(v.Kinds, byKind[kind])
+	}
+	return v
+}
+
+// addCounts adds the counts of a depot's skips of a kind to those of all depots.
+func addCounts(sum, c reservation.Counts) reservation.Counts {
+	return reservation.Counts{
+		Kind:         c.Kind,
+		Skips:        sum.Skips + c.Skips,
+		Free:         sum.Free + c.Free,
+		Offered:      sum.Offered + c.Offered,
+		Promised:     sum.Promised + c.Promised,
+		OutOfService: sum.OutOfService + c.OutOfService,
+	}
+}
--- a/controller/user.go
+++ b/controller/user.go
@@ -277,7 +277,7 @@
 func (js *JobService) allowSubmission() bool {
 	share := submissionWriteShare
 	if js.c.reservations.RecentlyWrote() {
-		share -= ledgerWriteShare
+		share -= core.LedgerWriteShare
 	}
 	rate := share * js.core.Config.Deployment.State.WriteRPS / float64(max(1, len(js.core.State.Members)))
 	js.submitTokens = min(max(1, rate), js.submitTokens+rate*js.core.Now.Sub(js.submitTokensAt).Seconds())
