--- a/admin/operators.go
+++ b/admin/operators.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"basaltwall/controller"
+	"basaltwall/controller/operations"
 )
 
 type operatorsCmd struct {
@@ -82,7 +83,7 @@
 	if command == "remove <name>" {
 		name = c.Team.Remove.Name
 	}
-	all, err := fetch[[]controller.TeamView](c, "teams")
+	all, err := fetch[[]operations.TeamView](c, "teams")
 	if err != nil {
 		return err
 	}
--- a/controller/backfill.go
+++ b/controller/backfill.go
@@ -96,23 +96,23 @@
 }
 
 // FragmentedCapacity is what is free of our parts' accelerators, and of no use to what is usual.
-func (bf *Backfiller) FragmentedCapacity() (out []FragmentationView) {
+func (bf *Backfiller) FragmentedCapacity() (out []core.FragmentationView) {
 	for _, p := range slices.Sorted(maps.Keys(bf.core.Partitions)) {
 		at := len(out)
 		for _, m := range bf.c.agents.MachinesOf(p) {
 			if !bf.core.HasAccelerators(m.MachineType) || !bf.c.scheduler.IsSchedulable(m, bf.core.Partitions[p]) {
 				continue
 			}
-			i := slices.IndexFunc(out[at:], func(v FragmentationView) bool { return v.Type == m.MachineType && v.Zone == m.Zone })
+			i := slices.IndexFunc(out[at:], func(v core.FragmentationView) bool { return v.Type == m.MachineType && v.Zone == m.Zone })
 			if i < 0 {
 				i = len(out) - at
-				out = append(out, FragmentationView{Partition: p, Type: m.MachineType, Zone: m.Zone})
+				out = append(out, core.FragmentationView{Partition: p, Type: m.MachineType, Zone: m.Zone})
 			}
 			free := bf.c.scheduler.FreeCapacityOn(m, bf.core.Partitions[p])
 			out[at+i].Free += free.GPU.Float()
 			out[at+i].Unusable += fragmentation.Measure(free, bf.TypicalDemands())
 		}
-		slices.SortFunc(out[at:], func(a, b FragmentationView) int {
+		slices.SortFunc(out[at:], func(a, b core.FragmentationView) int {
 			return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
 		})
 	}
--- a/controller/backfill_test.go
+++ b/controller/backfill_test.go
@@ -210,7 +210,7 @@
 		o.MachineType, o.Zone, o.LastHeartbeat, o.Epoch, o.ReportedToken = "g4", zone, n.core.Now, 1, 7
 	}
 	got := n.backfiller.FragmentedCapacity()
-	want := []FragmentationView{{Type: "g4", Zone: "a", Free: 5, Unusable: 1}, {Type: "g4", Zone: "b", Free: 4}}
+	want := []core.FragmentationView{{Type: "g4", Zone: "a", Free: 5, Unusable: 1}, {Type: "g4", Zone: "b", Free: 4}}
 	if !slices.Equal(got, want) {
 		t.Errorf("%+v, not %+v", got, want)
 	}
--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -98,7 +98,7 @@
 	if n.jobs.AnswerCancellations(); retried != 1 || answered != 1 || len(n.jobs.pendingCancellations) != 0 {
 		t.Errorf("%d were told, %d are to come again, %d wait", answered, retried, len(n.jobs.pendingCancellations))
 	}
-	if v := n.reporter.ViewMetrics(); v.PendingCancellations != 0 {
+	if v := n.reporter.View(); v.PendingCancellations != 0 {
 		t.Errorf("%d cancellations wait", v.PendingCancellations)
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -15,6 +15,8 @@
 	"basaltwall/controller/core"
 	"basaltwall/controller/eligibility"
 	"basaltwall/controller/message"
+	"basaltwall/controller/metrics"
+	"basaltwall/controller/operations"
 	"basaltwall/controller/reservations"
 	"basaltwall/priority"
 	"basaltwall/zonehealth"
@@ -44,8 +46,8 @@
 	tenancy      *TenantService
 	pools        *PoolManager
 	reservations *reservations.Service
-	admin        *AdminService
-	reporter     *MetricsReporter
+	admin        *operations.Service
+	reporter     *metrics.Reporter
 }
 
 type readWaiter struct {
@@ -99,9 +101,15 @@
 	n.tenancy = &TenantService{core: shared, c: n}
 	n.pools = &PoolManager{core: shared, c: n}
 	n.reservations = reservations.New(shared)
-	n.admin = &AdminService{core: shared, c: n}
-	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.admin = operations.New(shared)
+	n.reporter = metrics.New(shared)
 	n.reservations.Connect(reservations.Siblings{Jobs: n.jobs, Gossip: n.gossiper, Log: n.follower})
+	n.admin.Connect(operations.Siblings{
+		Tenants: n.tenancy, Pools: n.pools, Reservations: n.reservations, Metrics: n.reporter, Jobs: n.jobs, Agents: n.agents, Eligibility: n.eligibility,
+	})
+	n.reporter.Connect(metrics.Siblings{
+		Log: n.follower, Agents: n.agents, Health: n.health, Jobs: n.jobs, Reservations: n.reservations, Backfill: n.backfiller, Pools: n.pools,
+	})
 	n.eligibility.Connect(eligibility.Siblings{Agents: n.agents, Health: n.health})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -14,6 +14,8 @@
 	"basaltwall/clusterstate"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
+	"basaltwall/controller/metrics"
+	"basaltwall/controller/operations"
 	"basaltwall/controller/reservations"
 	"basaltwall/internal/golden"
 	"basaltwall/pool"
@@ -112,13 +114,13 @@
 // What operators and tenants are shown, as earlier versions wrote it.
 func TestGoldenViews(t *testing.T) {
 	f, networks := golden.Open(t), goldenNetworks(t)
-	golden.JSON(f, "members", golden.Filled[[]MemberView](t))
-	golden.JSON(f, "parts", golden.Filled[[]PartitionView](t))
-	golden.JSON(f, "machines", golden.Filled[[]MachineView](t))
-	golden.JSON(f, "teams", golden.Filled[[]TeamView](t))
+	golden.JSON(f, "members", golden.Filled[[]operations.MemberView](t))
+	golden.JSON(f, "parts", golden.Filled[[]operations.PartitionView](t))
+	golden.JSON(f, "machines", golden.Filled[[]operations.MachineView](t))
+	golden.JSON(f, "teams", golden.Filled[[]operations.TeamView](t))
 	golden.JSON(f, "jobs", golden.Filled[JobsView](t))
-	golden.JSON(f, "settings", golden.Filled[VersionedSettings](t))
-	golden.JSON(f, "metrics", golden.Filled[MetricsView](t))
+	golden.JSON(f, "settings", golden.Filled[operations.VersionedSettings](t))
+	golden.JSON(f, "metrics", golden.Filled[metrics.View](t))
 	golden.JSON(f, "skips", golden.Filled[reservations.SkipsView](t))
 	golden.JSON(f, "depots", golden.Filled[reservations.CountsView](t))
 	golden.JSON(f, "skip answer", golden.Filled[reservations.ChangeView](t))
@@ -136,10 +138,10 @@
 	golden.JSON(f, "history", golden.Filled[HistoryView](t))
 	golden.JSON(f, "audit", golden.Filled[AuditView](t))
 	// Without what may be left out.
-	golden.JSON(f, "empty machine", MachineView{})
-	golden.JSON(f, "empty team", TeamView{})
+	golden.JSON(f, "empty machine", operations.MachineView{})
+	golden.JSON(f, "empty team", operations.TeamView{})
 	golden.JSON(f, "empty job", JobView{})
-	golden.JSON(f, "empty metrics", MetricsView{Fragmentation: []FragmentationView{{}}, Zones: map[api.Zone]ZoneView{"a": {}}})
+	golden.JSON(f, "empty metrics", metrics.View{Fragmentation: []core.FragmentationView{{}}, Zones: map[api.Zone]metrics.ZoneView{"a": {}}})
 	golden.JSON(f, "empty key", KeyView{})
 	golden.JSON(f, "empty skip", reservations.SkipView{Items: []reservations.BookingView{{}}})
 	golden.JSON(f, "empty skip answer", reservations.ChangeView{})
@@ -161,7 +163,7 @@
 // What operators send, as earlier versions read it.
 func TestGoldenAsks(t *testing.T) {
 	f, networks := golden.Open(t), goldenNetworks(t)
-	asksOf[VersionedSettings](t, f, "settings")
+	asksOf[operations.VersionedSettings](t, f, "settings")
 	asksOf[tenantRequest](t, f, "tenant", networks)
 	asksOf[operatorsRequest](t, f, "operators", networks)
 	asksOf[teamRequest](t, f, "team")
@@ -347,7 +349,7 @@
 		{What: "pools"}, {What: "pool", ID: "routing"}, {What: "pool-put", ID: "pay", Body: []byte(`{"revision":0,"size":3,"largest":4,"unit":"seats","teams":["red"],"tenants":["kipper"],"reclaim":true,"guaranteed":{"red":1}}`)},
 		{What: "pool-remove", ID: "routing", Body: []byte(`{"revision":9}`)}, {What: "audit", Limit: 5}, {What: "drain", ID: "i-000000"}, {What: "teams"}} {
 		ask.Random, ask.KeyID, ask.Caller = &random, "00aa", message.Caller{From: netip.MustParseAddr("198.51.100.1")}
-		f.Text(strings.TrimSpace(fmt.Sprint(ask.What, " ", ask.ID, ask.Sub, string(ask.Body))), goldenTalk(t, n, func() { n.admin.handleHostedAdmin(ask) }, kept))
+		f.Text(strings.TrimSpace(fmt.Sprint(ask.What, " ", ask.ID, ask.Sub, string(ask.Body))), goldenTalk(t, n, func() { n.admin.HandleAuthorized(ask) }, kept))
 	}
 	caller := message.Caller{Auth: "Bearer " + secret.String(), From: netip.MustParseAddr("192.0.2.7")}
 	f.Text("own jobs", goldenTalk(t, n, func() { n.dispatch(message.TenantQuery{What: "jobs", Limit: 5, Caller: caller}) }, kept))
--- /dev/null
+++ b/controller/metrics/reporter.go
@@ -0,0 +1,240 @@
+package metrics
+
+// This file composes the view.
+
+import (
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/zonehealth"
+)
+
+// Reporter composes the metrics.
+type Reporter struct {
+	core     *core.Core
+	siblings Siblings
+}
+
+// Siblings are the other components that this one asks.
+type Siblings struct {
+	Log          Log
+	Agents       Agents
+	Health       Health
+	Jobs         Jobs
+	Reservations Reservations
+	Backfill     Backfill
+	Pools        Pools
+}
+
+// Log is what the reporter needs of the follower of the state service's log.
+type Log interface {
+	// IsRelay reports whether this controller reads the log for others.
+	IsRelay() bool
+}
+
+// Agents is what the reporter needs of the agent manager.
+type Agents interface {
+	MachinesOf(api.PartitionID) []*core.Machine
+}
+
+// Health is what the reporter needs of the zones' health.
+type Health interface {
+	ZoneState(api.Zone) zonehealth.State
+	Observation(api.Zone) zonehealth.Assessment
+	ZoneSilenceSeconds(api.Zone) float64
+	PartitionsInside(api.Zone) []api.PartitionID
+	ExpiredLeaseTasks(api.Zone) int
+}
+
+// Jobs is what the reporter needs of the jobs' service.
+type Jobs interface {
+	// LongPendingJobs counts jobs that have waited for long, by reason.
+	LongPendingJobs() map[string]int
+}
+
+// Reservations is what the reporter needs of the reservations' service.
+type Reservations interface {
+	// ViewMetrics is nil before somebody asked for a reservation.
+	ViewMetrics() *core.ReservationMetrics
+}
+
+// Backfill is what the reporter needs of the backfiller.
+type Backfill interface {
+	FragmentedCapacity() []core.FragmentationView
+}
+
+// Pools is what the reporter needs of the pools of a hosted service.
+type Pools interface {
+	Count() int
+	Names() []api.PoolName // in order
+	Size(api.PoolName) int
+	PoolHeldTotal(api.PoolName) int
+	PoolBacklog(api.PoolName) (units int, oldestSeconds float64)
+	ShareMoves() uint64
+}
+
+// New returns a reporter; Connect is to be called before it is asked.
+func New(k *core.Core) *Reporter { return &Reporter{core: k} }
+
+// Connect names the components that the reporter asks.
+func (r *Reporter) Connect(s Siblings) { r.siblings = s }
+
+// MaxPools bounds the pools that the metrics name.
+const MaxPools = 200
+
+// HandleRequest answers a message.AdminMetrics.
+func (r *Reporter) HandleRequest(c message.AdminRequest) {
+	r.core.Reply(c.Req, 200, r.View(), 0)
+}
+
+// View composes the metrics as they are now.
+func (r *Reporter) View() View {
+	v := r.viewCounters()
+	v.UpSeconds = r.core.Now.Sub(r.core.StartedAt).Seconds()
+	v.IsRelay = r.siblings.Log.IsRelay()
+	v.Jobs, v.PendingCalls = len(r.core.State.Jobs), len(r.core.PendingCalls)
+	v.LongPendingJobs = r.siblings.Jobs.LongPendingJobs()
+	r.addUsage(&v)
+	r.addPendingWork(&v)
+	v.MachinesNotResumed = r.machinesNotResumed()
+	v.Zones = r.viewZones()
+	v.Reservations = r.siblings.Reservations.ViewMetrics()
+	v.Fragmentation = r.siblings.Backfill.FragmentedCapacity()
+	r.addPools(&v)
+	v.Latencies = r.viewLatencies()
+	return v
+}
+
+// viewCounters is what the core counts, beside the limits that some of it must keep to.
+func (r *Reporter) viewCounters() View {
+	m, limits := &r.core.Metrics, &r.core.Config.Deployment
+	return View{
+		Rounds:                 m.Rounds,
+		Starts:                 m.Starts,
+		Ends:                   m.Ends,
+		Completions:            m.Completions,
+		Takeovers:              m.Takeovers,
+		PreemptedTasks:         m.PreemptedTasks,
+		MachinesReserved:       m.MachinesReserved,
+		ReplicasMoved:          m.ReplicasMoved,
+		PollsDeferred:          m.PollsDeferred,
+		TaskMoves:              m.TaskMoves,
+		MachinesLoaned:         m.MachinesLoaned,
+		MachinesTransferred:    m.MachinesTransferred,
+		StoreRequests:          m.StoreRequests,
+		StoreWrites:            m.StoreWrites,
+		StoreFailures:          m.StoreFailures,
+		StoreRPSLimit:          limits.State.RPS,
+		StoreWriteRPSLimit:     limits.State.WriteRPS,
+		ReadsRelayed:           m.ReadsRelayed,
+		ReadsServed:            m.ReadsServed,
+		ReadFallbacks:          m.ReadFallbacks,
+		ReadsInvalid:           m.ReadsInvalid,
+		CloudRequests:          m.CloudRequests,
+		CloudRPSLimit:          limits.Cloud.RPS,
+		WorkerCalls:            m.WorkerCalls,
+		WorkerHeartbeats:       m.WorkerHeartbeats,
+		FlowTasks:              m.FlowTasks,
+		FlowMachines:           m.FlowMachines,
+		RequestsWithoutRead:    m.RequestsWithoutRead,
+		IndeterminateWrites:    m.IndeterminateWrites,
+		IndeterminateWritten:   m.IndeterminateWritten,
+		IndeterminateUnwritten: m.IndeterminateUnwritten,
+		MalformedMessages:      m.MalformedMessages,
+		OptionalWorkShed:       m.OptionalWorkShed,
+	}
+}
+
+// addUsage adds the time that work took and the commands that wait.
+func (r *Reporter) addUsage(v *View) {
+	usage := &r.core.Metrics.Usage
+	v.ProcessSeconds, v.QueueLength = usage.ProcessTime.Seconds(), usage.QueueLength
+	v.WorkSeconds = map[string]float64{}
+	for kind, d := range usage.WorkTime {
+		v.WorkSeconds[message.WorkKind(kind).MetricName()] = d.Seconds()
+	}
+}
+
+// addPendingWork counts the tasks and the cancellations of all partitions that wait.
+func (r *Reporter) addPendingWork(v *View) {
+	for _, j := range r.core.State.PendingJobs {
+		for p := range r.core.State.Partitions {
+			v.PendingTasks += j.PendingTasks(api.PartitionID(p))
+		}
+	}
+	for _, j := range r.core.State.CancellingJobs {
+		if !j.CancellationConfirmed() {
+			v.PendingCancellations++
+			v.OldestPendingCancellationSeconds = max(v.OldestPendingCancellationSeconds, float64(r.core.WallClock-j.CancelledAt)/1000)
+		}
+	}
+}
+
+// machinesNotResumed counts the machines of owned partitions whose agents do not know the partition's term yet.
+func (r *Reporter) machinesNotResumed() int {
+	count := 0
+	for p, owned := range r.core.Partitions {
+		for _, m := range r.siblings.Agents.MachinesOf(p) {
+			if m.LastHeartbeat != 0 && m.ReportedToken < r.core.MinToken(owned, m.ID) {
+				count++
+			}
+		}
+	}
+	return count
+}
+
+// viewZones shows the zones that are not healthy; nil if all are.
+func (r *Reporter) viewZones() map[api.Zone]ZoneView {
+	var zones map[api.Zone]ZoneView
+	health := r.siblings.Health
+	for _, name := range r.core.Config.Deployment.Zones {
+		state := health.ZoneState(name)
+		if state == zonehealth.Healthy {
+			continue
+		}
+		if zones == nil {
+			zones = map[api.Zone]ZoneView{}
+		}
+		observed := health.Observation(name)
+		zones[name] = ZoneView{
+			State:            string(state),
+			SilentSeconds:    health.ZoneSilenceSeconds(name),
+			Machines:         observed.All,
+			SilentMachines:   observed.Silent,
+			PartitionsInside: health.PartitionsInside(name),
+			PendingTasks:     health.ExpiredLeaseTasks(name),
+		}
+	}
+	return zones
+}
+
+// addPools adds the first MaxPools pools by name, if there are any.
+func (r *Reporter) addPools(v *View) {
+	pools := r.siblings.Pools
+	if pools.Count() == 0 {
+		return
+	}
+	v.Pools, v.PoolShareMoves = map[api.PoolName]PoolView{}, pools.ShareMoves()
+	names := pools.Names()
+	for _, name := range names[:min(MaxPools, len(names))] {
+		p := PoolView{Size: pools.Size(name), Held: pools.PoolHeldTotal(name)}
+		p.PendingUnits, p.OldestWaitSeconds = pools.PoolBacklog(name)
+		v.Pools[name] = p
+	}
+}
+
+// viewLatencies sums up how long things took.
+func (r *Reporter) viewLatencies() map[string]core.LatencySummary {
+	summaries := map[string]core.LatencySummary{}
+	for what, h := range r.core.Metrics.Latencies {
+		milliseconds := func(quantile float64) float64 { return float64(h.ValueAtQuantile(quantile)) / 1000 }
+		summaries[what] = core.LatencySummary{
+			Count: h.TotalCount(),
+			P50:   milliseconds(50),
+			P95:   milliseconds(95),
+			P99:   milliseconds(99),
+			Max:   float64(h.Max()) / 1000,
+		}
+	}
+	return summaries
+}
--- a/controller/metrics_test.go
+++ b/controller/metrics_test.go
@@ -37,7 +37,7 @@
 			send(message.StoreResponse{Status: 409, Txn: api.TxnResponse{Failed: []string{"b/job/run-1"}}})
 			answerRead(t, n)
 		}
-		v := n.reporter.ViewMetrics()
+		v := n.reporter.View()
 		if v.IndeterminateWrites != 1 || (v.IndeterminateWritten == 1) != written || (v.IndeterminateUnwritten == 1) == written {
 			t.Errorf("written %v: %d unanswered, %d found written, %d found not to be", written, v.IndeterminateWrites, v.IndeterminateWritten, v.IndeterminateUnwritten)
 		}
@@ -60,12 +60,12 @@
 		n.core.State.Members["n"] = clusterstate.MemberValue{}
 		n.core.WallClock = 100_000
 		j.AcceptedAt = 50_000
-		if got := n.reporter.longPendingJobs(); len(got) != 0 {
+		if got := n.jobs.LongPendingJobs(); len(got) != 0 {
 			t.Errorf("%s: after 50 s %v are counted", reason, got)
 		}
 		j.AcceptedAt = 30_000
 		change(n, m, j)
-		if got := n.reporter.longPendingJobs(); len(got) != 1 || got[reason] != 1 {
+		if got := n.jobs.LongPendingJobs(); len(got) != 1 || got[reason] != 1 {
 			t.Errorf("%s: %v are counted", reason, got)
 		}
 	}
--- /dev/null
+++ b/controller/operations/settings.go
@@ -0,0 +1,111 @@
+package operations
+
+// This file reads and changes the settings.
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+)
+
+// VersionedSettings are settings with the revision that a change must name.
+type VersionedSettings struct {
+	core.Settings
+	Revision api.Revision `json:"revision"`
+}
+
+// Bounds of the settings.
+const (
+	maxIdleTimeoutSeconds = 86400
+	maxDrained            = 200
+	maxMachineIDBytes     = 30
+)
+
+// ParseSettings reads settings for a change; the error names the field.
+func ParseSettings(body []byte) (VersionedSettings, error) {
+	var s VersionedSettings
+	d := json.NewDecoder(strings.NewReader(string(body)))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&s); err != nil {
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return s, fmt.Errorf("%s: wrong type", typeErr.Field)
+		}
+		return s, err
+	}
+	return s, validate(&s.Settings)
+}
+
+// validate refuses settings that are out of their bounds; the error names the field.
+func validate(s *core.Settings) error {
+	if s.IdleTimeout < 0 || s.IdleTimeout > maxIdleTimeoutSeconds {
+		return fmt.Errorf("idle_hold_s: must be between 0 and %d", maxIdleTimeoutSeconds)
+	}
+	if len(s.Drained) > maxDrained {
+		return fmt.Errorf("drained: more than %d machines", maxDrained)
+	}
+	if err := s.Priority.Validate(); err != nil {
+		return err
+	}
+	for _, id := range s.Drained {
+		if id == "" || len(id) > maxMachineIDBytes {
+			return errors.New("drained: not a machine's name")
+		}
+	}
+	return nil
+}
+
+// currentSettings are the settings as the log has them.
+func (s *Service) currentSettings() VersionedSettings {
+	return VersionedSettings{Settings: s.core.Settings, Revision: s.core.State.Version(core.SettingsKey)}
+}
+
+// replaceSettings writes the settings that a request brings.
+func (s *Service) replaceSettings(c message.AdminRequest) {
+	settings, err := ParseSettings(c.Body)
+	if err != nil {
+		s.core.ReplyError(c.Req, 400, err.Error())
+		return
+	}
+	s.writeSettings(c, settings)
+}
+
+// changeDrained writes the settings with a machine more or less drained.
+func (s *Service) changeDrained(c message.AdminRequest) {
+	settings := s.currentSettings()
+	id := api.MachineID(c.ID)
+	settings.Drained = slices.DeleteFunc(slices.Clone(settings.Drained), func(x api.MachineID) bool { return x == id })
+	if c.What == message.AdminDrain {
+		settings.Drained = append(settings.Drained, id)
+	}
+	s.writeSettings(c, settings)
+}
+
+// writeSettings writes settings, which must name the revision that they replace.
+func (s *Service) writeSettings(c message.AdminRequest, settings VersionedSettings) {
+	v, err := json.Marshal(settings.Settings)
+	if err != nil || s.core.ExceedsValueSize(v) {
+		s.core.ReplyError(c.Req, 400, "drained, precedence: more than a record holds")
+		return
+	}
+	tx := api.Txn{
+		If:     []api.Condition{{Key: core.SettingsKey, Version: settings.Revision}},
+		Writes: []api.Write{{Put: core.SettingsKey, Value: v}},
+	}
+	tenants := s.siblings.Tenants
+	if tenants.Enabled() {
+		tx.Writes = append(tx.Writes, tenants.AuditWrite(c, "settings", s.core.Settings.AuditView(), settings.AuditView()))
+	}
+	s.core.CallStoreTxn(tx, func(a message.StoreResponse) {
+		tenants.ReplyChange(c.Req, a.Status, a.Txn.Revision, "the settings have", func(revision api.Revision) any {
+			settings.Revision = revision
+			return settings
+		})
+	})
+}
--- /dev/null
+++ b/controller/operations/views.go
@@ -0,0 +1,162 @@
+package operations
+
+// This file shows controllers, partitions, machines and teams; the fields' JSON names are the wire.
+
+import (
+	"maps"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/config"
+	"basaltwall/controller/core"
+)
+
+// What an operator is shown.
+type (
+	// MemberView is a controller.
+	MemberView struct {
+		Label      api.ControllerID  `json:"label"`
+		Live       bool              `json:"live"`
+		Partitions []api.PartitionID `json:"parts"` // that it owns
+		Self       bool              `json:"self"`
+	}
+	// PartitionView is a partition of the machines.
+	PartitionView struct {
+		Partition    api.PartitionID  `json:"part"`
+		Owner        api.ControllerID `json:"owner"`
+		Term         api.Revision     `json:"term"`
+		Rounds       uint64           `json:"rounds"`
+		Tasks        int              `json:"tasks"`
+		PendingTasks int              `json:"waiting"`
+	}
+	// MachineView is a machine of a partition that this controller owns.
+	MachineView struct {
+		ID                  api.MachineID            `json:"machine"`
+		Partition           api.PartitionID          `json:"part"`
+		Type                api.MachineTypeName      `json:"type"`
+		Zone                api.Zone                 `json:"zone"`
+		Spot                bool                     `json:"spot"`
+		Tasks               []string                 `json:"tasks"`
+		UnschedulableReason core.UnschedulableReason `json:"avoided,omitempty"`
+	}
+	// TeamView is a team.
+	TeamView struct {
+		Team           api.Team `json:"team"`
+		UsedCPUs       float64  `json:"cpus_used"`
+		UsedGPUs       float64  `json:"gpus_used"`
+		GuaranteedCPUs float64  `json:"cpus_guaranteed"`
+		GuaranteedGPUs float64  `json:"gpus_guaranteed"`
+		MaxCPUs        float64  `json:"cpus_max"`
+		MaxGPUs        float64  `json:"gpus_max"`
+		// Of a team that operators of a hosted service made; and whose it is.
+		OperatorDefined bool         `json:"made,omitempty"`
+		Tenant          string       `json:"tenant,omitempty"`
+		Revision        api.Revision `json:"revision,omitempty"`
+		// By partition, of a team with a limit.
+		Shares []QuotaShareView `json:"shares,omitempty"`
+	}
+	// QuotaShareView is a partition's share of a team's limit.
+	QuotaShareView struct {
+		Part api.PartitionID `json:"part"`
+		CPUs float64         `json:"cpus"`
+		GPUs float64         `json:"gpus"`
+	}
+)
+
+func (s *Service) viewMembers() []MemberView {
+	views := []MemberView{}
+	for _, id := range s.core.Controllers {
+		v := MemberView{Label: id, Live: s.core.IsLive(id), Partitions: []api.PartitionID{}, Self: id == s.core.Config.Label}
+		for i, p := range s.core.State.Partitions {
+			if p.Owner == id {
+				v.Partitions = append(v.Partitions, api.PartitionID(i))
+			}
+		}
+		views = append(views, v)
+	}
+	return views
+}
+
+func (s *Service) viewPartitions() []PartitionView {
+	views := []PartitionView{}
+	for i, p := range s.core.State.Partitions {
+		v := PartitionView{Partition: api.PartitionID(i), Owner: p.Owner, Term: p.Term, Rounds: p.RoundSeq, Tasks: len(s.core.State.PlacementsByPartition[i])}
+		for _, j := range s.core.State.Jobs {
+			if !j.Terminal() {
+				v.PendingTasks += j.PendingTasks(v.Partition)
+			}
+		}
+		views = append(views, v)
+	}
+	return views
+}
+
+func (s *Service) viewMachines() []MachineView {
+	views := []MachineView{}
+	for _, p := range slices.Sorted(maps.Keys(s.core.Partitions)) {
+		for _, m := range s.siblings.Agents.MachinesOf(p) {
+			views = append(views, s.viewMachine(m, s.core.Partitions[p]))
+		}
+	}
+	return views
+}
+
+func (s *Service) viewMachine(m *core.Machine, owned *core.OwnedPartition) MachineView {
+	v := MachineView{
+		ID:                  m.ID,
+		Partition:           owned.ID,
+		Type:                m.MachineType,
+		Zone:                m.Zone,
+		Spot:                m.Spot,
+		Tasks:               []string{},
+		UnschedulableReason: s.siblings.Eligibility.UnschedulableReason(m, owned),
+	}
+	for _, placement := range s.core.State.PlacementsOn(m.ID) {
+		v.Tasks = append(v.Tasks, placement.Task.String())
+	}
+	return v
+}
+
+func (s *Service) viewTeams() []TeamView {
+	views := []TeamView{}
+	usage, owners := s.core.TeamUsage(), s.siblings.Tenants.TeamOwners()
+	for _, name := range slices.Sorted(maps.Keys(s.core.Teams)) {
+		team := s.core.Teams[name]
+		v := TeamView{
+			Team:           name,
+			UsedCPUs:       usage[name].CPU.Float(),
+			UsedGPUs:       usage[name].GPU.Float(),
+			GuaranteedCPUs: team.CPUs,
+			GuaranteedGPUs: team.GPUs,
+			MaxCPUs:        team.CPUsMax,
+			MaxGPUs:        team.GPUsMax,
+		}
+		if s.siblings.Tenants.Enabled() {
+			record, ok := s.siblings.Tenants.TeamRecord(name)
+			v.OperatorDefined, v.Revision, v.Tenant = ok, record.Revision, string(owners[name])
+		}
+		v.Shares = s.viewShares(name, team)
+		views = append(views, v)
+	}
+	return views
+}
+
+// viewShares shows the partitions' shares of a team's limit; nil if it has none.
+func (s *Service) viewShares(name api.Team, team config.Team) []QuotaShareView {
+	if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
+		return nil
+	}
+	shares := make([]QuotaShareView, len(s.core.State.Partitions))
+	for i := range shares {
+		p := api.PartitionID(i)
+		share := s.core.State.QuotaShare(p, name, core.QuotaLimit(team))
+		shares[i].Part = p
+		if team.CPUsMax > 0 {
+			shares[i].CPUs = share.CPU.Float()
+		}
+		if team.GPUsMax > 0 {
+			shares[i].GPUs = share.GPU.Float()
+		}
+	}
+	return shares
+}
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -48,11 +48,7 @@
 		Role tenant.Role `json:"role"`
 	}
 	// TeamRecordView is a team that operators made, as it is shown.
-	TeamRecordView struct {
-		tenant.Team
-		Tenant   tenant.Name  `json:"tenant,omitempty"` // whose it is
-		Revision api.Revision `json:"revision"`
-	}
+	TeamRecordView = core.TeamRecord
 	// operatorsRequest is what an act on the operators' record may bring.
 	operatorsRequest struct {
 		Revision *api.Revision   `json:"revision"`
@@ -347,7 +343,7 @@
 		return err
 	}
 	if known && updated == old.Team {
-		ts.core.Reply(c.Req, 200, TeamRecordView{updated, ts.TeamOwners()[name], old.Revision}, 0) // asked again, perhaps
+		ts.core.Reply(c.Req, 200, TeamRecordView{Team: updated, Tenant: ts.TeamOwners()[name], Revision: old.Revision}, 0) // asked again, perhaps
 		return nil
 	}
 	if err := checkRevision(request.Revision, old.Revision, "the team"); err != nil {
@@ -367,7 +363,7 @@
 		tx.If = append(tx.If, api.Condition{Key: keyTeamOf + c.ID})
 	}
 	ts.CommitChange(c, tx, "the team, or what is set aside for teams,", func(revision api.Revision) any {
-		return TeamRecordView{updated, ts.TeamOwners()[name], revision}
+		return TeamRecordView{Team: updated, Tenant: ts.TeamOwners()[name], Revision: revision}
 	})
 	return nil
 }
@@ -394,11 +390,3 @@
 	y, errY := json.Marshal(b)
 	return errX == nil && errY == nil && string(x) == string(y)
 }
-
-// settingsAuditView is the settings as the audit shows them: a long list of machines, counted.
-func settingsAuditView(s core.Settings) any {
-	if len(s.Drained) <= 20 {
-		return s
-	}
-	return map[string]any{"drained": len(s.Drained), "idle_hold_s": s.IdleTimeout, "no_rent": s.DisableScaleOut}
-}
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -10,6 +10,7 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/controller/core"
+	"basaltwall/controller/metrics"
 	"basaltwall/pool"
 	"basaltwall/tenant"
 )
@@ -179,13 +180,13 @@
 	n, owned, _ := pooledOwner(t, 3)
 	round := n.scheduler.planRound(owned)
 	n.core.State.ApplyRecord(0, &round.Record)
-	if got := n.reporter.ViewMetrics().Pools["routing"]; got.Size != 3 || got.Held != len(round.Starts) || got.Held == 0 || got.PendingUnits != 4-got.Held {
+	if got := n.reporter.View().Pools["routing"]; got.Size != 3 || got.Held != len(round.Starts) || got.Held == 0 || got.PendingUnits != 4-got.Held {
 		t.Errorf("%+v after %d starts of 4 tasks", got, len(round.Starts))
 	}
 	for i := range 300 {
 		putPool(t, n, api.PoolName(fmt.Sprintf("pool-%d", i)), 0)
 	}
-	if got := len(n.reporter.ViewMetrics().Pools); got != maxPoolMetrics {
+	if got := len(n.reporter.View().Pools); got != metrics.MaxPools {
 		t.Errorf("%d pools in the metrics", got)
 	}
 }
--- a/controller/relays.go
+++ b/controller/relays.go
@@ -134,6 +134,11 @@
 	return slices.ContainsFunc(relays, func(m relay.Member) bool { return m.ID == l })
 }
 
+// IsRelay reports whether relays are in use and this controller is one.
+func (lf *LogFollower) IsRelay() bool {
+	return lf.UsesRelays() && isRelay(lf.CurrentRelays(), lf.core.Config.Label)
+}
+
 // NextRelay is the relay to read through, none if we are to read for ourselves.
 func (lf *LogFollower) NextRelay() api.ControllerID {
 	if !lf.readsThroughRelay() {
