--- a/controller/message/peer.go
+++ b/controller/message/peer.go
@@ -33,13 +33,19 @@
 
 // Forward passes on a request that another controller can answer better.
 type Forward struct {
-	Kind string // submit, poll, cancel, checkin (a worker's heartbeat), ForwardSkips or a hosted service's
+	Kind string // one of the Forward constants, or a hosted service's
 	Ref  string
 	Body []byte
 }
 
-// ForwardSkips is the kind of a Forward that holds an AdminRequest about reservations, as JSON.
-const ForwardSkips = "skips"
+// Kinds of a Forward, by what its fields hold.
+const (
+	ForwardSubmit    = "submit"  // Body: a job's specification
+	ForwardPoll      = "poll"    // Ref: the job's reference
+	ForwardCancel    = "cancel"  // Ref: the job's reference
+	ForwardHeartbeat = "checkin" // Body: a worker's heartbeat, as it came
+	ForwardSkips     = "skips"   // Body: an AdminRequest about reservations, as JSON
+)
 
 // Gossip is what a controller tells the others of itself. It is advice only:
 // nothing that safety needs rests on it.
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -83,13 +83,13 @@
 		return message.ReadLog{Req: req, Request: m.ReadLog}
 	case m.Forward != nil:
 		switch f := m.Forward; f.Kind {
-		case "submit":
+		case message.ForwardSubmit:
 			return message.Submit{Req: req, Body: f.Body, Forwarded: true}
-		case "poll":
+		case message.ForwardPoll:
 			return message.Poll{Req: req, Ref: f.Ref, Forwarded: true}
-		case "cancel":
+		case message.ForwardCancel:
 			return message.Cancel{Req: req, Ref: f.Ref, Forwarded: true}
-		case "checkin":
+		case message.ForwardHeartbeat:
 			return parseHeartbeat(f.Body)
 		case message.ForwardSkips:
 			var ask message.AdminRequest
