--- a/admin/operators.go
+++ b/admin/operators.go
@@ -5,7 +5,7 @@
 	"net/url"
 	"time"
 
-	"basaltwall/controller"
+	"basaltwall/controller/operations"
 	"basaltwall/controller/tenancy"
 )
 
@@ -83,7 +83,7 @@
 	if command == "remove <name>" {
 		name = c.Team.Remove.Name
 	}
-	all, err := fetch[[]controller.TeamView](c, "teams")
+	all, err := fetch[[]operations.TeamView](c, "teams")
 	if err != nil {
 		return err
 	}
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"basaltwall/controller"
 	"basaltwall/controller/message"
+	"basaltwall/controller/reservations"
 	"basaltwall/httpx"
 	"basaltwall/reservation"
 )
@@ -30,7 +30,7 @@
 			return nil, 400
 		}
 	case len(parts) == 3 && parts[1] != "" && slices.Contains([]string{"offer", "promise", "release", "deliver", "return", "out", "in", "import"}, parts[2]):
-		ask.What, ask.Sub, method = "skips-do", parts[2], "POST"
+		ask.What, ask.Sub, method = message.AdminChangeReservation, parts[2], "POST"
 	default:
 		return nil, 404
 	}
@@ -203,14 +203,14 @@
 	return nil
 }
 
-func skipCountsTable(w io.Writer, v controller.SkipCountsView) {
+func skipCountsTable(w io.Writer, v reservations.CountsView) {
 	writeRow(w, "DEPOT", "KIND", "SKIPS", "FREE TODAY, ABOUT", "OFFERED", "PROMISED", "OUT")
 	for _, k := range v.Kinds {
 		writeRow(w, k.Depot, k.Kind, k.Skips, k.Free, k.Offered, k.Promised, k.OutOfService)
 	}
 }
 
-func skipsTable(w io.Writer, v controller.SkipsView) {
+func skipsTable(w io.Writer, v reservations.SkipsView) {
 	writeRow(w, "SKIP", "KIND", "STATE", "NUMBER", "FROM", "TO", "SITE")
 	for _, s := range v.Skips {
 		if s.OutOfService {
--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -99,7 +99,7 @@
 	if n.jobs.AnswerCancellations(); retried != 1 || answered != 1 || n.jobs.PendingCancellations() != 0 {
 		t.Errorf("%d were answered, %d are to retry, %d wait", answered, retried, n.jobs.PendingCancellations())
 	}
-	if v := n.reporter.ViewMetrics(); v.PendingCancellations != 0 {
+	if v := n.reporter.View(); v.PendingCancellations != 0 {
 		t.Errorf("%d cancellations wait", v.PendingCancellations)
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -16,14 +16,18 @@
 	"basaltwall/controller/autoscale"
 	"basaltwall/controller/capacity"
 	"basaltwall/controller/core"
+	"basaltwall/controller/eligibility"
 	"basaltwall/controller/gossip"
 	"basaltwall/controller/health"
 	"basaltwall/controller/jobs"
 	"basaltwall/controller/logfollow"
 	"basaltwall/controller/message"
+	"basaltwall/controller/metrics"
+	"basaltwall/controller/operations"
 	"basaltwall/controller/ownership"
 	"basaltwall/controller/pools"
 	"basaltwall/controller/preemption"
+	"basaltwall/controller/reservations"
 	"basaltwall/controller/rounds"
 	"basaltwall/controller/tenancy"
 	"basaltwall/priority"
@@ -42,6 +46,7 @@
 	gossiper     *gossip.Exchange
 	agents       *agent.Manager
 	health       *health.Monitor
+	eligibility  *eligibility.Checker
 	autoscaler   *autoscale.Manager
 	scheduler    *rounds.Scheduler
 	preemptor    *preemption.Planner
@@ -52,14 +57,9 @@
 	jobs         *jobs.Service
 	tenancy      *tenancy.Service
 	pools        *pools.Manager
-	reservations *ReservationService
-	admin        *AdminService
-	reporter     *MetricsReporter
-}
-
-// readWaiter waits for a read of the reservation ledger.
-type readWaiter struct {
-	onRead, onFailure func()
+	reservations *reservations.Service
+	admin        *operations.Service
+	reporter     *metrics.Reporter
 }
 
 // NewState is an empty book; the kinds of records that stand for themselves are
@@ -82,6 +82,7 @@
 	n.gossiper = gossip.New(shared)
 	n.agents = agent.New(shared)
 	n.health = health.New(shared)
+	n.eligibility = eligibility.New(shared)
 	n.autoscaler = autoscale.New(shared)
 	n.scheduler = rounds.New(shared)
 	n.preemptor = preemption.New(shared)
@@ -92,9 +93,9 @@
 	n.jobs = jobs.New(shared)
 	n.tenancy = tenancy.New(shared)
 	n.pools = pools.New(shared)
-	n.reservations = &ReservationService{core: shared, c: n}
-	n.admin = &AdminService{core: shared, c: n}
-	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.reservations = reservations.New(shared)
+	n.admin = operations.New(shared)
+	n.reporter = metrics.New(shared)
 	n.connect()
 	n.core.State = n.NewState()
 	return n
@@ -108,7 +109,7 @@
 		n.started, n.core.StartedAt = true, now
 	}
 	for _, c := range cmds {
-		n.reporter.StartWork(workKindOf(c))
+		n.startWork(message.WorkKindOf(c))
 		n.dispatch(c)
 	}
 	n.tick()
@@ -117,6 +118,13 @@
 	return out
 }
 
+// startWork tells whoever has a clock which kind of work comes next.
+func (n *Controller) startWork(kind message.WorkKind) {
+	if n.OnWorkStart != nil {
+		n.OnWorkStart(kind)
+	}
+}
+
 // TickInterval is how often Step wants to be called when nothing happens.
 const TickInterval = 50 * time.Millisecond
 
@@ -174,7 +182,7 @@
 		n.core.DeferredCalls = n.core.DeferredCalls[1:]
 		callback()
 	}
-	n.reporter.StartWork(message.WorkMembership)
+	n.startWork(message.WorkMembership)
 	n.membership.MaintainLease()
 	n.jobs.AnswerCancellations()
 	if !n.core.Loaded {
@@ -186,22 +194,22 @@
 	n.jobs.SendResultLookup()
 	n.reservations.SyncLedger()
 	n.membership.ReconcilePartitions()
-	n.reporter.StartWork(message.WorkFleet)
+	n.startWork(message.WorkFleet)
 	n.autoscaler.Reconcile()
 	n.tenancy.ReconcileTenants()
-	n.reporter.StartWork(message.WorkRounds)
+	n.startWork(message.WorkRounds)
 	n.scheduler.ObserveRounds()
 	for _, p := range slices.Sorted(maps.Keys(n.core.Partitions)) {
 		if owned := n.core.Partitions[p]; owned != nil {
 			n.scheduler.RunPartition(owned)
 		}
 	}
-	n.reporter.StartWork(message.WorkMachines)
+	n.startWork(message.WorkMachines)
 	n.health.ReconcileZones()
 	n.priorities.UpdateShortage()
 	n.agents.ReconcileMachines()
 	n.health.EvacuateZones()
 	n.autoscaler.ProcessDeletions()
-	n.reporter.StartWork(message.WorkGossip)
+	n.startWork(message.WorkGossip)
 	n.gossiper.Send()
 }
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -14,7 +14,10 @@
 	"basaltwall/controller/health"
 	"basaltwall/controller/jobs"
 	"basaltwall/controller/message"
+	"basaltwall/controller/metrics"
+	"basaltwall/controller/operations"
 	"basaltwall/controller/pools"
+	"basaltwall/controller/reservations"
 	"basaltwall/controller/tenancy"
 	"basaltwall/internal/golden"
 	"basaltwall/pool"
@@ -114,16 +117,16 @@
 // What operators and tenants are shown, as earlier versions wrote it.
 func TestGoldenViews(t *testing.T) {
 	f, networks := golden.Open(t), goldenNetworks(t)
-	golden.JSON(f, "members", golden.Filled[[]MemberView](t))
-	golden.JSON(f, "parts", golden.Filled[[]PartitionView](t))
-	golden.JSON(f, "machines", golden.Filled[[]MachineView](t))
-	golden.JSON(f, "teams", golden.Filled[[]TeamView](t))
+	golden.JSON(f, "members", golden.Filled[[]operations.MemberView](t))
+	golden.JSON(f, "parts", golden.Filled[[]operations.PartitionView](t))
+	golden.JSON(f, "machines", golden.Filled[[]operations.MachineView](t))
+	golden.JSON(f, "teams", golden.Filled[[]operations.TeamView](t))
 	golden.JSON(f, "jobs", golden.Filled[jobs.Listing](t))
-	golden.JSON(f, "settings", golden.Filled[VersionedSettings](t))
-	golden.JSON(f, "metrics", golden.Filled[MetricsView](t))
-	golden.JSON(f, "skips", golden.Filled[SkipsView](t))
-	golden.JSON(f, "depots", golden.Filled[SkipCountsView](t))
-	golden.JSON(f, "skip answer", golden.Filled[SkipResult](t))
+	golden.JSON(f, "settings", golden.Filled[operations.VersionedSettings](t))
+	golden.JSON(f, "metrics", golden.Filled[metrics.View](t))
+	golden.JSON(f, "skips", golden.Filled[reservations.SkipsView](t))
+	golden.JSON(f, "depots", golden.Filled[reservations.CountsView](t))
+	golden.JSON(f, "skip answer", golden.Filled[reservations.ChangeView](t))
 	tenants := golden.Filled[[]tenancy.TenantView](t, networks)
 	for i := range tenants {
 		tenants[i].Tenant.Keys = nil // it is not shown
@@ -138,13 +141,13 @@
 	golden.JSON(f, "history", golden.Filled[tenancy.HistoryView](t))
 	golden.JSON(f, "audit", golden.Filled[tenancy.AuditView](t))
 	// Without what may be left out.
-	golden.JSON(f, "empty machine", MachineView{})
-	golden.JSON(f, "empty team", TeamView{})
+	golden.JSON(f, "empty machine", operations.MachineView{})
+	golden.JSON(f, "empty team", operations.TeamView{})
 	golden.JSON(f, "empty job", jobs.View{})
-	golden.JSON(f, "empty metrics", MetricsView{Fragmentation: []FragmentationView{{}}, Zones: map[api.Zone]ZoneView{"a": {}}})
+	golden.JSON(f, "empty metrics", metrics.View{Fragmentation: []core.FragmentationView{{}}, Zones: map[api.Zone]metrics.ZoneView{"a": {}}})
 	golden.JSON(f, "empty key", tenancy.KeyView{})
-	golden.JSON(f, "empty skip", SkipView{Items: []SkipItem{{}}})
-	golden.JSON(f, "empty skip answer", SkipResult{})
+	golden.JSON(f, "empty skip", reservations.SkipView{Items: []reservations.BookingView{{}}})
+	golden.JSON(f, "empty skip answer", reservations.ChangeView{})
 	golden.JSON(f, "empty usage", tenancy.UsageView{Submissions: &tenancy.SubmissionCounts{}})
 	golden.JSON(f, "empty holder", pools.HolderView{})
 }
@@ -163,12 +166,12 @@
 // What operators send, as earlier versions read it.
 func TestGoldenAsks(t *testing.T) {
 	f, networks := golden.Open(t), goldenNetworks(t)
-	asksOf[VersionedSettings](t, f, "settings")
+	asksOf[operations.VersionedSettings](t, f, "settings")
 	asksOf[tenancy.TenantRequest](t, f, "tenant", networks)
 	asksOf[tenancy.OperatorsRequest](t, f, "operators", networks)
 	asksOf[tenancy.TeamRequest](t, f, "team")
 	asksOf[pools.ChangeRequest](t, f, "pool")
-	asksOf[skipRequestBody](t, f, "skip")
+	asksOf[reservations.RequestBody](t, f, "skip")
 }
 
 // A question about skips that is passed on to another controller, as earlier versions wrote it;
@@ -265,16 +268,16 @@
 	if err := l.Load([]api.KeyValue{{Key: "s/b/0/257", Value: []byte(`{"u":1,"s":[{"d":"hof-nord","i":"six-1","k":"six"}]}`), Version: 3}}, 5); err != nil {
 		t.Fatal(err)
 	}
-	n.reservations.reservationLedger.replica = l
+	n.reservations.Install(l)
 	f.Text("skips counted", goldenTalk(t, n, func() { n.dispatch(message.AdminRequest{What: "skips"}) }, nil))
 	f.Text("skips listed", goldenTalk(t, n, func() {
 		n.dispatch(message.AdminRequest{What: "skips", ID: "hof-nord", Limit: 5})
-		n.reservations.reservationLedger.pendingLists[0].onRead()
+		n.reservations.PendingReads()[0].OnRead()
 	}, nil))
 	request := &reservation.Request{Type: reservation.OpOffer, Depot: "hof-nord"}
 	for name, r := range map[string]reservation.Result{"skip offered": {Skip: "six-1", Booking: reservation.Booking{ID: 7, Key: "x", Site: "y", From: 20788, To: 20790, ExpiresAt: 8, Stage: reservation.Offered}},
 		"skip done": {Skip: "six-1"}, "skip refused": {Reason: reservation.ReasonNoneFree}, "no skip": {Reason: reservation.ReasonNoSuchSkip}, "skips busy": {Reason: reservation.ReasonBusy}} {
-		f.Text(name, goldenTalk(t, n, func() { n.reservations.replySkips(1, request, r) }, nil))
+		f.Text(name, goldenTalk(t, n, func() { n.reservations.ReplyResult(1, request, r) }, nil))
 	}
 }
 
@@ -309,14 +312,14 @@
 		{What: "pools"}, {What: "pool", ID: "routing"}, {What: "pool-put", ID: "pay", Body: []byte(`{"revision":0,"size":3,"largest":4,"unit":"seats","teams":["red"],"tenants":["kipper"],"reclaim":true,"guaranteed":{"red":1}}`)},
 		{What: "pool-remove", ID: "routing", Body: []byte(`{"revision":9}`)}, {What: "audit", Limit: 5}, {What: "drain", ID: "i-000000"}, {What: "teams"}} {
 		ask.Random, ask.KeyID, ask.Caller = &random, "00aa", message.Caller{From: netip.MustParseAddr("198.51.100.1")}
-		f.Text(strings.TrimSpace(fmt.Sprint(ask.What, " ", ask.ID, ask.Sub, string(ask.Body))), goldenTalk(t, n, func() { n.admin.handleHostedAdmin(ask) }, kept))
+		f.Text(strings.TrimSpace(fmt.Sprint(ask.What, " ", ask.ID, ask.Sub, string(ask.Body))), goldenTalk(t, n, func() { n.admin.HandleAuthorized(ask) }, kept))
 	}
 	caller := message.Caller{Auth: "Bearer " + secret.String(), From: netip.MustParseAddr("192.0.2.7")}
 	f.Text("own jobs", goldenTalk(t, n, func() { n.dispatch(message.TenantQuery{What: "jobs", Limit: 5, Caller: caller}) }, kept))
 	f.Text("own usage", goldenTalk(t, n, func() { n.dispatch(message.TenantQuery{What: "usage", Caller: caller}) }, kept))
 	f.Text("own history", goldenTalk(t, n, func() { n.dispatch(message.ListHistory{Limit: 5, Caller: caller}) }, kept))
 	f.Text("no key", goldenTalk(t, n, func() { n.dispatch(message.ListHistory{Limit: 5}) }, kept))
-	f.Text("other controllers' forward", fmt.Sprint(tenancy.ForwardKind, " ", ForwardSkips))
+	f.Text("other controllers' forward", fmt.Sprint(tenancy.ForwardKind, " ", message.ForwardSkips))
 	write := n.tenancy.HistoryWrite(n.core.State.Jobs["run-1"])
 	f.Text("history", fmt.Sprintf("%s %s", write.Put, write.Value))
 }
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -197,7 +197,7 @@
 	n.follower.RecordRead()
 	asks := func(key tenant.Secret, what string) int {
 		n.core.Effects = nil
-		n.dispatch(message.AdminRequest{Req: 1, What: what, Caller: message.Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
+		n.dispatch(message.AdminRequest{Req: 1, What: message.AdminOperation(what), Caller: message.Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
 		for _, w := range n.follower.TakeWaiters() {
 			w.OnFailure() // the state service does not answer
 		}
--- /dev/null
+++ b/controller/jobs/jobadmin.go
@@ -0,0 +1,34 @@
+// Answers to what operators ask of jobs.
+
+package jobs
+
+import (
+	"fmt"
+
+	"basaltwall/api"
+	"basaltwall/controller/message"
+)
+
+// HandleAdminRequest answers a message.AdminJobs or message.AdminJob.
+func (s *Service) HandleAdminRequest(c message.AdminRequest) {
+	if c.What == message.AdminJob {
+		s.replyJob(c)
+		return
+	}
+	team := api.Team(c.Team)
+	if _, known := s.core.Teams[team]; team != "" && !known {
+		s.core.ReplyError(c.Req, 404, fmt.Sprintf("team: there is no team %q", team))
+		return
+	}
+	s.core.Reply(c.Req, 200, s.ViewJobs(team, c.Limit), 0)
+}
+
+// replyJob shows a job that is not over.
+func (s *Service) replyJob(c message.AdminRequest) {
+	j := s.core.State.Jobs[api.JobID(c.ID)]
+	if j == nil {
+		s.core.ReplyError(c.Req, 404, "no such job, or it is over")
+		return
+	}
+	s.core.Reply(c.Req, 200, s.ViewJob(j, s.siblings.Capacity.FreeCapacityGroups()), 0)
+}
--- a/controller/wiring.go
+++ b/controller/wiring.go
@@ -6,13 +6,17 @@
 	"basaltwall/controller/agent"
 	"basaltwall/controller/autoscale"
 	"basaltwall/controller/capacity"
+	"basaltwall/controller/eligibility"
 	"basaltwall/controller/gossip"
 	"basaltwall/controller/health"
 	"basaltwall/controller/jobs"
 	"basaltwall/controller/logfollow"
+	"basaltwall/controller/metrics"
+	"basaltwall/controller/operations"
 	"basaltwall/controller/ownership"
 	"basaltwall/controller/pools"
 	"basaltwall/controller/preemption"
+	"basaltwall/controller/reservations"
 	"basaltwall/controller/rounds"
 	"basaltwall/controller/tenancy"
 )
@@ -24,7 +28,7 @@
 	n.membership.Connect(ownership.Siblings{Log: n.follower, Scheduler: n.scheduler})
 	n.gossiper.Connect(gossip.Siblings{
 		Log: n.follower, Agents: n.agents, Inventory: n.autoscaler, Autoscaler: n.autoscaler,
-		Scheduler: n.scheduler, Health: n.health, Eligibility: n.admin, Preemptor: n.preemptor,
+		Scheduler: n.scheduler, Health: n.health, Eligibility: n.eligibility, Preemptor: n.preemptor,
 	})
 	n.agents.Connect(agent.Siblings{
 		Autoscaler: n.autoscaler,
@@ -45,6 +49,7 @@
 		Scheduler:  n.scheduler,
 		Tenancy:    n.tenancy,
 	})
+	n.eligibility.Connect(eligibility.Siblings{Agents: n.agents, Health: n.health})
 	n.autoscaler.Connect(autoscale.Siblings{
 		Agents:     n.agents,
 		Backfiller: n.backfiller,
@@ -61,7 +66,7 @@
 	})
 	n.capacity.Connect(capacity.Siblings{Gossip: n.gossiper, Priorities: n.priorities, Tenants: n.tenancy})
 	n.scheduler.Connect(rounds.Siblings{
-		Eligibility: n.admin,
+		Eligibility: n.eligibility,
 		Agents:      n.agents,
 		Autoscaler:  n.autoscaler,
 		Backfiller:  n.backfiller,
@@ -86,4 +91,11 @@
 	})
 	n.tenancy.Connect(tenancy.Siblings{Follower: n.follower, Jobs: n.jobs, Pools: n.pools, Scheduler: n.scheduler})
 	n.pools.Connect(pools.Siblings{Backfiller: n.backfiller, Capacity: n.capacity, Follower: n.follower, Priorities: n.priorities, Scheduler: n.scheduler, Tenancy: n.tenancy})
+	n.reservations.Connect(reservations.Siblings{Jobs: n.jobs, Gossip: n.gossiper, Log: n.follower})
+	n.admin.Connect(operations.Siblings{
+		Tenants: n.tenancy, Pools: n.pools, Reservations: n.reservations, Metrics: n.reporter, Jobs: n.jobs, Agents: n.agents, Eligibility: n.eligibility,
+	})
+	n.reporter.Connect(metrics.Siblings{
+		Log: n.follower, Agents: n.agents, Health: n.health, Jobs: n.jobs, Reservations: n.reservations, Backfill: n.backfiller, Pools: n.pools,
+	})
 }
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -17,7 +17,6 @@
 	"testing"
 	"time"
 
-	"basaltwall/controller"
 	"basaltwall/controller/message"
 	"basaltwall/controller/tenancy"
 	"basaltwall/internal/emulator"
@@ -82,7 +81,7 @@
 		switch f.Kind {
 		case tenancy.ForwardKind:
 			return []any{"hosted", e.ID, e.To, e.Timeout, f.Ref, tenancy.DecodeForward(f.Body, 0)}
-		case controller.ForwardSkips:
+		case message.ForwardSkips:
 			var ask message.AdminRequest
 			if err := json.Unmarshal(f.Body, &ask); err != nil {
 				panic(fmt.Sprintf("transcript: %v", err))
--- a/server/server.go
+++ b/server/server.go
@@ -365,7 +365,7 @@
 		return c, status
 	}
 	request.Caller = caller
-	if strings.HasSuffix(request.What, "key-add") {
+	if request.What.AddsKey() {
 		request.Random = new([tenant.RandomBytes]byte)
 		if _, err := rand.Read(request.Random[:]); err != nil {
 			return nil, 503
