--- a/controller/gossip/exchange.go
+++ b/controller/gossip/exchange.go
@@ -9,7 +9,6 @@
 import (
 	"log/slog"
 	"maps"
-	"net/http"
 	"slices"
 
 	"basaltwall/api"
@@ -81,7 +80,7 @@
 	for _, forwarded := range c.Gossip.Passed {
 		x.Merge(forwarded, false)
 	}
-	x.core.Reply(c.Req, http.StatusOK, struct{}{}, 0)
+	x.core.Reply(c.Req, api.StatusOK, struct{}{}, 0)
 }
 
 // RejectMalformed refuses a message that is not understood or comes from an unknown controller: it
@@ -89,7 +88,7 @@
 func (x *Exchange) RejectMalformed(req message.ReqID, from string) {
 	x.core.Metrics.MalformedMessages++
 	slog.Warn("invalid peer message", "from", from)
-	x.core.ReplyError(req, http.StatusBadRequest, "malformed")
+	x.core.ReplyError(req, api.StatusBadRequest, "malformed")
 }
 
 // Merge takes in a controller's gossip, unless it is unknown or has sent something newer. direct says
--- a/controller/jobs/cancel.go
+++ b/controller/jobs/cancel.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"log/slog"
-	"net/http"
 	"time"
 
 	"basaltwall/api"
@@ -37,13 +36,13 @@
 		return
 	}
 	id := api.JobID(c.Ref)
-	notFound := func() { s.core.ReplyError(c.Req, http.StatusNotFound, reasonNoSuchJob) }
+	notFound := func() { s.core.ReplyError(c.Req, api.StatusNotFound, reasonNoSuchJob) }
 	if !api.ValidJobID(c.Ref) {
 		notFound()
 		return
 	}
 	respond := func(status api.JobStatus) {
-		s.core.Reply(c.Req, http.StatusOK, api.JobStatus{JobID: id, State: status.State}, 0)
+		s.core.Reply(c.Req, api.StatusOK, api.JobStatus{JobID: id, State: status.State}, 0)
 	}
 	if status, ok := s.finalStatus(id); ok {
 		respond(status)
@@ -55,7 +54,7 @@
 		return
 	}
 	retryLater := func() {
-		s.core.ReplyError(c.Req, http.StatusServiceUnavailable, core.ReasonCancellationPending)
+		s.core.ReplyError(c.Req, api.StatusServiceUnavailable, core.ReasonCancellationPending)
 	}
 	s.RecordCancellation(id, cancelTries, s.RespondWhenAcknowledged(c.Forwarded, respond, retryLater), notFound, forward)
 }
@@ -92,7 +91,7 @@
 	key := clusterstate.KeyJob + string(id)
 	tx := api.Txn{If: []api.Condition{{Key: key, Version: j.Version}}, Writes: []api.Write{{Put: key, Value: data}}}
 	s.core.CallStoreTxn(tx, func(response message.StoreResponse) {
-		if response.Status != http.StatusOK && response.Status != http.StatusConflict {
+		if response.Status != api.StatusOK && response.Status != api.StatusConflict {
 			fail()
 			return
 		}
--- a/controller/jobs/forward.go
+++ b/controller/jobs/forward.go
@@ -1,7 +1,6 @@
 package jobs
 
 import (
-	"net/http"
 	"slices"
 
 	"basaltwall/api"
@@ -65,7 +64,7 @@
 // refuseWithoutRead refuses a request that neither this controller nor a peer can answer.
 func (s *Service) refuseWithoutRead(req message.ReqID, reason string) {
 	s.core.Metrics.RequestsWithoutRead++
-	s.core.ReplyError(req, http.StatusServiceUnavailable, reason)
+	s.core.ReplyError(req, api.StatusServiceUnavailable, reason)
 }
 
 // ShouldForward reports whether a request is better forwarded to a peer at once.
--- a/controller/jobs/query.go
+++ b/controller/jobs/query.go
@@ -1,8 +1,6 @@
 package jobs
 
 import (
-	"net/http"
-
 	"basaltwall/api"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
@@ -59,10 +57,10 @@
 	}
 	id := api.JobID(c.Ref)
 	if !api.ValidJobID(c.Ref) {
-		s.core.ReplyError(c.Req, http.StatusNotFound, reasonNoSuchJob)
+		s.core.ReplyError(c.Req, api.StatusNotFound, reasonNoSuchJob)
 		return
 	}
-	reply := func(status api.JobStatus) { s.core.Reply(c.Req, http.StatusOK, status, 0) }
+	reply := func(status api.JobStatus) { s.core.Reply(c.Req, api.StatusOK, status, 0) }
 	if status, ok := s.finalStatus(id); ok {
 		reply(status)
 		return
@@ -75,7 +73,7 @@
 		forward()
 		return
 	}
-	notFound := func() { s.core.ReplyError(c.Req, http.StatusNotFound, reasonNoSuchJob) }
+	notFound := func() { s.core.ReplyError(c.Req, api.StatusNotFound, reasonNoSuchJob) }
 	s.LookupJob(id, reply, notFound, forward)
 }
 
@@ -87,6 +85,6 @@
 		return false
 	}
 	s.core.Metrics.PollsDeferred++
-	s.core.Reply(req, http.StatusServiceUnavailable, api.ErrorBody{Error: "overloaded: other jobs have their turn"}, int(retryIn.Seconds())+1)
+	s.core.Reply(req, api.StatusServiceUnavailable, api.ErrorBody{Error: "overloaded: other jobs have their turn"}, int(retryIn.Seconds())+1)
 	return true
 }
--- a/controller/jobs/resultlookup.go
+++ b/controller/jobs/resultlookup.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"log/slog"
-	"net/http"
 	"slices"
 	"strings"
 
@@ -65,9 +64,9 @@
 	s.core.CallStore(resultQuery(query), func(response message.StoreResponse) {
 		lookups.inFlight = false
 		switch {
-		case query.JobID != "" && (response.Status == http.StatusOK || response.Status == http.StatusNotFound):
+		case query.JobID != "" && (response.Status == api.StatusOK || response.Status == api.StatusNotFound):
 			s.handleSingleResult(query, response)
-		case query.JobID == "" && response.Status == http.StatusOK:
+		case query.JobID == "" && response.Status == api.StatusOK:
 			s.handleResultPage(query, response)
 		}
 	})
@@ -116,7 +115,7 @@
 
 func (s *Service) handleSingleResult(query jobresult.Request, response message.StoreResponse) {
 	var state api.JobState
-	if response.Status == http.StatusOK && json.Unmarshal(response.Pair.Value, &state) != nil {
+	if response.Status == api.StatusOK && json.Unmarshal(response.Pair.Value, &state) != nil {
 		return
 	}
 	if result, ok := s.lookups.queue.HandleSingle(query, state); ok {
--- a/controller/jobs/service.go
+++ b/controller/jobs/service.go
@@ -8,8 +8,6 @@
 package jobs
 
 import (
-	"net/http"
-
 	"basaltwall/api"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
@@ -108,8 +106,8 @@
 // state service, the load balancer would have none left.
 func (s *Service) Ready(c message.ReadinessProbe) {
 	if s.core.Loaded && len(s.core.MachineTypes) > 0 {
-		s.core.Reply(c.Req, http.StatusOK, struct{}{}, 0)
+		s.core.Reply(c.Req, api.StatusOK, struct{}{}, 0)
 		return
 	}
-	s.core.ReplyError(c.Req, http.StatusServiceUnavailable, "starting")
+	s.core.ReplyError(c.Req, api.StatusServiceUnavailable, "starting")
 }
--- a/controller/jobs/submit.go
+++ b/controller/jobs/submit.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"encoding/json"
 	"log/slog"
-	"net/http"
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
@@ -28,7 +27,7 @@
 	}
 	spec, err := api.ParseJob(c.Body)
 	if err != nil {
-		s.core.ReplyError(c.Req, http.StatusBadRequest, err.Error())
+		s.core.ReplyError(c.Req, api.StatusBadRequest, err.Error())
 		return
 	}
 	sub := &submission{service: s, request: c, spec: spec}
@@ -45,11 +44,11 @@
 		return
 	}
 	if reason := cmp.Or(s.InfeasibleReason(spec), s.siblings.Pools.CheckPoolNeeds(spec, "")); reason != "" {
-		sub.refuse(http.StatusUnprocessableEntity, reason)
+		sub.refuse(api.StatusUnprocessableEntity, reason)
 		return
 	}
 	if !s.allowSubmission() {
-		s.core.ReplyError(c.Req, http.StatusServiceUnavailable, "more submissions at once than the state service can take")
+		s.core.ReplyError(c.Req, api.StatusServiceUnavailable, "more submissions at once than the state service can take")
 		return
 	}
 	sub.write()
@@ -69,7 +68,7 @@
 
 // replyKnown answers with the state of a job that was accepted earlier.
 func (sub *submission) replyKnown(status api.JobStatus) {
-	sub.service.core.Reply(sub.request.Req, http.StatusOK, api.JobStatus{JobID: status.JobID, State: status.State}, 0)
+	sub.service.core.Reply(sub.request.Req, api.StatusOK, api.JobStatus{JobID: status.JobID, State: status.State}, 0)
 }
 
 // refuse refuses the job unless a current read shows that it was accepted earlier.
@@ -83,7 +82,7 @@
 	s := sub.service
 	value, err := json.Marshal(clusterstate.JobValue{Spec: sub.spec, Split: s.SplitAcrossPartitions(sub.spec), AcceptedAt: s.core.WallClock})
 	if err != nil || s.core.JobExceedsValueSize(value) {
-		sub.refuse(http.StatusBadRequest, core.ReasonSpecTooLarge)
+		sub.refuse(api.StatusBadRequest, core.ReasonSpecTooLarge)
 		return
 	}
 	jobKey, resultKey := clusterstate.KeyJob+string(sub.spec.Ref), clusterstate.KeyJobResult+string(sub.spec.Ref)
@@ -103,14 +102,14 @@
 func (sub *submission) handleWritten(response message.StoreResponse) {
 	s, id := sub.service, sub.spec.Ref
 	switch response.Status {
-	case http.StatusOK:
-		s.core.Reply(sub.request.Req, http.StatusCreated, api.JobStatus{JobID: id, State: api.JobPending}, 0)
+	case api.StatusOK:
+		s.core.Reply(sub.request.Req, api.StatusCreated, api.JobStatus{JobID: id, State: api.JobPending}, 0)
 		slog.Info("job accepted", "job", id, core.SpecAttr(sub.spec))
 		s.siblings.Log.LinearizableRead(func() {}, func() {}) // so that its first round comes soon
-	case http.StatusConflict:
+	case api.StatusConflict:
 		s.LookupJob(id, sub.replyKnown, sub.forward, sub.forward)
-	case http.StatusTooManyRequests: // a peer would be refused too
-		s.core.ReplyError(sub.request.Req, http.StatusServiceUnavailable, "the state service is at its limit")
+	case api.StatusTooManyRequests: // a peer would be refused too
+		s.core.ReplyError(sub.request.Req, api.StatusServiceUnavailable, "the state service is at its limit")
 	default:
 		sub.forward()
 	}
--- a/controller/logfollow/load.go
+++ b/controller/logfollow/load.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"net/http"
 	"time"
 
 	"basaltwall/api"
@@ -38,7 +37,7 @@
 // loadPage reads the page after a key. firstRevision is that of the first page, 0 if this is it.
 func (f *Follower) loadPage(after string, firstRevision api.Revision) {
 	f.core.CallStore(message.StoreCall{Page: &message.PageRequest{After: after}}, func(response message.StoreResponse) {
-		if response.Status != http.StatusOK {
+		if response.Status != api.StatusOK {
 			f.scheduleLoad(core.RetryDelay, func() { f.loadPage(after, firstRevision) })
 			return
 		}
@@ -67,9 +66,9 @@
 func (f *Follower) loadChanges(since api.Revision) {
 	f.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: since}}, func(response message.StoreResponse) {
 		switch response.Status {
-		case http.StatusOK:
+		case api.StatusOK:
 			f.finishLoad(response.Changes)
-		case http.StatusGone: // the load took so long that the log no longer reaches back
+		case api.StatusGone: // the load took so long that the log no longer reaches back
 			f.scheduleLoad(core.RetryDelay, nil)
 		default:
 			f.scheduleLoad(core.RetryDelay, func() { f.loadChanges(since) })
--- a/controller/logfollow/read.go
+++ b/controller/logfollow/read.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"net/http"
 	"slices"
 
 	"basaltwall/api"
@@ -57,7 +56,7 @@
 	since := f.core.State.Revision
 	f.readChanges(since, false, via, func(result readResult) {
 		f.readInFlight = false
-		if via != "" && result.status != http.StatusOK && f.core.Loaded {
+		if via != "" && result.status != api.StatusOK && f.core.Loaded {
 			f.core.Metrics.ReadFallbacks++
 			f.readLatest(waiters, "")
 			return
@@ -88,11 +87,11 @@
 	switch {
 	case !f.core.Loaded || since > f.core.State.Revision:
 		return false // asked before a reload
-	case result.status == http.StatusOK:
+	case result.status == api.StatusOK:
 		f.RecordRead()
 		f.applyChanges(result.changes)
 		return true
-	case result.status == http.StatusGone && result.via == "":
+	case result.status == api.StatusGone && result.via == "":
 		f.reloadState()
 	default:
 		f.nextWatchAt = f.core.Now.Add(core.RetryDelay)
--- a/controller/logfollow/relays.go
+++ b/controller/logfollow/relays.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"net/http"
 	"time"
 
 	"basaltwall/api"
@@ -162,7 +161,7 @@
 	request := message.PeerMessage{ReadLog: &message.ReadLogRequest{Since: since, Wait: wait}}
 	f.core.CallPeer(via, timeout, request, func(response message.PeerResponse) {
 		result := f.validateRelayResponse(response, since, via)
-		if result.status != http.StatusOK {
+		if result.status != api.StatusOK {
 			f.relaySelector.MarkFailed(via, f.core.Now)
 		}
 		done(result)
@@ -176,7 +175,7 @@
 	if !response.OK {
 		result.status = 0
 	}
-	if result.status != http.StatusOK {
+	if result.status != api.StatusOK {
 		return result
 	}
 	if err := relay.Validate(since, response.Reply.Log); err != nil {
--- a/controller/logfollow/serve.go
+++ b/controller/logfollow/serve.go
@@ -1,7 +1,6 @@
 package logfollow
 
 import (
-	"net/http"
 	"slices"
 
 	"basaltwall/api"
@@ -28,14 +27,14 @@
 // direct read that starts later than the request, so that it holds all that was durable by then.
 func (f *Follower) HandleReadLog(c message.ReadLog) {
 	if !f.core.Loaded {
-		f.core.ReplyError(c.Req, http.StatusServiceUnavailable, "starting")
+		f.core.ReplyError(c.Req, api.StatusServiceUnavailable, "starting")
 		return
 	}
 	since := c.Request.Since
 	if !c.Request.Wait {
 		f.addWaiter(Waiter{
 			OnRead:    func() { f.replyLog(c.Req, since) },
-			OnFailure: func() { f.core.ReplyError(c.Req, http.StatusServiceUnavailable, "state service not reachable") },
+			OnFailure: func() { f.core.ReplyError(c.Req, api.StatusServiceUnavailable, "state service not reachable") },
 			direct:    true,
 		})
 		return
@@ -51,11 +50,11 @@
 func (f *Follower) replyLog(req message.ReqID, since api.Revision) {
 	changes, ok := f.retainedLog.Since(since)
 	if !ok {
-		f.core.ReplyError(req, http.StatusGone, "the log does not reach back so far")
+		f.core.ReplyError(req, api.StatusGone, "the log does not reach back so far")
 		return
 	}
 	f.core.Metrics.ReadsServed++
-	f.core.Emit(message.Reply{Req: req, Status: http.StatusOK, Log: &changes})
+	f.core.Emit(message.Reply{Req: req, Status: api.StatusOK, Log: &changes})
 }
 
 // ReplyToSubscribers answers the controllers that wait for changes, if there are any or the time is up.
@@ -72,7 +71,7 @@
 // rejectSubscribers refuses the controllers that wait for changes: the state is loaded anew.
 func (f *Follower) rejectSubscribers() {
 	for _, s := range f.subscribers {
-		f.core.ReplyError(s.req, http.StatusServiceUnavailable, "starting")
+		f.core.ReplyError(s.req, api.StatusServiceUnavailable, "starting")
 	}
 	f.subscribers = nil
 }
--- a/controller/ownership/claims.go
+++ b/controller/ownership/claims.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"log/slog"
 	"maps"
-	"net/http"
 	"slices"
 
 	"basaltwall/api"
@@ -81,7 +80,7 @@
 	value, _ := json.Marshal(clusterstate.PartitionValue{Owner: m.core.Config.Label})
 	conditions = append([]api.Condition{{Key: key, Version: m.core.State.Partitions[p].Term}}, conditions...)
 	m.core.CallStoreTxn(api.Txn{If: conditions, Writes: []api.Write{{Put: key, Value: value}}}, func(response message.StoreResponse) {
-		if response.Status != http.StatusOK {
+		if response.Status != api.StatusOK {
 			m.nextClaimAt[p] = m.core.Now.Add(core.RetryDelay)
 			claimOver := func() { delete(m.claimsInFlight, p) }
 			m.siblings.Log.LinearizableRead(claimOver, claimOver)
@@ -118,7 +117,7 @@
 	txn := api.Txn{If: []api.Condition{owned.OwnershipCondition()}, Writes: []api.Write{{Put: key, Value: value}}}
 	m.core.CallStoreTxn(txn, func(response message.StoreResponse) {
 		owned.HandingOver = false
-		if response.Status == http.StatusOK && m.core.Partitions[owned.ID] == owned {
+		if response.Status == api.StatusOK && m.core.Partitions[owned.ID] == owned {
 			slog.Info("partition handed over", "partition", owned.ID, "to", newOwner)
 			delete(m.core.Partitions, owned.ID)
 			m.siblings.Log.LinearizableRead(func() {}, func() {})
--- a/controller/ownership/lease.go
+++ b/controller/ownership/lease.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"net/http"
 	"time"
 
 	"basaltwall/api"
@@ -63,7 +62,7 @@
 
 func (m *Manager) grantLease() {
 	m.core.CallStore(message.StoreCall{GrantLease: m.core.MemberLeaseTTL}, func(response message.StoreResponse) {
-		if response.Status != http.StatusOK {
+		if response.Status != api.StatusOK {
 			m.leaseCallDone(core.RetryDelay)
 			return
 		}
@@ -78,10 +77,10 @@
 	write := api.Write{Put: clusterstate.KeyMember + string(m.core.Config.Label), Value: value, Lease: m.lease.id}
 	m.core.CallStoreTxn(api.Txn{Writes: []api.Write{write}}, func(response message.StoreResponse) {
 		switch response.Status {
-		case http.StatusOK:
+		case api.StatusOK:
 			m.lease.registered, m.lease.registeredAt = true, m.core.Now
 			m.leaseCallDone(m.core.LeaseRenewInterval)
-		case http.StatusBadRequest: // the lease has expired
+		case api.StatusBadRequest: // the lease has expired
 			m.lease.id = 0
 			m.leaseCallDone(0)
 		default:
@@ -93,9 +92,9 @@
 func (m *Manager) renewLease() {
 	m.core.CallStore(message.StoreCall{RenewLease: m.lease.id, Timeout: core.RenewTimeout}, func(response message.StoreResponse) {
 		switch response.Status {
-		case http.StatusOK:
+		case api.StatusOK:
 			m.leaseCallDone(m.core.LeaseRenewInterval)
-		case http.StatusNotFound: // the lease has expired
+		case api.StatusNotFound: // the lease has expired
 			m.lease.id, m.lease.registered = 0, false
 			m.leaseCallDone(0)
 		default:
--- a/controller/rounds/checkpoint.go
+++ b/controller/rounds/checkpoint.go
@@ -5,7 +5,6 @@
 import (
 	"encoding/json"
 	"log/slog"
-	"net/http"
 
 	"basaltwall/api"
 	"basaltwall/clusterstate"
@@ -49,7 +48,7 @@
 		if s.core.Partitions[owned.ID] != owned {
 			return
 		}
-		if response.Status != http.StatusOK {
+		if response.Status != api.StatusOK {
 			s.retryCheckpoint(owned)
 			return
 		}
--- a/controller/rounds/commit.go
+++ b/controller/rounds/commit.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"log/slog"
 	"maps"
-	"net/http"
 	"slices"
 
 	"basaltwall/api"
@@ -68,21 +67,21 @@
 func (s *Scheduler) handleRoundResponse(owned *core.OwnedPartition, round *core.PendingRound, response message.StoreResponse) {
 	round.OutcomeUnknown = round.OutcomeUnknown || response.Status == statusUnknown
 	switch {
-	case response.Status == http.StatusOK && round.Transfer:
+	case response.Status == api.StatusOK && round.Transfer:
 		// The log has it in its order among other transfers: a checkpoint counts on that.
 		s.resolveRound(owned, round)
-	case response.Status == http.StatusOK:
+	case response.Status == api.StatusOK:
 		s.ApplyCommittedRound(owned, response.Txn.Revision)
-	case response.Status == http.StatusConflict && slices.Contains(response.Txn.Failed, clusterstate.PartitionKey(clusterstate.KeyPartition, owned.ID)):
+	case response.Status == api.StatusConflict && slices.Contains(response.Txn.Failed, clusterstate.PartitionKey(clusterstate.KeyPartition, owned.ID)):
 		s.loseOwnership(owned)
-	case response.Status == http.StatusConflict && slices.Contains(response.Txn.Failed, recordSlot(round)):
+	case response.Status == api.StatusConflict && slices.Contains(response.Txn.Failed, recordSlot(round)):
 		// An earlier sending may have taken effect: the cluster state tells.
 		s.resolveRound(owned, round)
-	case response.Status == http.StatusConflict:
+	case response.Status == api.StatusConflict:
 		// A job has changed, so this record can never be written.
 		s.siblings.Follower.LinearizableRead(func() { s.abandonRound(owned, round) }, func() { s.retryRound(owned, round) })
 	default:
-		if response.Status == http.StatusTooManyRequests {
+		if response.Status == api.StatusTooManyRequests {
 			s.backOffRounds()
 		}
 		s.retryRound(owned, round)
