--- /dev/null
+++ b/internal/scenario/script.go
@@ -0,0 +1,99 @@
+package scenario
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"golang.org/x/tools/txtar"
+
+	"basaltwall/api"
+)
+
+// This file reads scripts: the archive, its lines and the arguments of a line.
+
+// scriptFile is the file of the archive that has the steps.
+const scriptFile = "script"
+
+var (
+	errNotUnderstood = errors.New("not understood")
+	errNoScript      = errors.New("no script")
+	errNoEnd         = errors.New("no end")
+)
+
+// line is a step as it stands in the script.
+type line struct {
+	name      string
+	arguments []string
+}
+
+func (l line) String() string {
+	return strings.Join(append([]string{l.name}, l.arguments...), " ")
+}
+
+// script is a scenario as it was read.
+type script struct {
+	lines []line
+	files map[string][]byte // all files of the archive, by name
+}
+
+// parseScript reads a scenario's archive.
+func parseScript(data []byte) (script, error) {
+	s := script{files: map[string][]byte{}}
+	for _, f := range txtar.Parse(data).Files {
+		s.files[f.Name] = f.Data
+		if f.Name != scriptFile {
+			continue
+		}
+		for text := range strings.Lines(string(f.Data)) {
+			text, _, _ = strings.Cut(text, "#")
+			if words := strings.Fields(text); len(words) > 0 {
+				s.lines = append(s.lines, line{name: words[0], arguments: words[1:]})
+			}
+		}
+	}
+	if len(s.lines) == 0 {
+		return script{}, errNoScript
+	}
+	return s, nil
+}
+
+// has tells whether a step of that name is in the script.
+func (s script) has(name string) bool {
+	return slices.ContainsFunc(s.lines, func(l line) bool { return l.name == name })
+}
+
+// arguments are those of a line, by kind, each kind in the line's order.
+type arguments struct {
+	durations []time.Duration
+	numbers   []float64
+	names     []string
+}
+
+// parseArguments reads a line's arguments. The form has a letter for each: d is a duration in
+// seconds, n a number, s a word.
+func parseArguments(words []string, form string) (arguments, error) {
+	var a arguments
+	if len(words) != len(form) {
+		return a, fmt.Errorf("%d words, expected %d", len(words), len(form))
+	}
+	for i, f := range form {
+		if f == 's' {
+			a.names = append(a.names, words[i])
+			continue
+		}
+		v, err := strconv.ParseFloat(words[i], 64)
+		if err != nil {
+			return arguments{}, err
+		}
+		if f == 'd' {
+			a.durations = append(a.durations, api.Seconds(v))
+		} else {
+			a.numbers = append(a.numbers, v)
+		}
+	}
+	return a, nil
+}
--- /dev/null
+++ b/internal/scenario/steps_faults.go
@@ -0,0 +1,170 @@
+package scenario
+
+import (
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/internal/emulator"
+)
+
+// This file has the steps that inject a fault: into controllers, the network with the services
+// beyond it, and machines.
+
+// rollDowntime is how many seconds a controller is down in a rolling restart that says nothing else.
+const rollDowntime = "3"
+
+// holdMessages is the word for a cut that holds messages back; any other word drops them.
+const holdMessages = "hold"
+
+// all is the word for every controller, machine, endpoint or job.
+const all = "all"
+
+var controllerFaultSteps = map[string]step{
+	"crash": {form: "dsd", schedule: func(r *runner, a arguments) {
+		r.crashControllersAt(a.durations[0], a.names[0], a.durations[1])
+	}},
+	"crashes": {form: "dsddn", schedule: func(r *runner, a arguments) {
+		for i := range int(a.numbers[0]) {
+			r.crashControllersAt(a.durations[0]+time.Duration(i)*a.durations[2], a.names[0], a.durations[1])
+		}
+	}},
+	"roll": {parse: (*runner).rollControllers},
+	"freeze": {form: "dds", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() {
+			r.eachController(a.names[0], func(name string) { r.sim.FreezeController(name, a.durations[1]) })
+		})
+	}},
+}
+
+var networkFaultSteps = map[string]step{
+	"cut": {form: "ddsss", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() { r.cutLinks(a.names[0], a.names[1], a.durations[1], a.names[2] == holdMessages) })
+	}},
+	"cutzone": {form: "ddss", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() { r.sim.CutZone(api.Zone(a.names[0]), a.durations[1], a.names[1] == holdMessages) })
+	}},
+	"outage": {form: "dd", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() { r.sim.Store.Outage(a.durations[1]) })
+	}},
+	"refuse": {form: "dds", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() { r.sim.Store.RefuseController(a.names[0], a.durations[1]) })
+	}},
+	"lose": {form: "ddn", schedule: func(r *runner, a arguments) {
+		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1])
+		r.during(a, func() { r.sim.ReplyLossRate = a.numbers[0] }, func() { r.sim.ReplyLossRate = 0 })
+	}},
+	"delay": {form: "ddn", schedule: func(r *runner, a arguments) {
+		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1])
+		r.during(a, func() { r.sim.TransactionDelayRate = a.numbers[0] }, func() { r.sim.TransactionDelayRate = 0 })
+	}},
+	"slow": {form: "ddd", schedule: func(r *runner, a arguments) {
+		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1])
+		r.during(a, func() { r.sim.ExtraLatency = a.durations[2] }, func() { r.sim.ExtraLatency = 0 })
+	}},
+	"stale": {form: "ddn", schedule: func(r *runner, a arguments) {
+		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1] + 2*r.configs[0].WorkerLease())
+		r.during(a, func() { r.sim.StaleHeartbeatRate = a.numbers[0] }, func() { r.sim.StaleHeartbeatRate = 0 })
+	}},
+	"keep": {form: "ddn", schedule: func(r *runner, a arguments) {
+		r.during(a, func() { r.sim.HeldHeartbeatRate = a.numbers[0] }, func() { r.sim.HeldHeartbeatRate = 0 })
+	}},
+	"cloud": {form: "dd", schedule: func(r *runner, a arguments) {
+		r.during(a, func() { r.sim.Cloud.Down = true }, func() { r.sim.Cloud.Down = false })
+	}},
+	"random": {form: "ndd", schedule: func(r *runner, a arguments) {
+		r.scheduleRandomFaults(uint64(a.numbers[0]), a.durations[0], a.durations[1])
+	}},
+}
+
+var machineFaultSteps = map[string]step{
+	"kill": {form: "ds", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() { r.sim.Kill(api.MachineID(a.names[0])) })
+	}},
+	"take": {form: "dn", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() { r.reclaimSpot(a.numbers[0]) })
+	}},
+	"hang": {form: "dds", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() { r.sim.Hang(api.MachineID(a.names[0]), a.durations[1]) })
+	}},
+	"sick": {form: "dds", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() { r.sim.FailTasks(api.MachineID(a.names[0]), a.durations[1]) })
+	}},
+	"late": {form: "dds", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() { r.sim.DelayCommands(api.MachineID(a.names[0]), a.durations[1]) })
+	}},
+	"deaf": {form: "dds", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() {
+			r.eachMachine(a.names[0], func(id api.MachineID) { r.sim.CutInbound(id, a.durations[1]) })
+		})
+	}},
+	"mute": {form: "dds", schedule: func(r *runner, a arguments) {
+		r.sim.After(a.durations[0], func() {
+			r.eachMachine(a.names[0], func(id api.MachineID) { r.sim.CutOutbound(id, a.durations[1]) })
+		})
+	}},
+}
+
+func (r *runner) crashControllersAt(at time.Duration, controllerName string, downtime time.Duration) {
+	r.sim.After(at, func() {
+		r.eachController(controllerName, func(name string) { r.sim.CrashController(name, downtime) })
+	})
+}
+
+// rollControllers restarts all controllers one after the other.
+func (r *runner) rollControllers(words []string) error {
+	if len(words) == 2 {
+		words = append(words, rollDowntime)
+	}
+	a, err := parseArguments(words, "ddd")
+	if err != nil {
+		return err
+	}
+	start, interval, downtime := a.durations[0], a.durations[1], a.durations[2]
+	for i, c := range r.configs {
+		r.sim.After(start+time.Duration(i)*interval, func() { r.sim.CrashController(string(c.Label), downtime) })
+	}
+	return nil
+}
+
+func (r *runner) eachController(name string, callback func(string)) {
+	for _, c := range r.configs {
+		if name == all || name == string(c.Label) {
+			callback(string(c.Label))
+		}
+	}
+}
+
+func (r *runner) eachMachine(name string, callback func(api.MachineID)) {
+	if name != all {
+		callback(api.MachineID(name))
+		return
+	}
+	for _, id := range r.sim.Machines() {
+		callback(id)
+	}
+}
+
+// cutLinks cuts controllers off from an endpoint, or from all.
+func (r *runner) cutLinks(controllerName, endpoint string, length time.Duration, hold bool) {
+	endpoints := []emulator.Endpoint{
+		emulator.EndpointStore, emulator.EndpointWorkers, emulator.EndpointPeers, emulator.EndpointCloud, emulator.EndpointUsers,
+	}
+	r.eachController(controllerName, func(name string) {
+		for _, e := range endpoints {
+			if endpoint == all || endpoint == string(e) {
+				r.sim.CutLink(name, e, length, hold)
+			}
+		}
+	})
+}
+
+// reclaimSpot has the cloud take back every so many'th of the spot machines, unannounced.
+func (r *runner) reclaimSpot(share float64) {
+	seen := 0.0
+	for _, id := range r.sim.Cloud.SpotMachines() {
+		if seen += share; seen >= 1 {
+			seen--
+			r.sim.Kill(id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scenario/steps_test.go
@@ -0,0 +1,48 @@
+package scenario
+
+import (
+	"os"
+	"regexp"
+	"testing"
+)
+
+// TestEveryStepIsDocumented holds the package's documentation and the table of steps together.
+func TestEveryStepIsDocumented(t *testing.T) {
+	text, err := os.ReadFile("doc.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	check := func(name string) {
+		if !regexp.MustCompile(`(?m)^//\t([^\t]*, )?` + name + `\b`).Match(text) {
+			t.Errorf("step %s is not documented", name)
+		}
+	}
+	for name := range steps {
+		check(name)
+	}
+	for name := range settingSteps {
+		check(name)
+	}
+}
+
+// TestStepsAreWellFormed checks that no step is in two tables, and that each either has its
+// arguments parsed or parses them itself.
+func TestStepsAreWellFormed(t *testing.T) {
+	tables := []map[string]step{workSteps, userSteps, hostingSteps, reservationSteps, controllerFaultSteps, networkFaultSteps,
+		machineFaultSteps, expectationSteps}
+	total := 0
+	for _, table := range tables {
+		total += len(table)
+		for name, s := range table {
+			if (s.parse == nil) == (s.schedule == nil) {
+				t.Errorf("step %s has neither or both of parse and schedule", name)
+			}
+			if isSetting(name) {
+				t.Errorf("step %s is a setting too", name)
+			}
+		}
+	}
+	if total != len(steps) {
+		t.Errorf("%d steps in the tables, %d by name", total, len(steps))
+	}
+}
