--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -200,63 +200,87 @@
 		return true
 	}
 	switch v.Kind() {
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(f.last))
-	case reflect.Uint8:
-		v.SetUint(uint64(f.last%255 + 1))
-	case reflect.Uint, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(f.last))
-	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(f.last) + 0.5)
-	case reflect.String:
-		v.SetString(fmt.Sprintf("v%d", f.last))
 	case reflect.Pointer:
 		to := reflect.New(v.Type().Elem())
 		if !f.fill(to.Elem()) {
 			return false
 		}
 		v.Set(to)
+		return true
 	case reflect.Slice:
-		list := reflect.MakeSlice(v.Type(), 2, 2)
-		for i := range 2 {
-			if !f.fill(list.Index(i)) {
-				return false
-			}
-		}
-		v.Set(list)
+		return f.fillSlice(v)
 	case reflect.Array:
 		for i := range v.Len() {
 			f.fill(v.Index(i))
 		}
+		return true
 	case reflect.Map:
-		m := reflect.MakeMap(v.Type())
-		for range 2 {
-			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-			if !f.fill(key) || !f.fill(value) {
-				return false
-			}
-			m.SetMapIndex(key, value)
-		}
-		v.Set(m)
+		return f.fillMap(v)
 	case reflect.Struct:
-		if f.within[v.Type()] == 2 {
+		return f.fillStruct(v)
+	default:
+		f.fillScalar(v)
+		return true
+	}
+}
+
+func (f *filler) fillScalar(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(f.last))
+	case reflect.Uint8:
+		v.SetUint(uint64(f.last%255 + 1))
+	case reflect.Uint, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(f.last))
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(float64(f.last) + 0.5)
+	case reflect.String:
+		v.SetString(fmt.Sprintf("v%d", f.last))
+	default:
+		f.t.Fatalf("a value of type %v can't be filled: give one", v.Type())
+	}
+}
+
+func (f *filler) fillSlice(v reflect.Value) bool {
+	list := reflect.MakeSlice(v.Type(), 2, 2)
+	for i := range 2 {
+		if !f.fill(list.Index(i)) {
 			return false
 		}
-		f.within[v.Type()]++
-		defer func() { f.within[v.Type()]-- }()
-		exported := 0
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				exported++
-				f.fill(v.Field(i))
-			}
+	}
+	v.Set(list)
+	return true
+}
+
+func (f *filler) fillMap(v reflect.Value) bool {
+	m := reflect.MakeMap(v.Type())
+	for range 2 {
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		if !f.fill(key) || !f.fill(value) {
+			return false
 		}
-		if exported == 0 {
-			f.t.Fatalf("a value of type %v can't be filled: give one", v.Type())
+		m.SetMapIndex(key, value)
+	}
+	v.Set(m)
+	return true
+}
+
+func (f *filler) fillStruct(v reflect.Value) bool {
+	if f.within[v.Type()] == 2 {
+		return false
+	}
+	f.within[v.Type()]++
+	defer func() { f.within[v.Type()]-- }()
+	exported := 0
+	for i := range v.NumField() {
+		if v.Type().Field(i).IsExported() {
+			exported++
+			f.fill(v.Field(i))
 		}
-	default:
+	}
+	if exported == 0 {
 		f.t.Fatalf("a value of type %v can't be filled: give one", v.Type())
 	}
 	return true
@@ -274,21 +298,20 @@
 
 // differ says where two values differ, or nothing.
 func differ(at string, a, b reflect.Value) string {
-	not := func(x, y any) string { return fmt.Sprintf("%s is %v, expected %v", at, x, y) }
 	if a.IsValid() != b.IsValid() {
-		return not(a, b)
+		return mismatch(at, a, b)
 	}
 	if !a.IsValid() {
 		return ""
 	}
 	if a.Kind() != b.Kind() {
-		return not(a.Type(), b.Type())
+		return mismatch(at, a.Type(), b.Type())
 	}
 	switch a.Kind() {
 	case reflect.Interface, reflect.Pointer:
 		if a.IsNil() || b.IsNil() {
 			if a.IsNil() != b.IsNil() {
-				return not(a, b)
+				return mismatch(at, a, b)
 			}
 			return ""
 		}
@@ -297,43 +320,62 @@
 		}
 		return differ(at, a.Elem(), b.Elem())
 	case reflect.Slice, reflect.Array:
-		if a.Kind() == reflect.Slice && a.IsNil() != b.IsNil() || a.Len() != b.Len() {
-			return not(a, b)
-		}
-		for i := range a.Len() {
-			if d := differ(fmt.Sprintf("%s[%d]", at, i), a.Index(i), b.Index(i)); d != "" {
-				return d
-			}
-		}
+		return differInList(at, a, b)
 	case reflect.Map:
-		if a.IsNil() != b.IsNil() || a.Len() != b.Len() {
-			return not(a, b)
+		return differInMap(at, a, b)
+	case reflect.Struct:
+		return differInStruct(at, a, b)
+	default:
+		if !a.Equal(b.Convert(a.Type())) {
+			return mismatch(at, a, b)
 		}
-		for _, key := range b.MapKeys() {
-			in := at + fmt.Sprintf("[%v]", key)
-			value, ok := lookUp(a, key)
-			if !ok {
-				return in + " is missing"
-			}
-			if d := differ(in, value, b.MapIndex(key)); d != "" {
-				return d
-			}
+		return ""
+	}
+}
+
+func mismatch(at string, got, want any) string {
+	return fmt.Sprintf("%s is %v, expected %v", at, got, want)
+}
+
+func differInList(at string, a, b reflect.Value) string {
+	if a.Kind() == reflect.Slice && a.IsNil() != b.IsNil() || a.Len() != b.Len() {
+		return mismatch(at, a, b)
+	}
+	for i := range a.Len() {
+		if d := differ(fmt.Sprintf("%s[%d]", at, i), a.Index(i), b.Index(i)); d != "" {
+			return d
 		}
-	case reflect.Struct:
-		if a.NumField() != b.NumField() {
-			return fmt.Sprintf("%s has %d fields, expected %d", at, a.NumField(), b.NumField())
+	}
+	return ""
+}
+
+func differInMap(at string, a, b reflect.Value) string {
+	if a.IsNil() != b.IsNil() || a.Len() != b.Len() {
+		return mismatch(at, a, b)
+	}
+	for _, key := range b.MapKeys() {
+		in := at + fmt.Sprintf("[%v]", key)
+		value, ok := lookUp(a, key)
+		if !ok {
+			return in + " is missing"
 		}
-		for i := range a.NumField() {
-			if a.Type() != b.Type() && !b.Type().Field(i).IsExported() {
-				continue
-			}
-			if d := differ(at+"."+b.Type().Field(i).Name, a.Field(i), b.Field(i)); d != "" {
-				return d
-			}
+		if d := differ(in, value, b.MapIndex(key)); d != "" {
+			return d
 		}
-	default:
-		if !a.Equal(b.Convert(a.Type())) {
-			return not(a, b)
+	}
+	return ""
+}
+
+func differInStruct(at string, a, b reflect.Value) string {
+	if a.NumField() != b.NumField() {
+		return fmt.Sprintf("%s has %d fields, expected %d", at, a.NumField(), b.NumField())
+	}
+	for i := range a.NumField() {
+		if a.Type() != b.Type() && !b.Type().Field(i).IsExported() {
+			continue
+		}
+		if d := differ(at+"."+b.Type().Field(i).Name, a.Field(i), b.Field(i)); d != "" {
+			return d
 		}
 	}
 	return ""
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -100,7 +100,7 @@
 			for k := range v.By {
 				v.By[k] = -1
 			}
-		}, ".Few[0]": func(v *all) { v.Few[0] = -1 }, ".Self.Text": func(v *all) { v.Self.Text = "" }, ".inner.A": func(v *all) { v.inner.A = 1 },
+		}, ".Few[0]": func(v *all) { v.Few[0] = -1 }, ".Self.Text": func(v *all) { v.Self.Text = "" }, ".inner.A": func(v *all) { v.A = 1 },
 	} {
 		got := Filled[all](t)
 		change(&got)
