--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -2,7 +2,9 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"slices"
 	"sort"
@@ -18,7 +20,7 @@
 	listedAt  time.Duration // from when the list shows it
 }
 
-// Cloud stands in for the cloud.
+// Cloud emulates the cloud: its machine types, the machines that were launched, and the faults of its API.
 type Cloud struct {
 	sim   *Simulation
 	Types []api.MachineType
@@ -31,10 +33,10 @@
 	lastNumber       int
 	Down             bool
 	Calls            int // requests so far
-	DeletedMachines  int // machines
-	LaunchCalls      int // calls that got some
-	LaunchedMachines int // machines they got
-	// ListLag is how old the list is.
+	DeletedMachines  int
+	LaunchCalls      int // requests that launched machines
+	LaunchedMachines int // machines they launched
+	// ListLag is how long it takes until the list shows a new machine.
 	ListLag time.Duration
 }
 
@@ -84,79 +86,124 @@
 	return out
 }
 
+// The cloud's limits on a request.
+const (
+	maxInstancePage  = 500
+	maxLaunchCount   = 50
+	maxDeletionCount = 100
+)
+
+// defaultBootTime is that of machines of a type the cloud doesn't list.
+const defaultBootTime = 20 * time.Second
+
+var (
+	errBadCloudRequest = errors.New("malformed request")
+	errNoCapacity      = errors.New("no capacity")
+)
+
 // Serve answers a request.
 func (c *Cloud) Serve(method, target string, body []byte) (int, []byte) {
 	c.Calls++
 	if c.Down {
-		return 503, []byte(`{"error":"trouble"}`)
+		return http.StatusServiceUnavailable, []byte(`{"error":"trouble"}`)
 	}
+	out, err := c.handle(method, target, body)
+	switch {
+	case errors.Is(err, errNoCapacity):
+		return http.StatusServiceUnavailable, []byte(`{"error":"no capacity"}`)
+	case err != nil:
+		return http.StatusBadRequest, nil
+	}
+	b, err := json.Marshal(out)
+	c.sim.must(err)
+	return http.StatusOK, b
+}
+
+// handle carries out a request and returns what its answer holds.
+func (c *Cloud) handle(method, target string, body []byte) (any, error) {
 	u, err := url.Parse(target)
 	if err != nil {
-		return 400, nil
+		return nil, errBadCloudRequest
 	}
-	var out any
 	switch {
-	case method == "GET" && u.Path == api.PathMachineTypes:
-		out = api.MachineTypes{Types: c.Types}
-	case method == "GET" && u.Path == api.PathInstances:
-		l := api.InstanceList{Machines: []api.Instance{}}
-		for _, h := range c.instances {
-			if string(h.ID) > u.Query().Get("since") && h.listedAt <= c.sim.Now {
-				x := h.Instance
-				x.AgeSeconds = (c.sim.Now - h.createdAt).Seconds()
-				l.Machines = append(l.Machines, x)
-			}
-		}
-		sort.Slice(l.Machines, func(i, j int) bool { return l.Machines[i].ID < l.Machines[j].ID })
-		limit, err := strconv.Atoi(u.Query().Get("limit"))
-		if err != nil || limit > 500 {
-			return 400, nil
-		}
-		if l.More = len(l.Machines) > limit; l.More {
-			l.Machines = l.Machines[:limit]
-		}
-		out = l
-	case method == "POST" && u.Path == api.PathInstances:
-		var r api.ScaleOutRequest
-		if json.Unmarshal(body, &r) != nil || r.Count < 1 || r.Count > 50 {
-			return 400, nil
-		}
-		launched, known := c.launchesByName[r.Name]
-		if !known {
-			for len(launched) < r.Count && len(c.instances) < c.Capacity && c.hasZoneCapacity(r.Zone) {
-				bootTime := 20 * time.Second
-				for _, t := range c.Types {
-					if t.Name == r.Type {
-						bootTime = api.Seconds(t.BootSeconds)
-					}
-				}
-				launched = append(launched, c.Launch(r.Type, r.Zone, r.Spot, bootTime))
-			}
-			if len(launched) == 0 {
-				return 503, []byte(`{"error":"no capacity"}`)
-			}
-			c.launchesByName[r.Name] = launched
-			c.LaunchCalls++
-			c.LaunchedMachines += len(launched)
+	case method == http.MethodGet && u.Path == api.PathMachineTypes:
+		return api.MachineTypes{Types: c.Types}, nil
+	case method == http.MethodGet && u.Path == api.PathInstances:
+		return c.listInstances(u.Query())
+	case method == http.MethodPost && u.Path == api.PathInstances:
+		return c.scaleOut(body)
+	case method == http.MethodPost && u.Path == api.PathDeleteInstances:
+		return c.deleteInstances(body)
+	}
+	return nil, errBadCloudRequest
+}
+
+// listInstances answers with a page of the machines that the list shows by now.
+func (c *Cloud) listInstances(query url.Values) (any, error) {
+	list := api.InstanceList{Machines: []api.Instance{}}
+	for _, h := range c.instances {
+		if string(h.ID) > query.Get("since") && h.listedAt <= c.sim.Now {
+			listed := h.Instance
+			listed.AgeSeconds = (c.sim.Now - h.createdAt).Seconds()
+			list.Machines = append(list.Machines, listed)
 		}
-		out = api.MachineIDList{Machines: launched}
-	case method == "POST" && u.Path == api.PathDeleteInstances:
-		var m api.MachineIDList
-		if json.Unmarshal(body, &m) != nil || len(m.Machines) > 100 {
-			return 400, nil
+	}
+	sort.Slice(list.Machines, func(i, j int) bool { return list.Machines[i].ID < list.Machines[j].ID })
+	limit, err := strconv.Atoi(query.Get("limit"))
+	if err != nil || limit > maxInstancePage {
+		return nil, errBadCloudRequest
+	}
+	if list.More = len(list.Machines) > limit; list.More {
+		list.Machines = list.Machines[:limit]
+	}
+	return list, nil
+}
+
+// scaleOut launches machines, as many as there is capacity for. A repeated request, known by its
+// name, gets the machines of the first.
+func (c *Cloud) scaleOut(body []byte) (any, error) {
+	var request api.ScaleOutRequest
+	if json.Unmarshal(body, &request) != nil || request.Count < 1 || request.Count > maxLaunchCount {
+		return nil, errBadCloudRequest
+	}
+	launched, repeated := c.launchesByName[request.Name]
+	if repeated {
+		return api.MachineIDList{Machines: launched}, nil
+	}
+	for len(launched) < request.Count && len(c.instances) < c.Capacity && c.hasZoneCapacity(request.Zone) {
+		launched = append(launched, c.Launch(request.Type, request.Zone, request.Spot, c.bootTime(request.Type)))
+	}
+	if len(launched) == 0 {
+		return nil, errNoCapacity
+	}
+	c.launchesByName[request.Name] = launched
+	c.LaunchCalls++
+	c.LaunchedMachines += len(launched)
+	return api.MachineIDList{Machines: launched}, nil
+}
+
+func (c *Cloud) bootTime(machineType api.MachineTypeName) time.Duration {
+	bootTime := defaultBootTime
+	for _, t := range c.Types {
+		if t.Name == machineType {
+			bootTime = api.Seconds(t.BootSeconds)
 		}
-		for _, id := range m.Machines {
-			if c.instances[id] != nil {
-				c.DeletedMachines++
-			}
-			delete(c.instances, id)
-			c.sim.killWorker(id)
+	}
+	return bootTime
+}
+
+// deleteInstances deletes machines; those that are gone already are no error.
+func (c *Cloud) deleteInstances(body []byte) (any, error) {
+	var request api.MachineIDList
+	if json.Unmarshal(body, &request) != nil || len(request.Machines) > maxDeletionCount {
+		return nil, errBadCloudRequest
+	}
+	for _, id := range request.Machines {
+		if c.instances[id] != nil {
+			c.DeletedMachines++
 		}
-		out = struct{}{}
-	default:
-		return 400, nil
+		delete(c.instances, id)
+		c.sim.killWorker(id)
 	}
-	b, err := json.Marshal(out)
-	c.sim.must(err)
-	return 200, b
+	return struct{}{}, nil
 }
--- /dev/null
+++ b/internal/emulator/traffic_kinds.go
@@ -0,0 +1,52 @@
+package emulator
+
+import (
+	"encoding/json"
+	"strings"
+
+	"basaltwall/api"
+	"basaltwall/peer"
+)
+
+// This file tells kinds of messages apart, for the counts of traffic.
+
+// peerMessageKind tells what a message between controllers is about.
+func peerMessageKind(body []byte) string {
+	m, err := peer.ParseMessage(body)
+	switch {
+	case err != nil:
+		return "garbled"
+	case m.Gossip != nil:
+		return "news"
+	case m.Forward != nil:
+		return "forward " + m.Forward.Kind
+	case m.ReadLog != nil:
+		return "read log"
+	}
+	return "other"
+}
+
+// storeRequestKind tells what a request to the key-value store is for: of a transaction by the key that
+// it writes first.
+func storeRequestKind(method, target string, body []byte) string {
+	path, query, _ := strings.Cut(target, "?")
+	switch {
+	case method == "POST" && path == api.PathTxn:
+		var t api.Txn
+		if json.Unmarshal(body, &t) != nil || len(t.Writes) == 0 {
+			return "compare"
+		}
+		key := strings.TrimPrefix(t.Writes[0].Put+t.Writes[0].Drop, "b/")
+		kind, _, _ := strings.Cut(key, "/")
+		return "write " + kind
+	case strings.HasPrefix(path, api.PathLeases):
+		return "lease"
+	case path == api.PathChanges && strings.Contains(query, "wait_ms=") && !strings.Contains(query, "wait_ms=0"):
+		return "watch"
+	case path == api.PathChanges:
+		return "read changes"
+	case path == api.PathKeys:
+		return "read page"
+	}
+	return "read key"
+}
