--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -11,8 +11,8 @@
 	"basaltwall/config"
 )
 
-// Checker watches what really happens and what users are told, and finds
-// broken rules. It shares no code with the controllers' decisions.
+// Checker observes what runs on machines and what users are told, and finds
+// violations of the rules. It shares no code with the controllers' decisions.
 type Checker struct {
 	Violations []string
 	StartCount int
@@ -28,15 +28,15 @@
 	specs                map[api.JobID]*api.JobSpec
 	submitted            map[api.JobID]bool
 	jobTracker           jobTracker
-	queries              map[api.JobID]*queryStatus    // accepted jobs whose users ask
-	faultsEndAt          time.Duration                 // when the last trouble is over
+	queries              map[api.JobID]*queryStatus    // accepted jobs whose users poll
+	faultsEndAt          time.Duration                 // when the last fault is over
 	stoppedReplicas      map[api.TaskID]stoppedReplica // replicas that were stopped
 	pendingCancels       map[api.JobID]time.Duration   // cancellations that users wait for, and since when
-	feasibleSince        feasibleTimes                 // room that there was for jobs that wait
-	starvationReported   map[api.JobID]bool            // those were noted as left waiting
+	feasibleSince        feasibleTimes                 // feasible placements of jobs that wait
+	starvationReported   map[api.JobID]bool            // those that were reported as left waiting
 
-	// OnStart, if set, is told of each task that is on a machine now, and when its job was first
-	// submitted.
+	// OnStart, if set, is called for each task that starts on a machine, with the time at which
+	// its job was first submitted.
 	OnStart func(at, submitted time.Duration, id api.TaskID, s *api.JobSpec)
 
 	// MaxCancelWait is the longest that a user has waited for a cancellation.
@@ -44,11 +44,11 @@
 }
 
 // replicaRestartTimeout is how long a replica of an urgent service may be missing after it was stopped by
-// command: nothing but more urgent work (see madeWay) and a move may stop it, and a move has room for it, so it
-// is a fetch and what starting takes.
+// command: only preemption by work of higher priority (see forgetPreempted) and a move may stop it, and a move
+// has free capacity for it elsewhere, so it is the time to fetch the image and to start.
 const replicaRestartTimeout = time.Minute
 
-// stoppedReplica is a replica that was stopped by command, when and where.
+// stoppedReplica is when and where a replica was stopped by command.
 type stoppedReplica struct {
 	at      time.Duration
 	machine api.MachineID
@@ -61,8 +61,8 @@
 	}
 }
 
-// forgetPreempted forgets the replicas, all of high priority, that were stopped on a machine where more urgent work starts:
-// they were not moved, and their room is taken. What was emptied for its equals is a move.
+// forgetPreempted forgets the replicas, all of high priority, that were stopped on a machine where work of higher
+// priority starts: they were preempted, not moved. A machine that is vacated for work of the same priority is a move.
 func (c *Checker) forgetPreempted(m api.MachineID, s *api.JobSpec) {
 	for id, x := range c.stoppedReplicas {
 		if x.machine == m && s.Priority.Rank() > api.High.Rank() {
@@ -71,18 +71,18 @@
 	}
 }
 
-// queryStatus is how a job's questions were answered.
+// queryStatus is how queries about a job were answered.
 type queryStatus struct {
 	lastAnswered time.Duration // when one was last answered with 200
 	lastSent     time.Duration // when one was last sent
-	reported     bool          // it was noted as unknown
+	reported     bool          // a violation was recorded
 }
 
-// unansweredTimeout is how long no question about an accepted job may be answered, once all
-// troubles are over.
+// unansweredTimeout is how long queries about an accepted job may go unanswered, once all
+// faults are over.
 const unansweredTimeout = 75 * time.Second
 
-// FaultUntil notes that something is wrong until then: what is asked meanwhile may go unanswered.
+// FaultUntil notes that a fault lasts until then: requests may go unanswered meanwhile.
 func (c *Checker) FaultUntil(until time.Duration) { c.faultsEndAt = max(c.faultsEndAt, until) }
 
 // QuerySent notes that a user has asked about a job.
@@ -174,8 +174,8 @@
 	return same
 }
 
-// TaskStarting notes that a machine carries out a launch of a task, or that the task has its image or
-// its gang and begins. None may after a user was told that its job is cancelled, however soon.
+// TaskStarting notes that a machine carries out the launch of a task, or that the task has its image or
+// its gang and begins. None may once its user has got the acknowledgement that the job is cancelled.
 func (c *Checker) TaskStarting(at time.Duration, id api.TaskID, what string) {
 	end, ok := c.cancelAcknowledgedAt[id.Job]
 	switch {
@@ -220,7 +220,7 @@
 	c.jobTracker.cancelled(at, ref)
 }
 
-// AwaitCancelAck notes that a user asks for a cancellation, and goes on until it is told.
+// AwaitCancelAck notes that a user asks for a cancellation, and repeats that until it is acknowledged.
 func (c *Checker) AwaitCancelAck(at time.Duration, ref api.JobID) {
 	if _, since := c.pendingCancels[ref]; !since && stateRank(c.reportedStates[ref]) < 2 {
 		c.pendingCancels[ref] = at
@@ -287,8 +287,8 @@
 	}
 }
 
-// InvalidJobResponse notes the answer to a job that can't run or lacks something, and reports whether it is
-// one: it must be refused, naming the field where one is at fault.
+// InvalidJobResponse notes the answer to the submission of an invalid job, and reports whether it is final:
+// the job must be refused, naming the field where one is at fault.
 func (c *Checker) InvalidJobResponse(at time.Duration, ref api.JobID, problem string, status int, field, reason string) bool {
 	switch status {
 	case 200, 201:
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -26,7 +26,7 @@
 	stepScheduled  bool
 	startedAt      time.Duration
 
-	frozenUntil time.Duration // stands still until then
+	frozenUntil time.Duration // the process is paused until then
 }
 
 // StartControllers starts the controllers.
@@ -36,7 +36,7 @@
 	}
 }
 
-// StartController starts a controller with nothing in its memory.
+// StartController starts a controller with empty memory.
 func (sim *Simulation) StartController(name string) {
 	incarnation := 1
 	if old := sim.controllers[name]; old != nil {
@@ -48,7 +48,7 @@
 	sim.tickController(h)
 }
 
-// CrashController ends a controller and starts it again later.
+// CrashController crashes a controller and restarts it after the downtime.
 func (sim *Simulation) CrashController(name string, downtime time.Duration) {
 	h := sim.controllers[name]
 	if h == nil || h.controller == nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// FreezeController makes a controller stand still while its clocks run on: what reaches it waits.
+// FreezeController pauses a controller's process while its clocks run on: what reaches it waits.
 func (sim *Simulation) FreezeController(name string, length time.Duration) {
 	h := sim.controllers[name]
 	if h == nil || h.controller == nil {
@@ -180,7 +180,7 @@
 	}, func(r httpx.Response, err error) message.Command { return peer.ParseReply(e, r, err) })
 }
 
-// callController gives a controller a request and passes its answer on.
+// callController passes a request to a controller, and its answer on.
 func (sim *Simulation) callController(h *controllerHost, command func(message.ReqID) message.Command, answer func(int, []byte)) {
 	sim.callControllerReply(h, command, func(e message.Reply) { answer(e.Status, e.Body) })
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -18,11 +18,11 @@
 	// Deployment is the part of the settings file that all controllers share.
 	Deployment map[string]any
 	Types      []api.MachineType
-	// Machines are up at the start, of the first type, in the zones by turns.
+	// Machines are up at the start, of the first type, spread round-robin over the zones.
 	Machines int
 	Regions  *Regions
 	Seed     uint64
-	// ClockInterval is how often the world's clock is brought up to date; 0: every millisecond.
+	// ClockInterval is how often the simulation's clock is advanced to real time; 0: every millisecond.
 	ClockInterval time.Duration
 }
 
@@ -32,13 +32,13 @@
 	Zone  api.Zone
 }
 
-// Fleet runs the emulators of a large deployment in real time on loopback: thousands of hollow
-// workers, each at an address of its own, hollow users, key-value store and cloud, and relays
+// Fleet runs the emulators of a large deployment in real time on loopback: thousands of emulated
+// workers, each at an address of its own, users, key-value store and cloud, and relays
 // between the controllers. All that passes between controllers and anything else goes through
 // it, so that it can be delayed, cut and counted.
 //
 // A worker listens at one port for each controller, and each controller is told its own port:
-// that is how a direct command's sender is known.
+// that is how the sender of a direct command is known.
 type Fleet struct {
 	*Live
 	Traffic *Traffic
@@ -51,7 +51,8 @@
 	relayClient   *http.Client
 }
 
-// workerPort stands for the port in a worker's address, which differs by who is told of it.
+// workerPort is the placeholder for the port in a worker's address; each controller gets its own, see
+// rewriteWorkerPorts.
 const workerPort = "9000"
 
 // StartFleet starts the emulators of a plan.
@@ -77,7 +78,7 @@
 	return f, nil
 }
 
-// Do has the world looked at or changed.
+// Do calls inspect with the simulation locked, to read or to change it.
 func (f *Fleet) Do(inspect func(sim *Simulation)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,7 +91,7 @@
 	return zones[i%len(zones)]
 }
 
-// newSimulation builds the world for the settings that were made.
+// newSimulation builds the simulation for the settings files that were made.
 func (f *Fleet) newSimulation() {
 	sim := NewSimulation(f.config.Seed, f.Configs)
 	f.sim = sim
@@ -105,14 +106,14 @@
 	}
 }
 
-// openListeners opens what each controller needs to reach, and writes the settings files. What it
-// returns begins to serve that.
+// openListeners opens the listeners that each controller needs to reach, and makes the settings files. The
+// functions it returns start to serve on them.
 func (f *Fleet) openListeners() ([]func(), error) {
 	var starters []func()
-	type place struct{ api, peer, state, cloud string }
-	endpoints := map[string]place{}
+	type endpointAddrs struct{ api, peer, state, cloud string }
+	endpoints := map[string]endpointAddrs{}
 	for _, c := range f.config.Controllers {
-		var p place
+		var p endpointAddrs
 		for _, addr := range []*string{&p.api, &p.peer} {
 			var err error
 			if *addr, err = f.reserveAddr(); err != nil {
@@ -136,7 +137,7 @@
 		}
 		_, port, err := net.SplitHostPort(ln.Addr().String())
 		if err != nil {
-			return nil, fmt.Errorf("stand-in: %w", err)
+			return nil, fmt.Errorf("emulator: %w", err)
 		}
 		f.workerPorts[c.Label], f.peerAddrs[c.Label] = port, p.peer
 		endpoints[c.Label] = p
--- a/internal/emulator/fleet_network.go
+++ b/internal/emulator/fleet_network.go
@@ -33,7 +33,7 @@
 	}}
 	ln, err := c.Listen(context.Background(), "tcp4", "0.0.0.0:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in: %w", err)
+		return nil, fmt.Errorf("emulator: %w", err)
 	}
 	return ln, nil
 }
@@ -67,12 +67,12 @@
 	go f.forward(f.userClient, method, addr, path, body, answer)
 }
 
-// sendHeartbeat carries a worker's report, over a connection of its own.
+// sendHeartbeat carries a worker's heartbeat, over a connection of its own.
 func (f *Fleet) sendHeartbeat(wk *Worker, name string, body []byte, answer func(int, []byte)) {
 	addr := f.sim.configs[name].APIAddr
 	client := f.workerClients[wk.id]
 	if client == nil {
-		client = f.meteredClient(FlowHeartbeats, 1) // it closes the connection to the node that sends it on
+		client = f.meteredClient(FlowHeartbeats, 1) // it closes the connection to a controller that redirects it
 		f.workerClients[wk.id] = client
 	}
 	f.Traffic.countMessage(FlowHeartbeats)
@@ -85,15 +85,15 @@
 	return bytes.ReplaceAll(body, []byte(":"+workerPort+`"`), []byte(":"+f.workerPorts[name]+`"`))
 }
 
-// serveController serves requests of one controller: each crosses the network, is handled in the world,
-// and its answer crosses the network.
-func (f *Fleet) serveController(ln net.Listener, flow FlowName, name string, side Endpoint, handle func(r *http.Request, body []byte, answer func(int, []byte))) {
+// serveController serves requests of one controller: each passes the emulated network, is handled in the simulation,
+// and its answer passes the network back.
+func (f *Fleet) serveController(ln net.Listener, flow FlowName, name string, endpoint Endpoint, handle func(r *http.Request, body []byte, answer func(int, []byte))) {
 	f.serveHTTP(&meteredListener{ln, f.Traffic, flow}, func(rw http.ResponseWriter, r *http.Request, body []byte) {
 		done := make(chan response, 1)
 		f.mu.Lock()
-		f.sim.transmit(name, side, func() {
+		f.sim.transmit(name, endpoint, func() {
 			handle(r, body, func(status int, b []byte) {
-				f.sim.transmit(name, side, func() { done <- response{status, b} })
+				f.sim.transmit(name, endpoint, func() { done <- response{status, b} })
 			})
 		})
 		f.mu.Unlock()
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -19,8 +19,8 @@
 )
 
 // Live runs the emulators in real time on loopback, for controllers that are
-// real processes. Its door takes users' requests to the controllers, as a load
-// balancer would, and remembers what they submit for the workers.
+// real processes. Its load balancer passes users' requests to the controllers and
+// remembers the jobs that they submit, for the workers.
 type Live struct {
 	Configs          []*config.Config
 	SettingsFiles    [][]byte // the controllers' settings files
@@ -30,18 +30,18 @@
 	sim           *Simulation
 	client        http.Client
 	roundRobin    int
-	clockInterval time.Duration // between looks at the clock
+	clockInterval time.Duration // at which the clock is advanced
 	ctx           context.Context
 }
 
-// clockInterval is how often the world's clock is brought up to date.
+// clockInterval is how often the simulation's clock is advanced to real time.
 const clockInterval = 5 * time.Millisecond
 
 // listenLocal finds a free port on loopback.
 func listenLocal() (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in: %w", err)
+		return nil, fmt.Errorf("emulator: %w", err)
 	}
 	return l, nil
 }
@@ -104,21 +104,21 @@
 func (l *Live) reserveAddr() (string, error) {
 	addr, release, err := testport.Reserve()
 	if err != nil {
-		return "", fmt.Errorf("stand-in: %w", err)
+		return "", fmt.Errorf("emulator: %w", err)
 	}
 	context.AfterFunc(l.ctx, release)
 	return addr, nil
 }
 
-// addSettings takes in a controller's settings file.
+// addSettings adds a controller's settings file.
 func (l *Live) addSettings(file map[string]any) error {
 	data, err := json.MarshalIndent(file, "", "  ")
 	if err != nil {
-		return fmt.Errorf("stand-in: %w", err)
+		return fmt.Errorf("emulator: %w", err)
 	}
 	c, err := config.Parse(data)
 	if err != nil {
-		return fmt.Errorf("stand-in: %w", err)
+		return fmt.Errorf("emulator: %w", err)
 	}
 	l.Configs, l.SettingsFiles = append(l.Configs, c), append(l.SettingsFiles, data)
 	return nil
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// followClock lets the world's clock follow the real one.
+// followClock lets the simulation's clock follow the real one.
 func (l *Live) followClock() {
 	start := time.Now()
 	tick := time.NewTicker(l.clockInterval)
@@ -191,7 +191,7 @@
 	body   []byte
 }
 
-// serve answers requests on a listener with a handler of the world.
+// serve answers requests on a listener with a handler that runs in the simulation.
 func (l *Live) serve(ln net.Listener, handle func(controllerName, method, target string, body []byte, answer func(int, []byte))) {
 	l.serveHTTP(ln, func(rw http.ResponseWriter, r *http.Request, body []byte) {
 		c := make(chan response, 1)
@@ -225,12 +225,12 @@
 	context.AfterFunc(l.ctx, func() { _ = s.Close() })
 }
 
-// deliver sends a worker's report to a controller.
+// deliver sends a request to a controller.
 func (l *Live) deliver(name, method, path string, _ message.Caller, body []byte, answer func(int, []byte)) {
 	go l.forward(&l.client, method, l.sim.configs[name].APIAddr, path, body, answer)
 }
 
-// forward sends a request and passes its answer on to the world, if there is one.
+// forward sends a request and passes its answer, if there is one, to the simulation.
 func (l *Live) forward(client *http.Client, method, addr, path string, body []byte, answer func(int, []byte)) {
 	status, b := l.send(client, method, addr, path, "", body)
 	if status == 0 {
@@ -262,7 +262,7 @@
 	return res.StatusCode, b
 }
 
-// serveLoadBalancer passes users' requests on to the controllers by turns.
+// serveLoadBalancer passes users' requests to the controllers round-robin.
 func (l *Live) serveLoadBalancer(ln net.Listener) {
 	l.serveHTTP(ln, func(rw http.ResponseWriter, r *http.Request, body []byte) {
 		l.mu.Lock()
--- a/internal/emulator/live/main.go
+++ b/internal/emulator/live/main.go
@@ -92,7 +92,7 @@
 
 func main() {
 	var c cli
-	kong.Parse(&c, kong.Name("live"), kong.Description("Stand-ins for trying basaltwall on one machine."))
+	kong.Parse(&c, kong.Name("live"), kong.Description("Emulators for trying basaltwall on one machine."))
 	if err := run(&c); err != nil {
 		fmt.Fprintln(os.Stderr, "live:", err)
 		os.Exit(1)
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -10,10 +10,10 @@
 
 // This file has the network between controllers, machines and services: latency, round trips and partitions.
 
-// Endpoint is an end of a connection that a cut may part from another.
+// Endpoint is what a controller communicates with over a link.
 type Endpoint string
 
-// The sides of a cut: a controller and what it is cut from.
+// The endpoints that a controller may be partitioned from.
 const (
 	EndpointStore   Endpoint = "state"
 	EndpointWorkers Endpoint = "workers"
@@ -32,6 +32,32 @@
 	heldPackets []func()
 }
 
+// NetworkFaults are the faults of the network that are in force.
+type NetworkFaults struct {
+	linkCuts map[linkKey]*networkCut
+	zoneCuts map[api.Zone]*networkCut // zones that are partitioned off
+
+	// ReplyLossRate is the share of the key-value store's answers to transactions that are lost
+	// after the transaction was carried out; TransactionDelayRate the share of transactions that
+	// arrive seconds late, possibly after their sender's timeout.
+	ReplyLossRate, TransactionDelayRate float64
+
+	// StaleHeartbeatRate is the share of heartbeats of which a copy arrives again later.
+	StaleHeartbeatRate float64
+
+	// HeldHeartbeatRate is the share of heartbeats of which a copy is held until the owner of any
+	// partition changes: then it reaches all controllers.
+	HeldHeartbeatRate float64
+	heldHeartbeats    [][]byte
+
+	// ExtraLatency is the mean of a random latency that is added to each passage over the network.
+	ExtraLatency time.Duration
+}
+
+func newNetworkFaults() NetworkFaults {
+	return NetworkFaults{linkCuts: map[linkKey]*networkCut{}, zoneCuts: map[api.Zone]*networkCut{}}
+}
+
 func (sim *Simulation) latency() time.Duration {
 	d := time.Duration(500+sim.rand.IntN(1500)) * time.Microsecond
 	if sim.ExtraLatency > 0 {
@@ -45,9 +71,9 @@
 func (timeoutError) Error() string { return "no answer" }
 
 // roundTrip carries a request from a controller across the network and its answer
-// back, exactly one command in the end. A cut may hold packets and deliver them
-// when it ends, though the sender has given up.
-func (sim *Simulation) roundTrip(h *controllerHost, side Endpoint, extraDelay, timeout time.Duration, serve func(answer func(int, []byte)),
+// back; the controller gets exactly one command, an answer or a timeout. A cut may hold packets and deliver them
+// when it heals, though the sender has timed out.
+func (sim *Simulation) roundTrip(h *controllerHost, endpoint Endpoint, extraDelay, timeout time.Duration, serve func(answer func(int, []byte)),
 	answer func(httpx.Response, error) message.Command) {
 	settled := false
 	settle := func(r httpx.Response, err error) {
@@ -59,24 +85,24 @@
 	sim.After(timeout, func() { settle(httpx.Response{}, timeoutError{}) })
 	deliver := func() {
 		serve(func(status int, body []byte) {
-			sim.transmit(h.name, side, func() { settle(httpx.Response{Status: status, Body: body}, nil) })
+			sim.transmit(h.name, endpoint, func() { settle(httpx.Response{Status: status, Body: body}, nil) })
 		})
 	}
-	sim.After(extraDelay, func() { sim.transmit(h.name, side, deliver) })
+	sim.After(extraDelay, func() { sim.transmit(h.name, endpoint, deliver) })
 }
 
-// transmit does something one network latency later, unless a cut is in the way. State
-// service, cloud and users belong to no zone: a controller whose zone is cut off reaches
+// transmit calls back one network latency later, unless the link is cut. Key-value store,
+// cloud and users belong to no zone: a controller whose zone is partitioned off reaches
 // none of them.
-func (sim *Simulation) transmit(controllerName string, side Endpoint, callback func()) {
-	outside := side != EndpointWorkers && side != EndpointPeers // what belongs to no zone
+func (sim *Simulation) transmit(controllerName string, endpoint Endpoint, callback func()) {
+	outside := endpoint != EndpointWorkers && endpoint != EndpointPeers // what belongs to no zone
 	zone := sim.configs[controllerName].Zone
 	delay := sim.latency()
 	if outside {
 		delay += sim.regions.extraLatency(zone, "")
 	}
 	sim.After(delay, func() {
-		c := sim.linkCuts[linkKey{controllerName, side}]
+		c := sim.linkCuts[linkKey{controllerName, endpoint}]
 		if c == nil && outside {
 			if c = sim.zoneCuts[zone]; c == nil {
 				c = sim.regions.cutBetween(zone, "")
@@ -86,7 +112,7 @@
 	})
 }
 
-// deliver does something, or keeps or drops it where there is a cut.
+// deliver calls back; where there is a cut, it holds or drops the packet.
 func (c *networkCut) deliver(callback func()) {
 	switch {
 	case c == nil:
@@ -96,8 +122,8 @@
 	}
 }
 
-// cutBetween is the cut between two zones, nil if there is none. A zone that is cut off
-// goes on inside.
+// cutBetween is the cut between two zones, nil if there is none. Inside a zone that is
+// partitioned off the network works.
 func (sim *Simulation) cutBetween(a, b api.Zone) *networkCut {
 	if a == b {
 		return nil
@@ -111,7 +137,7 @@
 	return sim.regions.cutBetween(a, b)
 }
 
-// transmitToZone does something that passes between a controller and a machine in a zone.
+// transmitToZone passes a packet between a controller and a machine in a zone.
 func (sim *Simulation) transmitToZone(controllerName string, zone api.Zone, callback func()) {
 	pass := func() { sim.cutBetween(sim.configs[controllerName].Zone, zone).deliver(callback) }
 	if d := sim.regions.extraLatency(sim.configs[controllerName].Zone, zone); d > 0 {
@@ -121,8 +147,8 @@
 	pass()
 }
 
-// CutZone cuts a zone off for a while, its machines and the controllers in it; with
-// hold, packets are delivered when it ends.
+// CutZone partitions a zone off for a while, its machines and the controllers in it; with
+// hold, packets are delivered when the partition heals.
 func (sim *Simulation) CutZone(zone api.Zone, length time.Duration, hold bool) {
 	if sim.zoneCuts[zone] != nil {
 		return
@@ -130,7 +156,7 @@
 	sim.zoneCuts[zone] = sim.startCut(length, hold, func() { delete(sim.zoneCuts, zone) })
 }
 
-// startCut is a cut that is mended after a while: then what it holds is delivered.
+// startCut makes a cut that heals after a while: then the packets it holds are delivered.
 func (sim *Simulation) startCut(length time.Duration, hold bool, restore func()) *networkCut {
 	c := &networkCut{holdPackets: hold}
 	sim.Checker.FaultUntil(sim.Now + length)
@@ -143,10 +169,10 @@
 	return c
 }
 
-// CutLink partitions a controller from one side for a while; with hold, packets are
-// delivered when it ends.
-func (sim *Simulation) CutLink(controllerName string, side Endpoint, length time.Duration, hold bool) {
-	k := linkKey{controllerName, side}
+// CutLink partitions a controller from an endpoint for a while; with hold, packets are
+// delivered when the partition heals.
+func (sim *Simulation) CutLink(controllerName string, endpoint Endpoint, length time.Duration, hold bool) {
+	k := linkKey{controllerName, endpoint}
 	if sim.linkCuts[k] != nil {
 		return
 	}
--- a/internal/emulator/pools.go
+++ b/internal/emulator/pools.go
@@ -75,8 +75,8 @@
 	return false
 }
 
-// checkPoolSizes holds the starts of a round that was just taken in against the sizes in force:
-// those of jobs, and whether the job held nothing before. A further task of a job that takes
+// checkPoolSizes compares the starts of a round that was just written with the sizes in force. started has the
+// jobs with starts, and whether the job held nothing before. A further task of a job that takes
 // units for itself alone takes none.
 func (t *Tenants) checkPoolSizes(started map[api.JobID]bool) {
 	pools := map[api.PoolName]bool{}
@@ -136,8 +136,8 @@
 	})
 }
 
-// Utilization is the share of a pool's size that is held on average between two times, looked at
-// each second; it is known once they have passed.
+// Utilization measures the share of a pool's size that is held on average between two times, sampled
+// each second; what it returns is known once they have passed.
 func (t *Tenants) Utilization(name api.PoolName, from, to time.Duration) func() float64 {
 	sum, samples := 0.0, 0
 	var sample func()
--- a/internal/emulator/regions.go
+++ b/internal/emulator/regions.go
@@ -6,13 +6,13 @@
 	"basaltwall/api"
 )
 
-// Regions are groups of zones that lie far apart. State service, cloud and users are in the home
-// region.
+// Regions are groups of zones with latency between them. Key-value store, cloud and users are in
+// the home region.
 type Regions struct {
 	// ByZone is the region of each zone, Home that of what belongs to no zone.
 	ByZone map[api.Zone]string
 	Home   string
-	// Latency is what a passage from one region to another takes longer.
+	// Latency is the additional latency from one region to another.
 	Latency time.Duration
 
 	cuts map[string]*networkCut // regions whose links to the others are cut
@@ -26,7 +26,7 @@
 	return r.ByZone[z]
 }
 
-// extraLatency is what a passage between two zones takes longer for their regions.
+// extraLatency is the additional latency between two zones because of their regions.
 func (r *Regions) extraLatency(a, b api.Zone) time.Duration {
 	if r == nil || r.regionOf(a) == r.regionOf(b) {
 		return 0
--- a/internal/emulator/reservations.go
+++ b/internal/emulator/reservations.go
@@ -10,13 +10,13 @@
 	"basaltwall/controller/message"
 )
 
-// ReservationClients stand in for those who promise skips to building sites, by phone and in the portal,
-// and hold what they were told against the rule: a skip promised for a building site is never
-// shown as free twice. Dates are days from 1 January 1970 here.
+// ReservationClients emulate the clients that reserve skips for building sites, by phone and in the portal.
+// They check the answers against the rule promised: a skip that is reserved for a site is never
+// granted to another for the same days. Dates are days since 1 January 1970 here.
 type ReservationClients struct {
 	sim           *Simulation
 	grants        []*grant
-	numbersByName map[string]uint64 // the number told for a name
+	numbersByName map[string]uint64 // the grant's number by the request's name
 	enquiryCount  int
 	Granted       int
 	Refused       int
@@ -31,7 +31,7 @@
 	return o.totalLatency / time.Duration(max(1, o.Responses))
 }
 
-// grant is an offer or promise as its asker was told.
+// grant is an offer or promise as its client was told.
 type grant struct {
 	depot, skip, name, site string
 	number                  uint64
@@ -60,8 +60,8 @@
 	o.sim.Checker.recordViolation(o.sim.Now, "promised", format, args...)
 }
 
-// sendRequest sends a request to any controller until it is answered for good; how is told of the last
-// answer.
+// sendRequest sends a request to any controller and repeats it until there is a final answer, which handle
+// gets.
 func (o *ReservationClients) sendRequest(depot, operation string, body map[string]any, handle func(status int, a reservationResponse)) {
 	o.sendRequestTo(o.sim.Users.anyController(), depot, operation, body, handle)
 }
@@ -110,8 +110,8 @@
 	}
 }
 
-// RequestReservation is one enquiry: by phone it is promised at once, in the portal offered first; then it
-// is released, or delivered and returned, or stays.
+// RequestReservation is one client's request: by phone it is promised at once, in the portal offered first;
+// then it is released, or delivered and returned, or stays.
 func (o *ReservationClients) RequestReservation(depot, kind string, days int) {
 	o.enquiryCount++
 	r := o.sim.rand
@@ -140,7 +140,7 @@
 			})
 		}
 	}
-	if r.IntN(2) == 0 { // by phone, and perhaps once more: the line was bad
+	if r.IntN(2) == 0 { // by phone, and perhaps repeated
 		body["site"] = site
 		told := func(status int, a reservationResponse) { next(o.recordResponse(name, status, a)) }
 		o.sendRequest(depot, "promise", body, told)
@@ -153,7 +153,7 @@
 	o.sendRequest(depot, "offer", body, func(status int, a reservationResponse) {
 		g := o.recordResponse(name, status, a)
 		if g == nil || r.IntN(4) == 0 {
-			return // nobody comes back for it
+			return // the offer is left to expire
 		}
 		o.sim.After(time.Duration(1+r.IntN(12))*time.Second, func() {
 			take := map[string]any{"name": name + "-take", "skip": g.skip, "number": g.number, "site": site}
@@ -167,7 +167,7 @@
 	})
 }
 
-// ChangeAvailability has a skip go out of service or into it again.
+// ChangeAvailability takes a skip out of service or puts it into service again.
 func (o *ReservationClients) ChangeAvailability(depot, operation, skip string) {
 	o.sendRequest(depot, operation, map[string]any{"skip": skip}, func(status int, _ reservationResponse) {
 		if status != 200 {
@@ -176,7 +176,7 @@
 	})
 }
 
-// endGrant asks for the end of a promise. From then on its holder claims nothing.
+// endGrant releases a promise. From then on its holder claims nothing.
 func (o *ReservationClients) endGrant(g *grant, operation string) {
 	g.released = true
 	body := map[string]any{"skip": g.skip, "number": g.number}
@@ -184,12 +184,12 @@
 		if status != 200 {
 			o.recordViolation("%s of %s, promised to %s as %d: its %s gets %d", g.skip, g.depot, g.site, g.number, operation, status)
 		}
-		// Late and once more: by then it may be another's, which must not be touched.
+		// A late duplicate: by then the skip may be reserved for another, which must stay so.
 		o.sim.After(time.Duration(o.sim.rand.IntN(30))*time.Second, func() { o.sendRequest(g.depot, operation, body, func(int, reservationResponse) {}) })
 	})
 }
 
-// recordResponse notes an answer and holds it against all that others were told.
+// recordResponse notes an answer and checks it against all grants that others were told.
 func (o *ReservationClients) recordResponse(name string, status int, a reservationResponse) *grant {
 	if status != 200 {
 		o.Refused++
@@ -222,12 +222,12 @@
 	return g
 }
 
-// inForce reports whether who was granted it may count on it now.
+// inForce reports whether the grant's holder may rely on it now.
 func (o *ReservationClients) inForce(g *grant) bool {
 	return !g.released && (g.expiresAt == 0 || o.sim.Now < g.expiresAt)
 }
 
-// CheckListed asks any controller for a depot's skips and misses none that was promised.
+// CheckListed lists a depot's skips at any controller and requires that every promise is there.
 func (o *ReservationClients) CheckListed(depot string) {
 	sentAt := o.sim.Now
 	o.listPage(depot, "", map[uint64]string{}, func(listed map[uint64]string) {
@@ -275,8 +275,8 @@
 	})
 }
 
-// CheckLog goes through the records of the ledger as the key-value store was sent them, by themselves:
-// no skip is held by two for the same day, and every promise that somebody was told is there.
+// CheckLog replays the ledger's records as they were written to the key-value store:
+// no skip is reserved twice for the same day, and every grant that a client was told is there.
 func (o *ReservationClients) CheckLog() {
 	type held struct {
 		depot, skip string
--- a/internal/emulator/service_levels.go
+++ b/internal/emulator/service_levels.go
@@ -9,10 +9,10 @@
 	"basaltwall/api"
 )
 
-// ServiceLevel is what of a class's or a team's work was served: of a service the share of the
-// replica time due, of an array or gang all once it is done and none before. Jobs that
-// came too late to be done, and those that their users cancelled, are not counted; nor is
-// the time in which a service may still start.
+// ServiceLevel is the share of a class's or a team's work that was served: for a service the share of
+// the replica time due, for an array or gang 1 once it is done and 0 before. Jobs that were submitted
+// too late to be done, and those that their users cancelled, are not counted; nor is the time that a
+// service may take to start.
 type ServiceLevel struct {
 	Jobs       int
 	TotalShare float64
@@ -67,7 +67,7 @@
 	}
 }
 
-// taskStarted and off note that a task is on some machine from now on, or on none.
+// taskStarted notes that a task is on some machine from now on.
 func (s *jobTracker) taskStarted(at time.Duration, id api.TaskID, spec *api.JobSpec) {
 	if spec.Kind == api.Service {
 		s.runningSince[id] = at
@@ -79,6 +79,7 @@
 	}
 }
 
+// taskStopped notes that a task is on no machine any more.
 func (s *jobTracker) taskStopped(at time.Duration, id api.TaskID) {
 	if j := s.jobs[id.Job]; j != nil {
 		j.activeTasks--
@@ -89,7 +90,7 @@
 	}
 }
 
-// expectedUptime is how much of a time a service's replicas were due.
+// expectedUptime is how much of an interval a service's replicas were due.
 func (s *jobTracker) expectedUptime(ref api.JobID, from, to time.Duration) time.Duration {
 	j := s.jobs[ref]
 	if j == nil {
@@ -102,7 +103,7 @@
 	return max(0, to-from)
 }
 
-// ServiceLevels tells, as of now, how each class and each team was served.
+// ServiceLevels returns, as of now, how each class and each team was served.
 func (c *Checker) ServiceLevels(now time.Duration) (classes map[api.Class]ServiceLevel, teams map[api.Team]ServiceLevel) {
 	classes, teams = map[api.Class]ServiceLevel{}, map[api.Team]ServiceLevel{}
 	for j, got := range c.jobTracker.servedShares(now) {
@@ -113,9 +114,9 @@
 	return classes, teams
 }
 
-// LargestJobs tells how the largest tenth of each class's jobs was served, one at least, and
-// which of them waited longer than they may. Largest is what all tasks take together: first of
-// accelerators, then of CPUs, then of memory.
+// LargestJobs returns how the largest tenth of each class's jobs was served, one at least, and
+// which of them waited longer than maxWait. Jobs are compared by what all their tasks take together:
+// first by accelerators, then by CPUs, then by memory.
 func (c *Checker) LargestJobs(now, maxWait time.Duration) (classes map[api.Class]ServiceLevel, late []string) {
 	byClass := map[api.Class][]*trackedJob{}
 	for _, j := range c.jobTracker.jobs {
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -1,7 +1,11 @@
-// Package emulator emulates everything a controller meets (state
-// service, cloud, workers, users and the network between them) on one virtual
-// clock, and an independent checker of the rules. The controllers in it are the
-// real owners behind the real message adapters.
+// Package emulator emulates the environment of the controllers (key-value store,
+// cloud, workers, users and the network between them) on one virtual clock, injects
+// faults, and has an independent checker of the rules. The controllers in it are the
+// real ones behind the real message adapters.
+//
+// A Simulation owns all state of the emulators and runs them by an event queue, so
+// that a seed always gives the same run. Live and Fleet run a simulation in real time
+// on loopback, for controllers that are real processes.
 package emulator
 
 import (
@@ -25,9 +29,7 @@
 	configs         map[string]*config.Config
 	controllerNames []string
 	controllers     map[string]*controllerHost
-	linkCuts        map[linkKey]*networkCut
-	zoneCuts        map[api.Zone]*networkCut // whose machines are cut off
-	// regions are what the zones lie in; nil where all lie in one.
+	// regions are those of the zones; nil where all zones are in one.
 	regions *Regions
 
 	Store              *Store
@@ -38,44 +40,31 @@
 	ReservationClients *ReservationClients
 	Tenants            *Tenants // nil unless the service is hosted
 
-	// ReplyLossRate makes that share of the key-value store's answers get lost
-	// after the request was carried out; TransactionDelayRate that share of requests
-	// arrive seconds late, after their sender has given up.
-	ReplyLossRate, TransactionDelayRate float64
-
-	// StaleHeartbeatRate is the share of workers' reports of which a copy arrives again.
-	StaleHeartbeatRate float64
-
-	// HeldHeartbeatRate is the share of workers' reports of which a copy is kept for the next owner of
-	// any partition: it reaches all controllers once a partition has changed hands.
-	HeldHeartbeatRate float64
-	heldHeartbeats    [][]byte
-
-	// ExtraLatency is what each passage over the network takes longer, by up to twice as much.
-	ExtraLatency time.Duration
-
 	// ClockSkew is by how much a controller's wall clock is ahead.
 	ClockSkew map[string]time.Duration
 
-	// DirectCommands counts direct calls that reached a worker.
+	NetworkFaults
+
+	// DirectCommands counts direct commands that reached a worker.
 	DirectCommands int
 
-	// Deliver carries a user's request, or a copy of a worker's, to a controller; Report
-	// carries a worker's report, whose answer counts. Address
-	// names a new machine's address and OnWorker is told when it is up.
+	// Deliver carries a user's request, or the copy of a heartbeat, to a controller; SendHeartbeat
+	// carries a heartbeat whose answer counts. Address returns a new machine's address, and
+	// OnWorker is called when its worker is up.
 	Deliver       func(name, method, path string, caller message.Caller, body []byte, answer func(int, []byte))
 	SendHeartbeat func(wk *Worker, name string, body []byte, answer func(int, []byte))
 	Address       func(number int) string
 	OnWorker      func(*Worker)
 
-	// Stepped, if set, is told what each controller's Step returned, before it is carried out.
+	// Stepped, if set, is called with the effects that each Step of a controller returned, before they
+	// are carried out.
 	Stepped func(name string, effects []message.Effect)
 
 	gangs         map[gangKey]*gang
 	savedProgress map[api.JobID]time.Duration
 }
 
-// WallTime is the wall clock by true time; a controller's is off by what Skew says.
+// WallTime is the true wall-clock time; a controller's is off by its ClockSkew.
 func (sim *Simulation) WallTime() api.WallTime {
 	return api.WallTime(1_000_000 + sim.Now.Milliseconds())
 }
@@ -84,7 +73,7 @@
 func NewSimulation(seed uint64, configs []*config.Config) *Simulation {
 	sim := &Simulation{
 		rand: rand.New(rand.NewPCG(seed, 7)), configs: map[string]*config.Config{}, controllers: map[string]*controllerHost{},
-		linkCuts: map[linkKey]*networkCut{}, zoneCuts: map[api.Zone]*networkCut{}, workers: map[api.MachineID]*Worker{}, workersByAddr: map[string]*Worker{}, gangs: map[gangKey]*gang{},
+		NetworkFaults: newNetworkFaults(), workers: map[api.MachineID]*Worker{}, workersByAddr: map[string]*Worker{}, gangs: map[gangKey]*gang{},
 		savedProgress: map[api.JobID]time.Duration{},
 	}
 	sim.Checker = NewChecker(configs[0])
@@ -111,8 +100,8 @@
 	}
 }
 
-// deliverHeldHeartbeats has the reports that were kept reach all controllers, in the moment in which a
-// part's new owner has its answer.
+// deliverHeldHeartbeats has the held heartbeats reach all controllers, at the moment at which a
+// partition's new owner gets its answer.
 func (sim *Simulation) deliverHeldHeartbeats() {
 	for i, body := range sim.heldHeartbeats {
 		for _, name := range sim.controllerNames {
@@ -124,8 +113,8 @@
 	sim.heldHeartbeats = nil
 }
 
-// MachinesAboveToken counts the machines that are up, and those that have seen a token above the given
-// one; highest is the highest that any has seen.
+// MachinesAboveToken counts the machines that are up, and those that have seen a fencing token above the
+// given one; highest is the highest that any has seen.
 func (sim *Simulation) MachinesAboveToken(since api.FencingToken) (above, total int, highest api.FencingToken) {
 	for _, wk := range sim.workers {
 		total++
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -26,7 +26,7 @@
 	closed         bool
 }
 
-// Store stands in for the key-value store.
+// Store emulates the key-value store: compare-and-swap transactions, leases, watches and page reads.
 type Store struct {
 	sim               *Simulation
 	revision          api.Revision
@@ -38,18 +38,18 @@
 	leaseTTL          map[api.LeaseID]time.Duration
 	lastLease         api.LeaseID
 	watches           []*storeWatch
-	unavailable       bool // nobody is served
-	// RetainedChanges is how many changes are retained for who asks for what is new; 0: all.
+	unavailable       bool // an outage: no request is served
+	// RetainedChanges is how many changes are retained for watches; 0: all.
 	RetainedChanges int
-	// Requests and Writes count what was asked, Largest is the largest value, Pages and
-	// PageBytesRead what was read page by page.
+	// Requests and Writes count what was requested, LargestValue is the size of the largest value,
+	// PagesRead and PageBytesRead count what was read page by page.
 	Requests, Writes, LargestValue, PagesRead, PageBytesRead int
-	refusedControllers                                       map[string]bool // these nodes are not served
+	refusedControllers                                       map[string]bool // these controllers are not served
 	OwnershipChanges                                         int             // changes of a partition's owner or term
-	ShortageWrites                                           int             // writes of whether room is short
+	ShortageWrites                                           int             // writes of unmet demand
 
-	// RateLimited makes it keep its limits on requests and writes; Over counts what it refused
-	// for them.
+	// RateLimited makes it enforce its limits on requests and writes; ThrottledRequests counts what
+	// it refused because of them.
 	RateLimited                bool
 	ThrottledRequests          int
 	requestTokens, writeTokens float64
@@ -92,7 +92,7 @@
 	s.notifyWatches()
 }
 
-// Outage stops the service for a while; afterwards leases have their full time.
+// Outage makes the store unavailable for a while; afterwards leases have their full time to live.
 func (s *Store) Outage(length time.Duration) {
 	s.unavailable = true
 	s.sim.Checker.FaultUntil(s.sim.Now + length)
@@ -104,7 +104,7 @@
 	})
 }
 
-// RefuseController turns one node away for a while.
+// RefuseController refuses one controller's requests for a while.
 func (s *Store) RefuseController(controllerName string, length time.Duration) {
 	s.refusedControllers[controllerName] = true
 	s.sim.Checker.FaultUntil(s.sim.Now + length)
@@ -167,7 +167,7 @@
 	s.watches = open
 }
 
-// exceedsRateLimit takes a request off what the limits allow, and reports whether it is beyond them.
+// exceedsRateLimit takes a request's tokens, and reports whether it exceeds the limits.
 func (s *Store) exceedsRateLimit(method, target string, body []byte) bool {
 	if !s.RateLimited {
 		return false
@@ -354,7 +354,7 @@
 	writeJSON(answer, 200, out)
 }
 
-// BytesUnder is how much lies under a prefix.
+// BytesUnder is the size of all keys and values with a prefix.
 func (s *Store) BytesUnder(prefix string) int {
 	sum := 0
 	for k, e := range s.entries {
--- a/internal/emulator/tenants.go
+++ b/internal/emulator/tenants.go
@@ -14,16 +14,16 @@
 	"basaltwall/tenant"
 )
 
-// Tenants stand in for the operator of a hosted service and for who serves as its tenants:
-// the operator asks until it is answered, and reads again before each try.
+// Tenants emulate the operator of a hosted service and the tenants: the operator repeats each request
+// until it is answered, and reads the tenant's revision again before each try.
 type Tenants struct {
 	sim            *Simulation
 	adminSecret    string
 	secrets        map[tenant.Name]string
 	keyCount       int
 	jobs           map[api.JobID]tenantJob             // tenants' jobs by the id that workers know
-	suspended      map[tenant.Name]bool                // told suspended, and not asked to go on since
-	pendingChanges map[tenant.Name][]func(done func()) // that wait for the one before to be answered
+	suspended      map[tenant.Name]bool                // acknowledged as suspended, with no request to resume since
+	pendingChanges map[tenant.Name][]func(done func()) // that wait until the one before is answered
 
 	acceptedAt map[tenant.Name][]time.Duration // when jobs were written
 	poolLedger poolLedger
@@ -62,7 +62,7 @@
 	return message.Caller{Auth: "Bearer " + sim.Tenants.secrets[o.name], From: netip.MustParseAddr("192.0.2.1")}, o.ref
 }
 
-// adminRequest sends an operator's question or act to any controller; status 0 is no answer.
+// adminRequest sends an operator's request to any controller; status 0 is no answer.
 func (t *Tenants) adminRequest(operation string, name tenant.Name, body any, answer func(int, []byte)) {
 	data, err := json.Marshal(body)
 	t.sim.must(err)
@@ -78,7 +78,7 @@
 	}, answer)
 }
 
-// applyChange reads a tenant and does what make says, until it is answered with 200.
+// applyChange reads a tenant and requests the change that make returns, until it is answered with 200.
 func (t *Tenants) applyChange(name tenant.Name, operation string, body func(revision api.Revision) any, done func([]byte)) {
 	retry := func() { t.sim.After(time.Second, func() { t.applyChange(name, operation, body, done) }) }
 	t.adminRequest("tenant", name, nil, func(status int, b []byte) {
@@ -101,8 +101,8 @@
 	})
 }
 
-// enqueueChange does one act on a tenant after the other: what an operator has asked for that was
-// not answered may still happen, so the next act waits until it was.
+// enqueueChange makes changes to a tenant one after the other: a request that was not answered may
+// still be carried out, so the next one waits until it was answered.
 func (t *Tenants) enqueueChange(name tenant.Name, change func(done func())) {
 	t.pendingChanges[name] = append(t.pendingChanges[name], change)
 	if len(t.pendingChanges[name]) == 1 {
@@ -133,8 +133,7 @@
 	})
 }
 
-// Suspend has a tenant suspended. From the answer on none of its tasks may be recorded as
-// started.
+// Suspend suspends a tenant. From the answer on no start of its tasks may be recorded.
 func (t *Tenants) Suspend(name tenant.Name, drain float64) {
 	t.enqueueChange(name, func(done func()) {
 		t.applyChange(name, "suspend", func(r api.Revision) any {
@@ -146,7 +145,7 @@
 	})
 }
 
-// Resume lets it go on.
+// Resume ends a suspension.
 func (t *Tenants) Resume(name tenant.Name) {
 	t.enqueueChange(name, func(done func()) {
 		t.suspended[name] = false
@@ -154,7 +153,7 @@
 	})
 }
 
-// Remove removes it, with its jobs if cancel says so.
+// Remove removes a tenant, and cancels its jobs if cancel says so.
 func (t *Tenants) Remove(name tenant.Name, cancel bool) {
 	t.enqueueChange(name, func(done func()) {
 		for id, o := range t.jobs {
@@ -175,8 +174,8 @@
 	}
 }
 
-// RateExcess is by how many more than its rate a tenant's jobs were accepted, over whatever time
-// that is most.
+// RateExcess is by how many jobs the accepted ones of a tenant exceeded its rate, over the interval for
+// which that is most.
 func (t *Tenants) RateExcess(name tenant.Name, rate float64) float64 {
 	excess := 0.0
 	for i, from := range t.acceptedAt[name] {
@@ -196,7 +195,7 @@
 	return v.State
 }
 
-// observeWrite is told each key that has been written, before it is: rule held.
+// observeWrite is called for each key before it is written, and checks the rules held and pool.
 func (t *Tenants) observeWrite(key string, value json.RawMessage) {
 	if t == nil {
 		return
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -7,12 +7,12 @@
 	"sync/atomic"
 )
 
-// FlowName names what passes between two kinds of processes.
+// FlowName names the traffic between two kinds of processes.
 type FlowName string
 
 // The flows that are counted.
 const (
-	FlowHeartbeats FlowName = "reports" // workers' reports and their answers
+	FlowHeartbeats FlowName = "reports" // heartbeats and their answers
 	FlowCommands   FlowName = "direct"  // direct commands to workers
 	FlowStore      FlowName = "state"
 	FlowCloud      FlowName = "cloud"
@@ -23,8 +23,8 @@
 // not; of messages between controllers and of kinds of requests those of the bodies.
 type Flow struct {
 	Messages int64 `json:"messages"`
-	Sent     int64 `json:"bytes_sent"`     // by who asks
-	Received int64 `json:"bytes_received"` // by who asks
+	Sent     int64 `json:"bytes_sent"`     // by the client
+	Received int64 `json:"bytes_received"` // by the client
 }
 
 // Traffic counts messages and bytes by flow.
@@ -87,7 +87,7 @@
 	StoreStatuses     map[int]int64     `json:"state_answers"`
 }
 
-// Snapshot tells what was counted so far.
+// Snapshot returns what was counted so far.
 func (t *Traffic) Snapshot() TrafficSnapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -143,7 +143,7 @@
 }
 
 // meteredListener counts what passes over the connections that it accepts: what they read was
-// sent by who asks.
+// sent by the client.
 type meteredListener struct {
 	net.Listener
 	traffic *Traffic
--- a/internal/emulator/traffic_kinds.go
+++ b/internal/emulator/traffic_kinds.go
@@ -10,7 +10,7 @@
 
 // This file tells kinds of messages apart, for the counts of traffic.
 
-// peerMessageKind tells what a message between controllers is about.
+// peerMessageKind is the kind of a message between controllers, as results name it.
 func peerMessageKind(body []byte) string {
 	m, err := peer.ParseMessage(body)
 	switch {
@@ -26,7 +26,7 @@
 	return "other"
 }
 
-// storeRequestKind tells what a request to the key-value store is for: of a transaction by the key that
+// storeRequestKind is the kind of a request to the key-value store; that of a transaction is by the key that
 // it writes first.
 func storeRequestKind(method, target string, body []byte) string {
 	path, query, _ := strings.Cut(target, "?")
--- a/internal/emulator/user_behavior.go
+++ b/internal/emulator/user_behavior.go
@@ -11,27 +11,26 @@
 	"basaltwall/controller/message"
 )
 
-// UserBehavior are what users do beyond submitting, polling now and then and cancelling. Each holds
-// until the time that is given.
+// UserBehavior is what users do beyond submitting, polling now and then and cancelling.
 type UserBehavior struct {
 	sim *Simulation
-	// CancelAtEndShare is the share of the jobs that are called off at the moment of their end.
+	// CancelAtEndShare is the share of the jobs that are cancelled at the moment of their end.
 	CancelAtEndShare float64
-	// PollOnChange makes users ask at all nodes within milliseconds after news of a job, and repeat its
-	// submission there; CancelNewShare is the share of new jobs that they also call off at once.
+	// PollOnChange makes users poll at all controllers within milliseconds after a job's state changed, and
+	// repeat its submission there; CancelNewShare is the share of new jobs that they also cancel at once.
 	PollOnChange   bool
 	CancelNewShare float64
 
-	irregularUntil time.Duration // users send odd requests until then
-	irregularCount int           // of odd requests so far
+	irregularUntil time.Duration // users send irregular requests until then
+	irregularCount int           // irregular requests so far
 	invalidJobs    map[api.JobID]string
 }
 
-// irregularInterval is between the requests of users with odd habits.
+// irregularInterval is the time between irregular requests.
 const irregularInterval = 200 * time.Millisecond
 
-// CancelRunning has users call off so many running jobs that have long to go, within a fifth of a
-// second; up to eight of their machines hang for a while.
+// CancelRunning has users cancel so many running jobs, those with the longest remaining time, within a
+// fifth of a second; up to eight of their machines hang for a while.
 func (h *UserBehavior) CancelRunning(count int, hangTime time.Duration) {
 	sim := h.sim
 	var refs []api.JobID
@@ -62,7 +61,7 @@
 	}
 }
 
-// taskCompleted is told of each task that completed.
+// taskCompleted is called for each task that completed.
 func (h *UserBehavior) taskCompleted(ref api.JobID) {
 	c := h.sim.Checker
 	if s := c.specs[ref]; s == nil || c.jobTracker.completedCount[ref] < s.Tasks || c.cancelRequests[ref] || h.CancelAtEndShare == 0 || h.sim.rand.Float64() >= h.CancelAtEndShare {
@@ -71,7 +70,7 @@
 	h.sim.After(time.Duration(h.sim.rand.Int64N(int64(20*time.Millisecond))), func() { h.sim.Users.Cancel(ref, "") })
 }
 
-// jobStateChanged is told of each answer that is stronger than the ones before.
+// jobStateChanged is called for each answer with a later state than the ones before.
 func (h *UserBehavior) jobStateChanged(ref api.JobID) {
 	if !h.PollOnChange {
 		return
@@ -91,8 +90,8 @@
 	}
 }
 
-// SendIrregularRequests has users send odd requests for a while: submissions again of jobs that are not over,
-// cancellations of jobs that are done, jobs that can't run or lack a field.
+// SendIrregularRequests has users send irregular requests for a while: repeated submissions of open jobs,
+// cancellations of jobs that are done, and invalid jobs.
 func (h *UserBehavior) SendIrregularRequests(length time.Duration) {
 	h.irregularUntil = h.sim.Now + length
 	h.sendIrregularRequest()
@@ -128,8 +127,8 @@
 	}
 }
 
-// invalidJobCases are ways in which a job can't be run or lacks something, by what is changed of one that
-// can, and the field that a refusal has to name, empty where it may name any.
+// invalidJobCases are the ways in which a job can be invalid, each by a change to a valid one, with the
+// field that a refusal has to name, empty where it may name any.
 func invalidJobCases() []struct {
 	what, field string
 	change      func(map[string]any)
@@ -171,7 +170,8 @@
 	return out
 }
 
-// submitInvalidJob submits a job that must be refused, each kind in turn, to any node, until it is answered.
+// submitInvalidJob submits a job that must be refused, each case in turn, to any controller, until it is
+// answered.
 func (h *UserBehavior) submitInvalidJob() {
 	all := invalidJobCases()
 	b := all[len(h.invalidJobs)%len(all)]
@@ -197,16 +197,16 @@
 			sim.After(time.Second, func() { h.retryInvalidJob(ref, field, body) })
 			return
 		}
-		sim.Users.PollOnce(ref) // it is known to nobody
+		sim.Users.PollOnce(ref) // no controller may know it
 	})
 }
 
-// resubmit submits a job again that was accepted, once, at one node.
+// resubmit repeats the submission of an accepted job, once, at one controller.
 func (u *Users) resubmit(name string, spec *api.JobSpec) {
 	u.sendRequest(name, "POST", "", spec.Ref, u.submissionBody(spec), 5*time.Second, func(int, api.JobState) {})
 }
 
-// cancelOnce asks once for the cancellation of a job that its users were told is done.
+// cancelOnce requests once the cancellation of a job that is done.
 func (u *Users) cancelOnce(ref api.JobID) {
 	u.sendRequest(u.anyController(), "POST", "/"+api.PathSuffixCancel, ref, nil, 5*time.Second, func(int, api.JobState) {})
 }
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -11,8 +11,8 @@
 	"basaltwall/worker"
 )
 
-// Users stand in for all users: they submit, poll and cancel through whichever
-// node they happen to reach, and ask again after a failure.
+// Users emulate all users: they submit, poll and cancel through a controller drawn
+// at random, and retry after a failure.
 type Users struct {
 	sim        *Simulation
 	specs      map[api.JobID]*api.JobSpec
@@ -20,10 +20,10 @@
 	AcceptedAt map[api.JobID]time.Duration
 	DoneAt     map[api.JobID]time.Duration
 	polling    map[api.JobID]bool
-	// PollsPerInterval is how many times as often as usual each open job is asked about, beside the
-	// question whose answer counts.
+	// PollsPerInterval is how many additional polls there are of each open job at each interval, beside the
+	// one whose answer counts.
 	PollsPerInterval int
-	// OnResponse, if set, is told how long each request took and how it was answered, 0: not at all.
+	// OnResponse, if set, is called with each request's latency and the status of its answer, 0: none.
 	OnResponse func(what RequestKind, took time.Duration, status int)
 	UserBehavior
 }
@@ -38,7 +38,7 @@
 	RequestCancel RequestKind = "cancel"
 )
 
-// requestKindOf tells what is asked by what follows the job's id, see ask.
+// requestKindOf is the kind of a request by what follows the job's id, see sendRequest.
 func requestKindOf(suffix string) RequestKind {
 	switch suffix {
 	case "":
@@ -84,13 +84,13 @@
 	}, answer)
 }
 
-// Request sends one request to a node and passes on its answer, status 0 when
+// Request sends one request to a controller and passes on its answer, status 0 when
 // none comes.
 func (u *Users) Request(name, method, path string, caller message.Caller, body []byte, timeout time.Duration, answer func(int, []byte)) {
 	u.sim.externalRequest(name, timeout, func(answer func(int, []byte)) { u.sim.Deliver(name, method, path, caller, body, answer) }, answer)
 }
 
-// externalRequest has something sent to a node from outside and passes its answer on, status 0
+// externalRequest sends a request to a controller from outside and passes its answer on, status 0
 // when none comes in time.
 func (sim *Simulation) externalRequest(name string, timeout time.Duration, send func(answer func(int, []byte)), answer func(int, []byte)) {
 	settled := false
@@ -131,8 +131,8 @@
 	u.specs[spec.Ref], u.runTimes[spec.Ref] = spec, run
 }
 
-// Submit submits a job again and again until it is answered, at the given
-// node or at any.
+// Submit submits a job and retries until it is answered, at the given
+// controller or at any.
 func (u *Users) Submit(spec *api.JobSpec, run time.Duration, controllerName string) {
 	u.specs[spec.Ref], u.runTimes[spec.Ref] = spec, run
 	u.sim.Checker.JobSubmitted(u.sim.Now, spec, run)
@@ -156,7 +156,7 @@
 	})
 }
 
-// pollInterval and pollTimeout are how often users ask about a job, and for how long they wait.
+// pollInterval and pollTimeout are how often users poll for a job, and how long they wait for an answer.
 const (
 	pollInterval = 5 * time.Second
 	pollTimeout  = 2 * time.Second
@@ -171,7 +171,7 @@
 		if _, ok := u.DoneAt[ref]; !ok && s == api.JobDone {
 			u.DoneAt[ref] = u.sim.Now
 		}
-		// Final states are asked for again too, more seldom.
+		// Jobs in a final state are polled too, more seldom.
 		delay := pollInterval
 		if stateRank(s) == 2 {
 			delay = 20 * time.Second
@@ -180,7 +180,7 @@
 	})
 }
 
-// Cancel asks for a job's cancellation until it is answered, first at the given node or at any.
+// Cancel requests a job's cancellation until it is answered, first at the given controller or at any.
 func (u *Users) Cancel(ref api.JobID, controllerName string) {
 	if controllerName == "" {
 		controllerName = u.anyController()
@@ -194,7 +194,7 @@
 	})
 }
 
-// PollOnce polls for a job once, at any node.
+// PollOnce polls for a job once, at any controller.
 func (u *Users) PollOnce(ref api.JobID) { u.pollOnceAt(u.anyController(), ref) }
 
 func (u *Users) pollOnceAt(name string, ref api.JobID) {
@@ -211,8 +211,8 @@
 	return body
 }
 
-// sendRequest sends one request about a job to a node, and has the answer checked against what users
-// knew when it was sent: end is empty for a submission, a slash for a question, and else what
+// sendRequest sends one request about a job to a controller, and has the answer checked against what users
+// knew when it was sent: suffix is empty for a submission, a slash for a poll, and else what
 // follows the job's id.
 func (u *Users) sendRequest(name, method, suffix string, ref api.JobID, body []byte, timeout time.Duration, answer func(int, api.JobState)) {
 	previous := u.sim.Checker.ReportedState(ref)
@@ -245,8 +245,8 @@
 	return &z
 }
 
-// jobSpec is a job's description, which workers fetch themselves. Of jobs whose users are
-// no emulators it is taken from the key-value store, where hosted ones have other ids.
+// jobSpec is a job's description, which workers fetch themselves. For jobs whose users are
+// not emulated it is read from the key-value store, where jobs of tenants have other ids.
 func (sim *Simulation) jobSpec(id api.JobID) *api.JobSpec {
 	if s := sim.Users.specs[id]; s != nil {
 		return s
@@ -262,7 +262,7 @@
 }
 
 // CompletedWithin is the share of a class's arrays and gangs that were done within a time of their first
-// submission, of those that came long enough ago.
+// submission, among those submitted long enough ago.
 func (u *Users) CompletedWithin(class api.Class, within time.Duration) float64 {
 	done, all := 0, 0
 	for ref, j := range u.sim.Checker.jobTracker.jobs {
@@ -277,8 +277,8 @@
 	return float64(done) / float64(max(1, all))
 }
 
-// SetPriorityRules replaces the operators' rules, again and again until it is answered with 200: each
-// time by what the settings are then, so that of two operators both get theirs, one by one.
+// SetPriorityRules replaces the operators' rules, and retries until it is answered with 200: each
+// time from the settings as they are then, so that concurrent changes are all made, one by one.
 func (sim *Simulation) SetPriorityRules(rules []byte) {
 	controllerName := sim.Users.anyController()
 	request := func(what string, body []byte, answer func(int, []byte)) {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -10,7 +10,7 @@
 	"basaltwall/api"
 )
 
-// Worker stands in for a machine's worker.
+// Worker emulates the worker agent of a machine.
 type Worker struct {
 	sim                  *Simulation
 	id                   api.MachineID
@@ -25,14 +25,14 @@
 	tasks                map[string]map[api.Attempt]*workerTask
 	images               map[api.Image]bool
 	controllerIndex      int
-	leaseStart           time.Duration // when the last answered report was sent
+	leaseStart           time.Duration // when the last heartbeat that was answered was sent
 	heartbeatPending     bool
 	nextHeartbeat        time.Duration
 	statusChanged        bool
 	dead                 bool
 	hungUntil            time.Duration
 	heldCalls            []func()
-	delayedCommands      []func() // direct commands on their way, see DelayCommands
+	delayedCommands      []func() // direct commands that are delayed, see DelayCommands
 	commandsDelayedUntil time.Duration
 	inboundCutUntil      time.Duration // answers and direct commands are lost until then
 	outboundCutUntil     time.Duration // it reaches no controller until then
@@ -54,7 +54,7 @@
 	wk.tick()
 }
 
-// killWorker ends a machine and all that is on it.
+// killWorker ends a machine and all tasks on it.
 func (sim *Simulation) killWorker(id api.MachineID) {
 	wk := sim.workers[id]
 	if wk == nil {
--- a/internal/emulator/worker_faults.go
+++ b/internal/emulator/worker_faults.go
@@ -8,7 +8,7 @@
 
 // This file injects faults into machines.
 
-// Kill makes a machine fail silently; the list shows it as running for a while.
+// Kill makes a machine fail silently; the cloud's list shows it as running for a while.
 func (sim *Simulation) Kill(id api.MachineID) {
 	if h := sim.Cloud.instances[id]; h != nil {
 		sim.After(30*time.Second, func() { h.State = api.MachineFailed })
@@ -39,8 +39,8 @@
 	})
 }
 
-// DelayCommands keeps direct commands to a machine on their way for a while,
-// though its reports and their answers pass.
+// DelayCommands delays direct commands to a machine for a while, though its heartbeats
+// and their answers pass.
 func (sim *Simulation) DelayCommands(id api.MachineID, length time.Duration) {
 	wk := sim.workers[id]
 	if wk == nil {
@@ -57,7 +57,8 @@
 	})
 }
 
-// CutInbound has a machine's reports arrive while answers and direct commands to it are lost.
+// CutInbound cuts off what a machine receives: its heartbeats arrive, answers and direct commands to it
+// are lost.
 func (sim *Simulation) CutInbound(id api.MachineID, length time.Duration) {
 	if wk := sim.workers[id]; wk != nil {
 		wk.inboundCutUntil = sim.Now + length
@@ -65,7 +66,7 @@
 	}
 }
 
-// CutOutbound has a machine reach no controller, while direct commands reach it.
+// CutOutbound cuts off what a machine sends: it reaches no controller, while direct commands reach it.
 func (sim *Simulation) CutOutbound(id api.MachineID, length time.Duration) {
 	if wk := sim.workers[id]; wk != nil {
 		wk.outboundCutUntil = sim.Now + length
--- a/internal/emulator/worker_protocol.go
+++ b/internal/emulator/worker_protocol.go
@@ -20,7 +20,7 @@
 	return r
 }
 
-// sendHeartbeat reports to the node the worker stays with.
+// sendHeartbeat sends a heartbeat to the worker's controller, and turns to the next one if there is no answer.
 func (wk *Worker) sendHeartbeat() {
 	sim := wk.sim
 	wk.heartbeatPending, wk.statusChanged = true, false
@@ -78,7 +78,7 @@
 	})
 }
 
-// followRedirect turns to the controller that an answer names, and reports whether it names another.
+// followRedirect turns to the controller that an answer names, and reports whether it is another.
 func (wk *Worker) followRedirect(answer []byte) bool {
 	var r api.Redirect
 	wk.sim.must(json.Unmarshal(answer, &r))
@@ -91,7 +91,7 @@
 	return false
 }
 
-// applyHeartbeatReply carries out the answer to a report.
+// applyHeartbeatReply carries out the commands in the answer to a heartbeat.
 func (wk *Worker) applyHeartbeatReply(body []byte, sent time.Duration, incarnation api.Epoch) {
 	var o api.CommandBatch
 	wk.sim.must(json.Unmarshal(body, &o))
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -101,7 +101,7 @@
 }
 
 // completeGang completes a gang: all its tasks together, or none while one of them
-// is missing, saving or on a machine that hangs.
+// is missing, writing its checkpoint or on a machine that hangs.
 func (sim *Simulation) completeGang(g *gang, tasks int) {
 	members := g.sortedTasks()
 	if len(members) < tasks {
@@ -121,7 +121,7 @@
 	}
 }
 
-// scheduleInState does something to a task if it is still in the same state by then; a
+// scheduleInState calls back after a time if the task is still in the required state by then; a
 // machine that hangs makes no progress.
 func (wk *Worker) scheduleInState(t *workerTask, d time.Duration, requiredState api.TaskState, callback func()) {
 	wk.sim.After(d, func() {
@@ -175,7 +175,7 @@
 		return
 	}
 	if t.spec.Kind == api.Gang {
-		return // the gang as a whole comes to its end
+		return // the gang ends as a whole, see completeGang
 	}
 	wk.scheduleInState(t, wk.sim.Users.runTimes[t.id.Job], api.TaskRunning, func() { wk.exitTask(t, api.ReasonDone) })
 }
@@ -201,7 +201,7 @@
 	}
 }
 
-// exitTask ends a task, and with it what its gang can no longer do.
+// exitTask ends a task; its gang fails unless the task is done.
 func (wk *Worker) exitTask(t *workerTask, reason api.Reason) {
 	t.state, t.reason = api.TaskExited, reason
 	wk.statusChanged = true
@@ -239,7 +239,7 @@
 	}
 }
 
-// forgetTask drops a task without a trace, as the lease's end does.
+// forgetTask removes a task without an exit status, as the expiry of the worker's lease does.
 func (wk *Worker) forgetTask(t *workerTask) {
 	if t.state != api.TaskExited {
 		t.state = api.TaskExited
--- a/internal/emulator/write_guards.go
+++ b/internal/emulator/write_guards.go
@@ -10,8 +10,8 @@
 	"basaltwall/clusterstate"
 )
 
-// writeGuard is what a write's transaction must be conditional on, so that a copy of it that is
-// carried out late changes nothing that was written since. docs/meetings.md says for each why
+// writeGuard is what a write's transaction must be conditional on (compare-and-swap), so that a late
+// duplicate changes nothing that was written since. docs/meetings.md says for each why
 // that is enough.
 type writeGuard struct {
 	ownVersion    bool     // on the version of the key itself
@@ -23,13 +23,13 @@
 const partitionPrefix = "b/part/"
 
 // writeGuards names every kind of key that controllers write, by prefix, the longest first where one
-// begins with another. A write of a kind that is not named here is an error: how a late copy of
-// it is kept from doing harm has to be decided first.
+// begins with another. A write of a kind that is not named here is an error: how a late duplicate
+// of it is kept from doing harm has to be decided first.
 var writeGuards = []struct {
 	prefix string
 	writeGuard
 }{
-	{"b/member/", writeGuard{exemptBecause: "tied to a lease; it tells only that its process lived of late"}},
+	{"b/member/", writeGuard{exemptBecause: "tied to a lease; it only shows that its process was alive recently"}},
 	{partitionPrefix, writeGuard{ownVersion: true}},
 	{"b/head/", writeGuard{ownVersion: true, anyOf: []string{partitionPrefix}}},
 	{"b/snap/", writeGuard{ownVersion: true, anyOf: []string{partitionPrefix}}},
@@ -48,8 +48,8 @@
 	{"b/teamof/", writeGuard{anyOf: []string{"b/tenant/"}}},
 	{"b/team/", writeGuard{ownVersion: true}},
 	{"b/tenant/", writeGuard{ownVersion: true}},
-	{"history/", writeGuard{anyOf: []string{"b/job/", partitionPrefix}}}, // written with a job's end, swept by a duty
-	{"audit/", writeGuard{anyOf: []string{"b/"}}},                        // written with what it tells of, swept by a duty
+	{"history/", writeGuard{anyOf: []string{"b/job/", partitionPrefix}}}, // written with a job's end, swept by partition 0's owner
+	{"audit/", writeGuard{anyOf: []string{"b/"}}},                        // written with the change it records, swept by partition 0's owner
 	{"used/", writeGuard{anyOf: []string{"b/member/"}}},                  // when a key was last used: an older time does no harm
 	{"s/r/", writeGuard{ownVersion: true}},
 	{"s/b/", writeGuard{anyOf: []string{"s/r/"}}}, // written with the record that changes it
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,6 +1,6 @@
-// Package proptest is imported by tests for its effect: properties draw the same cases in
-// every run, so that CI gives the same verdict every time. With -rapid.seed=0 (or any other
-// number) a run draws others.
+// Package proptest is imported by tests for its side effect: it fixes the seed of property
+// tests, so that CI gives the same verdict every time. With -rapid.seed=0 (or any other number)
+// a run draws other cases.
 package proptest
 
 import (
@@ -12,7 +12,7 @@
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
-			panic("seeded: " + err.Error())
+			panic("proptest: " + err.Error())
 		}
 	}
 }
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -1,4 +1,4 @@
-// Package testport keeps ports of 127.0.0.1 for servers that are told their
+// Package testport reserves ports of 127.0.0.1 for servers that get their
 // address before they listen.
 package testport
 
