--- a/internal/emulator/pools.go
+++ b/internal/emulator/pools.go
@@ -6,6 +6,7 @@
 
 	"basaltwall/api"
 	"basaltwall/controller"
+	"basaltwall/internal/invariant"
 	"basaltwall/tenant"
 )
 
@@ -34,10 +35,8 @@
 			tasks[id] = true
 		}
 	}
-	for id, hosts := range t.sim.Checker.placements {
-		if len(hosts) > 0 {
-			tasks[id] = true
-		}
+	for id := range t.sim.Checker.RunningTaskIDs() {
+		tasks[id] = true
 	}
 	sum, jobs := 0, map[api.JobID]bool{}
 	for id := range tasks {
@@ -67,8 +66,8 @@
 			return true
 		}
 	}
-	for id, hosts := range t.sim.Checker.placements {
-		if id.Job == job && len(hosts) > 0 {
+	for id := range t.sim.Checker.RunningTaskIDs() {
+		if id.Job == job {
 			return true
 		}
 	}
@@ -101,7 +100,7 @@
 		held := t.countHeldUnits(name)
 		t.poolLedger.MaxHeld[name] = max(t.poolLedger.MaxHeld[name], held)
 		if held > p.Size || p.State != "active" {
-			t.sim.Checker.recordViolation(t.sim.Now, "pool", "%d units of %s are held as more are handed out, which is %q with %d", held, name, p.State, p.Size)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RulePool, "%d units of %s are held as more are handed out, which is %q with %d", held, name, p.State, p.Size)
 		}
 	}
 }
--- a/internal/emulator/reservations.go
+++ b/internal/emulator/reservations.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"basaltwall/controller/message"
+	"basaltwall/internal/invariant"
 )
 
 // ReservationClients emulate the clients that reserve skips for building sites, by phone and in the portal.
@@ -57,7 +58,7 @@
 }
 
 func (o *ReservationClients) recordViolation(format string, args ...any) {
-	o.sim.Checker.recordViolation(o.sim.Now, "promised", format, args...)
+	o.sim.Checker.RecordViolation(o.sim.Now, invariant.RulePromised, format, args...)
 }
 
 // sendRequest sends a request to any controller and repeats it until there is a final answer, which handle
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -16,12 +16,13 @@
 	"basaltwall/api"
 	"basaltwall/config"
 	"basaltwall/controller/message"
+	"basaltwall/internal/invariant"
 )
 
 // Simulation is a deployment on a virtual clock.
 type Simulation struct {
 	Now     time.Duration
-	Checker *Checker
+	Checker *invariant.Checker
 	rand    *rand.Rand
 	queue   eventQueue
 	seq     int
@@ -76,7 +77,7 @@
 		NetworkFaults: newNetworkFaults(), workers: map[api.MachineID]*Worker{}, workersByAddr: map[string]*Worker{}, gangs: map[gangKey]*gang{},
 		savedProgress: map[api.JobID]time.Duration{},
 	}
-	sim.Checker = NewChecker(configs[0])
+	sim.Checker = invariant.NewChecker(configs[0])
 	sim.Store = newStore(sim)
 	sim.Cloud = newCloud(sim)
 	sim.Users = newUsers(sim)
--- a/internal/emulator/user_behavior_test.go
+++ b/internal/emulator/starvation_test.go
@@ -8,18 +8,9 @@
 	"basaltwall/config"
 )
 
-// What is refused as it should be is no news, and what is not answered is asked again.
-func TestInvalidJobsRejected(t *testing.T) {
-	c := NewChecker(&config.Config{})
-	if !c.InvalidJobResponse(0, "run-9", "no cores", 400, "cores", "cores: missing or invalid") || !c.InvalidJobResponse(0, "run-9", "fits nothing", 422, "", "cores: a task fits no allowed machine type") ||
-		c.InvalidJobResponse(0, "run-9", "no cores", 503, "cores", "") || c.InvalidJobResponse(0, "run-9", "no cores", 0, "cores", "") || len(c.Violations) > 0 {
-		t.Errorf("found %q", c.Violations)
-	}
-}
-
 // On a machine that is empty a job that waits is left waiting after 90 s, whatever keeps the
-// controllers from starting it; not one for which there is no room, that is not allowed there,
-// whose team is at its limit, that was called off, or while there is trouble.
+// controllers from starting it; not one for which there is no capacity, that is not allowed there,
+// whose team is at its limit, that was cancelled, or while there is a fault.
 func TestStarvationDetection(t *testing.T) {
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
 "external":{"cloud":"10.0.0.2:1","state":"10.0.0.3:1"},"deployment":{"initial_size":1,"zones":["a","b"],
@@ -52,8 +43,8 @@
 		"a gang and two zones": {func(_ *Simulation, s *api.JobSpec) { s.Kind, s.Spread = api.Gang, true }, 0},
 		"another zone":         {func(_ *Simulation, s *api.JobSpec) { s.Zone = "b" }, 0},
 		"another type":         {func(_ *Simulation, s *api.JobSpec) { s.Types = []api.MachineTypeName{"g8"} }, 0},
-		"called off":           {func(sim *Simulation, s *api.JobSpec) { sim.Checker.CancelRequested(0, s.Ref) }, 0},
-		"trouble":              {func(sim *Simulation, _ *api.JobSpec) { sim.Checker.FaultUntil(50 * time.Second) }, 0},
+		"cancelled":            {func(sim *Simulation, s *api.JobSpec) { sim.Checker.CancelRequested(0, s.Ref) }, 0},
+		"a fault":              {func(sim *Simulation, _ *api.JobSpec) { sim.Checker.FaultUntil(50 * time.Second) }, 0},
 		"it hangs for a while": {func(sim *Simulation, _ *api.JobSpec) {
 			sim.After(60*time.Second, func() { sim.Hang("i-000000", time.Second) })
 		}, 0},
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"basaltwall/api"
+	"basaltwall/internal/invariant"
 )
 
 type storeEntry struct {
@@ -284,7 +285,7 @@
 		return
 	}
 	if what := missingGuard(&t); what != "" {
-		s.sim.Checker.recordViolation(s.sim.Now, "unguarded", "%s", what)
+		s.sim.Checker.RecordViolation(s.sim.Now, invariant.RuleUnguarded, "%s", what)
 	}
 	s.Writes += len(t.Writes)
 	for _, w := range t.Writes {
--- a/internal/emulator/tenants.go
+++ b/internal/emulator/tenants.go
@@ -11,6 +11,7 @@
 	"basaltwall/config"
 	"basaltwall/controller"
 	"basaltwall/controller/message"
+	"basaltwall/internal/invariant"
 	"basaltwall/tenant"
 )
 
@@ -167,9 +168,9 @@
 
 // CheckDrained requires that no task of a tenant is on a machine.
 func (t *Tenants) CheckDrained(name tenant.Name) {
-	for id, hosts := range t.sim.Checker.placements {
-		if o := t.jobs[id.Job]; o.name == name && len(hosts) > 0 {
-			t.sim.Checker.recordViolation(t.sim.Now, "held", "%s/%d of %s has not drained", o.ref, id.Index, name)
+	for id := range t.sim.Checker.RunningTaskIDs() {
+		if o := t.jobs[id.Job]; o.name == name {
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "%s/%d of %s has not drained", o.ref, id.Index, name)
 		}
 	}
 }
@@ -206,7 +207,7 @@
 			return
 		}
 		if t.suspended[o.name] {
-			t.sim.Checker.recordViolation(t.sim.Now, "held", "%s is accepted, whose tenant %s was told suspended", o.ref, o.name)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "%s is accepted, whose tenant %s was told suspended", o.ref, o.name)
 		}
 		t.acceptedAt[o.name] = append(t.acceptedAt[o.name], t.sim.Now)
 		return
@@ -229,7 +230,7 @@
 	started := map[api.JobID]bool{}
 	for _, j := range r.Jobs {
 		if o := t.jobs[j.Job]; len(j.Starts) > 0 && t.suspended[o.name] {
-			t.sim.Checker.recordViolation(t.sim.Now, "held", "%d tasks of %s start, whose tenant %s was told suspended", len(j.Starts), o.ref, o.name)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "%d tasks of %s start, whose tenant %s was told suspended", len(j.Starts), o.ref, o.name)
 		}
 		for _, i := range append(j.Done, j.Lost...) {
 			delete(t.poolLedger.starts, api.TaskID{Job: j.Job, Index: i})
--- a/internal/emulator/user_behavior.go
+++ b/internal/emulator/user_behavior.go
@@ -9,6 +9,7 @@
 
 	"basaltwall/api"
 	"basaltwall/controller/message"
+	"basaltwall/internal/invariant"
 )
 
 // UserBehavior is what users do beyond submitting, polling now and then and cancelling.
@@ -34,17 +35,17 @@
 func (h *UserBehavior) CancelRunning(count int, hangTime time.Duration) {
 	sim := h.sim
 	var refs []api.JobID
-	for _, ref := range slices.Sorted(maps.Keys(sim.Checker.jobTracker.jobs)) {
-		if j := sim.Checker.jobTracker.jobs[ref]; j.activeTasks > 0 && !sim.Checker.cancelRequests[ref] {
+	for _, ref := range sim.Checker.JobIDs() {
+		if j := sim.Checker.Job(ref); j.ActiveTasks > 0 && !sim.Checker.CancelWasRequested(ref) {
 			refs = append(refs, ref)
 		}
 	}
 	remaining := func(ref api.JobID) time.Duration {
-		j := sim.Checker.jobTracker.jobs[ref]
-		if j.spec.Kind == api.Service {
+		j := sim.Checker.Job(ref)
+		if j.Spec.Kind == api.Service {
 			return time.Hour
 		}
-		return j.startedAt + j.runTime - sim.Now
+		return j.StartedAt + j.RunTime - sim.Now
 	}
 	slices.SortStableFunc(refs, func(a, b api.JobID) int { return int(remaining(b) - remaining(a)) })
 	refs = refs[:min(count, len(refs))]
@@ -64,7 +65,7 @@
 // taskCompleted is called for each task that completed.
 func (h *UserBehavior) taskCompleted(ref api.JobID) {
 	c := h.sim.Checker
-	if s := c.specs[ref]; s == nil || c.jobTracker.completedCount[ref] < s.Tasks || c.cancelRequests[ref] || h.CancelAtEndShare == 0 || h.sim.rand.Float64() >= h.CancelAtEndShare {
+	if s := c.Spec(ref); s == nil || c.CompletedTasks(ref) < s.Tasks || c.CancelWasRequested(ref) || h.CancelAtEndShare == 0 || h.sim.rand.Float64() >= h.CancelAtEndShare {
 		return
 	}
 	h.sim.After(time.Duration(h.sim.rand.Int64N(int64(20*time.Millisecond))), func() { h.sim.Users.Cancel(ref, "") })
@@ -76,7 +77,7 @@
 		return
 	}
 	sim := h.sim
-	if h.CancelNewShare > 0 && stateRank(sim.Checker.ReportedState(ref)) == 1 && sim.rand.Float64() < h.CancelNewShare {
+	if h.CancelNewShare > 0 && invariant.StateRank(sim.Checker.ReportedState(ref)) == invariant.RankOpen && sim.rand.Float64() < h.CancelNewShare {
 		sim.Users.Cancel(ref, "")
 	}
 	spec := sim.Users.specs[ref]
@@ -104,10 +105,10 @@
 	}
 	sim.After(irregularInterval, h.sendIrregularRequest)
 	h.irregularCount++
-	refs := func(want int) []api.JobID {
+	refs := func(want invariant.Rank) []api.JobID {
 		var out []api.JobID
 		for _, ref := range slices.Sorted(maps.Keys(sim.Users.AcceptedAt)) {
-			if s := sim.Checker.ReportedState(ref); stateRank(s) == want && s != api.JobCancelled {
+			if s := sim.Checker.ReportedState(ref); invariant.StateRank(s) == want && s != api.JobCancelled {
 				out = append(out, ref)
 			}
 		}
@@ -115,11 +116,11 @@
 	}
 	switch h.irregularCount % 3 {
 	case 0:
-		if open := refs(1); len(open) > 0 {
+		if open := refs(invariant.RankOpen); len(open) > 0 {
 			sim.Users.resubmit(sim.Users.anyController(), sim.Users.specs[open[sim.rand.IntN(len(open))]])
 		}
 	case 1:
-		if done := refs(2); len(done) > 0 {
+		if done := refs(invariant.RankFinal); len(done) > 0 {
 			sim.Users.cancelOnce(done[sim.rand.IntN(len(done))])
 		}
 	default:
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -8,6 +8,7 @@
 
 	"basaltwall/api"
 	"basaltwall/controller/message"
+	"basaltwall/internal/invariant"
 	"basaltwall/worker"
 )
 
@@ -120,7 +121,7 @@
 	}
 	known := u.sim.Checker.ReportedState(ref)
 	u.sim.Checker.ResponseReceived(u.sim.Now, ref, status, s.State, previous)
-	if stateRank(u.sim.Checker.ReportedState(ref)) > stateRank(known) {
+	if invariant.StateRank(u.sim.Checker.ReportedState(ref)) > invariant.StateRank(known) {
 		u.jobStateChanged(ref)
 	}
 	return s.State
@@ -173,7 +174,7 @@
 		}
 		// Jobs in a final state are polled too, more seldom.
 		delay := pollInterval
-		if stateRank(s) == 2 {
+		if invariant.StateRank(s) == invariant.RankFinal {
 			delay = 20 * time.Second
 		}
 		u.sim.After(delay, func() { u.poll(ref) })
@@ -265,12 +266,12 @@
 // submission, among those submitted long enough ago.
 func (u *Users) CompletedWithin(class api.Class, within time.Duration) float64 {
 	done, all := 0, 0
-	for ref, j := range u.sim.Checker.jobTracker.jobs {
-		if j.spec.Class != class || j.spec.Kind == api.Service || j.cancelledAt != 0 || j.submittedAt+within > u.sim.Now {
+	for ref, j := range u.sim.Checker.Jobs() {
+		if j.Spec.Class != class || j.Spec.Kind == api.Service || j.CancelledAt != 0 || j.SubmittedAt+within > u.sim.Now {
 			continue
 		}
 		all++
-		if at, ok := u.DoneAt[ref]; ok && at <= j.submittedAt+within {
+		if at, ok := u.DoneAt[ref]; ok && at <= j.SubmittedAt+within {
 			done++
 		}
 	}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"sort"
 	"time"
@@ -110,5 +109,3 @@
 		wk.sendHeartbeat()
 	}
 }
-
-func ceilHalf(n int) int { return int(math.Ceil(float64(n) / 2)) }
--- a/internal/emulator/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -1,7 +1,6 @@
-package emulator
+package invariant
 
 import (
-	"fmt"
 	"strings"
 	"testing"
 	"time"
@@ -29,34 +28,34 @@
 	}
 	spot := func(s *api.JobSpec) { s.Spot = true }
 	cases := []struct {
-		rule string
+		rule Rule
 		bad  func(*Checker)
 	}{
-		{"ran_twice", func(c *Checker) { s := job(spot); start(c, s, 0, "i-1", "a"); start(c, s, 0, "i-2", "a") }},
-		{"quota", func(c *Checker) {
+		{RuleRanTwice, func(c *Checker) { s := job(spot); start(c, s, 0, "i-1", "a"); start(c, s, 0, "i-2", "a") }},
+		{RuleQuota, func(c *Checker) {
 			s := job(func(s *api.JobSpec) { s.Spot = true; s.CPUs = 3 })
 			start(c, s, 0, "i-1", "a")
 			start(c, s, 1, "i-1", "a")
 		}},
-		{"wrong_place", func(c *Checker) { start(c, job(nil), 0, "i-1", "a") }},
-		{"wrong_place", func(c *Checker) {
+		{RuleWrongPlace, func(c *Checker) { start(c, job(nil), 0, "i-1", "a") }},
+		{RuleWrongPlace, func(c *Checker) {
 			start(c, job(func(s *api.JobSpec) { s.Spot = true; s.Types = []api.MachineTypeName{"g8"} }), 0, "i-1", "a")
 		}},
-		{"wrong_place", func(c *Checker) {
+		{RuleWrongPlace, func(c *Checker) {
 			start(c, job(func(s *api.JobSpec) { s.Spot = true; s.Zone = "b" }), 0, "i-1", "a")
 		}},
-		{"wrong_place", func(c *Checker) {
+		{RuleWrongPlace, func(c *Checker) {
 			s := job(func(s *api.JobSpec) { s.Spot = true; s.OneZone = true })
 			start(c, s, 0, "i-1", "a")
 			start(c, s, 1, "i-2", "b")
 		}},
-		{"wrong_place", func(c *Checker) {
+		{RuleWrongPlace, func(c *Checker) {
 			s := job(func(s *api.JobSpec) { s.Spot = true; s.Spread = true })
 			for i := range 3 {
 				start(c, s, i, "i-1", "a")
 			}
 		}},
-		{"ran_cancelled", func(c *Checker) {
+		{RuleRanCancelled, func(c *Checker) {
 			s := job(spot)
 			c.JobSubmitted(0, s, 0)
 			c.CancelRequested(0, "run-1")
@@ -64,59 +63,59 @@
 			c.ResponseReceived(2*time.Second, "run-1", 200, api.JobCancelled, "")
 			c.CheckTimeouts(90 * time.Second)
 		}},
-		{"ran_cancelled", func(c *Checker) {
+		{RuleRanCancelled, func(c *Checker) {
 			s := job(spot)
 			c.JobSubmitted(0, s, 0)
 			c.CancelRequested(0, "run-1")
 			c.ResponseReceived(2*time.Second, "run-1", 200, api.JobCancelled, "")
 			c.TaskStarted(90*time.Second, task(0), s, "i-1", "c8", "a", true)
 		}},
-		{"began_cancelled", func(c *Checker) {
+		{RuleBeganCancelled, func(c *Checker) {
 			s := job(spot)
 			c.JobSubmitted(0, s, 0)
 			c.CancelRequested(0, "run-1")
 			c.ResponseReceived(2*time.Second, "run-1", 200, api.JobCancelled, "")
 			start(c, s, 0, "i-1", "a")
 		}},
-		{"accepted_bad", func(c *Checker) { c.InvalidJobResponse(0, "run-9", "no cores", 201, "cores", "") }},
-		{"accepted_bad", func(c *Checker) {
+		{RuleAcceptedInvalid, func(c *Checker) { c.InvalidJobResponse(0, "run-9", "no cores", 201, "cores", "") }},
+		{RuleAcceptedInvalid, func(c *Checker) {
 			c.InvalidJobResponse(0, "run-9", "no cores", 400, "cores", "gpus: missing or invalid")
 		}},
-		{"left_waiting", func(c *Checker) {
-			for at := time.Second; at < 100*time.Second; at += starvationCheckInterval {
-				c.recordFeasible(at, map[feasiblePlacement]bool{{"run-1", "i-1"}: true})
+		{RuleLeftWaiting, func(c *Checker) {
+			for at := time.Second; at < 100*time.Second; at += StarvationCheckInterval {
+				c.RecordFeasible(at, map[FeasiblePlacement]bool{{"run-1", "i-1"}: true})
 			}
 		}},
-		{"forgotten", func(c *Checker) {
+		{RuleForgotten, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 422, "", api.JobPending)
 		}},
-		{"went_back", func(c *Checker) {
+		{RuleWentBack, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.CancelRequested(0, "run-1")
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobPending, api.JobCancelled)
 		}},
-		{"untold", func(c *Checker) {
+		{RuleUnacknowledged, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.AwaitCancelAck(0, "run-1")
 			c.FaultUntil(20 * time.Second)
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobRunning, "")
 			c.CheckTimeouts(96 * time.Second)
 		}},
-		{"forgotten", func(c *Checker) {
+		{RuleForgotten, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 404, "", api.JobPending)
 		}},
-		{"invented", func(c *Checker) { c.ResponseReceived(time.Second, "run-9", 200, api.JobPending, "") }},
-		{"not_done", func(c *Checker) {
+		{RuleInvented, func(c *Checker) { c.ResponseReceived(time.Second, "run-9", 200, api.JobPending, "") }},
+		{RuleNotDone, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobDone, "")
 		}},
-		{"went_back", func(c *Checker) {
+		{RuleWentBack, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobRunning, api.JobDone)
 		}},
-		{"went_back", func(c *Checker) {
+		{RuleWentBack, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobCancelled, "")
 		}},
@@ -124,13 +123,13 @@
 	for _, tc := range cases {
 		c := NewChecker(cfg)
 		tc.bad(c)
-		if len(c.Violations) == 0 || !strings.HasPrefix(c.Violations[0], tc.rule) {
+		if len(c.Violations) == 0 || !strings.HasPrefix(c.Violations[0], string(tc.rule)) {
 			t.Errorf("%s: found %q", tc.rule, c.Violations)
 		}
 	}
 }
 
-// A job of which no question is answered for long after the last trouble is forgotten; one whose
+// A job of which no question is answered for long after the last fault is forgotten; one whose
 // user has cancelled it, or that nobody asks about, is not.
 func TestCheckerFindsUnknownJobs(t *testing.T) {
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
@@ -155,71 +154,8 @@
 	}
 }
 
-// The rule promised is broken on purpose: two told of one skip, a name told two numbers, a
-// promise that is in no record and one that the log holds beside another.
-func TestCheckerFindsDoubleReservations(t *testing.T) {
-	record := func(o *ReservationClients, name, state string, number uint64, until int64) *grant {
-		return o.recordResponse(name, 200, reservationResponse{Depot: "d", Skip: "s", Number: number, State: state, Site: name, From: formatDay(5), To: formatDay(8), Until: until})
-	}
-	cases := map[string]struct {
-		do   func(*Simulation)
-		want int
-	}{
-		"two promises": {func(sim *Simulation) {
-			record(sim.ReservationClients, "a", "promised", 1, 0)
-			record(sim.ReservationClients, "b", "promised", 2, 0)
-		}, 1},
-		"one that was released": {func(sim *Simulation) {
-			record(sim.ReservationClients, "a", "promised", 1, 0).released = true
-			record(sim.ReservationClients, "b", "promised", 2, 0)
-		}, 0},
-		"an offer beside a promise": {func(sim *Simulation) {
-			record(sim.ReservationClients, "a", "promised", 1, 0)
-			record(sim.ReservationClients, "b", "offered", 2, int64(sim.WallTime())+9000)
-		}, 1},
-		"after an offer's time": {func(sim *Simulation) {
-			record(sim.ReservationClients, "a", "offered", 1, int64(sim.WallTime())-1)
-			record(sim.ReservationClients, "b", "promised", 2, 0)
-		}, 0},
-		"a name told two numbers": {func(sim *Simulation) {
-			record(sim.ReservationClients, "a", "promised", 1, 0)
-			record(sim.ReservationClients, "a", "promised", 2, 0)
-		}, 1},
-		"in no record": {func(sim *Simulation) {
-			record(sim.ReservationClients, "a", "promised", 1, 0)
-			sim.ReservationClients.CheckLog()
-		}, 1},
-		"two in the log": {func(sim *Simulation) {
-			for i, name := range []string{"a", "b"} {
-				sim.Store.appendChange(api.Change{Put: fmt.Sprintf("s/r/0/%d", i+1), Version: api.Revision(i + 1),
-					Value: fmt.Appendf(nil, `{"q":%d,"ops":[{"o":"promise","d":"d","i":"s","w":%q,"s":"x","f":5,"t":8}]}`, i+1, name)}, 0)
-			}
-			sim.ReservationClients.CheckLog()
-		}, 1},
-		"released in the log": {func(sim *Simulation) {
-			for i, op := range []string{`{"o":"promise","d":"d","i":"s","f":5,"t":8}`, `{"o":"release","d":"d","i":"s","n":257}`, `{"o":"promise","d":"d","i":"s","f":5,"t":8}`} {
-				sim.Store.appendChange(api.Change{Put: fmt.Sprintf("s/r/0/%d", i+1), Version: api.Revision(i + 1), Value: fmt.Appendf(nil, `{"q":%d,"ops":[%s]}`, i+1, op)}, 0)
-			}
-			sim.ReservationClients.CheckLog()
-		}, 0},
-	}
-	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
-"external":{"cloud":"10.0.0.2:1","state":"10.0.0.3:1"},"deployment":{"initial_size":1,"zones":["a"],
-"teams":[{"name":"red"}],"workers":{"report_s":3,"lease_s":30,"cancel_s":60},
-"state":{"rps":100,"write_rps":50,"value_kb":8,"txn_ops":12},"cloud":{"rps":10}}}`))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for what, tc := range cases {
-		sim := NewSimulation(1, []*config.Config{cfg})
-		if tc.do(sim); len(sim.Checker.Violations) != tc.want {
-			t.Errorf("%s: found %q", what, sim.Checker.Violations)
-		}
-	}
-}
-
 // A replica that was stopped and is not up again is missed; one that is, whose job was cancelled
-// or while there is trouble is not.
+// or while there is a fault is not.
 func TestCheckerFindsReplicasLostByMove(t *testing.T) {
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	countViolations := func(then func(*Checker)) int {
@@ -250,3 +186,12 @@
 		t.Error("what is missing by a move is not told from what is not")
 	}
 }
+
+// What is refused as it should be is no news, and what is not answered is asked again.
+func TestInvalidJobsRejected(t *testing.T) {
+	c := NewChecker(&config.Config{})
+	if !c.InvalidJobResponse(0, "run-9", "no cores", 400, "cores", "cores: missing or invalid") || !c.InvalidJobResponse(0, "run-9", "fits nothing", 422, "", "cores: a task fits no allowed machine type") ||
+		c.InvalidJobResponse(0, "run-9", "no cores", 503, "cores", "") || c.InvalidJobResponse(0, "run-9", "no cores", 0, "cores", "") || len(c.Violations) > 0 {
+		t.Errorf("found %q", c.Violations)
+	}
+}
--- a/internal/emulator/service_levels.go
+++ b/internal/invariant/service_levels.go
@@ -1,8 +1,10 @@
-package emulator
+package invariant
 
 import (
 	"cmp"
 	"fmt"
+	"iter"
+	"maps"
 	"slices"
 	"time"
 
@@ -35,35 +37,36 @@
 
 // jobTracker is what the checker keeps of how jobs are served.
 type jobTracker struct {
-	jobs           map[api.JobID]*trackedJob
+	jobs           map[api.JobID]*TrackedJob
 	runningSince   map[api.TaskID]time.Duration // tasks of services that are on machines
 	uptime         map[api.JobID]time.Duration  // replica time, after the grace
 	completedCount map[api.JobID]int
 }
 
-type trackedJob struct {
-	spec        *api.JobSpec
-	submittedAt time.Duration
-	runTime     time.Duration
-	cancelledAt time.Duration // cancelled by its user; 0: not
-	startedAt   time.Duration // when it began: a task was on a machine, or all of a gang; 0: not yet
-	activeTasks int
+// TrackedJob is a job that users have submitted.
+type TrackedJob struct {
+	Spec        *api.JobSpec
+	SubmittedAt time.Duration
+	RunTime     time.Duration
+	CancelledAt time.Duration // cancelled by its user; 0: not
+	StartedAt   time.Duration // when it began: a task was on a machine, or all of a gang; 0: not yet
+	ActiveTasks int
 }
 
 func newJobTracker() jobTracker {
-	return jobTracker{jobs: map[api.JobID]*trackedJob{}, runningSince: map[api.TaskID]time.Duration{}, uptime: map[api.JobID]time.Duration{}, completedCount: map[api.JobID]int{}}
+	return jobTracker{jobs: map[api.JobID]*TrackedJob{}, runningSince: map[api.TaskID]time.Duration{}, uptime: map[api.JobID]time.Duration{}, completedCount: map[api.JobID]int{}}
 }
 
 // submitted notes a job's first submission; it is repeated until it is answered.
 func (s *jobTracker) submitted(at time.Duration, spec *api.JobSpec, run time.Duration) {
 	if s.jobs[spec.Ref] == nil {
-		s.jobs[spec.Ref] = &trackedJob{spec: spec, submittedAt: at, runTime: run}
+		s.jobs[spec.Ref] = &TrackedJob{Spec: spec, SubmittedAt: at, RunTime: run}
 	}
 }
 
 func (s *jobTracker) cancelled(at time.Duration, ref api.JobID) {
-	if j := s.jobs[ref]; j != nil && j.cancelledAt == 0 {
-		j.cancelledAt = at
+	if j := s.jobs[ref]; j != nil && j.CancelledAt == 0 {
+		j.CancelledAt = at
 	}
 }
 
@@ -73,8 +76,8 @@
 		s.runningSince[id] = at
 	}
 	if j := s.jobs[id.Job]; j != nil {
-		if j.activeTasks++; j.startedAt == 0 && (spec.Kind != api.Gang || j.activeTasks == spec.Tasks) {
-			j.startedAt = at
+		if j.ActiveTasks++; j.StartedAt == 0 && (spec.Kind != api.Gang || j.ActiveTasks == spec.Tasks) {
+			j.StartedAt = at
 		}
 	}
 }
@@ -82,7 +85,7 @@
 // taskStopped notes that a task is on no machine any more.
 func (s *jobTracker) taskStopped(at time.Duration, id api.TaskID) {
 	if j := s.jobs[id.Job]; j != nil {
-		j.activeTasks--
+		j.ActiveTasks--
 	}
 	if from, ok := s.runningSince[id]; ok {
 		delete(s.runningSince, id)
@@ -96,9 +99,9 @@
 	if j == nil {
 		return 0
 	}
-	from = max(from, j.submittedAt+startGrace)
-	if j.cancelledAt != 0 {
-		to = min(to, j.cancelledAt)
+	from = max(from, j.SubmittedAt+startGrace)
+	if j.CancelledAt != 0 {
+		to = min(to, j.CancelledAt)
 	}
 	return max(0, to-from)
 }
@@ -107,9 +110,9 @@
 func (c *Checker) ServiceLevels(now time.Duration) (classes map[api.Class]ServiceLevel, teams map[api.Team]ServiceLevel) {
 	classes, teams = map[api.Class]ServiceLevel{}, map[api.Team]ServiceLevel{}
 	for j, got := range c.jobTracker.servedShares(now) {
-		k, t := classes[j.spec.Class], teams[j.spec.Team]
-		classes[j.spec.Class] = ServiceLevel{k.Jobs + 1, k.TotalShare + got}
-		teams[j.spec.Team] = ServiceLevel{t.Jobs + 1, t.TotalShare + got}
+		k, t := classes[j.Spec.Class], teams[j.Spec.Team]
+		classes[j.Spec.Class] = ServiceLevel{k.Jobs + 1, k.TotalShare + got}
+		teams[j.Spec.Team] = ServiceLevel{t.Jobs + 1, t.TotalShare + got}
 	}
 	return classes, teams
 }
@@ -118,17 +121,17 @@
 // which of them waited longer than maxWait. Jobs are compared by what all their tasks take together:
 // first by accelerators, then by CPUs, then by memory.
 func (c *Checker) LargestJobs(now, maxWait time.Duration) (classes map[api.Class]ServiceLevel, late []string) {
-	byClass := map[api.Class][]*trackedJob{}
+	byClass := map[api.Class][]*TrackedJob{}
 	for _, j := range c.jobTracker.jobs {
-		byClass[j.spec.Class] = append(byClass[j.spec.Class], j)
+		byClass[j.Spec.Class] = append(byClass[j.Spec.Class], j)
 	}
-	size := func(j *trackedJob) api.Resources { return j.spec.Demand().Times(j.spec.Tasks) }
+	size := func(j *TrackedJob) api.Resources { return j.Spec.Demand().Times(j.Spec.Tasks) }
 	shares := c.jobTracker.servedShares(now)
 	classes = map[api.Class]ServiceLevel{}
 	for class, jobs := range byClass {
-		slices.SortFunc(jobs, func(a, b *trackedJob) int {
+		slices.SortFunc(jobs, func(a, b *TrackedJob) int {
 			x, y := size(a), size(b)
-			return cmp.Or(cmp.Compare(y.GPU, x.GPU), cmp.Compare(y.CPU, x.CPU), cmp.Compare(y.Mem, x.Mem), cmp.Compare(a.spec.Ref, b.spec.Ref))
+			return cmp.Or(cmp.Compare(y.GPU, x.GPU), cmp.Compare(y.CPU, x.CPU), cmp.Compare(y.Mem, x.Mem), cmp.Compare(a.Spec.Ref, b.Spec.Ref))
 		})
 		last := (len(jobs) + 9) / 10
 		for last < len(jobs) && size(jobs[last]) == size(jobs[last-1]) {
@@ -139,14 +142,14 @@
 				classes[class] = ServiceLevel{classes[class].Jobs + 1, classes[class].TotalShare + got}
 			}
 			until := now
-			if j.cancelledAt != 0 {
-				until = min(until, j.cancelledAt)
+			if j.CancelledAt != 0 {
+				until = min(until, j.CancelledAt)
 			}
-			if j.startedAt != 0 {
-				until = min(until, j.startedAt)
+			if j.StartedAt != 0 {
+				until = min(until, j.StartedAt)
 			}
-			if maxWait > 0 && until-j.submittedAt > maxWait {
-				late = append(late, fmt.Sprintf("%s, of the largest of class %s, waited %.0f s to begin", j.spec.Ref, class, (until-j.submittedAt).Seconds()))
+			if maxWait > 0 && until-j.SubmittedAt > maxWait {
+				late = append(late, fmt.Sprintf("%s, of the largest of class %s, waited %.0f s to begin", j.Spec.Ref, class, (until-j.SubmittedAt).Seconds()))
 			}
 		}
 	}
@@ -155,7 +158,7 @@
 }
 
 // servedShares is how much of each job that counts was served.
-func (s *jobTracker) servedShares(now time.Duration) map[*trackedJob]float64 {
+func (s *jobTracker) servedShares(now time.Duration) map[*TrackedJob]float64 {
 	up := map[api.JobID]time.Duration{}
 	for ref, d := range s.uptime {
 		up[ref] = d
@@ -163,14 +166,14 @@
 	for id, from := range s.runningSince {
 		up[id.Job] += s.expectedUptime(id.Job, from, now)
 	}
-	out := map[*trackedJob]float64{}
+	out := map[*TrackedJob]float64{}
 	for ref, j := range s.jobs {
-		if j.spec.Kind == api.Service {
-			if due := s.expectedUptime(ref, 0, now) * time.Duration(j.spec.Tasks); due != 0 {
+		if j.Spec.Kind == api.Service {
+			if due := s.expectedUptime(ref, 0, now) * time.Duration(j.Spec.Tasks); due != 0 {
 				out[j] = float64(up[ref]) / float64(due)
 			}
-		} else if j.cancelledAt == 0 && j.submittedAt+2*j.runTime+completionGrace <= now {
-			if out[j] = 0; s.completedCount[ref] >= j.spec.Tasks {
+		} else if j.CancelledAt == 0 && j.SubmittedAt+2*j.RunTime+completionGrace <= now {
+			if out[j] = 0; s.completedCount[ref] >= j.Spec.Tasks {
 				out[j] = 1
 			}
 		}
@@ -181,14 +184,23 @@
 // ReplicaCounts counts the replicas of services that are up and those that are due, now.
 func (c *Checker) ReplicaCounts(now time.Duration) (up, due int) {
 	for _, j := range c.jobTracker.jobs {
-		if j.spec.Kind == api.Service && now > j.submittedAt+startGrace && (j.cancelledAt == 0 || now < j.cancelledAt) {
-			due += j.spec.Tasks
+		if j.Spec.Kind == api.Service && now > j.SubmittedAt+startGrace && (j.CancelledAt == 0 || now < j.CancelledAt) {
+			due += j.Spec.Tasks
 		}
 	}
 	for id := range c.jobTracker.runningSince {
-		if j := c.jobTracker.jobs[id.Job]; j != nil && now > j.submittedAt+startGrace && (j.cancelledAt == 0 || now < j.cancelledAt) {
+		if j := c.jobTracker.jobs[id.Job]; j != nil && now > j.SubmittedAt+startGrace && (j.CancelledAt == 0 || now < j.CancelledAt) {
 			up++
 		}
 	}
 	return up, due
 }
+
+// Jobs are the jobs that users have submitted, in no order. They must not be changed.
+func (c *Checker) Jobs() iter.Seq2[api.JobID, *TrackedJob] { return maps.All(c.jobTracker.jobs) }
+
+// Job is a job that users have submitted; nil if it is not known.
+func (c *Checker) Job(ref api.JobID) *TrackedJob { return c.jobTracker.jobs[ref] }
+
+// JobIDs are the ids of the jobs that users have submitted, in order.
+func (c *Checker) JobIDs() []api.JobID { return slices.Sorted(maps.Keys(c.jobTracker.jobs)) }
--- a/internal/emulator/service_levels_test.go
+++ b/internal/invariant/service_levels_test.go
@@ -1,4 +1,4 @@
-package emulator
+package invariant
 
 import (
 	"testing"
--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"basaltwall/internal/emulator"
+	"basaltwall/internal/invariant"
 )
 
 // This file compares what came of a scenario with what its script expected at the end.
@@ -93,7 +93,7 @@
 	r.problems = append(r.problems, late...)
 }
 
-func (r *runner) checkMinServed(what, name string, level emulator.ServiceLevel) {
+func (r *runner) checkMinServed(what, name string, level invariant.ServiceLevel) {
 	if level.Share() < r.expected.minServed {
 		r.problemf("floor: of %s %s %.3f was served of %d jobs, expected %.3f at least", what, name, level.Share(), level.Jobs, r.expected.minServed)
 	}
--- a/internal/scenario/doc.go
+++ b/internal/scenario/scenario.go
@@ -73,7 +73,7 @@
 //	rate NAME RATE BURST                over no time more of its jobs are accepted
 //	finally NAME STATE                  a tenant's state at the end
 //	floor SHARE                         every class, every team and each class's largest jobs are
-//	                                    served to that share, see emulator.ServiceLevel; without it to half
+//	                                    served to that share, see invariant.ServiceLevel; without it to half
 //	begin SECONDS                       how long the largest jobs of a class may wait to begin;
 //	                                    without it 240, 0: for ever
 //	end AT
--- a/internal/scenario/steps_test.go
+++ b/internal/scenario/steps_test.go
@@ -8,7 +8,7 @@
 
 // TestEveryStepIsDocumented holds the package's documentation and the table of steps together.
 func TestEveryStepIsDocumented(t *testing.T) {
-	text, err := os.ReadFile("doc.go")
+	text, err := os.ReadFile("scenario.go")
 	if err != nil {
 		t.Fatal(err)
 	}
