--- a/internal/emulator/pools.go
+++ b/internal/emulator/pools.go
@@ -6,6 +6,7 @@
 
 	"basaltwall/api"
 	"basaltwall/controller/pools"
+	"basaltwall/internal/invariant"
 	"basaltwall/tenant"
 )
 
@@ -34,10 +35,8 @@
 			tasks[id] = true
 		}
 	}
-	for id, hosts := range t.sim.Checker.placements {
-		if len(hosts) > 0 {
-			tasks[id] = true
-		}
+	for id := range t.sim.Checker.RunningTaskIDs() {
+		tasks[id] = true
 	}
 	sum, jobs := 0, map[api.JobID]bool{}
 	for id := range tasks {
@@ -67,16 +66,16 @@
 			return true
 		}
 	}
-	for id, hosts := range t.sim.Checker.placements {
-		if id.Job == job && len(hosts) > 0 {
+	for id := range t.sim.Checker.RunningTaskIDs() {
+		if id.Job == job {
 			return true
 		}
 	}
 	return false
 }
 
-// checkPoolSizes holds the starts of a round that was just taken in against the sizes in force:
-// those of jobs, and whether the job held nothing before. A further task of a job that takes
+// checkPoolSizes compares the starts of a round that was just written with the sizes in force. started has the
+// jobs with starts, and whether the job held nothing before. A further task of a job that takes
 // units for itself alone takes none.
 func (t *Tenants) checkPoolSizes(started map[api.JobID]bool) {
 	pools := map[api.PoolName]bool{}
@@ -101,7 +100,7 @@
 		held := t.countHeldUnits(name)
 		t.poolLedger.MaxHeld[name] = max(t.poolLedger.MaxHeld[name], held)
 		if held > p.Size || p.State != "active" {
-			t.sim.Checker.recordViolation(t.sim.Now, "pool", "%d units of %s are held as more are handed out, which is %q with %d", held, name, p.State, p.Size)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RulePool, "%d units of %s are held as more are handed out, which is %q with %d", held, name, p.State, p.Size)
 		}
 	}
 }
@@ -136,8 +135,8 @@
 	})
 }
 
-// Utilization is the share of a pool's size that is held on average between two times, looked at
-// each second; it is known once they have passed.
+// Utilization measures the share of a pool's size that is held on average between two times, sampled
+// each second; what it returns is known once they have passed.
 func (t *Tenants) Utilization(name api.PoolName, from, to time.Duration) func() float64 {
 	sum, samples := 0.0, 0
 	var sample func()
