--- a/internal/scenario/fault_combinations_test.go
+++ b/internal/scenario/fault_combinations_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"testing"
 )
 
-// faultCombinationScript draws two to four troubles that share a window, again and again, while long arrays,
+// faultCombinationScript draws two to four faults that share a window, again and again, while long arrays,
 // services and gangs run on three to seven controllers' machines and many of them are
 // cancelled, by any controller. Who is served is not asked, as all of it may be out for most
-// of the time: only that no rule breaks, and that in the end every cancellation is told.
+// of the time: only that no rule breaks, and that in the end every cancellation is acknowledged.
 func faultCombinationScript(seed uint64) string {
 	r, pick, line, b := newScriptBuilder(seed, 30)
 	line("-- script --")
@@ -47,60 +48,7 @@
 			}
 			machine := fmt.Sprintf("i-%06d", r.IntN(machines))
 			mode := pick("hold", "drop")
-			switch r.IntN(25) {
-			case 0, 1:
-				line("refuse %.2f %.2f %s", when, length, controllerName)
-				line("outage %.2f %.2f", when+length*r.Float64(), outageLength(r.IntN(3), length))
-			case 2:
-				line("outage %.2f %.2f", when, outageLength(r.IntN(3), length))
-			case 3:
-				line("cut %.2f %.2f %s state %s", when, length, controllerName, mode)
-				line("cut %.2f %.2f %s peers %s", when, length, controllerName, mode)
-			case 4:
-				line("cut %.2f %.2f %s %s %s", when, length, controllerName, pick("workers", "peers", "state", "users", "cloud", "all"), mode)
-			case 5:
-				line("crash %.2f %s %s", when, controllerName, pick("0.2", "0.2", "3", "15"))
-			case 6:
-				line("crash %.2f all %s", when, pick("0.2", "3"))
-			case 7:
-				line("crashes %.2f %s 0.2 %.1f 6", when, pick(controllerName, "all"), 0.5+3*r.Float64())
-			case 8:
-				line("freeze %.2f %.2f %s", when, length, controllerName)
-			case 9:
-				line("delay %.2f %.2f %.2f", when, length, 0.1+0.5*r.Float64())
-			case 10:
-				line("lose %.2f %.2f %.2f", when, length, 0.1+0.5*r.Float64())
-			case 11:
-				line("stale %.2f %.2f %.2f", when, length, 0.1+0.5*r.Float64())
-			case 12:
-				line("deaf %.2f %.2f %s", when, 2*length, pick(machine, machine, machine, "all"))
-			case 13:
-				line("late %.2f %.2f %s", when, 3*length, machine)
-			case 14:
-				line("hang %.2f %.2f %s", when, 2*length, machine)
-			case 15:
-				line("cutzone %.2f %.2f %s %s", when, 2*length, pick("a", "b", "c"), mode)
-			case 16:
-				line("kill %.2f %s", when, machine)
-			case 17:
-				line("mute %.2f %.2f %s", when, 2*length, pick(machine, machine, machine, "all"))
-			case 18:
-				line("keep %.2f %.2f %.2f", when, length+10, 0.3+0.6*r.Float64())
-			case 19:
-				line("cancelnow %.2f %d %s", when, 1+r.IntN(6), pick("0", "20", "35"))
-			case 20:
-				line("cancelnow %.2f %d %s", when, 1+r.IntN(6), pick("0", "35"))
-				line("refuse %.2f %.2f %s", when, length, controllerName)
-				line("outage %.2f 70", when+1)
-			case 21:
-				line("cancelends %.2f %.2f %.2f", when, length, 0.3+0.6*r.Float64())
-			case 22:
-				line("looks %.2f %.2f %s", when, length, pick("0", "0.2"))
-			case 23:
-				line("odd %.2f %.2f", when, length)
-			case 24:
-				line("slow %.2f %.2f %.2f", when, length, 0.02+0.2*r.Float64())
-			}
+			drawFault(r, pick, line, combinedFault{controllerName, machine, when, length, mode})
 		}
 	}
 	line("floor 0")
@@ -109,7 +57,72 @@
 	return b.String()
 }
 
-// outageLength is how long an outage lasts: as the trouble beside it, or longer than a lease, or
+// combinedFault is what was drawn for one fault of a combination.
+type combinedFault struct {
+	controller, machine string
+	when, length        float64
+	mode                string // of a cut
+}
+
+// drawFault draws which fault it is, and writes its steps.
+func drawFault(r *rand.Rand, pick func(...string) string, line func(string, ...any), f combinedFault) {
+	switch r.IntN(25) {
+	case 0, 1:
+		line("refuse %.2f %.2f %s", f.when, f.length, f.controller)
+		line("outage %.2f %.2f", f.when+f.length*r.Float64(), outageLength(r.IntN(3), f.length))
+	case 2:
+		line("outage %.2f %.2f", f.when, outageLength(r.IntN(3), f.length))
+	case 3:
+		line("cut %.2f %.2f %s state %s", f.when, f.length, f.controller, f.mode)
+		line("cut %.2f %.2f %s peers %s", f.when, f.length, f.controller, f.mode)
+	case 4:
+		line("cut %.2f %.2f %s %s %s", f.when, f.length, f.controller, pick("workers", "peers", "state", "users", "cloud", "all"), f.mode)
+	case 5:
+		line("crash %.2f %s %s", f.when, f.controller, pick("0.2", "0.2", "3", "15"))
+	case 6:
+		line("crash %.2f all %s", f.when, pick("0.2", "3"))
+	case 7:
+		line("crashes %.2f %s 0.2 %.1f 6", f.when, pick(f.controller, "all"), 0.5+3*r.Float64())
+	case 8:
+		line("freeze %.2f %.2f %s", f.when, f.length, f.controller)
+	case 9:
+		line("delay %.2f %.2f %.2f", f.when, f.length, 0.1+0.5*r.Float64())
+	case 10:
+		line("lose %.2f %.2f %.2f", f.when, f.length, 0.1+0.5*r.Float64())
+	case 11:
+		line("stale %.2f %.2f %.2f", f.when, f.length, 0.1+0.5*r.Float64())
+	case 12:
+		line("deaf %.2f %.2f %s", f.when, 2*f.length, pick(f.machine, f.machine, f.machine, "all"))
+	case 13:
+		line("late %.2f %.2f %s", f.when, 3*f.length, f.machine)
+	case 14:
+		line("hang %.2f %.2f %s", f.when, 2*f.length, f.machine)
+	case 15:
+		line("cutzone %.2f %.2f %s %s", f.when, 2*f.length, pick("a", "b", "c"), f.mode)
+	case 16:
+		line("kill %.2f %s", f.when, f.machine)
+	case 17:
+		line("mute %.2f %.2f %s", f.when, 2*f.length, pick(f.machine, f.machine, f.machine, "all"))
+	case 18:
+		line("keep %.2f %.2f %.2f", f.when, f.length+10, 0.3+0.6*r.Float64())
+	case 19:
+		line("cancelnow %.2f %d %s", f.when, 1+r.IntN(6), pick("0", "20", "35"))
+	case 20:
+		line("cancelnow %.2f %d %s", f.when, 1+r.IntN(6), pick("0", "35"))
+		line("refuse %.2f %.2f %s", f.when, f.length, f.controller)
+		line("outage %.2f 70", f.when+1)
+	case 21:
+		line("cancelends %.2f %.2f %.2f", f.when, f.length, 0.3+0.6*r.Float64())
+	case 22:
+		line("looks %.2f %.2f %s", f.when, f.length, pick("0", "0.2"))
+	case 23:
+		line("odd %.2f %.2f", f.when, f.length)
+	case 24:
+		line("slow %.2f %.2f %.2f", f.when, f.length, 0.02+0.2*r.Float64())
+	}
+}
+
+// outageLength is how long an outage lasts: as the fault beside it, or longer than a lease, or
 // than a cancellation may take.
 func outageLength(which int, length float64) float64 {
 	return []float64{length, 30 + length, 60 + length}[which]
--- a/internal/scenario/zone_loss_size_test.go
+++ b/internal/scenario/zone_loss_size_test.go
@@ -12,7 +12,7 @@
 	"basaltwall/internal/emulator"
 )
 
-// sizeScript loses one of three zones for 70 s, with leases of 30 s; a quarter of the room is
+// sizeScript loses one of three zones for 70 s, with leases of 30 s; a quarter of the capacity is
 // services', and most of the rest short arrays'.
 const sizeScript = `
 -- script --
