--- a/controller/agent/manager.go
+++ b/controller/agent/manager.go
@@ -73,10 +73,12 @@
 		m = &core.Machine{
 			ID:             id,
 			DiscoveredAt:   am.core.Now,
-			IdleSince:      am.core.Now,
-			ReportedTasks:  map[core.AttemptKey]api.TaskStatus{},
-			CachedImages:   map[api.Image]sched.CachedImage{},
-			RecentFailures: map[api.JobID]api.Time{},
+			HeartbeatState: core.HeartbeatState{ReportedTasks: map[core.AttemptKey]api.TaskStatus{}},
+			ScaleInState:   core.ScaleInState{IdleSince: am.core.Now},
+			TaskHistory: core.TaskHistory{
+				CachedImages:   map[api.Image]sched.CachedImage{},
+				RecentFailures: map[api.JobID]api.Time{},
+			},
 		}
 		am.core.Machines[id] = m
 		am.sortedMachines = nil
--- a/controller/core/adminrequest.go
+++ b/controller/core/adminrequest.go
@@ -1,12 +1,12 @@
 package core
 
-// This file has what every component needs that answers an operator's request: reading its
-// body, comparing revisions and records, and refusing with a typed error.
+// This file holds what every component needs that answers an operator's request: reading its body,
+// comparing revisions and records, and refusing with a typed error.
 
 import (
+	"bytes"
 	"encoding/json"
 	"errors"
-	"strings"
 
 	"basaltwall/api"
 	"basaltwall/controller/message"
@@ -19,40 +19,43 @@
 	if len(body) == 0 {
 		return nil
 	}
-	decoder := json.NewDecoder(strings.NewReader(string(body)))
+	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(target); err != nil {
-		if typeErr, ok := err.(*json.UnmarshalTypeError); ok {
-			return &tenant.Error{Status: 400, Field: typeErr.Field, Reason: "wrong type"}
-		}
-		return &tenant.Error{Status: 400, Reason: err.Error()}
+	err := decoder.Decode(target)
+	if err == nil {
+		return nil
 	}
-	return nil
+	// Only an error of the decoder itself names the field. One that a type wraps when it decodes
+	// itself is shown by its text, which says more.
+	if typeError, ok := err.(*json.UnmarshalTypeError); ok { //nolint:errorlint // must not look into wrapped errors
+		return &tenant.Error{Status: api.StatusBadRequest, Field: typeError.Field, Reason: "wrong type"}
+	}
+	return &tenant.Error{Status: api.StatusBadRequest, Reason: err.Error()}
 }
 
 // CheckRevision refuses a change that names another revision than the current one of the record
-// that it would replace, or none.
+// that it would replace, or none. The error is of type *tenant.Error; what names the record.
 func CheckRevision(expected *api.Revision, current api.Revision, what string) error {
 	if expected == nil || *expected != current {
-		return &tenant.Error{Status: 409, Field: "revision", Reason: what + " changed since, or no revision is named"}
+		return &tenant.Error{Status: api.StatusConflict, Field: "revision", Reason: what + " changed since, or no revision is named"}
 	}
 	return nil
 }
 
 // EqualJSON reports whether two values have the same encoding as JSON.
 func EqualJSON(a, b any) bool {
-	x, errX := json.Marshal(a)
-	y, errY := json.Marshal(b)
-	return errX == nil && errY == nil && string(x) == string(y)
+	encodedA, errA := json.Marshal(a)
+	encodedB, errB := json.Marshal(b)
+	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
 
 // RefuseError answers a request with an error's text, under the status of a *tenant.Error, or
-// 400 for any other error.
-func (k *Core) RefuseError(req message.ReqID, err error) {
-	status := 400
+// api.StatusBadRequest for any other error.
+func (o *Outbox) RefuseError(req message.ReqID, err error) {
+	status := api.StatusBadRequest
 	var refusal *tenant.Error
 	if errors.As(err, &refusal) {
 		status = refusal.Status
 	}
-	k.ReplyError(req, status, err.Error())
+	o.ReplyError(req, status, err.Error())
 }
--- a/controller/core/capacity.go
+++ b/controller/core/capacity.go
@@ -1,5 +1,7 @@
 package core
 
+// This file holds the unit in which free capacity is counted.
+
 import (
 	"basaltwall/api"
 	"basaltwall/controller/message"
--- a/controller/core/deletion.go
+++ b/controller/core/deletion.go
@@ -1,12 +1,12 @@
-// Machine deletions: why they are asked for, and how many go into one call.
-
 package core
 
+// This file holds why machines are deleted, and how many deletions go into one call.
+
 // DeletionReason says why a machine is deleted. It appears in the log and decides
 // which deletions go first.
 type DeletionReason string
 
-// The reasons for a deletion.
+// Reasons for a deletion.
 const (
 	DeletionReasonIdle        DeletionReason = "idle"
 	DeletionReasonFailed      DeletionReason = "failed"           // the cloud lists it as failed
--- a/controller/core/eligibility.go
+++ b/controller/core/eligibility.go
@@ -1,6 +1,7 @@
 package core
 
-// This file holds why a machine gets no new tasks: the scheduler, gossip and operators' views share it.
+// This file holds why a machine gets no new tasks, which the scheduler, gossip and operators' views
+// share.
 
 // UnschedulableReason is why a machine gets no new tasks, as operators are shown it; empty if it does.
 type UnschedulableReason string
--- a/controller/core/hosted.go
+++ b/controller/core/hosted.go
@@ -1,11 +1,9 @@
 package core
 
-// This file has what the components share of a hosted service: the keys and bounds that rounds
+// This file holds what the components share of a hosted service: the keys and bounds that rounds
 // are conditional on, and the team records that operators see.
 
 import (
-	"time"
-
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/tenant"
@@ -24,8 +22,9 @@
 // its transaction.
 const MaxRoundPools = 8
 
-// AddRoundPools adds pools to those that a round names, or reports that they would be too many:
-// jobs that hold their own units already may start tasks whatever pools a round looks at.
+// AddRoundPools adds the pools of a job's requests to those that a round hands out units of, or
+// reports false and adds none if they would be more than MaxRoundPools. Jobs that hold their units
+// already may start tasks whatever pools a round looks at.
 func AddRoundPools(named map[api.PoolName]bool, needs []api.PoolRequest) bool {
 	added := 0
 	for _, need := range needs {
@@ -42,13 +41,9 @@
 	return true
 }
 
-// DeferredJobsInterval is how soon the jobs that a round left out have their turn if nothing else
-// makes the partition run one.
-const DeferredJobsInterval = time.Second
-
 // TeamRecord is a team that operators made, as it is shown.
 type TeamRecord struct {
 	tenant.Team
-	Tenant   tenant.Name  `json:"tenant,omitempty"` // whose it is
+	Tenant   tenant.Name  `json:"tenant,omitempty"` // that the team belongs to
 	Revision api.Revision `json:"revision"`
 }
--- a/controller/core/intervals.go
+++ b/controller/core/intervals.go
@@ -1,5 +1,7 @@
 package core
 
+// This file holds the controller's timing: how often and how long things are done.
+
 import (
 	"time"
 
@@ -8,41 +10,76 @@
 	"basaltwall/relay"
 )
 
-// Timing that no setting bears on. None is needed for safety.
+// Timing that does not depend on the configuration. None of it is needed for safety.
 const (
-	StoreTimeout     = 1500 * time.Millisecond // answers take a few hundred milliseconds at most
-	RenewTimeout     = time.Second
+	// StoreTimeout is the timeout of most calls to the state service, whose responses take a few
+	// hundred milliseconds at most.
+	StoreTimeout = 1500 * time.Millisecond
+	// RenewTimeout is the timeout of the renewal of this controller's lease.
+	RenewTimeout = time.Second
+	// WatchPollTimeout is how long a call waits for changes of the state service's log.
 	WatchPollTimeout = 10 * time.Second
-	WorkerTimeout    = 1500 * time.Millisecond
-	CloudTimeout     = 6 * time.Second
-	PeerTimeout      = 2 * time.Second
-	GossipInterval   = 500 * time.Millisecond
-	RetryDelay       = 200 * time.Millisecond
+	// WorkerTimeout is the timeout of direct calls to agents.
+	WorkerTimeout = 1500 * time.Millisecond
+	// CloudTimeout is the timeout of calls to the cloud.
+	CloudTimeout = 6 * time.Second
+	// PeerTimeout is the timeout of most calls to other controllers.
+	PeerTimeout = 2 * time.Second
+	// GossipInterval is how often a controller sends its gossip.
+	GossipInterval = 500 * time.Millisecond
+	// RetryDelay is after how long a deferred call is made.
+	RetryDelay = 200 * time.Millisecond
+	// MinRoundInterval is the least time between two rounds of a partition.
+	MinRoundInterval = 50 * time.Millisecond
+	// UnmetDemandRecheckInterval is how often a round looks again at jobs that found no free
+	// capacity when nothing else changes.
+	UnmetDemandRecheckInterval = 3 * time.Second
+	// DeferredJobsInterval is how soon the jobs that a round left out are looked at if nothing
+	// else makes the partition run one.
+	DeferredJobsInterval = time.Second
+	// SweepInterval is how often each machine is looked at when nothing calls for it.
+	SweepInterval = time.Second
+	// DemandSampleInterval is how often the demand for machines with accelerators is measured.
+	DemandSampleInterval = time.Second
+	// MinServiceRuntime is how long a service's replica must have run before it is moved.
+	MinServiceRuntime = time.Minute
+	// MaxLeaseRenewInterval keeps a lease's life within the ten minutes that the state service
+	// allows.
+	MaxLeaseRenewInterval = 2 * time.Minute
+	// PeerForwardTimeout bounds the wait for one of several peers that a request can be forwarded
+	// to: two of them answer within the time that users wait.
+	PeerForwardTimeout = 800 * time.Millisecond
 )
 
-// MinRoundInterval is the least time between two rounds of a partition.
-const MinRoundInterval = 50 * time.Millisecond
+// RuntimeSafetyFactor is how much longer than estimated the longest of a job's tasks is taken
+// to run.
+const RuntimeSafetyFactor = 1.2
+
+// leaseSlack is what a worker may take to notice that its lease is over. Its clock may be off
+// by a two-thousandth, so a thousandth of the lease is allowed for beside it.
+const leaseSlack = time.Second
 
-// Intervals is how often and how long, as the settings allow. TestTimetableFitsSettings holds
-// it for every setting that is accepted. None is needed for safety.
+// Intervals is the timing that follows from the configuration. None of it is needed for safety.
 type Intervals struct {
-	LeaseRenewInterval time.Duration // of our lease
-	MemberLeaseTTL     time.Duration // that lease's life
-	HandoverDelay      time.Duration // a returned node's parts go home after this
-	RoundInterval      time.Duration // between a part's rounds
-	ReadInterval       time.Duration // between current reads
-	DirectReadInterval time.Duration // the same where most read through relays, of who has none
+	LeaseRenewInterval time.Duration // between renewals of this controller's membership lease
+	MemberLeaseTTL     time.Duration // that lease's time to live
+	HandoverDelay      time.Duration // how long a controller has been back when its partitions are handed to it
+	RoundInterval      time.Duration // between a partition's rounds
+	ReadInterval       time.Duration // between current reads of the log
+	DirectReadInterval time.Duration // the same for a controller without a relay, where most read through relays
 	MaxRelays          int           // controllers that read the log for the others, where there are more
-	LookupInterval     time.Duration // between requests for final states, and for pages when the state is read
-	CloudCallInterval  time.Duration // between rentals, and between deletions
+	LookupInterval     time.Duration // between requests for results of jobs, and for pages when the state is read
+	CloudCallInterval  time.Duration // between requests of machines, and between deletions
 
-	HeartbeatTimeout        time.Duration // how long no report may come before a machine is asked
-	LivenessTimeout         time.Duration // how long a machine may be silent, see checkSilence
-	CancellationTimeout     time.Duration // how long after a cancellation a machine that is silent is deleted for it
-	LeaseCoversCancellation bool          // a machine that nobody renews is empty within the time of a cancellation
-	RedirectTTL             time.Duration // how soon a worker is back that was sent to a node which does not answer
+	HeartbeatTimeout        time.Duration // how long a machine may send no heartbeat before it is called directly
+	LivenessTimeout         time.Duration // how long a machine may be silent before it is taken to have failed
+	CancellationTimeout     time.Duration // how long after a cancellation a silent machine with tasks of the job is deleted
+	LeaseCoversCancellation bool          // an agent's lease ends, and its tasks with it, within the time of a cancellation
+	RedirectTTL             time.Duration // how soon a worker is back that was redirected to a controller which does not answer
 }
 
+// NewIntervals derives the timing from the configuration: the requests and writes that the state
+// service and the cloud allow are shared out among their uses.
 func NewIntervals(cfg *config.Config) Intervals {
 	d := cfg.Deployment
 	controllers := float64(len(cfg.Peers) + 1)
@@ -57,16 +94,16 @@
 		// A sixth, beside the relays' third, should all others have no relay at once.
 		DirectReadInterval: max(40*time.Millisecond, api.Seconds(controllers*6/d.State.RPS)),
 		MaxRelays:          relay.MaxRelays(d.State.RPS),
-		// A sixth of the requests: who starts again and again, or is asked for thousands of
-		// jobs that are over, leaves the others theirs.
+		// A sixth of the requests: a controller that restarts again and again, or is asked for
+		// thousands of jobs that are over, leaves the others theirs.
 		LookupInterval: max(10*time.Millisecond, api.Seconds(controllers*6/d.State.RPS)),
-		// A third of the cloud's calls may be rentals: offers are refused one by
+		// A third of the cloud's calls may request machines: offers are refused one by
 		// one, and a burst should not wait for that.
 		CloudCallInterval: max(100*time.Millisecond, api.Seconds(3/d.Cloud.RPS)),
 
 		HeartbeatTimeout: heartbeatInterval*5/4 + 500*time.Millisecond,
-		// Long enough for the others of its zone to be found silent too, and that to
-		// be told, if it is the zone that is cut off.
+		// Long enough to find the other machines of its zone silent too, and to learn it
+		// from other controllers, if it is the zone that is cut off.
 		LivenessTimeout: 2*heartbeatInterval + 2*WorkerTimeout,
 		RedirectTTL:     max(20*time.Second, heartbeatInterval*5/2),
 	}
@@ -79,13 +116,3 @@
 	t.HandoverDelay = max(5*time.Second, t.MemberLeaseTTL)
 	return t
 }
-
-// leaseSlack is what a worker may take to notice that its lease is over. Its clock may be off
-// by a two-thousandth, so a thousandth of the lease is allowed for beside it.
-const leaseSlack = time.Second
-
-// MaxLeaseRenewInterval keeps a lease's life within the ten minutes that the state service allows.
-const MaxLeaseRenewInterval = 2 * time.Minute
-
-// SweepInterval is how often each machine is looked at when nothing calls for it.
-const SweepInterval = time.Second
--- a/controller/core/largestzone.go
+++ b/controller/core/largestzone.go
@@ -1,5 +1,7 @@
 package core
 
+// This file holds the choice of a zone by a count.
+
 import (
 	"maps"
 	"slices"
--- a/controller/core/logattr.go
+++ b/controller/core/logattr.go
@@ -1,5 +1,7 @@
 package core
 
+// This file holds the log attributes of jobs.
+
 import (
 	"log/slog"
 
--- a/controller/core/machine.go
+++ b/controller/core/machine.go
@@ -1,99 +1,110 @@
 package core
 
-import (
-	"hash/fnv"
-	"strconv"
-	"strings"
+// This file holds what a controller knows of a machine beyond the cluster state.
 
+import (
 	"basaltwall/api"
 	"basaltwall/sched"
 )
 
+// Machine is what a controller knows of a machine: the owner of its partition by its heartbeats and
+// direct calls, any other controller by the cloud's list.
+type Machine struct {
+	ID           api.MachineID
+	Address      string
+	MachineType  api.MachineTypeName
+	Zone         api.Zone
+	Spot         bool
+	DiscoveredAt api.Time     // when it became known to this controller, or its partition this controller's
+	LoanRevision api.Revision // of the loan that was last seen of it
+
+	HeartbeatState
+	TokenState
+	DirectCallState
+	ScaleInState
+	ConsolidationState
+	TaskHistory
+	MachineReservation
+}
+
+// AttemptKey names one attempt at a task.
 type AttemptKey struct {
 	Task    api.TaskID
 	Attempt api.Attempt
 }
 
-// Machine is what the owner of a machine's part knows of it.
-type Machine struct {
-	ID          api.MachineID
-	Address     string
-	MachineType api.MachineTypeName
-	Zone        api.Zone
-	Spot        bool
+// HeartbeatState is what a machine's agent has reported, by heartbeats of its own or in answers to
+// direct calls. Heartbeats may arrive late: one is newer if its epoch is or, within an epoch, its
+// sequence number.
+type HeartbeatState struct {
+	Epoch              api.Epoch // of the newest heartbeat
+	Sequence           api.Seq   // of the newest heartbeat
+	FirstHeartbeat     api.Time
+	LastHeartbeat      api.Time // when the newest came
+	LeaseRenewedAt     api.Time // when a heartbeat that the agent sent came last: the answer to one renews its lease, a direct call does not
+	HeartbeatForwarded bool     // the newest came by way of another controller
+	SuspectSince       api.Time // when one came after a silence, so that it may be an old one; 0 if that is settled
+	ReclaimNotice      bool     // the cloud is about to take the machine back
+	ReportedTasks      map[AttemptKey]api.TaskStatus
+	UntrackedUsage     api.Resources // of reported tasks that the cluster state does not know
+	HasUnknownTasks    bool          // a task of an unknown job is on it
+}
 
-	Epoch           api.Epoch
-	Sequence        api.Seq
-	ReportedToken   api.FencingToken // highest it has shown
-	CommandToken    api.FencingToken // the one we command it with; 0: none yet
-	UncertainToken  api.FencingToken // direct commands up to this token may still arrive
-	LastHeartbeat   api.Time         // last newer report
-	LeaseRenewedAt  api.Time         // last report of its own that reached us: an answer to one renews its lease, a direct call does not
-	FirstHeartbeat  api.Time         // first report
-	DiscoveredAt    api.Time         // first known to us
-	SuspectSince    api.Time         // heard again after a silence, by a report that may be late; 0: not so
-	ReclaimNotice   bool
-	ReportedTasks   map[AttemptKey]api.TaskStatus
-	UntrackedUsage  api.Resources // what tasks on it take that the book does not know
-	HasUnknownTasks bool          // a task of an unknown job is on it
+// TokenState is a machine's fencing tokens. Agents refuse commands under a token lower than the
+// highest that they have seen.
+type TokenState struct {
+	ReportedToken  api.FencingToken // the highest that the agent has reported
+	CommandToken   api.FencingToken // the one that it is commanded under; 0 if there is none yet
+	UncertainToken api.FencingToken // direct commands up to this token may still arrive; 0 if there are none
+}
 
-	CallInFlight       bool
-	NextCallAt         api.Time
-	LastDirectReply    api.Time // last direct call that was answered
-	ContactPending     bool     // something is to be told at once
-	MissedCalls        int      // direct calls without an answer, in a row
-	HeartbeatForwarded bool     // its last report came by way of a peer
-	Deleting           bool
-	Unreachable        bool     // it is deleted because it can't be reached
-	IdleSince          api.Time // since when it has had nothing that it is kept for
-	ScaleInCandidate   bool     // idle for long: nothing that could go elsewhere starts on it
-	Surplus            bool     // more than the load needs: used last, see markSurplus
-	ConsolidatingUntil api.Time // until when its services are moving elsewhere, see gather
-	CachedImages       map[api.Image]sched.CachedImage
-	RecentFailures     map[api.JobID]api.Time
-	QuarantinedUntil   api.Time
-	FullUntil          api.Time
-	RelativeRuntime    float64   // see learnPace
-	ReservedFor        api.JobID // others made way for this job here, or room is gathered for it
-	SoftReservation    bool      // work of a higher rank than keptOf may start here all the same
-	ReservationRank    int
-	ReservedUntil      api.Time
-	Consolidated       bool // it is kept because room is gathered
+// DirectCallState is the state of the calls to a machine's agent that do not wait for its heartbeat.
+type DirectCallState struct {
+	CallInFlight    bool
+	NextCallAt      api.Time // no call before
+	LastDirectReply api.Time
+	ContactPending  bool // it has to be called at once
+	MissedCalls     int  // calls in a row that were not answered
+}
 
-	ConsolidatedAt api.Time
-	LoanRevision   api.Revision
+// ScaleInState tells whether a machine is deleted or could be.
+type ScaleInState struct {
+	Deleting         bool
+	Unreachable      bool     // it is deleted because it can't be reached
+	IdleSince        api.Time // since when it has had nothing that it is kept for
+	ScaleInCandidate bool     // long idle: nothing that could run elsewhere starts on it
+	Surplus          bool     // more than the capacity targets want, so that it is used last
 }
 
-// HashPartition says which part a machine belongs to unless it was lent. Names are
-// numbered in order of creation, so the number spreads machines rented together
-// evenly; turning by one after each turn keeps zones rented in rotation apart.
-func HashPartition(id api.MachineID, parts int) api.PartitionID {
-	s := string(id)
-	digits := s[strings.LastIndexByte(s, '-')+1:]
-	if v, err := strconv.ParseUint(digits, 10, 64); err == nil {
-		return api.PartitionID((v + v/uint64(parts)) % uint64(parts))
-	}
-	h := fnv.New32a()
-	h.Write([]byte(s))
-	return api.PartitionID(h.Sum32() % uint32(parts))
+// ConsolidationState tells whether tasks are moved off a machine so that its free capacity forms a
+// whole.
+type ConsolidationState struct {
+	ConsolidatingUntil api.Time // until when its services are moved elsewhere
+	Consolidated       bool     // its reservation is for a job that has waited long, see MachineReservation
+	ConsolidatedAt     api.Time // when it was reserved for that job
 }
 
-// ApplyListing takes from the cloud's list what a machine has not told yet.
-func (m *Machine) ApplyListing(h api.Instance) {
-	if m.Address == "" {
-		m.Address, m.MachineType, m.Zone, m.Spot = h.Address, h.Type, h.Zone, h.Spot
-	}
+// TaskHistory is what starting and running tasks on a machine has shown.
+type TaskHistory struct {
+	CachedImages     map[api.Image]sched.CachedImage
+	RecentFailures   map[api.JobID]api.Time // when tasks of a job last failed on it
+	QuarantinedUntil api.Time               // no new tasks before, as tasks of different jobs failed on it
+	FullUntil        api.Time               // no new tasks before, as it refused one for want of free capacity
+	RelativeRuntime  float64                // smoothed ratio of its tasks' runtimes to what was expected; 0 if none was seen
 }
 
-func (k *Core) PartitionOf(id api.MachineID) api.PartitionID {
-	if loan, ok := k.State.Loans[id]; ok {
-		return loan.Partition
-	}
-	return HashPartition(id, len(k.State.Partitions))
+// MachineReservation keeps a machine's free capacity for a job that tasks were preempted or moved
+// for.
+type MachineReservation struct {
+	ReservedFor     api.JobID
+	ReservedUntil   api.Time
+	ReservationRank int  // the job's priority rank
+	SoftReservation bool // work of a higher rank than ReservationRank may start here all the same
 }
 
-// MinToken is the lowest token under which the owner of a part may command a
-// machine: its term or, for a machine lent to it since, the lending's revision.
-func (k *Core) MinToken(owned *OwnedPartition, id api.MachineID) api.FencingToken {
-	return api.FencingToken(max(owned.Term, k.State.Loans[id].Revision))
+// ApplyListing takes from the cloud's list what a machine has not reported yet.
+func (m *Machine) ApplyListing(instance api.Instance) {
+	if m.Address == "" {
+		m.Address, m.MachineType, m.Zone, m.Spot = instance.Address, instance.Type, instance.Zone, instance.Spot
+	}
 }
--- a/controller/core/metrics.go
+++ b/controller/core/metrics.go
@@ -1,5 +1,7 @@
 package core
 
+// This file holds the counters and latencies that a controller keeps for operators.
+
 import (
 	"time"
 
@@ -8,31 +10,58 @@
 	"basaltwall/controller/message"
 )
 
-// Metrics are what an operator may want to see of the past: counts since the
-// process began and how long things took, in microseconds.
+// Metrics are what an operator may want to see of the past: counts since the process began, and how
+// long things took.
 type Metrics struct {
-	Rounds, Starts, Ends, Completions, Takeovers, PreemptedTasks, TaskMoves, MachinesLoaned, MachinesTransferred, MachinesReserved, ReplicasMoved, PollsDeferred, OptionalWorkShed, MalformedMessages uint64
-	StoreRequests, StoreWrites, StoreFailures                                                                                                                                                         uint64
-	CloudRequests, WorkerCalls, WorkerHeartbeats                                                                                                                                                      uint64
-	ReadsRelayed, ReadsServed, ReadFallbacks, ReadsInvalid                                                                                                                                            uint64
-	RequestsWithoutRead, IndeterminateWrites, IndeterminateWritten, IndeterminateUnwritten                                                                                                            uint64
-	FlowTasks, FlowMachines                                                                                                                                                                           int // of the last round
-	Usage                                                                                                                                                                                             message.ResourceUsage
-	Latencies                                                                                                                                                                                         map[string]*hdrhistogram.Histogram
+	SchedulingMetrics
+	CallMetrics
+	LogMetrics
+	Usage     message.ResourceUsage
+	Latencies map[string]*hdrhistogram.Histogram // by name, in microseconds
+}
+
+// SchedulingMetrics count what was decided.
+type SchedulingMetrics struct {
+	Rounds, Takeovers, Starts, Ends, Completions          uint64
+	PreemptedTasks, TaskMoves, ReplicasMoved              uint64
+	MachinesLoaned, MachinesTransferred, MachinesReserved uint64
+	FlowTasks, FlowMachines                               int    // the size of the last round's flow problem
+	OptionalWorkShed                                      uint64 // see Core.Overloaded
+}
+
+// CallMetrics count calls that were made, and requests and messages that came.
+type CallMetrics struct {
+	StoreRequests, StoreWrites, StoreFailures uint64
+	CloudRequests, WorkerCalls                uint64
+	WorkerHeartbeats, MalformedMessages       uint64
+	PollsDeferred                             uint64
 }
 
-// ObserveLatency notes a duration.
-func (m *Metrics) ObserveLatency(what string, d time.Duration) {
+// LogMetrics count reads of the state service's log, and writes whose outcome was not known.
+type LogMetrics struct {
+	ReadsRelayed, ReadsServed, ReadFallbacks, ReadsInvalid            uint64
+	RequestsWithoutRead                                               uint64
+	IndeterminateWrites, IndeterminateWritten, IndeterminateUnwritten uint64
+}
+
+// Latencies are recorded to two digits, from a microsecond up to maxLatency.
+const (
+	maxLatency               = time.Hour
+	latencySignificantDigits = 2
+)
+
+// ObserveLatency records how long something took, under the name of the latency. What is out of the
+// histogram's range is recorded as the end of the range.
+func (m *Metrics) ObserveLatency(name string, d time.Duration) {
 	if m.Latencies == nil {
 		m.Latencies = map[string]*hdrhistogram.Histogram{}
 	}
-	h := m.Latencies[what]
-	if h == nil {
-		h = hdrhistogram.New(1, time.Hour.Microseconds(), 2)
-		m.Latencies[what] = h
+	histogram := m.Latencies[name]
+	if histogram == nil {
+		histogram = hdrhistogram.New(1, maxLatency.Microseconds(), latencySignificantDigits)
+		m.Latencies[name] = histogram
 	}
-	// What is out of its range is noted as its end.
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), time.Hour.Microseconds()))
+	_ = histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds())) // is within the range
 }
 
 // LatencySummary describes a histogram, in milliseconds.
--- a/controller/core/requests.go
+++ b/controller/core/requests.go
@@ -1,13 +1,8 @@
 package core
 
-import (
-	"math"
-	"time"
-)
+// This file holds what several components answer users with.
 
-// PeerForwardTimeout bounds the wait for one of several peers that a request can be forwarded
-// to: two of them answer within the time that users wait.
-const PeerForwardTimeout = 800 * time.Millisecond
+import "math"
 
 // Reasons that users are given.
 const (
--- /dev/null
+++ b/controller/core/storecalls.go
@@ -0,0 +1,82 @@
+package core
+
+// This file holds calls to the state service, and what they tell of its health.
+
+import (
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/controller/message"
+)
+
+// StoreSlowAfter is how long a call to the state service may go unanswered before the service is
+// taken not to answer this controller, for the time being. It usually takes a few milliseconds.
+const StoreSlowAfter = 150 * time.Millisecond
+
+// statusUnknown is the status of a call that was not answered in time: whether it has taken effect is
+// not known.
+const statusUnknown = 0
+
+// storeLatency is the name in Metrics of the state service's latency.
+const storeLatency = "state"
+
+// CallStore calls the state service. The call's ID is filled in, and StoreTimeout unless the call
+// has a timeout.
+func (o *Outbox) CallStore(call message.StoreCall, callback func(message.StoreResponse)) {
+	if call.Timeout == 0 {
+		call.Timeout = StoreTimeout
+	}
+	isTxn := call.Txn != nil
+	var id message.CallID
+	id = o.registerCall(func(response any) {
+		storeResponse := response.(message.StoreResponse)
+		o.observeStoreResponse(id, storeResponse.Status, isTxn)
+		callback(storeResponse)
+	})
+	call.ID = id
+	o.metrics.StoreRequests++
+	if isTxn {
+		o.metrics.StoreWrites += uint64(len(call.Txn.Writes))
+	}
+	if call.Changes == nil || call.Changes.Wait == 0 {
+		o.pendingStoreCalls[id] = o.clock.Now
+	}
+	o.Emit(call)
+}
+
+// CallStoreTxn sends a transaction to the state service.
+func (o *Outbox) CallStoreTxn(txn api.Txn, callback func(message.StoreResponse)) {
+	o.CallStore(message.StoreCall{Txn: &txn}, callback)
+}
+
+// observeStoreResponse notes how the state service has answered a call. That it refuses a call for
+// its rate (api.StatusTooManyRequests) says nothing of its health.
+func (o *Outbox) observeStoreResponse(id message.CallID, status int, isTxn bool) {
+	if calledAt, ok := o.pendingStoreCalls[id]; ok {
+		delete(o.pendingStoreCalls, id)
+		o.metrics.ObserveLatency(storeLatency, o.clock.Now.Sub(calledAt))
+	}
+	if status == statusUnknown && isTxn {
+		o.metrics.IndeterminateWrites++
+	}
+	switch status {
+	case statusUnknown, api.StatusServiceUnavailable:
+		o.metrics.StoreFailures++
+		o.StoreHealthy = false
+	case api.StatusTooManyRequests:
+		o.metrics.StoreFailures++
+	default:
+		o.StoreHealthy = true
+	}
+}
+
+// storeCallOverdue reports whether a call that should be answered at once has been pending for
+// longer than StoreSlowAfter.
+func (o *Outbox) storeCallOverdue() bool {
+	for _, calledAt := range o.pendingStoreCalls {
+		if o.clock.Now.Sub(calledAt) > StoreSlowAfter {
+			return true
+		}
+	}
+	return false
+}
--- a/controller/eligibility/eligibility_test.go
+++ b/controller/eligibility/eligibility_test.go
@@ -32,7 +32,11 @@
 	k.AddMachineTypes([]api.MachineType{{Name: "c4"}})
 	k.Now = api.Time(time.Hour)
 	heardAt := k.Now.Add(-time.Millisecond)
-	m := &core.Machine{ID: "i-1", MachineType: "c4", Zone: "a", LastHeartbeat: heardAt, FirstHeartbeat: heardAt, LeaseRenewedAt: heardAt, ReportedToken: testTerm}
+	m := &core.Machine{
+		ID: "i-1", MachineType: "c4", Zone: "a",
+		HeartbeatState: core.HeartbeatState{LastHeartbeat: heardAt, FirstHeartbeat: heardAt, LeaseRenewedAt: heardAt},
+		TokenState:     core.TokenState{ReportedToken: testTerm},
+	}
 	siblings := &fakeSiblings{}
 	checker := New(k)
 	checker.Connect(Siblings{Agents: siblings, Health: siblings})
--- a/controller/rounds/ownership.go
+++ b/controller/rounds/ownership.go
@@ -13,13 +13,13 @@
 // partition's tasks and machines with nothing known of them beyond the cluster state.
 func (s *Scheduler) BeginOwnership(p api.PartitionID, term api.Revision) {
 	owned := &core.OwnedPartition{
-		ID:                p,
-		Term:              term,
-		OwnedSince:        s.core.Now,
-		LastRevision:      term,
-		PendingEnds:       map[*core.Placement]bool{},
-		Dirty:             true,
-		NextQuotaTransfer: map[api.PartitionID]api.Time{},
+		ID:           p,
+		Term:         term,
+		OwnedSince:   s.core.Now,
+		LastRevision: term,
+		Dirty:        true,
+		RoundState:   core.RoundState{PendingEnds: map[*core.Placement]bool{}},
+		QuotaState:   core.QuotaState{NextQuotaTransfer: map[api.PartitionID]api.Time{}},
 	}
 	s.core.Partitions[p] = owned
 	for placement := range s.core.State.PlacementsByPartition[p] {
