--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller owns all of a controller's state and every decision. It does
-// no input or output, reads no clock and starts no goroutine: Step takes what
-// happened and returns what is to be done, and the same inputs give the same
-// outputs.
+// Package controller puts a controller together from its components, and steps it. What components
+// share is in package core, everything else in the packages of the components. A controller does no
+// input or output, reads no clock and starts no goroutine: Step takes what happened and returns what
+// is to be done, and the same inputs give the same outputs.
 package controller
 
 import (
@@ -33,12 +33,15 @@
 	"basaltwall/priority"
 )
 
-// Controller is one controller.
+// TickInterval is how often Step wants to be called when nothing happens.
+const TickInterval = 50 * time.Millisecond
+
+// Controller is one of the controllers of a cluster. Its methods are not safe for concurrent use.
 type Controller struct {
-	// OnWorkStart, if set, is told which kind of work comes next.
+	// OnWorkStart, if set, is called before each kind of work with the kind that begins.
 	OnWorkStart func(message.WorkKind)
 
-	started bool
+	started bool // Step has been called
 
 	core         *core.Core
 	follower     *logfollow.Follower
@@ -62,18 +65,8 @@
 	reporter     *metrics.Reporter
 }
 
-// NewState is an empty book; the kinds of records that stand for themselves are
-// registered here.
-func (n *Controller) NewState() *core.ClusterState {
-	n.core.Settings, n.core.RecordedTypes, n.priorities.priorityState.shortage = core.Settings{}, api.MachineTypes{}, priority.Shortage{}
-	n.health.ResetRecords()
-	kinds := []clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.RecordKind()}
-	kinds = append(kinds, n.pools.RecordKinds()...)
-	kinds = append(kinds, n.tenancy.RecordKinds()...)
-	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
-}
-
-// New returns a controller; born tells this run of the process from others.
+// New returns a controller that has read nothing yet; incarnation tells this run of the process from
+// others.
 func New(cfg *config.Config, incarnation int64) *Controller {
 	shared := core.New(cfg, incarnation)
 	n := &Controller{core: shared}
@@ -101,59 +94,73 @@
 	return n
 }
 
-// Step tells the controller what happened and returns what it wants done. It
-// is also to be called with no commands at least every Tick.
-func (n *Controller) Step(now api.Time, wall api.WallTime, cmds []message.Command) []message.Effect {
+// NewState returns a cluster state without any records. The records that stand for themselves are
+// registered with it, and what was read of them before is forgotten.
+func (n *Controller) NewState() *core.ClusterState {
+	n.core.Settings, n.core.RecordedTypes = core.Settings{}, api.MachineTypes{}
+	n.priorities.priorityState.shortage = priority.Shortage{}
+	n.health.ResetRecords()
+	kinds := []clusterstate.RecordKind{
+		clusterstate.SingleKey(core.SettingsKey, &n.core.Settings),
+		clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes),
+		clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage),
+		n.health.RecordKind(),
+	}
+	kinds = append(kinds, n.pools.RecordKinds()...)
+	kinds = append(kinds, n.tenancy.RecordKinds()...)
+	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
+}
+
+// Step hands the controller the commands that have come and returns the effects that it wants, in
+// order. It is also to be called without commands at least every TickInterval.
+func (n *Controller) Step(now api.Time, wall api.WallTime, commands []message.Command) []message.Effect {
 	n.core.Now, n.core.WallClock = now, wall
 	if !n.started {
 		n.started, n.core.StartedAt = true, now
 	}
-	for _, c := range cmds {
+	for _, c := range commands {
 		n.startWork(message.WorkKindOf(c))
 		n.dispatch(c)
 	}
 	n.tick()
-	out := n.core.Effects
-	n.core.Effects = nil
-	return out
+	return n.core.TakeEffects()
 }
 
-// startWork tells whoever has a clock which kind of work comes next.
+// startWork tells that another kind of work begins, for the account of the time that each takes.
 func (n *Controller) startWork(kind message.WorkKind) {
 	if n.OnWorkStart != nil {
 		n.OnWorkStart(kind)
 	}
 }
 
-// TickInterval is how often Step wants to be called when nothing happens.
-const TickInterval = 50 * time.Millisecond
+// Names in metrics of the latencies that are measured here.
+const (
+	submitLatency = "submit"
+	pollLatency   = "poll"
+	cancelLatency = "cancel"
+	stepLatency   = "step"
+)
 
+// dispatch hands a command to the component that handles it, or a response to whoever made the call.
 func (n *Controller) dispatch(c message.Command) {
-	answer := func(id message.CallID) {
-		if f := n.core.PendingCalls[id]; f != nil {
-			delete(n.core.PendingCalls, id)
-			f(c)
-		}
-	}
 	switch c := c.(type) {
 	case message.Submit:
-		n.core.PendingRequests[c.Req] = core.PendingRequest{Kind: "submit", StartedAt: n.core.Now}
+		n.core.TrackRequest(c.Req, submitLatency)
 		n.jobs.Submit(c)
 	case message.Poll:
-		n.core.PendingRequests[c.Req] = core.PendingRequest{Kind: "poll", StartedAt: n.core.Now}
+		n.core.TrackRequest(c.Req, pollLatency)
 		n.jobs.Poll(c)
 	case message.Cancel:
-		n.core.PendingRequests[c.Req] = core.PendingRequest{Kind: "cancel", StartedAt: n.core.Now}
+		n.core.TrackRequest(c.Req, cancelLatency)
 		n.jobs.Cancel(c)
-	case message.ResourceUsage:
-		n.core.Metrics.ObserveLatency("step", c.StepTime)
-		n.core.Metrics.Usage = c
+	case message.ReadinessProbe:
+		n.jobs.Ready(c)
 	case message.ListHistory:
 		n.tenancy.ListHistory(c)
 	case message.TenantQuery:
 		n.tenancy.HandleTenantQuery(c)
-	case message.ReadinessProbe:
-		n.jobs.Ready(c)
+	case message.AdminRequest:
+		n.admin.HandleAdmin(c)
 	case message.WorkerHeartbeat:
 		n.agents.HandleHeartbeat(c)
 	case message.PeerGossip:
@@ -162,26 +169,24 @@
 		n.follower.HandleReadLog(c)
 	case message.MalformedMessage:
 		n.gossiper.RejectMalformed(c.Req, c.From)
-	case message.AdminRequest:
-		n.admin.HandleAdmin(c)
+	case message.ResourceUsage:
+		n.core.Metrics.ObserveLatency(stepLatency, c.StepTime)
+		n.core.Metrics.Usage = c
 	case message.StoreResponse:
-		answer(c.ID)
+		n.core.CompleteCall(c.ID, c)
 	case message.WorkerResponse:
-		answer(c.ID)
+		n.core.CompleteCall(c.ID, c)
 	case message.CloudResponse:
-		answer(c.ID)
+		n.core.CompleteCall(c.ID, c)
 	case message.PeerResponse:
-		answer(c.ID)
+		n.core.CompleteCall(c.ID, c)
 	}
 }
 
-// tick does whatever is due.
+// tick does whatever is due. Until the state has been read once, that is only to run deferred calls,
+// to hold the lease, to answer cancellations and to read the state.
 func (n *Controller) tick() {
-	for len(n.core.DeferredCalls) > 0 && n.core.DeferredCalls[0].At <= n.core.Now {
-		callback := n.core.DeferredCalls[0].Callback
-		n.core.DeferredCalls = n.core.DeferredCalls[1:]
-		callback()
-	}
+	n.core.RunDeferredCalls()
 	n.startWork(message.WorkMembership)
 	n.membership.MaintainLease()
 	n.jobs.AnswerCancellations()
@@ -189,27 +194,44 @@
 		n.follower.LoadState()
 		return
 	}
+	n.followState()
+	n.startWork(message.WorkFleet)
+	n.autoscaler.Reconcile()
+	n.tenancy.ReconcileTenants()
+	n.startWork(message.WorkRounds)
+	n.runRounds()
+	n.startWork(message.WorkMachines)
+	n.reconcileMachines()
+	n.startWork(message.WorkGossip)
+	n.gossiper.Send()
+}
+
+// followState reads what is new in the log, answers what waited for it, and claims or releases
+// partitions by it.
+func (n *Controller) followState() {
 	n.follower.FollowLog()
 	n.follower.ReplyToSubscribers()
 	n.jobs.SendResultLookup()
 	n.reservations.SyncLedger()
 	n.membership.ReconcilePartitions()
-	n.startWork(message.WorkFleet)
-	n.autoscaler.Reconcile()
-	n.tenancy.ReconcileTenants()
-	n.startWork(message.WorkRounds)
+}
+
+// runRounds runs the rounds that are due, by partition in order.
+func (n *Controller) runRounds() {
 	n.scheduler.ObserveRounds()
 	for _, p := range slices.Sorted(maps.Keys(n.core.Partitions)) {
-		if owned := n.core.Partitions[p]; owned != nil {
+		if owned := n.core.Partitions[p]; owned != nil { // a round before may have ended the ownership
 			n.scheduler.RunPartition(owned)
 		}
 	}
-	n.startWork(message.WorkMachines)
+}
+
+// reconcileMachines looks after the machines of this controller's partitions: which zones and
+// machines have failed, and what has to be called, evacuated and deleted.
+func (n *Controller) reconcileMachines() {
 	n.health.ReconcileZones()
 	n.priorities.UpdateShortage()
 	n.agents.ReconcileMachines()
 	n.health.EvacuateZones()
 	n.autoscaler.ProcessDeletions()
-	n.startWork(message.WorkGossip)
-	n.gossiper.Send()
 }
--- a/controller/core/intervals.go
+++ b/controller/core/intervals.go
@@ -59,7 +59,8 @@
 // by a two-thousandth, so a thousandth of the lease is allowed for beside it.
 const leaseSlack = time.Second
 
-// Intervals is the timing that follows from the configuration. None of it is needed for safety.
+// Intervals is the timing that follows from the configuration. TestIntervalsFitSettings holds it for
+// every configuration that is accepted. None of it is needed for safety.
 type Intervals struct {
 	LeaseRenewInterval time.Duration // between renewals of this controller's membership lease
 	MemberLeaseTTL     time.Duration // that lease's time to live
--- a/controller/core/outbox.go
+++ b/controller/core/outbox.go
@@ -14,26 +14,26 @@
 
 // Outbox holds what the controller wants done and what it does once that is done.
 type Outbox struct {
-	Effects         []message.Effect // of the current step, in order
-	PendingCalls    map[message.CallID]func(response any)
-	PendingRequests map[message.ReqID]PendingRequest // requests whose latency is measured
-	DeferredCalls   []DeferredCall                   // in order of time
-	StoreHealthy    bool                             // the state service's last response was not a failure
+	Effects      []message.Effect                      // of the current step, in order
+	PendingCalls map[message.CallID]func(response any) // callbacks of the calls that have no response yet
+	StoreHealthy bool                                  // the state service's last response was not a failure
 
 	lastCallID        message.CallID
-	pendingStoreCalls map[message.CallID]api.Time // when calls to the state service were made that do not wait for changes
+	pendingStoreCalls map[message.CallID]api.Time      // when calls to the state service were made that do not wait for changes
+	pendingRequests   map[message.ReqID]pendingRequest // requests whose latency is measured
+	deferredCalls     []deferredCall                   // in order of time
 	clock             *Clock
 	metrics           *Metrics
 }
 
-// PendingRequest is a request that has not been answered yet.
-type PendingRequest struct {
+// pendingRequest is a request that has not been answered yet.
+type pendingRequest struct {
 	Kind      string // the name of its latency in Metrics
 	StartedAt api.Time
 }
 
-// DeferredCall is a callback that is called once its time has come.
-type DeferredCall struct {
+// deferredCall is a callback that is called once its time has come.
+type deferredCall struct {
 	At       api.Time
 	Callback func()
 }
@@ -42,7 +42,7 @@
 func newOutbox(clock *Clock, metrics *Metrics) Outbox {
 	return Outbox{
 		PendingCalls:      map[message.CallID]func(any){},
-		PendingRequests:   map[message.ReqID]PendingRequest{},
+		pendingRequests:   map[message.ReqID]pendingRequest{},
 		pendingStoreCalls: map[message.CallID]api.Time{},
 		clock:             clock,
 		metrics:           metrics,
@@ -52,14 +52,14 @@
 // TrackRequest begins to measure how long a request waits for its reply. The kind is the name of
 // the latency in Metrics.
 func (o *Outbox) TrackRequest(req message.ReqID, kind string) {
-	o.PendingRequests[req] = PendingRequest{Kind: kind, StartedAt: o.clock.Now}
+	o.pendingRequests[req] = pendingRequest{Kind: kind, StartedAt: o.clock.Now}
 }
 
 // Emit adds an effect to those of the current step. A reply ends the measurement of its request.
 func (o *Outbox) Emit(e message.Effect) {
 	if reply, ok := e.(message.Reply); ok {
-		if pending, ok := o.PendingRequests[reply.Req]; ok {
-			delete(o.PendingRequests, reply.Req)
+		if pending, ok := o.pendingRequests[reply.Req]; ok {
+			delete(o.pendingRequests, reply.Req)
 			o.metrics.ObserveLatency(pending.Kind, o.clock.Now.Sub(pending.StartedAt))
 		}
 	}
@@ -108,15 +108,15 @@
 
 // DeferCall calls back after RetryDelay.
 func (o *Outbox) DeferCall(callback func()) {
-	o.DeferredCalls = append(o.DeferredCalls, DeferredCall{At: o.clock.Now.Add(RetryDelay), Callback: callback})
+	o.deferredCalls = append(o.deferredCalls, deferredCall{At: o.clock.Now.Add(RetryDelay), Callback: callback})
 }
 
 // RunDeferredCalls calls back what has been deferred until now or earlier. All are deferred by the
 // same delay, so the first is always the next.
 func (o *Outbox) RunDeferredCalls() {
-	for len(o.DeferredCalls) > 0 && o.DeferredCalls[0].At <= o.clock.Now {
-		callback := o.DeferredCalls[0].Callback
-		o.DeferredCalls = o.DeferredCalls[1:]
+	for len(o.deferredCalls) > 0 && o.deferredCalls[0].At <= o.clock.Now {
+		callback := o.deferredCalls[0].Callback
+		o.deferredCalls = o.deferredCalls[1:]
 		callback()
 	}
 }
--- a/controller/metrics_test.go
+++ b/controller/metrics_test.go
@@ -28,9 +28,7 @@
 		}
 		send(message.StoreResponse{Status: 0})
 		n.core.Now = n.core.Now.Add(time.Second)
-		for _, p := range n.core.DeferredCalls {
-			p.Callback()
-		}
+		n.core.RunDeferredCalls()
 		if written {
 			send(message.StoreResponse{Status: 200, Txn: api.TxnResponse{Revision: 20}})
 		} else {
--- a/controller/wiring.go
+++ b/controller/wiring.go
@@ -1,7 +1,7 @@
-// Wiring: which component asks which others.
-
 package controller
 
+// This file holds which component asks which others.
+
 import (
 	"basaltwall/controller/agent"
 	"basaltwall/controller/autoscale"
@@ -21,15 +21,33 @@
 	"basaltwall/controller/tenancy"
 )
 
-// connect hands each component what it asks of the others. Components know these by their own
-// interfaces and never import each other.
+// connect gives each component the others that it asks. Components declare what they ask as
+// interfaces of their own and never import each other.
 func (n *Controller) connect() {
+	n.connectState()
+	n.connectMachines()
+	n.connectScheduling()
+	n.connectServices()
+}
+
+// connectState connects the components that read and write the cluster state and exchange gossip.
+func (n *Controller) connectState() {
 	n.follower.Connect(logfollow.Siblings{State: n, Ownership: n.membership})
 	n.membership.Connect(ownership.Siblings{Log: n.follower, Scheduler: n.scheduler})
 	n.gossiper.Connect(gossip.Siblings{
-		Log: n.follower, Agents: n.agents, Inventory: n.autoscaler, Autoscaler: n.autoscaler,
-		Scheduler: n.scheduler, Health: n.health, Eligibility: n.eligibility, Preemptor: n.preemptor,
+		Log:         n.follower,
+		Agents:      n.agents,
+		Inventory:   n.autoscaler,
+		Autoscaler:  n.autoscaler,
+		Scheduler:   n.scheduler,
+		Health:      n.health,
+		Eligibility: n.eligibility,
+		Preemptor:   n.preemptor,
 	})
+}
+
+// connectMachines connects the components that look after machines.
+func (n *Controller) connectMachines() {
 	n.agents.Connect(agent.Siblings{
 		Autoscaler: n.autoscaler,
 		Balancer:   n.balancer,
@@ -65,6 +83,10 @@
 		Tenancy:    n.tenancy,
 	})
 	n.capacity.Connect(capacity.Siblings{Gossip: n.gossiper, Priorities: n.priorities, Tenants: n.tenancy})
+}
+
+// connectScheduling connects the components that decide what starts where.
+func (n *Controller) connectScheduling() {
 	n.scheduler.Connect(rounds.Siblings{
 		Eligibility: n.eligibility,
 		Agents:      n.agents,
@@ -85,17 +107,47 @@
 		Priorities: n.priorities,
 		Scheduler:  n.scheduler,
 	})
+	n.pools.Connect(pools.Siblings{
+		Backfiller: n.backfiller,
+		Capacity:   n.capacity,
+		Follower:   n.follower,
+		Priorities: n.priorities,
+		Scheduler:  n.scheduler,
+		Tenancy:    n.tenancy,
+	})
+}
+
+// connectServices connects the components that answer users and operators.
+func (n *Controller) connectServices() {
 	n.jobs.Connect(jobs.Siblings{
-		Agents: n.agents, Balancer: n.balancer, Capacity: n.capacity, Gossip: n.gossiper, Log: n.follower, Pools: n.pools,
-		Priorities: n.priorities, Reservations: n.reservations, Tenants: n.tenancy,
+		Agents:       n.agents,
+		Balancer:     n.balancer,
+		Capacity:     n.capacity,
+		Gossip:       n.gossiper,
+		Log:          n.follower,
+		Pools:        n.pools,
+		Priorities:   n.priorities,
+		Reservations: n.reservations,
+		Tenants:      n.tenancy,
 	})
 	n.tenancy.Connect(tenancy.Siblings{Follower: n.follower, Jobs: n.jobs, Pools: n.pools, Scheduler: n.scheduler})
-	n.pools.Connect(pools.Siblings{Backfiller: n.backfiller, Capacity: n.capacity, Follower: n.follower, Priorities: n.priorities, Scheduler: n.scheduler, Tenancy: n.tenancy})
 	n.reservations.Connect(reservations.Siblings{Jobs: n.jobs, Gossip: n.gossiper, Log: n.follower})
 	n.admin.Connect(operations.Siblings{
-		Tenants: n.tenancy, Pools: n.pools, Reservations: n.reservations, Metrics: n.reporter, Jobs: n.jobs, Agents: n.agents, Eligibility: n.eligibility,
+		Tenants:      n.tenancy,
+		Pools:        n.pools,
+		Reservations: n.reservations,
+		Metrics:      n.reporter,
+		Jobs:         n.jobs,
+		Agents:       n.agents,
+		Eligibility:  n.eligibility,
 	})
 	n.reporter.Connect(metrics.Siblings{
-		Log: n.follower, Agents: n.agents, Health: n.health, Jobs: n.jobs, Reservations: n.reservations, Backfill: n.backfiller, Pools: n.pools,
+		Log:          n.follower,
+		Agents:       n.agents,
+		Health:       n.health,
+		Jobs:         n.jobs,
+		Reservations: n.reservations,
+		Backfill:     n.backfiller,
+		Pools:        n.pools,
 	})
 }
