--- a/admin/hosted.go
+++ b/admin/hosted.go
@@ -1,48 +1,57 @@
 package admin
 
+// This file holds the paths that only a hosted service has.
+
 import (
+	"net/http"
 	"slices"
 	"strings"
 
 	"basaltwall/controller/message"
+	"basaltwall/httpx"
+)
+
+// Placeholders in the path of a route.
+const (
+	placeholderID  = "ID"  // what is asked about
+	placeholderSub = "SUB" // the name of one of its keys
 )
 
-// hostedRoutes are the requests of a hosted service alone. In a path ID stands for what is asked
-// about, and SUB for the name of one of its keys.
+// hostedRoutes are the requests that only a hosted service answers.
 var hostedRoutes = []struct {
 	method, path string
-	what         message.AdminOperation
+	operation    message.AdminOperation
 }{
-	{"GET", "audit", message.AdminAudit},
-	{"GET", "tenants", message.AdminTenants},
-	{"GET", "tenants/ID", message.AdminTenant},
-	{"PUT", "tenants/ID", message.AdminPutTenant},
-	{"GET", "tenants/ID/usage", message.AdminUsage},
-	{"POST", "tenants/ID/suspend", message.AdminSuspendTenant},
-	{"POST", "tenants/ID/resume", message.AdminResumeTenant},
-	{"POST", "tenants/ID/remove", message.AdminRemoveTenant},
-	{"POST", "tenants/ID/keys", message.AdminAddKey},
-	{"POST", "tenants/ID/keys/SUB/revoke", message.AdminRevokeKey},
-	{"GET", "operators", message.AdminOperators},
-	{"PUT", "operators", message.AdminPutOperators},
-	{"POST", "operators/keys", message.AdminAddOperatorKey},
-	{"POST", "operators/keys/SUB/revoke", message.AdminRevokeOperatorKey},
-	{"PUT", "teams/ID", message.AdminPutTeam},
-	{"POST", "teams/ID/remove", message.AdminRemoveTeam},
-	{"GET", "pools", message.AdminPools},
-	{"GET", "pools/ID", message.AdminPool},
-	{"PUT", "pools/ID", message.AdminPutPool},
-	{"POST", "pools/ID/remove", message.AdminRemovePool},
+	{http.MethodGet, "audit", message.AdminAudit},
+	{http.MethodGet, "tenants", message.AdminTenants},
+	{http.MethodGet, "tenants/ID", message.AdminTenant},
+	{http.MethodPut, "tenants/ID", message.AdminPutTenant},
+	{http.MethodGet, "tenants/ID/usage", message.AdminUsage},
+	{http.MethodPost, "tenants/ID/suspend", message.AdminSuspendTenant},
+	{http.MethodPost, "tenants/ID/resume", message.AdminResumeTenant},
+	{http.MethodPost, "tenants/ID/remove", message.AdminRemoveTenant},
+	{http.MethodPost, "tenants/ID/keys", message.AdminAddKey},
+	{http.MethodPost, "tenants/ID/keys/SUB/revoke", message.AdminRevokeKey},
+	{http.MethodGet, "operators", message.AdminOperators},
+	{http.MethodPut, "operators", message.AdminPutOperators},
+	{http.MethodPost, "operators/keys", message.AdminAddOperatorKey},
+	{http.MethodPost, "operators/keys/SUB/revoke", message.AdminRevokeOperatorKey},
+	{http.MethodPut, "teams/ID", message.AdminPutTeam},
+	{http.MethodPost, "teams/ID/remove", message.AdminRemoveTeam},
+	{http.MethodGet, "pools", message.AdminPools},
+	{http.MethodGet, "pools/ID", message.AdminPool},
+	{http.MethodPut, "pools/ID", message.AdminPutPool},
+	{http.MethodPost, "pools/ID/remove", message.AdminRemovePool},
 }
 
-// matchPath reports whether a path is of a form, and reads what it names.
+// matchPath reports whether a path matches a route's, and returns what stands at its placeholders.
 func matchPath(parts []string, pattern string) (id, sub string, ok bool) {
 	ok = slices.EqualFunc(parts, strings.Split(pattern, "/"), func(part, want string) bool {
 		switch want {
-		case "ID":
+		case placeholderID:
 			id = part
 			return part != ""
-		case "SUB":
+		case placeholderSub:
 			sub = part
 			return part != ""
 		}
@@ -51,26 +60,36 @@
 	return id, sub, ok
 }
 
-// IsHostedPath reports whether a path is of a hosted service only.
+// hostedCollections are the first words of paths that only a hosted service has.
+var hostedCollections = []message.AdminOperation{message.AdminTenants, message.AdminOperators, message.AdminAudit, message.AdminPools}
+
+// IsHostedPath reports whether only a hosted service has a path. The list of teams any service has.
 func IsHostedPath(path string) bool {
 	first, rest, _ := strings.Cut(strings.TrimPrefix(path, Prefix), "/")
-	return slices.Contains([]string{"tenants", "operators", "audit", "pools"}, first) || first == "teams" && rest != ""
+	collection := message.AdminOperation(first)
+	return slices.Contains(hostedCollections, collection) || collection == message.AdminTeams && rest != ""
 }
 
-// hostedCommand is what a request of a hosted service asks of the owner, or the status that
-// refuses it.
-func hostedCommand(ask message.AdminRequest, parts []string, method string) (message.Command, int) {
-	status := 404
-	for _, r := range hostedRoutes {
-		id, sub, ok := matchPath(parts, r.path)
+// hostedCommand returns the command of a request that only a hosted service answers, or nil and the
+// HTTP status that refuses it.
+func hostedCommand(request message.AdminRequest, parts []string, r httpx.Request) (message.Command, int) {
+	if request.What == message.AdminAudit {
+		var ok bool
+		if request.After, request.Limit, ok = ParsePage(r); !ok {
+			return nil, http.StatusBadRequest
+		}
+	}
+	status := http.StatusNotFound
+	for _, route := range hostedRoutes {
+		id, sub, ok := matchPath(parts, route.path)
 		if !ok {
 			continue
 		}
-		if r.method == method {
-			ask.What, ask.ID, ask.Sub = r.what, id, sub
-			return ask, 0
+		if route.method == r.Method {
+			request.What, request.ID, request.Sub = route.operation, id, sub
+			return request, 0
 		}
-		status = 405
+		status = http.StatusMethodNotAllowed
 	}
 	return nil, status
 }
--- /dev/null
+++ b/admin/import.go
@@ -0,0 +1,105 @@
+package admin
+
+// This file holds the import of skips from a file.
+
+import (
+	"encoding/csv"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"time"
+)
+
+const (
+	importPage       = 40 // skips in one request
+	importTries      = 60 // of one request: an import competes for the writes of the key-value store
+	importRetryDelay = time.Second
+)
+
+// importSkips adds the skips of a file, a page of one depot at a time. It can be run again: skips that
+// exist stay as they are.
+func (c *Cmd) importSkips(file string) error {
+	f, err := os.Open(file)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = f.Close() }()
+	i := skipImport{admin: c, pages: map[string][]importedSkip{}}
+	lines := csv.NewReader(f)
+	lines.FieldsPerRecord = 3
+	for {
+		line, err := lines.Read()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			return fmt.Errorf("%s: %w", file, err)
+		}
+		if err := i.add(line[0], importedSkip{Skip: line[1], Kind: line[2]}); err != nil {
+			return err
+		}
+	}
+	if err := i.flush(); err != nil {
+		return err
+	}
+	fmt.Printf("%d skips\n", i.sent)
+	return nil
+}
+
+// skipImport gathers skips by depot and sends a depot's as soon as they fill a page.
+type skipImport struct {
+	admin  *Cmd
+	pages  map[string][]importedSkip // by depot
+	depots []string                  // in the order of the file
+	sent   int                       // skips
+}
+
+// add adds a skip to its depot's page, and sends that if it is full.
+func (i *skipImport) add(depot string, skip importedSkip) error {
+	if _, known := i.pages[depot]; !known {
+		i.depots = append(i.depots, depot)
+	}
+	i.pages[depot] = append(i.pages[depot], skip)
+	if len(i.pages[depot]) < importPage {
+		return nil
+	}
+	return i.send(depot)
+}
+
+// flush sends the pages that are not full.
+func (i *skipImport) flush() error {
+	for _, depot := range i.depots {
+		if len(i.pages[depot]) == 0 {
+			continue
+		}
+		if err := i.send(depot); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// send sends a depot's page and empties it. It retries while the service is not available.
+func (i *skipImport) send(depot string) error {
+	for try := 1; ; try++ {
+		_, err := i.admin.requestJSON(http.MethodPost, skipsPath(depot)+"/import", importRequest{Skips: i.pages[depot]})
+		if err == nil {
+			i.sent += len(i.pages[depot])
+			i.pages[depot] = nil
+			return nil
+		}
+		if !isUnavailable(err) || try == importTries {
+			return fmt.Errorf("depot %s, after %d skips: %w", depot, i.sent, err)
+		}
+		time.Sleep(importRetryDelay)
+	}
+}
+
+// isUnavailable reports whether a request got no answer, or the answer that the service is not
+// available.
+func isUnavailable(err error) bool {
+	var refused *RequestError
+	return errors.As(err, &refused) && (refused.Status == 0 || refused.Status == http.StatusServiceUnavailable)
+}
--- a/admin/operators.go
+++ b/admin/operators.go
@@ -1,10 +1,14 @@
 package admin
 
+// This file holds the subcommands on operators and on the teams that they make.
+
 import (
 	"fmt"
+	"net/http"
 	"net/url"
 	"time"
 
+	"basaltwall/api"
 	"basaltwall/controller/operations"
 	"basaltwall/controller/tenancy"
 )
@@ -57,47 +61,71 @@
 	case "change":
 		return c.putOperators(o.Change)
 	case "key add <key>":
-		body := keyRequest(o.Key.Add.Key, o.Key.Add.Expires)
-		body["role"] = o.Key.Add.Role
-		return c.postWithRevision("operators", "keys", body)
+		request := operatorKeyRequest{keyRequest: newKeyRequest(o.Key.Add.Key, o.Key.Add.Expires), Role: o.Key.Add.Role}
+		return c.sendWithRevision("operators", "keys", &request)
 	case "key revoke <key>":
-		return c.postWithRevision("operators", "keys/"+url.PathEscape(o.Key.Revoke.Key)+"/revoke", map[string]any{})
+		return c.revokeKey("operators", o.Key.Revoke.Key)
 	}
-	return fmt.Errorf("operators %s: no such command", command)
+	return fmt.Errorf("operators %s: %w", command, errUnknownCommand)
 }
 
-func (c *Cmd) putOperators(p operatorsPutCmd) error {
-	at, err := fetch[tenancy.OperatorsView](c, "operators")
+// putOperators changes what is named of the operators' record.
+func (c *Cmd) putOperators(named operatorsPutCmd) error {
+	current, err := fetch[tenancy.OperatorsView](c, "operators")
 	if err != nil {
 		return err
 	}
-	override(&at.CPUs, p.CPUs)
-	override(&at.GPUs, p.GPUs)
-	return c.send("PUT", "operators", map[string]any{"revision": at.Revision, "networks": overrideList(p.Network, prefixStrings(at.Networks)),
-		"proxies": overrideList(p.Proxy, prefixStrings(at.Proxies)), "cpus": at.CPUs, "gpus": at.GPUs})
+	override(&current.CPUs, named.CPUs)
+	override(&current.GPUs, named.GPUs)
+	return c.send(http.MethodPut, "operators", operatorsRequest{
+		CPUs:     current.CPUs,
+		GPUs:     current.GPUs,
+		Networks: overrideList(named.Network, prefixStrings(current.Networks)),
+		Proxies:  overrideList(named.Proxy, prefixStrings(current.Proxies)),
+		revision: revision{current.Revision},
+	})
 }
 
 // team runs a subcommand on teams that operators make.
 func (c *Cmd) team(command string) error {
-	name := c.Team.Put.Name
-	if command == "remove <name>" {
-		name = c.Team.Remove.Name
+	if command == "put <name>" {
+		return c.putTeam(c.Team.Put)
+	}
+	return c.removeTeam(c.Team.Remove.Name)
+}
+
+// putTeam makes a team, or replaces its guarantee and limit.
+func (c *Cmd) putTeam(p teamPutCmd) error {
+	current, err := c.teamRevision(p.Name)
+	if err != nil {
+		return err
 	}
-	all, err := fetch[[]operations.TeamView](c, "teams")
+	return c.send(http.MethodPut, teamPath(p.Name), teamRequest{CPUs: p.CPUs, CPUsMax: p.CPUsMax, GPUs: p.GPUs, GPUsMax: p.GPUsMax, revision: revision{current}})
+}
+
+// removeTeam removes a team.
+func (c *Cmd) removeTeam(name string) error {
+	current, err := c.teamRevision(name)
 	if err != nil {
 		return err
 	}
-	body := map[string]any{"revision": 0}
-	for _, t := range all {
+	return c.send(http.MethodPost, teamPath(name)+"/remove", revision{current})
+}
+
+// teamPath returns the path of a team.
+func teamPath(name string) string { return "teams/" + url.PathEscape(name) }
+
+// teamRevision returns the revision of a team, or 0 if there is none of that name.
+func (c *Cmd) teamRevision(name string) (api.Revision, error) {
+	teams, err := fetch[[]operations.TeamView](c, "teams")
+	if err != nil {
+		return 0, err
+	}
+	var found api.Revision
+	for _, t := range teams {
 		if string(t.Team) == name {
-			body["revision"] = t.Revision
+			found = t.Revision
 		}
 	}
-	method, path := "POST", "teams/"+url.PathEscape(name)+"/remove"
-	if command == "put <name>" {
-		p := c.Team.Put
-		method, path = "PUT", "teams/"+url.PathEscape(name)
-		body["cpus"], body["gpus"], body["cpus_max"], body["gpus_max"] = p.CPUs, p.GPUs, p.CPUsMax, p.GPUsMax
-	}
-	return c.send(method, path, body)
+	return found, nil
 }
--- a/admin/pools.go
+++ b/admin/pools.go
@@ -1,10 +1,13 @@
 package admin
 
+// This file holds the subcommands on pools of counted resources.
+
 import (
 	"errors"
 	"fmt"
 	"io"
 	"maps"
+	"net/http"
 	"net/url"
 	"slices"
 
@@ -35,51 +38,69 @@
 	Reclaim   *bool          `negatable:"" help:"Let holders make way when more is held than there is, the least urgent and newest first."`
 }
 
+// poolPath returns the path of a pool.
+func poolPath(name string) string { return "pools/" + url.PathEscape(name) }
+
 // pool runs a subcommand on pools.
 func (c *Cmd) pool(command string) error {
 	switch command {
 	case "list":
 		return printTable(c, "pools", poolsTable)
 	case "show <name>":
-		return printTable(c, "pools/"+url.PathEscape(c.Pool.Show.Name), poolTable)
+		return printTable(c, poolPath(c.Pool.Show.Name), poolTable)
 	case "put <name>":
 		return c.putPool(c.Pool.Put)
 	case "remove <name>":
-		return c.postWithRevision("pools/"+url.PathEscape(c.Pool.Remove.Name), "remove", map[string]any{})
+		return c.sendWithRevision(poolPath(c.Pool.Remove.Name), "remove", &revision{})
 	}
-	return fmt.Errorf("pool %s: no such command", command)
+	return fmt.Errorf("pool %s: %w", command, errUnknownCommand)
 }
 
-func (c *Cmd) putPool(p poolPutCmd) error {
-	path := "pools/" + url.PathEscape(p.Name)
-	at, err := fetch[pools.View](c, path)
-	var refused *RequestError
-	if err != nil && !(errors.As(err, &refused) && refused.Status == 404) { // which is a new one
+// putPool makes a pool, or changes what is named of the one that exists.
+func (c *Cmd) putPool(named poolPutCmd) error {
+	path := poolPath(named.Name)
+	current, err := fetch[pools.View](c, path)
+	if err != nil && !isNotFound(err) {
 		return err
 	}
-	frozen := at.State == pool.Frozen
-	override(&at.Size, p.Size)
-	override(&at.Largest, p.Largest)
-	override(&at.Unit, p.Unit)
-	override(&frozen, p.Frozen)
-	override(&at.Reclaim, p.Reclaim)
-	guaranteed := map[string]int{}
-	for team, units := range at.Guaranteed {
-		guaranteed[string(team)] = units
-	}
-	if p.Guarantee != nil {
-		guaranteed = p.Guarantee
+	frozen := current.State == pool.Frozen
+	override(&current.Size, named.Size)
+	override(&current.Largest, named.Largest)
+	override(&current.Unit, named.Unit)
+	override(&frozen, named.Frozen)
+	override(&current.Reclaim, named.Reclaim)
+	guaranteed := named.Guarantee
+	if guaranteed == nil {
+		guaranteed = map[string]int{}
+		for team, units := range current.Guaranteed {
+			guaranteed[string(team)] = units
+		}
 	}
-	return c.send("PUT", path, map[string]any{"guaranteed": guaranteed, "revision": at.Revision, "size": at.Size, "largest": max(at.Largest, at.Size), "unit": at.Unit,
-		"teams": overrideList(p.Team, toStrings(at.Teams)), "tenants": overrideList(p.Tenant, toStrings(at.Tenants)), "frozen": frozen, "reclaim": at.Reclaim})
+	return c.send(http.MethodPut, path, poolRequest{
+		Frozen:     frozen,
+		Guaranteed: guaranteed,
+		Largest:    max(current.Largest, current.Size),
+		Reclaim:    current.Reclaim,
+		revision:   revision{current.Revision},
+		Size:       current.Size,
+		Teams:      overrideList(named.Team, toStrings(current.Teams)),
+		Tenants:    overrideList(named.Tenant, toStrings(current.Tenants)),
+		Unit:       current.Unit,
+	})
+}
+
+// isNotFound reports whether a request was refused because nothing lies at its path.
+func isNotFound(err error) bool {
+	var refused *RequestError
+	return errors.As(err, &refused) && refused.Status == http.StatusNotFound
 }
 
 func sum(list []int) int {
-	s := 0
-	for _, v := range list {
-		s += v
+	total := 0
+	for _, n := range list {
+		total += n
 	}
-	return s
+	return total
 }
 
 func poolsTable(w io.Writer, all []pools.View) {
@@ -104,8 +125,8 @@
 	writeRow(w, "revision", p.Revision)
 	writeRow(w)
 	writeRow(w, "PART", "SHARE", "HELD", "FREE")
-	for q := range p.Shares {
-		writeRow(w, q, p.Shares[q], p.Held[q], p.Free[q])
+	for partition := range p.Shares {
+		writeRow(w, partition, p.Shares[partition], p.Held[partition], p.Free[partition])
 	}
 	writeRow(w)
 	writeRow(w, "HOLDER", "TENANT", "TEAM", "UNITS", "TASKS")
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -1,52 +1,20 @@
 package admin
 
+// This file holds the subcommands on skips and their reservations.
+
 import (
-	"encoding/csv"
-	"errors"
 	"fmt"
 	"io"
+	"net/http"
 	"net/url"
-	"os"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	"basaltwall/controller/message"
 	"basaltwall/controller/reservations"
-	"basaltwall/httpx"
 	"basaltwall/reservation"
 )
 
-// skipsCommand is what a request for skips asks: GET skips counts them, GET skips/DEPOT lists
-// a depot's, POST skips/DEPOT/WHAT changes one.
-func skipsCommand(ask message.AdminRequest, parts []string, r httpx.Request) (message.Command, int) {
-	method := "GET"
-	switch {
-	case len(parts) == 1:
-	case len(parts) == 2 && parts[1] != "":
-		var ok bool
-		if ask.After, ask.Limit, ok = ParsePage(r); !ok {
-			return nil, 400
-		}
-	case len(parts) == 3 && parts[1] != "" && slices.Contains([]string{"offer", "promise", "release", "deliver", "return", "out", "in", "import"}, parts[2]):
-		ask.What, ask.Sub, method = message.AdminChangeReservation, parts[2], "POST"
-	default:
-		return nil, 404
-	}
-	if len(parts) > 1 {
-		depot, err := url.PathUnescape(parts[1])
-		if err != nil {
-			return nil, 400
-		}
-		ask.ID = depot
-	}
-	if r.Method != method {
-		return nil, 405
-	}
-	return ask, 0
-}
-
 type skipsCmd struct {
 	List    struct{}     `cmd:"" help:"Count the skips by depot and kind: about how many are free today."`
 	Show    skipsShowCmd `cmd:"" help:"Show a depot's skips with what holds them."`
@@ -92,115 +60,58 @@
 	File string `arg:"" help:"The file."`
 }
 
+// skipsPath returns the path of a depot's skips.
+func skipsPath(depot string) string { return "skips/" + url.PathEscape(depot) }
+
 // skips runs a subcommand on skips.
 func (c *Cmd) skips(command string) error {
-	do, _, _ := strings.Cut(command, " ")
-	post := func(depot string, body map[string]any) error {
-		return c.send("POST", "skips/"+url.PathEscape(depot)+"/"+do, body)
+	action, _, _ := strings.Cut(command, " ")
+	change := func(depot string, body any) error {
+		return c.send(http.MethodPost, skipsPath(depot)+"/"+action, body)
 	}
 	s := &c.Skips
-	switch do {
+	switch action {
 	case "list":
 		return printTable(c, "skips", skipCountsTable)
 	case "show":
-		return printTable(c, "skips/"+url.PathEscape(s.Show.Depot)+"?"+s.Show.query(), skipsTable)
-	case "offer", "promise":
-		a := s.Offer
-		body := map[string]any{}
-		if do == "promise" {
-			a = s.Promise
-			body["site"] = a.Site
-		} else {
-			body["for_s"] = a.For.Seconds()
-		}
-		body["name"], body["skip"] = a.Name, a.Skip
-		if a.Number != 0 {
-			body["number"] = a.Number
-		} else {
-			body["kind"], body["from"], body["to"] = a.Kind, a.From, a.To
-		}
-		return post(a.Depot, body)
-	case "release", "deliver", "return":
-		a := map[string]skipsNumCmd{"release": s.Release, "deliver": s.Deliver, "return": s.Return}[do]
-		return post(a.Depot, map[string]any{"skip": a.Skip, "number": a.Number})
-	case "out", "in":
-		a := s.Out
-		if do == "in" {
-			a = s.In
-		}
-		return post(a.Depot, map[string]any{"skip": a.Skip})
+		return printTable(c, skipsPath(s.Show.Depot)+"?"+s.Show.query(), skipsTable)
+	case "offer":
+		request := newReserveRequest(&s.Offer)
+		holdSeconds := s.Offer.For.Seconds()
+		request.HoldSeconds = &holdSeconds
+		return change(s.Offer.Depot, request)
+	case "promise":
+		request := newReserveRequest(&s.Promise)
+		request.Site = &s.Promise.Site
+		return change(s.Promise.Depot, request)
+	case "release":
+		return change(s.Release.Depot, s.Release.request())
+	case "deliver":
+		return change(s.Deliver.Depot, s.Deliver.request())
+	case "return":
+		return change(s.Return.Depot, s.Return.request())
+	case "out":
+		return change(s.Out.Depot, skipRequest{Skip: s.Out.Skip})
+	case "in":
+		return change(s.In.Depot, skipRequest{Skip: s.In.Skip})
 	case "import":
 		return c.importSkips(s.Import.File)
 	}
-	return fmt.Errorf("skips %s: no such command", do)
+	return fmt.Errorf("skips %s: %w", action, errUnknownCommand)
 }
 
-// importPage is how many skips are sent at once, importTries how often one page is tried: an
-// import waits for its part of the writes.
-const (
-	importPage  = 40
-	importTries = 60
-)
-
-// importSkips adds the skips of a file, a page of one depot at a time. It can be run again:
-// what is there already stays as it is.
-func (c *Cmd) importSkips(file string) error {
-	f, err := os.Open(file)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = f.Close() }()
-	lines := csv.NewReader(f)
-	lines.FieldsPerRecord = 3
-	type one struct {
-		Skip string `json:"skip"`
-		Kind string `json:"kind"`
+// newReserveRequest returns what an offer and a promise have in common. One that names a number is
+// about the days and the kind of that offer, and names none itself.
+func newReserveRequest(c *skipsAskCmd) reserveRequest {
+	request := reserveRequest{Name: c.Name, Skip: c.Skip, Number: c.Number}
+	if c.Number == 0 {
+		request.Kind, request.From, request.To = &c.Kind, &c.From, &c.To
 	}
-	pages := map[string][]one{}
-	var order []string
-	sent := 0
-	send := func(depot string) error {
-		for try := 1; ; try++ {
-			data := map[string]any{"skips": pages[depot]}
-			err := c.sendQuiet("POST", "skips/"+url.PathEscape(depot)+"/import", data)
-			var r *RequestError
-			if err == nil {
-				sent += len(pages[depot])
-				pages[depot] = nil
-				return nil
-			}
-			if !errors.As(err, &r) || r.Status != 0 && r.Status != 503 || try == importTries {
-				return fmt.Errorf("depot %s, after %d skips: %w", depot, sent, err)
-			}
-			time.Sleep(time.Second)
-		}
-	}
-	for {
-		l, err := lines.Read()
-		if errors.Is(err, io.EOF) {
-			break
-		}
-		if err != nil {
-			return fmt.Errorf("%s: %w", file, err)
-		}
-		if _, known := pages[l[0]]; !known {
-			order = append(order, l[0])
-		}
-		if pages[l[0]] = append(pages[l[0]], one{l[1], l[2]}); len(pages[l[0]]) == importPage {
-			if err := send(l[0]); err != nil {
-				return err
-			}
-		}
-	}
-	for _, depot := range order {
-		if len(pages[depot]) > 0 {
-			if err := send(depot); err != nil {
-				return err
-			}
-		}
-	}
-	fmt.Printf("%d skips\n", sent)
-	return nil
+	return request
+}
+
+func (c skipsNumCmd) request() reservationRequest {
+	return reservationRequest{Number: c.Number, Skip: c.Skip}
 }
 
 func skipCountsTable(w io.Writer, v reservations.CountsView) {
@@ -217,10 +128,10 @@
 			writeRow(w, s.Skip, s.Kind, "out of service", "", "", "", "")
 		}
 		held := false
-		for _, x := range s.Items {
-			if x.Stage == reservation.Offered || x.Stage == reservation.Promised || x.Stage == reservation.Delivered {
+		for _, item := range s.Items {
+			if item.Stage == reservation.Offered || item.Stage == reservation.Promised || item.Stage == reservation.Delivered {
 				held = true
-				writeRow(w, s.Skip, s.Kind, x.Stage, strconv.FormatUint(uint64(x.Number), 10), x.From, x.To, x.Site)
+				writeRow(w, s.Skip, s.Kind, item.Stage, strconv.FormatUint(uint64(item.Number), 10), item.From, item.To, item.Site)
 			}
 		}
 		if !held && !s.OutOfService {
--- a/admin/tables.go
+++ b/admin/tables.go
@@ -1,6 +1,9 @@
 package admin
 
+// This file prints answers: as JSON, or as tables for people.
+
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -16,7 +19,17 @@
 	"basaltwall/tenant"
 )
 
-// printAnswer shows an answer of one of the forms below as a table, or as it came.
+// printJSON prints an answer indented, or as it is if it is not JSON.
+func printJSON(body []byte) error {
+	var out bytes.Buffer
+	if json.Indent(&out, body, "", "  ") != nil {
+		out.Write(body)
+	}
+	fmt.Println(out.String())
+	return nil
+}
+
+// printAnswer prints an answer as a table, or as JSON.
 func printAnswer[T any](body []byte, asJSON bool, table func(w io.Writer, v T)) error {
 	if asJSON {
 		return printJSON(body)
@@ -41,14 +54,14 @@
 	_, _ = fmt.Fprintln(w)
 }
 
-// writeNextPageHint says how to ask for the next page.
+// writeNextPageHint writes how to ask for the next page, if there is one.
 func writeNextPageHint(w io.Writer, after string) {
 	if after != "" {
 		_, _ = fmt.Fprintf(w, "more with --after %s\n", after)
 	}
 }
 
-// formatTime is a time in the zone of the terminal, or nothing.
+// formatTime formats a time in the local time zone; 0 is no time.
 func formatTime(at api.WallTime) string {
 	if at == 0 {
 		return "-"
@@ -56,7 +69,7 @@
 	return time.UnixMilli(int64(at)).Format(time.DateTime)
 }
 
-// formatLimit is a number of which 0 stands for none.
+// formatLimit formats a limit; 0 is none.
 func formatLimit(v float64) string {
 	if v == 0 {
 		return "none"
@@ -160,37 +173,3 @@
 		writeRow(w, t.Team, t.UsedCPUs, t.GuaranteedCPUs, formatLimit(t.MaxCPUs), t.UsedGPUs, t.GuaranteedGPUs, formatLimit(t.MaxGPUs))
 	}
 }
-
-// RequestError is an answer that is none of what was wanted.
-type RequestError struct {
-	Path       string
-	Status     int // 0: no answer
-	Reason     string
-	RetryAfter int // seconds, 0 if not said
-}
-
-func (r *RequestError) Error() string {
-	s := fmt.Sprintf("%s: %s", r.Path, r.Reason)
-	if r.Status != 0 {
-		s = fmt.Sprintf("%s: %d: %s", r.Path, r.Status, r.Reason)
-	}
-	if r.RetryAfter > 0 {
-		s += fmt.Sprintf(" (again in %d s)", r.RetryAfter)
-	}
-	return s
-}
-
-// What the client's subcommands end with; 0 is done, and a command line that is not
-// understood ends with what kong has for it.
-const (
-	exitRefused = 1
-	exitRetry   = 75 // EX_TEMPFAIL of sysexits.h: the same again, later, may do
-)
-
-// ExitCode tells programs whether it is worth asking again.
-func (r *RequestError) ExitCode() int {
-	if r.Status == 0 || r.Status == 429 || r.Status == 503 {
-		return exitRetry
-	}
-	return exitRefused
-}
--- a/admin/tenants.go
+++ b/admin/tenants.go
@@ -1,13 +1,14 @@
 package admin
 
+// This file holds the subcommands on tenants.
+
 import (
 	"fmt"
+	"net/http"
 	"net/url"
-	"os"
 	"slices"
 	"time"
 
-	"basaltwall/api"
 	"basaltwall/controller/tenancy"
 	"basaltwall/tenant"
 )
@@ -28,8 +29,8 @@
 	Name string `arg:"" help:"The tenant's name."`
 }
 
-// tenantPutCmd names what is agreed with a tenant; what is nil is not named, and a list that
-// holds an empty text alone is an empty one.
+// tenantPutCmd names what is agreed with a tenant. What is nil is not named; a list with only an empty
+// text is an empty list.
 type tenantPutCmd struct {
 	Name      string         `arg:"" help:"The tenant's name: a to z, 0 to 9 and -."`
 	Display   *string        `help:"How it is called."`
@@ -68,60 +69,80 @@
 	Key    string `arg:"" help:"The key's name."`
 }
 
-// tenant runs a subcommand on tenants. Changes name the revision that is read just before.
+// newTenantRetention is how long the history of a new tenant is kept where nothing else is named.
+const newTenantRetention = 90 * 24 * time.Hour
+
+// tenantPath returns the path of a tenant.
+func tenantPath(name string) string { return "tenants/" + url.PathEscape(name) }
+
+// tenant runs a subcommand on tenants.
 func (c *Cmd) tenant(command string) error {
 	t := &c.Tenant
 	switch command {
 	case "list":
 		return printTable(c, "tenants", tenantsTable)
 	case "show <name>":
-		return printTable(c, "tenants/"+url.PathEscape(t.Show.Name), tenantTable)
+		return printTable(c, tenantPath(t.Show.Name), tenantTable)
 	case "usage <name>":
-		return printTable(c, "tenants/"+url.PathEscape(t.Usage.Name)+"/usage", usageTable)
+		return printTable(c, tenantPath(t.Usage.Name)+"/usage", usageTable)
 	case "add <name>":
-		return c.putTenant(t.Add, tenancy.TenantView{Tenant: tenant.Tenant{Retention: (90 * 24 * time.Hour).Seconds()}})
+		return c.putTenant(t.Add, tenancy.TenantView{Tenant: tenant.Tenant{Retention: newTenantRetention.Seconds()}})
 	case "change <name>":
-		at, err := fetch[tenancy.TenantView](c, "tenants/"+url.PathEscape(t.Change.Name))
+		current, err := fetch[tenancy.TenantView](c, tenantPath(t.Change.Name))
 		if err != nil {
 			return err
 		}
-		return c.putTenant(t.Change, at)
+		return c.putTenant(t.Change, current)
 	case "suspend <name>":
-		return c.postWithRevision("tenants/"+url.PathEscape(t.Suspend.Name), "suspend", map[string]any{"why": t.Suspend.Why, "drain_s": t.Suspend.Drain.Seconds()})
+		return c.sendWithRevision(tenantPath(t.Suspend.Name), "suspend", &suspendRequest{DrainSeconds: t.Suspend.Drain.Seconds(), Reason: t.Suspend.Why})
 	case "resume <name>":
-		return c.postWithRevision("tenants/"+url.PathEscape(t.Resume.Name), "resume", map[string]any{})
+		return c.sendWithRevision(tenantPath(t.Resume.Name), "resume", &revision{})
 	case "remove <name>":
-		return c.postWithRevision("tenants/"+url.PathEscape(t.Remove.Name), "remove", map[string]any{"cancel": t.Remove.Cancel})
+		return c.sendWithRevision(tenantPath(t.Remove.Name), "remove", &removeTenantRequest{CancelJobs: t.Remove.Cancel})
 	case "key add <tenant> <key>":
-		return c.postWithRevision("tenants/"+url.PathEscape(t.Key.Add.Tenant), "keys", keyRequest(t.Key.Add.Key, t.Key.Add.Expires))
+		request := newKeyRequest(t.Key.Add.Key, t.Key.Add.Expires)
+		return c.sendWithRevision(tenantPath(t.Key.Add.Tenant), "keys", &request)
 	case "key revoke <tenant> <key>":
-		return c.postWithRevision("tenants/"+url.PathEscape(t.Key.Revoke.Tenant), "keys/"+url.PathEscape(t.Key.Revoke.Key)+"/revoke", map[string]any{})
+		return c.revokeKey(tenantPath(t.Key.Revoke.Tenant), t.Key.Revoke.Key)
 	}
-	return fmt.Errorf("tenant %s: no such command", command)
+	return fmt.Errorf("tenant %s: %w", command, errUnknownCommand)
 }
 
-// putTenant sends what is agreed: what is there already, but for what is named.
-func (c *Cmd) putTenant(p tenantPutCmd, at tenancy.TenantView) error {
-	t := at.Tenant
-	override(&t.Display, p.Display)
-	override(&t.Rate, p.Rate)
-	override(&t.Burst, p.Burst)
-	override(&t.OpenJobs, p.OpenJobs)
-	if p.Retention != nil {
-		t.Retention = p.Retention.Seconds()
-	}
-	return c.send("PUT", "tenants/"+url.PathEscape(p.Name), map[string]any{"revision": at.Revision, "display": t.Display, "teams": overrideList(p.Team, toStrings(t.Teams)), "rate": t.Rate, "burst": t.Burst,
-		"open_jobs": t.OpenJobs, "networks": overrideList(p.Network, prefixStrings(t.Networks)), "retention_s": t.Retention})
+// revokeKey revokes a key of the tenant, or of the operators, at a path.
+func (c *Cmd) revokeKey(path, key string) error {
+	return c.sendWithRevision(path, "keys/"+url.PathEscape(key)+"/revoke", &revision{})
 }
 
-// override changes what is named.
-func override[T any](to, value *T) {
+// putTenant sends what is agreed with a tenant: as it is currently, except for what is named.
+func (c *Cmd) putTenant(named tenantPutCmd, current tenancy.TenantView) error {
+	t := current.Tenant
+	override(&t.Display, named.Display)
+	override(&t.Rate, named.Rate)
+	override(&t.Burst, named.Burst)
+	override(&t.OpenJobs, named.OpenJobs)
+	if named.Retention != nil {
+		t.Retention = named.Retention.Seconds()
+	}
+	return c.send(http.MethodPut, tenantPath(named.Name), tenantRequest{
+		Burst:            t.Burst,
+		Display:          t.Display,
+		Networks:         overrideList(named.Network, prefixStrings(t.Networks)),
+		OpenJobs:         t.OpenJobs,
+		Rate:             t.Rate,
+		RetentionSeconds: t.Retention,
+		revision:         revision{current.Revision},
+		Teams:            overrideList(named.Team, toStrings(t.Teams)),
+	})
+}
+
+// override sets a field to a value, unless that is nil.
+func override[T any](field, value *T) {
 	if value != nil {
-		*to = *value
+		*field = *value
 	}
 }
 
-// overrideList is a list as it is named, without empty texts, or as it is there if it is not.
+// overrideList returns the values without empty texts, or the current list if values is nil.
 func overrideList(values, current []string) []string {
 	if values == nil {
 		return current
@@ -129,7 +150,7 @@
 	return slices.DeleteFunc(slices.Clone(values), func(s string) bool { return s == "" })
 }
 
-// toStrings are names as texts.
+// toStrings converts names to strings.
 func toStrings[T ~string](list []T) []string {
 	out := make([]string, len(list))
 	for i, s := range list {
@@ -138,7 +159,7 @@
 	return out
 }
 
-// prefixStrings are networks as texts.
+// prefixStrings returns networks in CIDR notation.
 func prefixStrings(n tenant.Networks) []string {
 	out := []string{}
 	for _, p := range n.Prefixes() {
@@ -146,76 +167,3 @@
 	}
 	return out
 }
-
-// postWithRevision asks for a change of what lies at a path, naming the revision that is read there.
-func (c *Cmd) postWithRevision(path, what string, body map[string]any) error {
-	at, err := fetch[struct {
-		Revision api.Revision `json:"revision"`
-	}](c, path)
-	if err != nil {
-		return err
-	}
-	body["revision"] = at.Revision
-	return c.send("POST", path+"/"+what, body)
-}
-
-// keyRequest is what is asked for a key that lasts so long, for ever if 0.
-func keyRequest(name string, lifetime time.Duration) map[string]any {
-	body := map[string]any{"name": name}
-	if lifetime > 0 {
-		body["expires"] = time.Now().Add(lifetime).UnixMilli()
-	}
-	return body
-}
-
-// JobCmd is the client of a hosted service's tenants.
-type JobCmd struct {
-	Addr    string `required:"" placeholder:"IP:PORT" help:"A controller's api_addr, or a balancer's."`
-	KeyFile string `required:"" type:"existingfile" env:"BASALTWALL_KEY_FILE" placeholder:"FILE" help:"A file with your key."`
-
-	Submit struct {
-		File string `arg:"" type:"existingfile" help:"A file with the job in JSON."`
-	} `cmd:"" help:"Submit a job."`
-	Show    jobCmd  `cmd:"" help:"Show a job's state."`
-	List    pageCmd `cmd:"" help:"List your jobs that are not over, the oldest first."`
-	Usage   showCmd `cmd:"" help:"Show what you have open, waiting and running, and what your teams may hold."`
-	History pageCmd `cmd:"" help:"List your jobs that are over, the oldest first."`
-	Cancel  jobCmd  `cmd:"" help:"Cancel a job."`
-
-	JSON bool `help:"Print JSON, for programs, where there is a table."`
-}
-
-// Do runs the subcommand that was chosen.
-func (c *JobCmd) Do(command string) error {
-	method, path := "GET", api.PathJobs+"/"+url.PathEscape(c.Show.Ref)
-	var body []byte
-	switch command {
-	case "submit <file>":
-		var err error
-		if body, err = os.ReadFile(c.Submit.File); err != nil {
-			return fmt.Errorf("job: %w", err)
-		}
-		method, path = "POST", api.PathJobs
-	case "list":
-		path = api.PathJobs + "?" + c.List.query()
-	case "usage":
-		path = api.PathUsage
-	case "history":
-		path = api.PathHistory + "?" + c.History.query()
-	case "cancel <ref>":
-		method, path = "POST", api.PathJobs+"/"+url.PathEscape(c.Cancel.Ref)+"/"+api.PathSuffixCancel
-	}
-	answer, err := doRequest(c.Addr, c.KeyFile, method, path, body)
-	if err != nil {
-		return err
-	}
-	switch command {
-	case "list":
-		return printAnswer(answer, c.JSON, queueTable)
-	case "usage":
-		return printAnswer(answer, c.JSON, usageTable)
-	case "history":
-		return printAnswer(answer, c.JSON, historyTable)
-	}
-	return printJSON(answer)
-}
