--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,66 +1,73 @@
-// Package cloud owns the messages to and from the cloud's interface.
+// Package cloud encodes the controller's calls to the cloud provider as HTTP requests, and decodes the
+// responses. It keeps no state.
 package cloud
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"net/http"
 
 	"basaltwall/api"
 	"basaltwall/controller/message"
 	"basaltwall/httpx"
 )
 
-// listPageSize is the most machines a list response may hold.
+// pageSize is the most machines that one page of a list may hold.
 const pageSize = 500
 
-// Request is the HTTP request for a call.
+// ErrEmptyCall is returned for a call that asks for nothing.
+var ErrEmptyCall = errors.New("asks for nothing")
+
+// Request returns the HTTP request for a call. It returns an ErrEmptyCall if the call asks for nothing.
 func Request(c message.CloudCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Types:
-		return "GET", api.PathMachineTypes, nil, nil
+		return http.MethodGet, api.PathMachineTypes, nil, nil
 	case c.List != nil:
 		target = fmt.Sprintf("%s?limit=%d", api.PathInstances, pageSize)
 		if c.List.Since != "" {
 			target += "&since=" + string(c.List.Since)
 		}
-		return "GET", target, nil, nil
+		return http.MethodGet, target, nil, nil
 	case c.Create != nil:
 		body, err = json.Marshal(c.Create)
-		return "POST", api.PathInstances, body, err
+		return http.MethodPost, api.PathInstances, body, err
 	case len(c.Delete) > 0:
 		body, err = json.Marshal(api.MachineIDList{Machines: c.Delete})
-		return "POST", api.PathDeleteInstances, body, err
+		return http.MethodPost, api.PathDeleteInstances, body, err
 	}
-	return "", "", nil, fmt.Errorf("cloud call %d asks for nothing", c.ID)
+	return "", "", nil, fmt.Errorf("cloud call %d %w", c.ID, ErrEmptyCall)
 }
 
-// ParseResponse is the owner's answer for a response.
+// ParseResponse returns the command for the outcome of a call. Its status is 0 if the call failed,
+// which callErr says, or if the body is malformed.
 func ParseResponse(c message.CloudCall, r httpx.Response, callErr error) message.CloudResponse {
-	a := message.CloudResponse{ID: c.ID}
+	response := message.CloudResponse{ID: c.ID}
 	if callErr != nil {
-		return a
+		return response
 	}
-	a.Status = r.Status
-	if r.Status != 200 {
+	response.Status = r.Status
+	if r.Status != http.StatusOK {
 		var refusal api.ErrorBody
-		a.NoCapacity = json.Unmarshal(r.Body, &refusal) == nil && refusal.Error == api.NoCapacity
-		return a
+		response.NoCapacity = json.Unmarshal(r.Body, &refusal) == nil && refusal.Error == api.NoCapacity
+		return response
 	}
 	var err error
 	switch {
 	case c.Types:
-		var t api.MachineTypes
-		err = json.Unmarshal(r.Body, &t)
-		a.Types = t.Types
+		var offered api.MachineTypes
+		err = json.Unmarshal(r.Body, &offered)
+		response.Types = offered.Types
 	case c.List != nil:
-		err = json.Unmarshal(r.Body, &a.Hosts)
+		err = json.Unmarshal(r.Body, &response.Hosts)
 	case c.Create != nil:
-		var m api.MachineIDList
-		err = json.Unmarshal(r.Body, &m)
-		a.Machines = m.Machines
+		var created api.MachineIDList
+		err = json.Unmarshal(r.Body, &created)
+		response.Machines = created.Machines
 	}
 	if err != nil {
-		a.Status = 0
+		response.Status = 0
 	}
-	return a
+	return response
 }
--- a/cmd/basaltwall/main.go
+++ b/cmd/basaltwall/main.go
@@ -1,5 +1,5 @@
-// Command basaltwall runs a controller of the scheduler, or checks its
-// settings file. Everything else is in the packages.
+// Command basaltwall runs a controller of the scheduler, checks a settings file, and is the command
+// line of operators and tenants. Errors go to standard error; the exit code is 1, or the error's own.
 package main
 
 import (
@@ -24,46 +24,63 @@
 	"basaltwall/tenant"
 )
 
+// errNoAdminKey is returned if a hosted service is started without its operators' first key.
+var errNoAdminKey = errors.New("--hosted needs --admin-key-file: see basaltwall new-key")
+
+// serveCmd runs a controller.
 type serveCmd struct {
 	Config       string `required:"" placeholder:"FILE" help:"The platform's settings file."`
 	Hosted       bool   `help:"Serve tenants, who bring keys."`
 	AdminKeyFile string `type:"existingfile" env:"BASALTWALL_ADMIN_KEY_FILE" placeholder:"FILE" help:"A file with the operators' first key, for a hosted service."`
 }
 
+// Run serves until the process is interrupted or terminated.
 func (c *serveCmd) Run() error {
 	cfg, err := config.Load(c.Config)
 	if err != nil {
 		return err
 	}
 	if c.Hosted {
-		if cfg.Hosted, err = c.hosted(); err != nil {
+		if cfg.Hosted, err = c.hostedSettings(); err != nil {
 			return err
 		}
 		if ops := cfg.Deployment.State.TxnOps; ops < config.MinHostedTxnOps {
-			return fmt.Errorf("settings: deployment.state.txn_ops: %d is less than the %d that a hosted service needs", ops, config.MinHostedTxnOps)
+			return &config.FieldError{Field: "deployment.state.txn_ops", Err: fmt.Errorf("%d is less than the %d that a hosted service needs", ops, config.MinHostedTxnOps)}
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// The collector is told of the limit, so that it works harder rather than
-	// let the process be killed.
-	// Until then it runs seldom: memory is there to be used, processor time is not.
+	tuneRuntime(cfg)
+	return server.New(cfg).Run(ctx)
+}
+
+const (
+	// memoryLimitShare is the share of the process's memory from which on the garbage collector works
+	// harder, so that the process is not killed for exceeding the rest.
+	memoryLimitShare = 0.7
+	// gcPercent lets the heap grow to five times its live size below that: memory may be used freely
+	// there, while processor time is short.
+	gcPercent = 400
+	// minProcs leaves a thread to the controller while another waits in the kernel for the event loop.
+	minProcs = 2
+)
+
+// tuneRuntime sets the garbage collector and the number of threads by the limits of the process.
+func tuneRuntime(cfg *config.Config) {
 	if mb := cfg.Deployment.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * 0.7 * (1 << 20)))
-		debug.SetGCPercent(400)
+		debug.SetMemoryLimit(int64(mb * memoryLimitShare * (1 << 20)))
+		debug.SetGCPercent(gcPercent)
 	}
-	// One thread waits in the kernel for the server's loop and must not hold up
-	// the owner; more than the cores could run only get in each other's way.
+	// More threads than the cores can run only compete with each other.
 	if share := cfg.Deployment.Limits.CPUShare; share > 0 {
-		runtime.GOMAXPROCS(max(2, int(math.Ceil(share))))
+		runtime.GOMAXPROCS(max(minProcs, int(math.Ceil(share))))
 	}
-	return server.New(cfg).Run(ctx)
 }
 
-// hosted reads what a hosted service starts with.
-func (c *serveCmd) hosted() (*config.Hosted, error) {
+// hostedSettings reads what a hosted service starts with.
+func (c *serveCmd) hostedSettings() (*config.Hosted, error) {
 	if c.AdminKeyFile == "" {
-		return nil, errors.New("--hosted needs --admin-key-file: see basaltwall new-key")
+		return nil, errNoAdminKey
 	}
 	text, err := os.ReadFile(c.AdminKeyFile)
 	if err != nil {
@@ -76,8 +93,10 @@
 	return &config.Hosted{AdminKey: secret.Key("admin")}, nil
 }
 
+// newKeyCmd prints a new key.
 type newKeyCmd struct{}
 
+// Run prints the secret of the key, which is stored nowhere.
 func (newKeyCmd) Run() error {
 	var random [tenant.RandomBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -91,10 +110,12 @@
 	return nil
 }
 
+// checkCmd checks a settings file.
 type checkCmd struct {
 	File string `arg:"" help:"The settings file to check."`
 }
 
+// Run prints whose settings the file holds, if they are valid.
 func (c *checkCmd) Run() error {
 	cfg, err := config.Load(c.File)
 	if err != nil {
@@ -104,8 +125,10 @@
 	return nil
 }
 
+// versionCmd prints the version.
 type versionCmd struct{}
 
+// Run prints the versions of the module and of Go that the program was built with.
 func (versionCmd) Run() error {
 	version := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -115,6 +138,7 @@
 	return nil
 }
 
+// cli is the command line. Kong reads it by reflection: fields and tags are the flags and subcommands.
 type cli struct {
 	Serve   serveCmd     `cmd:"" default:"withargs" help:"Run a controller."`
 	Check   checkCmd     `cmd:"" help:"Check a settings file."`
@@ -125,24 +149,10 @@
 }
 
 func main() {
-	level := slog.LevelInfo
-	switch os.Getenv("LOG_LEVEL") {
-	case "error":
-		level = slog.LevelError
-	case "debug":
-		level = slog.LevelDebug
-	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel(os.Getenv("LOG_LEVEL"))})))
 	var commands cli
 	ctx := kong.Parse(&commands, kong.Name("basaltwall"), kong.Description("A cluster scheduler."))
-	run := ctx.Run
-	if command, ok := strings.CutPrefix(ctx.Command(), "admin "); ok {
-		run = func(...any) error { return commands.Admin.Do(command) }
-	}
-	if command, ok := strings.CutPrefix(ctx.Command(), "job "); ok {
-		run = func(...any) error { return commands.Job.Do(command) }
-	}
-	if err := run(); err != nil {
+	if err := run(ctx, &commands); err != nil {
 		fmt.Fprintln(os.Stderr, "basaltwall:", err)
 		if e := kong.ExitCoder(nil); errors.As(err, &e) {
 			os.Exit(e.ExitCode())
@@ -150,3 +160,26 @@
 		os.Exit(1)
 	}
 }
+
+// logLevel returns the level of that name; any other name is info.
+func logLevel(name string) slog.Level {
+	switch name {
+	case "error":
+		return slog.LevelError
+	case "debug":
+		return slog.LevelDebug
+	}
+	return slog.LevelInfo
+}
+
+// run runs the subcommand that was parsed. Those of package admin are told their path, because several
+// share a type.
+func run(ctx *kong.Context, commands *cli) error {
+	if command, ok := strings.CutPrefix(ctx.Command(), "admin "); ok {
+		return commands.Admin.Do(command)
+	}
+	if command, ok := strings.CutPrefix(ctx.Command(), "job "); ok {
+		return commands.Job.Do(command)
+	}
+	return ctx.Run()
+}
--- a/config/config.go
+++ b/config/config.go
@@ -1,11 +1,10 @@
-// Package config owns the settings file that the platform hands to each
-// controller: its form, its checks and nothing else.
+// Package config defines the settings file that the platform gives to each controller, and checks it.
+// A Config is not changed once the controller runs.
 package config
 
 import (
 	"encoding/json"
 	"fmt"
-	"net/netip"
 	"os"
 	"time"
 
@@ -13,14 +12,14 @@
 	"basaltwall/tenant"
 )
 
-// Peer is another controller.
+// Peer is another controller and the address at which it listens for its peers.
 type Peer struct {
 	Label api.ControllerID `json:"label"`
 	Zone  api.Zone         `json:"domain"`
 	Addr  string           `json:"peer_addr"`
 }
 
-// Team has a guarantee and a limit; a limit of 0 means none.
+// Team is a team's guarantee and limit, in CPUs and accelerators; a limit of 0 means none.
 type Team struct {
 	Name    api.Team `json:"name"`
 	CPUs    float64  `json:"cpus"`
@@ -29,7 +28,7 @@
 	GPUsMax float64  `json:"gpus_max"`
 }
 
-// Objective is one of the users' aims for a class of jobs.
+// Objective is a service-level objective for a class of jobs.
 type Objective struct {
 	Kind   string    `json:"kind"`
 	Class  api.Class `json:"class"`
@@ -38,17 +37,17 @@
 	Times  float64   `json:"times"`
 }
 
-// Hosted is what a hosted service starts with. All else its operators set through the
+// Hosted is what a hosted service starts with. Everything else its operators set through the
 // administration API.
 type Hosted struct {
 	AdminKey tenant.Key // the first operators' key
 }
 
-// MinHostedTxnOps is how many writes a transaction of a hosted service must hold at least: a
-// tenant's record, the gate, an operators' change, and a team.
+// MinHostedTxnOps is how many writes a transaction of a hosted service must be able to hold: a tenant's
+// record, the gate, an operators' change, and a team.
 const MinHostedTxnOps = 4
 
-// Config is the whole file.
+// Config is the settings of one controller.
 type Config struct {
 	Hosted *Hosted `json:"-"` // the service has tenants; not of the platform's file
 
@@ -64,7 +63,8 @@
 	Deployment Deployment `json:"deployment"`
 }
 
-// Deployment is what all controllers have in common.
+// Deployment is what all controllers have in common. Fields whose name in JSON ends in _s are in
+// seconds.
 type Deployment struct {
 	InitialSize int         `json:"initial_size"`
 	Zones       []api.Zone  `json:"zones"`
@@ -104,65 +104,29 @@
 	return Parse(data)
 }
 
-// Parse checks settings; the error names the field at fault.
+// Parse decodes and checks settings. An invalid value is a *FieldError.
 func Parse(data []byte) (*Config, error) {
 	cfg := &Config{}
 	if err := json.Unmarshal(data, cfg); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if cfg.Label == "" {
-		return nil, fmt.Errorf("settings: label: missing")
+		return nil, &FieldError{Field: "label", Err: errMissing}
 	}
-	addrs := map[string]string{"api_addr": cfg.APIAddr, "peer_listen": cfg.PeerListen,
-		"external.cloud": cfg.External.Cloud, "external.state": cfg.External.State}
-	for _, p := range cfg.Peers {
-		if p.Label == "" || p.Label == cfg.Label {
-			return nil, fmt.Errorf("settings: peers: label %q is missing or our own", p.Label)
-		}
-		addrs["peers."+string(p.Label)] = p.Addr
+	if err := cfg.checkAddresses(); err != nil {
+		return nil, err
 	}
-	for field, a := range addrs {
-		if _, err := netip.ParseAddrPort(a); err != nil {
-			return nil, fmt.Errorf("settings: %s: %w", field, err)
-		}
+	if cfg.Deployment.InitialSize == 0 {
+		cfg.Deployment.InitialSize = len(cfg.Peers) + 1
 	}
-	deployment := &cfg.Deployment
-	if deployment.InitialSize == 0 {
-		deployment.InitialSize = len(cfg.Peers) + 1
-	}
-	mustBePositive := []struct {
-		v    float64
-		name string
-	}{
-		{float64(deployment.InitialSize), "initial_size"}, {deployment.Workers.Report, "workers.report_s"}, {deployment.Workers.Lease, "workers.lease_s"},
-		{deployment.Workers.Cancel, "workers.cancel_s"}, {deployment.State.RPS, "state.rps"}, {deployment.State.WriteRPS, "state.write_rps"},
-		{deployment.State.ValueKB, "state.value_kb"}, {float64(deployment.State.TxnOps), "state.txn_ops"}, {deployment.Cloud.RPS, "cloud.rps"},
-	}
-	for _, p := range mustBePositive {
-		if !(p.v > 0) {
-			return nil, fmt.Errorf("settings: deployment.%s: must be above 0", p.name)
-		}
-	}
-	// With less, jobs could be accepted but no round could start a task.
-	if deployment.State.ValueKB < 1 {
-		return nil, fmt.Errorf("settings: deployment.state.value_kb: %v is less than 1", deployment.State.ValueKB)
-	}
-	if deployment.State.TxnOps < 2 {
-		return nil, fmt.Errorf("settings: deployment.state.txn_ops: %d is less than 2", deployment.State.TxnOps)
-	}
-	if len(deployment.Teams) == 0 {
-		return nil, fmt.Errorf("settings: deployment.teams: missing")
-	}
-	for _, t := range deployment.Teams {
-		if t.Name == "" || t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			return nil, fmt.Errorf("settings: deployment.teams: %q has an invalid amount or no name", t.Name)
-		}
+	if err := cfg.Deployment.check(); err != nil {
+		return nil, err
 	}
 	return cfg, nil
 }
 
-// HeartbeatInterval is the workers' reporting interval.
+// HeartbeatInterval returns the interval of workers' heartbeats.
 func (c *Config) HeartbeatInterval() time.Duration { return api.Seconds(c.Deployment.Workers.Report) }
 
-// WorkerLease is the workers' lease.
+// WorkerLease returns for how long a worker goes on without hearing from its controller.
 func (c *Config) WorkerLease() time.Duration { return api.Seconds(c.Deployment.Workers.Lease) }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer owns the messages between controllers, in encoding/gob inside
-// HTTP bodies.
+// Package peer encodes the messages between controllers, in encoding/gob inside HTTP bodies. Field
+// names of the messages are the wire: controllers of several versions run side by side in an upgrade.
 package peer
 
 import (
@@ -7,16 +7,17 @@
 	"encoding/gob"
 	"encoding/json"
 	"fmt"
+	"net/http"
 
 	"basaltwall/controller/message"
 	"basaltwall/controller/tenancy"
 	"basaltwall/httpx"
 )
 
-// Path is where controllers listen for each other.
+// Path is the path at which controllers accept messages of each other.
 const Path = "/peer/v1"
 
-// Encode writes a message or a reply.
+// Encode encodes a message or a reply.
 func Encode(v any) ([]byte, error) {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
@@ -25,7 +26,7 @@
 	return b.Bytes(), nil
 }
 
-// ParseMessage reads a message.
+// ParseMessage decodes a message.
 func ParseMessage(body []byte) (message.PeerMessage, error) {
 	var m message.PeerMessage
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&m); err != nil {
@@ -34,19 +35,21 @@
 	return m, nil
 }
 
-// Request is the HTTP request for a call.
+// Request returns the HTTP request for a call.
 func Request(c message.PeerCall) (method, target string, body []byte, err error) {
 	body, err = Encode(c.Message)
-	return "POST", Path, body, err
+	return http.MethodPost, Path, body, err
 }
 
-// Encoder writes requests. News that goes to many is written once.
+// Encoder encodes calls. Gossip that goes to several controllers is encoded once: consecutive calls
+// with the same *message.Gossip share a body. The zero value is ready to use; an Encoder is not safe
+// for concurrent use.
 type Encoder struct {
 	lastGossip *message.Gossip
 	lastBody   []byte
 }
 
-// Request is the HTTP request for a call.
+// Request returns the HTTP request for a call. The body must not be changed.
 func (e *Encoder) Request(c message.PeerCall) (method, target string, body []byte, err error) {
 	if c.Message.Gossip == nil {
 		return Request(c)
@@ -58,23 +61,25 @@
 		}
 		e.lastGossip = c.Message.Gossip
 	}
-	return "POST", Path, e.lastBody, nil
+	return http.MethodPost, Path, e.lastBody, nil
 }
 
-// ParseReply is the owner's answer for a response.
+// ParseReply returns the command for the outcome of a call. It is not OK if the call failed, which
+// callErr says, or if the body is malformed.
 func ParseReply(c message.PeerCall, r httpx.Response, callErr error) message.PeerResponse {
-	a := message.PeerResponse{ID: c.ID}
-	if callErr != nil || r.Status != 200 {
-		return a
+	response := message.PeerResponse{ID: c.ID}
+	if callErr != nil || r.Status != http.StatusOK {
+		return response
 	}
-	if err := gob.NewDecoder(bytes.NewReader(r.Body)).Decode(&a.Reply); err != nil {
-		return a
+	if err := gob.NewDecoder(bytes.NewReader(r.Body)).Decode(&response.Reply); err != nil {
+		return response
 	}
-	a.OK = true
-	return a
+	response.OK = true
+	return response
 }
 
-// Command is what a message asks of the owner, as request req.
+// Command returns the command for a message, as request id req, or nil for a message that is
+// malformed or of a kind that this version does not know. Heartbeats are decoded by parseHeartbeat.
 func Command(m message.PeerMessage, req message.ReqID, parseHeartbeat func([]byte) message.Command) message.Command {
 	switch {
 	case m.Gossip != nil:
@@ -82,25 +87,31 @@
 	case m.ReadLog != nil:
 		return message.ReadLog{Req: req, Request: m.ReadLog}
 	case m.Forward != nil:
-		switch f := m.Forward; f.Kind {
-		case message.ForwardSubmit:
-			return message.Submit{Req: req, Body: f.Body, Forwarded: true}
-		case message.ForwardPoll:
-			return message.Poll{Req: req, Ref: f.Ref, Forwarded: true}
-		case message.ForwardCancel:
-			return message.Cancel{Req: req, Ref: f.Ref, Forwarded: true}
-		case message.ForwardHeartbeat:
-			return parseHeartbeat(f.Body)
-		case message.ForwardSkips:
-			var ask message.AdminRequest
-			if json.Unmarshal(f.Body, &ask) != nil {
-				return nil
-			}
-			ask.Req, ask.Forwarded = req, true
-			return ask
-		case tenancy.ForwardKind:
-			return tenancy.DecodeForward(f.Body, req)
+		return forwardedCommand(m.Forward, req, parseHeartbeat)
+	}
+	return nil
+}
+
+// forwardedCommand returns the command for a request that another controller forwards, or nil.
+func forwardedCommand(f *message.Forward, req message.ReqID, parseHeartbeat func([]byte) message.Command) message.Command {
+	switch f.Kind {
+	case message.ForwardSubmit:
+		return message.Submit{Req: req, Body: f.Body, Forwarded: true}
+	case message.ForwardPoll:
+		return message.Poll{Req: req, Ref: f.Ref, Forwarded: true}
+	case message.ForwardCancel:
+		return message.Cancel{Req: req, Ref: f.Ref, Forwarded: true}
+	case message.ForwardHeartbeat:
+		return parseHeartbeat(f.Body)
+	case message.ForwardSkips:
+		var request message.AdminRequest
+		if json.Unmarshal(f.Body, &request) != nil {
+			return nil
 		}
+		request.Req, request.Forwarded = req, true
+		return request
+	case tenancy.ForwardKind:
+		return tenancy.DecodeForward(f.Body, req)
 	}
 	return nil
 }
--- a/state/state.go
+++ b/state/state.go
@@ -1,10 +1,12 @@
-// Package state owns the messages to and from the key-value store: it turns the
-// owner's calls into requests and responses into answers.
+// Package state encodes the controller's calls to the key-value store as HTTP requests, and decodes
+// the responses. It keeps no state.
 package state
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strconv"
 
@@ -13,53 +15,60 @@
 	"basaltwall/httpx"
 )
 
-// watchedPrefix is the prefix that controllers follow.
-const watchedPrefix = "b/"
+const (
+	// watchedPrefix is the prefix of the keys whose changes controllers follow.
+	watchedPrefix = "b/"
+	// maxPageSize is the most keys that one page may hold.
+	maxPageSize = 500
+)
+
+// ErrEmptyCall is returned for a call that asks for nothing.
+var ErrEmptyCall = errors.New("asks for nothing")
 
-// Request is the HTTP request for a call.
+// Request returns the HTTP request for a call. It returns an ErrEmptyCall if the call asks for nothing.
 func Request(c message.StoreCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Txn != nil:
-		t := *c.Txn
-		if t.If == nil {
-			t.If = []api.Condition{}
+		txn := *c.Txn
+		if txn.If == nil { // encoded as an empty list rather than null
+			txn.If = []api.Condition{}
 		}
-		if t.Writes == nil {
-			t.Writes = []api.Write{}
+		if txn.Writes == nil {
+			txn.Writes = []api.Write{}
 		}
-		body, err = json.Marshal(t)
-		return "POST", api.PathTxn, body, err
+		body, err = json.Marshal(txn)
+		return http.MethodPost, api.PathTxn, body, err
 	case c.Changes != nil:
 		q := url.Values{"under": {watchedPrefix}, "since": {strconv.FormatUint(uint64(c.Changes.Since), 10)},
 			"wait_ms": {strconv.FormatInt(c.Changes.Wait.Milliseconds(), 10)}}
 		if c.Changes.Prefix != "" {
 			q.Set("under", c.Changes.Prefix)
 		}
-		return "GET", api.PathChanges + "?" + query(q), nil, nil
+		return http.MethodGet, api.PathChanges + "?" + query(q), nil, nil
 	case c.Page != nil:
-		q := url.Values{"under": {watchedPrefix}, "limit": {"500"}}
+		q := url.Values{"under": {watchedPrefix}, "limit": {strconv.Itoa(maxPageSize)}}
 		if c.Page.Prefix != "" {
 			q.Set("under", c.Page.Prefix)
 		}
 		if c.Page.Limit > 0 {
-			q.Set("limit", strconv.Itoa(min(500, c.Page.Limit)))
+			q.Set("limit", strconv.Itoa(min(maxPageSize, c.Page.Limit)))
 		}
 		if c.Page.After != "" {
 			q.Set("since", c.Page.After)
 		}
-		return "GET", api.PathKeys + "?" + query(q), nil, nil
+		return http.MethodGet, api.PathKeys + "?" + query(q), nil, nil
 	case c.Get != "":
-		return "GET", api.PathKeys + "/" + c.Get, nil, nil
+		return http.MethodGet, api.PathKeys + "/" + c.Get, nil, nil
 	case c.GrantLease > 0:
 		body, err = json.Marshal(api.LeaseRequest{TTL: c.GrantLease.Milliseconds()})
-		return "POST", api.PathLeases, body, err
+		return http.MethodPost, api.PathLeases, body, err
 	case c.RenewLease != 0:
-		return "POST", fmt.Sprintf("%s/%d/%s", api.PathLeases, c.RenewLease, api.PathSuffixRenew), nil, nil
+		return http.MethodPost, fmt.Sprintf("%s/%d/%s", api.PathLeases, c.RenewLease, api.PathSuffixRenew), nil, nil
 	}
-	return "", "", nil, fmt.Errorf("state call %d asks for nothing", c.ID)
+	return "", "", nil, fmt.Errorf("state call %d %w", c.ID, ErrEmptyCall)
 }
 
-// query encodes parameters with slashes as they are.
+// query encodes parameters but leaves slashes unescaped, as they stand in keys.
 func query(v url.Values) string {
 	s, err := url.PathUnescape(v.Encode())
 	if err != nil {
@@ -68,38 +77,38 @@
 	return s
 }
 
-// ParseResponse is the owner's answer for a response; a failed exchange or a body
-// that makes no sense is no answer.
+// ParseResponse returns the command for the outcome of a call. Its status is 0 if the call failed,
+// which callErr says, or if the body is malformed.
 func ParseResponse(c message.StoreCall, r httpx.Response, callErr error) message.StoreResponse {
-	a := message.StoreResponse{ID: c.ID}
+	response := message.StoreResponse{ID: c.ID}
 	if callErr != nil {
-		return a
+		return response
 	}
-	a.Status = r.Status
+	response.Status = r.Status
 	var target any
 	switch {
-	case c.Txn != nil && (r.Status == 200 || r.Status == 409):
-		target = &a.Txn
-	case r.Status != 200:
-		return a
+	case c.Txn != nil && (r.Status == http.StatusOK || r.Status == http.StatusConflict):
+		target = &response.Txn
+	case r.Status != http.StatusOK:
+		return response
 	case c.Changes != nil:
-		target = &a.Changes
+		target = &response.Changes
 	case c.Page != nil:
-		target = &a.Page
+		target = &response.Page
 	case c.Get != "":
-		target = &a.Pair
+		target = &response.Pair
 	case c.GrantLease > 0:
-		var l api.LeaseResponse
-		if json.Unmarshal(r.Body, &l) != nil || l.Lease == 0 {
-			a.Status = 0
+		var granted api.LeaseResponse
+		if json.Unmarshal(r.Body, &granted) != nil || granted.Lease == 0 {
+			response.Status = 0
 		}
-		a.Lease = l.Lease
-		return a
+		response.Lease = granted.Lease
+		return response
 	default:
-		return a
+		return response
 	}
 	if json.Unmarshal(r.Body, target) != nil {
-		a.Status = 0
+		response.Status = 0
 	}
-	return a
+	return response
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,44 +1,52 @@
-// Package worker owns the messages to and from workers.
+// Package worker encodes the controller's calls to workers as HTTP requests, and decodes workers'
+// heartbeats and responses. It keeps no state.
 package worker
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 
 	"basaltwall/api"
 	"basaltwall/controller/message"
 	"basaltwall/httpx"
 )
 
-// ParseHeartbeat reads a report and checks what the owner relies on.
+// ErrIncompleteHeartbeat is returned for a heartbeat that does not say which worker sent it. The names
+// are those of the fields in JSON.
+var ErrIncompleteHeartbeat = errors.New("tornio or turno is missing")
+
+// ParseHeartbeat decodes a heartbeat and checks that it names its machine and its epoch, which the
+// controller relies on.
 func ParseHeartbeat(body []byte) (*api.Heartbeat, error) {
-	r := &api.Heartbeat{}
-	if err := json.Unmarshal(body, r); err != nil {
-		return nil, fmt.Errorf("report: %w", err)
+	heartbeat := &api.Heartbeat{}
+	if err := json.Unmarshal(body, heartbeat); err != nil {
+		return nil, fmt.Errorf("heartbeat: %w", err)
 	}
-	if r.Machine == "" || r.Epoch == 0 {
-		return nil, errors.New("report: tornio or turno is missing")
+	if heartbeat.Machine == "" || heartbeat.Epoch == 0 {
+		return nil, fmt.Errorf("heartbeat: %w", ErrIncompleteHeartbeat)
 	}
-	return r, nil
+	return heartbeat, nil
 }
 
-// Request is the HTTP request for a call.
+// Request returns the HTTP request for a call.
 func Request(c message.WorkerCall) (method, target string, body []byte, err error) {
 	body, err = json.Marshal(c.Commands)
-	return "POST", api.PathCommands, body, err
+	return http.MethodPost, api.PathCommands, body, err
 }
 
-// ParseResponse is the owner's answer for a response.
+// ParseResponse returns the command for the outcome of a call. A worker answers with a heartbeat, also
+// when it refuses the call (409); without one the status is 0.
 func ParseResponse(c message.WorkerCall, r httpx.Response, callErr error) message.WorkerResponse {
-	a := message.WorkerResponse{ID: c.ID}
-	if callErr != nil || r.Status != 200 && r.Status != 409 {
-		return a
+	response := message.WorkerResponse{ID: c.ID}
+	if callErr != nil || r.Status != http.StatusOK && r.Status != http.StatusConflict {
+		return response
 	}
 	heartbeat, err := ParseHeartbeat(r.Body)
 	if err != nil {
-		return a
+		return response
 	}
-	a.Status, a.Heartbeat = r.Status, heartbeat
-	return a
+	response.Status, response.Heartbeat = r.Status, heartbeat
+	return response
 }
