--- a/httpx/client.go
+++ b/httpx/client.go
@@ -1,5 +1,7 @@
 package httpx
 
+// This file holds the client.
+
 import (
 	"context"
 	"errors"
@@ -9,16 +11,16 @@
 	"time"
 )
 
-// Client is a pool of connections to other servers. Every call has a deadline.
+// Client sends requests and keeps idle connections for the next ones. Every request has a deadline.
 type Client struct {
-	Auth string // sent with each request as the Authorization header, if any
+	Auth string // sent with each request as the Authorization header, if any; set before the first
 
 	maxBody, maxIdlePerHost, maxIdleTotal int
 	dialer                                net.Dialer
 
-	mu        sync.Mutex
-	idle      map[string][]idleConn
-	idleCount int // unused connections in all
+	mu        sync.Mutex            // guards what follows
+	idle      map[string][]idleConn // by address, the most recently used last
+	idleCount int                   // in all
 }
 
 type idleConn struct {
@@ -26,15 +28,19 @@
 	idleSince time.Time
 }
 
-// idleTimeout is how long an unused connection is kept.
+// idleTimeout is for how long an idle connection is kept.
 const idleTimeout = 20 * time.Second
 
-// NewClient returns a pool that accepts bodies up to maxBody and keeps up to
-// maxIdlePerHost unused connections to each address and maxIdleTotal to all together.
+// initialBuffer is the size of the buffer for a response at first, in bytes; it doubles as needed.
+const initialBuffer = 4096
+
+// NewClient returns a client that accepts bodies up to maxBody bytes and keeps up to maxIdlePerHost
+// idle connections to each address and maxIdleTotal in all.
 func NewClient(maxBody, maxIdlePerHost, maxIdleTotal int) *Client {
 	return &Client{maxBody: maxBody, maxIdlePerHost: maxIdlePerHost, maxIdleTotal: maxIdleTotal, idle: map[string][]idleConn{}}
 }
 
+// getIdle takes an idle connection to an address from the pool, or returns nil.
 func (c *Client) getIdle(addr string) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,6 +60,7 @@
 	return nil
 }
 
+// putIdle gives a connection to the pool, or closes it if the pool is full.
 func (c *Client) putIdle(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +72,7 @@
 	c.idle[addr] = append(c.idle[addr], idleConn{conn, time.Now()})
 }
 
-// Sweep closes connections that were unused for long.
+// Sweep closes connections that have been idle for too long. It is to be called now and then.
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,13 +94,12 @@
 	}
 }
 
-// errStale says that a kept connection was closed by the other side before it
-// answered anything.
+// errStale says that the other side closed an idle connection before it answered anything.
 var errStale = errors.New("kept connection was closed")
 
-// Do sends a request and waits for its response. When a kept connection turns
-// out to be closed before the first byte of an answer, a fresh one is tried
-// once: every request of this program may safely arrive twice.
+// Do sends a request and waits for its response until the timeout. When an idle connection turns out
+// to be closed before the first byte of a response, a new one is tried once: every request of this
+// program is idempotent. The context bounds connecting only.
 func (c *Client) Do(ctx context.Context, addr, method, target string, body []byte, timeout time.Duration) (Response, error) {
 	deadline := time.Now().Add(timeout)
 	if conn := c.getIdle(addr); conn != nil {
@@ -111,6 +117,8 @@
 	return c.exchange(conn, addr, method, target, body, deadline)
 }
 
+// exchange sends a request on a connection and reads the response. It closes the connection or gives it
+// to the pool.
 func (c *Client) exchange(conn net.Conn, addr, method, target string, body []byte, deadline time.Time) (Response, error) {
 	fail := func(err error) (Response, error) {
 		_ = conn.Close()
@@ -122,7 +130,7 @@
 	if _, err := conn.Write(AppendRequest(nil, method, addr, target, c.Auth, body)); err != nil {
 		return fail(errors.Join(errStale, err))
 	}
-	buf := make([]byte, 0, 4096)
+	buf := make([]byte, 0, initialBuffer)
 	for {
 		if len(buf) == cap(buf) {
 			buf = append(buf, make([]byte, cap(buf))...)[:len(buf)]
@@ -149,6 +157,6 @@
 }
 
 func isTimeout(err error) bool {
-	var ne net.Error
-	return errors.As(err, &ne) && ne.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- /dev/null
+++ b/httpx/encode.go
@@ -0,0 +1,70 @@
+package httpx
+
+// This file encodes requests and responses.
+
+import (
+	"net/http"
+	"strconv"
+)
+
+// statusText holds the reason phrases of the statuses that this program answers with.
+var statusText = map[int]string{
+	http.StatusOK:                    "OK",
+	http.StatusCreated:               "Created",
+	http.StatusBadRequest:            "Bad Request",
+	http.StatusUnauthorized:          "Unauthorized",
+	http.StatusForbidden:             "Forbidden",
+	http.StatusNotFound:              "Not Found",
+	http.StatusMethodNotAllowed:      "Method Not Allowed",
+	http.StatusConflict:              "Conflict",
+	http.StatusRequestEntityTooLarge: "Content Too Large",
+	http.StatusMisdirectedRequest:    "Misdirected Request",
+	http.StatusUnprocessableEntity:   "Unprocessable Content",
+	http.StatusTooManyRequests:       "Too Many Requests",
+	http.StatusInternalServerError:   "Internal Server Error",
+	http.StatusServiceUnavailable:    "Service Unavailable",
+	http.StatusGatewayTimeout:        "Gateway Timeout",
+}
+
+// AppendResponse appends a response with a body in JSON. A retryAfter above 0 adds the Retry-After
+// header, in seconds; closing adds Connection: close.
+func AppendResponse(out []byte, status int, body []byte, retryAfter int, closing bool) []byte {
+	out = append(out, "HTTP/1.1 "...)
+	out = strconv.AppendInt(out, int64(status), 10)
+	out = append(out, ' ')
+	out = append(out, statusText[status]...)
+	out = append(out, "\r\nContent-Type: application/json\r\n"...)
+	if retryAfter > 0 {
+		out = append(out, "Retry-After: "...)
+		out = strconv.AppendInt(out, int64(retryAfter), 10)
+		out = append(out, "\r\n"...)
+	}
+	return appendTail(out, body, closing)
+}
+
+// AppendRequest appends a request with a body in JSON; auth is the Authorization header, if any.
+func AppendRequest(out []byte, method, host, target, auth string, body []byte) []byte {
+	out = append(out, method...)
+	out = append(out, ' ')
+	out = append(out, target...)
+	out = append(out, " HTTP/1.1\r\nHost: "...)
+	out = append(out, host...)
+	out = append(out, "\r\nContent-Type: application/json\r\n"...)
+	if auth != "" {
+		out = append(out, "Authorization: "...)
+		out = append(out, auth...)
+		out = append(out, "\r\n"...)
+	}
+	return appendTail(out, body, false)
+}
+
+// appendTail appends the last headers and the body.
+func appendTail(out, body []byte, closing bool) []byte {
+	if closing {
+		out = append(out, "Connection: close\r\n"...)
+	}
+	out = append(out, "Content-Length: "...)
+	out = strconv.AppendInt(out, int64(len(body)), 10)
+	out = append(out, "\r\n\r\n"...)
+	return append(out, body...)
+}
--- a/httpx/parse.go
+++ b/httpx/parse.go
@@ -1,46 +1,53 @@
-// Package httpx owns HTTP/1.1: an incremental parser for requests and
-// responses, the evio server and the client pool. It decides nothing about
-// what the messages mean.
+// Package httpx implements as much of HTTP/1.1 as the program needs: an incremental parser, a server on
+// one event loop whose handlers may answer later, and a client with a pool of connections. It knows
+// nothing of what the messages mean.
+//
+// Server and Client may be used from several goroutines.
 package httpx
 
+// This file parses requests and responses.
+
 import (
 	"bytes"
 	"errors"
+	"net/http"
 	"net/netip"
 	"strconv"
 	"strings"
 )
 
-// Limits on what is accepted from the other side.
+// Limits on what is accepted from the other side, in bytes.
 const (
-	maxHead = 16 << 10
+	maxHead        = 16 << 10 // start line and headers, or the trailer
+	maxChunkHeader = 1024
 )
 
-// Errors of the parser. ErrTooLarge is answered with 413, the others with 400.
+// Errors of the parser. The server answers ErrTooLarge with 413 and ErrMalformed with 400.
 var (
 	ErrMalformed = errors.New("malformed HTTP message")
 	ErrTooLarge  = errors.New("HTTP message too large")
 )
 
-// Request is a parsed request. Body is a copy of its own.
+// Request is a parsed request. Body does not alias the connection's buffer.
 type Request struct {
 	Method, Path, Query string
 	Body                []byte
-	Close               bool
+	Close               bool       // the connection closes after the response
 	Expect              bool       // the client waits for 100 Continue
 	Auth                string     // the Authorization header
-	Forwarded           string     // X-Forwarded-For: whoever sends it may say anything
+	Forwarded           string     // X-Forwarded-For: not to be trusted, whoever sends it may claim anything
 	From                netip.Addr // the connection's other end; set by the server
 }
 
-// Response is a parsed response. Body is a copy of its own.
+// Response is a parsed response. Body does not alias the connection's buffer.
 type Response struct {
 	Status     int
 	Body       []byte
 	Close      bool
-	RetryAfter int // in seconds; 0 if not said, or as a date
+	RetryAfter int // in seconds; 0 if absent, or given as a date
 }
 
+// head is a start line and what the headers say of it. contentLength is -1 if absent.
 type head struct {
 	line          string
 	contentLength int
@@ -70,9 +77,9 @@
 	lines := string(buf[:end])
 	h.line, lines, _ = strings.Cut(lines, "\r\n")
 	for lines != "" {
-		var l string
-		l, lines, _ = strings.Cut(lines, "\r\n")
-		name, value, ok := strings.Cut(l, ":")
+		var line string
+		line, lines, _ = strings.Cut(lines, "\r\n")
+		name, value, ok := strings.Cut(line, ":")
 		if !ok || name == "" || strings.ContainsAny(name, " \t") {
 			return head{}, ErrMalformed
 		}
@@ -89,7 +96,7 @@
 	return h, nil
 }
 
-// setHeader notes a header that bears on how the message is read; others are passed over.
+// setHeader notes a header; those that the program does not need are ignored.
 func (h *head) setHeader(name, value string) error {
 	switch {
 	case strings.EqualFold(name, "Content-Length"):
@@ -104,14 +111,14 @@
 		}
 		h.chunked = true
 	case strings.EqualFold(name, "Connection"):
-		for tok := range strings.SplitSeq(value, ",") {
-			tok = strings.TrimSpace(tok)
-			h.close = h.close || strings.EqualFold(tok, "close")
-			h.keepAlive = h.keepAlive || strings.EqualFold(tok, "keep-alive")
+		for token := range strings.SplitSeq(value, ",") {
+			token = strings.TrimSpace(token)
+			h.close = h.close || strings.EqualFold(token, "close")
+			h.keepAlive = h.keepAlive || strings.EqualFold(token, "keep-alive")
 		}
 	case strings.EqualFold(name, "Authorization"):
 		if h.auth != "" {
-			value = h.auth + "," + value // of two keys none is the one that counts
+			value = h.auth + "," + value // with two keys, neither is accepted
 		}
 		h.auth = value
 	case strings.EqualFold(name, "X-Forwarded-For"):
@@ -120,8 +127,8 @@
 		}
 		h.forwarded = value
 	case strings.EqualFold(name, "Retry-After"):
-		if s, err := strconv.Atoi(value); err == nil && s >= 0 {
-			h.retryAfter = s
+		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
+			h.retryAfter = seconds
 		}
 	case strings.EqualFold(name, "Expect"):
 		h.expect = strings.EqualFold(value, "100-continue")
@@ -142,7 +149,7 @@
 	for {
 		eol := bytes.Index(buf[at:], []byte("\r\n"))
 		if eol < 0 {
-			if len(buf)-at > 1024 {
+			if len(buf)-at > maxChunkHeader {
 				return nil, 0, ErrMalformed
 			}
 			return nil, 0, nil
@@ -188,6 +195,7 @@
 	}
 }
 
+// validTarget reports whether a request target is a path, with a query or without.
 func validTarget(s string) bool {
 	if s == "" || s[0] != '/' {
 		return false
@@ -200,9 +208,9 @@
 	return true
 }
 
-// ParseRequest reads one request from the start of buf. It returns the bytes
-// it used, or 0 when more are needed. With more needed and Expect set, the
-// client waits for an interim answer before sending its body.
+// ParseRequest parses one request at the start of buf. It returns the number of bytes it used, or 0
+// when more are needed. With more needed and Expect set, the client waits for an interim response
+// before it sends the body.
 func ParseRequest(buf []byte, maxBody int) (Request, int, error) {
 	h, err := parseHead(buf, maxBody)
 	if err != nil || h.headLength == 0 {
@@ -229,8 +237,9 @@
 	return r, n, nil
 }
 
-// ParseResponse reads one response from the start of buf; eof says that the
-// other side has closed, which ends a body of unstated length.
+// ParseResponse parses one response at the start of buf and skips interim ones before it. It returns
+// the number of bytes it used, or 0 when more are needed. eof says that the other side has closed the
+// connection, which ends a body without a length.
 func ParseResponse(buf []byte, maxBody int, eof bool) (Response, int, error) {
 	skipped := 0
 	for {
@@ -239,13 +248,16 @@
 			return Response{}, 0, err
 		}
 		skipped += n
-		if r.Status >= 200 {
+		if !isInterim(r.Status) {
 			return r, skipped, nil
 		}
-		// An interim answer: the real one follows.
 	}
 }
 
+// isInterim reports whether another response follows one with this status.
+func isInterim(status int) bool { return status < http.StatusOK }
+
+// parseSingleResponse parses a response, which may be an interim one.
 func parseSingleResponse(buf []byte, maxBody int, eof bool) (Response, int, error) {
 	h, err := parseHead(buf, maxBody)
 	if err != nil || h.headLength == 0 {
@@ -260,7 +272,7 @@
 		return Response{}, 0, ErrMalformed
 	}
 	r := Response{Status: status, RetryAfter: h.retryAfter, Close: h.close || (version == "HTTP/1.0" && !h.keepAlive)}
-	if status < 200 || status == 204 || status == 304 {
+	if isInterim(status) || status == http.StatusNoContent || status == http.StatusNotModified { // without a body
 		return r, h.headLength, nil
 	}
 	if h.contentLength < 0 && !h.chunked {
@@ -279,51 +291,3 @@
 	r.Body = body
 	return r, n, nil
 }
-
-var statusText = map[int]string{
-	200: "OK", 201: "Created", 400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed",
-	409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
-	429: "Too Many Requests", 500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout",
-}
-
-// AppendResponse writes a response with a JSON body. A retryAfter above 0
-// adds the header of that name, in seconds.
-func AppendResponse(out []byte, status int, body []byte, retryAfter int, closing bool) []byte {
-	out = append(out, "HTTP/1.1 "...)
-	out = strconv.AppendInt(out, int64(status), 10)
-	out = append(out, ' ')
-	out = append(out, statusText[status]...)
-	out = append(out, "\r\nContent-Type: application/json\r\n"...)
-	if retryAfter > 0 {
-		out = append(out, "Retry-After: "...)
-		out = strconv.AppendInt(out, int64(retryAfter), 10)
-		out = append(out, "\r\n"...)
-	}
-	return appendTail(out, body, closing)
-}
-
-// AppendRequest writes a request; auth is the Authorization header, if any.
-func AppendRequest(out []byte, method, host, target, auth string, body []byte) []byte {
-	out = append(out, method...)
-	out = append(out, ' ')
-	out = append(out, target...)
-	out = append(out, " HTTP/1.1\r\nHost: "...)
-	out = append(out, host...)
-	out = append(out, "\r\nContent-Type: application/json\r\n"...)
-	if auth != "" {
-		out = append(out, "Authorization: "...)
-		out = append(out, auth...)
-		out = append(out, "\r\n"...)
-	}
-	return appendTail(out, body, false)
-}
-
-func appendTail(out, body []byte, closing bool) []byte {
-	if closing {
-		out = append(out, "Connection: close\r\n"...)
-	}
-	out = append(out, "Content-Length: "...)
-	out = strconv.AppendInt(out, int64(len(body)), 10)
-	out = append(out, "\r\n\r\n"...)
-	return append(out, body...)
-}
