--- /dev/null
+++ b/server/admin_test.go
@@ -0,0 +1,51 @@
+package server
+
+import (
+	"strings"
+	"testing"
+)
+
+// exerciseAdminAPI uses the administration API of two controllers as an operator would.
+func exerciseAdminAPI(t *testing.T, one, other string) {
+	t.Helper()
+	call := func(method, url, body string) (int, string) {
+		code, answer, ok := sendRequest(t, method, url, "", body)
+		if !ok {
+			t.Fatalf("%s %s: no answer", method, url)
+		}
+		return code, answer
+	}
+	for what, part := range map[string]string{"members": `"label":"stone-2"`, "parts": `"owner":"stone-1"`, "machines": `"type":"small"`,
+		"teams": `"team":"red"`, "jobs": `"open":`, "jobs?team=red&limit=5": `"jobs":[`, "settings": `"drained"`, "metrics": `"round":{"count":`} {
+		if code, got := call("GET", one+what, ""); code != 200 || !strings.Contains(got, part) {
+			t.Errorf("%s: %d %s lacks %s", what, code, got, part)
+		}
+	}
+	for body, field := range map[string]string{`{"idle_hold_s":-1}`: "idle_hold_s", `{"drained":[""]}`: "drained", `{"color":1}`: "color",
+		`{"no_rent":"yes"}`: "no_rent"} {
+		if code, got := call("PUT", one+"settings", body); code != 400 || !strings.Contains(got, field) {
+			t.Errorf("%s: %d %s", body, code, got)
+		}
+	}
+	for query, code := range map[string]int{"team=nobody": 404, "limit=0": 400, "limit=x": 400, "limit=1001": 400, "team=%zz": 400} {
+		if got, body := call("GET", one+"jobs?"+query, ""); got != code {
+			t.Errorf("jobs?%s: %d %s, expected %d", query, got, body, code)
+		}
+	}
+	if code, got := call("PUT", one+"settings", `{"revision":1}`); code != 409 {
+		t.Errorf("a change of an old revision: %d %s", code, got)
+	}
+	if code, got := call("POST", one+"machines/i-000001/drain", ""); code != 200 {
+		t.Errorf("drain: %d %s", code, got)
+	}
+	eventually(t, "the other controller hears of the drain", func() bool {
+		_, got := call("GET", other+"settings", "")
+		return strings.Contains(got, "i-000001")
+	})
+	if code, _ := call("GET", one+"machines/i-000001/drain", ""); code != 405 {
+		t.Errorf("a drain by GET: %d", code)
+	}
+	if code, _ := call("GET", one+"secrets", ""); code != 404 {
+		t.Errorf("an unknown path: %d", code)
+	}
+}
