--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -52,6 +53,41 @@
 	return file
 }
 
+// findOperation is what the document says of a method and a path, or nil.
+func findOperation(doc *openapi3.T, method, path string) *openapi3.Operation {
+	var found *openapi3.Operation
+	for template, item := range doc.Paths.Map() {
+		parts := strings.Split(template, "/")
+		for i, part := range strings.Split(path, "/") {
+			if i < len(parts) && strings.HasPrefix(parts[i], "{") {
+				parts[i] = part
+			}
+		}
+		if strings.Join(parts, "/") == path && item.GetOperation(method) != nil {
+			found = item.GetOperation(method)
+		}
+	}
+	return found
+}
+
+// checkBody checks what a command line sends beyond what the document says of it.
+func checkBody(t *testing.T, line string, sent []byte, body map[string]any) {
+	t.Helper()
+	// Repeated flags add up; once the last one alone was sent.
+	if teams, _ := json.Marshal(body["teams"]); strings.Contains(line, " --team dispo --team red ") && (string(teams) != `["dispo","red"]` || len(body["networks"].([]any)) != 2) {
+		t.Errorf("%s sends %s", line, sent)
+	}
+	if list, ok := body["networks"].([]any); strings.Contains(line, "--network=") && (!ok || len(list) != 0) {
+		t.Errorf("%s sends %s", line, sent)
+	}
+	if body["open_jobs"] == 5.0 && (body["rate"] != 2.0 || len(body["teams"].([]any)) != 1 || body["retention_s"] != 60.0) {
+		t.Errorf("%s changes what it does not name: %s", line, sent)
+	}
+	if rev, named := body["revision"]; named && rev != 7.0 && !strings.Contains(line, " add kipper --team") {
+		t.Errorf("%s names revision %v, read was 7", line, rev)
+	}
+}
+
 // Each subcommand for a hosted service sends what docs/openapi.yaml names, with a body as
 // it says, the key, and the revision that it read just before.
 func TestCommandsMatchOpenAPI(t *testing.T) {
@@ -77,7 +113,7 @@
 			_, _ = io.WriteString(w, `{"revision":7,"rate":2,"burst":4,"teams":["dispo"],"networks":["10.0.0.0/8"],"retention_s":60}`)
 		}
 	}))
-	defer s.Close()
+	t.Cleanup(s.Close)
 	job := filepath.Join(t.TempDir(), "job.json")
 	if err := os.WriteFile(job, []byte(`{"ref":"run-1","mestiere":"try","bottega":"red","forma":"sweep","urgenza":"normal","pezzi":8,"cores":1,"gpus":0,
 "ram_gb":1,"stampo":"img","image_gb":1,"together":false,"scatter":false,"avanzi":false,"stima_s":20,"tappa_s":0,"salvo_s":0}`), 0o600); err != nil {
@@ -119,18 +155,7 @@
 			t.Errorf("%s asks %s, expected %s", line, got, want)
 			continue
 		}
-		var op *openapi3.Operation
-		for template, item := range doc.Paths.Map() {
-			parts := strings.Split(template, "/")
-			for i, part := range strings.Split(last.URL.Path, "/") {
-				if i < len(parts) && strings.HasPrefix(parts[i], "{") {
-					parts[i] = part
-				}
-			}
-			if strings.Join(parts, "/") == last.URL.Path && item.GetOperation(last.Method) != nil {
-				op = item.GetOperation(last.Method)
-			}
-		}
+		op := findOperation(doc, last.Method, last.URL.Path)
 		if op == nil {
 			t.Errorf("%s asks %s, which the document does not name", line, want)
 			continue
@@ -146,19 +171,7 @@
 		if err := op.RequestBody.Value.Content["application/json"].Schema.Value.VisitJSON(body); err != nil {
 			t.Errorf("%s sends %s: %v", line, sent, err)
 		}
-		// Repeated flags add up; once the last one alone was sent.
-		if teams, _ := json.Marshal(body["teams"]); strings.Contains(line, " --team dispo --team red ") && (string(teams) != `["dispo","red"]` || len(body["networks"].([]any)) != 2) {
-			t.Errorf("%s sends %s", line, sent)
-		}
-		if list, ok := body["networks"].([]any); strings.Contains(line, "--network=") && (!ok || len(list) != 0) {
-			t.Errorf("%s sends %s", line, sent)
-		}
-		if body["open_jobs"] == 5.0 && (body["rate"] != 2.0 || len(body["teams"].([]any)) != 1 || body["retention_s"] != 60.0) {
-			t.Errorf("%s changes what it does not name: %s", line, sent)
-		}
-		if rev, named := body["revision"]; named && rev != 7.0 && !strings.Contains(line, " add kipper --team") {
-			t.Errorf("%s names revision %v, read was 7", line, rev)
-		}
+		checkBody(t, line, sent, body)
 	}
 }
 
@@ -176,13 +189,20 @@
 	for _, c := range []struct {
 		status, code int
 		retry, part  string
-	}{{200, 0, "", ""}, {409, 1, "", "name: is taken"}, {403, 1, "", "403"}, {429, 75, "3", "again in 3 s"}, {503, 75, "1", "503"}, {0, 75, "", ""}} {
+	}{
+		{200, 0, "", ""},
+		{409, 1, "", "name: is taken"},
+		{403, 1, "", "403"},
+		{429, 75, "3", "again in 3 s"},
+		{503, 75, "1", "503"},
+		{0, 75, "", ""},
+	} {
 		if status, retry = c.status, c.retry; status == 0 {
 			s.Close() // nobody answers
 		}
 		err := runCommand(t, "job", "--addr", addr, "--key-file", key, "usage")
 		code := 0
-		if e, ok := err.(kong.ExitCoder); ok {
+		if e := kong.ExitCoder(nil); errors.As(err, &e) {
 			code = e.ExitCode()
 		} else if err != nil {
 			t.Errorf("%d: %T %v", c.status, err, err)
--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -10,7 +10,7 @@
 	"basaltwall/internal/golden"
 )
 
-// What each path of the administration API asks of the owner, as in earlier versions.
+// The command that each path of the administration API stands for, as in earlier versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	var lines []string
@@ -22,10 +22,10 @@
 		for _, method := range []string{"GET", "PUT", "POST"} {
 			path, query, _ := strings.Cut(path, "?")
 			c, status := Command(3, httpx.Request{Method: method, Path: Prefix + path, Query: query, Body: []byte("b")})
-			ask, ok := c.(message.AdminRequest)
+			request, ok := c.(message.AdminRequest)
 			line := fmt.Sprint(status)
 			if ok {
-				line = fmt.Sprintf("what=%s id=%s sub=%s team=%s limit=%d after=%s body=%s", ask.What, ask.ID, ask.Sub, ask.Team, ask.Limit, ask.After, ask.Body)
+				line = fmt.Sprintf("what=%s id=%s sub=%s team=%s limit=%d after=%s body=%s", request.What, request.ID, request.Sub, request.Team, request.Limit, request.After, request.Body)
 			}
 			lines = append(lines, fmt.Sprintf("%s %s%s?%s: %s", method, Prefix, path, query, line))
 		}
--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -13,14 +13,14 @@
 // Requests to the cloud as earlier versions wrote them, and its answers as they read them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
-	rent := golden.Filled[api.ScaleOutRequest](t)
+	create := golden.Filled[api.ScaleOutRequest](t)
 	list, types, deletion := message.CloudCall{ID: 1, List: &message.ListRequest{}}, message.CloudCall{ID: 1, Types: true}, message.CloudCall{ID: 1, Delete: []api.MachineID{"i-1", "i-2"}}
 	for _, x := range []struct {
 		name string
 		call message.CloudCall
 	}{
 		{"types", types}, {"list", list}, {"list since", message.CloudCall{ID: 1, List: &message.ListRequest{Since: "i-7"}}},
-		{"rent", message.CloudCall{ID: 1, Create: &rent}}, {"delete", deletion},
+		{"rent", message.CloudCall{ID: 1, Create: &create}}, {"delete", deletion},
 	} {
 		method, target, body, err := Request(x.call)
 		if err != nil {
@@ -41,9 +41,9 @@
 	}{
 		{"types answer", types, 200, typesData, message.CloudResponse{Types: catalogue.Types}},
 		{"list answer", list, 200, hostsData, message.CloudResponse{Hosts: hosts}},
-		{"rent answer", message.CloudCall{ID: 1, Create: &rent}, 200, namesData, message.CloudResponse{Machines: names.Machines}},
-		{"rent refused", message.CloudCall{ID: 1, Create: &rent}, 503, refusal, message.CloudResponse{NoCapacity: true}},
-		{"rent failed", message.CloudCall{ID: 1, Create: &rent}, 503, []byte(`{"error":"later"}`), message.CloudResponse{}},
+		{"rent answer", message.CloudCall{ID: 1, Create: &create}, 200, namesData, message.CloudResponse{Machines: names.Machines}},
+		{"rent refused", message.CloudCall{ID: 1, Create: &create}, 503, refusal, message.CloudResponse{NoCapacity: true}},
+		{"rent failed", message.CloudCall{ID: 1, Create: &create}, 503, []byte(`{"error":"later"}`), message.CloudResponse{}},
 		{"delete answer", deletion, 200, []byte(`{}`), message.CloudResponse{}},
 	} {
 		x.want.ID, x.want.Status = 1, x.status
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -173,9 +173,9 @@
 	f.Text("path", method+" "+target)
 }
 
-// What a message asks of the owner, by the kinds that earlier versions wrote.
+// The commands of messages, by the kinds that earlier versions wrote.
 func TestGoldenCommands(t *testing.T) {
-	report := func(body []byte) message.Command { return string(body) }
+	parseHeartbeat := func(body []byte) message.Command { return string(body) }
 	forward := func(kind, ref, body string) message.PeerMessage {
 		return message.PeerMessage{Forward: &message.Forward{Kind: kind, Ref: ref, Body: []byte(body)}}
 	}
@@ -191,22 +191,22 @@
 		{forward("checkin", "", "report"), "report"},
 		{forward("other", "", ""), nil},
 	} {
-		golden.Same(t, fmt.Sprintf("%+v", x.message.Forward), Command(x.message, 3, report), x.want)
+		golden.Same(t, fmt.Sprintf("%+v", x.message.Forward), Command(x.message, 3, parseHeartbeat), x.want)
 	}
 }
 
-// A question about skips that is passed on to another controller lies in its message as JSON,
-// by the names of Go's fields.
+// A request about skips that is forwarded to another controller lies in its message as JSON, by the
+// names of Go's fields.
 func TestGoldenSkips(t *testing.T) {
 	random := [40]byte{}
 	for i := range random {
 		random[i] = byte(i)
 	}
-	ask := message.AdminRequest{Req: 1, What: "skips-do", ID: "hof-nord", Team: "red", Limit: 2, Body: []byte(`{"name":"first"}`), Sub: "offer", After: "six-1",
+	request := message.AdminRequest{Req: 1, What: "skips-do", ID: "hof-nord", Team: "red", Limit: 2, Body: []byte(`{"name":"first"}`), Sub: "offer", After: "six-1",
 		Caller: message.Caller{Auth: "Bearer x", From: netip.MustParseAddr("192.0.2.7"), Forwarded: "198.51.100.1"}, Random: &random, Forwarded: true}
 	f := golden.Open(t)
-	data := golden.JSON(f, "skips ask", ask)
-	want := ask
+	data := golden.JSON(f, "skips ask", request)
+	want := request
 	want.Req = 9
 	got := Command(message.PeerMessage{Forward: &message.Forward{Kind: "skips", Body: data}}, 9, nil)
 	golden.Same(t, "skips", got, any(want))
@@ -215,8 +215,8 @@
 		any(message.AdminRequest{Req: 9, What: "skips-do", ID: "hof-nord", Sub: "offer", After: "six-1", Limit: 2, Body: json.RawMessage(`{"name":"first"}`), Forwarded: true}))
 }
 
-// News as it is: a controller that tells it, with a job that lacks room.
-func TestGoldenNews(t *testing.T) {
+// Gossip with few of its fields set, among them an unmet demand.
+func TestGoldenSparseGossip(t *testing.T) {
 	deadline := 7.5
 	want := message.Gossip{From: "stone-1", Born: 5, Number: 6, StateOK: true, Parts: []message.PartitionStatus{{Part: 2,
 		Want: map[api.Team]api.Resources{"red": {CPU: 1, GPU: 2, Mem: 3}}, Lack: []message.UnmetDemand{{Spec: &api.JobSpec{Ref: "run-1", Deadline: &deadline}, Zone: "a"}}}}}
--- a/worker/golden_test.go
+++ b/worker/golden_test.go
@@ -22,16 +22,16 @@
 	}
 	f.Text("commands", fmt.Sprintf("%s %s\n%s", method, target, body))
 
-	report := golden.Filled[api.Heartbeat](t)
-	data := golden.JSON(f, "report", report)
+	heartbeat := golden.Filled[api.Heartbeat](t)
+	data := golden.JSON(f, "report", heartbeat)
 	got, err := ParseHeartbeat(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Same(t, "report", *got, report)
+	golden.Same(t, "report", *got, heartbeat)
 	for _, status := range []int{200, 409} {
 		a := ParseResponse(call, httpx.Response{Status: status, Body: data}, nil)
-		golden.Same(t, fmt.Sprintf("answer %d", status), a, message.WorkerResponse{ID: 5, Status: status, Heartbeat: &report})
+		golden.Same(t, fmt.Sprintf("answer %d", status), a, message.WorkerResponse{ID: 5, Status: status, Heartbeat: &heartbeat})
 	}
 	golden.Same(t, "answer 500", ParseResponse(call, httpx.Response{Status: 500, Body: data}, nil), message.WorkerResponse{ID: 5})
 	golden.Same(t, "no answer", ParseResponse(call, httpx.Response{}, errors.New("timeout")), message.WorkerResponse{ID: 5})
