--- a/httpx/parse_test.go
+++ b/httpx/parse_test.go
@@ -32,14 +32,15 @@
 		{"relative", "GET ready HTTP/1.1\r\n\r\n", Request{}, false, ErrMalformed},
 	}
 	for _, c := range cases {
-		r, n, err := ParseRequest([]byte(c.in), 100)
-		if !errors.Is(err, c.err) || (n > 0) != c.used {
-			t.Errorf("%s: used %d, err %v", c.name, n, err)
-			continue
-		}
-		if c.used && (r.Method != c.want.Method || r.Path != c.want.Path || r.Query != c.want.Query || r.Close != c.want.Close || !bytes.Equal(r.Body, c.want.Body)) {
-			t.Errorf("%s: %+v", c.name, r)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			r, n, err := ParseRequest([]byte(c.in), 100)
+			if !errors.Is(err, c.err) || (n > 0) != c.used {
+				t.Fatalf("used %d, err %v", n, err)
+			}
+			if c.used && (r.Method != c.want.Method || r.Path != c.want.Path || r.Query != c.want.Query || r.Close != c.want.Close || !bytes.Equal(r.Body, c.want.Body)) {
+				t.Errorf("%+v", r)
+			}
+		})
 	}
 }
 
@@ -61,10 +62,12 @@
 		{"not HTTP", "SSH-2.0 x\r\n\r\n", false, 0, "", ErrMalformed},
 	}
 	for _, c := range cases {
-		r, n, err := ParseResponse([]byte(c.in), 100, c.eof)
-		if !errors.Is(err, c.err) || r.Status != c.status || string(r.Body) != c.body || (n > 0) != (c.status > 0) {
-			t.Errorf("%s: %+v, used %d, err %v", c.name, r, n, err)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			r, n, err := ParseResponse([]byte(c.in), 100, c.eof)
+			if !errors.Is(err, c.err) || r.Status != c.status || string(r.Body) != c.body || (n > 0) != (c.status > 0) {
+				t.Errorf("%+v, used %d, err %v", r, n, err)
+			}
+		})
 	}
 }
 
--- a/httpx/server_test.go
+++ b/httpx/server_test.go
@@ -61,6 +61,8 @@
 	wg.Wait()
 }
 
+// exchangeRaw sends pieces of text one after the other, and returns all that the server sends until it
+// closes the connection.
 func exchangeRaw(t *testing.T, addr string, pieces ...string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -104,12 +106,14 @@
 		{"asks before it sends", []string{"POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n", "x", closing}, []string{"100 Continue", "POST /a x"}},
 	}
 	for _, c := range cases {
-		got := exchangeRaw(t, addr, c.pieces...)
-		for _, w := range c.want {
-			if !strings.Contains(got, w) {
-				t.Errorf("%s: %q lacks %q", c.name, got, w)
+		t.Run(c.name, func(t *testing.T) {
+			got := exchangeRaw(t, addr, c.pieces...)
+			for _, part := range c.want {
+				if !strings.Contains(got, part) {
+					t.Errorf("%q lacks %q", got, part)
+				}
 			}
-		}
+		})
 	}
 }
 
@@ -117,15 +121,15 @@
 func TestRefusalsAreCounted(t *testing.T) {
 	var r refusalCounter
 	at := time.Unix(1000, 0)
-	if count, say := r.record(at); !say || count != 1 {
-		t.Errorf("the first: %d, %v", count, say)
+	if count, shouldLog := r.record(at); !shouldLog || count != 1 {
+		t.Errorf("the first: %d, %v", count, shouldLog)
 	}
 	for i := range 500 {
-		if _, say := r.record(at.Add(time.Duration(i) * time.Millisecond)); say {
+		if _, shouldLog := r.record(at.Add(time.Duration(i) * time.Millisecond)); shouldLog {
 			t.Fatalf("logged again after %d ms", i)
 		}
 	}
-	if count, say := r.record(at.Add(time.Second)); !say || count != 501 {
-		t.Errorf("a second later: %d, %v", count, say)
+	if count, shouldLog := r.record(at.Add(time.Second)); !shouldLog || count != 501 {
+		t.Errorf("a second later: %d, %v", count, shouldLog)
 	}
 }
