--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -53,6 +53,41 @@
 	return file
 }
 
+// jobFile stands for the path of a file with a job.
+const jobFile = "JOBFILE"
+
+// documentedCommands are the subcommands for a hosted service, and the method and path of the request
+// that each sends last.
+var documentedCommands = []struct{ line, want string }{
+	{"admin tenant list", "GET /admin/v1/tenants"},
+	{"admin tenant show kipper", "GET /admin/v1/tenants/kipper"},
+	{"admin tenant add kipper --team dispo --team red --rate 2 --burst 4 --network 10.0.0.0/8 --network 192.0.2.1", "PUT /admin/v1/tenants/kipper"},
+	{"admin tenant change kipper --open-jobs 5", "PUT /admin/v1/tenants/kipper"},
+	{"admin tenant suspend kipper --why unpaid", "POST /admin/v1/tenants/kipper/suspend"},
+	{"admin tenant resume kipper", "POST /admin/v1/tenants/kipper/resume"},
+	{"admin tenant remove kipper --cancel", "POST /admin/v1/tenants/kipper/remove"},
+	{"admin tenant usage kipper", "GET /admin/v1/tenants/kipper/usage"},
+	{"admin tenant key add kipper laptop --expires 1h", "POST /admin/v1/tenants/kipper/keys"},
+	{"admin tenant key revoke kipper laptop", "POST /admin/v1/tenants/kipper/keys/laptop/revoke"},
+	{"admin operators show", "GET /admin/v1/operators"},
+	{"admin operators change --cpus 4 --network=", "PUT /admin/v1/operators"},
+	{"admin operators key add watch --role read", "POST /admin/v1/operators/keys"},
+	{"admin operators key revoke first", "POST /admin/v1/operators/keys/first/revoke"},
+	{"admin team put dispo --cpus 3 --cpus-max 4", "PUT /admin/v1/teams/dispo"},
+	{"admin team remove dispo", "POST /admin/v1/teams/dispo/remove"},
+	{"admin pool list", "GET /admin/v1/pools"},
+	{"admin pool show routing", "GET /admin/v1/pools/routing"},
+	{"admin pool put routing --size 3 --team dispo --frozen --guarantee dispo=2", "PUT /admin/v1/pools/routing"},
+	{"admin pool remove routing", "POST /admin/v1/pools/routing/remove"},
+	{"admin audit --limit 5", "GET /admin/v1/audit"},
+	{"job submit " + jobFile, "POST /v1/jobs"},
+	{"job show run-1", "GET /v1/jobs/run-1"},
+	{"job list", "GET /v1/jobs"},
+	{"job usage", "GET /v1/usage"},
+	{"job history --after x", "GET /v1/history"},
+	{"job cancel run-1", "POST /v1/jobs/run-1/withdraw"},
+}
+
 // findOperation is what the document says of a method and a path, or nil.
 func findOperation(doc *openapi3.T, method, path string) *openapi3.Operation {
 	var found *openapi3.Operation
@@ -120,32 +155,8 @@
 		t.Fatal(err)
 	}
 	addr, key := strings.TrimPrefix(s.URL, "http://"), writeKeyFile(t)
-	for line, want := range map[string]string{
-		"admin tenant list": "GET /admin/v1/tenants", "admin tenant show kipper": "GET /admin/v1/tenants/kipper",
-		"admin tenant add kipper --team dispo --team red --rate 2 --burst 4 --network 10.0.0.0/8 --network 192.0.2.1": "PUT /admin/v1/tenants/kipper",
-		"admin tenant change kipper --open-jobs 5":        "PUT /admin/v1/tenants/kipper",
-		"admin tenant suspend kipper --why unpaid":        "POST /admin/v1/tenants/kipper/suspend",
-		"admin tenant resume kipper":                      "POST /admin/v1/tenants/kipper/resume",
-		"admin tenant remove kipper --cancel":             "POST /admin/v1/tenants/kipper/remove",
-		"admin tenant usage kipper":                       "GET /admin/v1/tenants/kipper/usage",
-		"admin tenant key add kipper laptop --expires 1h": "POST /admin/v1/tenants/kipper/keys",
-		"admin tenant key revoke kipper laptop":           "POST /admin/v1/tenants/kipper/keys/laptop/revoke",
-		"admin operators show":                            "GET /admin/v1/operators",
-		"admin operators change --cpus 4 --network=":      "PUT /admin/v1/operators",
-		"admin operators key add watch --role read":       "POST /admin/v1/operators/keys",
-		"admin operators key revoke first":                "POST /admin/v1/operators/keys/first/revoke",
-		"admin team put dispo --cpus 3 --cpus-max 4":      "PUT /admin/v1/teams/dispo",
-		"admin team remove dispo":                         "POST /admin/v1/teams/dispo/remove",
-		"admin pool list":                                 "GET /admin/v1/pools", "admin pool show routing": "GET /admin/v1/pools/routing",
-		"admin pool put routing --size 3 --team dispo --frozen --guarantee dispo=2": "PUT /admin/v1/pools/routing", "admin pool remove routing": "POST /admin/v1/pools/routing/remove",
-		"admin audit --limit 5": "GET /admin/v1/audit",
-		"job submit " + job:     "POST /v1/jobs",
-		"job show run-1":        "GET /v1/jobs/run-1",
-		"job list":              "GET /v1/jobs",
-		"job usage":             "GET /v1/usage",
-		"job history --after x": "GET /v1/history",
-		"job cancel run-1":      "POST /v1/jobs/run-1/withdraw",
-	} {
+	for _, c := range documentedCommands {
+		line, want := strings.Replace(c.line, jobFile, job, 1), c.want
 		words := strings.Fields(line)
 		if err := runCommand(t, append([]string{words[0], "--addr", addr, "--key-file", key}, words[1:]...)...); err != nil {
 			t.Errorf("%s: %v", line, err)
