--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -19,7 +19,7 @@
 // ErrEmptyCall is returned for a call that asks for nothing.
 var ErrEmptyCall = errors.New("asks for nothing")
 
-// Request returns the HTTP request for a call. It returns an ErrEmptyCall if the call asks for nothing.
+// Request returns the HTTP request for a call. A call that asks for nothing is an ErrEmptyCall.
 func Request(c message.CloudCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Types:
