--- a/controller/jobs/cancel.go
+++ b/controller/jobs/cancel.go
@@ -123,7 +123,7 @@
 		if j := s.core.State.Jobs[status.JobID]; j != nil && j.Cancelled {
 			elapsed = max(elapsed, time.Duration(s.core.WallClock-j.CancelledAt)*time.Millisecond)
 		}
-		slog.Info("job cancelled", "job", status.JobID, "state", status.State, "after", elapsed.Seconds())
+		slog.Info(core.LogJobCancelled, "job", status.JobID, "state", status.State, "after", elapsed.Seconds())
 		respond(status)
 	}
 	return func(status api.JobStatus) {
--- a/controller/jobs/submit.go
+++ b/controller/jobs/submit.go
@@ -105,7 +105,7 @@
 	switch response.Status {
 	case http.StatusOK:
 		s.core.Reply(sub.request.Req, http.StatusCreated, api.JobStatus{JobID: id, State: api.JobPending}, 0)
-		slog.Info("job accepted", "job", id, core.SpecAttr(sub.spec))
+		slog.Info(core.LogJobAccepted, "job", id, core.SpecAttr(sub.spec))
 		s.siblings.Log.LinearizableRead(func() {}, func() {}) // so that its first round comes soon
 	case http.StatusConflict:
 		s.LookupJob(id, sub.replyKnown, sub.forward, sub.forward)
--- a/controller/rounds/commit.go
+++ b/controller/rounds/commit.go
@@ -165,7 +165,7 @@
 func (s *Scheduler) logFinishedJobs(record *clusterstate.Record) {
 	for _, delta := range record.Jobs {
 		if j := s.core.State.Jobs[delta.Job]; j != nil && len(delta.Completed) > 0 && j.State() == api.JobDone {
-			slog.Info("job done", core.TenantAttr(j), "job", delta.Job, core.SpecAttr(j.Spec), "estimate", j.Spec.Estimate,
+			slog.Info(core.LogJobDone, core.TenantAttr(j), "job", delta.Job, core.SpecAttr(j.Spec), "estimate", j.Spec.Estimate,
 				"after", s.core.SecondsSinceAcceptance(j), "limits", s.core.CompletionObjectives(j.Spec))
 		}
 	}
--- a/controller/rounds/flow.go
+++ b/controller/rounds/flow.go
@@ -302,7 +302,7 @@
 	m, j := problem.machines[assignment.MachineIndex], problem.jobs[assignment.JobIndex]
 	if !j.OwnerState.StartPlanned {
 		j.OwnerState.StartPlanned = true
-		slog.Info("job starts", core.TenantAttr(j), "job", j.ID, core.SpecAttr(j.Spec), "partition", problem.owned.ID, "after", s.core.SecondsSinceAcceptance(j))
+		slog.Info(core.LogJobStarts, core.TenantAttr(j), "job", j.ID, core.SpecAttr(j.Spec), "partition", problem.owned.ID, "after", s.core.SecondsSinceAcceptance(j))
 	}
 	if j.OwnerState.LastLossAt != 0 && j.Spec.Kind == api.Service {
 		slog.Debug("replica restarted", "job", j.ID, "task", assignment.Task, "machine", m.ID, "type", m.MachineType,
