--- a/tools/regress/grow.go
+++ b/tools/regress/grow.go
@@ -2,53 +2,41 @@
 
 import (
 	"fmt"
-	"path/filepath"
 	"strings"
-
-	"github.com/BurntSushi/toml"
 )
 
+// machineFaultPrefix begins the kinds of faults whose count is one of machines.
+const machineFaultPrefix = "machine_"
+
 // growDeployment writes a copy of a deployment into a folder, with so many times the machines, the
-// work and the teams' limits, and processes that are back so many seconds after they end.
+// work and the teams' limits, and controllers that restart so many seconds after they end.
 // What the controllers and the key-value store may use stays. It returns the copy's path.
 func growDeployment(file, dir string, factor, restartDelay float64) (string, error) {
-	var deployment map[string]any
-	if _, err := toml.DecodeFile(file, &deployment); err != nil {
-		return "", fmt.Errorf("%s: %w", file, err)
-	}
-	grown := func(table any, fields ...string) {
-		rows, _ := table.([]map[string]any)
-		if one, ok := table.(map[string]any); ok {
-			rows = []map[string]any{one}
-		}
-		for _, row := range rows {
-			for _, f := range fields {
-				scaleField(row, f, factor)
-			}
-		}
+	deployment, err := readDeployment(file)
+	if err != nil {
+		return "", err
 	}
-	grown(deployment["capacity"], "count", "spot")
-	grown(deployment["machines"], "count")
-	grown(deployment["teams"], "cpus", "cpus_max", "gpus", "gpus_max")
-	grown(deployment["jobs"], "initial")
-	jobs, _ := deployment["jobs"].([]map[string]any)
-	for _, j := range jobs {
-		grown(j["arrivals"], "rate")
+	scaleRows(deployment["capacity"], factor, "count", "spot")
+	scaleRows(deployment["machines"], factor, "count")
+	scaleRows(deployment["teams"], factor, "cpus", "cpus_max", "gpus", "gpus_max")
+	scaleWork(deployment, factor)
+	scaleMachineFaults(deployment, factor)
+	if nodes, ok := deployment["nodes"].(tomlTable); ok {
+		nodes["restart_delay_s"] = restartDelay
 	}
-	days, _ := deployment["day"].([]map[string]any)
+	return writeDeployment(deployment, file, dir, deploymentName(file)+fmt.Sprintf("-x%g", factor))
+}
+
+// scaleMachineFaults multiplies how many machines the days' faults hit.
+func scaleMachineFaults(deployment tomlTable, factor float64) {
+	days, _ := deployment["day"].([]tomlTable)
 	for _, d := range days {
-		faults, _ := d["faults"].([]any) // tables in a line
+		faults, _ := d["faults"].([]any) // inline tables
 		for _, f := range faults {
-			fault, _ := f.(map[string]any)
-			if kind, _ := fault["kind"].(string); strings.HasPrefix(kind, "machine_") {
-				grown(fault, "count")
+			fault, _ := f.(tomlTable)
+			if kind, _ := fault["kind"].(string); strings.HasPrefix(kind, machineFaultPrefix) {
+				scaleField(fault, "count", factor)
 			}
 		}
 	}
-	if nodes, ok := deployment["nodes"].(map[string]any); ok {
-		nodes["restart_delay_s"] = restartDelay
-	}
-	name := strings.TrimSuffix(filepath.Base(file), ".toml") + fmt.Sprintf("-x%g", factor)
-	deployment["name"] = name
-	return writeDeployment(deployment, file, dir, name)
 }
--- a/tools/regress/largest_jobs.go
+++ b/tools/regress/largest_jobs.go
@@ -1,121 +1,15 @@
 package main
 
 import (
-	"bufio"
 	"cmp"
-	"io"
 	"maps"
-	"math"
 	"slices"
-	"strconv"
-	"strings"
-
-	"basaltwall/controller/core"
 )
 
 // maxStartWait is how long one of a class's largest jobs may wait to start, in seconds: well
 // within the four minutes after which a day fails.
 const maxStartWait = 200.0
 
-// Keys of the controllers' log records of jobs; the messages are core.LogJobAccepted and its like.
-const (
-	logKeyJob   = "job"
-	logKeyAfter = "after" // seconds since the job was accepted
-	logKeyClass = "asks.class"
-	logKeyTasks = "asks.tasks"
-	logKeyCPUs  = "asks.cpus" // of each task, as are those below
-	logKeyGPUs  = "asks.gpus"
-	logKeyMemGB = "asks.mem_gb"
-)
-
-// maxLogLine bounds a line of a day's log, in bytes.
-const maxLogLine = 1 << 20
-
-// loggedJob is what controllers' logs tell of a job.
-type loggedJob struct {
-	class              string
-	gpus, cpus, memory float64 // of all its tasks
-	acceptedAt         float64 // seconds of simulated time, as far as is known
-	startDelay         float64 // seconds from acceptance to the first start; infinite without one
-	done, cancelled    bool
-}
-
-// jobRecord is a log record of a job.
-type jobRecord struct {
-	at      float64 // simulated time, seconds
-	message string
-	fields  map[string]string
-}
-
-// number is the value of a numeric field, 0 if the record does not have it.
-func (r *jobRecord) number(key string) float64 {
-	v, _ := strconv.ParseFloat(r.fields[key], 64)
-	return v
-}
-
-// parseJobRecord reads a line of a day's log: the simulated time, the controller, and what it wrote.
-// It is false for lines that are no record of a job.
-func parseJobRecord(line string) (jobRecord, bool) {
-	clock, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
-	at, err := strconv.ParseFloat(clock, 64)
-	if err != nil {
-		return jobRecord{}, false
-	}
-	_, rest, _ = strings.Cut(rest, `msg="`)
-	message, rest, _ := strings.Cut(rest, `"`)
-	switch message {
-	case core.LogJobAccepted, core.LogJobStarts, core.LogJobDone, core.LogJobCancelled:
-	default:
-		return jobRecord{}, false
-	}
-	record := jobRecord{at: at, message: message, fields: map[string]string{}}
-	for _, word := range strings.Fields(rest) {
-		if key, value, ok := strings.Cut(word, "="); ok {
-			record.fields[key] = value
-		}
-	}
-	return record, true
-}
-
-// update takes in a log record of the job. A job may have several records of its start, as a
-// controller that took over its partition may not know of the first.
-func (j *loggedJob) update(record *jobRecord) {
-	if class := record.fields[logKeyClass]; class != "" {
-		tasks := record.number(logKeyTasks)
-		j.class = class
-		j.gpus = tasks * record.number(logKeyGPUs)
-		j.cpus = tasks * record.number(logKeyCPUs)
-		j.memory = tasks * record.number(logKeyMemGB)
-	}
-	switch record.message {
-	case core.LogJobStarts:
-		j.startDelay = min(j.startDelay, record.number(logKeyAfter))
-	case core.LogJobDone:
-		j.done = true
-	case core.LogJobCancelled:
-		j.cancelled = true
-	}
-}
-
-// parseJobLog gathers the jobs from a day's log, by their IDs.
-func parseJobLog(r io.Reader) map[string]*loggedJob {
-	jobs := map[string]*loggedJob{}
-	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLogLine)
-	for lines.Scan() {
-		record, ok := parseJobRecord(lines.Text())
-		if !ok {
-			continue
-		}
-		id := record.fields[logKeyJob]
-		if jobs[id] == nil {
-			jobs[id] = &loggedJob{acceptedAt: record.at - record.number(logKeyAfter), startDelay: math.Inf(1)}
-		}
-		jobs[id].update(&record)
-	}
-	return jobs
-}
-
 // largestJobs tells how the largest jobs of classes were served.
 type largestJobs struct {
 	class         string  // whose largest tenth was served least
@@ -176,8 +70,6 @@
 	return out
 }
 
-func (j *loggedJob) started() bool { return !math.IsInf(j.startDelay, 1) }
-
 // served tells whether the job got what it asked for: its end if jobs of its class are finite, its
 // start otherwise.
 func (j *loggedJob) served(finite bool) bool { return j.done || !finite && j.started() }
--- a/tools/regress/resize.go
+++ b/tools/regress/resize.go
@@ -4,12 +4,7 @@
 	"fmt"
 	"maps"
 	"math"
-	"os"
-	"path/filepath"
 	"slices"
-	"strings"
-
-	"github.com/BurntSushi/toml"
 )
 
 // deploymentSize is how large a copy of a deployment is to be.
@@ -23,17 +18,14 @@
 // targetSize is the size that the users expect, see docs/CAPACITY.md.
 var targetSize = deploymentSize{Machines: 2700, Controllers: 23, Zones: 8, Teams: 57}
 
-// tomlTable is a table of a deployment's file.
-type tomlTable = map[string]any
-
 // resizeDeployment writes a copy of a deployment with so many machines, controllers, zones and teams into a
 // folder; work and limits grow with the machines. Teams and zones are multiplied: each has copies
 // that share what it had. Limits of the controllers and of the key-value store stay. It returns the
 // copy's path.
 func resizeDeployment(file, dir string, to deploymentSize) (string, error) {
-	var deployment tomlTable
-	if _, err := toml.DecodeFile(file, &deployment); err != nil {
-		return "", fmt.Errorf("%s: %w", file, err)
+	deployment, err := readDeployment(file)
+	if err != nil {
+		return "", err
 	}
 	nodes, _ := deployment["nodes"].(tomlTable)
 	machines, _ := deployment["machines"].([]tomlTable)
@@ -50,16 +42,8 @@
 		deployment[key] = distributeMachines(rows, zoneCopies, factor)
 	}
 	replicateTeams(deployment, to.Teams, factor)
-	jobs, _ := deployment["jobs"].([]tomlTable)
-	for _, j := range jobs {
-		scaleField(j, "initial", factor)
-		if arrivals, ok := j["arrivals"].(tomlTable); ok {
-			scaleField(arrivals, "rate", factor)
-		}
-	}
-	name := strings.TrimSuffix(filepath.Base(file), ".toml") + fmt.Sprintf("-%dx%d", to.Machines, to.Controllers)
-	deployment["name"] = name
-	return writeDeployment(deployment, file, dir, name)
+	scaleWork(deployment, factor)
+	return writeDeployment(deployment, file, dir, fmt.Sprintf("%s-%dx%d", deploymentName(file), to.Machines, to.Controllers))
 }
 
 // machineCount is how many machines the rows name.
@@ -72,7 +56,7 @@
 	return sum
 }
 
-// taskZones are the zones that a deployment's machines are in.
+// zonesOf are the zones that a deployment's machines are in.
 func zonesOf(deployment tomlTable) []string {
 	seen := map[string]bool{}
 	rows, _ := deployment["capacity"].([]tomlTable)
@@ -168,56 +152,3 @@
 		j["teams"] = all
 	}
 }
-
-// scaleField multiplies a field, if there is one.
-func scaleField(r tomlTable, field string, factor float64) {
-	switch v := r[field].(type) {
-	case int64:
-		r[field] = int64(math.Round(float64(v) * factor))
-	case float64:
-		r[field] = v * factor
-	}
-}
-
-// writeDeployment writes a deployment's copy, and beside it the file it names, and returns its path.
-func writeDeployment(deployment tomlTable, file, dir, name string) (string, error) {
-	if wire, _ := deployment["wire"].(string); wire != "" {
-		data, err := os.ReadFile(filepath.Join(filepath.Dir(file), wire))
-		if err == nil {
-			err = os.WriteFile(filepath.Join(dir, wire), data, 0o644)
-		}
-		if err != nil {
-			return "", err
-		}
-	}
-	out := filepath.Join(dir, name+".toml")
-	f, err := os.Create(out)
-	if err != nil {
-		return "", err
-	}
-	defer func() { _ = f.Close() }()
-	return out, toml.NewEncoder(f).Encode(deployment)
-}
-
-// runScaleDays plays days of copies of the target's size, for their rules. It returns what is wrong.
-func runScaleDays(files []string, dir string) []string {
-	var problems []string
-	for _, f := range files {
-		copied, err := resizeDeployment(f, dir, targetSize)
-		if err != nil {
-			problems = append(problems, err.Error())
-			continue
-		}
-		for _, day := range scaleDays {
-			// What is wrong with it is in the journal's entry.
-			_ = runBench(os.Stdout, os.Stderr, "run", copied, day, "--no-cpu", "--until", fmt.Sprint(scaleEndSeconds), "--why", cli.Why)
-		}
-	}
-	return problems
-}
-
-// scaleDays are the days that are played of such copies, and scaleEndSeconds until when, in seconds: all
-// controllers have ended and a zone was cut off by then.
-var scaleDays = []string{"restart", "zone"}
-
-const scaleEndSeconds = 240
--- /dev/null
+++ b/tools/regress/served_test.go
@@ -0,0 +1,21 @@
+package main
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// The least served are found by what is missing: replica time, jobs that did not end, jobs
+// of a team that never started. Cancelled work is held against nobody.
+func TestLeastServed(t *testing.T) {
+	var r dayReport
+	if err := json.Unmarshal([]byte(`{"classes":{"web":{"jobs":10,"started":10,"done":0,"cancelled":7,"up":0.97},
+		"batch":{"jobs":20,"started":20,"done":9,"cancelled":2}},
+		"teams":{"a":{"jobs":5,"started":5},"b":{"jobs":8,"started":2},"c":{"jobs":0,"started":0}}}`), &r); err != nil {
+		t.Fatal(err)
+	}
+	class, team := r.leastServed()
+	if class.name != "batch" || class.share != 0.5 || team.name != "b" || team.share != 0.25 {
+		t.Errorf("least served: class %s %.3f, team %s %.3f", class.name, class.share, team.name, team.share)
+	}
+}
