--- a/tools/scale/agent.go
+++ b/tools/scale/agent.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -12,7 +12,6 @@
 	"os/exec"
 	"path/filepath"
 	"strconv"
-	"sync"
 	"syscall"
 	"time"
 
@@ -20,7 +19,7 @@
 	"basaltwall/internal/emulator"
 )
 
-// agentCmd measures what the protocol costs one worker: a hollow worker alone in a process, beside
+// agentCmd measures what the protocol costs one worker: an emulated worker alone in a process, beside
 // a controller that only keeps it busy. Fetching, running and saving tasks are not in it.
 type agentCmd struct {
 	Tasks  int           `default:"27" help:"Tasks that run at once."`
@@ -42,18 +41,27 @@
 	Bytes      float64 `json:"bytes_a_second"`
 }
 
+// Times of a measurement.
+const (
+	maxAgentTime = 10 * time.Minute
+	agentSettle  = 10 * time.Second // until the tasks run
+)
+
+// errNoHeartbeats is returned when the worker sent none in the time that was measured.
+var errNoHeartbeats = errors.New("the worker does not report")
+
 // Run starts the worker's process and keeps it busy.
 func (c *agentCmd) Run(ctx context.Context) error {
 	if c.Child != "" {
 		return c.runWorker(ctx)
 	}
-	c.For = min(c.For, 10*time.Minute)
+	c.For = min(c.For, maxAgentTime)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	stubController := &stubControllerHandler{targetTasks: c.Tasks}
-	server := &http.Server{Handler: stubController}
+	stub := &stubController{targetTasks: c.Tasks}
+	server := &http.Server{Handler: stub}
 	go func() { _ = server.Serve(ln) }()
 	defer func() { _ = server.Close() }()
 	self, err := os.Executable()
@@ -68,19 +76,13 @@
 	}
 	defer func() { _ = cmd.Wait() }()
 	defer func() { _ = cmd.Process.Kill() }()
-	if err := sleep(ctx, 10*time.Second); err != nil { // until the tasks run
+	if err := sleep(ctx, agentSettle); err != nil {
 		return err
 	}
-	before, countsBefore, begun := usageOf(cmd.Process.Pid), stubController.count(), time.Now()
-	if err := sleep(ctx, c.For); err != nil {
+	r, err := c.measure(ctx, cmd.Process.Pid, stub)
+	if err != nil {
 		return err
 	}
-	after, countsAfter, window := usageOf(cmd.Process.Pid), stubController.count(), time.Since(begun).Seconds()
-	if countsAfter.heartbeats == countsBefore.heartbeats {
-		return fmt.Errorf("the worker does not report")
-	}
-	r := agentResult{At: time.Now().UTC().Format(time.RFC3339), Tasks: c.Tasks, Starts: c.Starts, Window: window, Cores: (after.CPU - before.CPU).Seconds() / window,
-		ResidentMB: float64(after.PeakRSS) / (1 << 20), Heartbeats: float64(countsAfter.heartbeats-countsBefore.heartbeats) / window, Bytes: float64(countsAfter.bytes-countsBefore.bytes) / window}
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return err
@@ -89,13 +91,36 @@
 	return os.WriteFile(filepath.Join(c.Out, agentFile), append(data, '\n'), 0o644)
 }
 
+// measure reads what the worker's process uses and sends in the time that is asked for.
+func (c *agentCmd) measure(ctx context.Context, pid int, stub *stubController) (agentResult, error) {
+	usageBefore, countsBefore, begun := usageOf(pid), stub.count(), time.Now()
+	if err := sleep(ctx, c.For); err != nil {
+		return agentResult{}, err
+	}
+	usageAfter, countsAfter, window := usageOf(pid), stub.count(), time.Since(begun).Seconds()
+	if countsAfter.heartbeats == countsBefore.heartbeats {
+		return agentResult{}, errNoHeartbeats
+	}
+	return agentResult{
+		At:         time.Now().UTC().Format(time.RFC3339),
+		Tasks:      c.Tasks,
+		Starts:     c.Starts,
+		Window:     window,
+		Cores:      (usageAfter.CPU - usageBefore.CPU).Seconds() / window,
+		ResidentMB: float64(usageAfter.PeakRSS) / (1 << 20),
+		Heartbeats: float64(countsAfter.heartbeats-countsBefore.heartbeats) / window,
+		Bytes:      float64(countsAfter.bytes-countsBefore.bytes) / window,
+	}, nil
+}
+
 // agentFile is where the result lies, beside the runs' results.
 const agentFile = "agent/agent.json"
 
-// runWorker is the worker's process: a world with one machine, whose controller is elsewhere.
+// runWorker is the worker's process: a simulation with one machine, whose controller is elsewhere.
 func (c *agentCmd) runWorker(ctx context.Context) error {
 	e := &experiment{Name: "agent", Controllers: 1, Machines: 1, Zones: 1, Regions: 1, Teams: 1, Machine: machineSpec{CPUs: 64, MemGB: 256, CacheGB: 100, Fetch: 1},
-		Workers: workerTimes{3, 31, 35, 6, 61}, State: storeLimits{150, 50, 8, 48}, Cloud: cloudLimits{10, 5}, Limits: controllerLimits{0.36, 342, 2000}}
+		Workers: workerTimes{Report: 3, Lease: 31, GangWait: 35, GangPeer: 6, Cancel: 61}, State: storeLimits{RPS: 150, WriteRPS: 50, ValueKB: 8, TxnOps: 48},
+		Cloud: cloudLimits{RPS: 10, ListLag: 5}, Limits: controllerLimits{CPUShare: 0.36, MemoryMB: 342, FDLimit: 2000}}
 	p := deploymentConfig(e)
 	p.ClockInterval = 50 * time.Millisecond
 	fleet, err := emulator.StartFleet(ctx, p)
@@ -112,57 +137,3 @@
 
 // agentJob is the job whose tasks the worker runs.
 const agentJob = "run-000001"
-
-// stubControllerHandler answers a worker's reports so that it always runs so many tasks.
-type stubControllerHandler struct {
-	targetTasks int
-
-	mu       sync.Mutex
-	nextTask int
-	counts   agentCounts
-}
-
-type agentCounts struct{ heartbeats, bytes int }
-
-func (b *stubControllerHandler) count() agentCounts {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.counts
-}
-
-// headerBytes is about what a request's and an answer's headers take beside the bodies.
-const headerBytes = 250
-
-// ServeHTTP answers a report: ended tasks are reaped, others started in their place.
-func (b *stubControllerHandler) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(r.Body)
-	var report api.Heartbeat
-	if err != nil || json.Unmarshal(body, &report) != nil {
-		rw.WriteHeader(http.StatusBadRequest)
-		return
-	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	o := api.CommandBatch{Token: 1}
-	active := 0
-	for _, t := range report.Tasks {
-		if t.State == api.TaskExited {
-			o.Commands = append(o.Commands, api.Command{Op: api.OpReap, Task: t.Task, Attempt: t.Attempt})
-		} else {
-			active++
-		}
-	}
-	starting := 3 // at once, so that they do not end at once
-	for ; active < b.targetTasks && starting > 0; starting, active = starting-1, active+1 {
-		o.Commands = append(o.Commands, api.Command{Op: api.OpStart, Task: fmt.Sprintf("%s/%d", agentJob, b.nextTask), Attempt: 1})
-		b.nextTask++
-	}
-	answer, err := json.Marshal(o)
-	if err != nil {
-		rw.WriteHeader(http.StatusInternalServerError)
-		return
-	}
-	b.counts.heartbeats++
-	b.counts.bytes += len(body) + len(answer) + headerBytes
-	_, _ = rw.Write(answer)
-}
--- a/tools/scale/main.go
+++ b/tools/scale/main.go
@@ -1,6 +1,6 @@
 // Command scale measures the service at large size on one machine: controllers are real processes
-// of the shipped program; workers, users, key-value store and cloud are hollow and share one process
-// on loopback. What it measures lies in docs/capacity, and docs/CAPACITY.md is made from that.
+// of the shipped program; emulators of workers, users, the key-value store and the cloud share one
+// process on loopback. What it measures lies in docs/capacity, and docs/CAPACITY.md is made from that.
 package main
 
 import (
@@ -15,6 +15,7 @@
 	"github.com/alecthomas/kong"
 )
 
+// cli are the subcommands.
 var cli struct {
 	Run     runCmd     `cmd:"" help:"Play experiments and keep their results."`
 	Page    pageCmd    `cmd:"" help:"Write the tables and plots of the capacity page anew from the results."`
@@ -45,24 +46,22 @@
 	}
 	var failed error
 	for _, e := range all {
-		for i, one := range e.variants() {
-			res, err := runExperiment(ctx, one, c.Program, c.Label)
+		for i, variant := range e.variants() {
+			res, err := runExperiment(ctx, variant, c.Program, c.Label)
 			if res == nil {
-				return fmt.Errorf("%s: %w", one.Name, err)
+				return fmt.Errorf("%s: %w", variant.Name, err)
 			}
 			if e.Vary != nil {
 				res.Vary, res.Value = e.Vary.Key, e.Vary.Values[i]
 			}
-			name, saveErr := res.save(c.Out)
-			if saveErr != nil {
-				return saveErr
+			if err := c.keep(res); err != nil {
+				return err
 			}
-			slog.Info("run finished", "experiment", one.Name, "result", name, "cores", res.CPU, "starts", res.Starts, "broken", len(res.Violations), "failed", res.Failed)
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
 			if len(res.Violations) > 0 {
-				return fmt.Errorf("%s: %w: %s", one.Name, errViolation, res.Violations[0])
+				return fmt.Errorf("%s: %w: %s", variant.Name, errViolation, res.Violations[0])
 			}
 			failed = errors.Join(failed, err)
 		}
@@ -70,6 +69,16 @@
 	return failed
 }
 
+// keep saves a run's result and logs it.
+func (c *runCmd) keep(res *result) error {
+	file, err := res.save(c.Out)
+	if err != nil {
+		return err
+	}
+	slog.Info("run finished", "experiment", res.Name, "result", file, "cores", res.CPU, "starts", res.Starts, "broken", len(res.Violations), "failed", res.Failed)
+	return nil
+}
+
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/tools/scale/metric.go
+++ b/tools/scale/metric.go
@@ -6,7 +6,7 @@
 	"basaltwall/internal/emulator"
 )
 
-// metric is a figure that a result holds.
+// metric is a figure that results have; the table of roles refers to it by its name.
 type metric struct {
 	name        string
 	description string
@@ -36,21 +36,21 @@
 	{"worker_direct", "direct commands to a worker", "1/s", func(r *result) float64 { return r.Worker.Direct }},
 	{"worker_bytes", "bytes of a worker, both ways", "KB/s", func(r *result) float64 { return r.Worker.Bytes / 1000 }},
 	{"starts", "task starts", "1/s", func(r *result) float64 { return perSecond(r, float64(r.Starts)) }},
-	{"accepted_p50", "acceptance, median", "s", func(r *result) float64 { return r.Latency["accepted"].P50 }},
-	{"accepted_p99", "acceptance, p99", "s", func(r *result) float64 { return r.Latency["accepted"].P99 }},
-	{"poll_p50", "answer to a question, median", "s", func(r *result) float64 { return r.Latency["poll"].P50 }},
-	{"poll_p99", "answer to a question, p99", "s", func(r *result) float64 { return r.Latency["poll"].P99 }},
-	{"cancel_p50", "cancellation told, median", "s", func(r *result) float64 { return r.Latency["cancel"].P50 }},
-	{"urgent_p50", "start of urgent work, median", "s", func(r *result) float64 { return r.Latency["start urgent"].P50 }},
-	{"urgent_p99", "start of urgent work, p99", "s", func(r *result) float64 { return r.Latency["start urgent"].P99 }},
-	{"batch_p50", "start of arrays' tasks, median", "s", func(r *result) float64 { return r.Latency["start batch"].P50 }},
-	{"batch_p99", "start of arrays' tasks, p99", "s", func(r *result) float64 { return r.Latency["start batch"].P99 }},
-	{"settings_p50", "settings in force everywhere, median", "s", func(r *result) float64 { return r.Latency["settings in force everywhere"].P50 }},
-	{"settings_max", "settings in force everywhere, worst", "s", func(r *result) float64 { return r.Latency["settings in force everywhere"].Max }},
+	{"accepted_p50", "acceptance, median", "s", func(r *result) float64 { return r.Latency[latencyAccepted].P50 }},
+	{"accepted_p99", "acceptance, p99", "s", func(r *result) float64 { return r.Latency[latencyAccepted].P99 }},
+	{"poll_p50", "answer to a question, median", "s", func(r *result) float64 { return r.Latency[latencyPoll].P50 }},
+	{"poll_p99", "answer to a question, p99", "s", func(r *result) float64 { return r.Latency[latencyPoll].P99 }},
+	{"cancel_p50", "cancellation told, median", "s", func(r *result) float64 { return r.Latency[latencyCancel].P50 }},
+	{"urgent_p50", "start of urgent work, median", "s", func(r *result) float64 { return r.Latency[latencyStartUrgent].P50 }},
+	{"urgent_p99", "start of urgent work, p99", "s", func(r *result) float64 { return r.Latency[latencyStartUrgent].P99 }},
+	{"batch_p50", "start of arrays' tasks, median", "s", func(r *result) float64 { return r.Latency[latencyStartBatch].P50 }},
+	{"batch_p99", "start of arrays' tasks, p99", "s", func(r *result) float64 { return r.Latency[latencyStartBatch].P99 }},
+	{"settings_p50", "settings in force everywhere, median", "s", func(r *result) float64 { return r.Latency[latencySettings].P50 }},
+	{"settings_max", "settings in force everywhere, worst", "s", func(r *result) float64 { return r.Latency[latencySettings].Max }},
 	{"hollow_cpu", "processor time of all that is hollow", "cores", func(r *result) float64 { return r.EmulatorCPU }},
 }
 
-// findMetric finds a metric.
+// findMetric finds a metric by its name.
 func findMetric(name string) (metric, bool) {
 	i := slices.IndexFunc(metrics, func(m metric) bool { return m.name == name })
 	if i < 0 {
@@ -59,6 +59,7 @@
 	return metrics[i], true
 }
 
+// perSecond divides a count by the window.
 func perSecond(r *result, count float64) float64 {
 	if r.Window == 0 {
 		return 0
@@ -66,14 +67,16 @@
 	return count / r.Window
 }
 
-func maxOverControllers(r *result, of func(controllerUsage) float64) float64 {
-	best := 0.0
+// maxOverControllers is the largest value of any controller.
+func maxOverControllers(r *result, value func(controllerUsage) float64) float64 {
+	largest := 0.0
 	for _, c := range r.ControllerUsage {
-		best = max(best, of(c))
+		largest = max(largest, value(c))
 	}
-	return best
+	return largest
 }
 
+// messageRate is how many messages a second flows have together.
 func messageRate(r *result, flows map[string]emulator.Flow) float64 {
 	sum := int64(0)
 	for _, f := range flows {
@@ -82,6 +85,7 @@
 	return perSecond(r, float64(sum))
 }
 
+// byteRate is how many bytes a second flows have together, both ways.
 func byteRate(r *result, flows map[string]emulator.Flow) float64 {
 	sum := int64(0)
 	for _, f := range flows {
@@ -90,6 +94,7 @@
 	return perSecond(r, float64(sum))
 }
 
+// totalStored is what the key-value store holds of all kinds.
 func totalStored(r *result) (sum emulator.StoredSize) {
 	for _, s := range r.Stored {
 		sum.Keys += s.Keys
--- a/tools/scale/plan.go
+++ b/tools/scale/plan.go
@@ -8,11 +8,13 @@
 	"basaltwall/internal/emulator"
 )
 
-// Names of an experiment's zones and regions.
-func zoneName(i int) api.Zone          { return api.Zone(fmt.Sprintf("zone-%d", i)) }
-func regionName(i int) string          { return fmt.Sprintf("region-%d", i) }
-func teamName(i int) string            { return fmt.Sprintf("team-%d", i) }
-func machineType() api.MachineTypeName { return "node" }
+// machineTypeName is the only type of machines.
+const machineTypeName api.MachineTypeName = "node"
+
+// Names of an experiment's zones, regions and teams.
+func zoneName(i int) api.Zone { return api.Zone(fmt.Sprintf("zone-%d", i)) }
+func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
+func teamName(i int) string   { return fmt.Sprintf("team-%d", i) }
 
 // Shares of what the machines hold that each team is guaranteed, and may use at most, in parts of
 // an even share.
@@ -29,42 +31,80 @@
 		zones = append(zones, zoneName(i))
 		regions.ByZone[zoneName(i)] = regionName(i % e.Regions)
 	}
-	p := emulator.FleetConfig{Machines: e.Machines, Regions: regions, Seed: e.Seed,
-		Types: []api.MachineType{{Name: machineType(), CPUs: e.Machine.CPUs, MemGB: e.Machine.MemGB, CacheGB: e.Machine.CacheGB, FetchRate: e.Machine.Fetch,
-			Price: 1, SpotPrice: 0.5, BootSeconds: 30, Zones: zones}}}
+	deployment := emulator.FleetConfig{
+		Machines:   e.Machines,
+		Regions:    regions,
+		Seed:       e.Seed,
+		Types:      []api.MachineType{e.Machine.machineType(zones)},
+		Deployment: sharedSettings(e, zones),
+	}
 	for i := range e.Controllers {
-		p.Controllers = append(p.Controllers, emulator.FleetController{Label: fmt.Sprintf("stone-%d", i), Zone: zones[i%len(zones)]})
+		deployment.Controllers = append(deployment.Controllers, emulator.FleetController{Label: fmt.Sprintf("stone-%d", i), Zone: zones[i%len(zones)]})
 	}
+	return deployment
+}
+
+// machineType is the type as the cloud offers it.
+func (m machineSpec) machineType(zones []api.Zone) api.MachineType {
+	return api.MachineType{Name: machineTypeName, CPUs: m.CPUs, MemGB: m.MemGB, CacheGB: m.CacheGB, FetchRate: m.Fetch,
+		Price: 1, SpotPrice: 0.5, BootSeconds: 30, Zones: zones}
+}
+
+// teamQuota is a team in the controllers' settings.
+type teamQuota struct {
+	Name    string  `json:"name"`
+	CPUs    float64 `json:"cpus"`
+	CPUsMax float64 `json:"cpus_max"`
+	GPUs    float64 `json:"gpus"`
+	GPUsMax float64 `json:"gpus_max"`
+}
+
+// clockErrorMillis is how far the controllers' clocks may be from each other.
+const clockErrorMillis = 250
+
+// sharedSettings are the settings that all controllers share. Each team gets its parts of an even share.
+func sharedSettings(e *experiment, zones []api.Zone) map[string]any {
 	even := float64(e.Machines) * e.Machine.CPUs / float64(e.Teams)
-	var teams []map[string]any
+	var teams []teamQuota
 	for i := range e.Teams {
-		teams = append(teams, map[string]any{"name": teamName(i), "cpus": guaranteedShare * even, "cpus_max": maxShare * even, "gpus": 0, "gpus_max": 0})
+		teams = append(teams, teamQuota{Name: teamName(i), CPUs: guaranteedShare * even, CPUsMax: maxShare * even})
 	}
-	p.Deployment = map[string]any{"initial_size": e.Controllers, "zones": zones, "teams": teams, "objectives": []any{},
-		"workers": e.Workers, "state": e.State, "cloud": e.Cloud, "limits": e.Limits, "clock_error_ms": 250}
-	return p
+	return map[string]any{"initial_size": e.Controllers, "zones": zones, "teams": teams, "objectives": []any{},
+		"workers": e.Workers, "state": e.State, "cloud": e.Cloud, "limits": e.Limits, "clock_error_ms": clockErrorMillis}
 }
 
 // nextJob is the next job of a load.
 func (r *experimentRun) nextJob(l *jobLoad) *api.JobSpec {
 	n := r.jobCount
 	r.jobCount++
-	s := &api.JobSpec{Ref: api.JobID(fmt.Sprintf("run-%06d", n)), Class: api.Class(l.Name), Team: api.Team(teamName(n % r.experiment.Teams)), Kind: kinds[l.Kind],
-		Priority: api.Priority(l.Priority), Tasks: l.Tasks, CPUs: l.CPUs, MemGB: l.MemGB, Image: api.Image(fmt.Sprintf("%s-%d", l.Name, n%max(1, l.Images))),
-		ImageGB: 0.1, OneZone: l.Together, Spread: l.Scatter, Estimate: l.Run}
-	if s.Kind == api.Service {
-		s.Estimate = 0
+	spec := &api.JobSpec{
+		Ref:      api.JobID(fmt.Sprintf("run-%06d", n)),
+		Class:    api.Class(l.Name),
+		Team:     api.Team(teamName(n % r.experiment.Teams)),
+		Kind:     kinds[l.Kind],
+		Priority: api.Priority(l.Priority),
+		Tasks:    l.Tasks,
+		CPUs:     l.CPUs,
+		MemGB:    l.MemGB,
+		Image:    api.Image(fmt.Sprintf("%s-%d", l.Name, n%max(1, l.Images))),
+		ImageGB:  0.1,
+		OneZone:  l.Together,
+		Spread:   l.Scatter,
+		Estimate: l.Run,
+	}
+	if spec.Kind == api.Service {
+		spec.Estimate = 0
 	}
-	return s
+	return spec
 }
 
-// submit submits the next job of a load, and cancels it halfway where it is that one's turn.
+// submit submits the next job of a load, and cancels it halfway through its run if its turn has come.
 func (r *experimentRun) submit(sim *emulator.Simulation, l *jobLoad) {
-	s := r.nextJob(l)
-	r.submittedAt[s.Ref] = sim.Now
-	sim.Users.Submit(s, seconds(l.Run), "")
+	spec := r.nextJob(l)
+	r.submittedAt[spec.Ref] = sim.Now
+	sim.Users.Submit(spec, seconds(l.Run), "")
 	if l.CancelShare > 0 && r.jobCount%int(1/l.CancelShare) == 0 {
-		sim.After(seconds(l.Run/2), func() { sim.Users.Cancel(s.Ref, "") })
+		sim.After(seconds(l.Run/2), func() { sim.Users.Cancel(spec.Ref, "") })
 	}
 }
 
--- a/tools/scale/process.go
+++ b/tools/scale/process.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"os"
@@ -23,7 +22,7 @@
 
 	mu              sync.Mutex
 	cmd             *exec.Cmd
-	pastCPU         time.Duration // processor time of former lives
+	pastCPU         time.Duration // processor time of earlier processes
 	unexpectedExits int           // that nobody asked for
 	killRequested   bool          // its end was asked for
 }
@@ -60,12 +59,15 @@
 	return nil
 }
 
-// logLevel is what controllers log, error unless the environment says otherwise.
+// defaultLogLevel is what controllers log unless the environment says otherwise.
+const defaultLogLevel = "error"
+
+// logLevel is what controllers log, errors unless the environment says otherwise.
 func logLevel() string {
 	if l := os.Getenv("LOG_LEVEL"); l != "" {
 		return l
 	}
-	return "error"
+	return defaultLogLevel
 }
 
 // kill kills the process.
@@ -85,14 +87,14 @@
 	RSS     int64
 }
 
-// usage reads the kernel's account of the process and what its former lives used.
+// usage reads the kernel's account of the process and what the earlier processes of the same controller used.
 func (p *process) usage() usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	u := usage{CPU: p.pastCPU}
 	if p.cmd != nil {
 		v := usageOf(p.cmd.Process.Pid)
-		u = usage{u.CPU + v.CPU, v.PeakRSS, v.RSS}
+		u = usage{CPU: u.CPU + v.CPU, PeakRSS: v.PeakRSS, RSS: v.RSS}
 	}
 	return u
 }
@@ -133,61 +135,3 @@
 		_ = os.WriteFile(fmt.Sprintf("/proc/%d/clear_refs", p.cmd.Process.Pid), []byte("5"), 0)
 	}
 }
-
-// What a run may use of this machine.
-const (
-	maxProcesses  = 300
-	memoryDivisor = 2 // of the machine's memory, at most one part in so many
-	baseMemory    = 64 << 20
-	memoryPerTask = 3 << 10 // in each controller, and in the emulators
-)
-
-// memoryLimit is half of the machine's memory.
-func memoryLimit() (int64, error) {
-	data, err := os.ReadFile("/proc/meminfo")
-	if err != nil {
-		return 0, err
-	}
-	f := strings.Fields(string(data))
-	if len(f) < 2 {
-		return 0, errors.New("/proc/meminfo: not understood")
-	}
-	kb, err := strconv.ParseInt(f[1], 10, 64)
-	if err != nil {
-		return 0, fmt.Errorf("/proc/meminfo: %w", err)
-	}
-	return kb << 10 / memoryDivisor, nil
-}
-
-// checkResources refuses a run that would take more of the machine than it may.
-func checkResources(e *experiment, limit int64) error {
-	if e.Controllers+1 > maxProcesses {
-		return fmt.Errorf("controllers: %d: more than %d processes", e.Controllers, maxProcesses)
-	}
-	need := int64(e.Controllers+4) * (baseMemory + memoryPerTask*int64(e.targetTasks()))
-	if need > limit {
-		return fmt.Errorf("it would take about %d MB, more than half of the machine's memory (%d MB)", need>>20, limit>>20)
-	}
-	return nil
-}
-
-// watchMemory ends the run when all its processes together take more than the limit.
-func watchMemory(ctx context.Context, all []*process, limit int64, stop context.CancelCauseFunc) {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-			sum := usageOf(os.Getpid()).RSS
-			for _, p := range all {
-				sum += p.usage().RSS
-			}
-			if sum > limit {
-				stop(fmt.Errorf("the run takes %d MB, more than half of the machine's memory (%d MB)", sum>>20, limit>>20))
-				return
-			}
-		}
-	}
-}
--- /dev/null
+++ b/tools/scale/resources_test.go
@@ -0,0 +1,24 @@
+package main
+
+import (
+	"strings"
+	"testing"
+)
+
+// A run that would take more than half of the machine's memory is refused before it starts.
+func TestRefusesTooLarge(t *testing.T) {
+	e := &experiment{Controllers: 23, Loads: []jobLoad{{FillTasks: 74_000}}}
+	if err := checkResources(e, 1<<40); err != nil {
+		t.Error(err)
+	}
+	if err := checkResources(e, 1<<30); err == nil || !strings.Contains(err.Error(), "memory") {
+		t.Errorf("%v", err)
+	}
+	e.Controllers = maxProcesses
+	if err := checkResources(e, 1<<50); err == nil || !strings.Contains(err.Error(), "processes") {
+		t.Errorf("%v", err)
+	}
+	if limit, err := memoryLimit(); err != nil || limit <= 0 {
+		t.Errorf("%d, %v", limit, err)
+	}
+}
--- a/tools/scale/result.go
+++ b/tools/scale/result.go
@@ -86,11 +86,25 @@
 	FirstUrgentStart float64 `json:"first_urgent_start_s,omitempty"`
 }
 
+// Names of latencies; those of users' requests are the requests' kinds, some with a suffix.
+const (
+	latencyAccepted    = "accepted"
+	latencyPoll        = "poll"
+	latencyCancel      = "cancel"
+	latencySettings    = "settings in force everywhere"
+	latencyStartPrefix = "start " // before the job's class
+	latencyFillPrefix  = "fill "  // before the above, of jobs that came before the window
+	latencyStartUrgent = latencyStartPrefix + "urgent"
+	latencyStartBatch  = latencyStartPrefix + "batch"
+)
+
 // latencies are histograms of microseconds by name.
 type latencies map[string]*hdrhistogram.Histogram
 
+// maxLatencyMicros is the longest latency that is told apart, in microseconds.
 const maxLatencyMicros = int64(20 * time.Minute / time.Microsecond)
 
+// add counts a duration.
 func (l latencies) add(name string, d time.Duration) {
 	h := l[name]
 	if h == nil {
@@ -100,19 +114,21 @@
 	_ = h.RecordValue(min(maxLatencyMicros, max(1, d.Microseconds())))
 }
 
+// describe summarizes the histograms.
 func (l latencies) describe() map[string]latency {
 	out := map[string]latency{}
 	for name, h := range l {
 		at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e6 }
-		out[name] = latency{h.TotalCount(), at(50), at(90), at(99), float64(h.Max()) / 1e6}
+		out[name] = latency{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: float64(h.Max()) / 1e6}
 	}
 	return out
 }
 
-// startsBySecond are starts by the second.
+// startsBySecond counts task starts by the second of simulated time.
 type startsBySecond map[int]int
 
-func (r startsBySecond) best() (second int, ten float64) {
+// peak is the most starts in a second, and the most a second over ten of them.
+func (r startsBySecond) peak() (second int, ten float64) {
 	for at := range r {
 		second = max(second, r[at])
 		sum := 0
@@ -124,12 +140,13 @@
 	return second, ten
 }
 
+// newResult is the result of a run that begins.
 func newResult(e *experiment, label string) *result {
 	return &result{Name: e.Name, What: e.What, Label: label, At: time.Now().UTC().Format(time.RFC3339), Cores: runtime.NumCPU(),
 		Machines: e.Machines, Controllers: e.Controllers, Teams: e.Teams, TargetTasks: e.targetTasks(), Violations: []string{}}
 }
 
-// valueOf is what the run had of a thing that is varied.
+// valueOf is the run's value of the key that an experiment varies.
 func (r *result) valueOf(key string) int {
 	switch key {
 	case varyMachines:
