--- a/admin/client.go
+++ b/admin/client.go
@@ -8,7 +8,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"net/http"
 	"os"
 	"strings"
 	"time"
@@ -62,13 +61,13 @@
 		return err
 	}
 	body.setRevision(current.Revision)
-	return c.send(http.MethodPost, path+"/"+change, body)
+	return c.send(api.MethodPost, path+"/"+change, body)
 }
 
 // fetch reads the resource at a path.
 func fetch[T any](c *Cmd, path string) (T, error) {
 	var value T
-	data, err := c.request(http.MethodGet, path, nil)
+	data, err := c.request(api.MethodGet, path, nil)
 	if err != nil {
 		return value, err
 	}
@@ -80,7 +79,7 @@
 
 // printTable prints the resource at a path as a table, or as JSON if that was asked for.
 func printTable[T any](c *Cmd, path string, table func(io.Writer, T)) error {
-	body, err := c.request(http.MethodGet, path, nil)
+	body, err := c.request(api.MethodGet, path, nil)
 	if err != nil {
 		return err
 	}
@@ -102,7 +101,7 @@
 	if err != nil {
 		return nil, &RequestError{Path: path, Reason: err.Error()}
 	}
-	if r.Status != http.StatusOK && r.Status != http.StatusCreated {
+	if r.Status != api.StatusOK && r.Status != api.StatusCreated {
 		var refusal api.ErrorBody
 		if json.Unmarshal(r.Body, &refusal) != nil {
 			refusal.Error = string(bytes.TrimSpace(r.Body))
@@ -141,7 +140,7 @@
 
 // ExitCode returns the exit code of the process, which tells programs whether to retry.
 func (r *RequestError) ExitCode() int {
-	if r.Status == 0 || r.Status == http.StatusTooManyRequests || r.Status == http.StatusServiceUnavailable {
+	if r.Status == 0 || r.Status == api.StatusTooManyRequests || r.Status == api.StatusServiceUnavailable {
 		return exitRetry
 	}
 	return exitRefused
--- a/admin/command.go
+++ b/admin/command.go
@@ -3,9 +3,10 @@
 // This file holds the operators' command line and its simple subcommands.
 
 import (
+	"basaltwall/api"
+
 	"errors"
 	"fmt"
-	"net/http"
 	"net/url"
 	"os"
 	"strconv"
@@ -98,19 +99,19 @@
 	}
 	switch command {
 	case "jobs":
-		return c.callAndPrint(http.MethodGet, "jobs?"+c.Jobs.query(), nil)
+		return c.callAndPrint(api.MethodGet, "jobs?"+c.Jobs.query(), nil)
 	case "job <ref>":
-		return c.callAndPrint(http.MethodGet, "jobs/"+c.Job.Ref, nil)
+		return c.callAndPrint(api.MethodGet, "jobs/"+c.Job.Ref, nil)
 	case "drain <machine>":
-		return c.callAndPrint(http.MethodPost, "machines/"+c.Drain.Machine+"/drain", nil)
+		return c.callAndPrint(api.MethodPost, "machines/"+c.Drain.Machine+"/drain", nil)
 	case "undrain <machine>":
-		return c.callAndPrint(http.MethodPost, "machines/"+c.Undrain.Machine+"/undrain", nil)
+		return c.callAndPrint(api.MethodPost, "machines/"+c.Undrain.Machine+"/undrain", nil)
 	case "audit":
 		return printTable(c, "audit?"+c.Audit.query(), auditTable)
 	case "set <file>":
 		return c.replaceSettings(c.Set.File)
 	}
-	return c.callAndPrint(http.MethodGet, command, nil)
+	return c.callAndPrint(api.MethodGet, command, nil)
 }
 
 // replaceSettings sends the operators' settings that a file holds.
@@ -119,5 +120,5 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	return c.callAndPrint(http.MethodPut, "settings", body)
+	return c.callAndPrint(api.MethodPut, "settings", body)
 }
--- a/admin/hosted.go
+++ b/admin/hosted.go
@@ -3,7 +3,8 @@
 // This file holds the paths that only a hosted service has.
 
 import (
-	"net/http"
+	"basaltwall/api"
+
 	"slices"
 	"strings"
 
@@ -22,26 +23,26 @@
 	method, path string
 	operation    message.AdminOperation
 }{
-	{http.MethodGet, "audit", message.AdminAudit},
-	{http.MethodGet, "tenants", message.AdminTenants},
-	{http.MethodGet, "tenants/ID", message.AdminTenant},
-	{http.MethodPut, "tenants/ID", message.AdminPutTenant},
-	{http.MethodGet, "tenants/ID/usage", message.AdminUsage},
-	{http.MethodPost, "tenants/ID/suspend", message.AdminSuspendTenant},
-	{http.MethodPost, "tenants/ID/resume", message.AdminResumeTenant},
-	{http.MethodPost, "tenants/ID/remove", message.AdminRemoveTenant},
-	{http.MethodPost, "tenants/ID/keys", message.AdminAddKey},
-	{http.MethodPost, "tenants/ID/keys/SUB/revoke", message.AdminRevokeKey},
-	{http.MethodGet, "operators", message.AdminOperators},
-	{http.MethodPut, "operators", message.AdminPutOperators},
-	{http.MethodPost, "operators/keys", message.AdminAddOperatorKey},
-	{http.MethodPost, "operators/keys/SUB/revoke", message.AdminRevokeOperatorKey},
-	{http.MethodPut, "teams/ID", message.AdminPutTeam},
-	{http.MethodPost, "teams/ID/remove", message.AdminRemoveTeam},
-	{http.MethodGet, "pools", message.AdminPools},
-	{http.MethodGet, "pools/ID", message.AdminPool},
-	{http.MethodPut, "pools/ID", message.AdminPutPool},
-	{http.MethodPost, "pools/ID/remove", message.AdminRemovePool},
+	{api.MethodGet, "audit", message.AdminAudit},
+	{api.MethodGet, "tenants", message.AdminTenants},
+	{api.MethodGet, "tenants/ID", message.AdminTenant},
+	{api.MethodPut, "tenants/ID", message.AdminPutTenant},
+	{api.MethodGet, "tenants/ID/usage", message.AdminUsage},
+	{api.MethodPost, "tenants/ID/suspend", message.AdminSuspendTenant},
+	{api.MethodPost, "tenants/ID/resume", message.AdminResumeTenant},
+	{api.MethodPost, "tenants/ID/remove", message.AdminRemoveTenant},
+	{api.MethodPost, "tenants/ID/keys", message.AdminAddKey},
+	{api.MethodPost, "tenants/ID/keys/SUB/revoke", message.AdminRevokeKey},
+	{api.MethodGet, "operators", message.AdminOperators},
+	{api.MethodPut, "operators", message.AdminPutOperators},
+	{api.MethodPost, "operators/keys", message.AdminAddOperatorKey},
+	{api.MethodPost, "operators/keys/SUB/revoke", message.AdminRevokeOperatorKey},
+	{api.MethodPut, "teams/ID", message.AdminPutTeam},
+	{api.MethodPost, "teams/ID/remove", message.AdminRemoveTeam},
+	{api.MethodGet, "pools", message.AdminPools},
+	{api.MethodGet, "pools/ID", message.AdminPool},
+	{api.MethodPut, "pools/ID", message.AdminPutPool},
+	{api.MethodPost, "pools/ID/remove", message.AdminRemovePool},
 }
 
 // matchPath reports whether a path matches a route's, and returns what stands at its placeholders.
@@ -76,10 +77,10 @@
 	if request.What == message.AdminAudit {
 		var ok bool
 		if request.After, request.Limit, ok = ParsePage(r); !ok {
-			return nil, http.StatusBadRequest
+			return nil, api.StatusBadRequest
 		}
 	}
-	status := http.StatusNotFound
+	status := api.StatusNotFound
 	for _, route := range hostedRoutes {
 		id, sub, ok := matchPath(parts, route.path)
 		if !ok {
@@ -89,7 +90,7 @@
 			request.What, request.ID, request.Sub = route.operation, id, sub
 			return request, 0
 		}
-		status = http.StatusMethodNotAllowed
+		status = api.StatusMethodNotAllowed
 	}
 	return nil, status
 }
--- a/admin/import.go
+++ b/admin/import.go
@@ -3,11 +3,12 @@
 // This file holds the import of skips from a file.
 
 import (
+	"basaltwall/api"
+
 	"encoding/csv"
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
 	"os"
 	"time"
 )
@@ -84,7 +85,7 @@
 // send sends a depot's page and empties it. It retries while the service is not available.
 func (i *skipImport) send(depot string) error {
 	for try := 1; ; try++ {
-		_, err := i.admin.requestJSON(http.MethodPost, skipsPath(depot)+"/import", importRequest{Skips: i.pages[depot]})
+		_, err := i.admin.requestJSON(api.MethodPost, skipsPath(depot)+"/import", importRequest{Skips: i.pages[depot]})
 		if err == nil {
 			i.sent += len(i.pages[depot])
 			i.pages[depot] = nil
@@ -101,5 +102,5 @@
 // available.
 func isUnavailable(err error) bool {
 	var refused *RequestError
-	return errors.As(err, &refused) && (refused.Status == 0 || refused.Status == http.StatusServiceUnavailable)
+	return errors.As(err, &refused) && (refused.Status == 0 || refused.Status == api.StatusServiceUnavailable)
 }
--- a/admin/job.go
+++ b/admin/job.go
@@ -4,7 +4,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"net/url"
 	"os"
 
@@ -30,7 +29,7 @@
 
 // Do runs a subcommand; command is its path as kong names it, as "cancel <ref>".
 func (c *JobCmd) Do(command string) error {
-	method, path := http.MethodGet, api.PathJobs+"/"+url.PathEscape(c.Show.Ref)
+	method, path := api.MethodGet, api.PathJobs+"/"+url.PathEscape(c.Show.Ref)
 	var body []byte
 	switch command {
 	case "submit <file>":
@@ -38,7 +37,7 @@
 		if body, err = os.ReadFile(c.Submit.File); err != nil {
 			return fmt.Errorf("job: %w", err)
 		}
-		method, path = http.MethodPost, api.PathJobs
+		method, path = api.MethodPost, api.PathJobs
 	case "list":
 		path = api.PathJobs + "?" + c.List.query()
 	case "usage":
@@ -46,7 +45,7 @@
 	case "history":
 		path = api.PathHistory + "?" + c.History.query()
 	case "cancel <ref>":
-		method, path = http.MethodPost, api.PathJobs+"/"+url.PathEscape(c.Cancel.Ref)+"/"+api.PathSuffixCancel
+		method, path = api.MethodPost, api.PathJobs+"/"+url.PathEscape(c.Cancel.Ref)+"/"+api.PathSuffixCancel
 	}
 	answer, err := doRequest(c.Addr, c.KeyFile, method, path, body)
 	if err != nil {
--- a/admin/operators.go
+++ b/admin/operators.go
@@ -4,7 +4,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"net/url"
 	"time"
 
@@ -77,7 +76,7 @@
 	}
 	override(&current.CPUs, named.CPUs)
 	override(&current.GPUs, named.GPUs)
-	return c.send(http.MethodPut, "operators", operatorsRequest{
+	return c.send(api.MethodPut, "operators", operatorsRequest{
 		CPUs:     current.CPUs,
 		GPUs:     current.GPUs,
 		Networks: overrideList(named.Network, prefixStrings(current.Networks)),
@@ -100,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	return c.send(http.MethodPut, teamPath(p.Name), teamRequest{CPUs: p.CPUs, CPUsMax: p.CPUsMax, GPUs: p.GPUs, GPUsMax: p.GPUsMax, revision: revision{current}})
+	return c.send(api.MethodPut, teamPath(p.Name), teamRequest{CPUs: p.CPUs, CPUsMax: p.CPUsMax, GPUs: p.GPUs, GPUsMax: p.GPUsMax, revision: revision{current}})
 }
 
 // removeTeam removes a team.
@@ -109,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	return c.send(http.MethodPost, teamPath(name)+"/remove", revision{current})
+	return c.send(api.MethodPost, teamPath(name)+"/remove", revision{current})
 }
 
 // teamPath returns the path of a team.
--- a/admin/pools.go
+++ b/admin/pools.go
@@ -3,11 +3,12 @@
 // This file holds the subcommands on pools of counted resources.
 
 import (
+	"basaltwall/api"
+
 	"errors"
 	"fmt"
 	"io"
 	"maps"
-	"net/http"
 	"net/url"
 	"slices"
 
@@ -76,7 +77,7 @@
 			guaranteed[string(team)] = units
 		}
 	}
-	return c.send(http.MethodPut, path, poolRequest{
+	return c.send(api.MethodPut, path, poolRequest{
 		Frozen:     frozen,
 		Guaranteed: guaranteed,
 		Largest:    max(current.Largest, current.Size),
@@ -92,7 +93,7 @@
 // isNotFound reports whether a request was refused because nothing lies at its path.
 func isNotFound(err error) bool {
 	var refused *RequestError
-	return errors.As(err, &refused) && refused.Status == http.StatusNotFound
+	return errors.As(err, &refused) && refused.Status == api.StatusNotFound
 }
 
 func sum(list []int) int {
--- a/admin/routes.go
+++ b/admin/routes.go
@@ -7,7 +7,8 @@
 // This file holds the server's side: the operation that a request asks for.
 
 import (
-	"net/http"
+	"basaltwall/api"
+
 	"net/url"
 	"slices"
 	"strconv"
@@ -41,36 +42,36 @@
 	parts := strings.Split(strings.TrimPrefix(r.Path, Prefix), "/")
 	operation := message.AdminOperation(parts[0])
 	request := message.AdminRequest{Req: id, What: operation, Body: r.Body}
-	method := http.MethodGet
+	method := api.MethodGet
 	switch {
 	case len(parts) == 1 && operation == message.AdminSettings:
-		if r.Method == http.MethodPut {
-			request.What, method = message.AdminChangeSettings, http.MethodPut
+		if r.Method == api.MethodPut {
+			request.What, method = message.AdminChangeSettings, api.MethodPut
 		}
 	case len(parts) == 1 && operation == message.AdminJobs:
 		query, err := url.ParseQuery(r.Query)
 		if err != nil {
-			return nil, http.StatusBadRequest
+			return nil, api.StatusBadRequest
 		}
 		request.Team = query.Get("team")
 		var ok bool
 		if request.Limit, ok = parseLimit(query, maxJobs); !ok {
-			return nil, http.StatusBadRequest
+			return nil, api.StatusBadRequest
 		}
 	case len(parts) == 1 && slices.Contains(listOperations, operation):
 	case len(parts) == 2 && operation == message.AdminJobs && parts[1] != "":
 		request.What, request.ID = message.AdminJob, parts[1]
 	case isDrainPath(parts):
-		request.What, request.ID, method = message.AdminOperation(parts[2]), parts[1], http.MethodPost
+		request.What, request.ID, method = message.AdminOperation(parts[2]), parts[1], api.MethodPost
 	case operation == message.AdminReservations:
 		return reservationCommand(request, parts, r)
 	case IsHostedPath(r.Path):
 		return hostedCommand(request, parts, r)
 	default:
-		return nil, http.StatusNotFound
+		return nil, api.StatusNotFound
 	}
 	if r.Method != method {
-		return nil, http.StatusMethodNotAllowed
+		return nil, api.StatusMethodNotAllowed
 	}
 	return request, 0
 }
@@ -87,28 +88,28 @@
 // reservationCommand returns the command of a request about skips: GET skips counts them, GET
 // skips/DEPOT lists a depot's, POST skips/DEPOT/CHANGE changes one.
 func reservationCommand(request message.AdminRequest, parts []string, r httpx.Request) (message.Command, int) {
-	method := http.MethodGet
+	method := api.MethodGet
 	switch {
 	case len(parts) == 1:
 	case len(parts) == 2 && parts[1] != "":
 		var ok bool
 		if request.After, request.Limit, ok = ParsePage(r); !ok {
-			return nil, http.StatusBadRequest
+			return nil, api.StatusBadRequest
 		}
 	case len(parts) == 3 && parts[1] != "" && slices.Contains(reservationChanges, parts[2]):
-		request.What, request.Sub, method = message.AdminChangeReservation, parts[2], http.MethodPost
+		request.What, request.Sub, method = message.AdminChangeReservation, parts[2], api.MethodPost
 	default:
-		return nil, http.StatusNotFound
+		return nil, api.StatusNotFound
 	}
 	if len(parts) > 1 {
 		depot, err := url.PathUnescape(parts[1])
 		if err != nil {
-			return nil, http.StatusBadRequest
+			return nil, api.StatusBadRequest
 		}
 		request.ID = depot
 	}
 	if r.Method != method {
-		return nil, http.StatusMethodNotAllowed
+		return nil, api.StatusMethodNotAllowed
 	}
 	return request, 0
 }
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -3,9 +3,10 @@
 // This file holds the subcommands on skips and their reservations.
 
 import (
+	"basaltwall/api"
+
 	"fmt"
 	"io"
-	"net/http"
 	"net/url"
 	"strconv"
 	"strings"
@@ -67,7 +68,7 @@
 func (c *Cmd) skips(command string) error {
 	action, _, _ := strings.Cut(command, " ")
 	change := func(depot string, body any) error {
-		return c.send(http.MethodPost, skipsPath(depot)+"/"+action, body)
+		return c.send(api.MethodPost, skipsPath(depot)+"/"+action, body)
 	}
 	s := &c.Skips
 	switch action {
--- a/admin/tenants.go
+++ b/admin/tenants.go
@@ -3,8 +3,9 @@
 // This file holds the subcommands on tenants.
 
 import (
+	"basaltwall/api"
+
 	"fmt"
-	"net/http"
 	"net/url"
 	"slices"
 	"time"
@@ -123,7 +124,7 @@
 	if named.Retention != nil {
 		t.Retention = named.Retention.Seconds()
 	}
-	return c.send(http.MethodPut, tenantPath(named.Name), tenantRequest{
+	return c.send(api.MethodPut, tenantPath(named.Name), tenantRequest{
 		Burst:            t.Burst,
 		Display:          t.Display,
 		Networks:         overrideList(named.Network, prefixStrings(t.Networks)),
--- a/api/status.go
+++ b/api/status.go
@@ -3,13 +3,29 @@
 // Status codes of HTTP, as every peer of the protocol uses them. They are declared here so that the
 // service, which has an HTTP parser of its own, does not link package net/http for its constants.
 const (
-	StatusOK                  = 200
-	StatusCreated             = 201
-	StatusBadRequest          = 400
-	StatusNotFound            = 404
-	StatusConflict            = 409
-	StatusGone                = 410
-	StatusUnprocessableEntity = 422
-	StatusTooManyRequests     = 429
-	StatusServiceUnavailable  = 503
+	StatusOK                    = 200
+	StatusCreated               = 201
+	StatusNoContent             = 204
+	StatusNotModified           = 304
+	StatusBadRequest            = 400
+	StatusUnauthorized          = 401
+	StatusForbidden             = 403
+	StatusNotFound              = 404
+	StatusMethodNotAllowed      = 405
+	StatusConflict              = 409
+	StatusGone                  = 410
+	StatusRequestEntityTooLarge = 413
+	StatusMisdirectedRequest    = 421
+	StatusUnprocessableEntity   = 422
+	StatusTooManyRequests       = 429
+	StatusInternalServerError   = 500
+	StatusServiceUnavailable    = 503
+	StatusGatewayTimeout        = 504
+)
+
+// Methods of HTTP.
+const (
+	MethodGet  = "GET"
+	MethodPost = "POST"
+	MethodPut  = "PUT"
 )
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net/http"
 
 	"basaltwall/api"
 	"basaltwall/controller/message"
@@ -23,19 +22,19 @@
 func Request(c message.CloudCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Types:
-		return http.MethodGet, api.PathMachineTypes, nil, nil
+		return api.MethodGet, api.PathMachineTypes, nil, nil
 	case c.List != nil:
 		target = fmt.Sprintf("%s?limit=%d", api.PathInstances, pageSize)
 		if c.List.Since != "" {
 			target += "&since=" + string(c.List.Since)
 		}
-		return http.MethodGet, target, nil, nil
+		return api.MethodGet, target, nil, nil
 	case c.Create != nil:
 		body, err = json.Marshal(c.Create)
-		return http.MethodPost, api.PathInstances, body, err
+		return api.MethodPost, api.PathInstances, body, err
 	case len(c.Delete) > 0:
 		body, err = json.Marshal(api.MachineIDList{Machines: c.Delete})
-		return http.MethodPost, api.PathDeleteInstances, body, err
+		return api.MethodPost, api.PathDeleteInstances, body, err
 	}
 	return "", "", nil, fmt.Errorf("cloud call %d %w", c.ID, ErrEmptyCall)
 }
@@ -48,7 +47,7 @@
 		return response
 	}
 	response.Status = r.Status
-	if r.Status != http.StatusOK {
+	if r.Status != api.StatusOK {
 		var refusal api.ErrorBody
 		response.NoCapacity = json.Unmarshal(r.Body, &refusal) == nil && refusal.Error == api.NoCapacity
 		return response
--- a/controller/jobs/submit.go
+++ b/controller/jobs/submit.go
@@ -104,7 +104,7 @@
 	switch response.Status {
 	case api.StatusOK:
 		s.core.Reply(sub.request.Req, api.StatusCreated, api.JobStatus{JobID: id, State: api.JobPending}, 0)
-		slog.Info("job accepted", "job", id, core.SpecAttr(sub.spec))
+		slog.Info(core.LogJobAccepted, "job", id, core.SpecAttr(sub.spec))
 		s.siblings.Log.LinearizableRead(func() {}, func() {}) // so that its first round comes soon
 	case api.StatusConflict:
 		s.LookupJob(id, sub.replyKnown, sub.forward, sub.forward)
--- a/httpx/encode.go
+++ b/httpx/encode.go
@@ -3,27 +3,28 @@
 // This file encodes requests and responses.
 
 import (
-	"net/http"
+	"basaltwall/api"
+
 	"strconv"
 )
 
 // statusText holds the reason phrases of the statuses that this program answers with.
 var statusText = map[int]string{
-	http.StatusOK:                    "OK",
-	http.StatusCreated:               "Created",
-	http.StatusBadRequest:            "Bad Request",
-	http.StatusUnauthorized:          "Unauthorized",
-	http.StatusForbidden:             "Forbidden",
-	http.StatusNotFound:              "Not Found",
-	http.StatusMethodNotAllowed:      "Method Not Allowed",
-	http.StatusConflict:              "Conflict",
-	http.StatusRequestEntityTooLarge: "Content Too Large",
-	http.StatusMisdirectedRequest:    "Misdirected Request",
-	http.StatusUnprocessableEntity:   "Unprocessable Content",
-	http.StatusTooManyRequests:       "Too Many Requests",
-	http.StatusInternalServerError:   "Internal Server Error",
-	http.StatusServiceUnavailable:    "Service Unavailable",
-	http.StatusGatewayTimeout:        "Gateway Timeout",
+	api.StatusOK:                    "OK",
+	api.StatusCreated:               "Created",
+	api.StatusBadRequest:            "Bad Request",
+	api.StatusUnauthorized:          "Unauthorized",
+	api.StatusForbidden:             "Forbidden",
+	api.StatusNotFound:              "Not Found",
+	api.StatusMethodNotAllowed:      "Method Not Allowed",
+	api.StatusConflict:              "Conflict",
+	api.StatusRequestEntityTooLarge: "Content Too Large",
+	api.StatusMisdirectedRequest:    "Misdirected Request",
+	api.StatusUnprocessableEntity:   "Unprocessable Content",
+	api.StatusTooManyRequests:       "Too Many Requests",
+	api.StatusInternalServerError:   "Internal Server Error",
+	api.StatusServiceUnavailable:    "Service Unavailable",
+	api.StatusGatewayTimeout:        "Gateway Timeout",
 }
 
 // AppendResponse appends a response with a body in JSON. A retryAfter above 0 adds the Retry-After
--- a/httpx/parse.go
+++ b/httpx/parse.go
@@ -8,9 +8,10 @@
 // This file parses requests and responses.
 
 import (
+	"basaltwall/api"
+
 	"bytes"
 	"errors"
-	"net/http"
 	"net/netip"
 	"strconv"
 	"strings"
@@ -255,7 +256,7 @@
 }
 
 // isInterim reports whether another response follows one with this status.
-func isInterim(status int) bool { return status < http.StatusOK }
+func isInterim(status int) bool { return status < api.StatusOK }
 
 // parseSingleResponse parses a response, which may be an interim one.
 func parseSingleResponse(buf []byte, maxBody int, eof bool) (Response, int, error) {
@@ -272,7 +273,7 @@
 		return Response{}, 0, ErrMalformed
 	}
 	r := Response{Status: status, RetryAfter: h.retryAfter, Close: h.close || (version == "HTTP/1.0" && !h.keepAlive)}
-	if isInterim(status) || status == http.StatusNoContent || status == http.StatusNotModified { // without a body
+	if isInterim(status) || status == api.StatusNoContent || status == api.StatusNotModified { // without a body
 		return r, h.headLength, nil
 	}
 	if h.contentLength < 0 && !h.chunked {
--- a/httpx/server.go
+++ b/httpx/server.go
@@ -3,12 +3,13 @@
 // This file holds the server.
 
 import (
+	"basaltwall/api"
+
 	"context"
 	"errors"
 	"fmt"
 	"log/slog"
 	"net"
-	"net/http"
 	"sync"
 	"time"
 
@@ -196,9 +197,9 @@
 func (s *Server) nextRequest(c evio.Conn, sc *serverConn) (out []byte, action evio.Action) {
 	r, n, err := ParseRequest(sc.inbuf, s.maxBody[c.AddrIndex()])
 	if err != nil {
-		status := http.StatusBadRequest
+		status := api.StatusBadRequest
 		if errors.Is(err, ErrTooLarge) {
-			status = http.StatusRequestEntityTooLarge
+			status = api.StatusRequestEntityTooLarge
 		}
 		sc.refused, sc.inbuf = true, nil
 		sc.startLinger()
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -3,11 +3,12 @@
 package peer
 
 import (
+	"basaltwall/api"
+
 	"bytes"
 	"encoding/gob"
 	"encoding/json"
 	"fmt"
-	"net/http"
 
 	"basaltwall/controller/message"
 	"basaltwall/controller/tenancy"
@@ -38,7 +39,7 @@
 // Request returns the HTTP request for a call.
 func Request(c message.PeerCall) (method, target string, body []byte, err error) {
 	body, err = Encode(c.Message)
-	return http.MethodPost, Path, body, err
+	return api.MethodPost, Path, body, err
 }
 
 // Encoder encodes calls. Gossip that goes to several controllers is encoded once: consecutive calls
@@ -61,14 +62,14 @@
 		}
 		e.lastGossip = c.Message.Gossip
 	}
-	return http.MethodPost, Path, e.lastBody, nil
+	return api.MethodPost, Path, e.lastBody, nil
 }
 
 // ParseReply returns the command for the outcome of a call. It is not OK if the call failed, which
 // callErr says, or if the body is malformed.
 func ParseReply(c message.PeerCall, r httpx.Response, callErr error) message.PeerResponse {
 	response := message.PeerResponse{ID: c.ID}
-	if callErr != nil || r.Status != http.StatusOK {
+	if callErr != nil || r.Status != api.StatusOK {
 		return response
 	}
 	if err := gob.NewDecoder(bytes.NewReader(r.Body)).Decode(&response.Reply); err != nil {
--- a/server/effects.go
+++ b/server/effects.go
@@ -7,7 +7,6 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"net/http"
 	"time"
 
 	"basaltwall/api"
@@ -93,7 +92,7 @@
 		slog.Error("peer reply could not be encoded", "err", err)
 		return
 	}
-	s.httpServer.Answer(origin.conn, http.StatusOK, body, 0)
+	s.httpServer.Answer(origin.conn, api.StatusOK, body, 0)
 }
 
 // addPendingRequest notes that a request waits for its reply, and returns the identifier for it.
--- a/server/requests.go
+++ b/server/requests.go
@@ -4,7 +4,6 @@
 
 import (
 	"crypto/rand"
-	"net/http"
 	"strings"
 
 	"basaltwall/admin"
@@ -27,10 +26,10 @@
 
 // refusalReasons are the reasons that a refusal by the router gives, by HTTP status.
 var refusalReasons = map[int]string{
-	http.StatusBadRequest:         "malformed",
-	http.StatusNotFound:           "no such path",
-	http.StatusMethodNotAllowed:   "wrong method",
-	http.StatusServiceUnavailable: "no random bytes",
+	api.StatusBadRequest:         "malformed",
+	api.StatusNotFound:           "no such path",
+	api.StatusMethodNotAllowed:   "wrong method",
+	api.StatusServiceUnavailable: "no random bytes",
 }
 
 // handleRequest queues the command that a request stands for, or refuses the request. It runs on the
@@ -58,7 +57,7 @@
 	select {
 	case queue <- command:
 	default:
-		s.refuse(id, http.StatusServiceUnavailable, "overloaded", overloadedRetryAfter)
+		s.refuse(id, api.StatusServiceUnavailable, "overloaded", overloadedRetryAfter)
 	}
 }
 
@@ -99,11 +98,11 @@
 	}
 	switch r.Path {
 	case api.PathReady:
-		return requireMethod(r, http.MethodGet, message.ReadinessProbe{Req: id})
+		return requireMethod(r, api.MethodGet, message.ReadinessProbe{Req: id})
 	case api.PathHeartbeat:
-		return requireMethod(r, http.MethodPost, heartbeatCommand(id, r.Body, false))
+		return requireMethod(r, api.MethodPost, heartbeatCommand(id, r.Body, false))
 	case api.PathJobs:
-		return requireMethod(r, http.MethodPost, message.Submit{Req: id, Body: r.Body, Caller: caller})
+		return requireMethod(r, api.MethodPost, message.Submit{Req: id, Body: r.Body, Caller: caller})
 	}
 	if strings.HasPrefix(r.Path, admin.Prefix) {
 		return s.routeAdmin(id, r, caller)
@@ -115,10 +114,10 @@
 // malformed.
 func requireMethod(r httpx.Request, method string, command message.Command) (message.Command, int) {
 	if r.Method != method {
-		return nil, http.StatusMethodNotAllowed
+		return nil, api.StatusMethodNotAllowed
 	}
 	if command == nil {
-		return nil, http.StatusBadRequest
+		return nil, api.StatusBadRequest
 	}
 	return command, 0
 }
@@ -127,18 +126,18 @@
 // and the HTTP status that refuses it. It reports false for any other request.
 func routeTenant(id message.ReqID, r httpx.Request, caller message.Caller) (command message.Command, status int, ok bool) {
 	switch {
-	case r.Path == api.PathJobs && r.Method == http.MethodGet:
+	case r.Path == api.PathJobs && r.Method == api.MethodGet:
 		command, status = tenantQuery(id, tenantJobs, r, caller)
-	case r.Path == api.PathUsage && r.Method != http.MethodGet:
-		status = http.StatusMethodNotAllowed
+	case r.Path == api.PathUsage && r.Method != api.MethodGet:
+		status = api.StatusMethodNotAllowed
 	case r.Path == api.PathUsage:
 		command, status = tenantQuery(id, tenantUsage, r, caller)
 	case r.Path == api.PathHistory:
 		after, limit, valid := admin.ParsePage(r)
 		if !valid {
-			return nil, http.StatusBadRequest, true
+			return nil, api.StatusBadRequest, true
 		}
-		command, status = requireMethod(r, http.MethodGet, message.ListHistory{Req: id, After: after, Limit: limit, Caller: caller})
+		command, status = requireMethod(r, api.MethodGet, message.ListHistory{Req: id, After: after, Limit: limit, Caller: caller})
 	default:
 		return nil, 0, false
 	}
@@ -149,7 +148,7 @@
 func tenantQuery(id message.ReqID, what string, r httpx.Request, caller message.Caller) (message.Command, int) {
 	after, limit, ok := admin.ParsePage(r)
 	if !ok {
-		return nil, http.StatusBadRequest
+		return nil, api.StatusBadRequest
 	}
 	return message.TenantQuery{Req: id, What: what, After: after, Limit: limit, Caller: caller}, 0
 }
@@ -158,23 +157,23 @@
 func routeJob(id message.ReqID, r httpx.Request, caller message.Caller) (message.Command, int) {
 	rest, ok := strings.CutPrefix(r.Path, api.PathJobs+"/")
 	if !ok || rest == "" {
-		return nil, http.StatusNotFound
+		return nil, api.StatusNotFound
 	}
 	jobID, action, hasAction := strings.Cut(rest, "/")
 	switch {
 	case !hasAction:
-		return requireMethod(r, http.MethodGet, message.Poll{Req: id, Ref: jobID, Caller: caller})
+		return requireMethod(r, api.MethodGet, message.Poll{Req: id, Ref: jobID, Caller: caller})
 	case action == api.PathSuffixCancel:
-		return requireMethod(r, http.MethodPost, message.Cancel{Req: id, Ref: jobID, Caller: caller})
+		return requireMethod(r, api.MethodPost, message.Cancel{Req: id, Ref: jobID, Caller: caller})
 	}
-	return nil, http.StatusNotFound
+	return nil, api.StatusNotFound
 }
 
 // routeAdmin returns the command for an operator's request. Random bytes for a new key are drawn
 // here, because the controller is deterministic and reads no randomness itself.
 func (s *Server) routeAdmin(id message.ReqID, r httpx.Request, caller message.Caller) (message.Command, int) {
 	if s.config.Hosted == nil && admin.IsHostedPath(r.Path) {
-		return nil, http.StatusNotFound
+		return nil, api.StatusNotFound
 	}
 	command, status := admin.Command(id, r)
 	request, ok := command.(message.AdminRequest)
@@ -185,7 +184,7 @@
 	if request.What.AddsKey() {
 		request.Random = new([tenant.RandomBytes]byte)
 		if _, err := rand.Read(request.Random[:]); err != nil {
-			return nil, http.StatusServiceUnavailable
+			return nil, api.StatusServiceUnavailable
 		}
 	}
 	return request, status
--- a/state/state.go
+++ b/state/state.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net/http"
 	"net/url"
 	"strconv"
 
@@ -37,14 +36,14 @@
 			txn.Writes = []api.Write{}
 		}
 		body, err = json.Marshal(txn)
-		return http.MethodPost, api.PathTxn, body, err
+		return api.MethodPost, api.PathTxn, body, err
 	case c.Changes != nil:
 		q := url.Values{"under": {watchedPrefix}, "since": {strconv.FormatUint(uint64(c.Changes.Since), 10)},
 			"wait_ms": {strconv.FormatInt(c.Changes.Wait.Milliseconds(), 10)}}
 		if c.Changes.Prefix != "" {
 			q.Set("under", c.Changes.Prefix)
 		}
-		return http.MethodGet, api.PathChanges + "?" + query(q), nil, nil
+		return api.MethodGet, api.PathChanges + "?" + query(q), nil, nil
 	case c.Page != nil:
 		q := url.Values{"under": {watchedPrefix}, "limit": {strconv.Itoa(maxPageSize)}}
 		if c.Page.Prefix != "" {
@@ -56,14 +55,14 @@
 		if c.Page.After != "" {
 			q.Set("since", c.Page.After)
 		}
-		return http.MethodGet, api.PathKeys + "?" + query(q), nil, nil
+		return api.MethodGet, api.PathKeys + "?" + query(q), nil, nil
 	case c.Get != "":
-		return http.MethodGet, api.PathKeys + "/" + c.Get, nil, nil
+		return api.MethodGet, api.PathKeys + "/" + c.Get, nil, nil
 	case c.GrantLease > 0:
 		body, err = json.Marshal(api.LeaseRequest{TTL: c.GrantLease.Milliseconds()})
-		return http.MethodPost, api.PathLeases, body, err
+		return api.MethodPost, api.PathLeases, body, err
 	case c.RenewLease != 0:
-		return http.MethodPost, fmt.Sprintf("%s/%d/%s", api.PathLeases, c.RenewLease, api.PathSuffixRenew), nil, nil
+		return api.MethodPost, fmt.Sprintf("%s/%d/%s", api.PathLeases, c.RenewLease, api.PathSuffixRenew), nil, nil
 	}
 	return "", "", nil, fmt.Errorf("state call %d %w", c.ID, ErrEmptyCall)
 }
@@ -87,9 +86,9 @@
 	response.Status = r.Status
 	var target any
 	switch {
-	case c.Txn != nil && (r.Status == http.StatusOK || r.Status == http.StatusConflict):
+	case c.Txn != nil && (r.Status == api.StatusOK || r.Status == api.StatusConflict):
 		target = &response.Txn
-	case r.Status != http.StatusOK:
+	case r.Status != api.StatusOK:
 		return response
 	case c.Changes != nil:
 		target = &response.Changes
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -6,7 +6,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net/http"
 
 	"basaltwall/api"
 	"basaltwall/controller/message"
@@ -33,14 +32,14 @@
 // Request returns the HTTP request for a call.
 func Request(c message.WorkerCall) (method, target string, body []byte, err error) {
 	body, err = json.Marshal(c.Commands)
-	return http.MethodPost, api.PathCommands, body, err
+	return api.MethodPost, api.PathCommands, body, err
 }
 
 // ParseResponse returns the command for the outcome of a call. A worker answers with a heartbeat, also
 // when it refuses the call (409); without one the status is 0.
 func ParseResponse(c message.WorkerCall, r httpx.Response, callErr error) message.WorkerResponse {
 	response := message.WorkerResponse{ID: c.ID}
-	if callErr != nil || r.Status != http.StatusOK && r.Status != http.StatusConflict {
+	if callErr != nil || r.Status != api.StatusOK && r.Status != api.StatusConflict {
 		return response
 	}
 	heartbeat, err := ParseHeartbeat(r.Body)
