--- a/controller/controller.go
+++ b/controller/controller.go
@@ -14,7 +14,7 @@
 	"basaltwall/config"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
-	"basaltwall/priority"
+	"basaltwall/controller/ordering"
 	"basaltwall/zonehealth"
 )
 
@@ -34,7 +34,7 @@
 	autoscaler   *Autoscaler
 	scheduler    *RoundScheduler
 	preemptor    *Preemptor
-	priorities   *Priorities
+	priorities   *ordering.Priorities
 	backfiller   *Backfiller
 	balancer     *Balancer
 	jobs         *JobService
@@ -70,9 +70,9 @@
 // NewState is an empty book; the kinds of records that stand for themselves are
 // registered here.
 func (n *Controller) NewState() *core.ClusterState {
-	n.core.Settings, n.core.RecordedTypes, n.priorities.priorityState.shortage = core.Settings{}, api.MachineTypes{}, priority.Shortage{}
+	n.core.Settings, n.core.RecordedTypes = core.Settings{}, api.MachineTypes{}
 	n.health.zones.records = map[api.Zone]zonehealth.Record{}
-	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage), n.health.ZoneRecordKind()}, n.tenancy.HostedRecordKinds()...)
+	kinds := append([]clusterstate.RecordKind{clusterstate.SingleKey(core.SettingsKey, &n.core.Settings), clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes), n.priorities.ShortageRecordKind(), n.health.ZoneRecordKind()}, n.tenancy.HostedRecordKinds()...)
 	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
 }
 
@@ -88,7 +88,7 @@
 	n.autoscaler = newAutoscaler(n)
 	n.scheduler = &RoundScheduler{core: shared, c: n}
 	n.preemptor = &Preemptor{core: shared, c: n}
-	n.priorities = &Priorities{core: shared, c: n}
+	n.priorities = ordering.New(shared)
 	n.backfiller = &Backfiller{core: shared, c: n}
 	n.balancer = &Balancer{core: shared, c: n}
 	n.jobs = newJobService(n)
@@ -97,6 +97,7 @@
 	n.reservations = &ReservationService{core: shared, c: n}
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
+	n.priorities.Connect(ordering.Siblings{Agents: n.agents, Gossip: n.gossiper, Health: n.health, Log: n.follower})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -14,6 +14,7 @@
 	"basaltwall/clusterstate"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
+	"basaltwall/controller/ordering"
 	"basaltwall/internal/golden"
 	"basaltwall/pool"
 	"basaltwall/priority"
@@ -34,7 +35,7 @@
 // Records that stand for themselves, and their keys, as earlier versions wrote them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
-	f.Text("keys", strings.Join([]string{core.SettingsKey, core.MachineTypesKey, keyShortage, zoneKeyPrefix, keyPool, keyTenant, keyTeamOf, keyGate, keyOperators, keyTeam, keyGuaranteedTotal,
+	f.Text("keys", strings.Join([]string{core.SettingsKey, core.MachineTypesKey, ordering.KeyShortage, zoneKeyPrefix, keyPool, keyTenant, keyTeamOf, keyGate, keyOperators, keyTeam, keyGuaranteedTotal,
 		keyUsed, keyHistory, keyAudit, clusterstate.KeyJobResult, string(operatorsHolder), timeKey(1234567)}, "\n"))
 	golden.JSON(f, "settings", golden.Filled[core.Settings](t))
 	golden.JSON(f, "empty settings", core.Settings{})
@@ -96,7 +97,7 @@
 	golden.Same(t, "settings", n.core.Settings, core.Settings{Drained: []api.MachineID{"i-1", "i-2"}, IdleTimeout: 7.5, DisableScaleOut: true, Priority: priority.Rules{{Name: "first",
 		Selector: priority.Selector{Class: "c", Team: "t", Form: "sweep", Priority: "high"}, Before: &priority.Selector{Class: "d"}, Rank: "critical", Condition: priority.CapacityShort, Floor: &floor}}})
 	golden.Same(t, "types", n.core.RecordedTypes, api.MachineTypes{Types: []api.MachineType{{Name: "c8", CPUs: 8, GPUs: 1, MemGB: 32, CacheGB: 20, FetchRate: 2, Price: 3, SpotPrice: 1.5, BootSeconds: 25, Zones: []api.Zone{"a", "b"}}}})
-	golden.Same(t, "short", n.priorities.priorityState.shortage, priority.Shortage{Types: []api.MachineTypeName{"c8", "g8"}, Since: 77})
+	golden.Same(t, "short", n.priorities.RecordedShortage(), priority.Shortage{Types: []api.MachineTypeName{"c8", "g8"}, Since: 77})
 	golden.Same(t, "zone", n.health.zones.records["a"], zonehealth.Record{State: zonehealth.Failed, Since: 78, LastHeartbeat: 79, PartitionsInside: []api.PartitionID{1, 2}, OutageHistory: []float64{3.5, 4.5}})
 	golden.Same(t, "operators", n.tenancy.hosted.operators, tenant.Operators{Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "00aa00aa00aa00aa", Name: "watch", Hash: []byte{1, 2}, Created: 5, Expires: 6}, Role: tenant.RoleRead}},
 		Networks: networks("10.0.0.0/8"), Proxies: networks("192.0.2.0/24"), CPUs: 7.5, GPUs: 8.5, RetiredAdminKeys: []tenant.KeyID{"11bb"}})
