--- a/controller/controller.go
+++ b/controller/controller.go
@@ -15,6 +15,7 @@
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
 	"basaltwall/controller/ordering"
+	"basaltwall/controller/starvation"
 	"basaltwall/zonehealth"
 )
 
@@ -35,7 +36,7 @@
 	scheduler    *RoundScheduler
 	preemptor    *Preemptor
 	priorities   *ordering.Priorities
-	backfiller   *Backfiller
+	backfiller   *starvation.Guard
 	balancer     *Balancer
 	jobs         *JobService
 	tenancy      *TenantService
@@ -89,7 +90,7 @@
 	n.scheduler = &RoundScheduler{core: shared, c: n}
 	n.preemptor = &Preemptor{core: shared, c: n}
 	n.priorities = ordering.New(shared)
-	n.backfiller = &Backfiller{core: shared, c: n}
+	n.backfiller = starvation.New(shared)
 	n.balancer = &Balancer{core: shared, c: n}
 	n.jobs = newJobService(n)
 	n.tenancy = &TenantService{core: shared, c: n}
@@ -98,6 +99,10 @@
 	n.admin = &AdminService{core: shared, c: n}
 	n.reporter = &MetricsReporter{core: shared, c: n}
 	n.priorities.Connect(ordering.Siblings{Agents: n.agents, Gossip: n.gossiper, Health: n.health, Log: n.follower})
+	n.backfiller.Connect(starvation.Siblings{
+		Agents: n.agents, Autoscaler: n.autoscaler, Balancer: n.balancer, Gossip: n.gossiper, Pools: n.pools,
+		Preemptor: n.preemptor, Scheduler: n.scheduler, Tenancy: n.tenancy,
+	})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
--- a/controller/fleet.go
+++ b/controller/fleet.go
@@ -358,8 +358,8 @@
 		}
 	}
 	jobs := slices.SortedFunc(slices.Values(zoneOpen), func(a, b *core.Job) int {
-		return cmp.Or(boolToInt(as.c.backfiller.WaitStage(b, allPartitions) == sched.AgedAboveAll)-boolToInt(as.c.backfiller.WaitStage(a, allPartitions) == sched.AgedAboveAll), sched.Descending(as.c.priorities.EffectivePriority(a.Spec), as.c.priorities.EffectivePriority(b.Spec)),
-			cmp.Compare(as.c.backfiller.WaitStage(b, allPartitions), as.c.backfiller.WaitStage(a, allPartitions)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(boolToInt(as.c.backfiller.WaitStage(b, core.AllPartitions) == sched.AgedAboveAll)-boolToInt(as.c.backfiller.WaitStage(a, core.AllPartitions) == sched.AgedAboveAll), sched.Descending(as.c.priorities.EffectivePriority(a.Spec), as.c.priorities.EffectivePriority(b.Spec)),
+			cmp.Compare(as.c.backfiller.WaitStage(b, core.AllPartitions), as.c.backfiller.WaitStage(a, core.AllPartitions)), cmp.Compare(a.ID, b.ID))
 	})
 	need := map[machineOffer]int{}
 	var offerOrder []machineOffer // in the order of the work that needs them
@@ -398,7 +398,7 @@
 				}
 			}
 			// Where there is some room, the rest is rented beside it.
-			if zone = largestZone(freeSlots); zone != "" && freeSlots[zone] == 0 {
+			if zone = core.LargestZone(freeSlots); zone != "" && freeSlots[zone] == 0 {
 				zone = ""
 			}
 		}
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -139,7 +139,7 @@
 	golden.JSON(f, "empty machine", MachineView{})
 	golden.JSON(f, "empty team", TeamView{})
 	golden.JSON(f, "empty job", JobView{})
-	golden.JSON(f, "empty metrics", MetricsView{Fragmentation: []FragmentationView{{}}, Zones: map[api.Zone]ZoneView{"a": {}}})
+	golden.JSON(f, "empty metrics", MetricsView{Fragmentation: []core.FragmentationView{{}}, Zones: map[api.Zone]ZoneView{"a": {}}})
 	golden.JSON(f, "empty key", KeyView{})
 	golden.JSON(f, "empty skip", SkipView{Items: []SkipItem{{}}})
 	golden.JSON(f, "empty skip answer", SkipResult{})
--- a/controller/loan.go
+++ b/controller/loan.go
@@ -78,7 +78,7 @@
 			candidates = append(candidates, m)
 		}
 	}
-	ms, hosts := bl.c.backfiller.ReservableHosts(owned, demand.Spec, nil, candidates, map[*core.Machine][]backfill.Release{}, nil)
+	ms, hosts := bl.c.backfiller.ReservableMachines(owned, demand.Spec, candidates)
 	if i, _ := backfill.SoonestEmpty(hosts, demand.Spec.Demand()); i >= 0 {
 		bl.c.backfiller.Reserve(owned, ms[i], demand.Spec.Ref, demand.Spec.Priority.Rank(), demand.Stage)
 	}
--- a/controller/metrics.go
+++ b/controller/metrics.go
@@ -103,7 +103,7 @@
 	Zones map[api.Zone]ZoneView `json:"zones,omitempty"`
 
 	// Accelerators of our parts that are free and in pieces, by type.
-	Fragmentation []FragmentationView `json:"accelerators_in_pieces,omitempty"`
+	Fragmentation []core.FragmentationView `json:"accelerators_in_pieces,omitempty"`
 
 	// Reservations, once somebody asked this controller for one.
 	Reservations *SkipMetrics `json:"skips,omitempty"`
@@ -114,16 +114,6 @@
 	PoolShareMoves uint64                       `json:"pool_share_moves,omitempty"`
 }
 
-// FragmentationView is what an operator is shown of free accelerators of a part that usual demands can't
-// use: by how usual each is, so what a rare one can't use counts for little.
-type FragmentationView struct {
-	Partition api.PartitionID     `json:"part"`
-	Type      api.MachineTypeName `json:"type"`
-	Zone      api.Zone            `json:"zone"`
-	Free      float64             `json:"free"`
-	Unusable  float64             `json:"lost"`
-}
-
 // ZoneView is what an operator is shown of a zone that is not whole.
 type ZoneView struct {
 	State            string            `json:"state"`    // doubtful, lost or returning
--- a/controller/partition.go
+++ b/controller/partition.go
@@ -91,7 +91,7 @@
 		rs.c.balancer.LendMachines(owned)
 	}
 	rs.c.backfiller.Backfill(owned)
-	if owned.UnexaminedJobs > 0 && rs.core.Now.Sub(owned.PlannedAt) >= deferredJobsInterval || len(owned.UnmetDemands) > 0 && rs.core.Now.Sub(owned.PlannedAt) >= unmetDemandRecheckInterval {
+	if owned.UnexaminedJobs > 0 && rs.core.Now.Sub(owned.PlannedAt) >= deferredJobsInterval || len(owned.UnmetDemands) > 0 && rs.core.Now.Sub(owned.PlannedAt) >= core.UnmetDemandRecheckInterval {
 		owned.Dirty = true
 	}
 	if owned.InFlight != nil || owned.Releasing || owned.LoanInFlight || rs.core.Now < owned.NextRound || !owned.Dirty && !owned.NeedsNewToken {
--- a/controller/preempt.go
+++ b/controller/preempt.go
@@ -247,7 +247,7 @@
 		fastSlots += slots
 	}
 	if j.Spec.OneZone {
-		fastSlots = byZone[largestZone(byZone)]
+		fastSlots = byZone[core.LargestZone(byZone)]
 	} else if j.Spec.Spread {
 		fastSlots = 0
 		for z, c := range byZone {
--- a/controller/rebalance.go
+++ b/controller/rebalance.go
@@ -246,16 +246,5 @@
 			freeSlots[k.Zone] += r.Count * (2*s.Demand().Slots(r.Free) + s.Demand().Slots(r.Could))
 		}
 	})
-	return largestZone(freeSlots)
-}
-
-// largestZone is the zone with the highest count.
-func largestZone(count map[api.Zone]int) api.Zone {
-	var best api.Zone
-	for _, z := range slices.Sorted(maps.Keys(count)) {
-		if best == "" || count[z] > count[best] {
-			best = z
-		}
-	}
-	return best
+	return core.LargestZone(freeSlots)
 }
--- /dev/null
+++ b/controller/starvation/reserve.go
@@ -0,0 +1,205 @@
+package starvation
+
+// This file reserves machines for aged jobs that found no free capacity.
+
+import (
+	"cmp"
+	"log/slog"
+	"math"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/backfill"
+	"basaltwall/controller/core"
+	"basaltwall/sched"
+)
+
+// backfillInterval is how often a partition looks at its aged jobs.
+const backfillInterval = time.Second
+
+// backfillPass is what one pass over a partition's aged jobs knows of its machines.
+type backfillPass struct {
+	owned          *core.OwnedPartition
+	schedulable    []*core.Machine
+	remainingQuota map[api.Team]api.Resources
+	releases       map[*core.Machine][]backfill.Release
+	// The same for jobs that suffer fragmentation, for which services may be relocated.
+	relocationReleases map[*core.Machine][]backfill.Release
+	relocationCapacity *relocationCapacity // nil until a job needs it
+}
+
+// Backfill reserves machines for the aged jobs of a partition that found no free capacity:
+// nothing else starts there, so that their capacity comes free as a whole. The reservations get
+// into the partition's record, see ReservationChanges, and its next owner goes on with them until
+// it has made a pass of its own.
+func (g *Guard) Backfill(owned *core.OwnedPartition) {
+	if g.core.Now.Sub(owned.BackfilledAt) < backfillInterval {
+		return
+	}
+	owned.BackfilledAt = g.core.Now
+	g.extendLoanReservations(owned)
+	g.extendWholeMachineReservations(owned)
+	owned.Dirty = owned.Dirty || len(g.ReservationChanges(owned)) > 0
+	jobs := g.mustStartJobs(owned)
+	if len(jobs) == 0 {
+		return
+	}
+	pass := g.newBackfillPass(owned)
+	for _, j := range jobs {
+		g.reserveForJob(pass, j)
+	}
+}
+
+func (g *Guard) newBackfillPass(owned *core.OwnedPartition) *backfillPass {
+	pass := &backfillPass{
+		owned:              owned,
+		releases:           map[*core.Machine][]backfill.Release{},
+		relocationReleases: map[*core.Machine][]backfill.Release{},
+	}
+	for _, m := range g.siblings.Agents.MachinesOf(owned.ID) {
+		if g.siblings.Scheduler.IsSchedulable(m, owned) {
+			pass.schedulable = append(pass.schedulable, m)
+		}
+	}
+	pass.remainingQuota = g.core.RemainingQuota(owned.ID)
+	return pass
+}
+
+// reserveForJob reserves the machines on which a job can start soonest.
+func (g *Guard) reserveForJob(pass *backfillPass, j *core.Job) {
+	owned, stage, tasksNeeded := pass.owned, g.WaitStage(j, pass.owned.ID), 1
+	if j.Spec.Kind == api.Gang {
+		tasksNeeded = j.Spec.Tasks
+	}
+	if j.Demand.Slots(pass.remainingQuota[j.Spec.Team]) < tasksNeeded || g.siblings.Pools.PendingReasonPool(j, owned.ID) != "" {
+		return // it waits for quota or for a pool, not for machines
+	}
+	var relocation *relocationCapacity
+	releases := pass.releases
+	if g.suffersFragmentation(j.Spec) {
+		if pass.relocationCapacity == nil {
+			pass.relocationCapacity = g.computeRelocationCapacity(owned, pass.schedulable)
+		}
+		relocation, releases = pass.relocationCapacity, pass.relocationReleases
+	}
+	machines, candidates := g.reservableMachines(owned, j.Spec, j.OwnerState.FailedOn, pass.schedulable, releases, relocation)
+	chosen, afterSeconds := g.selectMachines(j, candidates, tasksNeeded)
+	j.OwnerState.Unplaceable = chosen == nil
+	if afterSeconds == 0 && chosen != nil && !candidates[chosen[0]].Reserved {
+		owned.Dirty = true // its capacity is free: the next round places it
+	}
+	for _, i := range chosen {
+		g.Reserve(owned, machines[i], j.ID, j.Spec.Priority.Rank(), stage)
+		if relocation != nil {
+			g.relocateServices(owned, machines[i], relocation)
+		}
+	}
+	if len(chosen) > 0 {
+		slog.Debug("machines reserved for job", "job", j.ID, "partition", owned.ID, "machines", len(chosen), "after", afterSeconds)
+	}
+}
+
+// selectMachines chooses among the candidates for so many tasks of a job, or, if these never have
+// capacity for all of them, for fewer: the rest is lent by other partitions. It returns nil if
+// there is none for even one.
+func (g *Guard) selectMachines(j *core.Job, candidates []backfill.Machine, tasksNeeded int) (chosen []int, afterSeconds float64) {
+	request := backfill.Request{Demand: j.Demand, Tasks: tasksNeeded, OneZone: j.Spec.OneZone}
+	request.PlacedByZone, _ = g.siblings.Scheduler.TaskZones(j)
+	if j.Spec.Spread {
+		request.MaxPerZone = (j.Spec.Tasks + 1) / 2
+	}
+	chosen, afterSeconds = backfill.SelectMachines(candidates, request)
+	for request.Tasks > 1 && chosen == nil {
+		request.Tasks = request.Tasks * 3 / 4
+		chosen, afterSeconds = backfill.SelectMachines(candidates, request)
+	}
+	return chosen, afterSeconds
+}
+
+// ReservableMachines are the candidates that may be reserved for a job, and for each of them what
+// is and will be free on it.
+func (g *Guard) ReservableMachines(owned *core.OwnedPartition, s *api.JobSpec, candidates []*core.Machine) ([]*core.Machine, []backfill.Machine) {
+	return g.reservableMachines(owned, s, nil, candidates, map[*core.Machine][]backfill.Release{}, nil)
+}
+
+// reservableMachines is the same without the excluded machines. Releases are kept from one call to
+// the next. With a relocation capacity, services that have room elsewhere count as tasks that end;
+// a machine whose services have none is not reserved for what would never begin on it, while they
+// or others could use the rest of it.
+func (g *Guard) reservableMachines(owned *core.OwnedPartition, s *api.JobSpec, excluded map[api.MachineID]bool, candidates []*core.Machine,
+	releases map[*core.Machine][]backfill.Release, capacity *relocationCapacity) (machines []*core.Machine, views []backfill.Machine) {
+	cpuOnly := g.core.IsCPUOnly(s)
+	for _, m := range candidates {
+		reservedFor := g.siblings.Preemptor.ReservedFor(m)
+		if isReservedAgainst(m, reservedFor, s) || excluded[m.ID] || !g.core.IsEligible(s, cpuOnly, m.MachineType, m.Zone, m.Spot) {
+			continue
+		}
+		machineReleases, known := releases[m]
+		if !known {
+			machineReleases = g.expectedReleases(m, capacity != nil && g.canRelocateServices(owned, m, capacity))
+			releases[m] = machineReleases
+		}
+		machines = append(machines, m)
+		views = append(views, backfill.Machine{Zone: m.Zone, Free: g.siblings.Scheduler.FreeCapacityOn(m, owned), Releases: machineReleases, Reserved: reservedFor == s.Ref})
+	}
+	return machines, views
+}
+
+// isReservedAgainst reports whether a machine's reservation keeps a job from reserving it.
+func isReservedAgainst(m *core.Machine, reservedFor api.JobID, s *api.JobSpec) bool {
+	if reservedFor == "" || reservedFor == s.Ref {
+		return false
+	}
+	return !m.SoftReservation || s.Priority.Rank() <= m.ReservationRank
+}
+
+// expectedReleases is what comes free on a machine by itself. With relocation, a service that may
+// move counts as a task that ends, though later than most.
+func (g *Guard) expectedReleases(m *core.Machine, includeRelocatable bool) []backfill.Release {
+	var out []backfill.Release
+	for _, p := range g.core.State.PlacementsOn(m.ID) {
+		if p.Finishing {
+			continue // its capacity is free already
+		}
+		out = append(out, backfill.Release{AfterSeconds: g.secondsToEnd(p, includeRelocatable), Resources: p.Job.Demand})
+	}
+	return out
+}
+
+// secondsToEnd is how soon a task is expected to end; infinite if it has no end. The only guide is
+// its owner's estimate; a task that is overdue may last half as long again as it is late.
+func (g *Guard) secondsToEnd(p *core.Placement, includeRelocatable bool) float64 {
+	estimate := p.Job.Spec.Estimate
+	switch {
+	case p.OwnerState.StopRequested || p.Job.Terminal():
+		return core.PreemptionDelay.Seconds() + p.Job.Spec.Save
+	case p.Job.Spec.Kind == api.Service:
+		if includeRelocatable && g.isRelocatable(p) {
+			return relocationDelay.Seconds()
+		}
+		return math.Inf(1)
+	}
+	ran := 0.0
+	if since := cmp.Or(p.OwnerState.RunningSince, p.OwnerState.PlacedAt); since != 0 {
+		ran = g.core.Now.Sub(since).Seconds()
+	}
+	return max(estimate*core.RuntimeSafetyFactor-ran, (ran-estimate)/2, 1)
+}
+
+// Reserve reserves a machine for a job for which capacity is gathered. Unless the job is aged above
+// all, work of a higher rank may still start there.
+func (g *Guard) Reserve(owned *core.OwnedPartition, m *core.Machine, jobID api.JobID, rank int, stage sched.AgingStage) {
+	if g.siblings.Preemptor.ReservedFor(m) != jobID {
+		g.core.Metrics.MachinesReserved++
+		m.ConsolidatedAt = g.core.Now
+		slog.Info("machine reserved", "machine", m.ID, "for", jobID, "tasks", len(g.core.State.PlacementsOn(m.ID)))
+		owned.Dirty = true
+	}
+	g.markReserved(m, jobID, rank, stage != sched.AgedAboveAll)
+}
+
+// markReserved notes on a machine that capacity is gathered on it for a job.
+func (g *Guard) markReserved(m *core.Machine, jobID api.JobID, rank int, soft bool) {
+	m.ReservedFor, m.ReservationRank, m.SoftReservation = jobID, rank, soft
+	m.ReservedUntil, m.Consolidated = g.core.Now.Add(core.ReservationTTL), true
+}
--- a/controller/transfer.go
+++ b/controller/transfer.go
@@ -25,11 +25,8 @@
 // tears the work of other jobs from their part, and room may come free by itself.
 const transferWait = 20 * time.Second
 
-// unmetDemandRecheckInterval is how often a round looks again at jobs that lack room when nothing else changes.
-const unmetDemandRecheckInterval = 3 * time.Second
-
 // unmetDemandExpiry is when a job that was not seen to lack room since counts as one that begins to.
-const unmetDemandExpiry = 4 * unmetDemandRecheckInterval
+const unmetDemandExpiry = 4 * core.UnmetDemandRecheckInterval
 
 // UnmetDemandOf describes a job that found no room in its part.
 func (bl *Balancer) UnmetDemandOf(owned *core.OwnedPartition, j *core.Job, request *sched.Job) message.UnmetDemand {
