--- /dev/null
+++ b/controller/balance/capacity.go
@@ -0,0 +1,64 @@
+package balance
+
+// This file has which partitions and zones have capacity for all of a job.
+
+import (
+	"basaltwall/api"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/sched"
+)
+
+// PartitionsWithCapacity finds the partitions that have capacity for all of a job's tasks: now, or
+// after preemption if the job's priority is high enough for that.
+func (b *Balancer) PartitionsWithCapacity(s *api.JobSpec) (now, afterPreemption map[api.PartitionID]bool) {
+	demand, cpuOnly := s.Demand(), b.core.IsCPUOnly(s)
+	mayPreempt := s.Priority.Rank() >= core.PreemptorRank
+	free, preemptible := map[api.PartitionID][]sched.Machine{}, map[api.PartitionID][]sched.Machine{}
+	b.siblings.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+		if !class.Usable || !b.core.IsEligible(s, cpuOnly, class.Type, class.Zone, class.Spot) {
+			return
+		}
+		for range min(capacity.Count, s.Tasks) { // more that are alike are never needed
+			if demand.Fits(capacity.Free) {
+				free[p] = append(free[p], machineWithFree(class, capacity.Free))
+			}
+			if mayPreempt && demand.Fits(capacity.Could) {
+				preemptible[p] = append(preemptible[p], machineWithFree(class, capacity.Could))
+			}
+		}
+	})
+	return partitionsThatFit(free, s), partitionsThatFit(preemptible, s)
+}
+
+// machineWithFree is a machine of a class, as the scheduler sees it, with so much free.
+func machineWithFree(class message.MachineClass, free api.Resources) sched.Machine {
+	return sched.Machine{Type: class.Type, Zone: class.Zone, Spot: class.Spot, Free: free}
+}
+
+// partitionsThatFit are the partitions whose machines hold all of a job's tasks.
+func partitionsThatFit(machines map[api.PartitionID][]sched.Machine, s *api.JobSpec) map[api.PartitionID]bool {
+	out := map[api.PartitionID]bool{}
+	for p, ms := range machines {
+		if sched.FitsAll(ms, s) {
+			out[p] = true
+		}
+	}
+	return out
+}
+
+// preferredZone is the zone with most capacity for a job whose tasks must be in one zone; empty
+// for other jobs.
+func (b *Balancer) preferredZone(s *api.JobSpec) api.Zone {
+	if !s.OneZone {
+		return ""
+	}
+	slots := map[api.Zone]int{}
+	b.siblings.Gossip.EachFreeCapacity(func(_ api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+		if class.Usable && sched.Feasible(s, class.Type, class.Zone, class.Spot) {
+			// What is free at once counts for more than what preemption would free.
+			slots[class.Zone] += capacity.Count * (2*s.Demand().Slots(capacity.Free) + s.Demand().Slots(capacity.Could))
+		}
+	})
+	return core.LargestZone(slots)
+}
--- /dev/null
+++ b/controller/balance/loan.go
@@ -0,0 +1,181 @@
+package balance
+
+// This file lends empty machines to other partitions.
+
+import (
+	"encoding/json"
+	"log/slog"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/backfill"
+	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/sched"
+)
+
+// minLendInterval is how long after it looked at others' demands a partition looks again.
+const minLendInterval = 2 * core.GossipInterval
+
+// LendMachines lends a machine to a partition that can't hold a job whole. The write raises the
+// token under which the machine is commanded, so nothing that this partition has sent it can take
+// effect any more. If no empty machine fits, tasks of lower priority are preempted on one, or one
+// is lent with its tasks, or one is reserved.
+func (b *Balancer) LendMachines(owned *core.OwnedPartition) {
+	if owned.LoanInFlight || owned.Releasing || owned.InFlight != nil || b.core.Now < owned.NextLoan {
+		return
+	}
+	owned.NextLoan = b.core.Now.Add(minLendInterval)
+	for _, status := range b.siblings.Gossip.OtherPartitionStatuses(owned) {
+		for _, demand := range status.Lack {
+			if demand.Spec == nil || len(owned.UnmetDemands) > 0 && status.Part > owned.ID {
+				continue // of two partitions with unmet demand, the higher one lends
+			}
+			if b.meetDemand(owned, status.Part, &demand) {
+				return
+			}
+		}
+	}
+}
+
+// meetDemand does what a partition can for a job of another one, and reports whether it has lent a
+// machine.
+func (b *Balancer) meetDemand(owned *core.OwnedPartition, borrower api.PartitionID, demand *message.UnmetDemand) (lent bool) {
+	cpuOnly, aged := b.core.IsCPUOnly(demand.Spec), demand.Stage != sched.NotAged
+	if cpuOnly && owned.PendingTaskCount > 0 && !aged && !slices.Contains(demand.Lenders, owned.ID) {
+		return false // the partition's own tasks can use what is free
+	}
+	empty, plan := b.selectLoanMachine(owned, demand, cpuOnly)
+	if empty != nil {
+		b.lendMachine(owned, empty.ID, borrower, demand.Spec.Ref)
+		return true
+	}
+	if plan.Machine != nil {
+		b.siblings.Preemptor.ReserveExclusively(plan.Machine, demand.Spec.Ref)
+		b.siblings.Preemptor.ExecutePreemption(plan, demand.Spec.Ref)
+		return false
+	}
+	if m := b.selectTransferMachine(owned, demand, cpuOnly); m != nil {
+		b.lendMachineWithTasks(owned, m, borrower, demand.Spec.Ref)
+		return true
+	}
+	if aged {
+		b.reserveForLoan(owned, demand)
+	}
+	return false
+}
+
+// selectLoanMachine finds an empty machine for a job of another partition or, if there is none,
+// the machine that preemption would empty at the least cost.
+func (b *Balancer) selectLoanMachine(owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) (empty *core.Machine, best core.PreemptionPlan) {
+	mayPreempt := !cpuOnly || demand.Stage != sched.NotAged
+	for _, m := range b.siblings.Agents.MachinesOf(owned.ID) {
+		reservedFor := b.siblings.Preemptor.ReservedFor(m)
+		if reservedFor != "" && reservedFor != demand.Spec.Ref || !b.isLendable(m, owned, demand, cpuOnly) {
+			continue
+		}
+		if b.isEmpty(m) {
+			if demand.Spec.Demand().Fits(b.siblings.Scheduler.FreeCapacityOn(m, owned)) {
+				return m, core.PreemptionPlan{}
+			}
+			continue
+		}
+		if !mayPreempt {
+			continue
+		}
+		plan := b.siblings.Preemptor.PlanPreemption(m, owned, demand.Spec, demand.Spec.Tasks, false)
+		emptied := plan.Tasks > 0 && len(plan.Victims) == len(b.core.State.PlacementsOn(m.ID))
+		if emptied && (best.Machine == nil || plan.Cost < best.Cost) {
+			best = plan
+		}
+	}
+	return nil, best
+}
+
+// isEmpty reports whether no task is on a machine, known or not.
+func (b *Balancer) isEmpty(m *core.Machine) bool {
+	return len(b.core.State.PlacementsOn(m.ID)) == 0 && hasOnlyKnownTasks(m)
+}
+
+// hasOnlyKnownTasks reports whether the cluster state has all tasks that a machine has reported.
+func hasOnlyKnownTasks(m *core.Machine) bool {
+	return !m.HasUnknownTasks && m.UntrackedUsage == (api.Resources{})
+}
+
+// isLendable reports whether a machine may be lent, as it is, to a job with unmet demand.
+func (b *Balancer) isLendable(m *core.Machine, owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) bool {
+	return b.siblings.Scheduler.IsSchedulable(m, owned) && !m.CallInFlight &&
+		isInZoneOf(m, demand) &&
+		b.core.IsEligible(demand.Spec, cpuOnly, m.MachineType, m.Zone, m.Spot)
+}
+
+// isInZoneOf reports whether a machine is in a zone that a job's tasks may use.
+func isInZoneOf(m *core.Machine, demand *message.UnmetDemand) bool {
+	return (demand.Zone == "" || m.Zone == demand.Zone) && sched.ZoneFeasible(demand.Spec, demand.Zones, m.Zone)
+}
+
+// reserveForLoan reserves the machine that will be empty soonest for another partition's aged job.
+func (b *Balancer) reserveForLoan(owned *core.OwnedPartition, demand *message.UnmetDemand) {
+	var candidates []*core.Machine
+	for _, m := range b.siblings.Agents.MachinesOf(owned.ID) {
+		if b.siblings.Scheduler.IsSchedulable(m, owned) && isInZoneOf(m, demand) {
+			candidates = append(candidates, m)
+		}
+	}
+	machines, views := b.siblings.Backfiller.ReservableMachines(owned, demand.Spec, candidates)
+	if i, _ := backfill.SoonestEmpty(views, demand.Spec.Demand()); i >= 0 {
+		b.siblings.Backfiller.Reserve(owned, machines[i], demand.Spec.Ref, demand.Spec.Priority.Rank(), demand.Stage)
+	}
+}
+
+// lendMachine writes the record of a loan, again until the outcome is known. No round is planned
+// before: a late write must not give away a machine that has got a task meanwhile.
+func (b *Balancer) lendMachine(owned *core.OwnedPartition, id api.MachineID, borrower api.PartitionID, jobID api.JobID) {
+	key := clusterstate.KeyLoan + string(id)
+	value, err := json.Marshal(clusterstate.LoanValue{Partition: borrower, Job: jobID, Transferred: b.core.State.Loans[id].Transferred})
+	if err != nil {
+		slog.Error("loan not encoded", "err", err)
+		return
+	}
+	owned.LoanInFlight = true
+	txn := api.Txn{
+		If:     []api.Condition{owned.OwnershipCondition(), b.core.State.VersionCondition(key)},
+		Writes: []api.Write{{Put: key, Value: value}},
+	}
+	settle := func() { owned.LoanInFlight, owned.Dirty = false, true }
+	var attempt func()
+	retry := func() { b.core.DeferCall(attempt) }
+	attempt = func() {
+		b.core.CallStoreTxn(txn, func(response message.StoreResponse) {
+			if b.core.Partitions[owned.ID] != owned {
+				return
+			}
+			switch response.Status {
+			case 200:
+				b.core.Metrics.MachinesLoaned++
+				slog.Info("machine lent", "machine", id, "from", owned.ID, "to", borrower, "for", jobID)
+				b.siblings.Log.LinearizableRead(settle, retry)
+			case 409:
+				b.siblings.Log.LinearizableRead(settle, retry)
+			default:
+				retry()
+			}
+		})
+	}
+	attempt()
+}
+
+// DropLoanRecord removes the record of a machine's loan once the machine is gone and no checkpoint
+// names tasks that went with it.
+func (b *Balancer) DropLoanRecord(owned *core.OwnedPartition, id api.MachineID) {
+	if _, ok := b.core.State.Loans[id]; !ok || !b.core.State.LoanCheckpointed(id) {
+		return
+	}
+	key := clusterstate.KeyLoan + string(id)
+	txn := api.Txn{
+		If:     []api.Condition{owned.OwnershipCondition(), b.core.State.VersionCondition(key)},
+		Writes: []api.Write{{Drop: key}},
+	}
+	b.core.CallStoreTxn(txn, func(message.StoreResponse) {})
+}
--- /dev/null
+++ b/controller/balance/move.go
@@ -0,0 +1,228 @@
+package balance
+
+// This file moves pending tasks to other partitions.
+
+import (
+	"encoding/json"
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+	"basaltwall/sched"
+)
+
+const (
+	// maxMoveCandidates bounds the jobs that are considered for a move at once.
+	maxMoveCandidates = 16
+	// moveRetryInterval is for how long a job is not considered again once it was moved.
+	moveRetryInterval = 3 * core.GossipInterval
+	// minRebalanceShare is the share of the pending tasks that is worth a write to move.
+	minRebalanceShare = 0.25
+	// stuckMoveInterval is how long an aged job stays in a partition where nothing that it may use
+	// will come free.
+	stuckMoveInterval = 15 * time.Second
+)
+
+// moveTarget is where pending tasks of a job are to move, and how many at most; none if tasks is 0.
+type moveTarget struct {
+	partition api.PartitionID
+	tasks     int
+}
+
+// RebalancePending moves pending tasks of one job of a partition to another that has capacity for
+// them.
+func (b *Balancer) RebalancePending(owned *core.OwnedPartition) {
+	if owned.MoveInFlight || owned.Releasing || owned.InFlight != nil || b.core.Now < owned.NextMove || owned.PendingTaskCount == 0 {
+		return
+	}
+	owned.NextMove = b.core.Now.Add(core.GossipInterval)
+	candidatesLeft := maxMoveCandidates
+	pending := owned.RotateAfterCursor(slices.Sorted(maps.Keys(b.core.State.PendingJobs)))
+	for _, jobID := range b.siblings.Priorities.SortByPriority(pending) {
+		j := b.core.State.PendingJobs[jobID]
+		if !b.isMovable(j) || j.PendingTasks(owned.ID) == 0 {
+			continue
+		}
+		if candidatesLeft == 0 {
+			return
+		}
+		candidatesLeft--
+		owned.MoveCursor = jobID
+		if b.HasReservationFor(owned, jobID) {
+			continue // capacity is gathered for it here
+		}
+		if target := b.moveTargetFor(owned, j); target.tasks > 0 && b.moveTasks(owned, j, target) {
+			return
+		}
+	}
+}
+
+// isMovable reports whether a job may be moved now: its tasks may start, and it was not moved a
+// moment ago.
+func (b *Balancer) isMovable(j *core.Job) bool {
+	if j.OwnerState.BackoffUntil > b.core.Now || b.siblings.Tenancy.StartsBlocked(j) {
+		return false
+	}
+	movedAt := j.OwnerState.RebalancedAt
+	return movedAt == 0 || b.core.Now.Sub(movedAt) >= moveRetryInterval
+}
+
+// HasReservationFor reports whether a partition reserves a machine for a job because capacity is
+// gathered for it.
+func (b *Balancer) HasReservationFor(owned *core.OwnedPartition, jobID api.JobID) bool {
+	return slices.ContainsFunc(b.siblings.Agents.MachinesOf(owned.ID), func(m *core.Machine) bool {
+		return m.Consolidated && b.siblings.Preemptor.ReservedFor(m) == jobID
+	})
+}
+
+// moveTargetFor decides where a job's pending tasks of a partition are better off, if anywhere.
+func (b *Balancer) moveTargetFor(owned *core.OwnedPartition, j *core.Job) moveTarget {
+	stuck := j.OwnerState.Unplaceable && b.siblings.Backfiller.WaitStage(j, owned.ID) != sched.NotAged &&
+		b.core.Now.Sub(j.OwnerState.RebalancedAt) > stuckMoveInterval
+	freeSlots := b.siblings.Capacity.FreeSlotsByPartition(j.Spec)
+	if freeSlots[owned.ID] > 0 && j.Spec.Kind == api.Array {
+		return moveTarget{} // it will be placed here
+	}
+	target := b.mostFreeSlots(owned, j, freeSlots)
+	if j.Spec.NeedsSinglePartition() {
+		var stays bool
+		if target, stays = b.targetForWholeJob(owned, j, target); stays {
+			return moveTarget{}
+		}
+	} else if target.tasks == 0 {
+		target = b.balanceTarget(owned, j)
+	}
+	if target.tasks == 0 && stuck {
+		target = b.nextWithCapacity(owned, j)
+		j.OwnerState.Unplaceable = false
+	}
+	return target
+}
+
+// mostFreeSlots is the other partition with most capacity free beyond what its own pending tasks
+// will take.
+func (b *Balancer) mostFreeSlots(owned *core.OwnedPartition, j *core.Job, freeSlots []int) moveTarget {
+	best := moveTarget{}
+	for i, free := range freeSlots {
+		partition := api.PartitionID(i)
+		if partition == owned.ID {
+			continue
+		}
+		if spare := free - b.siblings.Capacity.PendingTasksIn(partition, j.Spec); spare > best.tasks {
+			best = moveTarget{partition, spare}
+		}
+	}
+	return best
+}
+
+// targetForWholeJob corrects the target of a job whose tasks must all be in one partition: to one
+// that can hold it whole, now or, if the job is urgent enough, after preemption. It stays where it
+// is if that is one of them.
+func (b *Balancer) targetForWholeJob(owned *core.OwnedPartition, j *core.Job, target moveTarget) (corrected moveTarget, stays bool) {
+	if target.tasks == 0 {
+		target = b.largestForWholeJob(owned, j)
+	}
+	holders, afterPreemption := b.PartitionsWithCapacity(j.Spec)
+	if holders[owned.ID] {
+		return moveTarget{}, true
+	}
+	if len(holders) == 0 {
+		if afterPreemption[owned.ID] {
+			return moveTarget{}, true
+		}
+		holders = afterPreemption
+	}
+	if len(holders) > 0 && !holders[target.partition] {
+		target = moveTarget{slices.Min(slices.Collect(maps.Keys(holders))), j.Spec.Tasks}
+	}
+	return target, false
+}
+
+// largestForWholeJob is the largest partition whose machines could hold a job that its own
+// partition can never hold: there it may wait, or have other tasks preempted.
+func (b *Balancer) largestForWholeJob(owned *core.OwnedPartition, j *core.Job) moveTarget {
+	best := moveTarget{}
+	slots := b.siblings.Capacity.TotalSlotsByPartition(j.Spec)
+	if slots[owned.ID] >= j.Spec.Tasks {
+		return best
+	}
+	for partition, count := range slots {
+		if count >= j.Spec.Tasks && count > best.tasks {
+			best = moveTarget{api.PartitionID(partition), count}
+		}
+	}
+	return best
+}
+
+// balanceTarget finds a partition in which, for the machines it has, less work waits that goes
+// before a job's tasks: where rules say what goes first, work that comes after them would start
+// there while they wait here.
+func (b *Balancer) balanceTarget(owned *core.OwnedPartition, j *core.Job) moveTarget {
+	best := moveTarget{}
+	if len(b.core.Settings.Priority) == 0 {
+		return best
+	}
+	slots := b.siblings.Capacity.TotalSlotsByPartition(j.Spec)
+	waiting := j.PendingTasks(owned.ID)
+	waitingHere, slotsHere := float64(b.siblings.Capacity.PendingTasksIn(owned.ID, j.Spec)), float64(slots[owned.ID])
+	for i, count := range slots {
+		partition, slotsThere := api.PartitionID(i), float64(count)
+		if partition == owned.ID || count == 0 {
+			continue
+		}
+		waitingThere := float64(b.siblings.Capacity.PendingTasksIn(partition, j.Spec))
+		surplus := (waitingHere*slotsThere - waitingThere*slotsHere) / (slotsHere + slotsThere)
+		if int(surplus) > best.tasks && surplus > minRebalanceShare*waitingHere {
+			best = moveTarget{partition, min(waiting, int(surplus))}
+		}
+	}
+	return best
+}
+
+// nextWithCapacity is the next partition that has machines which an aged job may use, for one that
+// has nothing to hope for in its own.
+func (b *Balancer) nextWithCapacity(owned *core.OwnedPartition, j *core.Job) moveTarget {
+	slots := b.siblings.Capacity.TotalSlotsByPartition(j.Spec)
+	for i := 1; i < len(slots); i++ {
+		if next := (int(owned.ID) + i) % len(slots); slots[next] > 0 {
+			return moveTarget{api.PartitionID(next), j.PendingTasks(owned.ID)}
+		}
+	}
+	return moveTarget{}
+}
+
+// moveTasks writes a job's record with pending tasks given to another partition, and reports
+// whether there was anything to write.
+func (b *Balancer) moveTasks(owned *core.OwnedPartition, j *core.Job, target moveTarget) bool {
+	split, ok := splitAfterMove(j, owned.ID, target.partition, target.tasks)
+	if !ok {
+		return false
+	}
+	value := j.JobValue
+	value.Split = split
+	data, err := json.Marshal(value)
+	if err != nil || b.core.JobExceedsValueSize(data) {
+		return false
+	}
+	j.OwnerState.RebalancedAt = b.core.Now
+	owned.MoveInFlight = true
+	jobID, key := j.ID, clusterstate.KeyJob+string(j.ID)
+	txn := api.Txn{
+		If:     []api.Condition{{Key: key, Version: j.Version}, owned.OwnershipCondition()},
+		Writes: []api.Write{{Put: key, Value: data}},
+	}
+	settle := func() { owned.MoveInFlight = false }
+	b.core.CallStoreTxn(txn, func(response message.StoreResponse) {
+		if response.Status == 200 {
+			b.core.Metrics.TaskMoves++
+		}
+		slog.Info("pending tasks moved", "job", jobID, "from", owned.ID, "to", target.partition, "most", target.tasks, "status", response.Status)
+		b.siblings.Log.LinearizableRead(settle, settle)
+	})
+	return true
+}
--- /dev/null
+++ b/controller/balance/transfer.go
@@ -0,0 +1,126 @@
+package balance
+
+// This file lends machines together with the tasks that run there, where a job whose tasks must be
+// in one partition has waited for long and no machine is empty. One record of the lender's
+// partition carries the loan, the tasks and the share of their teams' limits that they use, on
+// condition that none of their jobs has changed. So none was cancelled, and no placement is added
+// to a partition that has not acknowledged a cancellation. See clusterstate/transfer.go and
+// docs/safety.md.
+
+import (
+	"cmp"
+	"encoding/json"
+	"log/slog"
+	"slices"
+
+	"basaltwall/api"
+	"basaltwall/clusterstate"
+	"basaltwall/controller/core"
+	"basaltwall/controller/message"
+)
+
+// allSupportFormat reports whether every controller understands a format of records.
+func (b *Balancer) allSupportFormat(format int) bool {
+	return !slices.ContainsFunc(b.core.Controllers, func(id api.ControllerID) bool { return b.siblings.Membership.Format(id) < format })
+}
+
+// selectTransferMachine is the machine of a partition that has capacity for most of a job's tasks
+// and, of those, runs fewest others; nil if none can be lent with what runs there.
+func (b *Balancer) selectTransferMachine(owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) *core.Machine {
+	if !slices.Contains(demand.Lenders, owned.ID) || b.siblings.Scheduler.IsRecordRingFull(owned) || !b.allSupportFormat(clusterstate.FormatTransfers) {
+		return nil
+	}
+	var best *core.Machine
+	bestSlots := 0
+	for _, m := range b.siblings.Agents.MachinesOf(owned.ID) {
+		if b.siblings.Preemptor.ReservedFor(m) != "" || !b.isLendable(m, owned, demand, cpuOnly) || !b.IsTransferable(m, owned) {
+			continue
+		}
+		slots := min(demand.Spec.Demand().Slots(b.siblings.Scheduler.FreeCapacityOn(m, owned)), demand.Spec.Tasks)
+		fewerTasks := best != nil && slots == bestSlots && len(b.core.State.PlacementsOn(m.ID)) < len(b.core.State.PlacementsOn(best.ID))
+		if slots > bestSlots || fewerTasks {
+			best, bestSlots = m, slots
+		}
+	}
+	return best
+}
+
+// IsTransferable reports whether everything on a machine can go with it: only tasks that are known
+// to have arrived there, and so few jobs that one transaction can have conditions on all.
+func (b *Balancer) IsTransferable(m *core.Machine, owned *core.OwnedPartition) bool {
+	if !hasOnlyKnownTasks(m) || m.UncertainToken != 0 {
+		return false
+	}
+	jobs := map[api.JobID]bool{}
+	for _, p := range b.core.State.PlacementsOn(m.ID) {
+		if p.Partition != owned.ID || !isTransferableTask(p) {
+			return false
+		}
+		jobs[p.Job.ID] = true
+	}
+	return len(jobs) < b.siblings.Scheduler.RoundConditionBudget()
+}
+
+// isTransferableTask reports whether a task can change its partition: it is known to have arrived
+// at its machine, is not being stopped, and its job neither holds units of pools nor has to be
+// stopped as a whole.
+func isTransferableTask(p *core.Placement) bool {
+	arrived := p.OwnerState.Reported
+	ending := p.Finishing || p.OwnerState.StopRequested || p.Job.Terminal()
+	bound := p.Job.Spec.Kind == api.Gang || len(p.Job.Spec.Needs) > 0
+	return arrived && !ending && !bound
+}
+
+// lendMachineWithTasks lends a machine to another partition together with its tasks.
+func (b *Balancer) lendMachineWithTasks(owned *core.OwnedPartition, m *core.Machine, borrower api.PartitionID, jobID api.JobID) {
+	key := clusterstate.KeyLoan + string(m.ID)
+	value, err := json.Marshal(clusterstate.LoanValue{Partition: borrower, Job: jobID, Transferred: true, Tasks: b.core.State.StartsOn(m.ID)})
+	if err != nil || b.core.ExceedsValueSize(value) {
+		return
+	}
+	round := &core.PendingRound{
+		Record:   clusterstate.Record{Seq: b.core.State.Partitions[owned.ID].RoundSeq + 1},
+		Ends:     map[*core.Placement]bool{},
+		Transfer: true,
+	}
+	round.Txn.If = []api.Condition{b.core.State.VersionCondition(key)}
+	round.Txn.Writes = []api.Write{{Put: key, Value: value}}
+	used := map[api.Team]api.Resources{}
+	placements := b.core.State.PlacementsOn(m.ID)
+	for _, p := range placements {
+		team, demand := p.Job.Spec.Team, p.Job.Demand
+		used[team] = used[team].Plus(api.Resources{CPU: demand.CPU, GPU: demand.GPU})
+		unchanged := api.Condition{Key: clusterstate.KeyJob + string(p.Job.ID), Version: p.Job.Version}
+		if !slices.Contains(round.Txn.If, unchanged) {
+			round.Txn.If = append(round.Txn.If, unchanged)
+		}
+	}
+	round.Record.QuotaTransfers = b.usedQuotaTransfers(borrower, used)
+	slog.Info("machine lent with running tasks", "machine", m.ID, "from", owned.ID, "to", borrower, "for", jobID, "tasks", len(placements))
+	b.core.Metrics.MachinesTransferred++
+	b.siblings.Scheduler.CommitRound(owned, round)
+}
+
+// usedQuotaTransfers gives another partition what is used of the limits of teams that have one.
+func (b *Balancer) usedQuotaTransfers(to api.PartitionID, used map[api.Team]api.Resources) []clusterstate.QuotaTransfer {
+	var out []clusterstate.QuotaTransfer
+	for team, amount := range used {
+		if amount = b.limitedResources(team, amount); amount != (api.Resources{}) {
+			out = append(out, clusterstate.QuotaTransfer{To: to, Team: team, Amount: amount})
+		}
+	}
+	slices.SortFunc(out, func(x, y clusterstate.QuotaTransfer) int { return cmp.Compare(x.Team, y.Team) })
+	return out
+}
+
+// AdoptMachine takes over a machine that was lent to an owned partition with its tasks: it is
+// called as soon as its address is known, so that it learns our token and we learn what became of
+// the tasks.
+func (b *Balancer) AdoptMachine(id api.MachineID) {
+	m := b.siblings.Agents.EnsureMachine(id)
+	m.DiscoveredAt, m.MissedCalls = b.core.Now, 0
+	if listed, ok := b.siblings.Autoscaler.ListedMachine(id); ok {
+		m.ApplyListing(listed)
+	}
+	b.siblings.Agents.ContactNow(m)
+}
--- a/controller/transfer_model_test.go
+++ b/controller/balance/transfer_model_test.go
@@ -1,4 +1,4 @@
-package controller
+package balance
 
 import (
 	"testing"
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -12,6 +12,7 @@
 	"basaltwall/api"
 	"basaltwall/clusterstate"
 	"basaltwall/config"
+	"basaltwall/controller/balance"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
 	"basaltwall/controller/ordering"
@@ -37,7 +38,7 @@
 	preemptor    *Preemptor
 	priorities   *ordering.Priorities
 	backfiller   *starvation.Guard
-	balancer     *Balancer
+	balancer     *balance.Balancer
 	jobs         *JobService
 	tenancy      *TenantService
 	pools        *PoolManager
@@ -91,7 +92,7 @@
 	n.preemptor = &Preemptor{core: shared, c: n}
 	n.priorities = ordering.New(shared)
 	n.backfiller = starvation.New(shared)
-	n.balancer = &Balancer{core: shared, c: n}
+	n.balancer = balance.New(shared)
 	n.jobs = newJobService(n)
 	n.tenancy = &TenantService{core: shared, c: n}
 	n.pools = &PoolManager{core: shared, c: n}
@@ -103,6 +104,10 @@
 		Agents: n.agents, Autoscaler: n.autoscaler, Balancer: n.balancer, Gossip: n.gossiper, Pools: n.pools,
 		Preemptor: n.preemptor, Scheduler: n.scheduler, Tenancy: n.tenancy,
 	})
+	n.balancer.Connect(balance.Siblings{
+		Agents: n.agents, Autoscaler: n.autoscaler, Backfiller: n.backfiller, Capacity: n.jobs, Gossip: n.gossiper, Log: n.follower,
+		Membership: n.membership, Preemptor: n.preemptor, Priorities: n.priorities, Scheduler: n.scheduler, Tenancy: n.tenancy,
+	})
 	n.tenancy.ResetPlatformTeams()
 	n.tenancy.InitHosted()
 	n.health.InitZones()
--- a/controller/preempt.go
+++ b/controller/preempt.go
@@ -52,17 +52,9 @@
 	m.ReservedFor, m.SoftReservation, m.ReservedUntil, m.Consolidated = ref, false, pr.core.Now.Add(reservationTTL), false
 }
 
-// preemptionPlan is what stopping lower work on a machine would bring.
-type preemptionPlan struct {
-	machine *core.Machine
-	tasks   int // of the job that could start there then
-	victims []*core.Placement
-	cost    float64
-}
-
 // PlanPreemption finds how up to most of a job's tasks could come to fit on a machine. With
 // sparing nothing makes way whose job would be late for it.
-func (pr *Preemptor) PlanPreemption(m *core.Machine, owned *core.OwnedPartition, s *api.JobSpec, maxTasks int, avoidLate bool) preemptionPlan {
+func (pr *Preemptor) PlanPreemption(m *core.Machine, owned *core.OwnedPartition, s *api.JobSpec, maxTasks int, avoidLate bool) core.PreemptionPlan {
 	rank, effective, demand := s.Priority.Rank(), pr.c.priorities.EffectivePriority(s), s.Demand() // what a rule puts before it does not make way
 	available := pr.c.scheduler.FreeCapacityOn(m, owned)
 	needsAccelerator := pr.core.HasAccelerators(m.MachineType) && !pr.core.IsCPUOnly(s) // its accelerators, which other work could leave
@@ -78,19 +70,19 @@
 			candidates = append(candidates, p)
 		}
 	}
-	plan := preemptionPlan{machine: m, tasks: min(maxTasks, demand.Slots(available))}
+	plan := core.PreemptionPlan{Machine: m, Tasks: min(maxTasks, demand.Slots(available))}
 	slices.SortStableFunc(candidates, func(a, b *core.Placement) int {
 		return cmp.Or(cmp.Compare(pr.c.priorities.PriorityBoost(a.Job.Spec), pr.c.priorities.PriorityBoost(b.Job.Spec)), cmp.Compare(pr.preemptionCost(a), pr.preemptionCost(b)))
 	})
 	cost := 0.0
 	for k, p := range candidates {
-		if plan.tasks == maxTasks {
+		if plan.Tasks == maxTasks {
 			break
 		}
 		available = available.Plus(p.Job.Demand)
 		cost += pr.preemptionCost(p)
-		if slots := min(maxTasks, demand.Slots(available)); slots > plan.tasks {
-			plan.tasks, plan.victims, plan.cost = slots, candidates[:k+1], cost
+		if slots := min(maxTasks, demand.Slots(available)); slots > plan.Tasks {
+			plan.Tasks, plan.Victims, plan.Cost = slots, candidates[:k+1], cost
 		}
 	}
 	return plan
@@ -130,7 +122,7 @@
 		tasksPerMachine = need
 	}
 	within := pr.core.StartObjective(j.Spec.Class)
-	byZone := map[api.Zone][]preemptionPlan{}
+	byZone := map[api.Zone][]core.PreemptionPlan{}
 	for _, m := range pr.c.agents.MachinesOf(owned.ID) {
 		if reservedJob := pr.ReservedFor(m); reservedJob != "" && reservedJob != j.ID || !pr.c.scheduler.IsSchedulable(m, owned) || request.ExcludedMachines[m.ID] ||
 			!pr.core.IsEligible(j.Spec, request.AcceleratorOptional, m.MachineType, m.Zone, m.Spot) || !sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.Zone) {
@@ -141,13 +133,13 @@
 			continue
 		}
 		plan := pr.PlanPreemption(m, owned, j.Spec, tasksPerMachine, maxFetch > 0)
-		if plan.tasks == 0 || !gang && len(plan.victims) == 0 && len(pr.core.Settings.Priority) > 0 {
+		if plan.Tasks == 0 || !gang && len(plan.Victims) == 0 && len(pr.core.Settings.Priority) > 0 {
 			continue // what comes free by itself is for who goes first by the rules
 		}
 		if within > 0 {
 			// A fetch that takes the time in which the task should start weighs
 			// like a minute of work lost.
-			plan.cost += 60 * j.Demand.CPU.Float() * min(1, fetch/within)
+			plan.Cost += 60 * j.Demand.CPU.Float() * min(1, fetch/within)
 		}
 		zone := m.Zone
 		if !j.Spec.OneZone && !j.Spec.Spread {
@@ -155,10 +147,12 @@
 		}
 		byZone[zone] = append(byZone[zone], plan)
 	}
-	byCost := func(a, b preemptionPlan) int { return cmp.Compare(a.cost/float64(a.tasks), b.cost/float64(b.tasks)) }
-	var best []preemptionPlan
+	byCost := func(a, b core.PreemptionPlan) int {
+		return cmp.Compare(a.Cost/float64(a.Tasks), b.Cost/float64(b.Tasks))
+	}
+	var best []core.PreemptionPlan
 	bestCost := 0.0
-	var plans []preemptionPlan
+	var plans []core.PreemptionPlan
 	for _, z := range slices.Sorted(maps.Keys(byZone)) {
 		zonePlans := byZone[z]
 		slices.SortStableFunc(zonePlans, byCost)
@@ -171,7 +165,7 @@
 		}
 		got, cost := 0, 0.0
 		for k, plan := range zonePlans {
-			got, cost = got+plan.tasks, cost+plan.cost
+			got, cost = got+plan.Tasks, cost+plan.Cost
 			if got >= need {
 				if best == nil || cost < bestCost {
 					best, bestCost = zonePlans[:k+1], cost
@@ -185,7 +179,7 @@
 		best = plans[:min(len(plans), need)]
 	}
 	for _, plan := range best {
-		pr.ReserveExclusively(plan.machine, j.ID)
+		pr.ReserveExclusively(plan.Machine, j.ID)
 		pr.ExecutePreemption(plan, j.ID)
 	}
 	return len(best)
@@ -278,8 +272,8 @@
 }
 
 // ExecutePreemption stops what must make way.
-func (pr *Preemptor) ExecutePreemption(plan preemptionPlan, jobID api.JobID) {
-	for _, p := range plan.victims {
+func (pr *Preemptor) ExecutePreemption(plan core.PreemptionPlan, jobID api.JobID) {
+	for _, p := range plan.Victims {
 		pr.core.Metrics.PreemptedTasks++
 		p.Job.OwnerState.PreemptedTasks++
 		slog.Info("task preempted", "task", p.Task, "machine", p.Machine, "for", jobID)
--- a/controller/safety_test.go
+++ b/controller/safety_test.go
@@ -14,6 +14,11 @@
 	"basaltwall/controller/message"
 )
 
+// testSpec is an array job of so many small tasks.
+func testSpec(tasks int) *api.JobSpec {
+	return &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: tasks, CPUs: 1}
+}
+
 // newTestOwner is a controller that owns part 0 under term 7, with one usable machine,
 // i-000000 in zone a, and a job of the given kind accepted.
 func newTestOwner(t testing.TB, spec *api.JobSpec) (*Controller, *core.OwnedPartition, *core.Machine, *core.Job) {
--- a/controller/transfer_test.go
+++ b/controller/transfer_test.go
@@ -46,7 +46,7 @@
 		p := j.Placements[0]
 		p.OwnerState.Reported, p.OwnerState.State = true, api.TaskRunning
 		tc.change(m, j, p)
-		if got := n.balancer.isTransferable(m, owned); got != tc.want {
+		if got := n.balancer.IsTransferable(m, owned); got != tc.want {
 			t.Errorf("%s: %v", what, got)
 		}
 	}
--- a/controller/zones_test.go
+++ b/controller/zones_test.go
@@ -19,7 +19,7 @@
 	preempted := func(spare float64) int {
 		n.health.zones.classFloors = map[api.Class]zonehealth.Allowance{"batch": {Preemptible: spare}}
 		n.health.zones.teamFloors = map[api.Team]zonehealth.Allowance{"red": {Preemptible: 100}}
-		return n.preemptor.PlanPreemption(m, owned, urgent, 1, false).tasks
+		return n.preemptor.PlanPreemption(m, owned, urgent, 1, false).Tasks
 	}
 	if preempted(2) != 1 {
 		t.Error("what is above its floor does not make way")
