--- a/controller/controller.go
+++ b/controller/controller.go
@@ -14,6 +14,7 @@
 	"basaltwall/config"
 	"basaltwall/controller/agent"
 	"basaltwall/controller/autoscale"
+	"basaltwall/controller/balance"
 	"basaltwall/controller/capacity"
 	"basaltwall/controller/core"
 	"basaltwall/controller/eligibility"
@@ -24,13 +25,14 @@
 	"basaltwall/controller/message"
 	"basaltwall/controller/metrics"
 	"basaltwall/controller/operations"
+	"basaltwall/controller/ordering"
 	"basaltwall/controller/ownership"
 	"basaltwall/controller/pools"
 	"basaltwall/controller/preemption"
 	"basaltwall/controller/reservations"
 	"basaltwall/controller/rounds"
+	"basaltwall/controller/starvation"
 	"basaltwall/controller/tenancy"
-	"basaltwall/priority"
 )
 
 // TickInterval is how often Step wants to be called when nothing happens.
@@ -53,9 +55,9 @@
 	autoscaler   *autoscale.Manager
 	scheduler    *rounds.Scheduler
 	preemptor    *preemption.Planner
-	priorities   *Priorities
-	backfiller   *Backfiller
-	balancer     *Balancer
+	priorities   *ordering.Priorities
+	backfiller   *starvation.Guard
+	balancer     *balance.Balancer
 	capacity     *capacity.Counter
 	jobs         *jobs.Service
 	tenancy      *tenancy.Service
@@ -79,9 +81,9 @@
 	n.autoscaler = autoscale.New(shared)
 	n.scheduler = rounds.New(shared)
 	n.preemptor = preemption.New(shared)
-	n.priorities = &Priorities{core: shared, c: n}
-	n.backfiller = &Backfiller{core: shared, c: n}
-	n.balancer = &Balancer{core: shared, c: n}
+	n.priorities = ordering.New(shared)
+	n.backfiller = starvation.New(shared)
+	n.balancer = balance.New(shared)
 	n.capacity = capacity.New(shared)
 	n.jobs = jobs.New(shared)
 	n.tenancy = tenancy.New(shared)
@@ -98,12 +100,11 @@
 // registered with it, and what was read of them before is forgotten.
 func (n *Controller) NewState() *core.ClusterState {
 	n.core.Settings, n.core.RecordedTypes = core.Settings{}, api.MachineTypes{}
-	n.priorities.priorityState.shortage = priority.Shortage{}
 	n.health.ResetRecords()
 	kinds := []clusterstate.RecordKind{
 		clusterstate.SingleKey(core.SettingsKey, &n.core.Settings),
 		clusterstate.SingleKey(core.MachineTypesKey, &n.core.RecordedTypes),
-		clusterstate.SingleKey(keyShortage, &n.priorities.priorityState.shortage),
+		n.priorities.ShortageRecordKind(),
 		n.health.RecordKind(),
 	}
 	kinds = append(kinds, n.pools.RecordKinds()...)
--- a/controller/wiring.go
+++ b/controller/wiring.go
@@ -5,6 +5,7 @@
 import (
 	"basaltwall/controller/agent"
 	"basaltwall/controller/autoscale"
+	"basaltwall/controller/balance"
 	"basaltwall/controller/capacity"
 	"basaltwall/controller/eligibility"
 	"basaltwall/controller/gossip"
@@ -13,11 +14,13 @@
 	"basaltwall/controller/logfollow"
 	"basaltwall/controller/metrics"
 	"basaltwall/controller/operations"
+	"basaltwall/controller/ordering"
 	"basaltwall/controller/ownership"
 	"basaltwall/controller/pools"
 	"basaltwall/controller/preemption"
 	"basaltwall/controller/reservations"
 	"basaltwall/controller/rounds"
+	"basaltwall/controller/starvation"
 	"basaltwall/controller/tenancy"
 )
 
@@ -107,6 +110,30 @@
 		Priorities: n.priorities,
 		Scheduler:  n.scheduler,
 	})
+	n.priorities.Connect(ordering.Siblings{Agents: n.agents, Gossip: n.gossiper, Health: n.health, Log: n.follower})
+	n.backfiller.Connect(starvation.Siblings{
+		Agents:     n.agents,
+		Autoscaler: n.autoscaler,
+		Balancer:   n.balancer,
+		Gossip:     n.gossiper,
+		Pools:      n.pools,
+		Preemptor:  n.preemptor,
+		Scheduler:  n.scheduler,
+		Tenancy:    n.tenancy,
+	})
+	n.balancer.Connect(balance.Siblings{
+		Agents:     n.agents,
+		Autoscaler: n.autoscaler,
+		Backfiller: n.backfiller,
+		Capacity:   n.capacity,
+		Gossip:     n.gossiper,
+		Log:        n.follower,
+		Membership: n.membership,
+		Preemptor:  n.preemptor,
+		Priorities: n.priorities,
+		Scheduler:  n.scheduler,
+		Tenancy:    n.tenancy,
+	})
 	n.pools.Connect(pools.Siblings{
 		Backfiller: n.backfiller,
 		Capacity:   n.capacity,
