--- a/internal/emulator/user_behavior.go
+++ b/internal/emulator/user_behavior.go
@@ -9,43 +9,43 @@
 
 	"basaltwall/api"
 	"basaltwall/controller/message"
+	"basaltwall/internal/invariant"
 )
 
-// UserBehavior are what users do beyond submitting, polling now and then and cancelling. Each holds
-// until the time that is given.
+// UserBehavior is what users do beyond submitting, polling now and then and cancelling.
 type UserBehavior struct {
 	sim *Simulation
-	// CancelAtEndShare is the share of the jobs that are called off at the moment of their end.
+	// CancelAtEndShare is the share of the jobs that are cancelled at the moment of their end.
 	CancelAtEndShare float64
-	// PollOnChange makes users ask at all nodes within milliseconds after news of a job, and repeat its
-	// submission there; CancelNewShare is the share of new jobs that they also call off at once.
+	// PollOnChange makes users poll at all controllers within milliseconds after a job's state changed, and
+	// repeat its submission there; CancelNewShare is the share of new jobs that they also cancel at once.
 	PollOnChange   bool
 	CancelNewShare float64
 
-	irregularUntil time.Duration // users send odd requests until then
-	irregularCount int           // of odd requests so far
+	irregularUntil time.Duration // users send irregular requests until then
+	irregularCount int           // irregular requests so far
 	invalidJobs    map[api.JobID]string
 }
 
-// irregularInterval is between the requests of users with odd habits.
+// irregularInterval is the time between irregular requests.
 const irregularInterval = 200 * time.Millisecond
 
-// CancelRunning has users call off so many running jobs that have long to go, within a fifth of a
-// second; up to eight of their machines hang for a while.
+// CancelRunning has users cancel so many running jobs, those with the longest remaining time, within a
+// fifth of a second; up to eight of their machines hang for a while.
 func (h *UserBehavior) CancelRunning(count int, hangTime time.Duration) {
 	sim := h.sim
 	var refs []api.JobID
-	for _, ref := range slices.Sorted(maps.Keys(sim.Checker.jobTracker.jobs)) {
-		if j := sim.Checker.jobTracker.jobs[ref]; j.activeTasks > 0 && !sim.Checker.cancelRequests[ref] {
+	for _, ref := range sim.Checker.JobIDs() {
+		if j := sim.Checker.Job(ref); j.ActiveTasks > 0 && !sim.Checker.CancelWasRequested(ref) {
 			refs = append(refs, ref)
 		}
 	}
 	remaining := func(ref api.JobID) time.Duration {
-		j := sim.Checker.jobTracker.jobs[ref]
-		if j.spec.Kind == api.Service {
+		j := sim.Checker.Job(ref)
+		if j.Spec.Kind == api.Service {
 			return time.Hour
 		}
-		return j.startedAt + j.runTime - sim.Now
+		return j.StartedAt + j.RunTime - sim.Now
 	}
 	slices.SortStableFunc(refs, func(a, b api.JobID) int { return int(remaining(b) - remaining(a)) })
 	refs = refs[:min(count, len(refs))]
@@ -62,22 +62,22 @@
 	}
 }
 
-// taskCompleted is told of each task that completed.
+// taskCompleted is called for each task that completed.
 func (h *UserBehavior) taskCompleted(ref api.JobID) {
 	c := h.sim.Checker
-	if s := c.specs[ref]; s == nil || c.jobTracker.completedCount[ref] < s.Tasks || c.cancelRequests[ref] || h.CancelAtEndShare == 0 || h.sim.rand.Float64() >= h.CancelAtEndShare {
+	if s := c.Spec(ref); s == nil || c.CompletedTasks(ref) < s.Tasks || c.CancelWasRequested(ref) || h.CancelAtEndShare == 0 || h.sim.rand.Float64() >= h.CancelAtEndShare {
 		return
 	}
 	h.sim.After(time.Duration(h.sim.rand.Int64N(int64(20*time.Millisecond))), func() { h.sim.Users.Cancel(ref, "") })
 }
 
-// jobStateChanged is told of each answer that is stronger than the ones before.
+// jobStateChanged is called for each answer with a later state than the ones before.
 func (h *UserBehavior) jobStateChanged(ref api.JobID) {
 	if !h.PollOnChange {
 		return
 	}
 	sim := h.sim
-	if h.CancelNewShare > 0 && stateRank(sim.Checker.ReportedState(ref)) == 1 && sim.rand.Float64() < h.CancelNewShare {
+	if h.CancelNewShare > 0 && invariant.StateRank(sim.Checker.ReportedState(ref)) == invariant.RankOpen && sim.rand.Float64() < h.CancelNewShare {
 		sim.Users.Cancel(ref, "")
 	}
 	spec := sim.Users.specs[ref]
@@ -91,8 +91,8 @@
 	}
 }
 
-// SendIrregularRequests has users send odd requests for a while: submissions again of jobs that are not over,
-// cancellations of jobs that are done, jobs that can't run or lack a field.
+// SendIrregularRequests has users send irregular requests for a while: repeated submissions of open jobs,
+// cancellations of jobs that are done, and invalid jobs.
 func (h *UserBehavior) SendIrregularRequests(length time.Duration) {
 	h.irregularUntil = h.sim.Now + length
 	h.sendIrregularRequest()
@@ -105,10 +105,10 @@
 	}
 	sim.After(irregularInterval, h.sendIrregularRequest)
 	h.irregularCount++
-	refs := func(want int) []api.JobID {
+	refs := func(want invariant.Rank) []api.JobID {
 		var out []api.JobID
 		for _, ref := range slices.Sorted(maps.Keys(sim.Users.AcceptedAt)) {
-			if s := sim.Checker.ReportedState(ref); stateRank(s) == want && s != api.JobCancelled {
+			if s := sim.Checker.ReportedState(ref); invariant.StateRank(s) == want && s != api.JobCancelled {
 				out = append(out, ref)
 			}
 		}
@@ -116,11 +116,11 @@
 	}
 	switch h.irregularCount % 3 {
 	case 0:
-		if open := refs(1); len(open) > 0 {
+		if open := refs(invariant.RankOpen); len(open) > 0 {
 			sim.Users.resubmit(sim.Users.anyController(), sim.Users.specs[open[sim.rand.IntN(len(open))]])
 		}
 	case 1:
-		if done := refs(2); len(done) > 0 {
+		if done := refs(invariant.RankFinal); len(done) > 0 {
 			sim.Users.cancelOnce(done[sim.rand.IntN(len(done))])
 		}
 	default:
@@ -128,8 +128,8 @@
 	}
 }
 
-// invalidJobCases are ways in which a job can't be run or lacks something, by what is changed of one that
-// can, and the field that a refusal has to name, empty where it may name any.
+// invalidJobCases are the ways in which a job can be invalid, each by a change to a valid one, with the
+// field that a refusal has to name, empty where it may name any.
 func invalidJobCases() []struct {
 	what, field string
 	change      func(map[string]any)
@@ -171,7 +171,8 @@
 	return out
 }
 
-// submitInvalidJob submits a job that must be refused, each kind in turn, to any node, until it is answered.
+// submitInvalidJob submits a job that must be refused, each case in turn, to any controller, until it is
+// answered.
 func (h *UserBehavior) submitInvalidJob() {
 	all := invalidJobCases()
 	b := all[len(h.invalidJobs)%len(all)]
@@ -197,16 +198,16 @@
 			sim.After(time.Second, func() { h.retryInvalidJob(ref, field, body) })
 			return
 		}
-		sim.Users.PollOnce(ref) // it is known to nobody
+		sim.Users.PollOnce(ref) // no controller may know it
 	})
 }
 
-// resubmit submits a job again that was accepted, once, at one node.
+// resubmit repeats the submission of an accepted job, once, at one controller.
 func (u *Users) resubmit(name string, spec *api.JobSpec) {
 	u.sendRequest(name, "POST", "", spec.Ref, u.submissionBody(spec), 5*time.Second, func(int, api.JobState) {})
 }
 
-// cancelOnce asks once for the cancellation of a job that its users were told is done.
+// cancelOnce requests once the cancellation of a job that is done.
 func (u *Users) cancelOnce(ref api.JobID) {
 	u.sendRequest(u.anyController(), "POST", "/"+api.PathSuffixCancel, ref, nil, 5*time.Second, func(int, api.JobState) {})
 }
