--- a/controller/agent/reconcile.go
+++ b/controller/agent/reconcile.go
@@ -115,7 +115,8 @@
 	if state != api.TaskFetching {
 		am.cacheImage(m, p.Job.Spec)
 	}
-	if p.Job.Cancelled && !(p.OwnerState.Reported && core.TaskStarted(p.OwnerState.State)) {
+	startWasKnown := p.OwnerState.Reported && core.TaskStarted(p.OwnerState.State)
+	if p.Job.Cancelled && !startWasKnown {
 		owned.Dirty = true // the job's cancellation may be acknowledged now
 	}
 	p.OwnerState.Reported, p.OwnerState.State = true, state
--- a/controller/autoscale/jobdemand.go
+++ b/controller/autoscale/jobdemand.go
@@ -79,7 +79,10 @@
 	if demand.bound && !m.empty && m.partition != demand.partition {
 		return false
 	}
-	return demand.zoneOpen(m.offer.Zone) && !(demand.cpuOnly && m.acceleratorOnly) &&
+	if demand.cpuOnly && m.acceleratorOnly {
+		return false
+	}
+	return demand.zoneOpen(m.offer.Zone) &&
 		sched.Feasible(demand.job.Spec, m.offer.Type, m.offer.Zone, m.offer.Spot)
 }
 
--- a/controller/capacity/capacity.go
+++ b/controller/capacity/capacity.go
@@ -49,7 +49,10 @@
 	slots := make([]int, len(c.core.State.Partitions))
 	demand, cpuOnly := spec.Demand(), c.core.IsCPUOnly(spec)
 	c.siblings.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
-		if class.Usable && !(cpuOnly && class.Closed) && sched.Feasible(spec, class.Type, class.Zone, class.Spot) {
+		if cpuOnly && class.Closed {
+			return
+		}
+		if class.Usable && sched.Feasible(spec, class.Type, class.Zone, class.Spot) {
 			slots[p] += capacity.Count * demand.Slots(capacity.Free)
 		}
 	})
--- a/controller/tenancy/queue.go
+++ b/controller/tenancy/queue.go
@@ -71,7 +71,7 @@
 	case !j.HasPendingTasks():
 		return ""
 	case !entry.MayStartTasks():
-		return "suspended: " + entry.Tenant.SuspendReason
+		return "suspended: " + entry.SuspendReason
 	case j.OwnerState.BackoffUntil > ts.core.Now:
 		return "its tasks failed: it is tried again later"
 	case !need.Fits(core.QuotaLimit(ts.core.Teams[j.Spec.Team]).Minus(usage[j.Spec.Team])):
--- a/controller/tenancy/submission.go
+++ b/controller/tenancy/submission.go
@@ -163,7 +163,7 @@
 	ts, name, id := s.service, s.entry.Name, s.spec.Ref
 	ts.CountSubmission(name, "")
 	ts.core.Reply(s.command.Req, 201, api.JobStatus{JobID: s.ref, State: api.JobPending}, 0)
-	slog.Info("job accepted", "job", id, core.SpecAttr(s.spec))
+	slog.Info(core.LogJobAccepted, "job", id, core.SpecAttr(s.spec))
 	written := func() { ts.removePendingSubmission(name, id) }
 	ts.siblings.Follower.LinearizableRead(written, written)
 }
