--- /dev/null
+++ b/sched/fetch.go
@@ -0,0 +1,52 @@
+// Image fetches: which machines a service's replicas may start on without fetching for too long.
+
+package sched
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"basaltwall/api"
+)
+
+// limitByFetchTime chooses, of the machines that are open to a service's replicas, those that this
+// round considers: those whose fetch is so short that all pending replicas find free capacity on
+// them within some rounds, but no longer than a machine that boots would take. A round assigns at
+// most one task to a machine, so when a zone is lost the machines that hold the image are soon used
+// up in it; the next round, a tenth of a second later, has more of their capacity, while a fetch on
+// a slow machine takes a hundred times as long.
+func limitByFetchTime(in *Input, j *Job, free []api.Resources, eligible []int) []int {
+	type candidate struct {
+		machineIndex int
+		fetch        float64 // seconds
+	}
+	candidates := make([]candidate, len(eligible))
+	for i, machineIndex := range eligible {
+		candidates[i] = candidate{machineIndex, in.Machines[machineIndex].FetchTime(j.Spec)}
+	}
+	byFetch := slices.Clone(candidates)
+	slices.SortFunc(byFetch, func(a, b candidate) int { return cmp.Compare(a.fetch, b.fetch) })
+	maxFetch := math.Inf(1)
+	if j.NewMachineSeconds > 0 {
+		maxFetch = j.NewMachineSeconds
+	}
+	unassigned := len(j.Pending)
+	for _, c := range byFetch {
+		if unassigned -= min(maxImageWaitRounds, j.Demand.Slots(free[c.machineIndex])); unassigned <= 0 {
+			maxFetch = min(maxFetch, max(c.fetch, j.StartSLO/3))
+			break
+		}
+	}
+	eligible = eligible[:0]
+	for _, c := range candidates {
+		if c.fetch <= maxFetch {
+			eligible = append(eligible, c.machineIndex)
+		}
+	}
+	return eligible
+}
+
+// maxImageWaitRounds is how many rounds a replica may wait for a machine that has its image: together
+// they take a second or less.
+const maxImageWaitRounds = 8
