--- a/zonehealth/evacuation.go
+++ b/zonehealth/evacuation.go
@@ -1,3 +1,5 @@
+// The evacuation plan: which machines of failed zones are deleted, and where their tasks could go.
+
 package zonehealth
 
 import (
@@ -9,88 +11,72 @@
 	"basaltwall/sched"
 )
 
-// Task is one that was on a machine of a lost zone.
+// Task is a task that was on a machine of a failed zone, or that is pending.
 type Task struct {
 	ID               api.TaskID
 	Spec             *api.JobSpec
 	Demand           api.Resources
 	WithinGuarantee  bool    // within its team's guarantee
-	RunningElsewhere int     // of the job's tasks elsewhere
-	PriorityBoost    float64 // by so many priorities rules put it above its own, or below
-	SlackSeconds     float64 // seconds until its job can't be in time any more, see NoDeadline
+	RunningElsewhere int     // number of the job's tasks that run elsewhere
+	PriorityBoost    float64 // by how many priorities rules raise it; negative: lower it
+	SlackSeconds     float64 // seconds until its job can no longer meet its deadline, see NoDeadline
 	LostWorkSeconds  float64 // seconds of work that are lost if it is ended while it may still run
 }
 
-// NoDeadline is the slack of work that has no time to keep.
+// NoDeadline is the slack, in seconds, of work without a deadline.
 const NoDeadline = 1e9
 
-// Machine is one of a lost zone that is silent.
+// Machine is an unreachable machine of a failed zone.
 type Machine struct {
 	ID               api.MachineID
 	Zone             api.Zone
 	Capacity         api.Resources
-	BootSeconds      float64 // seconds until another is up in its stead
+	BootSeconds      float64 // seconds until a replacement is up
 	ControllerInside bool    // a controller in the zone may have kept its lease alive
 	Tasks            []Task
 }
 
-// FreeCapacity is what machines elsewhere have free that are alike.
+// FreeCapacity is the free capacity of a number of equal machines outside the failed zones.
 type FreeCapacity struct {
 	Type                api.MachineTypeName
 	Zone                api.Zone
 	Spot                bool
-	Free                api.Resources
-	FreeAfterPreemption api.Resources // if what urgent work may stop made way
+	Free                api.Resources // of each machine
+	FreeAfterPreemption api.Resources // of each, once what urgent work may preempt is preempted
 	Count               int
-	HasImage            func(api.Image) bool // whether it is there; nil: not known
-	OtherPartition      bool                 // of another partition, and not to be had as a whole
+	HasImage            func(api.Image) bool // whether an image is cached there; nil: not known
+	OtherPartition      bool                 // of another partition, and not available as a whole
 }
 
-// Input is what a plan looks at.
+// Input is everything that a plan depends on.
 type Input struct {
 	Machines       []Machine
-	PendingTasks   []Task // work of the same partition that waits already: it needs no machine given up
+	PendingTasks   []Task // pending work of the same partition: it needs no machine evacuated
 	FreeCapacity   []FreeCapacity
-	PlacedByZone   map[api.JobID]map[api.Zone]int // where each job's other tasks are
-	RemainingQuota map[api.Team]api.Resources     // what each team may start beyond what it holds; nil: no limit
-	PreemptingRank int                            // the rank from which on work has lower work make way
-	ExpectedOutage func(api.Zone) float64         // seconds that the zone is likely to stay silent
-	MaxMachines    int                            // machines to give up at most
-	// Excluded, if set, bars a task from room that its job's needs allow.
+	PlacedByZone   map[api.JobID]map[api.Zone]int // number of each job's other tasks by zone
+	RemainingQuota map[api.Team]api.Resources     // what each team may start beyond its placements; nil: no limit
+	PreemptingRank int                            // the priority rank from which on work preempts lower work
+	ExpectedOutage func(api.Zone) float64         // expected remaining outage of a zone, in seconds
+	MaxMachines    int                            // limit on machines to evacuate
+	// Excluded, if set, keeps a task off capacity that its job's constraints allow.
 	Excluded func(*Task, *FreeCapacity) bool
 }
 
-// Evacuation is a machine that is given up, with the tasks that have a place elsewhere.
+// Evacuation is a machine to evacuate, with those of its tasks that have a placement elsewhere.
 type Evacuation struct {
 	Machine    api.MachineID
 	Placements []Placement
 }
 
-// Placement is a task that has a place elsewhere, and the zone of that.
+// Placement is a task that has a placement elsewhere, and the zone of it.
 type Placement struct {
 	Task api.TaskID
 	Zone api.Zone
 }
 
-// What waiting and holding cost, in seconds of a CPU of normal work. A critical replica
-// counts for more than a whole machine of other work; what is paid for a machine that can't
-// be used counts for a quarter of what it could do.
-var rankWeight = [4]float64{0.25, 1, 10, 50}
-
-const (
-	idleWeight = 0.25
-	// lateWeight is how many times more a task is missed whose job would be late for waiting
-	// as long as its zone is likely to stay away.
-	lateWeight = 4
-	// insideAliveProbability is how likely a controller that was lost with its zone goes on inside.
-	insideAliveProbability = 0.9
-	// restartSeconds is how long a task is missed that ends here and starts elsewhere, in seconds.
-	restartSeconds = 3
-)
-
-// CompareTasks orders tasks by who is missed most: by priority, then what is within a guarantee,
-// then services by the share of their replicas that is left and gangs, which wait as a
-// whole, then what must be in time soonest. It is total: the same at every controller.
+// CompareTasks orders tasks by how urgently they are needed: by priority, then those within a
+// guarantee, then services by the share of their replicas that is left and gangs, which wait as a
+// whole, then by deadline. The order is total, so it is the same at every controller.
 func CompareTasks(a, b *Task) int {
 	trueFirst := func(x bool) int {
 		if x {
@@ -113,137 +99,178 @@
 		cmp.Compare(a.ID.Index, b.ID.Index))
 }
 
-// PlanEvacuation chooses the machines of lost zones that are given up now, in order. A deletion proves
-// their tasks over, so that these can start elsewhere, and costs the machine, which would
-// be back with its images as soon as the zone is. So a machine is given up when its
-// tasks that have a place elsewhere now are missed more, for as long as the zone is likely to
-// stay away, than the machine would be for as long as another takes to boot.
+// PlanEvacuation chooses the machines of failed zones to evacuate now, in order. The deletion of a
+// machine proves its tasks over, so that they can start elsewhere, but costs the machine, which would
+// return with its images as soon as the zone does. So a machine is evacuated if those of its tasks
+// that have a placement elsewhere now cost more by waiting for the expected outage than the machine
+// costs until a replacement has booted.
 func PlanEvacuation(in *Input) []Evacuation {
-	capacity, remainingQuota := slices.Clone(in.FreeCapacity), maps.Clone(in.RemainingQuota)
-	zones := map[api.JobID]map[api.Zone]int{}
-	unplaceable := map[api.JobID]bool{} // room only shrinks, and a job's tasks are alike
-	tryPlace := func(t *Task, limited bool) (api.Zone, bool) {
-		if unplaceable[t.ID.Job] {
-			return "", false
-		}
-		if l, ok := remainingQuota[t.Spec.Team]; limited && in.RemainingQuota != nil && (!ok || !t.Demand.Fits(l)) {
-			return "", false
-		}
-		where := zones[t.ID.Job]
-		if where == nil {
-			where = map[api.Zone]int{}
-			maps.Copy(where, in.PlacedByZone[t.ID.Job])
-			zones[t.ID.Job] = where
-		}
-		best := -1
-		for i := range capacity {
-			r := &capacity[i]
-			if r.Count <= 0 || !sched.Feasible(t.Spec, r.Type, r.Zone, r.Spot) || !sched.ZoneFeasible(t.Spec, where, r.Zone) {
-				continue
-			}
-			free := r.Free
-			if t.Spec.Priority.Rank() >= in.PreemptingRank {
-				free = r.FreeAfterPreemption
-			}
-			if !t.Demand.Fits(free) || in.Excluded != nil && in.Excluded(t, r) {
-				continue
-			}
-			if has := r.HasImage != nil && r.HasImage(t.Spec.Image); best < 0 || has {
-				best = i
-				if has {
-					break
-				}
-			}
-		}
-		if best < 0 {
-			unplaceable[t.ID.Job] = true
-			return "", false
-		}
-		capacity[best].Count--
-		r := capacity[best]
-		r.Count, r.Free, r.FreeAfterPreemption = 1, r.Free.Minus(t.Demand), r.FreeAfterPreemption.Minus(t.Demand)
-		capacity = append(capacity, r)
-		where[r.Zone]++
-		if limited && in.RemainingQuota != nil {
-			remainingQuota[t.Spec.Team] = remainingQuota[t.Spec.Team].Minus(t.Demand)
-		}
-		return r.Zone, true
+	p := newEvacuationPlanner(in)
+	p.placeTasks()
+	return p.evacuations()
+}
+
+// evacuationPlanner is a plan in the making.
+type evacuationPlanner struct {
+	in             *Input
+	capacity       []FreeCapacity // what is left of it
+	remainingQuota map[api.Team]api.Resources
+	placedByZone   map[api.JobID]map[api.Zone]int
+	unplaceable    map[api.JobID]bool // capacity only shrinks, and a job's tasks are alike
+
+	waitCost   []float64     // by machine: what its tasks with placements elsewhere cost by waiting
+	placements [][]Placement // by machine
+	order      []int         // machines with placements, by their first task that has one
+}
+
+func newEvacuationPlanner(in *Input) *evacuationPlanner {
+	return &evacuationPlanner{
+		in:             in,
+		capacity:       slices.Clone(in.FreeCapacity),
+		remainingQuota: maps.Clone(in.RemainingQuota),
+		placedByZone:   map[api.JobID]map[api.Zone]int{},
+		unplaceable:    map[api.JobID]bool{},
+		waitCost:       make([]float64, len(in.Machines)),
+		placements:     make([][]Placement, len(in.Machines)),
 	}
-	pending := slices.Clone(in.PendingTasks)
-	slices.SortFunc(pending, func(a, b Task) int { return CompareTasks(&a, &b) })
-	type lost struct {
-		t  *Task
-		mi int
-	}
-	var tasks []lost
-	for machineIndex := range in.Machines {
-		for i := range in.Machines[machineIndex].Tasks {
-			tasks = append(tasks, lost{&in.Machines[machineIndex].Tasks[i], machineIndex})
+}
+
+// lostTask is a task with the index of its machine.
+type lostTask struct {
+	task         *Task
+	machineIndex int
+}
+
+// lostTasks are the tasks of all machines, the most urgent first.
+func (p *evacuationPlanner) lostTasks() []lostTask {
+	var tasks []lostTask
+	for machineIndex := range p.in.Machines {
+		for i := range p.in.Machines[machineIndex].Tasks {
+			tasks = append(tasks, lostTask{&p.in.Machines[machineIndex].Tasks[i], machineIndex})
 		}
 	}
-	slices.SortFunc(tasks, func(a, b lost) int { return CompareTasks(a.t, b.t) })
-	gain := make([]float64, len(in.Machines))
-	placements := make([][]Placement, len(in.Machines))
-	var order []int // machines by their first task that has a place
-	for _, l := range tasks {
-		// What waits already and is more urgent goes first.
-		for len(pending) > 0 && CompareTasks(&pending[0], l.t) <= 0 {
-			tryPlace(&pending[0], true)
+	slices.SortFunc(tasks, func(a, b lostTask) int { return CompareTasks(a.task, b.task) })
+	return tasks
+}
+
+// placeTasks finds placements for the lost tasks, in order of urgency. Pending tasks that are at
+// least as urgent take theirs first.
+func (p *evacuationPlanner) placeTasks() {
+	pending := slices.Clone(p.in.PendingTasks)
+	slices.SortFunc(pending, func(a, b Task) int { return CompareTasks(&a, &b) })
+	for _, lost := range p.lostTasks() {
+		for len(pending) > 0 && CompareTasks(&pending[0], lost.task) <= 0 {
+			p.place(&pending[0], true)
 			pending = pending[1:]
 		}
-		// What a lost task holds of its team's limit comes free with it.
-		where, ok := tryPlace(l.t, false)
+		// The quota that a lost task holds is released with it, so no quota limits it.
+		zone, ok := p.place(lost.task, false)
 		if !ok {
 			continue
 		}
-		m := &in.Machines[l.mi]
-		if placements[l.mi] == nil {
-			order = append(order, l.mi)
+		i := lost.machineIndex
+		if p.placements[i] == nil {
+			p.order = append(p.order, i)
 		}
-		placements[l.mi] = append(placements[l.mi], Placement{l.t.ID, where})
-		outage := in.ExpectedOutage(m.Zone)
-		outageCost := outage
-		if m.ControllerInside {
-			outageCost *= 1 - insideAliveProbability
+		p.placements[i] = append(p.placements[i], Placement{Task: lost.task.ID, Zone: zone})
+		p.waitCost[i] += p.taskWaitCost(lost.task, &p.in.Machines[i])
+	}
+}
+
+// place finds a placement for a task and takes it off the capacity left; with limited set, within
+// its team's remaining quota.
+func (p *evacuationPlanner) place(t *Task, limited bool) (api.Zone, bool) {
+	if p.unplaceable[t.ID.Job] {
+		return "", false
+	}
+	limited = limited && p.in.RemainingQuota != nil
+	if quota, ok := p.remainingQuota[t.Spec.Team]; limited && (!ok || !t.Demand.Fits(quota)) {
+		return "", false
+	}
+	zones := p.zonesOf(t.ID.Job)
+	best := p.bestCapacity(t, zones)
+	if best < 0 {
+		p.unplaceable[t.ID.Job] = true
+		return "", false
+	}
+	p.capacity[best].Count--
+	rest := p.capacity[best]
+	rest.Count, rest.Free, rest.FreeAfterPreemption = 1, rest.Free.Minus(t.Demand), rest.FreeAfterPreemption.Minus(t.Demand)
+	p.capacity = append(p.capacity, rest)
+	zones[rest.Zone]++
+	if limited {
+		p.remainingQuota[t.Spec.Team] = p.remainingQuota[t.Spec.Team].Minus(t.Demand)
+	}
+	return rest.Zone, true
+}
+
+// zonesOf counts a job's tasks by zone, with those that the plan has placed.
+func (p *evacuationPlanner) zonesOf(jobID api.JobID) map[api.Zone]int {
+	zones := p.placedByZone[jobID]
+	if zones == nil {
+		zones = map[api.Zone]int{}
+		maps.Copy(zones, p.in.PlacedByZone[jobID])
+		p.placedByZone[jobID] = zones
+	}
+	return zones
+}
+
+// bestCapacity is the index of the first capacity that fits a task, preferring one with its image
+// cached; -1 if none fits.
+func (p *evacuationPlanner) bestCapacity(t *Task, zones map[api.Zone]int) int {
+	best := -1
+	for i := range p.capacity {
+		c := &p.capacity[i]
+		if c.Count <= 0 || !sched.Feasible(t.Spec, c.Type, c.Zone, c.Spot) || !sched.ZoneFeasible(t.Spec, zones, c.Zone) {
+			continue
 		}
-		if l.t.SlackSeconds < outage {
-			outageCost *= lateWeight
+		free := c.Free
+		if t.Spec.Priority.Rank() >= p.in.PreemptingRank {
+			free = c.FreeAfterPreemption
 		}
-		gain[l.mi] += rankWeight[l.t.Spec.Priority.Rank()] * l.t.Demand.CPU.Float() * outageCost
-	}
-	var out []Evacuation
-	evacuate := func(machineIndex int) {
-		if len(out) < in.MaxMachines {
-			out = append(out, Evacuation{in.Machines[machineIndex].ID, placements[machineIndex]})
+		if !t.Demand.Fits(free) || p.in.Excluded != nil && p.in.Excluded(t, c) {
+			continue
 		}
-	}
-	for _, machineIndex := range order {
-		if gain[machineIndex]+idleCost(&in.Machines[machineIndex], in) > evacuationCost(&in.Machines[machineIndex]) {
-			evacuate(machineIndex)
+		if c.HasImage != nil && c.HasImage(t.Spec.Image) {
+			return i
 		}
-	}
-	for machineIndex := range in.Machines {
-		if placements[machineIndex] == nil && idleCost(&in.Machines[machineIndex], in) > evacuationCost(&in.Machines[machineIndex]) {
-			evacuate(machineIndex) // it costs more to wait for than to rent anew
+		if best < 0 {
+			best = i
 		}
 	}
-	return out
+	return best
 }
 
-// idleCost is what holding a machine costs that can't be used.
-func idleCost(m *Machine, in *Input) float64 {
-	return idleWeight * m.Capacity.CPU.Float() * in.ExpectedOutage(m.Zone)
+// taskWaitCost is what a task costs that waits for its machine's zone instead of starting elsewhere.
+func (p *evacuationPlanner) taskWaitCost(t *Task, m *Machine) float64 {
+	outage := p.in.ExpectedOutage(m.Zone)
+	cost := outage
+	if m.ControllerInside {
+		cost *= 1 - insideAliveProbability
+	}
+	if t.SlackSeconds < outage {
+		cost *= lateWeight
+	}
+	return rankWeight[t.Spec.Priority.Rank()] * t.Demand.CPU.Float() * cost
 }
 
-// evacuationCost is what giving a machine up costs: its CPUs until another is up, and what may still
-// run on it.
-func evacuationCost(m *Machine) float64 {
-	c := m.Capacity.CPU.Float() * m.BootSeconds
-	if m.ControllerInside {
-		for i := range m.Tasks {
-			t := &m.Tasks[i]
-			c += insideAliveProbability * rankWeight[t.Spec.Priority.Rank()] * t.Demand.CPU.Float() * (restartSeconds + t.LostWorkSeconds)
+// evacuations are the machines that cost more by waiting than by evacuation: first those with
+// placements, in order, then the others.
+func (p *evacuationPlanner) evacuations() []Evacuation {
+	var out []Evacuation
+	evacuate := func(machineIndex int) {
+		m := &p.in.Machines[machineIndex]
+		if len(out) < p.in.MaxMachines && p.waitCost[machineIndex]+idleCost(m, p.in) > evacuationCost(m) {
+			out = append(out, Evacuation{Machine: m.ID, Placements: p.placements[machineIndex]})
 		}
 	}
-	return c
+	for _, machineIndex := range p.order {
+		evacuate(machineIndex)
+	}
+	for machineIndex := range p.in.Machines {
+		if p.placements[machineIndex] == nil {
+			evacuate(machineIndex)
+		}
+	}
+	return out
 }
--- a/zonehealth/floor.go
+++ b/zonehealth/floor.go
@@ -1,3 +1,5 @@
+// Floors: the capacity that is kept for each class and team while more urgent work is short of it.
+
 package zonehealth
 
 import (
@@ -8,77 +10,88 @@
 	"time"
 )
 
-// Usage is what the work of a class or team holds on machines that can be used, and what it
-// holds and wants together, in CPUs. Patient is one that its floor is not kept for.
+// Usage is what the work of a class or team uses and requests, in CPUs.
 type Usage struct {
-	Allocated, Demand float64
-	NoFloor           bool
-	FloorShare        float64 // of its fair part that is its floor; 0: as usual
+	Allocated  float64 // on machines that can be used
+	Demand     float64 // allocated and pending together
+	NoFloor    bool    // no floor is kept for it
+	FloorShare float64 // its floor, as a share of its fair share; 0: DefaultFloorShare
 }
 
-// DefaultFloorShare is the share of its fair part of the room that is left for a class or team while a
-// zone is lost, or once it has lacked that for long, whatever more urgent work there is.
+// DefaultFloorShare is the floor of a class or team as a share of its fair share of the capacity: it
+// is kept, whatever more urgent work there is, while a zone has failed or once work has starved.
 const DefaultFloorShare = 0.5
 
-// Allowance is what a class or team may give way by, and what it may still take (infinite: all it
-// finds), in CPUs.
-// Lacks is what it has less than its floor.
-type Allowance struct{ Preemptible, Headroom, Shortfall float64 }
+// Allowance is what a class or team may lose and take, in CPUs.
+type Allowance struct {
+	Preemptible float64 // may be preempted of it; infinite: all
+	Headroom    float64 // it may still take; infinite: all it finds
+	Shortfall   float64 // missing to its floor
+}
 
-// Allowances reckons for each class or team what it may give way by while a zone is lost, and
-// what it may take of the room that is left. Its fair share of that is as large as its share
-// of all that is wanted; half of it is its floor. While some lack to their floors, none of
-// the others takes what comes free and they lack: work that never ends would else take all
-// of it, and can't be made to give it back to less urgent work. That is what the floors cost.
-// What may be given way by is a share of it: the rest is other owners'.
+// Allowances computes for each class or team how much of it may be preempted while a zone has
+// failed, and how much of the remaining capacity it may take. Its fair share of the capacity is
+// proportional to its share of the total demand; a part of that is its floor. While some are below
+// their floors, none of the others takes the capacity that becomes free and is missing there: work
+// that never ends would otherwise take all of it for good, as less urgent work can't preempt it.
+// This is what the floors cost. share is the part of the preemptible amounts that the caller may
+// use; the rest is for the owners of other partitions.
 func Allowances[K cmp.Ordered](usage map[K]Usage, capacity, share float64) map[K]Allowance {
 	totalDemand, totalAllocated, totalShortfall := 0.0, 0.0, 0.0
-	keys := slices.Sorted(maps.Keys(usage)) // sums depend on the order
+	keys := slices.Sorted(maps.Keys(usage)) // the sums depend on the order
 	for _, k := range keys {
 		totalDemand += max(usage[k].Allocated, usage[k].Demand)
 		totalAllocated += usage[k].Allocated
 	}
-	floor := func(h Usage) float64 {
-		if totalDemand <= 0 {
-			return 0
-		}
-		share := DefaultFloorShare
-		if h.FloorShare > 0 {
-			share = h.FloorShare
-		}
-		return share * min(capacity, totalDemand) * max(h.Allocated, h.Demand) / totalDemand
-	}
-	shortfall := func(h Usage) float64 {
-		if h.NoFloor {
-			return 0
-		}
-		return max(0, floor(h)-h.Allocated)
-	}
 	for _, k := range keys {
-		totalShortfall += shortfall(usage[k])
+		if !usage[k].NoFloor {
+			totalShortfall += usage[k].shortfall(capacity, totalDemand)
+		}
 	}
 	out := make(map[K]Allowance, len(usage))
-	for k, h := range usage {
-		d := Allowance{Preemptible: share * max(0, h.Allocated-floor(h)), Headroom: math.Inf(1), Shortfall: max(0, floor(h)-h.Allocated)}
-		if h.NoFloor {
-			d.Preemptible = math.Inf(1)
+	for k, u := range usage {
+		own := u.shortfall(capacity, totalDemand)
+		allowance := Allowance{Preemptible: share * max(0, u.Allocated-u.floor(capacity, totalDemand)), Headroom: math.Inf(1), Shortfall: own}
+		if u.NoFloor {
+			allowance.Preemptible = math.Inf(1)
+			own = 0
 		}
-		if others := totalShortfall - shortfall(h); others > 1e-9 {
-			d.Headroom = max(0, capacity-totalAllocated-others)
+		if others := totalShortfall - own; others > minShortfall {
+			allowance.Headroom = max(0, capacity-totalAllocated-others)
 		}
-		out[k] = d
+		out[k] = allowance
 	}
 	return out
 }
 
+// minShortfall is the least sum of shortfalls, in CPUs, that is not a rounding error.
+const minShortfall = 1e-9
+
+// floor is the capacity that is kept for the work, of a total capacity and demand.
+func (u Usage) floor(capacity, totalDemand float64) float64 {
+	if totalDemand <= 0 {
+		return 0
+	}
+	share := DefaultFloorShare
+	if u.FloorShare > 0 {
+		share = u.FloorShare
+	}
+	return share * min(capacity, totalDemand) * max(u.Allocated, u.Demand) / totalDemand
+}
+
+// shortfall is what the work is missing to its floor.
+func (u Usage) shortfall(capacity, totalDemand float64) float64 {
+	return max(0, u.floor(capacity, totalDemand)-u.Allocated)
+}
+
 // StarvationThreshold is how long work may wait before a floor is kept for its class and team while no
-// zone is out.
+// zone has failed.
 const StarvationThreshold = 2 * time.Minute
 
-// Starving reports whether a floor is kept for work of which some has waited so long: after some
-// patience three quarters of the time, as what is kept from others may be of no use to it for a
-// reason that nobody counts. It follows from ages, so all controllers agree, and whoever begins
-// anew does too.
+// Starving reports whether a floor is kept for work that has waited so long: beyond the threshold, three
+// quarters of the time, since the capacity that is kept may be of no use to the work for a reason
+// that is not counted here. The result follows from the age alone, so that all controllers agree,
+// also after a restart.
 func Starving(waited time.Duration) bool {
 	kept := waited - StarvationThreshold
 	return kept >= 0 && kept%StarvationThreshold < StarvationThreshold*3/4
