--- a/priority/shortage.go
+++ b/priority/shortage.go
@@ -1,3 +1,5 @@
+// Shortages: which machine types have no free capacity, for rules that apply only then.
+
 package priority
 
 import (
@@ -8,33 +10,33 @@
 	"basaltwall/api"
 )
 
-// Shortage is which machine types have no room, as all controllers have it: one record.
+// Shortage is the machine types without free capacity, in one record that all controllers follow.
 type Shortage struct {
-	Types []api.MachineTypeName `json:"types"` // in order
-	Since api.WallTime          `json:"since"` // of the last change
+	Types []api.MachineTypeName `json:"types"` // sorted
+	Since api.WallTime          `json:"since"` // of the latest change of Types
 }
 
-// Includes reports whether a type is short.
+// Includes reports whether a type is short of capacity.
 func (s Shortage) Includes(t api.MachineTypeName) bool { return slices.Contains(s.Types, t) }
 
-// Equal reports whether two are the same but for their times.
+// Equal reports whether two name the same types, whatever their times.
 func (s Shortage) Equal(o Shortage) bool { return slices.Equal(s.Types, o.Types) }
 
-// Times of a shortage: it begins when some owner has lacked room for as long as it takes to find
-// out that what is about to be placed is not, and ends when none has for a while, so that one
-// that comes and goes is one.
+// Times of a shortage. It begins once the owner of a partition has had unmet demand for
+// ShortageOnset, long enough to tell it from tasks that are about to be placed, and ends once none
+// has had any for ShortageHold, so that an intermittent shortage counts as one.
 const (
 	ShortageOnset = time.Second
 	ShortageHold  = 20 * time.Second
 )
 
-// ShortageTracker is what the one who writes the record has seen. The zero value has seen nothing.
+// ShortageTracker is what the writer of the record has observed. The zero value is ready to use.
 type ShortageTracker struct {
-	shortSince map[api.MachineTypeName]api.Time // it has been lacked
-	lastShort  map[api.MachineTypeName]api.Time // it was last lacked
+	shortSince map[api.MachineTypeName]api.Time // when the current unmet demand began
+	lastShort  map[api.MachineTypeName]api.Time // when demand was last unmet
 }
 
-// Observe notes which types some owner lacks room on now.
+// Observe notes the machine types for which some partition has unmet demand now.
 func (w *ShortageTracker) Observe(unmet map[api.MachineTypeName]bool, now api.Time) {
 	if w.shortSince == nil {
 		w.shortSince, w.lastShort = map[api.MachineTypeName]api.Time{}, map[api.MachineTypeName]api.Time{}
@@ -52,8 +54,8 @@
 	}
 }
 
-// Next is the record as it should be: begun is when this one began to watch, who can't know what
-// was lacked before.
+// Next is the record that should replace the previous one, or the previous one if nothing changes.
+// startedAt is when this tracker began to observe: it can't know of earlier unmet demand.
 func (w *ShortageTracker) Next(previous Shortage, now, startedAt api.Time, wallTime api.WallTime) Shortage {
 	next := Shortage{Since: wallTime}
 	short := map[api.MachineTypeName]bool{}
