--- a/tenant/key.go
+++ b/tenant/key.go
@@ -1,3 +1,5 @@
+// API keys: their records, their secrets and the check of one against the other.
+
 package tenant
 
 import (
@@ -11,24 +13,25 @@
 	"basaltwall/api"
 )
 
-// KeyID is a key's public part, by which it is found.
+// KeyID is the public part of a key, by which it is looked up.
 type KeyID string
 
-// Key is what is kept of a key: its secret is shown once and kept as a hash. The secret is
-// 256 bits of random, so that the hash needs neither salt nor cost.
+// Key is the record of an API key: its secret is shown once and stored as a hash. The secret is
+// 256 random bits, so the hash needs neither salt nor a work factor.
 type Key struct {
 	ID      KeyID        `json:"id"`
 	Name    string       `json:"name"`
 	Hash    []byte       `json:"hash"`
 	Created api.WallTime `json:"created"`           // in milliseconds since 1970
-	Expires api.WallTime `json:"expires,omitempty"` // the same; 0: never
+	Expires api.WallTime `json:"expires,omitempty"` // in milliseconds since 1970; 0: never
 }
 
 const (
-	secretPrefix = "bw1" // tells a key of ours where one is found in the wrong place
+	secretPrefix = "bw1" // identifies a leaked key as one of this service
+	secretFields = 3     // prefix, id and random data, separated by dots
 	keyIDBytes   = 8
 	secretBytes  = 32
-	// RandomBytes is how many bytes of random a new key takes.
+	// RandomBytes is how many random bytes a new key needs.
 	RandomBytes = keyIDBytes + secretBytes
 )
 
@@ -43,36 +46,41 @@
 	return secretPrefix + "." + string(s.ID) + "." + base64.RawURLEncoding.EncodeToString(s.data[:])
 }
 
-// Key is the record of a key that opens with the secret and never expires.
+// Key is the record of a key with this secret that never expires.
 func (s Secret) Key(name string) Key {
 	hash := sha256.Sum256(s.data[:])
 	return Key{ID: s.ID, Name: name, Hash: hash[:]}
 }
 
-// ParseSecret reads what a request brings. An error says nothing of what was brought.
+// errNotAKey is the error of a text that is not a secret. It says nothing of the text, which may
+// be a secret of something else.
+func errNotAKey() *Error { return &Error{Status: StatusUnauthorized, Reason: "not a key"} }
+
+// ParseSecret parses the credential of a request. The error says nothing of its text.
 func ParseSecret(text string) (Secret, error) {
 	var s Secret
 	parts := strings.Split(text, ".")
-	if len(parts) != 3 || parts[0] != secretPrefix {
-		return s, &Error{Status: 401, Reason: "not a key"}
+	if len(parts) != secretFields || parts[0] != secretPrefix {
+		return s, errNotAKey()
 	}
 	id, err := hex.DecodeString(parts[1])
 	if err != nil || len(id) != keyIDBytes {
-		return s, &Error{Status: 401, Reason: "not a key"}
+		return s, errNotAKey()
 	}
 	data, err := base64.RawURLEncoding.Strict().DecodeString(parts[2])
 	if err != nil || len(data) != secretBytes {
-		return s, &Error{Status: 401, Reason: "not a key"}
+		return s, errNotAKey()
 	}
 	s.ID = KeyID(parts[1])
 	copy(s.data[:], data)
 	if s.String() != text {
-		return Secret{}, &Error{Status: 401, Reason: "not a key"} // the decoder skips line ends
+		return Secret{}, errNotAKey() // the decoder skips line ends
 	}
 	return s, nil
 }
 
-// NewKey makes a key of random bytes.
+// NewKey makes a key of random bytes, with its secret. The times are in milliseconds since 1970; expires
+// is 0 for a key that never does.
 func NewKey(random [RandomBytes]byte, name string, now, expires api.WallTime) (Key, Secret, error) {
 	s := Secret{ID: KeyID(hex.EncodeToString(random[:keyIDBytes]))}
 	copy(s.data[:], random[keyIDBytes:])
@@ -87,6 +95,7 @@
 	return k, s, nil
 }
 
+// check validates the record.
 func (k *Key) check() *Error {
 	if err := CheckName("keys.name", k.Name); err != nil {
 		return err
@@ -97,9 +106,9 @@
 	return nil
 }
 
-// Verify reports whether a secret is the key's and the key is not expired. The clock may be
-// off by an error: a key that has expired by true time opens nothing anywhere, so it
-// may be refused by up to twice the error too soon.
+// Verify reports whether a secret is the key's and the key has not expired. The clock may be off by
+// clockError: a key that has expired by true time is refused everywhere, so it may be refused by up to
+// twice the error too soon.
 func (k *Key) Verify(s Secret, now api.WallTime, clockError time.Duration) bool {
 	hash := sha256.Sum256(s.data[:])
 	hashMatches := subtle.ConstantTimeCompare(hash[:], k.Hash) == 1
--- a/tenant/networks.go
+++ b/tenant/networks.go
@@ -1,3 +1,5 @@
+// IP networks: from where tenants and operators may connect, and the client address behind proxies.
+
 package tenant
 
 import (
@@ -13,16 +15,19 @@
 // maxNetworks bounds the networks of a list.
 const maxNetworks = 10_000
 
-// Networks is a list of IP networks with a table to look addresses up in. The zero value
-// holds none.
+// ipv4MappedBits is the prefix length of the IPv4-mapped IPv6 addresses.
+const ipv4MappedBits = 96
+
+// Networks is a sorted list of IP networks with a table to look addresses up in. The zero value
+// is empty.
 type Networks struct {
 	list  []netip.Prefix
 	table *bart.Lite
 }
 
-// NewNetworks makes a list, in order and each once. Addresses of IPv4 in the form of IPv6
-// are those of IPv4. A network that has bits set beyond its length is refused: more
-// likely than not it is another than was meant.
+// NewNetworks makes a list, sorted and without duplicates. IPv4-mapped IPv6 networks become IPv4
+// networks. A network with bits set beyond its prefix length is refused: most likely a different one
+// was meant.
 func NewNetworks(prefixes []netip.Prefix) (Networks, error) {
 	if len(prefixes) > maxNetworks {
 		return Networks{}, invalid("networks", "at most %d", maxNetworks)
@@ -33,10 +38,10 @@
 			return Networks{}, invalid("networks", "%v is none", p)
 		}
 		if p.Addr().Is4In6() {
-			if p.Bits() < 96 {
+			if p.Bits() < ipv4MappedBits {
 				return Networks{}, invalid("networks", "%v holds more than IPv4", p)
 			}
-			p = netip.PrefixFrom(p.Addr().Unmap(), p.Bits()-96)
+			p = netip.PrefixFrom(p.Addr().Unmap(), p.Bits()-ipv4MappedBits)
 		}
 		if p != p.Masked() {
 			return Networks{}, invalid("networks", "%v has bits beyond its length; %v?", p, p.Masked())
@@ -59,7 +64,7 @@
 	return n, nil
 }
 
-// ParseNetworks reads a list in text form, as 10.0.0.0/8, 2001:db8::/32 or an address.
+// ParseNetworks parses a list of networks, such as 10.0.0.0/8 or 2001:db8::/32, and single addresses.
 func ParseNetworks(texts []string) (Networks, error) {
 	if len(texts) > maxNetworks {
 		return Networks{}, invalid("networks", "at most %d", maxNetworks)
@@ -83,29 +88,29 @@
 	return NewNetworks(out)
 }
 
-// Len is how many networks the list holds.
+// Len is the number of networks.
 func (n Networks) Len() int { return len(n.list) }
 
-// IsZero reports whether the list holds none.
+// IsZero reports whether the list is empty.
 func (n Networks) IsZero() bool { return len(n.list) == 0 }
 
-// Prefixes are the networks, in order.
+// Prefixes are the networks, sorted.
 func (n Networks) Prefixes() []netip.Prefix { return slices.Clone(n.list) }
 
-// Contains reports whether an address lies in one of the networks.
+// Contains reports whether an address is in one of the networks.
 func (n Networks) Contains(a netip.Addr) bool {
 	return n.table != nil && a.IsValid() && n.table.Contains(a.Unmap().WithZone(""))
 }
 
-// Allows reports whether an address may come: where there are no networks, any may.
+// Allows reports whether an address is allowed: an empty list allows any.
 func (n Networks) Allows(a netip.Addr) bool { return n.IsZero() || n.Contains(a) }
 
-// MarshalJSON writes the networks as a list of texts, an empty one for none.
+// MarshalJSON writes the networks as a list of strings, an empty one for none.
 func (n Networks) MarshalJSON() ([]byte, error) {
 	return json.Marshal(append([]netip.Prefix{}, n.list...))
 }
 
-// UnmarshalJSON reads the networks from texts.
+// UnmarshalJSON reads the networks from a list of strings.
 func (n *Networks) UnmarshalJSON(b []byte) error {
 	var texts []string
 	if err := json.Unmarshal(b, &texts); err != nil {
@@ -119,9 +124,9 @@
 	return nil
 }
 
-// ClientAddr is the address that a request comes from. What a proxy says in X-Forwarded-For is
-// believed only if the connection comes from a proxy, and from its end on only as long as
-// each one named is a proxy too: the first that is none is the origin.
+// ClientAddr is the address that a request comes from. X-Forwarded-For is trusted only if the
+// connection comes from a proxy, and from its end on only as long as each address is a proxy too:
+// the first that is not is the client.
 func ClientAddr(conn netip.Addr, forwarded string, proxies Networks) netip.Addr {
 	addr := conn.Unmap()
 	if !proxies.Contains(addr) || forwarded == "" {
@@ -131,7 +136,7 @@
 	for _, hop := range slices.Backward(hops) {
 		a, err := netip.ParseAddr(strings.TrimSpace(hop))
 		if err != nil {
-			return addr // what can't be read is no proxy's word
+			return addr // not written by one of the proxies
 		}
 		if addr = a.Unmap().WithZone(""); !proxies.Contains(addr) {
 			return addr
--- a/tenant/operators.go
+++ b/tenant/operators.go
@@ -1,3 +1,5 @@
+// Operators of the service: their keys and roles, and what they set aside for teams.
+
 package tenant
 
 import (
@@ -9,40 +11,40 @@
 	"basaltwall/api"
 )
 
-// Role is what an operators' key opens.
+// Role is what the key of an operator permits.
 type Role string
 
-// Roles of operators.
+// The roles.
 const (
-	RoleRead   Role = "read"   // see everything
-	RoleChange Role = "change" // and change it
+	RoleRead   Role = "read"   // reads everything
+	RoleChange Role = "change" // reads and changes everything
 )
 
-// OperatorKey is a key of an operator.
+// OperatorKey is the key of an operator.
 type OperatorKey struct {
 	Key
 	Role Role `json:"role"`
 }
 
-// Operators is the record of who runs the service and of what they decide for all tenants.
+// Operators is the record of who operates the service and of what they decided for all tenants.
 type Operators struct {
 	Keys             []OperatorKey `json:"keys,omitempty"`
-	Networks         Networks      `json:"networks,omitzero"` // from where operators may come; none: from anywhere
-	Proxies          Networks      `json:"proxies,omitzero"`  // whose word on where a request comes from is believed
-	CPUs             float64       `json:"cpus,omitempty"`    // what teams made here may be guaranteed together
-	GPUs             float64       `json:"gpus,omitempty"`
-	RetiredAdminKeys []KeyID       `json:"retired,omitempty"` // first keys, of files, that open nothing any more
+	Networks         Networks      `json:"networks,omitzero"` // from where operators may connect; none: from anywhere
+	Proxies          Networks      `json:"proxies,omitzero"`  // whose X-Forwarded-For is trusted
+	CPUs             float64       `json:"cpus,omitempty"`    // guarantees that all teams made here may have together
+	GPUs             float64       `json:"gpus,omitempty"`    // the same
+	RetiredAdminKeys []KeyID       `json:"retired,omitempty"` // keys of the configuration file that are revoked
 }
 
-// AdminKeyName is the name under which the key of the file is retired.
+// AdminKeyName names the key of the configuration file, for its revocation.
 const AdminKeyName = "first"
 
 const (
 	maxRetiredAdminKeys = 16
-	maxAmount           = 1e7
+	maxAmount           = 1e7 // of CPUs or GPUs
 )
 
-// Check says what is wrong with the record, naming the field.
+// Check validates the record. The error is an *Error that names the field at fault.
 func (o *Operators) Check() error {
 	switch {
 	case len(o.Keys) > maxKeys:
@@ -71,8 +73,8 @@
 	return nil
 }
 
-// Authenticate finds what a secret opens: a key of the record, or the first one, of the file,
-// unless it was retired.
+// Authenticate finds the role of a secret: that of a key of the record, or RoleChange for the key of the
+// configuration file unless it was revoked. It is false if no key fits.
 func (o *Operators) Authenticate(adminKey Key, s Secret, now api.WallTime, clockError time.Duration) (Role, bool) {
 	if adminKey.Verify(s, now, clockError) && !slices.Contains(o.RetiredAdminKeys, adminKey.ID) {
 		return RoleChange, true
@@ -85,17 +87,17 @@
 	return "", false
 }
 
-// Add gives the operators one more key.
+// Add adds a key.
 func (o Operators) Add(k Key, role Role) (Operators, error) {
 	if slices.ContainsFunc(o.Keys, func(p OperatorKey) bool { return p.Name == k.Name }) {
 		return o, conflict("name: there is a key of that name; its secret is not shown again")
 	}
-	o.Keys = append(slices.Clone(o.Keys), OperatorKey{k, role})
+	o.Keys = append(slices.Clone(o.Keys), OperatorKey{Key: k, Role: role})
 	return o, o.Check()
 }
 
-// Revoke makes a key open nothing any more; the one called AdminKeyName is that of the file. One
-// that changes things and does not expire must be left, or nobody could come in again.
+// Revoke revokes a key; AdminKeyName is that of the configuration file. A key with RoleChange that never
+// expires must be left, or operators could lock themselves out.
 func (o Operators) Revoke(adminKey Key, name string) (Operators, error) {
 	if name == AdminKeyName {
 		if !slices.Contains(o.RetiredAdminKeys, adminKey.ID) {
@@ -114,97 +116,11 @@
 	return o, o.Check()
 }
 
-// CheckAccessFrom decides whether operators may come from where an act came from after it: one
-// that shuts its own sender out is a mistake.
+// CheckAccessFrom refuses a record that would lock out the address which the change of it comes from:
+// that is a mistake.
 func (o *Operators) CheckAccessFrom(from netip.Addr) error {
 	if !o.Networks.Allows(from) {
-		return &Error{Status: 422, Field: "networks", Reason: fmt.Sprintf("%v, from where this comes, is not in them", from)}
-	}
-	return nil
-}
-
-// Team is a team that the operators made, beside those of the platform's file.
-type Team struct {
-	Name    api.Team `json:"name"`
-	CPUs    float64  `json:"cpus"` // guaranteed
-	GPUs    float64  `json:"gpus"`
-	CPUsMax float64  `json:"cpus_max"` // limit; 0: none
-	GPUsMax float64  `json:"gpus_max"`
-	Removed bool     `json:"removed,omitempty"` // its name stays taken
-}
-
-// GuaranteedTotal is what all teams that the operators made are guaranteed together.
-type GuaranteedTotal struct {
-	CPUs float64 `json:"cpus"`
-	GPUs float64 `json:"gpus"`
-}
-
-// Check says what is wrong with the record, naming the field.
-func (t *Team) Check() error {
-	if err := CheckName("name", string(t.Name)); err != nil {
-		return err
-	}
-	for _, f := range []struct {
-		field      string
-		least, max float64
-	}{{"cpus", t.CPUs, t.CPUsMax}, {"gpus", t.GPUs, t.GPUsMax}} {
-		switch {
-		case !inRange(f.least, 0, maxAmount):
-			return invalid(f.field, "must be between 0 and %v", maxAmount)
-		case !inRange(f.max, 0, maxAmount) || f.max > 0 && f.max < f.least:
-			return invalid(f.field+"_max", "must be 0, for no limit, or between %s and %v", f.field, maxAmount)
-		}
-	}
-	return nil
-}
-
-// Change replaces what a team has; the zero team is one that is new. A limit lies in
-// shares in the partitions, some of which may have been given away, so it can't be taken
-// back: it may only grow, or end.
-func (t Team) Change(to Team) (Team, error) {
-	shrinks := func(from, to float64) bool { return t.Name != "" && to != 0 && (from == 0 || to < from) }
-	switch {
-	case t.Removed:
-		return t, conflict("name: %s was removed, and its name stays taken", t.Name)
-	case shrinks(t.CPUsMax, to.CPUsMax):
-		return t, conflict("cpus_max: a limit may grow or end, not shrink")
-	case shrinks(t.GPUsMax, to.GPUsMax):
-		return t, conflict("gpus_max: a limit may grow or end, not shrink")
-	}
-	return to, to.Check()
-}
-
-// Remove ends a team of which so many jobs are not over, that belongs to nobody.
-func (t Team) Remove(owner Name, jobs int) (Team, error) {
-	switch {
-	case t.Removed:
-		return t, nil
-	case owner != "":
-		return t, conflict("name: %s belongs to %s", t.Name, owner)
-	case jobs > 0:
-		return t, conflict("name: %d jobs of %s are not over", jobs, t.Name)
-	}
-	return Team{Name: t.Name, Removed: true}, nil
-}
-
-// CheckBudget says which of what the operators have set aside for teams is less than what is
-// given of it.
-func (g GuaranteedTotal) CheckBudget(budget Operators) error {
-	const epsilon = 1e-6 // sums of many amounts
-	for _, f := range []struct {
-		field        string
-		given, aside float64
-	}{{"cpus", g.CPUs, budget.CPUs}, {"gpus", g.GPUs, budget.GPUs}} {
-		if f.given > f.aside+epsilon {
-			return &Error{Status: 422, Field: f.field, Reason: fmt.Sprintf("teams would be guaranteed %v of the %v that are set aside for them", f.given, f.aside)}
-		}
+		return &Error{Status: StatusUnprocessable, Field: "networks", Reason: fmt.Sprintf("%v, from where this comes, is not in them", from)}
 	}
 	return nil
 }
-
-// Adjust is what all are given after one changed, if it stays within what the operators
-// have set aside.
-func (g GuaranteedTotal) Adjust(from, to Team, budget Operators) (GuaranteedTotal, error) {
-	next := GuaranteedTotal{max(0, g.CPUs-from.CPUs+to.CPUs), max(0, g.GPUs-from.GPUs+to.GPUs)}
-	return next, next.CheckBudget(budget)
-}
--- a/tenant/operators_test.go
+++ b/tenant/operators_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"math"
 	"net/netip"
 	"slices"
@@ -75,7 +76,8 @@
 		"cpus": {CPUs: math.NaN()}, "gpus": {GPUs: -1}, "role": {Keys: []OperatorKey{{k, "all"}}}, "name": {Keys: []OperatorKey{{func() Key { x := k; x.Name = AdminKeyName; return x }(), RoleRead}}},
 		"keys": {Keys: []OperatorKey{{k, RoleRead}, {k, RoleRead}}}, "retired": {RetiredAdminKeys: make([]KeyID, maxRetiredAdminKeys+1)},
 	} {
-		e, ok := o.Check().(*Error)
+		var e *Error
+		ok := errors.As(o.Check(), &e)
 		if !ok || e.Field != field || e.Status != 400 {
 			t.Errorf("%s spoilt: %v", field, e)
 		}
--- a/tenant/roundwindow.go
+++ b/tenant/roundwindow.go
@@ -1,9 +1,11 @@
+// The window of a tenant's jobs that a round considers.
+
 package tenant
 
-// Window bounds how many of a tenant's jobs take part in a round: up to most of n, as
-// indices into their order of importance. Half of them are the most important; the others
-// take turns, so that none waits for ever behind jobs that find no room. Turn is how many
-// turns there were, by which the choice differs from round to round.
+// Window chooses which of a tenant's n jobs take part in a round: at most limit, as
+// indices into their order of importance. Half of them are the most important; the others rotate, so
+// that none waits for good behind jobs that fit nowhere. turn counts the rounds, by which the choice
+// differs from round to round.
 func Window(n, limit int, turn int) []int {
 	if n <= limit {
 		limit = n
@@ -26,8 +28,8 @@
 	return out
 }
 
-// RoundsToCoverAll is how many rounds it takes at most until each of n jobs has taken part, most at a
-// time.
+// RoundsToCoverAll is after how many rounds at most each of n jobs has taken part, with at most limit a
+// round.
 func RoundsToCoverAll(n, limit int) int {
 	if n <= limit {
 		return 1
--- a/tenant/table.go
+++ b/tenant/table.go
@@ -1,3 +1,5 @@
+// The table of tenants, as the log of the key-value store has it.
+
 package tenant
 
 import (
@@ -8,23 +10,24 @@
 	"basaltwall/api"
 )
 
-// Entry is a tenant's record with the revision that a change must name.
+// Entry is the record of a tenant with its revision, which a compare-and-swap change must name.
 type Entry struct {
 	Tenant
 	Revision api.Revision
 }
 
-// Table is the tenants of a service as the key-value store's log tells of them.
+// Table holds the tenants, as replicated by the log of the key-value store. Not safe for concurrent
+// use.
 type Table struct {
 	entries map[Name]*Entry
 	keys    map[KeyID]*Entry
-	names   []Name // in order; nil: to be listed anew
+	names   []Name // sorted; nil: outdated
 }
 
 // NewTable returns a table without tenants.
 func NewTable() *Table { return &Table{entries: map[Name]*Entry{}, keys: map[KeyID]*Entry{}} }
 
-// Put takes in a record.
+// Put applies a changed record. On error the table stays as it was.
 func (t *Table) Put(name string, value json.RawMessage, version api.Revision) error {
 	e := &Entry{Revision: version}
 	if err := json.Unmarshal(value, &e.Tenant); err != nil {
@@ -44,7 +47,7 @@
 	return nil
 }
 
-// Drop takes in a deletion.
+// Drop applies a deletion.
 func (t *Table) Drop(name string) {
 	old := t.entries[Name(name)]
 	if old == nil {
@@ -59,10 +62,10 @@
 	}
 }
 
-// Get is a tenant's entry, nil if there is none. It is not to be changed.
+// Get returns the entry of a tenant, nil if there is none. It must not be changed.
 func (t *Table) Get(name Name) *Entry { return t.entries[name] }
 
-// Names lists the tenants in order. The list is not to be changed.
+// Names lists the names of the tenants, sorted. The list must not be changed.
 func (t *Table) Names() []Name {
 	if t.names == nil {
 		t.names = slices.Sorted(maps.Keys(t.entries))
@@ -70,7 +73,7 @@
 	return t.names
 }
 
-// Find is the tenant and the key that a secret names, whether it opens it or not.
+// Find returns the tenant and the key with an id, nil if there is none; the secret is not verified.
 func (t *Table) Find(id KeyID) (*Entry, *Key) {
 	e := t.keys[id]
 	if e == nil {
@@ -80,8 +83,8 @@
 	return e, &e.Keys[i]
 }
 
-// MayStartTasks reports whether what waits of a tenant may be started; a tenant that is not
-// known starts nothing.
+// MayStartTasks reports whether pending tasks of a tenant may be started; those of an unknown one may
+// not.
 func (t *Table) MayStartTasks(name Name) bool {
 	e := t.entries[name]
 	return e != nil && e.MayStartTasks()
