--- a/fairqueue/fairqueue.go
+++ b/fairqueue/fairqueue.go
@@ -1,7 +1,8 @@
-// Package fairqueue owns whose questions are answered while not all can be: each job has its turn
-// by the clock, alike at all controllers, so that whoever asks every few seconds is answered
-// within a bounded time whatever others ask. Refusing costs next to nothing; answering those
-// that happen to come first would leave some unanswered for minutes, by chance. It is pure.
+// Package fairqueue owns whose polls are answered while a controller can't answer all of them: each
+// job has a time slice by the wall clock, the same at all controllers, so that whoever polls every
+// few seconds is answered within a bounded time, whatever others do. A refusal costs next to nothing,
+// while answering in order of arrival would leave some without an answer for minutes, by chance. It is
+// pure: the time is passed in.
 package fairqueue
 
 import (
@@ -11,16 +12,16 @@
 	"basaltwall/api"
 )
 
-// TimeSlice is how long a turn lasts: longer than users wait before they ask again, and than the
+// TimeSlice is the length of a time slice: longer than users wait before they poll again, and than the
 // controllers' clocks can differ.
 const TimeSlice = 7 * time.Second
 
-// MaxSlices is the most ways in which questions are divided: a whole cycle is shorter than the time
-// after which a job counts as forgotten, 75 s, with a turn that is missed once for its edges.
+// MaxSlices is the largest number of slices: a whole cycle is shorter than the 75 s after which a
+// job counts as abandoned, including a slice that is missed once at its edges.
 const MaxSlices = 8
 
-// SliceCount is in how many ways questions are divided where so many commands wait and the owner is
-// called behind from so many on.
+// SliceCount is into how many time slices polls are divided while so many commands wait. From threshold
+// waiting commands on the owner counts as overloaded; each doubling doubles the slices.
 func SliceCount(waiting, threshold int) int {
 	sliceCount := 1
 	for n := threshold; waiting >= n && sliceCount < MaxSlices; n *= 2 {
@@ -29,12 +30,13 @@
 	return sliceCount
 }
 
-// Admit reports whether it is a job's turn, or how long it is until then.
+// Admit reports whether the current time slice is a job's, and if not how long it is until then. Every
+// controller decides alike.
 func Admit(jobID api.JobID, at api.WallTime, sliceCount int) (admitted bool, wait time.Duration) {
-	h := fnv.New32a()
-	h.Write([]byte(jobID))
+	hash := fnv.New32a()
+	hash.Write([]byte(jobID))
 	slice := api.WallTime(TimeSlice.Milliseconds())
-	current, own := int(at/slice)%sliceCount, int(h.Sum32()%uint32(sliceCount))
+	current, own := int(at/slice)%sliceCount, int(hash.Sum32()%uint32(sliceCount))
 	if current == own {
 		return true, 0
 	}
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -3,83 +3,42 @@
 // has no negative cycle. It knows nothing of tasks and machines.
 package flow
 
+// edge is an edge of the residual network.
 type edge struct {
 	to       int32
-	residual int32
-	cost     int64
+	residual int32 // capacity left
+	cost     int64 // of a unit
 }
 
-// Graph is a flow network. Edges come in pairs: an edge and its reverse.
+// Graph is a flow network. Edges come in pairs, an edge and its reverse, so that the index of one is
+// that of the other with the lowest bit flipped. Not safe for concurrent use.
 type Graph struct {
 	edges     []edge
-	adjacency [][]int32
+	adjacency [][]int32 // by node: indices of its outgoing edges
 }
 
 // New returns a network of n nodes without edges.
 func New(n int) *Graph { return &Graph{adjacency: make([][]int32, n)} }
 
-// EdgeID names an edge for asking its flow.
+// EdgeID names an edge, to ask for its flow.
 type EdgeID int32
 
-// AddEdge adds an edge.
+// AddEdge adds an edge with a capacity and the cost of a unit of flow.
 func (g *Graph) AddEdge(from, to, capacity int, cost int64) EdgeID {
 	id := EdgeID(len(g.edges))
-	g.edges = append(g.edges, edge{int32(to), int32(capacity), cost}, edge{int32(from), 0, -cost})
+	g.edges = append(g.edges, edge{to: int32(to), residual: int32(capacity), cost: cost}, edge{to: int32(from), cost: -cost})
 	g.adjacency[from] = append(g.adjacency[from], int32(id))
 	g.adjacency[to] = append(g.adjacency[to], int32(id)+1)
 	return id
 }
 
-// Flow is what an edge carries.
+// Flow is the flow through an edge.
 func (g *Graph) Flow(id EdgeID) int { return int(g.edges[id+1].residual) }
 
+// infinity is the distance of a node that can't be reached.
 const infinity = int64(1) << 60
 
-type heapItem struct {
-	dist int64
-	node int32
-}
-
-// priorityQueue is a binary heap of items. It is typed, since an interface would cost
-// an allocation for each of the many items of a round.
-type priorityQueue []heapItem
-
-func (q *priorityQueue) push(x heapItem) {
-	h := append(*q, x)
-	for i := len(h) - 1; i > 0; {
-		parent := (i - 1) / 2
-		if h[parent].dist <= h[i].dist {
-			break
-		}
-		h[parent], h[i] = h[i], h[parent]
-		i = parent
-	}
-	*q = h
-}
-
-func (q *priorityQueue) pop() heapItem {
-	h := *q
-	top, last := h[0], len(h)-1
-	h[0] = h[last]
-	h = h[:last]
-	for i := 0; ; {
-		least := i
-		for c := 2*i + 1; c <= 2*i+2 && c < last; c++ {
-			if h[c].dist < h[least].dist {
-				least = c
-			}
-		}
-		if least == i {
-			break
-		}
-		h[i], h[least] = h[least], h[i]
-		i = least
-	}
-	*q = h
-	return top
-}
-
-// potentials finds shortest distances from s with negative costs allowed.
+// potentials are the shortest distances from the source, found with negative costs allowed.
 func (g *Graph) potentials(source int) []int64 {
 	dist := make([]int64, len(g.adjacency))
 	for i := range dist {
@@ -106,59 +65,91 @@
 	return dist
 }
 
-// MinCostFlow sends up to limit units from s to t at least cost and returns how many
-// were sent and what they cost.
+// MinCostFlow sends at most limit units from source to sink at least cost and returns how many
+// were sent and what they cost. It is to be called once for a network.
 func (g *Graph) MinCostFlow(source, sink, limit int) (sent int, cost int64) {
-	potential := g.potentials(source)
-	dist := make([]int64, len(g.adjacency))
-	parentEdge := make([]int32, len(g.adjacency))
-	q := make(priorityQueue, 0, len(g.adjacency))
-	for sent < limit {
-		for i := range dist {
-			dist[i] = infinity
+	search := &pathSearch{
+		graph:      g,
+		potential:  g.potentials(source),
+		dist:       make([]int64, len(g.adjacency)),
+		parentEdge: make([]int32, len(g.adjacency)),
+		queue:      make(priorityQueue, 0, len(g.adjacency)),
+	}
+	for sent < limit && search.shortestPath(source, sink) {
+		amount, pathCost := g.augment(search.parentEdge, source, sink, limit-sent)
+		sent += amount
+		cost += pathCost
+	}
+	return sent, cost
+}
+
+// augment sends as much as a path carries, at most limit, and returns that and its cost.
+func (g *Graph) augment(parentEdge []int32, source, sink, limit int) (sent int, cost int64) {
+	amount := int32(limit)
+	for v := sink; v != source; v = int(g.edges[parentEdge[v]^1].to) {
+		amount = min(amount, g.edges[parentEdge[v]].residual)
+	}
+	for v := sink; v != source; v = int(g.edges[parentEdge[v]^1].to) {
+		g.edges[parentEdge[v]].residual -= amount
+		g.edges[parentEdge[v]^1].residual += amount
+		cost += int64(amount) * g.edges[parentEdge[v]].cost
+	}
+	return int(amount), cost
+}
+
+// pathSearch finds shortest paths by Dijkstra's algorithm on reduced costs, which node potentials
+// keep from being negative. Its buffers serve all paths of a flow.
+type pathSearch struct {
+	graph      *Graph
+	potential  []int64
+	dist       []int64
+	parentEdge []int32 // by node: the last edge of its shortest path
+	queue      priorityQueue
+}
+
+// shortestPath finds the shortest path from source to sink and updates the potentials; false if
+// there is no path.
+func (p *pathSearch) shortestPath(source, sink int) bool {
+	p.searchUntil(source, sink)
+	if p.dist[sink] >= infinity {
+		return false
+	}
+	// Nodes at least as far as the sink move with it: reduced costs stay
+	// above zero, and the search can end at the sink.
+	for i := range p.potential {
+		if p.potential[i] < infinity {
+			p.potential[i] += min(p.dist[i], p.dist[sink])
 		}
-		dist[source] = 0
-		q = append(q[:0], heapItem{0, int32(source)})
-		for len(q) > 0 {
-			it := q.pop()
-			if it.dist > dist[it.node] {
-				continue
-			}
-			if int(it.node) == sink {
-				break // what is farther needs no exact distance, see checkServiceLevels
-			}
-			for _, id := range g.adjacency[it.node] {
-				e := g.edges[id]
-				if e.residual == 0 || potential[e.to] >= infinity {
-					continue
-				}
-				if d := it.dist + e.cost + potential[it.node] - potential[e.to]; d < dist[e.to] {
-					dist[e.to] = d
-					parentEdge[e.to] = id
-					q.push(heapItem{d, e.to})
-				}
-			}
+	}
+	return true
+}
+
+// searchUntil computes the distances of all nodes that are nearer to the source than the sink.
+func (p *pathSearch) searchUntil(source, sink int) {
+	dist, potential, edges := p.dist, p.potential, p.graph.edges
+	for i := range dist {
+		dist[i] = infinity
+	}
+	dist[source] = 0
+	p.queue = append(p.queue[:0], heapItem{dist: 0, node: int32(source)})
+	for len(p.queue) > 0 {
+		nearest := p.queue.pop()
+		if nearest.dist > dist[nearest.node] {
+			continue
 		}
-		if dist[sink] >= infinity {
-			return sent, cost
+		if int(nearest.node) == sink {
+			return // what is farther needs no exact distance, see shortestPath
 		}
-		// Nodes at least as far as the sink move with it: reduced costs stay
-		// above zero, and the search can end at the sink.
-		for i := range potential {
-			if potential[i] < infinity {
-				potential[i] += min(dist[i], dist[sink])
+		for _, id := range p.graph.adjacency[nearest.node] {
+			e := edges[id]
+			if e.residual == 0 || potential[e.to] >= infinity {
+				continue
+			}
+			if d := nearest.dist + e.cost + potential[nearest.node] - potential[e.to]; d < dist[e.to] {
+				dist[e.to] = d
+				p.parentEdge[e.to] = id
+				p.queue.push(heapItem{dist: d, node: e.to})
 			}
 		}
-		amount := int32(limit - sent)
-		for v := sink; v != source; v = int(g.edges[parentEdge[v]^1].to) {
-			amount = min(amount, g.edges[parentEdge[v]].residual)
-		}
-		for v := sink; v != source; v = int(g.edges[parentEdge[v]^1].to) {
-			g.edges[parentEdge[v]].residual -= amount
-			g.edges[parentEdge[v]^1].residual += amount
-			cost += int64(amount) * g.edges[parentEdge[v]].cost
-		}
-		sent += int(amount)
 	}
-	return sent, cost
 }
--- a/fragmentation/fragmentation.go
+++ b/fragmentation/fragmentation.go
@@ -1,7 +1,7 @@
-// Package fragmentation owns accelerators that are left over in pieces: how much of what is free on a
-// machine work can't use, and how a placement changes that. The measure is that of fragmentation
-// gradient descent (Weng et al., USENIX ATC 2023, as published): what is free counts as lost to a
-// demand that does not fit into it, by how usual that demand is. It is pure.
+// Package fragmentation owns the fragmentation of accelerators: how much of the free capacity of a
+// machine typical work can't use, and how a placement changes that. The measure is that of
+// fragmentation gradient descent (Weng et al., USENIX ATC 2023): free accelerators count as lost to
+// a demand that does not fit, in proportion to how common that demand is. It is pure.
 package fragmentation
 
 import (
@@ -11,28 +11,31 @@
 	"basaltwall/api"
 )
 
-// Demand is what tasks ask for, and which share of all the accelerators that are asked for they
-// make.
+// Demand is what tasks request, with its share of all accelerators that are requested.
 type Demand struct {
 	Resources api.Resources
-	Share     float64
+	Share     float64 // between 0 and 1
 }
 
-// maxDemands bounds the demands that are looked at: the rarest are left out.
+// maxDemands bounds the typical demands: the rarest are left out.
 const maxDemands = 8
 
-// TypicalDemands makes the usual demands of what tasks ask for, counted by how many ask: only what
-// needs accelerators counts.
+// TypicalDemands are the most common demands for accelerators, by their share of the accelerators
+// requested. demandCounts is the number of tasks by what they request.
 func TypicalDemands(demandCounts map[api.Resources]int) []Demand {
 	var out []Demand
 	sum := 0.0
 	for res, count := range demandCounts {
 		if res.GPU > 0 && count > 0 {
-			out = append(out, Demand{res, res.GPU.Float() * float64(count)})
+			out = append(out, Demand{Resources: res, Share: res.GPU.Float() * float64(count)})
 		}
 	}
 	slices.SortFunc(out, func(a, b Demand) int {
-		return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(a.Resources.GPU, b.Resources.GPU), cmp.Compare(a.Resources.CPU, b.Resources.CPU), cmp.Compare(a.Resources.Mem, b.Resources.Mem))
+		return cmp.Or(
+			cmp.Compare(b.Share, a.Share),
+			cmp.Compare(a.Resources.GPU, b.Resources.GPU),
+			cmp.Compare(a.Resources.CPU, b.Resources.CPU),
+			cmp.Compare(a.Resources.Mem, b.Resources.Mem))
 	})
 	out = out[:min(len(out), maxDemands)]
 	for _, d := range out {
@@ -44,7 +47,7 @@
 	return out
 }
 
-// Measure is how many accelerators of what is free on a machine a usual demand can't use.
+// Measure is how many of the free accelerators of a machine a typical demand can't use.
 func Measure(free api.Resources, typical []Demand) float64 {
 	if free.GPU <= 0 {
 		return 0
@@ -58,14 +61,14 @@
 	return unusable
 }
 
-// Increase is by how many accelerators a task makes more pieces on a machine; below 0 it uses up such
-// as there are.
+// Increase is how many more accelerators become unusable when a task is placed on a machine with that
+// free capacity; below 0 it uses up fragments.
 func Increase(free, task api.Resources, typical []Demand) float64 {
 	return Measure(free.Minus(task), typical) - Measure(free, typical)
 }
 
-// MayStrand reports whether smaller usual demands may leave a demand without a machine though
-// there is room for it in pieces.
+// MayStrand reports whether smaller typical demands may leave a demand without a machine although there
+// is enough free capacity in fragments.
 func MayStrand(demand api.Resources, typical []Demand) bool {
 	return slices.ContainsFunc(typical, func(d Demand) bool { return 2*d.Resources.GPU <= demand.GPU })
 }
--- a/jobresult/jobresult.go
+++ b/jobresult/jobresult.go
@@ -1,8 +1,8 @@
-// Package jobresult owns in which order the final states of jobs are looked up that a controller
-// does not remember: after a restart that may be thousands at once, of which the key-value store
-// answers a few a second. The questions are met in the order of their keys, as a lift meets
-// floors, with pages that answer all that lie on them: so each is met within one turn, however
-// many others there are and however often those are asked. It is pure.
+// Package jobresult owns the order in which the results of finished jobs are looked up that a
+// controller does not remember: after a restart that may be thousands at once, of which the key-value
+// store answers a few requests a second. The lookups are served in key order by an elevator scan, with
+// pages that answer all lookups within them: so each is answered within one scan, however many others
+// there are and however often those are repeated. It is pure.
 package jobresult
 
 import (
@@ -12,32 +12,35 @@
 	"basaltwall/api"
 )
 
-// PageSize is how many final states one request may bring.
+// PageSize is how many results one request may return.
 const PageSize = 500
 
-// pageThreshold is from how many open questions on they are answered by pages: below it a request
+// pageThreshold is from how many open lookups on they are served by pages: below it a request
 // for each costs less.
 const pageThreshold = 3
 
-// Request is a request to the key-value store: for one key, or for a page of keys that come after
-// one, in their order.
+// Request is a request to the key-value store: for one key, or for a page of the keys after one, in
+// key order.
 type Request struct {
-	JobID  api.JobID // if set
-	After  string    // else
-	maxSeq uint64    // the questions that came before the request
+	JobID  api.JobID // of the single key; empty for a page
+	After  string    // the key before the page
+	maxSeq uint64    // the latest lookup before the request
 }
 
-// Queue is the open questions. The zero value has none.
+// Queue is the open lookups. The zero value is empty and ready to use. Not safe for concurrent use.
 type Queue struct {
 	pending map[api.JobID]query
 	lastSeq uint64
-	cursor  api.JobID // where the lift is
+	cursor  api.JobID // the position of the elevator scan
 }
 
-// query is when a job's state was first and when it was last asked for since it was answered.
-type query struct{ firstSeq, lastSeq uint64 }
+// query is the open lookups of a job's result.
+type query struct {
+	firstSeq uint64 // the earliest that is not answered
+	lastSeq  uint64 // the latest
+}
 
-// Add notes a question, and returns its number: each is higher than those before it.
+// Add notes a lookup and returns its number, which is higher than those before it.
 func (q *Queue) Add(jobID api.JobID) uint64 {
 	if q.pending == nil {
 		q.pending = map[api.JobID]query{}
@@ -47,30 +50,43 @@
 	if x, open := q.pending[jobID]; open {
 		first = x.firstSeq
 	}
-	q.pending[jobID] = query{first, q.lastSeq}
+	q.pending[jobID] = query{firstSeq: first, lastSeq: q.lastSeq}
 	return q.lastSeq
 }
 
-// Remove forgets a question that nobody waits for any more.
+// Remove drops the lookups of a job's result that nobody waits for any more.
 func (q *Queue) Remove(jobID api.JobID) { delete(q.pending, jobID) }
 
-// Len is how many are open.
+// Len is the number of jobs with open lookups.
 func (q *Queue) Len() int { return len(q.pending) }
 
-// Next is the request to send, ok false if there is nothing to ask.
-func (q *Queue) Next() (a Request, ok bool) {
+// Next is the request to send; ok is false if no lookup is open.
+func (q *Queue) Next() (request Request, ok bool) {
 	if len(q.pending) == 0 {
-		return a, false
+		return Request{}, false
 	}
-	a.maxSeq = q.lastSeq
 	if len(q.pending) < pageThreshold {
-		for jobID, x := range q.pending { // the oldest: others may come all the time
-			if a.JobID == "" || x.firstSeq < q.pending[a.JobID].firstSeq {
-				a.JobID = jobID
-			}
+		return Request{JobID: q.oldest(), maxSeq: q.lastSeq}, true
+	}
+	next := q.nextInScan()
+	q.cursor = next
+	// A page begins after a key: the job's own without its last character comes before it, with
+	// hardly any key in between.
+	return Request{After: string(next[:len(next)-1]), maxSeq: q.lastSeq}, true
+}
+
+// oldest is the job with the oldest lookup: newer ones may arrive all the time.
+func (q *Queue) oldest() (oldest api.JobID) {
+	for jobID, x := range q.pending {
+		if oldest == "" || x.firstSeq < q.pending[oldest].firstSeq {
+			oldest = jobID
 		}
-		return a, true
 	}
+	return oldest
+}
+
+// nextInScan is the first pending job after the cursor or, at the end, the first of all.
+func (q *Queue) nextInScan() api.JobID {
 	var next, first api.JobID
 	for jobID := range q.pending {
 		if first == "" || jobID < first {
@@ -81,43 +97,39 @@
 		}
 	}
 	if next == "" {
-		next = first // the lift turns round
+		return first
 	}
-	q.cursor = next
-	// The key that is its own but for the last character comes before it, and hardly any
-	// between them.
-	a.After = string(next[:len(next)-1])
-	return a, true
+	return next
 }
 
-// Result is an answer to a question: the state, empty if there is none. That there is none answers
-// only the questions with numbers up to Upto: what was asked after the request was sent may have
-// come to its end since.
+// Result is the answer to lookups: the state, empty if there is none. That there is none answers only
+// lookups with numbers up to MaxSeq: a job that was looked up after the request was sent may have
+// become terminal since.
 type Result struct {
 	JobID  api.JobID
 	State  api.JobState
 	MaxSeq uint64
 }
 
-// resolve takes in that a job's state was found, or was not there when a request was carried out;
-// ok reports whether that answers any question.
-func (q *Queue) resolve(a Request, jobID api.JobID, s api.JobState) (f Result, ok bool) {
+// resolve applies that a job's result was found, or was absent when a request was served; ok reports
+// whether that answers any lookup.
+func (q *Queue) resolve(request Request, jobID api.JobID, state api.JobState) (result Result, ok bool) {
 	x, open := q.pending[jobID]
 	switch {
-	case !open || s == "" && x.firstSeq > a.maxSeq:
-		return f, false
-	case s == "" && x.lastSeq > a.maxSeq:
-		q.pending[jobID] = query{a.maxSeq + 1, x.lastSeq}
+	case !open || state == "" && x.firstSeq > request.maxSeq:
+		return Result{}, false
+	case state == "" && x.lastSeq > request.maxSeq:
+		q.pending[jobID] = query{firstSeq: request.maxSeq + 1, lastSeq: x.lastSeq}
 	default:
 		delete(q.pending, jobID)
 	}
-	return Result{jobID, s, a.maxSeq}, true
+	return Result{JobID: jobID, State: state, MaxSeq: request.maxSeq}, true
 }
 
-// HandlePage takes in what a page brought, in the order of keys, and whether there are more after
-// it; it returns the questions that it answers. That a state is not there only answers what
-// was asked before the page was.
-func (q *Queue) HandlePage(a Request, states []Result, more bool) []Result {
+// HandlePage applies the results of a page, in key order; more says whether there are keys after it.
+// It returns the answers, in order of job. A job that is absent from the page is answered only to
+// lookups before the request.
+func (q *Queue) HandlePage(request Request, states []Result, more bool) []Result {
 	var out []Result
 	found := map[api.JobID]api.JobState{}
 	last := ""
@@ -126,26 +138,29 @@
 		last = string(s.JobID)
 	}
 	for jobID := range q.pending {
-		s, present := found[jobID]
-		if !present && (string(jobID) <= a.After || more && string(jobID) > last) {
+		state, present := found[jobID]
+		if !present && (string(jobID) <= request.After || more && string(jobID) > last) {
 			continue
 		}
-		if f, ok := q.resolve(a, jobID, s); ok {
-			out = append(out, f)
+		if result, ok := q.resolve(request, jobID, state); ok {
+			out = append(out, result)
 		}
 	}
 	slices.SortFunc(out, func(a, b Result) int { return strings.Compare(string(a.JobID), string(b.JobID)) })
 	switch {
 	case !more:
-		q.cursor = "\x7f" // all that comes after it has been met: the lift turns round
+		q.cursor = endOfKeys // the scan begins anew
 	case last > string(q.cursor):
 		q.cursor = api.JobID(last)
 	}
 	return out
 }
 
-// HandleSingle takes in the answer for one key, empty if there is no state; ok reports whether that
-// answers any question.
-func (q *Queue) HandleSingle(a Request, s api.JobState) (f Result, ok bool) {
-	return q.resolve(a, a.JobID, s)
+// endOfKeys comes after every job id.
+const endOfKeys = "\x7f"
+
+// HandleSingle applies the answer for one key, empty if there is no result; ok reports whether that
+// answers any lookup.
+func (q *Queue) HandleSingle(request Request, state api.JobState) (result Result, ok bool) {
+	return q.resolve(request, request.JobID, state)
 }
--- a/membership/restarts.go
+++ b/membership/restarts.go
@@ -1,6 +1,6 @@
-// Package membership owns how far controllers that come and go are trusted with parts of the
-// machines: who has ended several times of late gets its partitions back later and later, so that a
-// process that keeps ending costs the others no more than a few changes of hands. It is pure.
+// Package membership owns the failback of partitions to controllers that restart: a controller that
+// restarted several times of late gets its partitions back later and later, so that a crash loop costs
+// the others no more than a few changes of ownership. It is pure: the time is passed in.
 package membership
 
 import (
@@ -11,34 +11,35 @@
 )
 
 const (
-	// historyWindow is for how long an end counts.
+	// historyWindow is for how long a start counts.
 	historyWindow = 2 * time.Minute
-	// freeRestarts is how many lives within that time cost no trust: a restart, and one more.
+	// freeRestarts is how many starts within that time cause no delay: the first, and one restart.
 	freeRestarts = 2
-	// maxFailbackDelay is how long a controller waits for its partitions at most.
+	// maxFailbackDelay bounds the delay, unless the base is longer.
 	maxFailbackDelay = time.Minute
 )
 
-// RestartTracker is what is known of controllers' lives.
+// RestartTracker tracks the starts of controllers. The zero value is ready to use.
 type RestartTracker struct {
 	controllers map[api.ControllerID]*restarts
 }
 
+// restarts are the starts of a controller.
 type restarts struct {
-	incarnation int64
-	starts      []api.Time // of late
+	incarnation int64 // the latest
+	starts      []api.Time
 }
 
-// Observe notes that a controller lives, in the life that its member key names. It reports whether
-// that is another life than the one known before.
-func (l *RestartTracker) Observe(controller api.ControllerID, incarnation int64, now api.Time) bool {
-	if l.controllers == nil {
-		l.controllers = map[api.ControllerID]*restarts{}
+// Observe notes that a controller is alive in the incarnation that its member key names. It reports
+// whether that is a new one.
+func (t *RestartTracker) Observe(controller api.ControllerID, incarnation int64, now api.Time) bool {
+	if t.controllers == nil {
+		t.controllers = map[api.ControllerID]*restarts{}
 	}
-	history := l.controllers[controller]
+	history := t.controllers[controller]
 	if history == nil {
 		history = &restarts{}
-		l.controllers[controller] = history
+		t.controllers[controller] = history
 	}
 	if len(history.starts) > 0 && history.incarnation == incarnation {
 		return false
@@ -48,9 +49,10 @@
 	return true
 }
 
-// FailbackDelay is how long a controller must have lived before its partitions go home, usually so long.
-func (l *RestartTracker) FailbackDelay(controller api.ControllerID, now api.Time, base time.Duration) time.Duration {
-	history := l.controllers[controller]
+// FailbackDelay is how long a controller must have been alive before it gets its home partitions back:
+// base, doubled for each recent start beyond the free ones.
+func (t *RestartTracker) FailbackDelay(controller api.ControllerID, now api.Time, base time.Duration) time.Duration {
+	history := t.controllers[controller]
 	if history == nil {
 		return base
 	}
--- a/relay/changelog.go
+++ b/relay/changelog.go
@@ -1,3 +1,5 @@
+// The log that a relay retains for the controllers that read through it.
+
 package relay
 
 import (
@@ -7,27 +9,27 @@
 	"basaltwall/api"
 )
 
-// Bounds of what a relay retains.
+// Bounds on the changes that a relay retains.
 const (
 	maxChanges = 4096
 	maxBytes   = 8 << 20
 )
 
-// ChangeLog is the latest part of the key-value store's log, without gaps: all changes after one revision
-// up to another.
+// ChangeLog is the latest part of the log of the key-value store, without gaps: all changes after
+// startRevision up to endRevision. Not safe for concurrent use.
 type ChangeLog struct {
 	startRevision, endRevision api.Revision
 	changes                    []api.Change
-	bytes                      int
+	bytes                      int // of keys and values
 }
 
-// Reset forgets all changes: the log begins after a revision.
+// Reset drops all changes; the log then starts after a revision.
 func (l *ChangeLog) Reset(startRevision api.Revision) {
 	*l = ChangeLog{startRevision: startRevision, endRevision: startRevision}
 }
 
-// Append takes in all changes after the log's end up to a revision, in their order. Changes that
-// it has already are passed over.
+// Append adds all changes after the end of the log up to endRevision, in order. Changes that are in the
+// log already are skipped.
 func (l *ChangeLog) Append(changes []api.Change, endRevision api.Revision) {
 	for _, c := range changes {
 		if c.Version <= l.endRevision {
@@ -40,7 +42,7 @@
 	l.trim()
 }
 
-// trim forgets the oldest changes beyond the bounds. Changes of one revision go together.
+// trim drops the oldest changes beyond the bounds, those of one revision together.
 func (l *ChangeLog) trim() {
 	cut := 0
 	for cut < len(l.changes) && (len(l.changes)-cut > maxChanges || l.bytes > maxBytes) {
@@ -56,10 +58,11 @@
 	}
 }
 
+// changeSize is the size of a change in bytes.
 func changeSize(c api.Change) int { return len(c.Put) + len(c.Drop) + len(c.Value) }
 
-// Since are all changes after a revision, and up to which they reach; ok is false where the log
-// does not reach back so far, or not up to there.
+// Since returns all changes after a revision, and the revision up to which they reach; ok is false if
+// the log does not reach back that far, or not up to there.
 func (l *ChangeLog) Since(rev api.Revision) (changes api.Changes, ok bool) {
 	if rev < l.startRevision || rev > l.endRevision {
 		return api.Changes{}, false
@@ -76,10 +79,10 @@
 	return api.Changes{Revision: l.endRevision, Log: l.changes[from:len(l.changes):len(l.changes)]}, true
 }
 
-// errInvalidResponse is what is wrong with an answer that no relay in its right mind gives.
+// errInvalidResponse is the error of a response that no correct relay gives.
 var errInvalidResponse = errors.New("the relay's answer is not a part of the log after what was asked")
 
-// Validate finds answers to a question for the changes after a revision that can't be.
+// Validate checks the response of a relay to a request for the changes after a revision.
 func Validate(since api.Revision, response *api.Changes) error {
 	if response == nil || response.Revision < since {
 		return errInvalidResponse
