--- a/clusterstate/golden_test.go
+++ b/clusterstate/golden_test.go
@@ -12,7 +12,7 @@
 
 type goldenBook = State[struct{}, struct{}]
 
-// put folds what an earlier version wrote.
+// put applies what an earlier version wrote.
 func put(t *testing.T, b *goldenBook, key string, value []byte, version api.Revision) {
 	t.Helper()
 	if err := b.Put(key, value, version); err != nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-// Keys and values of the record as earlier versions wrote them, folded as they folded them.
+// Keys and values as earlier versions wrote them, applied as they applied them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	f.Text("keys", strings.Join([]string{Root, KeyMember, KeyPartition, KeyCheckpointHead, KeyCheckpointChunk, KeyRound, KeyJob, KeyLoan, KeyJobResult,
@@ -70,8 +70,8 @@
 	golden.JSON(f, "empty round", Record{Jobs: []JobDelta{{Starts: []TaskStart{{}}}}, QuotaTransfers: []QuotaTransfer{{}}, Reservations: []Reservation{{}}})
 }
 
-// A job's tasks that start, end and are lost in rounds that an earlier version wrote, and a
-// checkpoint of them in pieces: folded, and read anew, they are what they were.
+// The tasks of a job start, complete and fail in rounds that an earlier version wrote, and in a
+// checkpoint of them: both when applied and when loaded, they are what they were.
 func TestGoldenFold(t *testing.T) {
 	const job = `{"s":{"ref":"run-7","mestiere":"render","bottega":"red","forma":"sweep","urgenza":"normal","pezzi":70,"cores":1,"gpus":0,"ram_gb":1,` +
 		`"stampo":"x","image_gb":1,"stima_s":5},"p":[[0,40,0],[40,70,1]],"t":1000}`
@@ -103,7 +103,7 @@
 	for _, w := range writes {
 		lines = append(lines, w.Put+" "+string(w.Value))
 	}
-	// How a checkpoint is packed may change with the compressor, as long as it is read.
+	// The compression of a checkpoint may change, as long as it can be read.
 	f := golden.Open(t)
 	today := strings.Join(lines, "\n")
 	for what, pieces := range map[string]string{"checkpoint": f.Section("checkpoint", today), "checkpoint of today": today} {
--- a/clusterstate/job.go
+++ b/clusterstate/job.go
@@ -1,4 +1,4 @@
-// Jobs: their records, the state that users are told, and the sets by what is left to do.
+// Jobs: their records, the state that users see, and the indexes by what is left to do.
 
 package clusterstate
 
@@ -44,7 +44,7 @@
 	return api.JobPending
 }
 
-// CancellationConfirmed reports whether users may be told of a recorded cancellation: the owner of
+// CancellationConfirmed reports whether users may see a recorded cancellation: the owner of
 // each partition that holds placements of the job has recorded that it knows of the cancellation
 // and alone commands their machines. No placement is added after a cancellation, and both the
 // placements and the acknowledgements are replicated, so once this holds for one controller it
@@ -87,6 +87,7 @@
 	return max(0, c-j.PlacementCounts[partition]+j.transferAdjustment(partition))
 }
 
+// markCompleted records that a partition completed a task; an invalid index is ignored.
 func (j *Job[J, P]) markCompleted(partition api.PartitionID, i int) {
 	if i < 0 || i >= j.Spec.Tasks {
 		return
@@ -100,8 +101,10 @@
 	}
 }
 
+// maxJobResults bounds the results of archived jobs that are remembered.
 const maxJobResults = 50_000
 
+// putJob applies the key of a job.
 func (s *State[J, P]) putJob(name string, value json.RawMessage, version api.Revision) error {
 	var v JobValue
 	if err := json.Unmarshal(value, &v); err != nil {
@@ -113,7 +116,13 @@
 	jobID := api.JobID(name)
 	j := s.Jobs[jobID]
 	if j == nil {
-		j = &Job[J, P]{ID: jobID, completedBy: map[api.PartitionID]*TaskSet{}, Placements: map[int]*Placement[J, P]{}, PlacementCounts: map[api.PartitionID]int{}, cancellationAcknowledged: map[api.PartitionID]bool{}}
+		j = &Job[J, P]{
+			ID:                       jobID,
+			Placements:               map[int]*Placement[J, P]{},
+			PlacementCounts:          map[api.PartitionID]int{},
+			completedBy:              map[api.PartitionID]*TaskSet{},
+			cancellationAcknowledged: map[api.PartitionID]bool{},
+		}
 		s.Jobs[jobID] = j
 	}
 	j.JobValue, j.Demand, j.Version = v, v.Spec.Demand(), version
@@ -127,6 +136,7 @@
 	return nil
 }
 
+// deleteJob applies the deletion of a job that was archived.
 func (s *State[J, P]) deleteJob(name string) {
 	jobID := api.JobID(name)
 	j := s.Jobs[jobID]
@@ -139,8 +149,8 @@
 	for _, p := range j.Placements {
 		s.removePlacement(p)
 	}
-	if of := s.JobsByTenant[j.Tenant]; of != nil {
-		if delete(of, jobID); len(of) == 0 {
+	if jobs := s.JobsByTenant[j.Tenant]; jobs != nil {
+		if delete(jobs, jobID); len(jobs) == 0 {
 			delete(s.JobsByTenant, j.Tenant)
 		}
 	}
@@ -153,7 +163,7 @@
 // LiveCount is how many of the job's placements are not finishing.
 func (j *Job[J, P]) LiveCount() int { return j.liveCount }
 
-// reindex keeps the sets of jobs by what is left to do for them, so that no round looks at the
+// reindex updates the sets of jobs by what is left to do for them, so that no round looks at the
 // many jobs that need nothing.
 func (s *State[J, P]) reindex(j *Job[J, P]) {
 	delete(s.PendingJobs, j.ID)
--- a/clusterstate/keys.go
+++ b/clusterstate/keys.go
@@ -1,9 +1,5 @@
-// Package clusterstate owns the replicated state as a controller knows it: the fold of every key
-// under Root in the consensus-backed key-value store, in the order of their revisions. Two states
-// at the same revision agree. It decides nothing; what the owner of a partition tracks of jobs and
-// placements beyond their records is of the type parameters J and P.
-//
-// Not safe for concurrent use: the controller's single owner goroutine holds it.
+// Keys: under which key of the key-value store each kind of record is stored.
+
 package clusterstate
 
 import (
@@ -15,7 +11,7 @@
 	"basaltwall/api"
 )
 
-// Keys in the key-value store. Everything a controller follows lies under Root; the results of
+// Keys in the key-value store. Controllers follow all keys under Root; the results of
 // finished jobs lie outside, so that what a restart reads stays bounded.
 const (
 	Root               = "b/"
@@ -29,11 +25,11 @@
 	KeyJobResult       = "final/"
 )
 
-// RingSize is how many round records a partition keeps before their keys are used
-// again; a checkpoint must have covered a record by then. A checkpoint grows with
-// the tasks that run, a record with those that start or end, so checkpoints must
-// be much rarer than rounds, or they would use up the writes; what is read after
-// a crash stays some hundred records.
+// RingSize is how many round records a partition keeps before their keys are reused;
+// a checkpoint must have covered a record by then. A checkpoint grows with
+// the running tasks, a record with those that start or end, so checkpoints must
+// be much rarer than rounds, or they would use up the write limit; a restart reads
+// a hundred records or so.
 const RingSize = 128
 
 // PartitionKey is the key of a partition under a prefix.
@@ -41,43 +37,46 @@
 	return prefix + strconv.Itoa(int(partition))
 }
 
-// RoundKey is the key of a partition's round in its ring.
+// RoundKey is the key of the record of a partition's round in its ring.
 func RoundKey(partition api.PartitionID, seq uint64) string {
 	return fmt.Sprintf("%s%d/%d", KeyRound, partition, seq%RingSize)
 }
 
-// CheckpointChunkKey is the key of a piece of a partition's checkpoint; two generations take turns.
+// checkpointGenerations is how many checkpoints of a partition are stored.
+const checkpointGenerations = 2
+
+// CheckpointChunkKey is the key of a chunk of a partition's checkpoint. Two generations alternate, so that
+// a checkpoint being written never overwrites the current one.
 func CheckpointChunkKey(partition api.PartitionID, gen uint64, i int) string {
-	return fmt.Sprintf("%s%d/%d/%d", KeyCheckpointChunk, partition, gen%2, i)
+	return fmt.Sprintf("%s%d/%d/%d", KeyCheckpointChunk, partition, gen%checkpointGenerations, i)
 }
 
-// RecordKind is a kind of durable record: all keys that begin with a prefix, or the key that
-// is the prefix. A key's value is the record's whole state, so checkpoints need not contain it,
-// and a restart reads it from its keys.
-// A write of it is conditional on VersionCondition, and on the key of the partition or member
-// that is entitled to it.
+// RecordKind is a kind of durable record: all keys with a prefix that ends with a slash, or the key
+// that is the prefix. The value of a key is the record's whole state, so checkpoints need not contain
+// it, and a restart reads it from its keys. A write is conditional on VersionCondition, and on the key
+// of the partition or member that is entitled to write.
 type RecordKind struct {
 	Prefix string
-	// Put takes in a value; name is what follows the prefix. It leaves all as it was
-	// when it returns an error.
+	// Put applies a value; name is what follows the prefix. On error everything stays as it was.
 	Put func(name string, value json.RawMessage, ver api.Revision) error
-	// Delete takes in a deletion; nil where nothing is kept of the key.
+	// Delete applies a deletion; nil if nothing is kept of the key.
 	Delete func(name string)
 }
 
-// SingleKey is the kind of a single key whose value is read into to.
-func SingleKey[T any](key string, to *T) RecordKind {
+// SingleKey is the kind of a single key whose value is decoded into target.
+func SingleKey[T any](key string, target *T) RecordKind {
 	return RecordKind{Prefix: key, Put: func(_ string, value json.RawMessage, _ api.Revision) error {
 		var v T
 		if err := json.Unmarshal(value, &v); err != nil {
 			return err
 		}
-		*to = v
+		*target = v
 		return nil
 	}}
 }
 
-// parsePartition reads the partition's number from what follows a prefix.
+// parsePartition parses the number of a partition from what follows a prefix. The error wraps
+// ErrNoSuchPartition.
 func parsePartition(name string, partitions int) (api.PartitionID, error) {
 	num, _, _ := strings.Cut(name, "/")
 	n, err := strconv.Atoi(num)
--- a/clusterstate/partition.go
+++ b/clusterstate/partition.go
@@ -8,19 +8,23 @@
 	"basaltwall/api"
 )
 
-// Partition is a partition of the fleet as the log describes it.
+// priorityRanks is the number of priority ranks, see api.Priority.Rank.
+const priorityRanks = 4
+
+// Partition is the replicated state of a partition of the fleet.
 type Partition struct {
 	TeamUsage        map[api.Team]api.Resources // of the placements that are not finishing
 	PoolUsage        map[api.PoolName]int       // pool units that these hold
-	CountByRank      [4]int                     // placements by priority rank, without those of gangs
+	CountByRank      [priorityRanks]int         // placements by priority rank, without those of gangs
 	Owner            api.ControllerID
 	Term             api.Revision
-	RoundSeq         uint64 // of its latest round
+	RoundSeq         uint64 // of the latest round
 	CheckpointHead   CheckpointHeadValue
 	Reservations     map[api.MachineID]Reservation
-	quotaTransferred map[api.PartitionID]map[api.Team]api.Resources
+	quotaTransferred map[api.PartitionID]map[api.Team]api.Resources // to each other partition, in total
 }
 
+// putPartition applies the key of a partition: a new owner, or a new term of the same.
 func (s *State[J, P]) putPartition(name string, value json.RawMessage, version api.Revision) error {
 	partition, err := parsePartition(name, len(s.Partitions))
 	if err != nil {
@@ -34,6 +38,7 @@
 	return nil
 }
 
+// putCheckpointHead applies the key that makes a checkpoint valid.
 func (s *State[J, P]) putCheckpointHead(name string, value json.RawMessage, _ api.Revision) error {
 	partition, err := parsePartition(name, len(s.Partitions))
 	if err != nil {
@@ -47,6 +52,7 @@
 	return nil
 }
 
+// addQuotaTransfers adds transfers of quota shares from a partition.
 func (s *State[J, P]) addQuotaTransfers(partition api.PartitionID, transfers []QuotaTransfer) {
 	for _, g := range transfers {
 		m := s.Partitions[partition].quotaTransferred[g.To]
@@ -58,11 +64,11 @@
 	}
 }
 
-// QuotaShare is the share of a team's limit that a partition may use.
+// QuotaShare is the share of a team's limit that a partition may use, transfers included.
 func (s *State[J, P]) QuotaShare(partition api.PartitionID, team api.Team, limit api.Resources) api.Resources {
 	n := api.Quantity(len(s.Partitions))
 	share := api.Resources{CPU: limit.CPU / n, GPU: limit.GPU / n}
-	if partition == 0 { // what can't be divided
+	if partition == 0 { // the remainder of the division
 		share.CPU += limit.CPU % n
 		share.GPU += limit.GPU % n
 	}
--- a/clusterstate/placement.go
+++ b/clusterstate/placement.go
@@ -25,7 +25,7 @@
 	transferred bool // in another partition than the one that starts the task, see transfer
 }
 
-// machinePlacements is what a machine holds by the durable record, in order of task.
+// machinePlacements is the placements on a machine, in order of task.
 type machinePlacements[J, P any] struct {
 	placements []*Placement[J, P]
 	allocated  api.Resources // of the placements that are not finishing
@@ -57,6 +57,7 @@
 	s.reindex(p.Job)
 }
 
+// removePlacement removes a placement whose end is recorded.
 func (s *State[J, P]) removePlacement(p *Placement[J, P]) {
 	s.SetFinishing(p, true)
 	p.Job.FinishingCount--
@@ -73,32 +74,32 @@
 	s.reindex(p.Job)
 }
 
-// addUsage counts what a placement takes, or no longer takes, of its machine and of
-// its team's limit.
+// addUsage adds what a placement uses of its machine, its team's quota and pools (n is 1), or subtracts
+// it (-1).
 func (s *State[J, P]) addUsage(p *Placement[J, P], n int) {
-	need := p.Job.Demand.Times(n)
+	demand := p.Job.Demand.Times(n)
 	if h := s.machines[p.Machine]; h != nil {
-		h.allocated = h.allocated.Plus(need)
+		h.allocated = h.allocated.Plus(demand)
 	}
-	use := s.Partitions[p.Partition].TeamUsage
-	use[p.Job.Spec.Team] = use[p.Job.Spec.Team].Plus(need)
+	usage := s.Partitions[p.Partition].TeamUsage
+	usage[p.Job.Spec.Team] = usage[p.Job.Spec.Team].Plus(demand)
 	before := p.Job.liveCount
 	p.Job.liveCount += n
 	for _, x := range p.Job.Spec.Needs {
 		s.Partitions[p.Partition].PoolUsage[x.Pool] += n * x.Task
-		if before == 0 || p.Job.liveCount == 0 { // the job's own, with the first and the last
+		if before == 0 || p.Job.liveCount == 0 { // the job's own units, with its first and last placement
 			s.Partitions[p.Partition].PoolUsage[x.Pool] += n * x.Job
 		}
 	}
 }
 
 // SetFinishing notes whether there is evidence that a placement's task has ended.
-func (s *State[J, P]) SetFinishing(p *Placement[J, P], over bool) {
-	if p.Finishing == over {
+func (s *State[J, P]) SetFinishing(p *Placement[J, P], finishing bool) {
+	if p.Finishing == finishing {
 		return
 	}
-	p.Finishing = over
-	if over {
+	p.Finishing = finishing
+	if finishing {
 		p.Job.FinishingCount++
 		s.addUsage(p, -1)
 	} else {
--- a/clusterstate/records.go
+++ b/clusterstate/records.go
@@ -8,7 +8,7 @@
 	"basaltwall/api"
 )
 
-// TaskRange is a run of a job's tasks, From included and To not, held by a partition.
+// TaskRange is a range of a job's tasks, from From up to but without To, that a partition starts.
 type TaskRange struct {
 	From, To  int
 	Partition api.PartitionID
@@ -25,54 +25,53 @@
 	if err := json.Unmarshal(data, &v); err != nil {
 		return err
 	}
-	*r = TaskRange{v[0], v[1], api.PartitionID(v[2])}
+	*r = TaskRange{From: v[0], To: v[1], Partition: api.PartitionID(v[2])}
 	return nil
 }
 
-// JobValue is a job's key.
+// JobValue is the value of a job's key.
 type JobValue struct {
 	Spec        *api.JobSpec `json:"s"`
 	Split       []TaskRange  `json:"p"`
 	Cancelled   bool         `json:"x,omitempty"`
 	CancelledAt api.WallTime `json:"c,omitempty"`
 	AcceptedAt  api.WallTime `json:"t"`
-	Tenant      string       `json:"n,omitempty"` // whose it is, in a hosted service
-	TenantJobID api.JobID    `json:"u,omitempty"` // its reference as the tenant chose it
+	Tenant      string       `json:"n,omitempty"` // its tenant, in a hosted service
+	TenantJobID api.JobID    `json:"u,omitempty"` // its id as the tenant chose it
 }
 
-// MemberValue is the key of a living controller.
+// MemberValue is the value of the key of a live controller.
 type MemberValue struct {
-	Incarnation int64 `json:"born"` // tells one run of a process from the next
-	// Format is the newest form of records that the process understands, see Format.
+	Incarnation int64 `json:"born"` // identifies a run of the process
+	// Format is the newest format of records that the process understands, see Format.
 	Format int `json:"format,omitempty"`
 }
 
-// Format is the form of records of this version. A record of a newer form is written only
+// Format is the format of records of this version. A record of a newer format is written only
 // once every member understands it.
 const Format = FormatRelays
 
 const (
-	// FormatTransfers is the form in which a loan may carry the tasks that run on the machine.
+	// FormatTransfers is the format in which a loan may transfer the tasks on its machine.
 	FormatTransfers = 1
-	// FormatRelays is that of processes that answer questions for the log and pass on news. No
-	// record differs.
+	// FormatRelays is the format of processes that relay the log to others. No record differs.
 	FormatRelays = 2
 )
 
-// PartitionValue is a partition's key, whose revision is the term.
+// PartitionValue is the value of a partition's key. Its revision is the term of the owner.
 type PartitionValue struct {
 	Owner api.ControllerID `json:"owner"`
 }
 
-// CheckpointHeadValue is the key that makes a checkpoint's pieces count.
+// CheckpointHeadValue is the value of the key that makes the chunks of a checkpoint valid.
 type CheckpointHeadValue struct {
 	Seq        uint64       `json:"seq"`
 	Generation uint64       `json:"gen"`
 	Chunks     int          `json:"chunks"`
-	Revision   api.Revision `json:"rev,omitempty"` // up to which the log was folded, as in the checkpoint
+	Revision   api.Revision `json:"rev,omitempty"` // as in the checkpoint, see Record
 }
 
-// TaskStart is a durable start: the task, its machine and that machine's session.
+// TaskStart is a durable start: the task, its machine and the machine's epoch.
 type TaskStart struct {
 	Task    int           `json:"i"`
 	Machine api.MachineID `json:"m"`
@@ -80,11 +79,11 @@
 	Attempt api.Attempt   `json:"a,omitempty"` // in checkpoints only
 }
 
-// JobDelta is what a record or a checkpoint says of a job.
+// JobDelta is the changes of a job in a record, or its whole state in a checkpoint.
 type JobDelta struct {
 	Job                      api.JobID   `json:"j"`
 	Starts                   []TaskStart `json:"+,omitempty"`
-	Completed                []int       `json:"d,omitempty"` // ended and done
+	Completed                []int       `json:"d,omitempty"` // ended by completing
 	Terminated               []int       `json:"l,omitempty"` // ended otherwise
 	CancellationAcknowledged bool        `json:"x,omitempty"` // its owner acknowledges the cancellation, see Job.CancellationConfirmed
 	CompletedBits            []byte      `json:"b,omitempty"` // in checkpoints: all that this partition completed
@@ -97,8 +96,8 @@
 	Amount api.Resources   `json:"n"`
 }
 
-// Reservation reserves a machine of the partition for a job, so that it becomes free as a whole, or,
-// without a job, ends the reservation. It bears on choices only, never on a rule.
+// Reservation reserves a machine of the partition for a job, so that the whole machine becomes free, or,
+// without a job, ends the reservation. It affects choices only, never safety.
 type Reservation struct {
 	Machine api.MachineID `json:"m"`
 	Job     api.JobID     `json:"r,omitempty"`
@@ -109,7 +108,7 @@
 // placements as starts, completions as bits, quota transfers as totals since the beginning.
 type Record struct {
 	Seq uint64 `json:"q"`
-	// Revision, of a checkpoint, is the revision up to which its writer had folded the log.
+	// Revision, in a checkpoint, is the revision up to which its writer had applied the log.
 	Revision       api.Revision    `json:"rev,omitempty"`
 	Jobs           []JobDelta      `json:"j,omitempty"`
 	QuotaTransfers []QuotaTransfer `json:"g,omitempty"`
--- a/clusterstate/round.go
+++ b/clusterstate/round.go
@@ -9,6 +9,7 @@
 	"basaltwall/api"
 )
 
+// putRound applies the key of a round.
 func (s *State[J, P]) putRound(name string, value json.RawMessage, _ api.Revision) error {
 	partition, err := parsePartition(name, len(s.Partitions))
 	if err != nil {
@@ -82,6 +83,7 @@
 	s.applyReservations(partition, r.Reservations)
 }
 
+// applyReservations applies new and ended reservations.
 func (s *State[J, P]) applyReservations(partition api.PartitionID, reservations []Reservation) {
 	for _, k := range reservations {
 		if k.Job == "" {
--- a/clusterstate/state_test.go
+++ b/clusterstate/state_test.go
@@ -50,8 +50,8 @@
 	return &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: tasks, CPUs: 1}
 }
 
-// What the cluster state keeps up to date as places come and go is what counting anew
-// would give, and a checkpoint brings back the same.
+// The counts that the state keeps as placements come and go equal a count from scratch,
+// and a checkpoint restores them.
 func TestStateKeepsCounts(t *testing.T) {
 	r := rand.New(rand.NewPCG(21, 22))
 	state := New[none, none](3)
@@ -147,8 +147,8 @@
 	}
 }
 
-// That a partition's owner knows of a cancellation outlives checkpoints and reloads: what was told once
-// is told for ever.
+// The acknowledgement of a cancellation survives checkpoints and reloads: what was answered once
+// stays true.
 func TestCancellationAcknowledgementsSurviveReload(t *testing.T) {
 	put := func(state *State[struct{}, struct{}], key string, version api.Revision, v any) {
 		data, err := json.Marshal(v)
--- a/clusterstate/taskset.go
+++ b/clusterstate/taskset.go
@@ -4,10 +4,10 @@
 
 import "math/bits"
 
-// TaskSet is a set of task numbers.
+// TaskSet is a set of task indices.
 type TaskSet []uint64
 
-// Add adds a number, and reports whether it was not in before.
+// Add adds an index, and reports whether it was absent before.
 func (s *TaskSet) Add(i int) bool {
 	for len(*s) <= i/64 {
 		*s = append(*s, 0)
@@ -17,10 +17,10 @@
 	return old != (*s)[i/64]
 }
 
-// Has reports whether a number is in.
+// Has reports whether an index is in the set.
 func (s TaskSet) Has(i int) bool { return i/64 < len(s) && s[i/64]&(1<<(i%64)) != 0 }
 
-// Count is how many members lie from one number up to another.
+// Count counts the members from one index up to, but without, another.
 func (s TaskSet) Count(from, to int) int {
 	n := 0
 	for w := from / 64; w < len(s) && w*64 < to; w++ {
@@ -36,6 +36,7 @@
 	return n
 }
 
+// bytes encodes the set, lowest index first, without trailing zero bytes.
 func (s TaskSet) bytes() []byte {
 	out := make([]byte, 0, len(s)*8)
 	for _, w := range s {
@@ -49,6 +50,7 @@
 	return out
 }
 
+// addBytes adds the members of an encoded set that are below a limit.
 func (s *TaskSet) addBytes(in []byte, limit int) {
 	for i, c := range in {
 		for k := range 8 {
