--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -8,7 +8,7 @@
 	"basaltwall/internal/golden"
 )
 
-// Messages that users, workers, the cloud and the key-value store send and get, as earlier
+// Messages of users, workers, the cloud and the key-value store, as earlier
 // versions wrote them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
@@ -30,7 +30,7 @@
 	golden.JSON(f, "changes", golden.Filled[Changes](t))
 	golden.JSON(f, "lease ask", golden.Filled[LeaseRequest](t))
 	golden.JSON(f, "lease", golden.Filled[LeaseResponse](t))
-	// With what may be left out, left out.
+	// Without the optional fields.
 	golden.JSON(f, "empty job", JobSpec{})
 	golden.JSON(f, "empty job status", JobStatus{})
 	golden.JSON(f, "empty orders", CommandBatch{})
--- a/backfill/backfill_test.go
+++ b/backfill/backfill_test.go
@@ -9,9 +9,9 @@
 	"basaltwall/api"
 )
 
-// What is chosen has the room when it is said to, no set of machines has it sooner, and nothing
-// is chosen only where the room would never come: drawn, against trying every time at which
-// something ends.
+// The selected machines have the capacity when they are said to, no set of machines has it sooner, and
+// none is selected only if the capacity would never be available: on random input, against trying every
+// time at which a task ends.
 func TestSelectMachinesIsSoonest(t *testing.T) {
 	selected, never := 0, 0
 	for seed := range uint64(2000) {
--- a/fairqueue/fairqueue_test.go
+++ b/fairqueue/fairqueue_test.go
@@ -9,8 +9,8 @@
 	"basaltwall/api"
 )
 
-// simulateLoad lets each of so many jobs be asked about every 5 s at one of three controllers, which
-// answer so many questions a second each, and tells how long a job went unanswered at most.
+// simulateLoad polls each of so many jobs every 5 s at one of three controllers, which
+// answer so many polls a second each, and returns the longest time that a job went unanswered.
 func simulateLoad(jobs, each int, fair bool) time.Duration {
 	r := rand.New(rand.NewPCG(1, 2))
 	jobIDs := make([]api.JobID, jobs)
@@ -41,8 +41,8 @@
 	return time.Duration(worst) * time.Second
 }
 
-// With four times the questions that fit, each job is answered within 75 s; where those win
-// that happen to come first, some are not.
+// At four times the capacity each job is answered within 75 s; if polls were answered in order of
+// arrival, some would not be.
 func TestEveryJobIsServed(t *testing.T) {
 	if worst := simulateLoad(3000, 50, true); worst >= 75*time.Second {
 		t.Errorf("a job went unanswered for %v", worst)
--- a/fragmentation/fragmentation_test.go
+++ b/fragmentation/fragmentation_test.go
@@ -13,8 +13,8 @@
 	return api.Resources{CPU: api.ToQuantity(4 * n), GPU: api.ToQuantity(n), Mem: api.ToQuantity(40 * n)}
 }
 
-// Small models go where others are before they begin a machine that a large one could have, and
-// fill the fullest; without large work nothing is in pieces and it does not matter.
+// Small tasks go where others are before they take an empty machine that a large one could have, and
+// fill the fullest; without large work nothing is fragmented and it does not matter.
 func TestSmallDemandsFillUsedMachines(t *testing.T) {
 	typical := TypicalDemands(map[api.Resources]int{gpus(1): 30, gpus(2): 10, gpus(8): 5, {CPU: 4e6}: 100})
 	if len(typical) != 3 {
@@ -31,14 +31,14 @@
 	if Increase(gpus(8), gpus(1), small) != 0 || MayStrand(gpus(1), small) || !MayStrand(gpus(8), typical) {
 		t.Error("pieces where there is one size")
 	}
-	// Work without accelerators makes pieces where it takes what a model needs beside them.
+	// Work without accelerators fragments where it takes what tasks with accelerators need beside them.
 	if cpu := (api.Resources{CPU: api.ToQuantity(2)}); Increase(gpus(8), cpu, typical) <= 0 || Increase(gpus(8).Plus(cpu), cpu, typical) != 0 {
 		t.Error("CPU work")
 	}
 }
 
-// Of any demands: what is lost lies between nothing and all that is free, and of the placements for a
-// task the one that makes least leaves no more in pieces than any other.
+// For any demands: what is lost lies between nothing and all that is free, and of the placements of a
+// task the one with the least increase leaves no more fragmented than any other.
 func TestLeastIncreaseLeavesLeastFragmentation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demandCounts := map[api.Resources]int{}
--- a/fragmentation/model_test.go
+++ b/fragmentation/model_test.go
@@ -6,16 +6,16 @@
 )
 
 // The model: machines A and B, a small replica that runs on A, and a large task that needs all of
-// A. An owner keeps A for it, has the replica stopped, records its end by evidence, records its
-// start on B, and then the large task's start on A; it drops the keep once the large task has
-// begun or was cancelled. There are two controllers: each reads the record, composes one change
-// of it, and that lands then or later, perhaps after the other has taken the partition over. Commands
-// are sent for what is recorded, also late, under the token of who sends them.
+// A. An owner reserves A for it, has the replica stopped, records its end by evidence, records its
+// start on B, and then the large task's start on A; it drops the reservation once the large task has
+// started or was cancelled. There are two controllers: each reads the record and composes one change
+// of it, which lands then or later, perhaps after the other has taken the partition over. Commands
+// are sent for what is recorded, also late, under the fencing token of the sender.
 
 // modelState is what is recorded.
 type modelState struct {
-	replica  uint8 // 0: waits, 1: on A, 2: on B
-	large    uint8 // 0: waits, 1: on A, 2: cancelled
+	replica  uint8 // 0: pending, 1: on A, 2: on B
+	large    uint8 // 0: pending, 1: on A, 2: cancelled
 	reserved bool
 }
 
@@ -26,7 +26,7 @@
 	changeReserve
 	changeEnd // of the replica on A
 	changeMove
-	changeBack // it starts on A again, where that is not kept any more
+	changeBack // it starts on A again, if that is no longer reserved
 	changeLarge
 	changeRelease
 )
@@ -36,15 +36,15 @@
 	fresh, owns         bool // the record, and who owns the partition, are as it read them
 	sent                modelChange
 	sentFresh, sentOwns bool // the same of what it has sent
-	reservedBySelf      bool // that it kept A itself
+	reservedBySelf      bool // that it reserved A itself
 }
 
 type modelWorld struct {
 	record modelState
 	a, b   bool     // the replica is on A, on B, in truth
 	onA    bool     // the large task is
-	stop   bool     // a stop of the replica is under way
-	start  [2]uint8 // a start under way, by who sent it: 1 of the replica on B, 2 of the large task, 3 of the replica on A
+	stop   bool     // a stop of the replica is in flight
+	start  [2]uint8 // a start in flight, by sender: 1 of the replica on B, 2 of the large task, 3 of the replica on A
 	owner  uint8
 	owners [2]modelOwner
 }
@@ -53,7 +53,7 @@
 	term             bool // records name the partition's term
 	version          bool // and follow the one that they were composed from
 	evidence         bool // an end is recorded once the task is gone
-	anyOwnerReleases bool // whoever owns the partition ends what its record says is kept
+	anyOwnerReleases bool // whoever owns the partition drops the reservation that its record has
 	requiresEmpty    bool // the large task starts once nothing of the record is on A
 }
 
@@ -98,7 +98,7 @@
 		n.owners[i].read, n.owners[i].fresh, n.owners[i].owns = w.record, true, w.owner == uint8(i)
 		visit(n)
 		// A start that was recorded is sent, and arrives or does not; one of a former owner is
-		// refused once the machine has heard the next.
+		// refused once the machine has the token of the next.
 		if s := w.start[i]; s != 0 {
 			n = w
 			n.start[i] = 0
@@ -207,15 +207,15 @@
 	}
 }
 
-// invalidateReads is when the record is another.
+// invalidateReads marks what was read as outdated, after a change of the record.
 func (w *modelWorld) invalidateReads() {
 	for i := range w.owners {
 		w.owners[i].fresh, w.owners[i].sentFresh = false, false
 	}
 }
 
-// converged is the end: the replica runs, the large task does or was cancelled, and nothing is kept
-// by anybody.
+// converged is the end: the replica runs, the large task does or was cancelled, and nothing is
+// reserved.
 func (w modelWorld) converged() bool {
 	if w.record.reserved || w.record.replica == 0 || w.record.large == 0 || w.record.large == 1 && !w.onA {
 		return false
@@ -223,8 +223,8 @@
 	return w.a || w.b
 }
 
-// checkMoves looks at all states there are, and says what goes wrong in one, or that from some
-// no way leads to the end.
+// checkMoves examines all reachable states, and says what goes wrong in one, or that from some
+// no path leads to the end.
 func checkMoves(r modelRules) (states int, violation string) {
 	first := modelWorld{record: modelState{replica: 1}, a: true}
 	index := map[modelWorld]int{first: 0}
@@ -271,8 +271,8 @@
 	return len(all), ""
 }
 
-// However ends, failovers, late records and late commands fall, the replica is never on two
-// machines nor lost, A never holds both, and in the end nothing is kept; and each guard is needed.
+// However ends, failovers, late records and late commands are ordered, the replica is never on two
+// machines nor lost, A never holds both, and in the end nothing is reserved; and each guard is needed.
 func TestEveryInterleavingOfAMove(t *testing.T) {
 	all := modelRules{true, true, true, true, true}
 	states, wrong := checkMoves(all)
--- a/jobresult/jobresult.go
+++ b/jobresult/jobresult.go
@@ -149,7 +149,7 @@
 	slices.SortFunc(out, func(a, b Result) int { return strings.Compare(string(a.JobID), string(b.JobID)) })
 	switch {
 	case !more:
-		q.cursor = endOfKeys // the scan begins anew
+		q.cursor = endOfKeys // the scan restarts
 	case last > string(q.cursor):
 		q.cursor = api.JobID(last)
 	}
--- a/jobresult/jobresult_test.go
+++ b/jobresult/jobresult_test.go
@@ -11,7 +11,7 @@
 	_ "basaltwall/internal/proptest"
 )
 
-// fakeStore answers as the key-value store does, of the final states it has.
+// fakeStore answers as the key-value store does, from the results that it has.
 func fakeStore(stored []api.JobID, a Request) (states []Result, more bool) {
 	slices.Sort(stored)
 	for _, jobID := range stored {
@@ -26,9 +26,9 @@
 	return states, false
 }
 
-// Each question is met within one turn of the lift, whatever else is asked meanwhile, and
-// answered by what is there; a page answers no question that came after it that something is
-// not there.
+// Each lookup is served within one scan, whatever is added meanwhile, and
+// answered by what is stored; a page does not answer lookups after it with the absence of a
+// result.
 func TestEachQueryIsAnsweredWithinACycle(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var q Queue
@@ -46,7 +46,7 @@
 			if requests > 2*(len(stored)/PageSize+2) {
 				r.Fatalf("%s was not answered after %d requests, of %d states", own, requests, len(stored))
 			}
-			for range rapid.IntRange(0, 20).Draw(r, "others") { // that ask all the time
+			for range rapid.IntRange(0, 20).Draw(r, "others") { // that are looked up all the time
 				q.Add(jobID(rapid.IntRange(0, total).Draw(r, "other")))
 			}
 			a, ok := q.Next()
@@ -85,10 +85,10 @@
 	})
 }
 
-// Who asks while a request is under way that finds nothing is not answered by it, though another
-// had asked before: the question stays, and the next request answers it.
+// A lookup during a request that finds nothing is not answered by it, even if the job had been looked up
+// before: the lookup stays open, and the next request answers it.
 func TestAbsenceAnswersOnlyEarlierQueries(t *testing.T) {
-	for _, others := range []int{0, pageThreshold} { // one by one, and by pages
+	for _, others := range []int{0, pageThreshold} { // by single keys, and by pages
 		var q Queue
 		first := q.Add("run-000001")
 		for i := range others {
--- a/membership/restarts_test.go
+++ b/membership/restarts_test.go
@@ -7,8 +7,8 @@
 	"basaltwall/api"
 )
 
-// One restart and another cost no trust; who keeps ending waits longer and longer, and is
-// trusted again when it has lived for a while.
+// A restart and another cause no delay; a crash loop waits longer and longer, and the delay is dropped
+// after a while without restarts.
 func TestFailbackDelayGrowsWithRestarts(t *testing.T) {
 	var tracker RestartTracker
 	at := func(s int) api.Time { return api.Time(time.Duration(s) * time.Second) }
--- a/pool/model_test.go
+++ b/pool/model_test.go
@@ -7,19 +7,19 @@
 	"basaltwall/internal/modelcheck"
 )
 
-// The model: two partitions and one pool. An owner of a partition reads the state, composes a round
-// that hands out a unit, and the round is written at some later moment, perhaps after its
-// owner was deposed, on the condition that the pool's record and the partition are as they were
-// read. At any moment units may come back, a partition be taken over, and the pool get another
-// size with any shares that fit it: whoever moves shares may know little of what is held.
+// The model: two partitions and one pool. The owner of a partition reads the state and composes a round
+// that allocates a unit; the round is written at some later moment, perhaps after its
+// owner was replaced, on the condition that the records of the pool and the partition are as they were
+// read. At any moment units may be released, a partition be taken over, and the pool be resized with any
+// shares that fit: the writer of shares may know little of what is held.
 
 const (
 	modelPartitions = 2
 	modelSize       = 3
 )
 
-// partitionRead is what an owner has read; poolCurrent and partitionCurrent are whether the pool's record and the
-// part have not changed since.
+// partitionRead is what an owner has read; poolCurrent and partitionCurrent are whether the records of
+// the pool and the partition have not changed since.
 type partitionRead struct {
 	size                          int8
 	shares, held                  [modelPartitions]int8
@@ -34,10 +34,10 @@
 	rounds       [modelPartitions][2]roundWrite // of the owner and of the one before
 }
 
-// roundWrite is on its way; the rest is whether what it names is as it was read.
+// roundWrite is a write in flight; the rest is whether what its condition names is as it was read.
 type roundWrite struct{ sent, poolCurrent, partitionCurrent bool }
 
-// modelRules are what the protocol rests on; a model without one of them must go wrong.
+// modelRules are the rules that the protocol depends on; a model without one of them must go wrong.
 type modelRules struct {
 	checksPoolVersion, checksPartitionVersion bool // in the conditions of a round
 	countsOverage                             bool // a partition minds what others hold beyond their shares
@@ -45,7 +45,7 @@
 
 func (w modelState) total() int8 { return w.held[0] + w.held[1] }
 
-// next calls do with each state that may follow, and reports whether a unit is handed out
+// next calls visit with each possible next state, and reports whether a unit is allocated
 // beyond the size.
 func (w modelState) next(r modelRules, visit func(modelState)) (wrong bool) {
 	for p := range modelPartitions {
@@ -93,7 +93,7 @@
 			n.invalidateReads(p)
 			visit(n)
 		}
-		// The part is taken over: a round under way, of the owner before, stays under way.
+		// The partition is taken over: a round in flight, of the previous owner, stays in flight.
 		n = w
 		n.invalidateReads(p)
 		visit(n)
@@ -117,7 +117,7 @@
 	return wrong
 }
 
-// invalidateReads is when a partition's record or its owner is another.
+// invalidateReads marks what was read as outdated, after a change of a partition's record or owner.
 func (w *modelState) invalidateReads(p int) {
 	w.reads[p].partitionCurrent = false
 	for i := range w.rounds[p] {
@@ -129,8 +129,8 @@
 	return modelcheck.Explore(modelState{}, steps, func(w modelState, do func(modelState)) bool { return w.next(r, do) })
 }
 
-// No sequence of reads, rounds written late, returns, failovers, resizings and moves of
-// shares hands out a unit beyond the size in force; and each rule is needed for that.
+// No sequence of reads, late writes, releases, failovers, resizings and moves of
+// shares allocates a unit beyond the current size; and each rule is needed for that.
 func TestEveryInterleaving(t *testing.T) {
 	states, wrong := exploreAll(modelRules{true, true, true}, 9)
 	t.Logf("%d states", states)
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -12,9 +12,9 @@
 	"basaltwall/tenant"
 )
 
-// However a pool is divided, the shares are one for each partition, none below 0, together the
-// size; what is held stays with its holder as far as there is enough; and all partitions
-// together may hand out no more than is free.
+// However a pool is divided, there is one share for each partition, none below 0, together the
+// size; holders keep their units as far as there are enough; and all partitions
+// together may allocate no more than is free.
 func TestAllocateShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		partitions := rapid.IntRange(1, 5).Draw(t, "parts")
@@ -45,7 +45,7 @@
 		if sum != size || free > max(0, size-total) {
 			t.Fatalf("shares %v of %d, held %v, free %d", shares, size, held, free)
 		}
-		// The first who asks has what it needs if there is enough, or all there is if it
+		// The first demand is met if there are enough units, or gets all there are if it
 		// reserves.
 		if len(demands) > 0 && demands[0].Units > 0 && demands[0].Units <= size && total <= size {
 			a, rest := demands[0], size-total
@@ -63,7 +63,7 @@
 	})
 }
 
-// Work that waits reserves by turns, never in its first minute.
+// Waiting work reserves in alternate intervals, never in the first.
 func TestReservationIntervalsAlternate(t *testing.T) {
 	for waited, want := range map[time.Duration]bool{0: false, ReservationInterval - 1: false, ReservationInterval: true, 2*ReservationInterval - 1: true, 2 * ReservationInterval: false, 3 * ReservationInterval: true} {
 		if ShouldReserve(waited) != want {
@@ -103,7 +103,7 @@
 	}
 }
 
-// A record that makes no sense leaves the one before in force.
+// An invalid record leaves the previous one in force.
 func TestTableKeepsLastValidRecord(t *testing.T) {
 	table := NewTable(2)
 	if err := table.Put("routing", []byte(`{"name":"routing","size":3,"largest":3,"state":"active","shares":[2,1]}`), 5); err != nil {
--- a/priority/model_test.go
+++ b/priority/model_test.go
@@ -8,14 +8,14 @@
 	"basaltwall/internal/modelcheck"
 )
 
-// The model: one machine type, whose shortage two controllers write, the holder of the duty and
-// the one that it was taken from, who need not know. Each reads the record, composes the next one
-// by Next from what it sees at that moment, and its write lands then or much later. Meanwhile
-// room is lacked or not, and the duty changes hands.
+// The model: one machine type, whose shortage is written by two controllers, the owner of partition 0 and
+// a previous owner that need not know. Each reads the record and composes the next one
+// by Next from what it observes at that moment; its write lands then or much later. Meanwhile
+// demand becomes met or unmet, and the ownership changes.
 //
-// What must hold: a record follows the one that it was composed from, and is of the present
-// holder. So all controllers order by one story, and nobody ends a shortage, or begins one, by
-// what was so before another's record.
+// What must hold: a record follows the one that it was composed from, and is of the current
+// owner. So all controllers see the same sequence, and none begins or ends a shortage by
+// observations from before another's record.
 
 type shortRead struct{ short, fresh, leads bool }
 
@@ -33,7 +33,7 @@
 	n := w
 	n.demandUnmet = !w.demandUnmet
 	visit(n)
-	n = w // the duty is taken, by the other or by the same anew
+	n = w // the ownership is taken, by the other or by the same in a new term
 	for i := range n.reads {
 		n.reads[i].leads, n.writes[i].leads = false, false
 	}
@@ -47,7 +47,7 @@
 			if v.short {
 				old.Types = []api.MachineTypeName{"g8"}
 			}
-			var watch ShortageTracker // it has looked for long enough
+			var watch ShortageTracker // it has observed for long enough
 			lacked := map[api.MachineTypeName]bool{}
 			if w.demandUnmet {
 				lacked["g8"] = true
--- a/priority/priority_test.go
+++ b/priority/priority_test.go
@@ -21,7 +21,7 @@
 	return out
 }
 
-// What is wrong with a table is said with the field.
+// Errors of a table name the field at fault.
 func TestCheckNamesTheField(t *testing.T) {
 	for text, want := range map[string]string{
 		`[{"work":{"class":"a"},"rank":"high"}]`:                                                                                                      "precedence[0].name",
@@ -61,8 +61,8 @@
 	return Workload{Class: class, Team: "t", Form: api.Array, Priority: p, CapacityShort: true}
 }
 
-// While room is short the shop front goes before the listings and these before the photo work,
-// whatever they call themselves; otherwise priorities alone count.
+// While capacity is short the shop front goes before the listings and these before the photo work,
+// whatever their priorities; otherwise priorities alone count.
 func TestExampleRules(t *testing.T) {
 	rules := parseRules(t, exampleRules)
 	if err := rules.Validate(); err != nil {
@@ -87,14 +87,14 @@
 	if o.Level(all[0]) != 2 || o.Level(all[1]) != 2 || o.Level(all[2]) != 1 || o.Level(all[3]) != 3 {
 		t.Error("rules hold though nothing is short")
 	}
-	// A rule for work that nobody submits, or before work that there is none of, does nothing.
+	// A rule whose selectors match no work has no effect.
 	if o = rules.Resolve([]Workload{list}, ActiveConditions{}); o.Level(list) != 1 {
 		t.Errorf("level %v", o.Level(list))
 	}
 }
 
-// Of any table that passes its check, each rule that holds is kept for all work there is, and
-// what no rule names keeps the order of its priorities.
+// In any valid table, each rule that applies holds for all work, and
+// work that no rule selects keeps the order of its priorities.
 func TestEveryRuleHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := []string{"a", "ab", "b", "c"}
@@ -137,8 +137,8 @@
 	})
 }
 
-// A shortage begins within two seconds, one that comes and goes is one, it ends when nobody has
-// lacked room for a while, and a new writer does not end it for not having seen it.
+// A shortage begins within two seconds, an intermittent one counts as one, it ends when no demand has
+// been unmet for a while, and a new writer does not end it for not having observed it.
 func TestShortageHysteresis(t *testing.T) {
 	at := func(s float64) api.Time { return api.Time(api.Seconds(s)) }
 	var w ShortageTracker
@@ -162,7 +162,7 @@
 	if !now.Includes("g8") || now.Includes("c8") {
 		t.Fatal("not short after two seconds")
 	}
-	for s := 102.25; s < 160; s += 0.25 { // it flaps every three seconds
+	for s := 102.25; s < 160; s += 0.25 { // intermittent, every three seconds
 		see(s, int(s/3)%2 == 0)
 	}
 	if changes != 1 {
--- a/priority/rules.go
+++ b/priority/rules.go
@@ -4,7 +4,6 @@
 package priority
 
 import (
-	"fmt"
 	"slices"
 	"strings"
 )
@@ -36,20 +35,20 @@
 	Floor     *float64  `json:"floor,omitempty"` // share of its fair share that the work of Before keeps in a shortage
 }
 
-// Validate checks a table. The error begins with the field at fault.
+// Validate checks a table. The error is a *RuleError.
 func (t Rules) Validate() error {
 	if len(t) > maxRules {
-		return fmt.Errorf("precedence: more than %d rules", maxRules)
+		return invalid(tableField, "more than %d rules", maxRules)
 	}
 	floors := 0.0
 	names := map[string]int{}
 	for i := range t {
-		r, field := &t[i], fmt.Sprintf("precedence[%d]", i)
+		r, field := &t[i], ruleField(i)
 		if r.Name == "" || len(r.Name) > maxPatternLength {
-			return fmt.Errorf("%s.name: must be given, and %d bytes at most", field, maxPatternLength)
+			return invalid(field+".name", "must be given, and %d bytes at most", maxPatternLength)
 		}
 		if k, twice := names[r.Name]; twice {
-			return fmt.Errorf("%s.name: is that of rule %d too", field, k)
+			return invalid(field+".name", "is that of rule %d too", k)
 		}
 		names[r.Name] = i
 		if err := r.validate(field); err != nil {
@@ -60,16 +59,16 @@
 		}
 		for k := range i {
 			if r.duplicates(&t[k]) {
-				return fmt.Errorf("%s.work: is named by rule %d already", field, k)
+				return invalid(field+".work", "is named by rule %d already", k)
 			}
 		}
 	}
 	if floors > 1 {
-		return fmt.Errorf("precedence: floors of %.2f in all are more than there is", floors)
+		return invalid(tableField, "floors of %.2f in all are more than there is", floors)
 	}
 	for i := range t {
 		if cycle := t.findCycle(i, i, map[int]bool{}); cycle != nil {
-			return fmt.Errorf("precedence[%d].before: goes round in a circle by way of %s", i, strings.Join(cycle, ", "))
+			return invalid(ruleField(i)+".before", "goes round in a circle by way of %s", strings.Join(cycle, ", "))
 		}
 	}
 	return nil
@@ -82,13 +81,13 @@
 	}
 	switch {
 	case (r.Before == nil) == (r.Rank == ""):
-		return fmt.Errorf("%s.before: either other work or a rank must be named", field)
+		return invalid(field+".before", "either other work or a rank must be named")
 	case r.Rank != "" && !slices.Contains(priorities, r.Rank):
-		return fmt.Errorf("%s.rank: %q is none of %s", field, r.Rank, strings.Join(priorities, ", "))
+		return invalid(field+".rank", "%q is none of %s", r.Rank, strings.Join(priorities, ", "))
 	case !slices.Contains([]Condition{"", Always, CapacityShort, ControllerDown, ZoneFailed}, r.Condition):
-		return fmt.Errorf("%s.when: %q is none of always, short, controller-out, zone-lost", field, r.Condition)
+		return invalid(field+".when", "%q is none of always, short, controller-out, zone-lost", r.Condition)
 	case r.Floor != nil && (r.Before == nil || *r.Floor < 0 || *r.Floor > 1):
-		return fmt.Errorf("%s.floor: must be between 0 and 1, of the work that it goes before", field)
+		return invalid(field+".floor", "must be between 0 and 1, of the work that it goes before")
 	}
 	if r.Before == nil {
 		return nil
@@ -97,7 +96,7 @@
 		return err
 	}
 	if r.Selector.overlaps(r.Before) {
-		return fmt.Errorf("%s.before: some work would go before itself", field)
+		return invalid(field+".before", "some work would go before itself")
 	}
 	return nil
 }
--- a/priority/selector.go
+++ b/priority/selector.go
@@ -3,7 +3,6 @@
 package priority
 
 import (
-	"fmt"
 	"slices"
 	"strings"
 
@@ -38,19 +37,19 @@
 // validate checks a selector; field is its name in the record.
 func (w *Selector) validate(field string) error {
 	if *w == (Selector{}) {
-		return fmt.Errorf("%s: names no work", field)
+		return invalid(field, "names no work")
 	}
 	for _, f := range w.fields() {
 		if i := strings.IndexByte(f.pattern, wildcard[0]); i >= 0 && i != len(f.pattern)-1 {
-			return fmt.Errorf("%s.%s: an asterisk may stand at the end alone", field, f.name)
+			return invalid(field+"."+f.name, "an asterisk may stand at the end alone")
 		}
 		if len(f.pattern) > maxPatternLength {
-			return fmt.Errorf("%s.%s: more than %d bytes", field, f.name, maxPatternLength)
+			return invalid(field+"."+f.name, "more than %d bytes", maxPatternLength)
 		}
 	}
 	for pattern, known := range map[string][]string{w.Form: forms, w.Priority: priorities} {
 		if pattern != "" && !slices.ContainsFunc(known, func(k string) bool { return matches(pattern, k) }) {
-			return fmt.Errorf("%s: %q is neither a form (%s) nor a priority (%s)", field, pattern, strings.Join(forms, ", "), strings.Join(priorities, ", "))
+			return invalid(field, "%q is neither a form (%s) nor a priority (%s)", pattern, strings.Join(forms, ", "), strings.Join(priorities, ", "))
 		}
 	}
 	return nil
--- a/relay/model_test.go
+++ b/relay/model_test.go
@@ -7,21 +7,21 @@
 )
 
 // The model: a key-value store whose log grows, a relay, and a controller that reads through it for a
-// user. Reads, questions and answers come late, doubled or never; the relay stands still or is
-// started anew, in which case it reads the state first; the controller falls back to a read of its
-// own. A change is a bit: the controller must never tell a user less than what was durable when the
+// user. Reads, requests and responses arrive late, twice or never; the relay stalls or
+// restarts, in which case it reads the state first; the controller falls back to a direct read. A change
+// is a bit: the controller must never return to a user less than what was durable when the
 // user asked, and must never miss a change.
 
-// readGuards are what a read through a relay rests on.
+// readGuards are what a read through a relay depends on.
 type readGuards struct {
-	readsAfterRequest bool // the relay begins its read after the question has come
-	checksRetention   bool // it answers only where its log reaches back to what was asked
-	matchesRequest    bool // an answer counts only for the question that it answers
+	readsAfterRequest bool // the relay begins its read after the request has arrived
+	checksRetention   bool // it answers only if its log reaches back to the requested revision
+	matchesRequest    bool // a response counts only for the request that it answers
 }
 
 const modelChanges = 4
 
-// request is one on its way to the relay, or waiting there.
+// request is a request in flight to the relay, or pending there.
 type request struct {
 	active       bool
 	number       int8
@@ -40,17 +40,17 @@
 
 type readWorld struct {
 	durable             int8 // changes so far
-	relay               int8 // folded by the relay
+	relay               int8 // applied by the relay
 	retained            int8 // its log begins after this
-	followed            int8 // folded by the controller
+	followed            int8 // applied by the controller
 	gap                 bool // it has a gap
 	userWaiting         bool // a user waits
 	durableAtRequest    int8 // what was durable when the user asked
-	sent                bool // a question was sent for that user
-	number              int8 // of the last question
+	sent                bool // a request was sent for that user
+	number              int8 // of the latest request
 	request             request
-	response, duplicate response // on their way back; copied is one that comes again
-	returned            int8     // what the user was told, -1: not yet
+	response, duplicate response // in flight; duplicate is one that arrives again
+	returned            int8     // what was returned to the user, -1: not yet
 	rounds              int8
 }
 
@@ -66,7 +66,7 @@
 	if w.durable < modelChanges {
 		step(func(n *readWorld) { n.durable++ })
 	}
-	// The relay reads by itself, is started anew, or forgets the oldest it retains.
+	// The relay reads by itself, restarts, or drops the oldest change that it retains.
 	step(func(n *readWorld) { n.relay = n.durable })
 	step(func(n *readWorld) { n.relay, n.retained, n.request = n.durable, n.durable, request{} })
 	if w.retained < w.relay {
@@ -77,7 +77,7 @@
 	return false
 }
 
-// followerSteps are the steps of the one that asks.
+// followerSteps are the steps of the controller that reads through the relay.
 func (w readWorld) followerSteps(step func(func(*readWorld)), g readGuards) {
 	if !w.userWaiting && w.rounds < 2 {
 		step(func(n *readWorld) {
@@ -90,7 +90,7 @@
 			n.request = request{active: true, number: n.number, since: n.followed, readRevision: -1}
 		})
 	}
-	if w.userWaiting && w.sent { // no answer in time: it reads for itself
+	if w.userWaiting && w.sent { // timed out: it reads directly
 		step(func(n *readWorld) { n.followed, n.returned, n.userWaiting = n.durable, n.durable, false })
 	}
 	for _, a := range []response{w.response, w.duplicate} {
@@ -107,7 +107,7 @@
 				return
 			}
 			if a.after > n.followed {
-				n.gap = true // what lies between is not in it
+				n.gap = true // the changes between are not in it
 			}
 			n.followed = max(n.followed, a.upTo)
 			if n.userWaiting && n.sent {
@@ -117,7 +117,7 @@
 	}
 }
 
-// relaySteps are the relay's steps for a question.
+// relaySteps are the relay's steps for a request.
 func (w readWorld) relaySteps(step func(func(*readWorld)), g readGuards) {
 	if !w.request.active {
 		return
@@ -135,7 +135,7 @@
 		return
 	}
 	if g.checksRetention && w.request.since < w.retained {
-		step(func(n *readWorld) { n.request = request{} }) // refused: it reads for itself
+		step(func(n *readWorld) { n.request = request{} }) // refused: it reads directly
 		return
 	}
 	step(func(n *readWorld) {
@@ -145,8 +145,8 @@
 	})
 }
 
-// However the log grows and questions, reads and answers follow one another, no user is told less
-// than what was durable when the question came, and no change is missed; and without any of the
+// However the log grows and requests, reads and responses are ordered, no user gets less
+// than what was durable at the request, and no change is missed; and without any of the
 // guards one of these happens.
 func TestEveryInterleavingOfARelayedRead(t *testing.T) {
 	all := readGuards{true, true, true}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-// As many controllers as the limit carries all read for themselves.
+// As many controllers as the limit allows all read directly.
 func TestFewControllersReadDirectly(t *testing.T) {
 	for rps, want := range map[float64]int{1: 3, 50: 3, 150: 5, 200: 6, 1500: 50} {
 		if got := MaxRelays(rps); got != want {
@@ -30,8 +30,8 @@
 	}
 }
 
-// Relays lie in as many zones as there are, whoever lists the members; the end of a member that is
-// none changes nothing, that of a relay no more than one other.
+// Relays are in as many zones as there are, whatever the order of the members; the failure of a member
+// that is not a relay changes nothing, that of a relay at most one other.
 func TestRelaySelectionIsStable(t *testing.T) {
 	all := members(23, 8)
 	before := Select(all, 5)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Those who ask are spread over the relays of their zone, or over all.
+// Controllers are spread over the relays of their zone, or over all.
 func TestPreferenceOrder(t *testing.T) {
 	all := members(60, 3)
 	relays := Select(all, 6)
@@ -88,7 +88,7 @@
 	}
 }
 
-// A relay that fails is left alone for a while.
+// A relay that fails is skipped for a while.
 func TestSelector(t *testing.T) {
 	var l Selector
 	order := []api.ControllerID{"a", "b"}
@@ -106,7 +106,7 @@
 	next(1+api.Time(failureBackoff), "a")
 }
 
-// A log retains what follows a revision, without gaps, and says so when it does not reach back.
+// A log retains the changes after a revision, without gaps, and reports when it does not reach back.
 func TestLogHasNoGaps(t *testing.T) {
 	r := rand.New(rand.NewPCG(5, 6))
 	var all []api.Change
@@ -148,7 +148,7 @@
 	}
 }
 
-// Answers that can't be are found.
+// Invalid responses are detected.
 func TestInvalidResponses(t *testing.T) {
 	c := func(rev api.Revision) api.Change { return api.Change{Put: "k", Version: rev} }
 	for what, tc := range map[string]struct {
--- a/reservation/booking_test.go
+++ b/reservation/booking_test.go
@@ -17,7 +17,7 @@
 
 // fakeStore is what the key-value store holds of a shard.
 type fakeStore struct {
-	archived int // items in the archive
+	archived int // bookings in the archive
 	records  map[uint64]*Record
 	blocks   map[BlockID]json.RawMessage
 }
@@ -57,7 +57,7 @@
 	return s
 }
 
-// dump is what a shard says of every skip, and each name's answer.
+// dump is the state of every skip, and the answer of each key.
 func (s *Shard) dump() string {
 	var out []string
 	for _, blockID := range s.blockIDs() {
@@ -70,7 +70,7 @@
 	return fmt.Sprint(s.Seq, out, len(s.bookingsByKey))
 }
 
-// applyRequests composes, writes and folds requests as a controller does.
+// applyRequests composes, writes and applies requests as a controller does.
 func applyRequests(t interface{ Fatal(...any) }, s *Shard, st *fakeStore, now api.WallTime, reqs ...*Request) []Result {
 	var out []Result
 	for len(reqs) > 0 {
@@ -120,12 +120,12 @@
 	return r
 }
 
-// calendar is the plain model: who has which skip on which day.
+// calendar is the plain model: which booking holds which skip on which day.
 type calendar map[SkipID]map[Day]BookingID
 
-// Whatever is asked, in whichever batches, restarts between: a day of a skip is held by one
-// offer or promise at most, as a plain calendar has it; what is granted is free there; a restart
-// finds the ledger as it was; and a name gets the same answer each time.
+// Whatever is requested, in whichever batches, with restarts between: a day of a skip is held by at most
+// one booking, as in a plain calendar; what is granted is free there; a restart
+// restores the ledger; and a key gets the same answer each time.
 func TestLedgerAgainstCalendar(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, st := NewShard(), newFakeStore()
@@ -180,7 +180,7 @@
 				num := res.Booking.ID
 				if r.Booking == 0 && items[num].Booking.ID == 0 && (r.Type == OpOffer || r.Type == OpPromise) {
 					k := key(r.Depot, res.Skip)
-					// Offers whose time is over are ended by who needs their days.
+					// Expired offers are ended by the request that needs their days.
 					for d := r.From; d < r.To; d++ {
 						if other := cal[k][d]; other != 0 {
 							if o := items[other].Booking; o.Stage != Offered || now <= o.ExpiresAt+250 {
@@ -222,8 +222,8 @@
 	})
 }
 
-// The old is packed by a stated rule, the ring goes round many times, blocks divide, and a
-// restart reads bounded data and finds the same.
+// Closed bookings are dropped by a fixed rule, the ring wraps around many times, blocks split, and a
+// restart reads bounded data and restores the same state.
 func TestManySkipsAndRingWraparound(t *testing.T) {
 	s, st := NewShard(), newFakeStore()
 	now := api.WallTime(1_000_000)
@@ -288,7 +288,7 @@
 	}
 }
 
-// What carries the number of an older promise changes nothing.
+// An operation that names a former booking changes nothing.
 func TestLateChangesNameTheirBooking(t *testing.T) {
 	s, st := NewShard(), newFakeStore()
 	now := api.WallTime(1_000_000)
@@ -326,7 +326,7 @@
 	}
 }
 
-// An offer's end is written: until then its confirmation holds, and after it it is refused.
+// The end of an offer is recorded: until then its confirmation holds, after it is refused.
 func TestOfferExpiresByRecord(t *testing.T) {
 	s, st := NewShard(), newFakeStore()
 	now := api.WallTime(1_000_000)
@@ -363,7 +363,7 @@
 	if d, err := ParseDay("2026-12-01"); err != nil || d.String() != "2026-12-01" || d+1 != func() Day { d, _ := ParseDay("2026-12-02"); return d }() {
 		t.Errorf("%v, %v", d, err)
 	}
-	// The days on which summer time begins and ends are days like others.
+	// Days on which daylight saving time begins or ends are days like others.
 	a, _ := ParseDay("2026-03-28")
 	b, _ := ParseDay("2026-03-30")
 	if b-a != 2 {
--- a/reservation/golden_test.go
+++ b/reservation/golden_test.go
@@ -10,7 +10,7 @@
 	"basaltwall/internal/golden"
 )
 
-// What the ledger keeps in the key-value store, as earlier versions wrote it.
+// Stored values of the ledger as earlier versions wrote them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	golden.JSON(f, "block", golden.Filled[Block](t))
@@ -25,7 +25,7 @@
 		Day(20788), bookingID(5, 6)} {
 		values = append(values, fmt.Sprint(v))
 	}
-	// Which shard a depot is in must not change with the version.
+	// The shard of a depot must not change with the version.
 	for _, d := range []Depot{"hof-nord", "hof-sued", "depot-1", "depot-2"} {
 		values = append(values, fmt.Sprint(d, " ", ShardOf(d, 3), " ", ShardOf(d, 7)))
 	}
--- a/reservation/ledger_test.go
+++ b/reservation/ledger_test.go
@@ -7,7 +7,7 @@
 	"basaltwall/api"
 )
 
-// twoLedgers are two controllers' ledgers over one key-value store, with ten skips of a kind.
+// twoLedgers are the ledgers of two controllers over one key-value store, with ten skips of a kind.
 func twoLedgers(t *testing.T) (a, b *Ledger, service *fakeLog) {
 	t.Helper()
 	service = &fakeLog{versions: map[string]api.Revision{}}
@@ -29,8 +29,9 @@
 	revision api.Revision
 }
 
-// commit carries out a transaction, 0 if its condition fails.
+// commit applies a transaction, and returns 0 if its condition fails.
 func (s *fakeLog) commit(t *testing.T, tx *api.Txn) api.Revision {
+	t.Helper()
 	for _, c := range tx.If {
 		if s.versions[c.Key] != c.Version {
 			return 0
@@ -58,8 +59,8 @@
 	return &PendingRequest{Request: &Request{Type: OpPromise, Depot: "d", Skip: "k-0003", Key: name, Site: site, From: 5, To: 7}, Respond: func(r Result) { *got = append(*got, r) }}
 }
 
-// Two controllers promise the same skip in one instant: one record is written, the other's
-// requests see it.
+// Two controllers promise the same skip at once: one record is written, and the requests of the other
+// see it.
 func TestConcurrentPromisesOfOneSkip(t *testing.T) {
 	a, b, service := twoLedgers(t)
 	var ofA, ofB []Result
@@ -78,14 +79,14 @@
 	}
 }
 
-// A record whose outcome is not known was written after all: what the log says of it is the
-// answer, and nothing is promised twice.
+// A record of unknown outcome was written after all: the log gives the answers, and nothing is promised
+// twice.
 func TestRecordWithUnknownOutcomeIsReadBack(t *testing.T) {
 	a, _, service := twoLedgers(t)
 	var got []Result
 	a.Enqueue(promiseRequest("x", "site-a", &got))
 	tx := a.Compose(0, 1, 0)
-	service.commit(t, tx) // its answer is lost
+	service.commit(t, tx) // its response is lost
 	if a.HandleOutcome(0, 0, 0) != StepRetry || service.commit(t, tx) != 0 || a.HandleOutcome(0, 409, 0) != StepRead {
 		t.Fatal("the same record is written twice")
 	}
@@ -98,8 +99,8 @@
 	}
 }
 
-// What needs no write is answered only if the ledger was read after it came: who stood still
-// with an old one would offer what has been given to another since.
+// Requests that need no write are answered only if the ledger was read after they arrived: a stalled
+// controller would offer from outdated state what has been given to another since.
 func TestResponsesNeedCurrentRead(t *testing.T) {
 	a, b, service := twoLedgers(t)
 	var first, second []Result
@@ -121,7 +122,7 @@
 	}
 }
 
-// Who has waited too long is told so, and what is being written for them goes on.
+// Requests that time out are returned, and writes in flight for them continue.
 func TestTimedOutRequests(t *testing.T) {
 	a, _, service := twoLedgers(t)
 	var got, other []Result
--- a/reservation/model_test.go
+++ b/reservation/model_test.go
@@ -7,9 +7,9 @@
 )
 
 // The model: one skip, the same days, two sites and two controllers. Site 0 is offered the skip
-// and takes the offer, site 1 is promised it at once; each may ask again and again, under its
-// name, at either controller, and asks for its promise's release once it has been told of it, also
-// late and more than once. A controller reads the log, composes a change by what it has read, and
+// and confirms the offer, site 1 is promised it directly; each may retry its request under its
+// key at either controller, and requests the release of its promise once it has the answer, also
+// late and more than once. A controller reads the log and composes an operation from what it has read;
 // its write lands at some later moment, perhaps after the controller ended, perhaps after
 // another's; the same write may be sent twice.
 
@@ -23,10 +23,10 @@
 	opRelease0
 	opRelease1
 	opExpire
-	opFree // a release that names no number
+	opFree // a release that names no booking
 )
 
-// ledgerState is what the records say: a stage for each site's item.
+// ledgerState is the recorded state: a stage for each site's booking.
 type ledgerState [2]uint8
 
 const (
@@ -40,7 +40,7 @@
 	return l[0] == isOffered || l[0] == isPromised || l[1] == isPromised
 }
 
-// modelWrite is a record on its way: composed when so many were read.
+// modelWrite is a record in flight: composed when so many had been read.
 type modelWrite struct {
 	op   modelOp
 	base uint8
@@ -49,28 +49,28 @@
 type modelController struct {
 	read     ledgerState
 	seq      uint8
-	writes   [2]modelWrite // by it or by its former life
-	awaiting modelOp       // whose outcome its asker waits for
+	writes   [2]modelWrite // by it or by its former incarnation
+	awaiting modelOp       // whose outcome its client waits for
 }
 
 type modelWorld struct {
 	ledger      ledgerState
 	seq         uint8
 	controllers [2]modelController
-	answered    [2]uint8 // never, isOffered, isPromised, or isClosed once its end was asked for
+	answered    [2]uint8 // never, isOffered, isPromised, or isClosed once its end was requested
 }
 
 // modelRules are the guards; without any one the model must go wrong.
 type modelRules struct {
 	checksVersion       bool // a record lands only if none has since it was composed
-	respondsWhenDurable bool // an answer is given once the record is there
-	readsCurrent        bool // what needs no write is answered by a current read
-	namesBooking        bool // a release names its promise
-	idempotentKeys      bool // a name asked again promises nothing new
+	respondsWhenDurable bool // an answer is given once the record is durable
+	readsCurrent        bool // requests that need no write are answered by a current read
+	namesBooking        bool // a release names its booking
+	idempotentKeys      bool // a key used again promises nothing new
 	expiresByRecord     bool // an offer ends by a record
 }
 
-// after is the state with a change made; ok is false where it changes nothing.
+// after is the state after an operation; ok is false if it changes nothing.
 func (l ledgerState) after(op modelOp, r modelRules) (ledgerState, bool) {
 	was := l
 	switch op {
@@ -104,7 +104,7 @@
 	return l, l != was
 }
 
-// compose is the change that a controller makes of a request by what it has read.
+// compose is the operation that a controller composes for a request from what it has read.
 func (c *modelController) compose(op modelOp, r modelRules) modelOp {
 	l := c.read
 	switch op {
@@ -119,7 +119,7 @@
 	case opPromise:
 		free := !l.held()
 		if !r.expiresByRecord && l[0] == isOffered && l[1] != isPromised {
-			free = true // its clock says that the offer is over
+			free = true // its clock says that the offer has expired
 		}
 		if !free || l[1] != never && r.idempotentKeys {
 			return noOp
@@ -136,7 +136,7 @@
 	return op
 }
 
-// respond is when somebody is told what became of a request, by a state of the ledger.
+// respond answers a client, by a state of the ledger.
 func (w *modelWorld) respond(op modelOp, l ledgerState) (wrong bool) {
 	site, stage := 0, l[0]
 	if op == opPromise {
@@ -149,12 +149,12 @@
 		return false
 	}
 	w.answered[site] = stage
-	// It is shown free, or promised, and is another's.
+	// The skip is reported free, or promised, and is another's.
 	return w.answered[1-site] == isPromised
 }
 
 func (w modelWorld) next(r modelRules, visit func(modelWorld)) (wrong bool) {
-	// What somebody counts on is gone.
+	// A booking that a client relies on is gone.
 	for i := range w.answered {
 		if w.answered[i] == isPromised && w.ledger[i] != isPromised {
 			return true
@@ -167,7 +167,7 @@
 			n.controllers[i].read, n.controllers[i].seq = w.ledger, w.seq
 			visit(n)
 		}
-		// It is asked.
+		// A request arrives.
 		for op := opOffer; op <= opExpire; op++ {
 			if op == opTake && w.answered[0] == never || op == opRelease0 && w.answered[0] < isPromised || op == opRelease1 && w.answered[1] < isPromised {
 				continue
@@ -213,7 +213,7 @@
 					if l, ok := w.ledger.after(x.op, r); ok {
 						n.ledger, n.seq = l, w.seq+1
 						if !r.idempotentKeys && w.answered[1] == isClosed && w.ledger[1] == isClosed && l[1] == isPromised {
-							wrong = true // a repeat of a request whose promise is over promises anew
+							wrong = true // a retry of a request whose promise is closed promises anew
 						}
 					}
 					if op := c.awaiting; op != noOp && k == latestWrite(c) {
@@ -228,7 +228,7 @@
 			n.controllers[i].awaiting = noOp
 			visit(n)
 		}
-		// It ends, and begins anew: what it has sent stays under way.
+		// It restarts: what it has sent stays in flight.
 		n := w
 		n.controllers[i].awaiting = noOp
 		n.controllers[i].read, n.controllers[i].seq = w.ledger, w.seq
@@ -249,8 +249,8 @@
 	return modelcheck.Explore(modelWorld{}, steps, func(w modelWorld, do func(modelWorld)) bool { return w.next(r, do) })
 }
 
-// No sequence of requests, repeats, reads, writes that land late or twice, and ends tells a site
-// of a promise that another counts on or that is not kept; and each guard is needed for that.
+// No sequence of requests, retries, reads, late or repeated writes, and restarts answers a site with
+// a promise that another relies on or that does not hold; and each guard is needed for that.
 func TestEveryInterleavingOfPromises(t *testing.T) {
 	all := modelRules{true, true, true, true, true, true}
 	states, wrong := exploreLedger(all, 12)
--- a/reservation/operation.go
+++ b/reservation/operation.go
@@ -8,7 +8,7 @@
 	"basaltwall/api"
 )
 
-// RefusalReason is why a request is refused, as its client is told; empty if it is not.
+// RefusalReason is why a request is refused, as its client sees it; empty if it is not.
 type RefusalReason string
 
 // The reasons.
--- a/sched/fetch_test.go
+++ b/sched/fetch_test.go
@@ -7,10 +7,10 @@
 	"basaltwall/api"
 )
 
-// A round puts one task on a machine. When a zone is lost, a service's replicas must not all
-// be sent to machines that fetch for long while the one that has the image has room for them
-// in the next rounds; but if it has not, the slow ones are better than none. Work without an
-// aim for its start waits for nothing.
+// A round assigns at most one task to a machine. When a zone fails, a service's replicas must not all
+// be placed on machines with long fetches while the one that has the image has free capacity for them
+// in the next rounds; but if it has none, a long fetch is better than no start. Work without a
+// start objective waits for nothing.
 func TestReplicasWaitForCachedImage(t *testing.T) {
 	round := func(kind api.Kind, freeCPU api.Quantity) (cached, uncached int) {
 		s := &api.JobSpec{Ref: "run-1", Team: "red", Kind: kind, Priority: api.Production, Tasks: 4, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 3}
@@ -43,7 +43,7 @@
 	}
 }
 
-// An image that is being fetched already is nearer than one that is not.
+// A fetch that is under way is completed sooner than one that is not.
 func TestFetchTime(t *testing.T) {
 	s := &api.JobSpec{Image: "img", ImageGB: 2}
 	m := Machine{FetchRate: 0.5, FetchingImages: []ImageFetch{{Name: "other", SizeGB: 1, ElapsedSeconds: 1}}}
@@ -60,8 +60,8 @@
 	}
 }
 
-// Replicas wait for a machine that boots rather than for a fetch that takes longer; where
-// none boots a late place is better than none.
+// Replicas wait for a machine that boots rather than for a fetch that takes longer; if
+// none boots a late start is better than none.
 func TestReplicasWaitForBootingMachine(t *testing.T) {
 	for _, tc := range []struct {
 		fresh float64
--- a/sched/fragmentation_test.go
+++ b/sched/fragmentation_test.go
@@ -10,8 +10,8 @@
 	"basaltwall/fragmentation"
 )
 
-// fragmentedInput is a cluster of machines with eight accelerators, some of them in use, and models of
-// one and of eight that wait.
+// fragmentedInput is a cluster of machines with eight accelerators, some of them in use, and pending
+// tasks that need one or eight.
 func fragmentedInput(machines, jobs int, typical bool) *Input {
 	r := rand.New(rand.NewPCG(8, 9))
 	in := &Input{LargestCapacity: api.Resources{CPU: 96e6, GPU: 8e6, Mem: 768e6}, MaxStarts: 60,
@@ -39,8 +39,8 @@
 	return in
 }
 
-// Small models fill what is begun: none begins a whole machine while pieces are left, as the dot
-// product by itself would have it.
+// Small tasks fill machines in use: none takes an empty machine while fragments are left, as the dot
+// product alone would do.
 func TestSmallTasksKeepWholeMachinesFree(t *testing.T) {
 	begun := func(typical bool) (whole int) {
 		in := fragmentedInput(200, 40, typical)
@@ -56,8 +56,8 @@
 	}
 }
 
-// What is left whole after small models that come a few at a time, against the best that an
-// exhaustive search finds that knows all of them at once. Where a task finds no room, none count.
+// The machines left empty after small tasks that arrive a few at a time, against the optimum that an
+// exhaustive search finds with knowledge of all tasks. Cases where a task does not fit are not counted.
 func TestFragmentationNearOptimum(t *testing.T) {
 	sizes := []api.Quantity{1e6, 2e6, 4e6}
 	demand := func(gpus api.Quantity) api.Resources {
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -9,7 +9,7 @@
 	"basaltwall/flow"
 )
 
-// loadedInput is a round with many machines, partly taken, and many waiting jobs.
+// loadedInput is a round with many machines, partly in use, and many pending jobs.
 func loadedInput(machines, jobs int) *Input {
 	r := rand.New(rand.NewPCG(5, 6))
 	in := &Input{LargestCapacity: api.Resources{CPU: 16e6, Mem: 64e6}, MaxStarts: 1 << 20,
@@ -68,8 +68,8 @@
 	}
 }
 
-// Equal but for one thing: the quicker machine, the one with the image and the
-// plain one are preferred, and a service keeps off accelerators.
+// All else equal, the faster machine, the one with the image and the one without accelerators are
+// preferred, and a service keeps off accelerators.
 func TestMachineScoring(t *testing.T) {
 	cases := map[string]func(other *Machine, j *Job){
 		"slow":        func(m *Machine, _ *Job) { m.Slowdown = 2 },
@@ -130,7 +130,7 @@
 	}
 }
 
-// A round's work is bounded whatever waits: the number of jobs it looks at
+// The work of a round is bounded whatever is pending: the number of jobs that it considers
 // grows with the machines, not with the queue. The count of allocations stands
 // for work here, since it does not depend on the machine that runs the test.
 func TestRoundIsBounded(t *testing.T) {
@@ -158,7 +158,7 @@
 }
 
 // A node keeps only as many of its cheapest edges as the round may start tasks.
-// The plan must cost what a flow over all edges costs, found here on its own.
+// The plan must cost what a flow over all edges costs, which is computed separately here.
 func TestCutEdgesKeepTheOptimum(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -196,7 +196,7 @@
 	}
 }
 
-// Several tasks of a job that is spread start in one round, within its bound.
+// Several tasks of a spread job start in one round, within its bound.
 func TestSpreadInOneRound(t *testing.T) {
 	in := loadedInput(30, 1)
 	for i := range in.Machines {
@@ -221,7 +221,7 @@
 	}
 }
 
-// A machine that others made way on is left to the job it is kept for.
+// A machine on which tasks were preempted is left to the job that it is reserved for.
 func TestReservedMachine(t *testing.T) {
 	in := loadedInput(1, 2)
 	in.Machines[0].Free = api.Resources{CPU: 16e6, Mem: 64e6}
--- a/tenant/golden_test.go
+++ b/tenant/golden_test.go
@@ -9,7 +9,7 @@
 	"basaltwall/internal/golden"
 )
 
-// Records of a hosted service, its keys and the ids of its jobs as earlier versions wrote them.
+// Records, keys and job ids of a hosted service as earlier versions wrote them.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	networks, err := ParseNetworks([]string{"10.0.0.0/8", "2001:db8::/32", "192.0.2.7"})
@@ -27,7 +27,7 @@
 	f.Text("values", fmt.Sprint(Active, Suspended, Removing, Removed, RoleRead, RoleChange, AdminKeyName))
 	f.Text("job id", string(JobID("kipper", "run-17")))
 
-	// What a key opens is kept as a hash: both are read as they were written.
+	// Keys are stored as hashes: both are read as they were written.
 	random := [RandomBytes]byte{}
 	for i := range random {
 		random[i] = byte(i + 1)
--- a/tenant/networks_test.go
+++ b/tenant/networks_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// The table says the same as looking at each network.
+// The table agrees with a linear scan.
 func TestNetworksAgainstLinearScan(t *testing.T) {
 	addr := rapid.Custom(func(t *rapid.T) netip.Addr {
 		if rapid.Bool().Draw(t, "six") {
@@ -87,11 +87,11 @@
 	}
 	for _, c := range []struct{ conn, forwarded, want string }{
 		{"192.0.2.1", "", "192.0.2.1"},
-		{"192.0.2.1", "198.51.100.7", "192.0.2.1"}, // no proxy: not believed
+		{"192.0.2.1", "198.51.100.7", "192.0.2.1"}, // not a proxy: not trusted
 		{"10.0.0.1", "", "10.0.0.1"},
 		{"10.0.0.1", "198.51.100.7", "198.51.100.7"},
 		{"::ffff:10.0.0.1", "198.51.100.7", "198.51.100.7"},
-		{"10.0.0.1", "203.0.113.9, 198.51.100.7", "198.51.100.7"}, // the first part is the client's own word
+		{"10.0.0.1", "203.0.113.9, 198.51.100.7", "198.51.100.7"}, // the first address is the client's own claim
 		{"10.0.0.1", "203.0.113.9, 10.0.0.2", "203.0.113.9"},
 		{"10.0.0.1", "203.0.113.9, 2001:db8::5 ,10.0.0.2", "203.0.113.9"},
 		{"10.0.0.1", "unknown, 10.0.0.2", "10.0.0.2"},
--- a/tenant/operators_test.go
+++ b/tenant/operators_test.go
@@ -13,8 +13,8 @@
 	"basaltwall/api"
 )
 
-// Whatever operators do to their keys, one that changes things and does not expire is left,
-// and each opens what it was made for until it is revoked.
+// Whatever operators do to their keys, one with RoleChange that never expires is left,
+// and each authenticates as it was made to until it is revoked.
 func TestOperatorsNeverLockedOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		secret := func(b byte) Secret {
@@ -92,8 +92,8 @@
 	}
 }
 
-// What teams are guaranteed together stays within what is set aside, by any sequence of
-// changes; and the sum that is kept is the sum of the teams.
+// The guarantees of teams together stay within the budget, by any sequence of
+// changes; and the stored total is the sum of the teams.
 func TestGuaranteedTotalIsTheSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := Operators{CPUs: float64(rapid.IntRange(0, 20).Draw(t, "aside")), GPUs: 3}
@@ -131,7 +131,7 @@
 	})
 }
 
-// A limit lies in shares of the partitions, some of them given away, and can't be taken back.
+// A limit is divided among the partitions, which transfer shares, so it can't be taken back.
 func TestTeamLimitNeverShrinks(t *testing.T) {
 	team := Team{Name: "dispo", CPUs: 2, CPUsMax: 4}
 	for max, ok := range map[float64]bool{3: false, 4: true, 9: true, 0: true} {
@@ -162,8 +162,8 @@
 	}
 }
 
-// A window never holds more than it may, always the most urgent ones, and in as many turns
-// as Turns says each of the others once.
+// A window never exceeds its limit, always has the most important jobs, and within
+// RoundsToCoverAll rounds each of the others once.
 func TestWindowCoversAllJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(2, 40).Draw(t, "most")
@@ -194,7 +194,7 @@
 	})
 }
 
-// Lists of no networks are written as lists: a client reads them without a special case.
+// Empty lists of networks are encoded as lists: a client reads them without a special case.
 func TestEmptyNetworksEncodeAsList(t *testing.T) {
 	data, err := json.Marshal(Networks{})
 	if err != nil || string(data) != "[]" {
--- a/tenant/ratelimit_test.go
+++ b/tenant/ratelimit_test.go
@@ -10,7 +10,7 @@
 	"basaltwall/api"
 )
 
-// Over any time a bucket gives no more than its burst and its rate.
+// Over any interval a bucket allows no more than its burst and its rate.
 func TestTokenBucketRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(0.01, 50).Draw(t, "rate"), rapid.Float64Range(1, 30).Draw(t, "burst")
@@ -40,7 +40,7 @@
 }
 
 // A tenant's first submission is not refused for being the first, unless the process has
-// just begun.
+// just started.
 func TestTokenBucketOfNewTenant(t *testing.T) {
 	var b TokenBucket
 	if ok, _ := b.Take(api.Time(time.Minute), 0.5, 3); !ok {
@@ -53,7 +53,7 @@
 }
 
 // The rate is that of the whole service: over all controllers no more is taken than the
-// rate and the burst allow, and a bound for the times in which they count members unlike.
+// rate and the burst allow, and a bound for the times in which their member counts differ.
 func TestRateShareAcrossMembershipChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, burst = 20.0, 12.0
@@ -70,13 +70,13 @@
 			}
 			switch event {
 			case 0:
-				if len(alive) > 1 { // one ends; the others know it by the end of its lease
+				if len(alive) > 1 { // one fails; the others learn it by the end of its lease
 					alive = alive[1:]
 					changes++
 				}
 			case 1:
 				if len(alive) < 5 {
-					// One begins; the others count it a moment later, it counts all.
+					// One starts; the others count it a moment later, it counts all.
 					alive = append(alive, &TokenBucket{})
 					extra += rate * 0.02
 					changes++
@@ -101,17 +101,17 @@
 	})
 }
 
-// However many tenants flood, one that stays within its share is never refused, and all
+// However many tenants overload the service, one that stays within its share is never refused, and all
 // together get no more than there is.
 func TestFairLimiterIsolatesTenants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(4, 80).Draw(t, "rate")
 		floods := rapid.IntRange(1, 6).Draw(t, "floods")
-		// Its part while all want to submit, less what a step takes.
+		// Its share while all are active, less what a step takes.
 		part := rate / float64(floods+1)
 		every := api.Seconds(1.05 / part)
 		if every > activeWindow {
-			every = activeWindow // it has to come to be counted
+			every = activeWindow // it must submit to count as active
 		}
 		var f FairLimiter
 		now := api.Time(1)
@@ -145,7 +145,7 @@
 	})
 }
 
-// What nobody has used for long is not there all at once.
+// Credit that nobody used for long is not available all at once.
 func TestFairLimiterAfterIdle(t *testing.T) {
 	var f FairLimiter
 	f.Take(1, "calm", 10)
--- a/tenant/table_test.go
+++ b/tenant/table_test.go
@@ -31,7 +31,7 @@
 	return out
 }
 
-// A key opens what the record says that was read last, and nothing that an earlier one did.
+// A key authenticates by the latest record alone.
 func TestTableAppliesRecords(t *testing.T) {
 	table := NewTable()
 	for name, data := range records(t) {
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// A random walk through a tenant's life: what each act may lead to is written down here
+// A random walk through a tenant's lifecycle: the possible transitions are written down here
 // once more, as a table.
 func TestLifecycle(t *testing.T) {
 	type act struct {
@@ -64,7 +64,7 @@
 		{"cancel", func(x Tenant, open int) (Tenant, error) { return x.Remove(open, true) }},
 		{"finish", func(x Tenant, open int) (Tenant, error) { return x.FinishRemoval(open) }},
 	}
-	// From a state by an act: without open jobs, with some. "" is a refusal.
+	// From a state by an operation: without open jobs, with some. "" is a refusal.
 	leads := map[State]map[string][2]State{
 		Active:    {"suspend": {Suspended, Suspended}, "resume": {Active, Active}, "remove": {}, "cancel": {}, "finish": {}},
 		Suspended: {"suspend": {Suspended, Suspended}, "resume": {Active, Active}, "remove": {Removing, ""}, "cancel": {Removing, Removing}, "finish": {}},
@@ -111,7 +111,7 @@
 		}
 		const off = 250 * time.Millisecond
 		_, other, _ := NewKey(b, "other", 1000, 0)
-		other.ID = k.ID // one who knows the public part
+		other.ID = k.ID // one that knows the public part
 		for now, open := range map[api.WallTime]bool{1000: true, 4749: true, 4750: false, 5000: false, 9000: false} {
 			if k.Verify(s, now, off) != open {
 				t.Errorf("at %d: opens %v", now, !open)
@@ -150,7 +150,7 @@
 	if a == b || !api.ValidJobID(string(a)) || a != JobID("kipper", "run-1") {
 		t.Errorf("%s and %s", a, b)
 	}
-	// No tenant's name and reference run into one another.
+	// Names and job ids of different tenants do not run into one another.
 	if JobID("a", "run-1") == JobID("arun-", "1") {
 		t.Error("two jobs have one id")
 	}
--- a/zonehealth/model_test.go
+++ b/zonehealth/model_test.go
@@ -7,20 +7,20 @@
 	"basaltwall/api"
 )
 
-// The model: one zone, whose record two controllers write, the holder of the duty and the
-// one that it was taken from, who need not know. Each reads the record, sees the zone as
+// The model: one zone, whose record is written by two controllers, the owner of partition 0 and a
+// previous owner that need not know. Each reads the record, assesses the zone as
 // it is at that moment, composes the next record by Next and writes it; the write takes
-// effect then or much later. Meanwhile the zone falls silent and is heard, the duty changes
-// hands, and time passes.
+// effect then or much later. Meanwhile the zone becomes unreachable and reachable, the ownership
+// changes, and time passes.
 //
-// What must hold: a record only ever follows the one that it was composed from (a zone is
-// never called lost by who last read that it was whole), it is of the present holder, and so
-// no state is passed over: all controllers see one story, in one order.
+// What must hold: a record only ever follows the one that it was composed from (a zone never
+// fails by a writer that last read that it was healthy), it is of the current owner, and so
+// no state is skipped: all controllers see the same sequence.
 
 type modelRead struct {
 	state State
 	fresh bool // the record has not changed since
-	leads bool // the duty has not changed hands since
+	leads bool // the ownership has not changed since
 }
 
 type modelWrite struct {
@@ -38,13 +38,13 @@
 
 type modelRules struct{ checksVersion, checksTerm bool }
 
-// next calls do with each state that may follow, and reports whether a write took effect
+// next calls visit with each possible next state, and reports whether a write took effect
 // that must not.
 func (w modelWorld) next(r modelRules, visit func(modelWorld)) (wrong bool) {
 	n := w
 	n.unreachable = !w.unreachable
 	visit(n)
-	// The duty is taken: by the other or by the same, anew.
+	// The ownership is taken: by the other or by the same, in a new term.
 	n = w
 	for i := range n.reads {
 		n.reads[i].leads, n.writes[i].leads = false, false
@@ -106,7 +106,7 @@
 	return len(seen), false, reached
 }
 
-// In every interleaving of reads, late writes and changes of hands the records follow one
+// In every interleaving of reads, late writes and changes of ownership the records follow one
 // another; and each condition of a write is needed for that.
 func TestZoneRecordsAreSequential(t *testing.T) {
 	states, wrong, reached := exploreModel(modelRules{true, true})
--- a/zonehealth/record_test.go
+++ b/zonehealth/record_test.go
@@ -19,7 +19,7 @@
 	return Assess([]Observation{{"a": {All: all, Silent: silent, Heard: lastHeartbeat}, "b": {All: 20}}}, "a")
 }
 
-// A zone's story: silent, lost, heard again, whole; and what is remembered of it.
+// A zone's states in order: suspect, failed, recovering, healthy; and the outages that are remembered.
 func TestZoneFailsAndRecovers(t *testing.T) {
 	const s = api.WallTime(1000)
 	var r Record
@@ -52,7 +52,7 @@
 	if r.LastHeartbeat != 0 || len(r.PartitionsInside) != 0 || len(r.OutageHistory) != 2 {
 		t.Errorf("whole: %+v", r)
 	}
-	// A short silence is remembered too; a writer that hears nobody changes nothing.
+	// A short outage is remembered too; a writer without observations changes nothing.
 	step(100, assess(6, 6, 99*s), 0, Suspect)
 	isolated := Assess([]Observation{{"a": {All: 6, Silent: 6}, "b": {All: 9, Silent: 8}}}, "a")
 	step(120, isolated, 0, Suspect)
@@ -60,7 +60,7 @@
 	if len(r.OutageHistory) != 3 || r.OutageHistory[2] != 22 {
 		t.Errorf("it was silent for 22 s: %v", r.OutageHistory)
 	}
-	// Nothing is left in it that could be heard: it may be tried again.
+	// No machine is left that could send a heartbeat: the zone may be tried again.
 	step(200, assess(6, 6, 198*s), 0, Suspect)
 	step(210, assess(6, 6, 198*s), 0, Failed)
 	step(260, assess(0, 0, 0), 0, Failed)
@@ -71,8 +71,8 @@
 	step(400, assess(2, 0, 0), 5*time.Second, Healthy)
 }
 
-// Who hears nobody says nothing; one controller alone makes no zone mute; half a zone does;
-// and the order of the witnesses bears on nothing.
+// An isolated observer has no vote; a single controller makes no zone unreachable; half of them do;
+// and the order of the observations has no effect.
 func TestObservationsAreAssessed(t *testing.T) {
 	healthy, half, unreachable := MachineCount{All: 9}, MachineCount{All: 9, Silent: 5, Heard: 4}, MachineCount{All: 9, Silent: 9, Heard: 6}
 	for _, tc := range []struct {
@@ -103,7 +103,7 @@
 	}
 }
 
-// The chance is learned: it falls with how long is asked for, and past cuts bend it.
+// The probability is learned: it falls with the duration asked for, and past outages change it.
 func TestOutageProbabilitiesAreLearned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{OutageHistory: rapid.SliceOfN(rapid.Float64Range(1, 300), 0, maxOutageHistory).Draw(t, "past")}
@@ -143,9 +143,9 @@
 	return s
 }
 
-// Over random clusters: what a plan says has a place does have one, with all of it together
-// within room, scatter, together, zone and type; nothing in the lost zone is counted on; the
-// order of what it was told bears on nothing; and the more is missed, the earlier.
+// Over random clusters: the placements of a plan exist, all of them together
+// within capacity, zone constraints and machine types; nothing in the failed zone is used; the
+// order of the input has no effect; and the more urgent go first.
 func TestEvacuationPlanRespectsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := &Input{PlacedByZone: map[api.JobID]map[api.Zone]int{}, PreemptingRank: api.High.Rank(), MaxMachines: rapid.IntRange(1, 40).Draw(t, "most"),
@@ -202,7 +202,7 @@
 				t.Fatalf("told in another order, %v instead of %v", other[i], plan[i])
 			}
 		}
-		// All that is counted on together: room by zone, and each job's own bounds.
+		// All placements together: capacity by zone, and each job's own constraints.
 		used, capacity := map[api.Zone]api.Quantity{}, map[api.Zone]api.Quantity{}
 		for _, r := range in.FreeCapacity {
 			capacity[r.Zone] += r.FreeAfterPreemption.CPU * api.Quantity(r.Count)
@@ -247,7 +247,7 @@
 	})
 }
 
-// Before is a total order.
+// CompareTasks is a total order.
 func TestOrderIsTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ts []Task
@@ -266,8 +266,8 @@
 	})
 }
 
-// What is missed decides, and for how long: a replica is worth a machine at once, a few
-// tasks of an array only when the zone is likely to stay away, and what a controller inside
+// What the tasks cost by waiting decides, and for how long: a replica is worth a machine at once, a few
+// tasks of an array only if the zone is likely to be out for long, and what a controller inside
 // may keep alive stays longer.
 func TestEvacuationDecision(t *testing.T) {
 	spec := func(kind api.Kind, p api.Priority) *api.JobSpec {
@@ -311,8 +311,8 @@
 	}
 }
 
-// When all give way by as much as they may, each still has half of its fair part, or what
-// it had before; and the floors together leave half of the room to whoever is more urgent.
+// When all are preempted by as much as they may be, each still has half of its fair share, or what
+// it had before; and the floors together leave half of the capacity to more urgent work.
 func TestFloorsAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.Float64Range(1, 1000).Draw(t, "room")
@@ -334,7 +334,7 @@
 			if d.Preemptible < 0 || d.Preemptible > h.Allocated || h.Allocated-d.Preemptible < min(h.Allocated, floor)-1e-6 {
 				t.Fatalf("%+v may give %v, its floor is %v", h, d.Preemptible, floor)
 			}
-			shortfall := 0.0 // by the others
+			shortfall := 0.0 // of the others
 			for other, o := range usage {
 				if other != k {
 					shortfall += max(0, DefaultFloorShare*min(capacity, totalDemand)*o.Demand/max(totalDemand, 1e-12)-o.Allocated)
@@ -354,7 +354,7 @@
 	})
 }
 
-// Outside a zone's loss a floor is kept for who has waited for long; others take what they find
+// Without a zone failure a floor is kept for work that has waited for long; others take what they find
 // until then, and some of the time after it.
 func TestFloorsForStarvingWork(t *testing.T) {
 	allowance := func(waited time.Duration) Allowance {
