--- a/api/status.go
+++ b/api/status.go
@@ -28,4 +28,5 @@
 	MethodGet  = "GET"
 	MethodPost = "POST"
 	MethodPut  = "PUT"
+	Methods    = "S"
 )
