--- a/controller/health/floors.go
+++ b/controller/health/floors.go
@@ -153,7 +153,8 @@
 	cpus := j.Demand.CPU.Float()
 	held, demand := cpus*float64(running), cpus*float64(running+pending)
 	floorShare := u.mon.siblings.Priorities.FairShareFloor(j.Spec)
-	noFloor := !u.zoneFailed && floorShare == 0 && !(pending > 0 && zonehealth.Starving(u.mon.sinceWallClock(j.AcceptedAt)))
+	starving := pending > 0 && zonehealth.Starving(u.mon.sinceWallClock(j.AcceptedAt))
+	noFloor := !u.zoneFailed && floorShare == 0 && !starving
 	addUsage(u.classes, j.Spec.Class, zonehealth.Usage{Allocated: held, Demand: demand, NoFloor: noFloor, FloorShare: floorShare})
 	addUsage(u.teams, j.Spec.Team, zonehealth.Usage{Allocated: held, Demand: demand, NoFloor: noFloor})
 }
--- a/controller/jobs/pendingreason.go
+++ b/controller/jobs/pendingreason.go
@@ -97,7 +97,8 @@
 			continue
 		}
 		allowed += group.Count
-		if class.Usable && !(class.Closed && s.core.IsCPUOnly(j.Spec)) {
+		reservedForAccelerators := class.Closed && s.core.IsCPUOnly(j.Spec)
+		if class.Usable && !reservedForAccelerators {
 			usable += group.Count
 			free += group.Count * j.Demand.Slots(group.Free)
 		}
