--- a/controller/core/adminrequest_test.go
+++ b/controller/core/adminrequest_test.go
@@ -8,7 +8,7 @@
 	"basaltwall/tenant"
 )
 
-// TestDecodeRequestErrors holds what operators are told of a body that can't be decoded.
+// TestDecodeRequestErrors checks the errors returned to operators for a body that can't be decoded.
 func TestDecodeRequestErrors(t *testing.T) {
 	type request struct {
 		Count    int             `json:"count"`
@@ -19,9 +19,9 @@
 		want       tenant.Error
 	}{
 		{"wrong type", `{"count":"x"}`, tenant.Error{Status: api.StatusBadRequest, Field: "count", Reason: "wrong type"}},
-		{"wrong type of the body", `5`, tenant.Error{Status: api.StatusBadRequest, Reason: "wrong type"}},
+		{"wrong type of body", `5`, tenant.Error{Status: api.StatusBadRequest, Reason: "wrong type"}},
 		{
-			"wrong type within a value that decodes itself", `{"networks":5}`,
+			"wrong type in a value with its own UnmarshalJSON", `{"networks":5}`,
 			tenant.Error{Status: api.StatusBadRequest, Reason: "networks: json: cannot unmarshal number into Go value of type []string"},
 		},
 		{"unknown field", `{"other":1}`, tenant.Error{Status: api.StatusBadRequest, Reason: `json: unknown field "other"`}},
@@ -38,6 +38,6 @@
 	}
 	target := request{Count: 3}
 	if err := DecodeRequest(nil, &target); err != nil || target.Count != 3 {
-		t.Errorf("an empty body gave %v and %+v", err, target)
+		t.Errorf("empty body: got error %v and target %+v", err, target)
 	}
 }
--- a/controller/core/capacity.go
+++ b/controller/core/capacity.go
@@ -1,14 +1,14 @@
 package core
 
-// This file holds the unit in which free capacity is counted.
+// This file defines the unit in which free capacity is counted.
 
 import (
 	"basaltwall/api"
 	"basaltwall/controller/message"
 )
 
-// FreeCapacityGroup is a number of machines of one partition and class that have the same
-// resources free. It is comparable, so that it can be a key.
+// FreeCapacityGroup counts machines of one partition and class that have the same free resources.
+// It is comparable, so it can be a map key.
 type FreeCapacityGroup struct {
 	Partition api.PartitionID
 	Class     message.MachineClass
--- a/controller/core/core.go
+++ b/controller/core/core.go
@@ -1,8 +1,8 @@
-// Package core holds what all components of a controller share. Core owns the state that more than
-// one of them reads or writes: the clock, the operators' settings, the cluster state as read from
-// the log of the state service, the machines and partitions of this controller, its counters, and
-// the outbox with the effects to be returned and the calls under way. What only one component
-// needs is that component's own state and not found here.
+// Package core contains the state and helpers shared by the components of a controller. Core holds
+// the state that more than one component reads or writes: the clock, the operators' settings, the
+// cluster state as read from the state service's log, the controller's machines and partitions, its
+// counters, and the outbox with effects and pending calls. State used by a single component belongs
+// to that component.
 //
 // Nothing in this package is safe for concurrent use: a controller is stepped by one goroutine.
 package core
@@ -20,25 +20,25 @@
 	Clock
 	Outbox
 	Config      *config.Config
-	Incarnation int64 // tells this run of the process from others
+	Incarnation int64 // identifies this run of the process
 
 	State         *ClusterState    // as read from the log
-	Loaded        bool             // State has been read completely once
-	Settings      Settings         // what operators have set
-	RecordedTypes api.MachineTypes // the machine types as recorded, for a start while the cloud does not answer
+	Loaded        bool             // State has been read completely at least once
+	Settings      Settings         // set by operators
+	RecordedTypes api.MachineTypes // recorded machine types, used at startup while the cloud is unavailable
 
-	Controllers    []api.ControllerID                       // all that are configured, sorted; see PreferredOwner
-	Teams          map[api.Team]config.Team                 // the platform's and, of a hosted service, those that operators made
-	MachineTypes   map[api.MachineTypeName]*api.MachineType // that the cloud offers
-	LargestMachine api.Resources                            // the most of each resource that any machine type has
+	Controllers    []api.ControllerID                       // all configured controllers, sorted; see PreferredOwner
+	Teams          map[api.Team]config.Team                 // configured teams and, in a hosted service, teams created by operators
+	MachineTypes   map[api.MachineTypeName]*api.MachineType // machine types offered by the cloud
+	LargestMachine api.Resources                            // maximum of each resource over all machine types
 
-	Machines   map[api.MachineID]*Machine          // the machines that this controller knows
-	Partitions map[api.PartitionID]*OwnedPartition // the partitions that this controller owns
+	Machines   map[api.MachineID]*Machine          // machines known to this controller
+	Partitions map[api.PartitionID]*OwnedPartition // partitions owned by this controller
 	Metrics    Metrics
 }
 
-// New returns the core of a controller; incarnation tells this run of the process from others. The
-// cluster state is set by the caller, as the kinds of its records are registered by components.
+// New returns the core of a controller; incarnation identifies this run of the process. The caller
+// sets State, because the components register the kinds of its records.
 func New(cfg *config.Config, incarnation int64) *Core {
 	k := &Core{
 		Intervals:    NewIntervals(cfg),
@@ -57,31 +57,31 @@
 	return k
 }
 
-// IsLive reports whether a controller holds a membership lease, as far as the log has been read.
+// IsLive reports whether a controller holds a membership lease according to the log read so far.
 func (k *Core) IsLive(id api.ControllerID) bool {
 	_, ok := k.State.Members[id]
 	return ok
 }
 
-// PreferredOwner is the controller that owns a partition when all controllers are live.
+// PreferredOwner returns the controller that owns a partition when all controllers are live.
 func (k *Core) PreferredOwner(p api.PartitionID) api.ControllerID {
 	return k.Controllers[int(p)%len(k.Controllers)]
 }
 
-// StoreUnreachable reports whether the state service seems not to answer this controller, or its
-// records have not been read yet.
+// StoreUnreachable reports whether the state service seems to be unreachable or its records have
+// not been loaded yet.
 func (k *Core) StoreUnreachable() bool {
 	return !k.Loaded || !k.StoreHealthy || k.storeCallOverdue()
 }
 
-// OverloadQueueLength is how many waiting commands are an overload. They are several batches, more
-// than come in a few steps.
+// OverloadQueueLength is the number of queued commands from which the controller counts as
+// overloaded: more than arrive in a few steps.
 const OverloadQueueLength = 256
 
-// Overloaded reports whether so many commands wait that optional work is put off: better fits,
-// moves, loans, scaling out ahead of demand and gossip. Never put off are the lease, replies,
-// evidence of how tasks ended and starts. Each call that reports an overload is counted as work
-// put off.
+// Overloaded reports whether the command queue is so long that optional work is postponed: better
+// placements, moves, loans, scaling out ahead of demand, and gossip. Lease renewals, replies,
+// recording the ends of tasks, and starts are never postponed. Each call that returns true
+// increments the metric OptionalWorkShed.
 func (k *Core) Overloaded() bool {
 	if k.Metrics.Usage.QueueLength < OverloadQueueLength {
 		return false
--- a/controller/core/deletion.go
+++ b/controller/core/deletion.go
@@ -1,21 +1,21 @@
 package core
 
-// This file holds why machines are deleted, and how many deletions go into one call.
+// This file defines the reasons for deleting machines, and the maximum batch of deletions.
 
-// DeletionReason says why a machine is deleted. It appears in the log and decides
-// which deletions go first.
+// DeletionReason is the reason for deleting a machine. It is logged and determines the order of
+// deletions.
 type DeletionReason string
 
 // Reasons for a deletion.
 const (
 	DeletionReasonIdle        DeletionReason = "idle"
-	DeletionReasonFailed      DeletionReason = "failed"           // the cloud lists it as failed
-	DeletionReasonBootTimeout DeletionReason = "does not come up" // no heartbeat long after its boot time
-	DeletionReasonQuarantined DeletionReason = "sick"
-	DeletionReasonUnreachable DeletionReason = "not reachable"
-	DeletionReasonZoneLost    DeletionReason = "lost with its zone"
-	DeletionReasonCancelled   DeletionReason = "not reachable, with a cancelled task"
+	DeletionReasonFailed      DeletionReason = "failed"       // the cloud lists it as failed
+	DeletionReasonBootTimeout DeletionReason = "boot timeout" // no heartbeat long after its boot time
+	DeletionReasonQuarantined DeletionReason = "quarantined"
+	DeletionReasonUnreachable DeletionReason = "unreachable"
+	DeletionReasonZoneLost    DeletionReason = "zone lost"
+	DeletionReasonCancelled   DeletionReason = "unreachable, with a cancelled task"
 )
 
-// MaxDeletionBatch is the cloud protocol's limit of machines in one deletion.
+// MaxDeletionBatch is the cloud protocol's limit on machines per deletion request.
 const MaxDeletionBatch = 100
--- a/controller/core/eligibility.go
+++ b/controller/core/eligibility.go
@@ -1,25 +1,26 @@
 package core
 
-// This file holds why a machine gets no new tasks, which the scheduler, gossip and operators' views
-// share.
+// This file defines the reasons why a machine gets no new tasks, shared by the scheduler, gossip
+// and operators' views.
 
-// UnschedulableReason is why a machine gets no new tasks, as operators are shown it; empty if it does.
+// UnschedulableReason is the reason why a machine gets no new tasks, as shown to operators; empty
+// if the machine is schedulable.
 type UnschedulableReason string
 
-// Reasons, in the order in which they are looked for.
+// Reasons, in the order in which they are checked.
 const (
 	Schedulable             UnschedulableReason = ""
-	ReasonDeleting          UnschedulableReason = "is being returned"
+	ReasonDeleting          UnschedulableReason = "being deleted"
 	ReasonDrained           UnschedulableReason = "drained by an operator"
-	ReasonNoHeartbeatYet    UnschedulableReason = "has not been heard yet"
-	ReasonReclaimed         UnschedulableReason = "the cloud takes it back"
-	ReasonUnknownType       UnschedulableReason = "of an unknown type"
-	ReasonQuarantined       UnschedulableReason = "different jobs fail on it"
-	ReasonFull              UnschedulableReason = "it refused a task for want of room"
-	ReasonSilent            UnschedulableReason = "is silent"
-	ReasonUnresponsive      UnschedulableReason = "does not answer"
-	ReasonSuspect           UnschedulableReason = "it was silent, and its report may be an old one"
-	ReasonZoneUnavailable   UnschedulableReason = "its zone is cut off"
-	ReasonOutboundCutOff    UnschedulableReason = "its reports do not reach us, so its lease will end"
-	ReasonTokenNotAnnounced UnschedulableReason = "our term has not been announced to it" // it will be within a moment
+	ReasonNoHeartbeatYet    UnschedulableReason = "no heartbeat received yet"
+	ReasonReclaimed         UnschedulableReason = "being reclaimed by the cloud"
+	ReasonUnknownType       UnschedulableReason = "unknown machine type"
+	ReasonQuarantined       UnschedulableReason = "quarantined: tasks of different jobs failed on it"
+	ReasonFull              UnschedulableReason = "refused a task for lack of free capacity"
+	ReasonSilent            UnschedulableReason = "no recent heartbeat"
+	ReasonUnresponsive      UnschedulableReason = "does not answer direct calls"
+	ReasonSuspect           UnschedulableReason = "heartbeat after a gap may be stale"
+	ReasonZoneUnavailable   UnschedulableReason = "zone is unreachable"
+	ReasonOutboundCutOff    UnschedulableReason = "answers direct calls but its heartbeats do not arrive, so its lease will expire"
+	ReasonTokenNotAnnounced UnschedulableReason = "current fencing token not yet announced to it"
 )
--- a/controller/core/hosted.go
+++ b/controller/core/hosted.go
@@ -1,7 +1,6 @@
 package core
 
-// This file holds what the components share of a hosted service: the keys and bounds that rounds
-// are conditional on, and the team records that operators see.
+// This file defines keys, limits and team records that the components of a hosted service share.
 
 import (
 	"basaltwall/api"
@@ -10,21 +9,21 @@
 )
 
 const (
-	// KeyGate is written with every suspension of a tenant. Every round is conditional on it, so
-	// that none composed before can be written after; see docs/tenants.md.
+	// KeyGate is written with every suspension of a tenant. Every round is conditional on its version,
+	// so a round composed before a suspension can't be committed after it; see docs/tenants.md.
 	KeyGate = clusterstate.Root + "gate"
-	// KeyPool holds a pool's record. A round that hands out units is conditional on it as it was
-	// read; see docs/pools.md.
+	// KeyPool is the prefix of the keys of pool records. A round that allocates units of a pool is
+	// conditional on the version of the record that it read; see docs/pools.md.
 	KeyPool = clusterstate.Root + "pool/"
 )
 
-// MaxRoundPools is how many pools a round hands out units of at most: each is one condition of
-// its transaction.
+// MaxRoundPools is the maximum number of pools from which a round allocates units: each pool is one
+// condition of its transaction.
 const MaxRoundPools = 8
 
-// AddRoundPools adds the pools of a job's requests to those that a round hands out units of, or
-// reports false and adds none if they would be more than MaxRoundPools. Jobs that hold their units
-// already may start tasks whatever pools a round looks at.
+// AddRoundPools adds the pools of a job's requests to the pools from which a round allocates units.
+// If this would exceed MaxRoundPools, it adds none and returns false. This can happen because jobs
+// that already hold their units may start tasks in any round, whatever pools it allocates from.
 func AddRoundPools(named map[api.PoolName]bool, needs []api.PoolRequest) bool {
 	added := 0
 	for _, need := range needs {
@@ -41,9 +40,9 @@
 	return true
 }
 
-// TeamRecord is a team that operators made, as it is shown.
+// TeamRecord is a team created by operators, as shown to them.
 type TeamRecord struct {
 	tenant.Team
-	Tenant   tenant.Name  `json:"tenant,omitempty"` // that the team belongs to
+	Tenant   tenant.Name  `json:"tenant,omitempty"` // owner of the team
 	Revision api.Revision `json:"revision"`
 }
--- a/controller/core/intervals.go
+++ b/controller/core/intervals.go
@@ -1,6 +1,6 @@
 package core
 
-// This file holds the controller's timing: how often and how long things are done.
+// This file defines the controller's intervals and timeouts.
 
 import (
 	"time"
@@ -10,14 +10,13 @@
 	"basaltwall/relay"
 )
 
-// Timing that does not depend on the configuration. None of it is needed for safety.
+// Timing that does not depend on the configuration. Safety does not depend on it.
 const (
-	// StoreTimeout is the timeout of most calls to the state service, whose responses take a few
-	// hundred milliseconds at most.
+	// StoreTimeout is the timeout of most calls to the state service.
 	StoreTimeout = 1500 * time.Millisecond
 	// RenewTimeout is the timeout of the renewal of this controller's lease.
 	RenewTimeout = time.Second
-	// WatchPollTimeout is how long a call waits for changes of the state service's log.
+	// WatchPollTimeout is the long-poll timeout of a watch on the state service's log.
 	WatchPollTimeout = 10 * time.Second
 	// WorkerTimeout is the timeout of direct calls to agents.
 	WorkerTimeout = 1500 * time.Millisecond
@@ -25,92 +24,93 @@
 	CloudTimeout = 6 * time.Second
 	// PeerTimeout is the timeout of most calls to other controllers.
 	PeerTimeout = 2 * time.Second
-	// GossipInterval is how often a controller sends its gossip.
+	// GossipInterval is the time between two gossip messages of a controller.
 	GossipInterval = 500 * time.Millisecond
-	// RetryDelay is after how long a deferred call is made.
+	// RetryDelay is the delay of a deferred call.
 	RetryDelay = 200 * time.Millisecond
-	// MinRoundInterval is the least time between two rounds of a partition.
+	// MinRoundInterval is the minimum time between two rounds of a partition.
 	MinRoundInterval = 50 * time.Millisecond
-	// UnmetDemandRecheckInterval is how often a round looks again at jobs that found no free
-	// capacity when nothing else changes.
+	// UnmetDemandRecheckInterval is the time between rounds that retry jobs without free capacity when
+	// nothing else changes.
 	UnmetDemandRecheckInterval = 3 * time.Second
-	// DeferredJobsInterval is how soon the jobs that a round left out are looked at if nothing
-	// else makes the partition run one.
+	// DeferredJobsInterval is the delay of a round for jobs that the previous round left out, if
+	// nothing else triggers a round.
 	DeferredJobsInterval = time.Second
-	// SweepInterval is how often each machine is looked at when nothing calls for it.
+	// SweepInterval is the time between two inspections of a machine when nothing else triggers one.
 	SweepInterval = time.Second
-	// DemandSampleInterval is how often the demand for machines with accelerators is measured.
+	// DemandSampleInterval is the time between two samples of the demand for machines with
+	// accelerators.
 	DemandSampleInterval = time.Second
-	// MinServiceRuntime is how long a service's replica must have run before it is moved.
+	// MinServiceRuntime is the minimum runtime of a service's replica before it is moved.
 	MinServiceRuntime = time.Minute
-	// MaxLeaseRenewInterval keeps a lease's life within the ten minutes that the state service
-	// allows.
+	// MaxLeaseRenewInterval keeps the time to live of a lease within the ten minutes that the state
+	// service allows.
 	MaxLeaseRenewInterval = 2 * time.Minute
-	// PeerForwardTimeout bounds the wait for one of several peers that a request can be forwarded
-	// to: two of them answer within the time that users wait.
+	// PeerForwardTimeout is the timeout of a request to one of several peers that can serve it: two
+	// attempts fit into the time that users wait.
 	PeerForwardTimeout = 800 * time.Millisecond
 )
 
-// RuntimeSafetyFactor is how much longer than estimated the longest of a job's tasks is taken
-// to run.
+// RuntimeSafetyFactor is the assumed ratio of the longest runtime of a job's tasks to its estimate.
 const RuntimeSafetyFactor = 1.2
 
-// leaseSlack is what a worker may take to notice that its lease is over. Its clock may be off
-// by a two-thousandth, so a thousandth of the lease is allowed for beside it.
+// leaseSlack is the time that a worker may take to notice the expiry of its lease. A thousandth of
+// the lease is added to it for clock drift.
 const leaseSlack = time.Second
 
-// Intervals is the timing that follows from the configuration. TestIntervalsFitSettings holds it for
-// every configuration that is accepted. None of it is needed for safety.
+// Intervals is the timing derived from the configuration. TestIntervalsFitSettings checks it for
+// every accepted configuration. Safety does not depend on it.
 type Intervals struct {
 	LeaseRenewInterval time.Duration // between renewals of this controller's membership lease
-	MemberLeaseTTL     time.Duration // that lease's time to live
-	HandoverDelay      time.Duration // how long a controller has been back when its partitions are handed to it
+	MemberLeaseTTL     time.Duration // time to live of this controller's membership lease
+	HandoverDelay      time.Duration // time that a returning controller must be live before its partitions are handed to it
 	RoundInterval      time.Duration // between a partition's rounds
-	ReadInterval       time.Duration // between current reads of the log
-	DirectReadInterval time.Duration // the same for a controller without a relay, where most read through relays
-	MaxRelays          int           // controllers that read the log for the others, where there are more
-	LookupInterval     time.Duration // between requests for results of jobs, and for pages when the state is read
-	CloudCallInterval  time.Duration // between requests of machines, and between deletions
+	ReadInterval       time.Duration // between reads of the log
+	DirectReadInterval time.Duration // ReadInterval of a controller without a relay, where most controllers read through relays
+	MaxRelays          int           // maximum number of controllers that read the log on behalf of the others
+	LookupInterval     time.Duration // between requests for results of jobs, and for pages while the state is loaded
+	CloudCallInterval  time.Duration // between requests for machines, and between deletions
 
-	HeartbeatTimeout        time.Duration // how long a machine may send no heartbeat before it is called directly
-	LivenessTimeout         time.Duration // how long a machine may be silent before it is taken to have failed
-	CancellationTimeout     time.Duration // how long after a cancellation a silent machine with tasks of the job is deleted
-	LeaseCoversCancellation bool          // an agent's lease ends, and its tasks with it, within the time of a cancellation
-	RedirectTTL             time.Duration // how soon a worker is back that was redirected to a controller which does not answer
+	HeartbeatTimeout        time.Duration // time without a heartbeat after which a machine is called directly
+	LivenessTimeout         time.Duration // time without contact after which a machine counts as failed
+	CancellationTimeout     time.Duration // time after a cancellation at which an unreachable machine with tasks of the job is deleted
+	LeaseCoversCancellation bool          // agent leases expire, ending their tasks, within the deadline of a cancellation
+	RedirectTTL             time.Duration // time after which a worker returns from a redirect to an unreachable controller
 }
 
-// NewIntervals derives the timing from the configuration: the requests and writes that the state
-// service and the cloud allow are shared out among their uses.
+// NewIntervals derives the timing from the configuration. It divides the request and write limits
+// of the state service and the cloud among their uses.
 func NewIntervals(cfg *config.Config) Intervals {
 	d := cfg.Deployment
 	controllers := float64(len(cfg.Peers) + 1)
 	heartbeatInterval, cancelTimeout := cfg.HeartbeatInterval(), api.Seconds(d.Workers.Cancel)
 	t := Intervals{
-		// A twentieth of the requests keeps all leases alive.
+		// Lease renewals of all controllers use a twentieth of the request limit.
 		LeaseRenewInterval: min(MaxLeaseRenewInterval, max(900*time.Millisecond, api.Seconds(20*controllers/d.State.RPS))),
-		// Half of the write limit is for rounds, the rest for jobs, checkpoints and
-		// members; a third of the requests for current reads and watches.
+		// Rounds use half of the write limit; jobs, checkpoints and members use the rest. Reads and
+		// watches of the log use a third of the request limit.
 		RoundInterval: max(MinRoundInterval, api.Seconds(float64(d.InitialSize)/(d.State.WriteRPS*0.5))),
 		ReadInterval:  max(40*time.Millisecond, api.Seconds(min(controllers, float64(relay.MaxRelays(d.State.RPS)))*3/d.State.RPS)),
-		// A sixth, beside the relays' third, should all others have no relay at once.
+		// A sixth of the request limit, in addition to the relays' third, if no other controller has a
+		// relay.
 		DirectReadInterval: max(40*time.Millisecond, api.Seconds(controllers*6/d.State.RPS)),
 		MaxRelays:          relay.MaxRelays(d.State.RPS),
-		// A sixth of the requests: a controller that restarts again and again, or is asked for
-		// thousands of jobs that are over, leaves the others theirs.
+		// A sixth of the request limit: a controller that restarts repeatedly, or serves many requests
+		// for finished jobs, leaves the rest to the others.
 		LookupInterval: max(10*time.Millisecond, api.Seconds(controllers*6/d.State.RPS)),
-		// A third of the cloud's calls may request machines: offers are refused one by
-		// one, and a burst should not wait for that.
+		// Requests for machines use a third of the cloud's limit: the cloud refuses offers one by one,
+		// and that must not delay a burst.
 		CloudCallInterval: max(100*time.Millisecond, api.Seconds(3/d.Cloud.RPS)),
 
 		HeartbeatTimeout: heartbeatInterval*5/4 + 500*time.Millisecond,
-		// Long enough to find the other machines of its zone silent too, and to learn it
-		// from other controllers, if it is the zone that is cut off.
+		// Long enough to detect, also from other controllers, that the whole zone of the machine is
+		// unreachable.
 		LivenessTimeout: 2*heartbeatInterval + 2*WorkerTimeout,
 		RedirectTTL:     max(20*time.Second, heartbeatInterval*5/2),
 	}
-	// A renewal may go unanswered once, and be late.
+	// Allows for one renewal without a response and a late retry.
 	t.MemberLeaseTTL = max(t.LeaseRenewInterval*10/3, t.LeaseRenewInterval+RenewTimeout+2*RetryDelay)
-	// Time enough for a deletion that goes unanswered once, with the read before it.
+	// Leaves time for a deletion without a response, its retry, and the read before it.
 	t.CancellationTimeout = max(cancelTimeout/2, cancelTimeout-2*CloudTimeout-2*SweepInterval)
 	lease := cfg.WorkerLease()
 	t.LeaseCoversCancellation = lease+lease/1000+leaseSlack <= cancelTimeout
--- a/controller/core/largestzone.go
+++ b/controller/core/largestzone.go
@@ -1,6 +1,6 @@
 package core
 
-// This file holds the choice of a zone by a count.
+// This file selects a zone by count.
 
 import (
 	"maps"
@@ -9,8 +9,8 @@
 	"basaltwall/api"
 )
 
-// LargestZone is the zone with the highest count, the first by name of several, and empty
-// if there is none.
+// LargestZone returns the zone with the highest count, or the empty zone if there is none. Of zones
+// with equal counts it returns the first by name.
 func LargestZone(count map[api.Zone]int) api.Zone {
 	var best api.Zone
 	for _, z := range slices.Sorted(maps.Keys(count)) {
--- a/controller/core/machinetypes.go
+++ b/controller/core/machinetypes.go
@@ -1,7 +1,7 @@
 package core
 
-// This file holds what is asked of machine types: which of them can run a job, and at what cost in
-// time.
+// This file contains queries on machine types: which of them can run a job, and how long they take
+// to boot and to fetch images.
 
 import (
 	"slices"
@@ -10,15 +10,14 @@
 	"basaltwall/sched"
 )
 
-// MachineOffer is a kind of machine that can be requested from the cloud.
+// MachineOffer is a type, zone and pricing of machines that can be requested from the cloud.
 type MachineOffer struct {
 	Type api.MachineTypeName
 	Zone api.Zone
 	Spot bool
 }
 
-// AddMachineTypes adds the machine types to those that are known; types of the same name are
-// replaced.
+// AddMachineTypes adds machine types to the known ones, replacing types of the same name.
 func (k *Core) AddMachineTypes(types []api.MachineType) {
 	for _, t := range types {
 		k.MachineTypes[t.Name] = &t
@@ -37,7 +36,7 @@
 	return machineType != nil && machineType.GPUs > 0
 }
 
-// BootSeconds is how long a machine of a type takes to boot, in seconds; 0 if the type is unknown.
+// BootSeconds returns the boot time of a machine type in seconds; 0 if the type is unknown.
 func (k *Core) BootSeconds(t api.MachineTypeName) float64 {
 	if machineType := k.MachineTypes[t]; machineType != nil {
 		return machineType.BootSeconds
@@ -45,9 +44,9 @@
 	return 0
 }
 
-// IsCPUOnly reports whether a type without accelerators can take the job's tasks. Machines with
-// accelerators are neither requested nor kept for such work: they cost more, and whole ones should
-// be free for the work that needs them.
+// IsCPUOnly reports whether some type without accelerators can run the job's tasks. Machines with
+// accelerators are neither requested nor kept for such jobs: they cost more, and whole machines
+// should stay free for jobs that need accelerators.
 func (k *Core) IsCPUOnly(s *api.JobSpec) bool {
 	demand := s.Demand()
 	for _, t := range k.MachineTypes {
@@ -58,13 +57,12 @@
 	return false
 }
 
-// allowsType reports whether a job allows a machine type.
 func allowsType(s *api.JobSpec, typ api.MachineTypeName) bool {
 	return len(s.Types) == 0 || slices.Contains(s.Types, typ)
 }
 
-// IsEligible reports whether a job's tasks may run on a machine of that type, zone and price; work
-// that needs CPUs only runs on none with accelerators.
+// IsEligible reports whether a job's tasks may run on a machine of the given type, zone and
+// pricing. CPU-only jobs do not run on machines with accelerators.
 func (k *Core) IsEligible(s *api.JobSpec, cpuOnly bool, typ api.MachineTypeName, zone api.Zone, spot bool) bool {
 	if cpuOnly && k.HasAccelerators(typ) {
 		return false
@@ -72,8 +70,8 @@
 	return sched.Feasible(s, typ, zone, spot)
 }
 
-// SlowestFetchRate is the lowest rate at which a machine type that can run the job fetches images;
-// 1 if none is known.
+// SlowestFetchRate returns the lowest image fetch rate of the machine types that can run the job; 1
+// if none is known.
 func (k *Core) SlowestFetchRate(s *api.JobSpec) float64 {
 	demand := s.Demand()
 	slowest := 0.0
--- a/controller/core/metrics.go
+++ b/controller/core/metrics.go
@@ -1,6 +1,6 @@
 package core
 
-// This file holds the counters and latencies that a controller keeps for operators.
+// This file defines the counters and latencies that a controller keeps for operators.
 
 import (
 	"time"
@@ -10,8 +10,7 @@
 	"basaltwall/controller/message"
 )
 
-// Metrics are what an operator may want to see of the past: counts since the process began, and how
-// long things took.
+// Metrics contains counters since the start of the process, and latencies.
 type Metrics struct {
 	SchedulingMetrics
 	CallMetrics
@@ -20,7 +19,7 @@
 	Latencies map[string]*hdrhistogram.Histogram // by name, in microseconds
 }
 
-// SchedulingMetrics count what was decided.
+// SchedulingMetrics counts scheduling decisions.
 type SchedulingMetrics struct {
 	Rounds, Takeovers, Starts, Ends, Completions          uint64
 	PreemptedTasks, TaskMoves, ReplicasMoved              uint64
@@ -29,7 +28,7 @@
 	OptionalWorkShed                                      uint64 // see Core.Overloaded
 }
 
-// CallMetrics count calls that were made, and requests and messages that came.
+// CallMetrics counts outgoing calls, and incoming requests and messages.
 type CallMetrics struct {
 	StoreRequests, StoreWrites, StoreFailures uint64
 	CloudRequests, WorkerCalls                uint64
@@ -37,21 +36,21 @@
 	PollsDeferred                             uint64
 }
 
-// LogMetrics count reads of the state service's log, and writes whose outcome was not known.
+// LogMetrics counts reads of the state service's log, and writes with an unknown outcome.
 type LogMetrics struct {
 	ReadsRelayed, ReadsServed, ReadFallbacks, ReadsInvalid            uint64
 	RequestsWithoutRead                                               uint64
 	IndeterminateWrites, IndeterminateWritten, IndeterminateUnwritten uint64
 }
 
-// Latencies are recorded to two digits, from a microsecond up to maxLatency.
+// Latencies are recorded with two significant digits, from a microsecond up to maxLatency.
 const (
 	maxLatency               = time.Hour
 	latencySignificantDigits = 2
 )
 
-// ObserveLatency records how long something took, under the name of the latency. What is out of the
-// histogram's range is recorded as the end of the range.
+// ObserveLatency records a duration in the latency of that name. Durations outside the histogram's
+// range are clamped to it.
 func (m *Metrics) ObserveLatency(name string, d time.Duration) {
 	if m.Latencies == nil {
 		m.Latencies = map[string]*hdrhistogram.Histogram{}
@@ -61,10 +60,10 @@
 		histogram = hdrhistogram.New(1, maxLatency.Microseconds(), latencySignificantDigits)
 		m.Latencies[name] = histogram
 	}
-	_ = histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds())) // is within the range
+	_ = histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatency.Microseconds())) // the value is within the range
 }
 
-// LatencySummary describes a histogram, in milliseconds.
+// LatencySummary summarizes a latency histogram, in milliseconds.
 type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
--- a/controller/core/objectives.go
+++ b/controller/core/objectives.go
@@ -1,6 +1,6 @@
 package core
 
-// This file holds the deployment's objectives for jobs: how soon they should start and be complete.
+// This file evaluates the deployment's objectives for the start and the completion of jobs.
 
 import (
 	"slices"
@@ -8,15 +8,15 @@
 	"basaltwall/api"
 )
 
-// Kinds of objectives, as deployments name them.
+// Kinds of objectives in a deployment's configuration.
 const (
 	objectiveWait     = "wait"
 	objectiveFinished = "finished"
 	objectiveDeadline = "deadline"
 )
 
-// StartObjective is within how many seconds after submission the jobs of a class should start; 0
-// if the deployment has no such objective.
+// StartObjective returns the time after submission within which jobs of a class should start, in
+// seconds; 0 if the deployment has no such objective.
 func (k *Core) StartObjective(c api.Class) float64 {
 	for _, o := range k.Config.Deployment.Objectives {
 		if o.Kind == objectiveWait && o.Class == c {
@@ -26,8 +26,8 @@
 	return 0
 }
 
-// CompletionObjectives are the times after submission by which the job should be complete, in
-// seconds and sorted, by its deadline and its class's objectives.
+// CompletionObjectives returns the times after submission by which a job should be complete, in
+// seconds and sorted, from its deadline and the objectives of its class.
 func (k *Core) CompletionObjectives(s *api.JobSpec) []float64 {
 	var out []float64
 	for _, o := range k.Config.Deployment.Objectives {
--- a/controller/core/ordering.go
+++ b/controller/core/ordering.go
@@ -1,8 +1,8 @@
 package core
 
-// This file holds what comparison functions need.
+// This file contains a helper for comparison functions.
 
-// BoolToInt is 1 for true and 0 for false, for comparison functions.
+// BoolToInt returns 1 for true and 0 for false.
 func BoolToInt(is bool) int {
 	if is {
 		return 1
--- a/controller/core/partition.go
+++ b/controller/core/partition.go
@@ -1,6 +1,6 @@
 package core
 
-// This file holds what the owner of a partition knows of it beyond the cluster state.
+// This file defines the state that a partition's owner keeps beyond the cluster state.
 
 import (
 	"slices"
@@ -10,15 +10,15 @@
 	"basaltwall/controller/message"
 )
 
-// OwnedPartition is a partition of the machines that this controller owns, under one term. It is
-// dropped when the ownership ends.
+// OwnedPartition is a partition of the machines, owned by this controller under one term. It is
+// discarded when the ownership ends.
 type OwnedPartition struct {
 	ID            api.PartitionID
-	Term          api.Revision // of the ownership: the revision that recorded it
+	Term          api.Revision // revision that recorded the ownership
 	OwnedSince    api.Time
-	LastRevision  api.Revision // of the last record that was written under this term
+	LastRevision  api.Revision // of the last record written under this term
 	Dirty         bool         // something changed since the last round was planned
-	NeedsNewToken bool         // a newer fencing token is wanted, which a record gives
+	NeedsNewToken bool         // a record must be written to obtain a newer fencing token
 
 	RoundState
 	OwnershipChange
@@ -31,79 +31,80 @@
 
 // RoundState is the state of a partition's rounds.
 type RoundState struct {
-	NextRound      api.Time // no round before
-	PlannedAt      api.Time // when the last one was planned
+	NextRound      api.Time // earliest time of the next round
+	PlannedAt      api.Time // when the last round was planned
 	PendingEnds    map[*Placement]bool
 	InFlight       *PendingRound                   // nil if no record is being written
-	InFlightDemand map[api.MachineID]api.Resources // of the tasks that the round in flight starts
-	PlannedTeams   map[api.Team]bool               // teams that the last round started tasks of
-	UnexaminedJobs int                             // jobs that the last round left out
-	PoolCursor     int                             // where the next round goes on with the pools, if there are more than a round may name
+	InFlightDemand map[api.MachineID]api.Resources // of the tasks started by the round in flight
+	PlannedTeams   map[api.Team]bool               // teams with starts in the last round
+	UnexaminedJobs int                             // number of jobs that the last round left out
+	PoolCursor     int                             // position at which the next round continues with the pools, if there are more than MaxRoundPools
 }
 
-// OwnershipChange tells whether a partition is handed to another controller.
+// OwnershipChange is the state of a handover of the partition to another controller.
 type OwnershipChange struct {
-	Releasing   bool // its preferred owner is live, so that nothing new is begun
+	Releasing   bool // the preferred owner is live, so no new work is begun
 	HandingOver bool // the handover is being written
 }
 
-// ArchiveState is the state of what is written of a partition beside its rounds.
+// ArchiveState is the state of writes of a partition other than its rounds.
 type ArchiveState struct {
 	Checkpointing    bool // a checkpoint is being written
-	ArchivingResults bool // results of finished jobs are being written in place of their records
+	ArchivingResults bool // records of finished jobs are being replaced by their results
 	NextArchive      api.Time
 }
 
-// QuotaState is what the partition's owner knows of teams' quota shares.
+// QuotaState is the state of teams' quota in a partition.
 type QuotaState struct {
-	QuotaDemand          map[api.Team]api.Resources                     // that pending tasks need beyond the partition's share
-	MustStartQuotaDemand map[api.Team]api.Resources                     // the part of QuotaDemand that jobs need which have waited too long
-	QuotaStarvedDemand   map[api.Team]api.Resources                     // the part of QuotaDemand that there is free capacity for, but quota for not even one task
-	ReservedQuota        map[api.PartitionID]map[api.Team]api.Resources // kept for jobs of other partitions
-	NextQuotaTransfer    map[api.PartitionID]api.Time                   // no further transfer to a partition before
+	QuotaDemand          map[api.Team]api.Resources                     // quota that pending tasks need beyond the partition's share
+	MustStartQuotaDemand map[api.Team]api.Resources                     // the part of QuotaDemand for jobs that have waited too long
+	QuotaStarvedDemand   map[api.Team]api.Resources                     // the part of QuotaDemand for jobs with free capacity but without quota for a single task
+	ReservedQuota        map[api.PartitionID]map[api.Team]api.Resources // reserved for jobs of other partitions
+	NextQuotaTransfer    map[api.PartitionID]api.Time                   // earliest time of the next transfer to a partition
 }
 
-// DemandState is what the last round found of pending tasks.
+// DemandState is the demand of pending tasks as of the last round.
 type DemandState struct {
 	PendingTaskCount int
 	UnmetDemands     []message.UnmetDemand
-	ShortTypes       map[api.MachineTypeName]bool // types that had no free capacity for what is pending
+	ShortTypes       map[api.MachineTypeName]bool // types without free capacity for pending tasks
 }
 
-// BalanceState is the state of moves of jobs and loans of machines to other partitions.
+// BalanceState is the state of job moves and machine loans to other partitions.
 type BalanceState struct {
 	MoveInFlight bool
-	NextMove     api.Time  // no move before
-	MoveCursor   api.JobID // the job that was last considered for a move
+	NextMove     api.Time  // earliest time of the next move
+	MoveCursor   api.JobID // last job considered for a move
 	LoanInFlight bool
-	NextLoan     api.Time // no loan before
+	NextLoan     api.Time // earliest time of the next loan
 }
 
-// BackfillState is the state of starts of jobs that have waited too long.
+// BackfillState is the state of starting jobs that have waited too long.
 type BackfillState struct {
-	BackfilledAt    api.Time // when these jobs were last looked at
+	BackfilledAt    api.Time // when these jobs were last examined
 	ServicesMovedAt api.Time // when services were last moved off a machine for them
-	MustStartCredit float64  // what they may still take before other work
+	MustStartCredit float64  // work that these jobs may still start ahead of others, as seconds of the largest machine
 }
 
-// PendingRound is a round's record on its way to the state service.
+// PendingRound is a round whose record is being written to the state service.
 type PendingRound struct {
 	Record         clusterstate.Record
 	Txn            api.Txn
-	Starts         []*Placement // as they will be once the record is durable
+	Starts         []*Placement // placements that exist once the record is durable
 	Ends           map[*Placement]bool
 	SentAt         api.Time
-	OutcomeUnknown bool // a call that sent it was not answered
+	OutcomeUnknown bool // a call that sent the record got no response
 	Transfer       bool // the record lends a machine together with its tasks
 }
 
-// OwnershipCondition is the condition that this controller still owns the partition under this term.
+// OwnershipCondition returns the condition that this controller still owns the partition under this
+// term.
 func (owned *OwnedPartition) OwnershipCondition() api.Condition {
 	return api.Condition{Key: clusterstate.PartitionKey(clusterstate.KeyPartition, owned.ID), Version: owned.Term}
 }
 
-// RotateAfterCursor returns the sorted jobs in a new order that begins at the one that was last
-// considered for a move.
+// RotateAfterCursor returns the sorted jobs, rotated to begin at the job last considered for a
+// move.
 func (owned *OwnedPartition) RotateAfterCursor(jobs []api.JobID) []api.JobID {
 	i, _ := slices.BinarySearch(jobs, owned.MoveCursor)
 	return slices.Concat(jobs[i:], jobs[:i])
--- a/controller/core/partitionof.go
+++ b/controller/core/partitionof.go
@@ -1,6 +1,6 @@
 package core
 
-// This file holds which partition a machine belongs to, and under which token it is commanded.
+// This file determines the partition of a machine and the lowest valid fencing token for it.
 
 import (
 	"hash/fnv"
@@ -10,13 +10,13 @@
 	"basaltwall/api"
 )
 
-// AllPartitions stands for all partitions together where one is asked for.
+// AllPartitions selects all partitions together where a function takes a partition.
 const AllPartitions = api.PartitionID(-1)
 
-// HashPartition is the partition that a machine belongs to unless it is on loan. Names are numbered
+// HashPartition returns the partition of a machine that is not on loan. Machine names are numbered
 // in order of creation, so the number spreads machines that were requested together evenly over the
-// partitions. The offset grows by one after each pass over them, so that zones which are requested
-// in rotation don't coincide with partitions.
+// partitions. The offset grows by one after each pass over them, so that zones requested in
+// rotation don't coincide with partitions.
 func HashPartition(id api.MachineID, partitions int) api.PartitionID {
 	s := string(id)
 	digits := s[strings.LastIndexByte(s, '-')+1:]
@@ -28,7 +28,7 @@
 	return api.PartitionID(hash.Sum32() % uint32(partitions))
 }
 
-// PartitionOf is the partition that a machine belongs to.
+// PartitionOf returns the partition of a machine, including loans.
 func (k *Core) PartitionOf(id api.MachineID) api.PartitionID {
 	if loan, ok := k.State.Loans[id]; ok {
 		return loan.Partition
@@ -36,8 +36,8 @@
 	return HashPartition(id, len(k.State.Partitions))
 }
 
-// MinToken is the lowest token under which the owner of a partition may command a machine: its
-// term or, for a machine on loan to the partition since, the loan's revision.
+// MinToken returns the lowest token with which the owner of a partition may command a machine: the
+// term or, for a machine lent to the partition during the term, the revision of the loan.
 func (k *Core) MinToken(owned *OwnedPartition, id api.MachineID) api.FencingToken {
 	return api.FencingToken(max(owned.Term, k.State.Loans[id].Revision))
 }
--- a/controller/core/preemption.go
+++ b/controller/core/preemption.go
@@ -1,6 +1,7 @@
 package core
 
-// This file holds what the components share that preempt tasks or reserve machines.
+// This file defines constants and types shared by the components that preempt tasks or reserve
+// machines.
 
 import (
 	"time"
@@ -9,22 +10,22 @@
 )
 
 const (
-	// ReservationTTL is how long a machine stays reserved after tasks were preempted or moved:
-	// long enough for the stop to be seen, its evidence to be recorded, and a machine of another
-	// partition to be transferred.
+	// ReservationTTL is the duration of a machine's reservation after tasks were preempted or moved.
+	// It covers stopping the tasks, recording their ends, and transferring a machine of another
+	// partition.
 	ReservationTTL = 15 * time.Second
-	// PreemptionDelay is how long it takes to stop a task and to start another instead: a call, a
-	// round that records the end and the start, another call.
+	// PreemptionDelay is the expected time to replace a running task by another: a call to stop it, a
+	// round that records the end and the start, and a call to start the other.
 	PreemptionDelay = 500 * time.Millisecond
 )
 
-// PreemptorRank is the priority rank from which on work may preempt other work.
+// PreemptorRank is the lowest priority rank of jobs that may preempt others.
 var PreemptorRank = api.High.Rank()
 
-// PreemptionPlan is what stopping tasks on a machine would make possible for a job.
+// PreemptionPlan is the result of stopping tasks on a machine for a job.
 type PreemptionPlan struct {
 	Machine *Machine
-	Tasks   int // tasks of the job that could start there then
+	Tasks   int // number of the job's tasks that could then start there
 	Victims []*Placement
-	Cost    float64 // CPU seconds that the victims would lose
+	Cost    float64 // CPU seconds lost by the victims
 }
--- a/controller/core/quota.go
+++ b/controller/core/quota.go
@@ -1,17 +1,16 @@
 package core
 
-// This file holds what teams use and may use: their limits and guarantees.
+// This file computes the usage, limits and guarantees of teams.
 
 import (
 	"basaltwall/api"
 	"basaltwall/config"
 )
 
-// unlimitedQuota stands for the limit of a team that has none: an amount that nothing reaches.
+// unlimitedQuota is the limit of a team without one; no usage reaches it.
 const unlimitedQuota = api.Quantity(1) << 52
 
-// QuotaLimit is the most that a team may use at once in all partitions together. Memory is not
-// limited.
+// QuotaLimit returns the maximum usage of a team in all partitions together. Memory is not limited.
 func QuotaLimit(t config.Team) api.Resources {
 	limit := api.Resources{CPU: unlimitedQuota, GPU: unlimitedQuota, Mem: unlimitedQuota}
 	if t.CPUsMax > 0 {
@@ -23,7 +22,7 @@
 	return limit
 }
 
-// TeamUsage is what each team's placements take in all partitions together.
+// TeamUsage returns the resources allocated to each team in all partitions together.
 func (k *Core) TeamUsage() map[api.Team]api.Resources {
 	total := map[api.Team]api.Resources{}
 	for p := range k.State.Partitions {
@@ -34,7 +33,7 @@
 	return total
 }
 
-// RemainingQuota is what each team may still start in a partition.
+// RemainingQuota returns the quota that each team has left in a partition.
 func (k *Core) RemainingQuota(p api.PartitionID) map[api.Team]api.Resources {
 	usage := k.State.Partitions[p].TeamUsage
 	remaining := map[api.Team]api.Resources{}
@@ -47,8 +46,9 @@
 	return remaining
 }
 
-// IsWithinGuarantee reports whether one more task of a job keeps its team within the team's
-// guarantee: of accelerators if the task needs any, of CPUs otherwise. usage is the TeamUsage.
+// IsWithinGuarantee reports whether a team stays within its guarantee with one more task of a job:
+// the guarantee of accelerators if the task needs any, of CPUs otherwise. usage is the result of
+// TeamUsage.
 func (k *Core) IsWithinGuarantee(j *Job, usage map[api.Team]api.Resources) bool {
 	team := k.Teams[j.Spec.Team]
 	next := usage[j.Spec.Team].Plus(j.Demand)
--- a/controller/core/settings.go
+++ b/controller/core/settings.go
@@ -1,33 +1,33 @@
 package core
 
-// This file holds the operators' settings, as they are recorded and as the audit shows them.
+// This file defines the operators' settings, as recorded and as shown in the audit.
 
 import (
 	"basaltwall/api"
 	"basaltwall/priority"
 )
 
-// Settings are what operators decide, beyond the platform's file. They are recorded by the state
-// service and reach every controller through the log.
+// Settings contains the operators' settings. They are recorded in the state service, in addition to
+// the configuration file, and reach every controller through the log.
 type Settings struct {
 	Drained         []api.MachineID `json:"drained"`              // machines that get no new tasks
-	IdleTimeout     float64         `json:"idle_hold_s"`          // seconds that idle machines are kept; 0: as long as a boot
-	DisableScaleOut bool            `json:"no_rent"`              // request no machines of the cloud
-	Priority        priority.Rules  `json:"precedence,omitempty"` // which work comes first when there is too little capacity
+	IdleTimeout     float64         `json:"idle_hold_s"`          // seconds that idle machines are kept; 0: the boot time of their type
+	DisableScaleOut bool            `json:"no_rent"`              // request no machines from the cloud
+	Priority        priority.Rules  `json:"precedence,omitempty"` // order of jobs during a shortage of capacity
 }
 
-// maxAuditedMachines is how many drained machines an audit record lists by name.
+// maxAuditedMachines is the maximum number of drained machines that an audit record lists by name.
 const maxAuditedMachines = 20
 
-// settingsSummary is the settings with the drained machines counted.
+// settingsSummary is the settings with the number of drained machines instead of their names.
 type settingsSummary struct {
 	Drained         int     `json:"drained"`
 	IdleTimeout     float64 `json:"idle_hold_s"`
 	DisableScaleOut bool    `json:"no_rent"`
 }
 
-// AuditView is the settings as the audit shows them: machines are counted if they are too many to
-// be listed.
+// AuditView returns the settings as shown in the audit: drained machines are counted if there are
+// too many to list.
 func (s Settings) AuditView() any {
 	if len(s.Drained) <= maxAuditedMachines {
 		return s
--- a/controller/core/storecalls.go
+++ b/controller/core/storecalls.go
@@ -1,6 +1,6 @@
 package core
 
-// This file holds calls to the state service, and what they tell of its health.
+// This file makes calls to the state service and monitors its health.
 
 import (
 	"time"
@@ -9,18 +9,17 @@
 	"basaltwall/controller/message"
 )
 
-// StoreSlowAfter is how long a call to the state service may go unanswered before the service is
-// taken not to answer this controller, for the time being. It usually takes a few milliseconds.
+// StoreSlowAfter is the time without a response after which the state service counts as unreachable
+// until it responds.
 const StoreSlowAfter = 150 * time.Millisecond
 
-// statusUnknown is the status of a call that was not answered in time: whether it has taken effect is
-// not known.
+// statusUnknown is the status of a call that timed out: it may have taken effect.
 const statusUnknown = 0
 
-// storeLatency is the name in Metrics of the state service's latency.
+// storeLatency is the name of the state service's latency in Metrics.
 const storeLatency = "state"
 
-// CallStore calls the state service. The call's ID is filled in, and StoreTimeout unless the call
+// CallStore calls the state service. It sets the ID of the call, and StoreTimeout unless the call
 // has a timeout.
 func (o *Outbox) CallStore(call message.StoreCall, callback func(message.StoreResponse)) {
 	if call.Timeout == 0 {
@@ -49,8 +48,8 @@
 	o.CallStore(message.StoreCall{Txn: &txn}, callback)
 }
 
-// observeStoreResponse notes how the state service has answered a call. That it refuses a call for
-// its rate (api.StatusTooManyRequests) says nothing of its health.
+// observeStoreResponse updates metrics and health after a response of the state service. A refusal
+// because of the rate limit (api.StatusTooManyRequests) does not change the health.
 func (o *Outbox) observeStoreResponse(id message.CallID, status int, isTxn bool) {
 	if calledAt, ok := o.pendingStoreCalls[id]; ok {
 		delete(o.pendingStoreCalls, id)
--- a/controller/core/timekey.go
+++ b/controller/core/timekey.go
@@ -1,7 +1,6 @@
 package core
 
-// This file holds the records whose keys begin with a time: they are listed in pages, and deleted
-// once they have been kept for long enough.
+// This file lists and expires records whose keys begin with a time.
 
 import (
 	"encoding/json"
@@ -14,13 +13,13 @@
 	"basaltwall/controller/message"
 )
 
-// TimeKey is a time as the first part of a key, so that keys sort by time.
+// TimeKey formats a time as the first part of a key, so that keys sort by time.
 func TimeKey(at api.WallTime) string { return fmt.Sprintf("%013d", max(0, at)) }
 
-// ReadPage reads at most limit records whose keys begin with prefix and follow after, which is
-// empty for the first page. It hands the records to callback with the value of after for the next
-// page, empty at the end, or calls fail if the state service does not answer. A record that can't
-// be decoded is logged and left out.
+// ReadPage reads at most limit records whose keys begin with prefix. after is empty for the first
+// page, and otherwise the value that the previous page returned. ReadPage passes the records and
+// the value of after for the next page, empty at the end, to callback. If the state service does
+// not answer, it calls fail. Records that can't be decoded are logged and skipped.
 func ReadPage[T any](k *Core, prefix, after string, limit int, callback func(items []T, next string), fail func()) {
 	start := ""
 	if after != "" {
@@ -39,7 +38,7 @@
 	})
 }
 
-// decodeRecords decodes the records that can be; the others are logged.
+// decodeRecords decodes records; invalid ones are logged and skipped.
 func decodeRecords[T any](pairs []api.KeyValue) []T {
 	items := []T{}
 	for _, pair := range pairs {
@@ -53,9 +52,9 @@
 	return items
 }
 
-// SweepPrefix deletes one transaction's worth of the keys under a prefix, which a time follows,
-// that are older than retention. It does so as the owner of a partition and calls done when the
-// transaction is over, however it ended.
+// SweepPrefix deletes records older than retention whose keys are prefix and a time, at most as
+// many as fit into one transaction. The transaction is conditional on the ownership of a partition.
+// SweepPrefix calls done when the transaction has ended, whatever its result.
 func (k *Core) SweepPrefix(owned *OwnedPartition, prefix string, retention time.Duration, done func()) {
 	cutoff := TimeKey(k.WallClock - api.WallTime(retention.Milliseconds()))
 	k.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: prefix, Limit: k.Config.Deployment.State.TxnOps}}, func(response message.StoreResponse) {
--- a/controller/core/tracking.go
+++ b/controller/core/tracking.go
@@ -1,7 +1,7 @@
 package core
 
-// This file holds what an owner notes of jobs and placements beside their records. It is not
-// recorded, and lost with the ownership or the process.
+// This file defines the state of jobs and placements that a partition's owner keeps in memory only.
+// It is lost with the ownership or the process.
 
 import (
 	"basaltwall/api"
@@ -9,50 +9,50 @@
 )
 
 type (
-	// ClusterState is the recorded state, with what an owner notes of jobs and placements.
+	// ClusterState is the recorded state, with the owner's tracking of jobs and placements.
 	ClusterState = clusterstate.State[JobTracking, PlacementTracking]
 	// Job is an accepted job that is not yet archived.
 	Job = clusterstate.Job[JobTracking, PlacementTracking]
-	// Placement is a task's durable start that has not been proven over.
+	// Placement is a durable start of a task without a recorded end.
 	Placement = clusterstate.Placement[JobTracking, PlacementTracking]
 )
 
-// Keys of records that stand for themselves.
+// Keys of single records.
 const (
 	MachineTypesKey = clusterstate.Root + "types"
 	SettingsKey     = clusterstate.Root + "settings"
 )
 
-// PlacementTracking is what the owner of a placement's partition knows of it beyond the record.
+// PlacementTracking is the state of a placement that the owner of its partition keeps in memory.
 type PlacementTracking struct {
-	LaunchToken     api.FencingToken // the highest token under which a launch may be on its way
-	Reported        bool             // a heartbeat has shown the task
+	LaunchToken     api.FencingToken // highest token of a launch that may be in flight
+	Reported        bool             // a heartbeat has reported the task
 	State           api.TaskState    // as last reported
 	PlacedAt        api.Time         // when it became known to this process
-	RunningSince    api.Time         // when it was first seen running
-	HaltRequested   bool             // its machine was called to halt it, as its job is cancelled
+	RunningSince    api.Time         // when it was first reported as running
+	HaltRequested   bool             // a call to halt it was made, because its job is cancelled
 	StopRequested   bool
 	StopRequestedAt api.Time
-	StopGrace       float64 // seconds that the task is given to stop by itself
+	StopGrace       float64 // grace period for the task to stop, in seconds
 }
 
-// JobTracking is what owners of partitions note of a job.
+// JobTracking is the state of a job that owners of partitions keep in memory.
 type JobTracking struct {
-	BackoffUntil      api.Time // no new starts before, after failures
+	BackoffUntil      api.Time // no new starts before, because of failures
 	Failures          int
 	FailedOn          map[api.MachineID]bool
 	RebalancedAt      api.Time
-	NextPreemptionAt  api.Time // no task is preempted for it before
+	NextPreemptionAt  api.Time // earliest time of the next preemption for it
 	PreemptedForStart bool     // tasks were preempted so that it starts soon
-	StartPlanned      bool     // a start was planned by this controller
-	LastTaskEndedAt   api.Time // when a task of it last ended
+	StartPlanned      bool     // this controller planned a start
+	LastTaskEndedAt   api.Time // when one of its tasks last ended
 	ReplicaMovedAt    api.Time // when a replica was last moved
-	Unplaceable       bool     // has waited too long, and can hope for no capacity in its partition
-	UnmetSince        api.Time // since when it has found no free capacity in its partition although other work starts
-	UnmetSeenAt       api.Time // when that was last seen
-	LostTasks         int      // tasks that this controller's partitions lost with their machines
-	LastLossAt        api.Time // when the last of them was known to be lost
-	PreemptedTasks    int      // tasks that this controller's partitions stopped for more urgent work
-	CompletedSeconds  float64  // the total runtime of the tasks that were seen to complete
-	CompletedTasks    int      // how many were seen to complete
+	Unplaceable       bool     // it has waited too long, and no capacity will become available in its partition
+	UnmetSince        api.Time // since when it has found no free capacity in its partition while other jobs start
+	UnmetSeenAt       api.Time // when this was last observed
+	LostTasks         int      // tasks lost with their machines in this controller's partitions
+	LastLossAt        api.Time // when the last such loss was detected
+	PreemptedTasks    int      // tasks preempted in this controller's partitions
+	CompletedSeconds  float64  // total runtime of the observed completed tasks
+	CompletedTasks    int      // number of observed completed tasks
 }
--- a/controller/core/views.go
+++ b/controller/core/views.go
@@ -1,15 +1,15 @@
 package core
 
-// This file holds what several components compute or show for operators.
+// This file defines views for operators that several components compute or show.
 
 import (
 	"basaltwall/api"
 	"basaltwall/reservation"
 )
 
-// FragmentationView is the free accelerators of a partition's machines of one type and zone that
-// typical demands can't use. They are weighted by how typical each demand is, so what a rare one
-// can't use counts for little.
+// FragmentationView is the number of free accelerators on a partition's machines of one type and
+// zone, and how many of them are unusable for typical demands. Demands are weighted by their
+// frequency.
 type FragmentationView struct {
 	Partition api.PartitionID     `json:"part"`
 	Type      api.MachineTypeName `json:"type"`
@@ -18,9 +18,9 @@
 	Unusable  float64             `json:"lost"`
 }
 
-// ReservationMetrics is what a controller knows of the reservation ledger that it has read.
+// ReservationMetrics summarizes the reservation ledger as read by this controller.
 type ReservationMetrics struct {
-	Kinds       []reservation.Counts                 `json:"kinds"` // today, of all depots together
+	Kinds       []reservation.Counts                 `json:"kinds"` // today, over all depots
 	Refused     map[reservation.RefusalReason]uint64 `json:"refused"`
 	Records     uint64                               `json:"records_written"`
 	Conflicts   uint64                               `json:"conflicts"`
