--- a/controller/rounds/archive.go
+++ b/controller/rounds/archive.go
@@ -1,6 +1,6 @@
 package rounds
 
-// This file replaces the records of finished jobs by their results.
+// This file archives finished jobs: it replaces their records with their results.
 
 import (
 	"encoding/json"
@@ -14,12 +14,12 @@
 	"basaltwall/controller/message"
 )
 
-// archiveInterval is how often a partition's finished jobs are archived.
+// archiveInterval is the time between two archivals of a partition's finished jobs.
 const archiveInterval = 2 * time.Second
 
-// archiveJobs replaces the keys of finished jobs by their results. Only the owner of a job's
-// first task does so, and only when no placement of the job is left: every start is conditional
-// on the job's key, so none can follow.
+// archiveJobs replaces the records of finished jobs with their results. Only the owner of a job's
+// first task does so, and only when no placement of the job is left. Every start is conditional on
+// the job's key, so no start can follow.
 func (s *Scheduler) archiveJobs(owned *core.OwnedPartition) {
 	if owned.ArchivingResults || owned.HandingOver || s.core.Now < owned.NextArchive {
 		return
@@ -34,7 +34,7 @@
 	s.core.CallStoreTxn(txn, func(message.StoreResponse) { owned.ArchivingResults = false })
 }
 
-// archiveTxn replaces the records of as many finished jobs as fit into a transaction.
+// archiveTxn returns a transaction that archives as many finished jobs as fit into it.
 func (s *Scheduler) archiveTxn(owned *core.OwnedPartition) api.Txn {
 	var txn api.Txn
 	for _, id := range slices.Sorted(maps.Keys(s.core.State.FinishedJobs)) {
@@ -52,8 +52,8 @@
 	return txn
 }
 
-// archiveWrites replaces the record of a job by its result and, if it is a tenant's, adds it to
-// the tenant's history.
+// archiveWrites returns the writes that replace a job's record with its result and, for a tenant's
+// job, add it to the tenant's history.
 func (s *Scheduler) archiveWrites(j *core.Job) []api.Write {
 	result, _ := json.Marshal(j.State()) // a string can always be encoded
 	writes := []api.Write{{Drop: clusterstate.KeyJob + string(j.ID)}, {Put: clusterstate.KeyJobResult + string(j.ID), Value: result}}
--- a/controller/rounds/capacity.go
+++ b/controller/rounds/capacity.go
@@ -1,6 +1,6 @@
 package rounds
 
-// This file tells what is free on machines and where a job's tasks are.
+// This file computes the free capacity of machines and the zones of a job's tasks.
 
 import (
 	"slices"
@@ -15,8 +15,8 @@
 	return s.siblings.Eligibility.UnschedulableReason(m, owned) == core.Schedulable
 }
 
-// FreeCapacityOn is the free capacity of a machine: its capacity less all that is or may be on
-// it. It is zero where an unknown task runs, as that may take anything.
+// FreeCapacityOn returns the capacity of a machine less the demand of all tasks that are or may be
+// on it. It is zero for a machine with an unknown task, whose demand is unknown.
 func (s *Scheduler) FreeCapacityOn(m *core.Machine, owned *core.OwnedPartition) api.Resources {
 	machineType := s.core.MachineTypes[m.MachineType]
 	if machineType == nil || m.HasUnknownTasks {
@@ -25,8 +25,8 @@
 	return machineType.Capacity().Minus(m.UntrackedUsage).Minus(owned.InFlightDemand[m.ID]).Minus(s.core.State.Allocated(m.ID))
 }
 
-// PendingImageFetches is what images a machine has still to fetch for its tasks, as far as is
-// known.
+// PendingImageFetches returns the images that a machine has still to fetch for its tasks, as far as
+// is known.
 func (s *Scheduler) PendingImageFetches(m *core.Machine) []sched.ImageFetch {
 	var fetches []sched.ImageFetch
 	for _, placement := range s.core.State.PlacementsOn(m.ID) {
@@ -54,8 +54,8 @@
 	return !placement.OwnerState.Reported || placement.OwnerState.State == api.TaskFetching
 }
 
-// TaskZones counts a job's tasks by zone, those that may still be there included; known is false
-// when a machine's zone is not known.
+// TaskZones counts a job's tasks by zone, including tasks that may still run; known is false if the
+// zone of a machine is not known.
 func (s *Scheduler) TaskZones(j *core.Job) (zones map[api.Zone]int, known bool) {
 	zones, known = map[api.Zone]int{}, true
 	for _, placement := range j.Placements {
@@ -72,8 +72,8 @@
 	return zones, known
 }
 
-// MachineZone is a machine's zone by its own heartbeats or by the cloud's list, which alone tells
-// it of other partitions' machines. It is empty if neither has yet.
+// MachineZone returns a machine's zone as reported by heartbeats or, for machines of other
+// partitions, as listed by the cloud. It is empty if the zone is not known yet.
 func (s *Scheduler) MachineZone(id api.MachineID) api.Zone {
 	if m := s.core.Machines[id]; m != nil && m.Zone != "" {
 		return m.Zone
--- a/controller/rounds/checkpoint.go
+++ b/controller/rounds/checkpoint.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// checkpointReserveBytes is what a piece of a checkpoint leaves of a value for its encoding.
+	// checkpointReserveBytes is the part of a value that a piece of a checkpoint leaves for its
+	// encoding.
 	checkpointReserveBytes = 64
-	// checkpointTxnKB is how much of a checkpoint one transaction writes.
+	// checkpointTxnKB limits the pieces of a checkpoint in one transaction.
 	checkpointTxnKB = 56
 )
 
-// maybeCheckpoint writes the partition's state when enough rounds have passed, so that recovery
-// reads a bounded amount and the ring of records can be reused.
+// maybeCheckpoint writes the partition's state when enough rounds have passed, so that a recovery
+// reads a bounded number of records and the ring of records can be reused.
 func (s *Scheduler) maybeCheckpoint(owned *core.OwnedPartition) {
 	partition := &s.core.State.Partitions[owned.ID]
 	if owned.Checkpointing || owned.HandingOver || partition.RoundSeq < partition.CheckpointHead.Seq+clusterstate.RingSize/2 || s.core.Now < owned.NextArchive {
@@ -28,15 +29,16 @@
 	}
 	writes, err := s.core.State.CheckpointWrites(owned.ID, s.valueBytes()-checkpointReserveBytes)
 	if err != nil {
-		slog.Error("checkpoint not encoded", "err", err)
+		slog.Error("checkpoint could not be encoded", "err", err)
 		return
 	}
 	owned.Checkpointing = true
 	s.writeCheckpointPieces(owned, writes)
 }
 
-// writeCheckpointPieces writes the next few pieces; the head, which makes them count, is in the
-// last transaction. Each is conditional on the versions it replaces.
+// writeCheckpointPieces writes the next pieces of a checkpoint in one transaction. The last
+// transaction contains the head, which makes the checkpoint valid. Each transaction is conditional
+// on the versions of the values that it replaces.
 func (s *Scheduler) writeCheckpointPieces(owned *core.OwnedPartition, writes []api.Write) {
 	state := s.core.Config.Deployment.State
 	count := min(len(writes), state.TxnOps, max(1, int(checkpointTxnKB/state.ValueKB)))
@@ -63,7 +65,7 @@
 	})
 }
 
-// finishCheckpoint makes a checkpoint, whose head was written last, the current one.
+// finishCheckpoint makes a completely written checkpoint the current one.
 func (s *Scheduler) finishCheckpoint(owned *core.OwnedPartition, headWrite api.Write) {
 	var head clusterstate.CheckpointHeadValue
 	if json.Unmarshal(headWrite.Value, &head) == nil {
@@ -72,7 +74,8 @@
 	owned.Checkpointing, owned.Dirty = false, true
 }
 
-// retryCheckpoint has a checkpoint written afresh, with the versions as they are by then.
+// retryCheckpoint allows a new checkpoint after a read of the log, which updates the versions of
+// its keys.
 func (s *Scheduler) retryCheckpoint(owned *core.OwnedPartition) {
 	owned.NextArchive = s.core.Now.Add(core.RetryDelay)
 	allowCheckpoint := func() { owned.Checkpointing = false }
--- a/controller/rounds/commit.go
+++ b/controller/rounds/commit.go
@@ -1,6 +1,6 @@
 package rounds
 
-// This file writes the record of a round and acts on it once it is durable.
+// This file commits the record of a round and applies it once it is durable.
 
 import (
 	"encoding/json"
@@ -14,8 +14,7 @@
 	"basaltwall/controller/message"
 )
 
-// statusUnknown is the status of a call that was not answered: its transaction may have taken
-// effect.
+// statusUnknown is the status of a call without a response: its transaction may have taken effect.
 const statusUnknown = 0
 
 // IsRecordRingFull reports whether the next record would overwrite one that no checkpoint covers.
@@ -24,11 +23,11 @@
 	return partition.RoundSeq+1 >= partition.CheckpointHead.Seq+clusterstate.RingSize
 }
 
-// CommitRound begins to write a round. Its record goes first among the writes.
+// CommitRound starts to write a round. The record is the first write of its transaction.
 func (s *Scheduler) CommitRound(owned *core.OwnedPartition, round *core.PendingRound) {
 	body, err := json.Marshal(round.Record)
 	if err != nil {
-		slog.Error("round not encoded", "err", err)
+		slog.Error("round record could not be encoded", "err", err)
 		return
 	}
 	slot := clusterstate.RoundKey(owned.ID, round.Record.Seq)
@@ -45,9 +44,8 @@
 	s.sendRound(owned)
 }
 
-// sendRound sends the round's record. Until the outcome is known the very same transaction is
-// sent again: it can take effect once at most, since its slot must still have the version it had
-// before.
+// sendRound sends the transaction of a round. The same transaction is sent again until its outcome
+// is known. It takes effect at most once, because it is conditional on the version of its slot.
 func (s *Scheduler) sendRound(owned *core.OwnedPartition) {
 	round := owned.InFlight
 	s.core.CallStoreTxn(round.Txn, func(response message.StoreResponse) {
@@ -57,25 +55,24 @@
 	})
 }
 
-// isInFlight reports whether a round is still the one that an owned partition writes.
+// isInFlight reports whether a partition is still writing the given round.
 func (s *Scheduler) isInFlight(owned *core.OwnedPartition, round *core.PendingRound) bool {
 	return s.core.Partitions[owned.ID] == owned && owned.InFlight == round
 }
 
-// handleRoundResponse decides by the answer whether the round is committed, abandoned or sent
-// again.
+// handleRoundResponse commits, abandons or resends a round depending on the response.
 func (s *Scheduler) handleRoundResponse(owned *core.OwnedPartition, round *core.PendingRound, response message.StoreResponse) {
 	round.OutcomeUnknown = round.OutcomeUnknown || response.Status == statusUnknown
 	switch {
 	case response.Status == api.StatusOK && round.Transfer:
-		// The log has it in its order among other transfers: a checkpoint counts on that.
+		// Transfers are applied in the order of the log, on which checkpoints depend.
 		s.resolveRound(owned, round)
 	case response.Status == api.StatusOK:
 		s.ApplyCommittedRound(owned, response.Txn.Revision)
 	case response.Status == api.StatusConflict && slices.Contains(response.Txn.Failed, clusterstate.PartitionKey(clusterstate.KeyPartition, owned.ID)):
 		s.loseOwnership(owned)
 	case response.Status == api.StatusConflict && slices.Contains(response.Txn.Failed, recordSlot(round)):
-		// An earlier sending may have taken effect: the cluster state tells.
+		// An earlier attempt may have taken effect; the cluster state shows it.
 		s.resolveRound(owned, round)
 	case response.Status == api.StatusConflict:
 		// A job has changed, so this record can never be written.
@@ -88,10 +85,10 @@
 	}
 }
 
-// recordSlot is the key that a committed round's record is written to.
+// recordSlot returns the key of the record of a round.
 func recordSlot(round *core.PendingRound) string { return round.Txn.Writes[0].Put }
 
-// retryRound sends a round again a little later.
+// retryRound sends a round again after a delay.
 func (s *Scheduler) retryRound(owned *core.OwnedPartition, round *core.PendingRound) {
 	s.core.DeferCall(func() {
 		if s.isInFlight(owned, round) {
@@ -100,13 +97,13 @@
 	})
 }
 
-// resolveRound finds out by the log whether a round has been written.
+// resolveRound reads the log to determine whether a round has been written.
 func (s *Scheduler) resolveRound(owned *core.OwnedPartition, round *core.PendingRound) {
 	s.siblings.Follower.LinearizableRead(func() { s.abandonRound(owned, round) }, func() { s.retryRound(owned, round) })
 }
 
-// abandonRound drops a record that has not been written and never can be, now that the cluster
-// state is up to date. If it has been written after all, it is acted on.
+// abandonRound drops a round that can no longer be written. If the cluster state, which is up to
+// date here, shows that it has been written, it is applied instead.
 func (s *Scheduler) abandonRound(owned *core.OwnedPartition, round *core.PendingRound) {
 	if !s.isInFlight(owned, round) {
 		return
@@ -123,8 +120,8 @@
 	owned.Dirty = true
 }
 
-// ApplyCommittedRound acts on the partition's round in flight, whose record has been written at a
-// revision: only now are its starts sent.
+// ApplyCommittedRound applies a partition's round in flight, whose record was written at the given
+// revision. Its starts are only sent now.
 func (s *Scheduler) ApplyCommittedRound(owned *core.OwnedPartition, revision api.Revision) {
 	round := owned.InFlight
 	owned.InFlight, owned.InFlightDemand = nil, nil
@@ -146,7 +143,7 @@
 	owned.Dirty = true
 }
 
-// countCommittedRound counts a round that has been written in the metrics.
+// countCommittedRound updates the metrics with a committed round.
 func (s *Scheduler) countCommittedRound(round *core.PendingRound) {
 	s.core.Metrics.Rounds++
 	s.core.Metrics.Starts += uint64(len(round.Starts))
@@ -160,7 +157,7 @@
 	}
 }
 
-// logFinishedJobs logs the jobs that a record has completed.
+// logFinishedJobs logs the jobs completed by a record.
 func (s *Scheduler) logFinishedJobs(record *clusterstate.Record) {
 	for _, delta := range record.Jobs {
 		if j := s.core.State.Jobs[delta.Job]; j != nil && len(delta.Completed) > 0 && j.State() == api.JobDone {
--- a/controller/rounds/flow.go
+++ b/controller/rounds/flow.go
@@ -1,7 +1,7 @@
 package rounds
 
-// This file composes the input of a round's flow problem from the partition's machines and its
-// pending tasks, and turns the solution into starts.
+// This file builds a round's flow problem from the partition's machines and pending tasks, and
+// turns its solution into starts.
 
 import (
 	"log/slog"
@@ -14,20 +14,20 @@
 	"basaltwall/sched"
 )
 
-// flowProblem is a round's flow problem and what its parts stand for.
+// flowProblem is a round's flow problem, with the machines and jobs that its indices refer to.
 type flowProblem struct {
 	owned            *core.OwnedPartition
-	round            *core.PendingRound // the ends that it records make room for starts
+	round            *core.PendingRound // its recorded ends free capacity for starts
 	input            *sched.Input
 	machines         []*core.Machine // by their index in the input
 	jobs             []*core.Job     // by their index in the input
-	schedulableCount int             // machines that may get new tasks, full ones included
+	schedulableCount int             // number of schedulable machines, including full ones
 	schedulableCPUs  float64
 	teamUsage        map[api.Team]api.Resources
 	incomingMachines func() map[core.MachineOffer]int
 }
 
-// scheduleTasks finds machines for the partition's pending tasks and notes which demand is unmet.
+// scheduleTasks assigns the partition's pending tasks to machines and records unmet demand.
 func (s *Scheduler) scheduleTasks(owned *core.OwnedPartition, round *core.PendingRound, maxStarts int) []*core.Placement {
 	resetDemand(owned)
 	pendingJobs, smallestDemand := s.pendingJobs(owned)
@@ -60,7 +60,7 @@
 	return starts
 }
 
-// resetDemand forgets what the round before found unmet.
+// resetDemand clears the unmet demand of the previous round.
 func resetDemand(owned *core.OwnedPartition) {
 	owned.ShortTypes = nil
 	owned.QuotaDemand = map[api.Team]api.Resources{}
@@ -70,8 +70,8 @@
 	owned.PendingTaskCount = 0
 }
 
-// pendingJobs lists the jobs of which tasks may start in the partition, and the least that a task
-// of any of them takes of each resource.
+// pendingJobs returns the jobs with tasks that may start in the partition, and the minimum of their
+// tasks' demands for each resource.
 func (s *Scheduler) pendingJobs(owned *core.OwnedPartition) (jobs []*core.Job, smallestDemand api.Resources) {
 	for _, id := range slices.Sorted(maps.Keys(s.core.State.PendingJobs)) {
 		j := s.core.State.PendingJobs[id]
@@ -98,8 +98,8 @@
 	return jobs, smallestDemand
 }
 
-// unreservedQuota is what each team may still start in the partition, less what is reserved for
-// jobs of other partitions that must start.
+// unreservedQuota returns the quota that each team has left in the partition, less the quota
+// reserved for jobs of other partitions that must start.
 func (s *Scheduler) unreservedQuota(owned *core.OwnedPartition) map[api.Team]api.Resources {
 	remaining := s.core.RemainingQuota(owned.ID)
 	for _, teams := range owned.ReservedQuota {
@@ -110,7 +110,8 @@
 	return remaining
 }
 
-// addMachines adds the partition's schedulable machines that have free capacity for something.
+// addMachines adds the partition's schedulable machines whose free capacity covers the smallest
+// demand.
 func (s *Scheduler) addMachines(problem *flowProblem, smallestDemand api.Resources) {
 	for _, m := range s.siblings.Agents.MachinesOf(problem.owned.ID) {
 		if !s.IsSchedulable(m, problem.owned) {
@@ -127,7 +128,7 @@
 	}
 }
 
-// flowMachine describes a machine to the flow problem.
+// flowMachine returns a machine as input of the flow problem.
 func (s *Scheduler) flowMachine(m *core.Machine, free api.Resources) sched.Machine {
 	machineType := s.core.MachineTypes[m.MachineType]
 	return sched.Machine{
@@ -150,7 +151,7 @@
 	}
 }
 
-// addJobs adds those of the jobs of which tasks may start in this round.
+// addJobs adds the jobs with tasks that may start in this round.
 func (s *Scheduler) addJobs(problem *flowProblem, jobs []*core.Job) {
 	problem.teamUsage = s.core.TeamUsage()
 	problem.incomingMachines = sync.OnceValue(s.siblings.Autoscaler.IncomingMachines)
@@ -163,7 +164,7 @@
 	}
 }
 
-// flowJob describes a job to the flow problem; ok is false if none of its tasks may start.
+// flowJob returns a job as input of the flow problem; ok is false if none of its tasks may start.
 func (s *Scheduler) flowJob(problem *flowProblem, j *core.Job) (request sched.Job, ok bool) {
 	pending := s.startableTasks(problem.owned, j, problem.round, max(problem.schedulableCount, 1))
 	stage, waited := s.siblings.Backfiller.RoundStage(problem.owned, j)
@@ -173,7 +174,7 @@
 	}
 	zones, known := s.TaskZones(j)
 	if !known && (j.Spec.OneZone || j.Spec.Spread) {
-		return sched.Job{}, false // where its other tasks are is not known yet
+		return sched.Job{}, false // the zones of its other tasks are not known yet
 	}
 	request = sched.Job{
 		Spec:                j.Spec,
@@ -195,14 +196,14 @@
 		SpotRisk:            s.SpotRisk(j),
 	}
 	if len(j.OwnerState.FailedOn)*2 > problem.schedulableCount {
-		request.ExcludedMachines = nil // where it fails everywhere, the machines are not the cause
+		request.ExcludedMachines = nil // a job that fails on most machines is itself the cause
 	}
 	return request, true
 }
 
-// limitStarts leaves out pending tasks of a job that are not to start in this round: of an array
-// that has aged all but one, as its other tasks take their turn, and those that would take capacity
-// from the floors of other classes and teams. A gang starts as a whole or not at all.
+// limitStarts limits the pending tasks of a job that may start in this round: an aged array starts
+// at most one, and no task may use capacity in the floors of other classes and teams. A gang starts
+// as a whole or not at all.
 func (s *Scheduler) limitStarts(j *core.Job, pending []int, stage sched.AgingStage) []int {
 	if stage != sched.NotAged && j.Spec.Kind == api.Array {
 		pending = pending[:min(len(pending), 1)]
@@ -217,8 +218,8 @@
 	return pending[:allowed]
 }
 
-// startableTasks lists at most maxTasks of the job's tasks that are pending in this partition; a
-// gang's only when all of it can start.
+// startableTasks returns at most maxTasks pending tasks of a job in this partition; of a gang
+// either all tasks or none.
 func (s *Scheduler) startableTasks(owned *core.OwnedPartition, j *core.Job, round *core.PendingRound, maxTasks int) []int {
 	isGang := j.Spec.Kind == api.Gang
 	if isGang {
@@ -254,7 +255,7 @@
 	return true
 }
 
-// isStartable reports whether a task is not completed, and has no placement but one of this
+// isStartable reports whether a task is not completed and has no placement, except one of this
 // partition that the round records as terminated.
 func isStartable(owned *core.OwnedPartition, j *core.Job, round *core.PendingRound, task int) bool {
 	if j.Completed.Has(task) {
@@ -268,7 +269,7 @@
 	return ending && !done && placement.Partition == owned.ID
 }
 
-// recordFlowSize notes the size of the flow problem in the metrics.
+// recordFlowSize records the size of the flow problem in the metrics.
 func (s *Scheduler) recordFlowSize(problem *flowProblem) {
 	s.core.Metrics.FlowTasks, s.core.Metrics.FlowMachines = 0, len(problem.machines)
 	for i := range problem.input.Jobs {
@@ -276,8 +277,8 @@
 	}
 }
 
-// solve solves the flow problem. It returns the placements that are to start, and how many tasks
-// of each job they are.
+// solve solves the flow problem. It returns the placements to start, and the number of placed tasks
+// of each job.
 func (s *Scheduler) solve(problem *flowProblem) (starts []*core.Placement, placed []int) {
 	placed = make([]int, len(problem.jobs))
 	for _, assignment := range sched.PlanRound(problem.input) {
--- a/controller/rounds/ownership.go
+++ b/controller/rounds/ownership.go
@@ -9,8 +9,8 @@
 	"basaltwall/controller/core"
 )
 
-// BeginOwnership makes this controller the owner of a partition under a term. It adopts the
-// partition's tasks and machines with nothing known of them beyond the cluster state.
+// BeginOwnership makes this controller the owner of a partition under a term. The partition's tasks
+// and machines are known only from the cluster state at first.
 func (s *Scheduler) BeginOwnership(p api.PartitionID, term api.Revision) {
 	owned := &core.OwnedPartition{
 		ID:           p,
@@ -25,7 +25,7 @@
 	for placement := range s.core.State.PlacementsByPartition[p] {
 		s.adoptPlacement(owned, placement)
 	}
-	// The list that is known already tells where the machines are; the next may take long.
+	// Applies the latest machine list at once: the next one may take long.
 	s.siblings.Autoscaler.ReconcileMachineList()
 	for _, m := range s.siblings.Agents.MachinesOf(p) {
 		m.CommandToken, m.UncertainToken, m.MissedCalls, m.DiscoveredAt = s.core.MinToken(owned, m.ID), 0, 0, s.core.Now
@@ -36,8 +36,8 @@
 	slog.Info("partition acquired", "partition", p, "term", term, "tasks", len(s.core.State.PlacementsByPartition[p]))
 }
 
-// adoptPlacement forgets what an earlier ownership knew of a placement, and has its machine
-// contacted or, if that is deleted, its end recorded.
+// adoptPlacement resets the tracking of a placement and adds its machine to the known ones. If the
+// machine is deleted, the end of the task is recorded instead.
 func (s *Scheduler) adoptPlacement(owned *core.OwnedPartition, placement *core.Placement) {
 	s.core.State.SetFinishing(placement, false)
 	tracking := &placement.OwnerState
@@ -52,8 +52,7 @@
 	}
 }
 
-// loseOwnership drops a partition whose record can't be written any more, as another controller
-// owns it.
+// loseOwnership drops a partition whose rounds are refused because another controller owns it.
 func (s *Scheduler) loseOwnership(owned *core.OwnedPartition) {
 	if s.core.Partitions[owned.ID] == owned {
 		delete(s.core.Partitions, owned.ID)
--- a/controller/rounds/plan.go
+++ b/controller/rounds/plan.go
@@ -1,7 +1,7 @@
 package rounds
 
-// This file composes the record of a round: the ends that evidence has shown, the cancellations
-// that can be acknowledged, and new starts.
+// This file plans a round and composes its record: ends of tasks, acknowledgements of
+// cancellations, and new starts.
 
 import (
 	"cmp"
@@ -13,24 +13,25 @@
 	"basaltwall/controller/core"
 )
 
-// What entries take of a record at most, in bytes, and what is left for the rest of it.
+// Maximum sizes of the entries of a record, and the space reserved for the rest of it, in bytes.
 const (
 	recordReserveBytes = 512
-	jobDeltaBytes      = 48 // a job that the record names, without tasks
+	jobDeltaBytes      = 48 // the entry of a job, without tasks
 	taskEndBytes       = 8
 	maxEntryBytes      = 64 // a job with one end, a start, or an acknowledgement
 )
 
-// RoundByteBudget is how many bytes of a round's record may be starts and ends: the record must
-// fit into a value.
+// RoundByteBudget returns the maximum size of the starts and ends in a round's record, in bytes:
+// the record must fit into a value.
 func (s *Scheduler) RoundByteBudget() int { return s.valueBytes() - recordReserveBytes }
 
-// RoundConditionBudget is on how many jobs' versions a round may be conditional.
+// RoundConditionBudget returns the maximum number of jobs on whose versions a round may be
+// conditional.
 func (s *Scheduler) RoundConditionBudget() int {
 	return 4*s.core.Config.Deployment.State.TxnOps - 4
 }
 
-// roundBuilder composes a round within the bounds of its transaction.
+// roundBuilder composes a round within the limits of its transaction.
 type roundBuilder struct {
 	owned           *core.OwnedPartition
 	round           *core.PendingRound
@@ -38,7 +39,7 @@
 	conditionalJobs map[api.JobID]bool // jobs on whose version the round is conditional
 	namedPools      map[api.PoolName]bool
 	bytesLeft       int
-	maxConditions   int // on jobs
+	maxConditions   int // maximum size of conditionalJobs
 }
 
 func (s *Scheduler) newRoundBuilder(owned *core.OwnedPartition) *roundBuilder {
@@ -60,8 +61,8 @@
 	return b
 }
 
-// PlanRound composes a round of a partition: the ends that evidence has shown, then new starts.
-// What does not fit is left to the next round, for which the partition is marked dirty.
+// PlanRound plans a round of a partition: first ends of tasks, then new starts. Entries that don't
+// fit are left to the next round, for which the partition is marked dirty.
 func (s *Scheduler) PlanRound(owned *core.OwnedPartition) *core.PendingRound {
 	b := s.newRoundBuilder(owned)
 	for _, placement := range slices.SortedFunc(maps.Keys(owned.PendingEnds), comparePlacements) {
@@ -87,7 +88,7 @@
 	return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index))
 }
 
-// delta is what the round records of a job.
+// delta returns the round's entry of a job, which is added if there is none.
 func (b *roundBuilder) delta(j *core.Job) *clusterstate.JobDelta {
 	d := b.deltas[j.ID]
 	if d == nil {
@@ -97,8 +98,8 @@
 	return d
 }
 
-// exceedsConditions reports whether a round that is conditional on a job's version would have
-// too many conditions.
+// exceedsConditions reports whether a condition on a job's version would exceed the limit on
+// conditions.
 func (b *roundBuilder) exceedsConditions(id api.JobID) bool {
 	return !b.conditionalJobs[id] && len(b.conditionalJobs) >= b.maxConditions
 }
@@ -130,10 +131,9 @@
 	delete(b.owned.PendingEnds, placement)
 }
 
-// isCompletion reports whether the end of a placement is recorded as a completion. The evidence
-// may have come before the cancellation of its job: a completion that is not recorded by then
-// never is, or the job would be called done after it was called cancelled. When one task of a
-// gang is done, all are.
+// isCompletion reports whether the end of a placement is recorded as a completion. No completion is
+// recorded after the cancellation of the job: otherwise a job reported as cancelled could be
+// reported as done later. When one task of a gang is done, all are.
 func (b *roundBuilder) isCompletion(placement *core.Placement) bool {
 	if placement.Job.Cancelled {
 		return false
@@ -153,8 +153,8 @@
 	return false
 }
 
-// acknowledgeCancellations stops the tasks of cancelled jobs and records for which of them the
-// partition can start none any more.
+// acknowledgeCancellations stops the tasks of cancelled jobs and acknowledges the cancellation of
+// those that can't start tasks in the partition any more.
 func (s *Scheduler) acknowledgeCancellations(b *roundBuilder) {
 	for _, id := range slices.Sorted(maps.Keys(s.core.State.CancellingJobs)) {
 		j := s.core.State.CancellingJobs[id]
@@ -171,8 +171,8 @@
 	}
 }
 
-// addStart records a start, which makes the round conditional on the job's version and on the
-// pools that it takes units of.
+// addStart records a start, which makes the round conditional on the versions of the job and of the
+// pools from which it takes units.
 func (b *roundBuilder) addStart(start *core.Placement) {
 	if b.exceedsConditions(start.Job.ID) || !core.AddRoundPools(b.namedPools, start.Job.Spec.Needs) {
 		b.owned.Dirty = true
@@ -185,7 +185,7 @@
 	b.round.Starts = append(b.round.Starts, start)
 }
 
-// finishJobDeltas puts what is recorded of each job, and the conditions on jobs, into the round.
+// finishJobDeltas adds the entries of jobs, and the conditions on their versions, to the round.
 func (s *Scheduler) finishJobDeltas(b *roundBuilder) {
 	for _, id := range slices.Sorted(maps.Keys(b.deltas)) {
 		b.round.Record.Jobs = append(b.round.Record.Jobs, *b.deltas[id])
--- a/controller/rounds/rate.go
+++ b/controller/rounds/rate.go
@@ -1,8 +1,8 @@
 package rounds
 
-// This file says how often rounds are written. Rounds may take half of the state service's
-// writes. That is shared by the partitions that write rounds, as the log tells, and not by all
-// there are: of many most have nothing to do at a time.
+// This file limits the rate of rounds to half of the state service's write limit. That half is
+// divided among the partitions that write rounds, according to the log, and not among all
+// partitions, since most of many partitions are idle at any time.
 
 import (
 	"time"
@@ -11,23 +11,23 @@
 	"basaltwall/controller/core"
 )
 
-// roundRate is what the rate of rounds follows from.
+// roundRate is the state from which the interval between rounds is computed.
 type roundRate struct {
-	lastSequence []uint64   // by partition, its latest round
-	observedAt   []api.Time // and when that was first known here
-	refusedAt    api.Time   // the state service last refused a round for its limits
+	lastSequence []uint64   // sequence number of the latest round, by partition
+	observedAt   []api.Time // when that round was first observed, by partition
+	refusedAt    api.Time   // when the state service last refused a round because of its rate limit
 }
 
 const (
-	// activeWindow is how long after a round a partition counts as one that writes.
+	// activeWindow is the time after a round during which a partition counts as active.
 	activeWindow = 2 * time.Second
-	// backoffHold is how long after a refusal the writes are shared by all partitions, and
-	// backoffRecovery how long it takes from then on until only those that write count.
+	// backoffHold is the time after a refusal during which all partitions count as active. Over the
+	// subsequent backoffRecovery, the interval returns to that of the active partitions.
 	backoffHold     = 3 * time.Second
 	backoffRecovery = 10 * time.Second
 )
 
-// ObserveRounds notes which partitions write rounds.
+// ObserveRounds updates the latest round of each partition.
 func (s *Scheduler) ObserveRounds() {
 	partitions := s.core.State.Partitions
 	rate := &s.roundRate
@@ -41,7 +41,7 @@
 	}
 }
 
-// activePartitions counts the partitions that have written a round lately.
+// activePartitions counts the partitions that wrote a round within activeWindow.
 func (s *Scheduler) activePartitions() int {
 	active := 0
 	for _, at := range s.roundRate.observedAt {
@@ -52,9 +52,9 @@
 	return active
 }
 
-// currentRoundInterval is the time between two rounds of a partition, as of now. It assumes at
-// least as many partitions that write as there are relays: some that begin at the same moment
-// are within the limit, and with no more partitions than that nothing depends on who writes.
+// currentRoundInterval returns the current time between two rounds of a partition. It counts at
+// least MaxRelays partitions as active, so that partitions which become active at the same time
+// stay within the limit. With no more partitions than that, the interval is constant.
 func (s *Scheduler) currentRoundInterval() time.Duration {
 	partitionCount := len(s.core.State.Partitions)
 	writers := min(partitionCount, max(s.activePartitions(), s.core.MaxRelays))
@@ -68,5 +68,5 @@
 	return s.core.RoundInterval - time.Duration(recovered*float64(s.core.RoundInterval-shared))
 }
 
-// backOffRounds notes that the state service refused a round for its limits.
+// backOffRounds notes that the state service refused a round because of its rate limit.
 func (s *Scheduler) backOffRounds() { s.roundRate.refusedAt = s.core.Now }
--- a/controller/rounds/rate_test.go
+++ b/controller/rounds/rate_test.go
@@ -11,8 +11,8 @@
 	"basaltwall/controller/core"
 )
 
-// manyPartitions is the scheduler of a controller among so many, with as many partitions.
-func manyPartitions(t *testing.T, count int) *Scheduler {
+// newTestScheduler returns the scheduler of one of count controllers, with count partitions.
+func newTestScheduler(t *testing.T, count int) *Scheduler {
 	t.Helper()
 	var peers []string
 	for i := range count - 1 {
@@ -31,55 +31,56 @@
 	return New(shared)
 }
 
-// However many partitions write rounds, together they stay within half of the writes; those that
-// write nothing leave theirs to the others. With few nothing depends on who writes.
+// All active partitions together stay within half of the write limit. Idle partitions leave their
+// share to the others. With few partitions the interval is constant.
 func TestRoundsShareWriteBudget(t *testing.T) {
 	for _, all := range []int{1, 3, 7, 23} {
 		for active := range all + 1 {
-			s := manyPartitions(t, all)
+			s := newTestScheduler(t, all)
 			s.ObserveRounds()
 			s.core.Now = s.core.Now.Add(time.Minute)
 			for i := range active {
 				s.core.State.Partitions[i].RoundSeq++
 			}
 			s.ObserveRounds()
-			pause := s.currentRoundInterval()
-			if rate := float64(active) / pause.Seconds(); rate > 1.001*0.5*50 {
+			interval := s.currentRoundInterval()
+			if rate := float64(active) / interval.Seconds(); rate > 1.001*0.5*50 {
 				t.Errorf("%d of %d partitions write %.1f rounds a second", active, all, rate)
 			}
-			if all <= s.core.MaxRelays && pause != s.core.RoundInterval {
-				t.Errorf("%d of %d: %v, expected %v", active, all, pause, s.core.RoundInterval)
+			if all <= s.core.MaxRelays && interval != s.core.RoundInterval {
+				t.Errorf("%d of %d partitions active: interval %v, expected %v", active, all, interval, s.core.RoundInterval)
 			}
-			if active <= s.core.MaxRelays && all > s.core.MaxRelays && pause >= s.core.RoundInterval {
-				t.Errorf("%d of %d: %v, as if all wrote", active, all, pause)
+			if active <= s.core.MaxRelays && all > s.core.MaxRelays && interval >= s.core.RoundInterval {
+				t.Errorf("%d of %d partitions active: interval %v, as if all were active", active, all, interval)
 			}
 			s.core.Now = s.core.Now.Add(2 * activeWindow)
-			if s.ObserveRounds(); s.currentRoundInterval() > pause {
-				t.Errorf("%d of %d: slower once they are idle", active, all)
+			if s.ObserveRounds(); s.currentRoundInterval() > interval {
+				t.Errorf("%d of %d partitions active: interval grows once they are idle", active, all)
 			}
 		}
 	}
 }
 
-// A refusal makes rounds as rare as if all partitions wrote, at once, and they come back slowly.
+// A refusal lengthens the interval at once, as if all partitions were active; the interval recovers
+// gradually.
 func TestRefusalBacksOffRounds(t *testing.T) {
-	s := manyPartitions(t, 23)
+	s := newTestScheduler(t, 23)
 	s.ObserveRounds()
 	fast := s.currentRoundInterval()
 	s.backOffRounds()
 	if got := s.currentRoundInterval(); got != s.core.RoundInterval || got <= fast {
-		t.Errorf("%v after a refusal, %v before", got, fast)
+		t.Errorf("interval %v after a refusal, %v before", got, fast)
 	}
 	last := s.currentRoundInterval()
 	for range 20 {
 		s.core.Now = s.core.Now.Add(time.Second)
 		if got := s.currentRoundInterval(); got > last {
-			t.Errorf("slower by itself: %v after %v", got, last)
+			t.Errorf("interval grows during recovery: %v after %v", got, last)
 		} else {
 			last = got
 		}
 	}
 	if last != fast {
-		t.Errorf("%v in the end, %v before", last, fast)
+		t.Errorf("interval %v after recovery, %v before the refusal", last, fast)
 	}
 }
--- a/controller/rounds/scheduler.go
+++ b/controller/rounds/scheduler.go
@@ -1,10 +1,10 @@
-// Package rounds runs the rounds of the partitions that a controller owns. A round records in one
-// transaction which tasks have ended and which start where; only once that record is durable do
-// the starts take effect. The package also writes the checkpoints that bound how many records a
-// recovery reads, and replaces the records of finished jobs by their results.
+// Package rounds runs the scheduling rounds of a controller's partitions. A round records ends and
+// starts of tasks in one transaction; the starts take effect once the record is durable. The
+// package also writes checkpoints, which bound the number of records that a recovery reads, and
+// archives finished jobs.
 //
-// The state of a partition's rounds is in core.OwnedPartition, and what is durable of them in
-// core.ClusterState. The Scheduler itself only keeps how often rounds were written lately.
+// The state of a partition's rounds is in core.OwnedPartition, and its durable part in
+// core.ClusterState. Scheduler itself only tracks the recent rate of rounds.
 package rounds
 
 import (
@@ -26,11 +26,11 @@
 	return &Scheduler{core: shared}
 }
 
-// Connect sets the other components that the scheduler asks.
+// Connect sets the other components that the scheduler uses.
 func (s *Scheduler) Connect(siblings Siblings) { s.siblings = siblings }
 
-// RunPartition does what is due for an owned partition: a checkpoint, the results of finished
-// jobs, and a round if something has changed since the last one.
+// RunPartition does the work that is due for an owned partition: a checkpoint, archiving,
+// rebalancing, reservations, and a round if something has changed since the last one.
 func (s *Scheduler) RunPartition(owned *core.OwnedPartition) {
 	s.maybeCheckpoint(owned)
 	s.archiveJobs(owned)
@@ -55,8 +55,8 @@
 	s.CommitRound(owned, round)
 }
 
-// isRecheckDue reports whether a round should look again at jobs that the last one left out, or
-// found no free capacity for, although nothing has changed.
+// isRecheckDue reports whether a round should retry jobs that the last round left out, or found no
+// free capacity for, although nothing has changed.
 func (s *Scheduler) isRecheckDue(owned *core.OwnedPartition) bool {
 	sincePlanned := s.core.Now.Sub(owned.PlannedAt)
 	return owned.UnexaminedJobs > 0 && sincePlanned >= core.DeferredJobsInterval ||
@@ -77,13 +77,13 @@
 	return len(record.Jobs) == 0 && len(record.QuotaTransfers) == 0 && len(record.Reservations) == 0
 }
 
-// valueBytes is how large a value of the state service may be.
+// valueBytes returns the state service's limit on the size of a value.
 func (s *Scheduler) valueBytes() int {
 	return int(s.core.Config.Deployment.State.ValueKB * 1024)
 }
 
-// ownsFirstTask reports whether the first task of a job is in the partition: its owner decides
-// what concerns the job as a whole.
+// ownsFirstTask reports whether the first task of a job is in the partition, whose owner makes the
+// decisions for the job as a whole.
 func ownsFirstTask(p api.PartitionID, j *core.Job) bool {
 	return len(j.Split) > 0 && j.Split[0].Partition == p
 }
--- a/controller/rounds/tasks.go
+++ b/controller/rounds/tasks.go
@@ -1,6 +1,6 @@
 package rounds
 
-// This file stops tasks and notes that they have ended.
+// This file stops tasks and records their ends.
 
 import (
 	"log/slog"
@@ -8,9 +8,9 @@
 	"basaltwall/controller/core"
 )
 
-// RecordTaskEnd notes evidence that a task's placement is over; the partition's next round
-// records it. The task has completed if done is set. The reason only appears in the log, except
-// for those of core, with which a task counts as lost.
+// RecordTaskEnd marks a placement as ended; the partition's next round records the end. The task is
+// completed if done is set. The reason is logged, and with the end reasons of package core the task
+// counts as lost.
 func (s *Scheduler) RecordTaskEnd(owned *core.OwnedPartition, placement *core.Placement, done bool, reason string) {
 	if placement.Finishing {
 		return
@@ -30,7 +30,8 @@
 	slog.Info("task ended", core.TenantAttr(placement.Job), "task", placement.Task, "machine", placement.Machine, "reason", reason)
 }
 
-// StopTask has a task stopped, with the grace period that it needs to write its checkpoint.
+// StopTask requests the stop of a task, with the grace period that it needs to write its
+// checkpoint.
 func (s *Scheduler) StopTask(placement *core.Placement) {
 	if placement.OwnerState.StopRequested {
 		return
--- a/controller/rounds/unmetdemand.go
+++ b/controller/rounds/unmetdemand.go
@@ -1,6 +1,6 @@
 package rounds
 
-// This file notes the demand that a round could not meet: what quota and which machines it lacks.
+// This file records the demand that a round could not meet: the missing quota and machines.
 
 import (
 	"time"
@@ -11,16 +11,16 @@
 	"basaltwall/sched"
 )
 
-// Bounds on the work that a round does for unmet demand.
+// Limits on the work of a round for unmet demand.
 const (
 	maxPreemptions        = 8  // jobs for which tasks are preempted
-	maxQuotaStarvedChecks = 16 // jobs without quota for which free capacity is looked for
-	// preemptionInterval is how soon tasks are preempted for a job again: those that were
-	// stopped take a while to end.
+	maxQuotaStarvedChecks = 16 // jobs without quota for which free capacity is checked
+	// preemptionInterval is the minimum time between two preemptions for a job: stopped tasks take a
+	// while to end.
 	preemptionInterval = time.Second
 )
 
-// unmetDemandRecorder is what is left to a round while it notes its unmet demand.
+// unmetDemandRecorder records the unmet demand of a round within these limits.
 type unmetDemandRecorder struct {
 	owned             *core.OwnedPartition
 	input             *sched.Input
@@ -29,8 +29,8 @@
 	starvedChecksLeft int
 }
 
-// recordUnmetDemand notes what quota and capacity the tasks lack that the round has not placed,
-// and has tasks of lower priority preempted for them. placed is how many tasks of each job it has.
+// recordUnmetDemand records the quota and capacity that tasks lack which the round has not placed,
+// and preempts tasks of lower priority for them. placed is the number of placed tasks of each job.
 func (s *Scheduler) recordUnmetDemand(problem *flowProblem, placed []int) {
 	recorder := &unmetDemandRecorder{
 		owned:             problem.owned,
@@ -50,7 +50,7 @@
 			continue
 		}
 		if request.TasksWithinUnits(problem.input.AvailableUnits, missing) == 0 {
-			continue // a machine would not help
+			continue // it lacks pool units, not a machine
 		}
 		s.siblings.Priorities.RecordShortage(problem.owned, j.Spec)
 		if placed[i] == 0 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// recordMissingQuota notes what quota the missing tasks of a job lack. It reports whether they
-// could not start on any machine for it.
+// recordMissingQuota records the quota that the missing tasks of a job lack. It reports whether the
+// lack of quota prevents every start of the job, whatever capacity is free.
 func (r *unmetDemandRecorder) recordMissingQuota(request *sched.Job, j *core.Job, missing int) bool {
 	startable := j.Demand.Slots(r.remainingQuota[j.Spec.Team])
 	if startable >= missing {
@@ -81,13 +81,12 @@
 	return startable == 0 || j.Spec.Kind == api.Gang
 }
 
-// addDemand adds to the demand of a job's team.
 func addDemand(demand map[api.Team]api.Resources, j *core.Job, need api.Resources) {
 	demand[j.Spec.Team] = demand[j.Spec.Team].Plus(need)
 }
 
-// recordUnplacedJob has other partitions told of a job that found no machine and needs all of its
-// tasks in one partition, and has tasks of lower priority preempted for it.
+// recordUnplacedJob handles a job that found no machine: it reports the job to other partitions if
+// all of its tasks must be in one partition, and preempts tasks of lower priority for it.
 func (s *Scheduler) recordUnplacedJob(r *unmetDemandRecorder, request *sched.Job, j *core.Job, missing int) {
 	if j.Spec.NeedsSinglePartition() && len(r.owned.UnmetDemands) < message.MaxUnmetDemands {
 		r.owned.UnmetDemands = append(r.owned.UnmetDemands, s.siblings.Balancer.UnmetDemandOf(r.owned, j, request))
--- a/controller/rounds/urgency.go
+++ b/controller/rounds/urgency.go
@@ -1,7 +1,7 @@
 package rounds
 
-// This file estimates how jobs fare: how urgent they are, how much a lost spot machine would
-// harm them, and how long a machine that boots would take to run them.
+// This file estimates the urgency of jobs, their risk of missing an objective on spot machines, and
+// the delay of starts on booting machines.
 
 import (
 	"math"
@@ -10,9 +10,9 @@
 	"basaltwall/controller/core"
 )
 
-// bootingMachineDelay is how long a machine that boots takes until it has the image of a
-// service's replicas, in seconds; 0 if none boots that may take them. They wait for one rather
-// than for a fetch that takes longer, for twice as long at most: it may not come.
+// bootingMachineDelay returns the time until a booting machine would have the image of a service's
+// replicas, in seconds; 0 if no suitable machine boots. Replicas wait for such a machine rather
+// than for a longer fetch, but at most twice that time, because the machine may fail to boot.
 func (s *Scheduler) bootingMachineDelay(j *core.Job, incoming func() map[core.MachineOffer]int) float64 {
 	if j.Spec.Kind != api.Service || s.core.StartObjective(j.Spec.Class) <= 0 {
 		return 0
@@ -36,9 +36,9 @@
 	return shortest
 }
 
-// SpotRisk is the chance, between 0 and 1, that a job is late because a spot machine is reclaimed
-// with a task of it, at the rate at which that was lately seen: that this happens when there is
-// no time left to find out, to fetch the image again and to run the task again.
+// SpotRisk returns the probability that a job is late because a spot machine with one of its tasks
+// is reclaimed, at the recently observed rate. A reclaim makes a job late if no time is left to
+// detect the loss, to fetch the image again and to rerun the task.
 func (s *Scheduler) SpotRisk(j *core.Job) float64 {
 	if !j.Spec.Spot || j.Spec.Kind == api.Service {
 		return 0
@@ -49,7 +49,7 @@
 	for _, objective := range s.core.CompletionObjectives(j.Spec) {
 		slack := objective - elapsed
 		if slack < singleRun {
-			continue // late as it is
+			continue // it misses this objective anyway
 		}
 		criticalWindow := min(run, max(0, singleRun+s.core.LivenessTimeout.Seconds()+singleRun-slack))
 		survives := math.Exp(-s.siblings.Autoscaler.SpotLossRate() * criticalWindow)
@@ -59,23 +59,22 @@
 }
 
 const (
-	// overdueFactor is how many times its last objective a job may be put off for others that
-	// can still be in time: after that it goes first among its equals, or it would wait for as
-	// long as there is more work than capacity.
+	// overdueFactor is the multiple of its last objective after which a late job goes first among jobs
+	// of its rank. Without it the job would wait for as long as demand exceeds capacity.
 	overdueFactor = 3
-	// fullUrgencyAge is after how many seconds a job without objectives is most urgent.
+	// fullUrgencyAge is the age in seconds at which a job without objectives has the highest urgency.
 	fullUrgencyAge = 600
-	// The urgency of a job that can be in time is at least minTimelyUrgency by its remaining
-	// work, divided by how many objectives it has missed; late jobs stay below
+	// The urgency of a job that can still meet its first objective is at least minTimelyUrgency. With
+	// each objective that it misses, the urgency is divided by a higher number. Late jobs stay below
 	// maxLateUrgency until they are overdue.
 	minTimelyUrgency = 0.2
 	maxLateUrgency   = 0.05
 )
 
-// urgency orders jobs of one rank, between 0 and 1, in a partition with so many schedulable CPUs.
-// Of the jobs that can still be complete in time, those with least work left go first: so as many
-// as possible are in time when not all can be. A job that can't be in time any more waits for the
-// others.
+// urgency orders jobs of the same rank; it is between 0 and 1. Among jobs that can still meet an
+// objective, those with the least remaining work go first, so that as many as possible do. Jobs
+// that can't meet an objective any more wait for the others. cpus is the number of schedulable CPUs
+// in the partition.
 func (s *Scheduler) urgency(j *core.Job, cpus float64) float64 {
 	elapsed := max(0, s.core.SecondsSinceAcceptance(j))
 	objectives := s.core.CompletionObjectives(j.Spec)
