--- a/controller/starvation/aging.go
+++ b/controller/starvation/aging.go
@@ -1,6 +1,6 @@
 package starvation
 
-// This file has how long jobs have waited, and what follows from it for the order of starts.
+// This file computes the waiting times of jobs and the precedence that follows from them.
 
 import (
 	"cmp"
@@ -14,24 +14,23 @@
 )
 
 const (
-	// maxMustStartJobs is for how many jobs a partition reserves machines at once.
-	maxMustStartJobs = 16
-	// fragmentationUrgency is how many times sooner machines are reserved for jobs whose capacity
-	// does not come free by itself, as small tasks leave no whole machine.
-	fragmentationUrgency = 4
-	// mustStartShare is the share of the work that a partition starts which may go to aged jobs
-	// before others. Where more of it waits than that, no order keeps the bound, and what has
-	// begun must end too.
-	mustStartShare = 0.25
-	// serviceRuntimeSeconds is for how long a service's task is reckoned to run.
+	// maxAgedJobs is the maximum number of jobs for which a partition reserves machines at once.
+	maxAgedJobs = 16
+	// fragmentationAgingFactor multiplies the waiting time of jobs that suffer fragmentation: their
+	// capacity does not become free by itself, because small tasks leave no whole machine.
+	fragmentationAgingFactor = 4
+	// agedStartShare is the share of the work started by a partition for which aged jobs have
+	// precedence. With a higher demand of aged jobs, no order of starts can meet the deadline.
+	agedStartShare = 0.25
+	// serviceRuntimeSeconds is the assumed runtime of a service's task.
 	serviceRuntimeSeconds = 600
-	// creditHorizon is for how long starts of the largest machine's size may be saved up or owed.
+	// creditHorizon limits the credit and the debt of starts, as a time on the largest machine.
 	creditHorizon = 4 * backfill.StartDeadline
 )
 
-// waitingTime is for how long nothing of a job has run in a partition, or in any for
-// core.AllPartitions: since it was accepted, or since its last task ended. ok is false if
-// something of it runs or it may not start now.
+// waitingTime returns the time since any task of a job last ran in a partition, or in any partition
+// for core.AllPartitions. It begins with the acceptance of the job or the end of its last task. ok
+// is false if a task of the job runs or the job may not start now.
 func (g *Guard) waitingTime(j *core.Job, p api.PartitionID) (waited time.Duration, ok bool) {
 	running := j.PlacementCounts[p]
 	if p == core.AllPartitions {
@@ -44,26 +43,27 @@
 	if endedAt := j.OwnerState.LastTaskEndedAt; endedAt != 0 {
 		waited = min(waited, g.core.Now.Sub(endedAt))
 	} else if j.CompletedCount > 0 || j.RetryCount > 0 {
-		waited = min(waited, g.core.Now.Sub(g.core.StartedAt)) // its task ended before this process began
+		waited = min(waited, g.core.Now.Sub(g.core.StartedAt)) // its last task ended before this process began
 	}
 	return waited, true
 }
 
-// WaitStage is how far a job has aged in a partition, or in all of them for core.AllPartitions.
+// WaitStage returns the aging stage of a job in a partition, or in all partitions for
+// core.AllPartitions.
 func (g *Guard) WaitStage(j *core.Job, p api.PartitionID) sched.AgingStage {
 	waited, ok := g.waitingTime(j, p)
 	if !ok {
 		return sched.NotAged
 	}
 	if g.suffersFragmentation(j.Spec) {
-		waited = max(waited, min(waited*fragmentationUrgency, backfill.StartDeadline*3/4-1))
+		waited = max(waited, min(waited*fragmentationAgingFactor, backfill.StartDeadline*3/4-1))
 	}
 	return backfill.AgingStageOf(waited)
 }
 
-// RoundStage is how far a job counts as aged in a round, and for how many seconds it has waited.
-// Once aged jobs have used up their share of the starts, only those have precedence whose machines
-// are being gathered.
+// RoundStage returns the aging stage of a job in a round, and its waiting time in seconds. Once
+// aged jobs have used up their share of the starts, only jobs with reserved machines have
+// precedence.
 func (g *Guard) RoundStage(owned *core.OwnedPartition, j *core.Job) (stage sched.AgingStage, waitedSeconds float64) {
 	waited, _ := g.waitingTime(j, owned.ID)
 	stage = g.WaitStage(j, owned.ID)
@@ -76,8 +76,9 @@
 	return stage, waited.Seconds()
 }
 
-// ChargeMustStartCredit accounts for the start of a task: its share of the largest machine, for as
-// long as it is likely to run. Starts of aged jobs use up the credit that other starts build up.
+// ChargeMustStartCredit accounts for the start of a task: its share of the largest machine,
+// multiplied by its expected runtime. Starts of aged jobs use up the credit that other starts build
+// up.
 func (g *Guard) ChargeMustStartCredit(owned *core.OwnedPartition, j *core.Job, stage sched.AgingStage) {
 	seconds := j.Spec.Estimate
 	if j.Spec.Kind == api.Service {
@@ -85,15 +86,15 @@
 	}
 	work := backfill.DominantShare(j.Demand, g.core.LargestMachine) * max(1, seconds)
 	if stage != sched.NotAged {
-		work *= -(1/mustStartShare - 1)
+		work *= -(1/agedStartShare - 1)
 	}
 	limit := creditHorizon.Seconds()
 	owned.MustStartCredit = max(-limit, min(limit, owned.MustStartCredit+work))
 }
 
-// mustStartJobs are the aged jobs with pending tasks in a partition, those that have waited longest
-// first.
-func (g *Guard) mustStartJobs(owned *core.OwnedPartition) []*core.Job {
+// agedJobs returns the aged jobs with pending tasks in a partition, those with the longest
+// waiting time first.
+func (g *Guard) agedJobs(owned *core.OwnedPartition) []*core.Job {
 	var aged []*core.Job
 	for _, j := range g.core.State.PendingJobs {
 		if g.WaitStage(j, owned.ID) != sched.NotAged && j.PendingTasks(owned.ID) > 0 {
@@ -109,5 +110,5 @@
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
-	return aged[:min(len(aged), maxMustStartJobs)]
+	return aged[:min(len(aged), maxAgedJobs)]
 }
--- a/controller/starvation/fragmentation.go
+++ b/controller/starvation/fragmentation.go
@@ -1,6 +1,6 @@
 package starvation
 
-// This file has which accelerators are free but of no use, as they are spread over machines.
+// This file measures the free accelerators that are unusable because they are spread over machines.
 
 import (
 	"cmp"
@@ -12,13 +12,14 @@
 	"basaltwall/fragmentation"
 )
 
-// demandProfile is what work that needs accelerators usually asks for.
+// demandProfile contains the typical demands of jobs that need accelerators.
 type demandProfile struct {
 	computedAt api.Time
 	typical    []fragmentation.Demand
 }
 
-// TypicalDemands is what work that needs accelerators asks for, computed once a second.
+// TypicalDemands returns the typical demands of jobs that need accelerators, computed once per
+// core.DemandSampleInterval.
 func (g *Guard) TypicalDemands() []fragmentation.Demand {
 	profile := &g.demandProfile
 	if profile.computedAt != 0 && g.core.Now.Sub(profile.computedAt) < core.DemandSampleInterval {
@@ -34,16 +35,16 @@
 	return profile.typical
 }
 
-// suffersFragmentation reports whether a job's tasks fill most of a type's accelerators while
-// smaller work wants some of them too.
+// suffersFragmentation reports whether a job's tasks need most of a machine's accelerators while
+// smaller tasks compete for them.
 func (g *Guard) suffersFragmentation(s *api.JobSpec) bool {
 	cheapest := g.siblings.Autoscaler.CheapestType(s)
 	fillsMachine := s.GPUs > 0 && cheapest != nil && 2*s.GPUs > cheapest.GPUs
 	return fillsMachine && fragmentation.MayStrand(s.Demand(), g.TypicalDemands())
 }
 
-// FragmentedCapacity is, by partition, type and zone, what is free of accelerators and how much of
-// it no usual demand fits.
+// FragmentedCapacity returns the free accelerators by partition, type and zone, and how many of
+// them are unusable for typical demands.
 func (g *Guard) FragmentedCapacity() []core.FragmentationView {
 	var views []core.FragmentationView
 	for _, p := range slices.Sorted(maps.Keys(g.core.Partitions)) {
--- a/controller/starvation/guard.go
+++ b/controller/starvation/guard.go
@@ -1,12 +1,12 @@
-// Package starvation keeps jobs from waiting without bound. A job that has waited for long goes
-// before others, and machines and quota are reserved for it until it can start; which machines,
-// and from when on, is decided by package backfill.
+// Package starvation bounds the waiting time of jobs. Jobs that have waited too long go before
+// others, and machines and quota are reserved for them until they can start. Package backfill
+// selects the machines and the time from which they are reserved.
 //
-// It owns the profile of usual demands for accelerators. Reservations are in core.Machine and,
+// It owns the profile of typical demands for accelerators. Reservations are in core.Machine and,
 // for the partition's next owner, in the partition's record.
 package starvation
 
-// This file has the component and what it asks of others.
+// This file defines the component and the interfaces of the components that it uses.
 
 import (
 	"basaltwall/api"
@@ -23,7 +23,7 @@
 	demandProfile demandProfile
 }
 
-// Siblings are the other components that the guard asks.
+// Siblings contains the other components that the guard uses.
 type Siblings struct {
 	Agents     Agents
 	Autoscaler Autoscaler
@@ -35,69 +35,70 @@
 	Tenancy    Tenancy
 }
 
-// Agents is what the guard needs of the agent manager.
+// Agents manages machines and their agents.
 type Agents interface {
-	// MachinesOf are a partition's machines, in order.
+	// MachinesOf returns a partition's machines, in order.
 	MachinesOf(api.PartitionID) []*core.Machine
-	// EnsureMachine is the machine of that name, which is added if it was not known.
+	// EnsureMachine returns a machine, which is added if it was not known.
 	EnsureMachine(api.MachineID) *core.Machine
-	// LoanKnownAt is when this controller learnt of a machine's latest loan.
+	// LoanKnownAt returns when this controller learned of a machine's latest loan.
 	LoanKnownAt(api.MachineID) api.Time
 }
 
-// Autoscaler is what the guard needs of the autoscaler.
+// Autoscaler requests and deletes machines.
 type Autoscaler interface {
-	// CheapestType is the cheapest machine type that a job's tasks fit; nil if there is none.
+	// CheapestType returns the cheapest machine type that fits a job's tasks; nil if there is none.
 	CheapestType(*api.JobSpec) *api.MachineType
 }
 
-// Balancer is what the guard needs of the balancer.
+// Balancer moves jobs, quota and machines between partitions.
 type Balancer interface {
-	// HasReservationFor reports whether a partition gathers machines for a job.
+	// HasReservationFor reports whether a partition reserves machines for a job.
 	HasReservationFor(*core.OwnedPartition, api.JobID) bool
 }
 
-// Gossip is what the guard needs of the gossiper.
+// Gossip exchanges the statuses of partitions with other controllers.
 type Gossip interface {
-	// OtherPartitionStatuses are all partitions but this one, whoever owns them.
+	// OtherPartitionStatuses returns the statuses of all other partitions, whoever owns them.
 	OtherPartitionStatuses(*core.OwnedPartition) []message.PartitionStatus
-	// PeerPartitionStatuses are the partitions of other controllers, as these last described them.
+	// PeerPartitionStatuses returns the statuses of other controllers' partitions as last received.
 	PeerPartitionStatuses() []message.PartitionStatus
 }
 
-// Pools is what the guard needs of the pool manager.
+// Pools allocates pool units.
 type Pools interface {
-	// PendingReasonPool names the pool that a job waits for in a partition; empty if there is none.
+	// PendingReasonPool returns the reason why a pool keeps a job from starting in a partition; empty
+	// if none does.
 	PendingReasonPool(*core.Job, api.PartitionID) string
 }
 
-// Preemptor is what the guard needs of the preemptor.
+// Preemptor preempts tasks and reserves machines for the jobs that need them.
 type Preemptor interface {
-	// ReservedFor is the job that a machine is reserved for; empty if there is none.
+	// ReservedFor returns the job that a machine is reserved for; empty if there is none.
 	ReservedFor(*core.Machine) api.JobID
 }
 
-// Scheduler is what the guard needs of the scheduler.
+// Scheduler runs the rounds of partitions.
 type Scheduler interface {
 	// IsSchedulable reports whether a machine may get new tasks.
 	IsSchedulable(*core.Machine, *core.OwnedPartition) bool
 	FreeCapacityOn(*core.Machine, *core.OwnedPartition) api.Resources
-	// PendingImageFetches are the images that a machine is about to fetch.
+	// PendingImageFetches returns the images that a machine has still to fetch.
 	PendingImageFetches(*core.Machine) []sched.ImageFetch
-	// StopTask has a task stopped and started again elsewhere.
+	// StopTask requests the stop of a task, which becomes pending again.
 	StopTask(*core.Placement)
 	// TaskZones counts a job's tasks by zone; known is false if a zone is not known.
 	TaskZones(*core.Job) (zones map[api.Zone]int, known bool)
 }
 
-// Tenancy is what the guard needs of the tenants' service.
+// Tenancy serves tenants.
 type Tenancy interface {
 	// StartsBlocked reports whether a job may not start tasks now, whatever capacity is free.
 	StartsBlocked(*core.Job) bool
 }
 
-// New returns a guard; Connect is to be called before use.
+// New returns a guard; Connect must be called before any other method.
 func New(k *core.Core) *Guard { return &Guard{core: k} }
 
-// Connect names the components that the guard asks.
+// Connect sets the other components that the guard uses.
 func (g *Guard) Connect(s Siblings) { g.siblings = s }
--- a/controller/starvation/quota.go
+++ b/controller/starvation/quota.go
@@ -11,8 +11,8 @@
 	"basaltwall/controller/core"
 )
 
-// FitsAttainableQuota reports whether so many tasks of a job fit its team's limit once everything
-// has ended that ends by itself: only then is the limit reserved for it.
+// FitsAttainableQuota reports whether a number of a job's tasks fit into its team's limit once all
+// other tasks have ended, except those of services. Quota is reserved only for such jobs.
 func (g *Guard) FitsAttainableQuota(j *core.Job, tasks int) bool {
 	attainable := core.QuotaLimit(g.core.Teams[j.Spec.Team])
 	for _, other := range g.core.State.Jobs {
@@ -24,9 +24,9 @@
 	return tasks > 0 && j.Demand.Times(tasks).Fits(attainable)
 }
 
-// QuotaReservedForOthers is the share of teams' limits that a partition leaves to aged jobs of
-// other partitions which wait for nothing else. If two partitions want it of each other, the lower
-// one has it.
+// QuotaReservedForOthers returns the share of teams' limits that a partition leaves to aged jobs of
+// other partitions that lack only quota. If two partitions need quota of each other, the one with
+// the lower ID gets it.
 func (g *Guard) QuotaReservedForOthers(owned *core.OwnedPartition) map[api.PartitionID]map[api.Team]api.Resources {
 	out := map[api.PartitionID]map[api.Team]api.Resources{}
 	remaining := g.core.RemainingQuota(owned.ID)
--- a/controller/starvation/record.go
+++ b/controller/starvation/record.go
@@ -1,6 +1,6 @@
 package starvation
 
-// This file has how long reservations last, and how they get to the partition's next owner.
+// This file extends reservations, records them, and restores them for the partition's next owner.
 
 import (
 	"maps"
@@ -12,16 +12,16 @@
 	"basaltwall/controller/core"
 )
 
-// maxReservationChanges bounds the changes of reservations in a round's record: they have the
-// bytes that its starts and ends leave.
+// maxReservationChanges limits the changes of reservations in a round's record, which must fit into
+// the space that starts and ends leave.
 const maxReservationChanges = 2
 
-// wholeMachineShare is the share of a machine from which on a task counts as one that fills it.
+// wholeMachineShare is the share of a machine above which a task counts as filling the machine.
 const wholeMachineShare = 0.5
 
 // extendLoanReservations extends the reservations of machines that were lent to a partition for a
-// job until that has begun, for some time: they come one by one, and the first would be returned
-// as idle before the last is there.
+// job, for a limited time, until the job has started. Loans arrive one by one: the first machine
+// would otherwise be returned as idle before the last one arrives.
 func (g *Guard) extendLoanReservations(owned *core.OwnedPartition) {
 	for id, loan := range g.core.State.Loans {
 		j, m := g.core.State.Jobs[loan.Job], g.core.Machines[id]
@@ -38,9 +38,9 @@
 }
 
 // extendWholeMachineReservations extends the reservation of a machine that was emptied for tasks
-// that fill most of it, for the next of them: each would be gathered for anew otherwise. Where a
-// service is left on it only Backfill decides: it may have nowhere to go, and others wait for the
-// rest of the machine.
+// that fill most of it, so that the next such task needs no new reservation. A machine with a
+// service on it is left to Backfill: the service may have no capacity elsewhere, and others wait
+// for the rest of the machine.
 func (g *Guard) extendWholeMachineReservations(owned *core.OwnedPartition) {
 	for _, m := range g.siblings.Agents.MachinesOf(owned.ID) {
 		if !m.Consolidated || g.siblings.Preemptor.ReservedFor(m) == "" || g.core.Now.Sub(m.ConsolidatedAt) > backfill.StartDeadline {
@@ -50,20 +50,20 @@
 		if j.PendingTasks(owned.ID) <= 0 || machineType == nil || backfill.DominantShare(j.Demand, machineType.Capacity()) <= wholeMachineShare {
 			continue
 		}
-		if !slices.ContainsFunc(g.core.State.PlacementsOn(m.ID), isLastingService) {
+		if !slices.ContainsFunc(g.core.State.PlacementsOn(m.ID), isActiveService) {
 			m.ReservedUntil = g.core.Now.Add(core.ReservationTTL)
 		}
 	}
 }
 
-// isLastingService reports whether a task is a service's that nobody has stopped.
-func isLastingService(p *core.Placement) bool {
+// isActiveService reports whether a task belongs to a service and no stop is requested.
+func isActiveService(p *core.Placement) bool {
 	return p.Job.Spec.Kind == api.Service && !p.Finishing && !p.OwnerState.StopRequested
 }
 
-// ReservationChanges are the changes of a partition's reservations that its record does not have
-// yet: new ones, and those that are over, since their job has begun or ended or other machines
-// were chosen. The partition's next owner learns by the record what was being emptied for whom.
+// ReservationChanges returns the changes of a partition's reservations that its record does not
+// have yet: new reservations, and those that have ended because their job has started or ended or
+// other machines were selected. The record passes the reservations to the partition's next owner.
 func (g *Guard) ReservationChanges(owned *core.OwnedPartition) []clusterstate.Reservation {
 	var out []clusterstate.Reservation
 	recorded := g.core.State.Partitions[owned.ID].Reservations
@@ -83,8 +83,8 @@
 	return out
 }
 
-// RestoreReservations takes over the reservations of the partition's former owner, for as long as
-// it takes to make a pass of our own.
+// RestoreReservations restores the reservations of the partition's former owner, until the first
+// backfill pass of this controller.
 func (g *Guard) RestoreReservations(owned *core.OwnedPartition) {
 	for id, recorded := range g.core.State.Partitions[owned.ID].Reservations {
 		j := g.core.State.Jobs[recorded.Job]
--- a/controller/starvation/relocation.go
+++ b/controller/starvation/relocation.go
@@ -1,6 +1,6 @@
 package starvation
 
-// This file moves services off machines that are reserved, as they would never end by themselves.
+// This file moves services off reserved machines, because services never end by themselves.
 
 import (
 	"cmp"
@@ -17,17 +17,18 @@
 )
 
 const (
-	// relocationDelay is what relocating a service counts as when compared with the ends of other
-	// tasks: what ends by itself sooner costs nobody anything.
+	// relocationDelay is the assumed time to relocate a service, compared with the expected ends of
+	// other tasks: a task that ends sooner by itself costs nothing.
 	relocationDelay = 2 * time.Minute
-	// relocationInterval is for how long no other replica of a service is relocated.
+	// relocationInterval is the minimum time between two relocations of a service's replicas.
 	relocationInterval = 5 * time.Minute
-	// maxCapacityClaims bounds the pending tasks that claim their capacity before a replica does.
+	// maxCapacityClaims limits the number of pending tasks that claim their capacity before a replica
+	// does.
 	maxCapacityClaims = 200
 )
 
-// isRelocatable reports whether a service's replica may move to another machine: it has run for a
-// while, none of its job was moved of late, and no zone binds it.
+// isRelocatable reports whether a service's replica may move to another machine: it has run for the
+// minimum time, no replica of its job was moved recently, and it has no zone constraint.
 func (g *Guard) isRelocatable(p *core.Placement) bool {
 	spec, job := p.Job.Spec, p.Job
 	if spec.Kind != api.Service || spec.Spread || spec.OneZone {
@@ -43,10 +44,10 @@
 	return movedAt == 0 || g.core.Now.Sub(movedAt) > relocationInterval
 }
 
-// relocateServices has the services of a reserved machine start elsewhere, once nothing else is
-// left on it and there is capacity for all of them: one replica of a job at a time, and one
-// machine of a partition. A replica is stopped and becomes pending like one that was lost, so
-// that the partition's next owner does the same; the cost is fetching its image.
+// relocateServices moves the services of a reserved machine elsewhere once nothing else is left on
+// it and there is capacity for all of them: one replica of a job, and one machine of a partition,
+// at a time. A replica is stopped and becomes pending like a lost one, so that the partition's next
+// owner handles it the same way. The cost is fetching its image.
 func (g *Guard) relocateServices(owned *core.OwnedPartition, m *core.Machine, capacity *relocationCapacity) {
 	placements := g.core.State.PlacementsOn(m.ID)
 	if len(placements) == 0 || g.core.Now.Sub(owned.ServicesMovedAt) < core.ReservationTTL {
@@ -71,23 +72,22 @@
 	}
 }
 
-// peerMachine is what a machine of another controller's partition has free.
+// peerMachine is a machine of another controller's partition with its free capacity.
 type peerMachine struct {
 	class message.MachineClass
 	free  api.Resources
 }
 
-// relocationCapacity is the capacity into which replicas may move.
+// relocationCapacity is the capacity to which replicas may move.
 type relocationCapacity struct {
 	machines []*core.Machine                 // of the partition
-	claimed  map[*core.Machine]api.Resources // of what these have free
-	peers    []peerMachine                   // what is left of other controllers' machines
+	claimed  map[*core.Machine]api.Resources // claimed part of their free capacity
+	peers    []peerMachine                   // unclaimed capacity of other controllers' machines
 }
 
-// computeRelocationCapacity is the free capacity less what pending tasks will take, apart from
-// those for which whole machines are emptied. A replica that was relocated, by this controller or
-// another, is pending and has nothing but that capacity, so a second one must not be stopped for
-// the same.
+// computeRelocationCapacity returns the free capacity less the demand of pending tasks, apart from
+// tasks for which whole machines are emptied. A replica relocated by any controller is pending and
+// depends on that capacity, so no second one may be stopped for the same capacity.
 func (g *Guard) computeRelocationCapacity(owned *core.OwnedPartition, machines []*core.Machine) *relocationCapacity {
 	capacity := &relocationCapacity{machines: machines, claimed: map[*core.Machine]api.Resources{}, peers: g.peerMachines()}
 	claimsLeft := maxCapacityClaims
@@ -105,8 +105,7 @@
 	return capacity
 }
 
-// peerMachines are the machines of other controllers that have accelerators free, the fullest
-// first.
+// peerMachines returns the machines of other controllers with free accelerators, the fullest first.
 func (g *Guard) peerMachines() []peerMachine {
 	var out []peerMachine
 	for _, status := range g.siblings.Gossip.PeerPartitionStatuses() {
@@ -123,9 +122,9 @@
 	return out
 }
 
-// claimCapacity takes one task's demand off the capacity, on a machine of the partition other than
-// the excluded one if it can, the cheapest first, and reports whether there was any. A job of one
-// task may also go to another controller's partition.
+// claimCapacity claims the demand of one task, on the cheapest machine of the partition other than
+// the excluded one, and reports whether there was capacity. A job of one task may also claim
+// capacity in another controller's partition.
 func (g *Guard) claimCapacity(owned *core.OwnedPartition, excluded *core.Machine, capacity *relocationCapacity, j *core.Job) bool {
 	if best := g.cheapestMachine(owned, excluded, capacity, j); best != nil {
 		capacity.claimed[best] = capacity.claimed[best].Plus(j.Demand)
@@ -141,8 +140,8 @@
 	return true
 }
 
-// cheapestMachine is the machine on which a task of a job costs least, in time to fetch its image
-// and in accelerators that become unusable; nil if it fits on none.
+// cheapestMachine returns the machine on which a task of a job costs least, in time to fetch its
+// image and in accelerators that become unusable; nil if it fits on none.
 func (g *Guard) cheapestMachine(owned *core.OwnedPartition, excluded *core.Machine, capacity *relocationCapacity, j *core.Job) *core.Machine {
 	var best *core.Machine
 	bestCost, cpuOnly := 0.0, g.core.IsCPUOnly(j.Spec)
@@ -164,8 +163,8 @@
 	return best
 }
 
-// canRelocateServices reports whether there is capacity elsewhere for all services on a machine
-// that may move.
+// canRelocateServices reports whether there is capacity elsewhere for all relocatable services on a
+// machine.
 func (g *Guard) canRelocateServices(owned *core.OwnedPartition, m *core.Machine, capacity *relocationCapacity) bool {
 	trial := &relocationCapacity{machines: capacity.machines, claimed: maps.Clone(capacity.claimed), peers: slices.Clone(capacity.peers)}
 	for _, p := range g.core.State.PlacementsOn(m.ID) {
--- a/controller/starvation/reserve.go
+++ b/controller/starvation/reserve.go
@@ -1,6 +1,6 @@
 package starvation
 
-// This file reserves machines for aged jobs that found no free capacity.
+// This file reserves machines for aged jobs without free capacity.
 
 import (
 	"cmp"
@@ -14,24 +14,24 @@
 	"basaltwall/sched"
 )
 
-// backfillInterval is how often a partition looks at its aged jobs.
+// backfillInterval is the time between two backfill passes over a partition.
 const backfillInterval = time.Second
 
-// backfillPass is what one pass over a partition's aged jobs knows of its machines.
+// backfillPass is the state of one pass over a partition's aged jobs.
 type backfillPass struct {
 	owned          *core.OwnedPartition
 	schedulable    []*core.Machine
 	remainingQuota map[api.Team]api.Resources
 	releases       map[*core.Machine][]backfill.Release
-	// The same for jobs that suffer fragmentation, for which services may be relocated.
+	// Releases for jobs that suffer fragmentation, for which services may be relocated.
 	relocationReleases map[*core.Machine][]backfill.Release
 	relocationCapacity *relocationCapacity // nil until a job needs it
 }
 
-// Backfill reserves machines for the aged jobs of a partition that found no free capacity:
-// nothing else starts there, so that their capacity comes free as a whole. The reservations get
-// into the partition's record, see ReservationChanges, and its next owner goes on with them until
-// it has made a pass of its own.
+// Backfill reserves machines for the aged jobs of a partition that found no free capacity. Other
+// jobs don't start on these machines, so that the capacity becomes free as a whole. The
+// reservations are in the partition's record, see ReservationChanges; its next owner keeps them
+// until its own first pass.
 func (g *Guard) Backfill(owned *core.OwnedPartition) {
 	if g.core.Now.Sub(owned.BackfilledAt) < backfillInterval {
 		return
@@ -40,7 +40,7 @@
 	g.extendLoanReservations(owned)
 	g.extendWholeMachineReservations(owned)
 	owned.Dirty = owned.Dirty || len(g.ReservationChanges(owned)) > 0
-	jobs := g.mustStartJobs(owned)
+	jobs := g.agedJobs(owned)
 	if len(jobs) == 0 {
 		return
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-// selectMachines chooses among the candidates for so many tasks of a job, or, if these never have
-// capacity for all of them, for fewer: the rest is lent by other partitions. It returns nil if
-// there is none for even one.
+// selectMachines selects machines among the candidates for a number of a job's tasks. If the
+// candidates never have capacity for all of them, it selects machines for fewer tasks; other
+// partitions lend the rest. It returns nil if there is no machine for a single task.
 func (g *Guard) selectMachines(j *core.Job, candidates []backfill.Machine, tasksNeeded int) (chosen []int, afterSeconds float64) {
 	request := backfill.Request{Demand: j.Demand, Tasks: tasksNeeded, OneZone: j.Spec.OneZone}
 	request.PlacedByZone, _ = g.siblings.Scheduler.TaskZones(j)
@@ -116,16 +116,16 @@
 	return chosen, afterSeconds
 }
 
-// ReservableMachines are the candidates that may be reserved for a job, and for each of them what
-// is and will be free on it.
+// ReservableMachines returns the candidates that may be reserved for a job, with their free
+// capacity and expected releases.
 func (g *Guard) ReservableMachines(owned *core.OwnedPartition, s *api.JobSpec, candidates []*core.Machine) ([]*core.Machine, []backfill.Machine) {
 	return g.reservableMachines(owned, s, nil, candidates, map[*core.Machine][]backfill.Release{}, nil)
 }
 
-// reservableMachines is the same without the excluded machines. Releases are kept from one call to
-// the next. With a relocation capacity, services that have room elsewhere count as tasks that end;
-// a machine whose services have none is not reserved for what would never begin on it, while they
-// or others could use the rest of it.
+// reservableMachines is ReservableMachines without the excluded machines. Releases are cached from
+// one call to the next. With a relocation capacity, services that have capacity elsewhere count as
+// tasks that end. A machine whose services have none is not reserved for a job that would never
+// start on it, while others could use the rest of the machine.
 func (g *Guard) reservableMachines(owned *core.OwnedPartition, s *api.JobSpec, excluded map[api.MachineID]bool, candidates []*core.Machine,
 	releases map[*core.Machine][]backfill.Release, capacity *relocationCapacity) (machines []*core.Machine, views []backfill.Machine) {
 	cpuOnly := g.core.IsCPUOnly(s)
@@ -153,8 +153,8 @@
 	return !m.SoftReservation || s.Priority.Rank() <= m.ReservationRank
 }
 
-// expectedReleases is what comes free on a machine by itself. With relocation, a service that may
-// move counts as a task that ends, though later than most.
+// expectedReleases returns the capacity that is expected to become free on a machine. With
+// includeRelocatable, a service that may move counts as a task that ends after relocationDelay.
 func (g *Guard) expectedReleases(m *core.Machine, includeRelocatable bool) []backfill.Release {
 	var out []backfill.Release
 	for _, p := range g.core.State.PlacementsOn(m.ID) {
@@ -166,8 +166,9 @@
 	return out
 }
 
-// secondsToEnd is how soon a task is expected to end; infinite if it has no end. The only guide is
-// its owner's estimate; a task that is overdue may last half as long again as it is late.
+// secondsToEnd returns the expected time until a task ends; infinite if it has no end. It depends
+// on the owner's estimate. An overdue task is expected to run for another half of the time that it
+// is overdue.
 func (g *Guard) secondsToEnd(p *core.Placement, includeRelocatable bool) float64 {
 	estimate := p.Job.Spec.Estimate
 	switch {
@@ -186,8 +187,8 @@
 	return max(estimate*core.RuntimeSafetyFactor-ran, (ran-estimate)/2, 1)
 }
 
-// Reserve reserves a machine for a job for which capacity is gathered. Unless the job is aged above
-// all, work of a higher rank may still start there.
+// Reserve reserves a machine for a job. Unless the job is aged above all others, jobs of a higher
+// rank may still start there.
 func (g *Guard) Reserve(owned *core.OwnedPartition, m *core.Machine, jobID api.JobID, rank int, stage sched.AgingStage) {
 	if g.siblings.Preemptor.ReservedFor(m) != jobID {
 		g.core.Metrics.MachinesReserved++
@@ -198,7 +199,7 @@
 	g.markReserved(m, jobID, rank, stage != sched.AgedAboveAll)
 }
 
-// markReserved notes on a machine that capacity is gathered on it for a job.
+// markReserved sets a machine's reservation for a job.
 func (g *Guard) markReserved(m *core.Machine, jobID api.JobID, rank int, soft bool) {
 	m.ReservedFor, m.ReservationRank, m.SoftReservation = jobID, rank, soft
 	m.ReservedUntil, m.Consolidated = g.core.Now.Add(core.ReservationTTL), true
