--- a/backfill/backfill.go
+++ b/backfill/backfill.go
@@ -1,7 +1,7 @@
-// Package backfill owns the guarantee that all pending work that can run starts within a bounded time,
-// whatever its class, size and priority: when a job goes before others, and which
-// machines are reserved for one that fits nowhere, so that enough capacity becomes free together. It
-// is pure: it stores nothing and reads no clock.
+// Package backfill bounds the time until pending jobs that can run start, whatever their class,
+// size and priority. It determines when a job goes before others, and which machines are reserved
+// for a job without free capacity, so that enough capacity becomes free together. It is pure: it
+// stores nothing and reads no clock.
 package backfill
 
 import (
@@ -11,12 +11,12 @@
 	"basaltwall/sched"
 )
 
-// StartDeadline is the time within which every job must start, whatever its size: the users' requirement.
+// StartDeadline is the time within which every job must start, whatever its size.
 const StartDeadline = 4 * time.Minute
 
-// AgingStageOf is the stage of a job that has waited so long without starting. From half of the deadline
-// on it goes before others of its priority, and capacity is gathered for it, which more urgent work may
-// still take; from three quarters on it goes before all pending work.
+// AgingStageOf returns the aging stage of a job by its waiting time. From half of the deadline on,
+// the job goes before others of its priority, and machines are reserved for it on which jobs of a
+// higher rank may still start. From three quarters on, it goes before all pending jobs.
 func AgingStageOf(waited time.Duration) sched.AgingStage {
 	switch {
 	case waited >= StartDeadline*3/4:
@@ -27,8 +27,7 @@
 	return sched.NotAged
 }
 
-// DominantShare is the share of a capacity that a demand takes, in the resource of which it takes the
-// most.
+// DominantShare returns the largest share of a capacity that a demand takes in any resource.
 func DominantShare(demand, capacity api.Resources) float64 {
 	dominant := 0.0
 	for _, p := range [3][2]api.Quantity{{demand.CPU, capacity.CPU}, {demand.GPU, capacity.GPU}, {demand.Mem, capacity.Mem}} {
--- a/backfill/backfill_test.go
+++ b/backfill/backfill_test.go
@@ -9,9 +9,9 @@
 	"basaltwall/api"
 )
 
-// The selected machines have the capacity when they are said to, no set of machines has it sooner, and
-// none is selected only if the capacity would never be available: on random input, against trying every
-// time at which a task ends.
+// The selected machines have the capacity at the returned time, no other selection has it sooner,
+// and nothing is selected only if the capacity would never be available. On random input, the
+// result is compared with every time at which a task ends.
 func TestSelectMachinesIsSoonest(t *testing.T) {
 	selected, never := 0, 0
 	for seed := range uint64(2000) {
@@ -50,7 +50,7 @@
 		}
 		reserved, after := SelectMachines(machines, request)
 		if after != soonest || (reserved == nil) != math.IsInf(soonest, 1) {
-			t.Fatalf("seed %d: %v after %v s, expected after %v s: %+v of %+v", seed, reserved, after, soonest, request, machines)
+			t.Fatalf("seed %d: selected %v after %v s, expected after %v s: request %+v, machines %+v", seed, reserved, after, soonest, request, machines)
 		}
 		if reserved == nil {
 			never++
@@ -58,10 +58,10 @@
 		}
 		selected++
 		if slotsAt(after, reserved) < request.Tasks {
-			t.Fatalf("seed %d: %v hold %d of %d tasks after %v s", seed, reserved, slotsAt(after, reserved), request.Tasks, after)
+			t.Fatalf("seed %d: machines %v hold %d of %d tasks after %v s", seed, reserved, slotsAt(after, reserved), request.Tasks, after)
 		}
 	}
 	if selected < 100 || never < 100 {
-		t.Errorf("%d chosen, %d never: too few to tell", selected, never)
+		t.Errorf("%d selections, %d without one: too few cases to check", selected, never)
 	}
 }
--- a/backfill/machine.go
+++ b/backfill/machine.go
@@ -12,7 +12,7 @@
 
 // Release is capacity that a running task is expected to release on a machine.
 type Release struct {
-	AfterSeconds float64 // infinite for a task without an end, which matters only where a machine must be empty
+	AfterSeconds float64 // infinite for a task without an expected end
 	Resources    api.Resources
 }
 
@@ -21,14 +21,15 @@
 	Zone     api.Zone
 	Free     api.Resources
 	Releases []Release
-	Reserved bool // it is reserved for the job already
+	Reserved bool // already reserved for the job
 }
 
-// hysteresisSeconds is by how many seconds a machine that is reserved already is preferred: estimates
-// are noisy, and a change of machine loses the capacity gathered so far.
+// hysteresisSeconds is the advantage of a machine that is already reserved: estimates are noisy,
+// and a change of machine loses the capacity that has become free so far.
 const hysteresisSeconds = 20.0
 
-// slotsWithin counts the tasks that a machine could hold after so many seconds, at most limit.
+// slotsWithin returns the number of tasks that a machine can hold after a time in seconds, at most
+// limit.
 func (m *Machine) slotsWithin(demand api.Resources, after float64, limit int) int {
 	free := m.Free
 	for _, release := range m.Releases {
@@ -39,8 +40,8 @@
 	return min(limit, demand.Slots(free))
 }
 
-// slotTimes is when a machine could hold its first task, its second and so on, in seconds, in order;
-// at most limit, and none for tasks that would never fit.
+// slotTimes returns the times in seconds, in order, at which a machine can hold its first task, its
+// second and so on; at most limit, and none for tasks that never fit.
 func (m *Machine) slotTimes(demand api.Resources, limit int) []float64 {
 	var out []float64
 	free := m.Free
--- a/backfill/select.go
+++ b/backfill/select.go
@@ -12,18 +12,18 @@
 	"basaltwall/sched"
 )
 
-// Request is the demand for which machines are reserved.
+// Request is a demand for which machines are reserved.
 type Request struct {
 	Demand       api.Resources    // of a task
-	Tasks        int              // number that must start together; one for an array or a service
+	Tasks        int              // number of tasks that must start together; one for an array or a service
 	OneZone      bool             // all in one zone
 	MaxPerZone   int              // limit on tasks in a zone; 0: none
 	PlacedByZone map[api.Zone]int // number of the job's other tasks by zone
 }
 
-// SelectMachines chooses the machines to reserve, as indices, so that the capacity is available
-// soonest, and with the fewest machines for that time; and in how many seconds it is. It chooses none
-// if the capacity would never be available.
+// SelectMachines returns the indices of the machines to reserve so that the capacity is available
+// soonest, with the fewest machines for that time, and the seconds until it is available. It
+// returns nil if the capacity would never be available.
 func SelectMachines(machines []Machine, request Request) (reserved []int, after float64) {
 	if request.OneZone {
 		return selectZone(machines, request)
@@ -35,8 +35,8 @@
 	return selectFrom(machines, all, request)
 }
 
-// selectZone is SelectMachines for tasks that must be in one zone: it takes the zone that is soonest,
-// and by name the first of these.
+// selectZone is SelectMachines for tasks that must be in one zone. It selects the zone in which
+// they can start soonest, and of several the first by name.
 func selectZone(machines []Machine, request Request) (reserved []int, after float64) {
 	byZone := map[api.Zone][]int{}
 	for i := range machines {
@@ -54,7 +54,7 @@
 	return reserved, after
 }
 
-// selectFrom is SelectMachines among some of the machines.
+// selectFrom is SelectMachines limited to the machines in among.
 func selectFrom(machines []Machine, among []int, request Request) ([]int, float64) {
 	last, ok := earliestStart(machines, among, request)
 	if !ok {
@@ -67,9 +67,9 @@
 	return reserved, last
 }
 
-// earliestStart is how soon all tasks of a request can start on some of the machines, in seconds: the
-// time of the last slot that is needed, of all machines' slots in order of time. It is false if they
-// never can.
+// earliestStart returns the seconds until all tasks of a request can start on the machines in
+// among: the time of the last slot that is needed, of all slots in order of time. ok is false if
+// they never can.
 func earliestStart(machines []Machine, among []int, request Request) (last float64, ok bool) {
 	type slot struct {
 		at           float64
@@ -104,8 +104,9 @@
 	return last, remaining <= 0
 }
 
-// mostCapacityBy chooses, of the machines that have free capacity for the request's tasks by a time in
-// seconds, those with the most of it, reserved ones first; nil if they can't hold all tasks.
+// mostCapacityBy selects machines that have capacity for the request's tasks by a time in seconds:
+// already reserved ones first, then those with the most capacity. It returns nil if they can't hold
+// all tasks.
 func mostCapacityBy(machines []Machine, among []int, request Request, last float64) []int {
 	byCapacity := slices.Clone(among)
 	slotCount := func(i int) int {
@@ -145,8 +146,8 @@
 	return nil
 }
 
-// SoonestEmpty is the index of the machine that is empty soonest and can then hold a task of the demand,
-// and in how many seconds that is; -1 if none ever is.
+// SoonestEmpty returns the index of the machine that is empty soonest and can then hold a task of
+// the demand, and the seconds until then; -1 if there is none.
 func SoonestEmpty(machines []Machine, demand api.Resources) (best int, after float64) {
 	best, after = -1, math.Inf(1)
 	for i := range machines {
--- a/flow/flow.go
+++ b/flow/flow.go
@@ -1,13 +1,13 @@
-// Package flow owns the min-cost flow solver: successive shortest paths with
-// node potentials, on integer costs that may be negative as long as the graph
-// has no negative cycle. It knows nothing of tasks and machines.
+// Package flow implements a min-cost flow solver: successive shortest paths with node potentials,
+// on integer costs that may be negative as long as the graph has no negative cycle. It is
+// independent of tasks and machines.
 package flow
 
 // edge is an edge of the residual network.
 type edge struct {
 	to       int32
 	residual int32 // capacity left
-	cost     int64 // of a unit
+	cost     int64 // per unit
 }
 
 // Graph is a flow network. Edges come in pairs, an edge and its reverse, so that the index of one is
@@ -20,10 +20,10 @@
 // New returns a network of n nodes without edges.
 func New(n int) *Graph { return &Graph{adjacency: make([][]int32, n)} }
 
-// EdgeID names an edge, to ask for its flow.
+// EdgeID identifies an edge.
 type EdgeID int32
 
-// AddEdge adds an edge with a capacity and the cost of a unit of flow.
+// AddEdge adds an edge with a capacity and a cost per unit of flow.
 func (g *Graph) AddEdge(from, to, capacity int, cost int64) EdgeID {
 	id := EdgeID(len(g.edges))
 	g.edges = append(g.edges, edge{to: int32(to), residual: int32(capacity), cost: cost}, edge{to: int32(from), cost: -cost})
@@ -32,13 +32,13 @@
 	return id
 }
 
-// Flow is the flow through an edge.
+// Flow returns the flow through an edge.
 func (g *Graph) Flow(id EdgeID) int { return int(g.edges[id+1].residual) }
 
-// infinity is the distance of a node that can't be reached.
+// infinity is the distance of an unreachable node.
 const infinity = int64(1) << 60
 
-// potentials are the shortest distances from the source, found with negative costs allowed.
+// potentials returns the shortest distances from the source. Costs may be negative.
 func (g *Graph) potentials(source int) []int64 {
 	dist := make([]int64, len(g.adjacency))
 	for i := range dist {
@@ -65,8 +65,8 @@
 	return dist
 }
 
-// MinCostFlow sends at most limit units from source to sink at least cost and returns how many
-// were sent and what they cost. It is to be called once for a network.
+// MinCostFlow sends at most limit units from source to sink at minimum cost. It returns the number
+// of units sent and their total cost. It must be called only once per graph.
 func (g *Graph) MinCostFlow(source, sink, limit int) (sent int, cost int64) {
 	search := &pathSearch{
 		graph:      g,
@@ -83,7 +83,8 @@
 	return sent, cost
 }
 
-// augment sends as much as a path carries, at most limit, and returns that and its cost.
+// augment sends as much flow as a path can carry, at most limit, and returns the amount and its
+// cost.
 func (g *Graph) augment(parentEdge []int32, source, sink, limit int) (sent int, cost int64) {
 	amount := int32(limit)
 	for v := sink; v != source; v = int(g.edges[parentEdge[v]^1].to) {
@@ -98,7 +99,7 @@
 }
 
 // pathSearch finds shortest paths by Dijkstra's algorithm on reduced costs, which node potentials
-// keep from being negative. Its buffers serve all paths of a flow.
+// keep non-negative. Its buffers are reused for all paths of a flow.
 type pathSearch struct {
 	graph      *Graph
 	potential  []int64
@@ -107,15 +108,15 @@
 	queue      priorityQueue
 }
 
-// shortestPath finds the shortest path from source to sink and updates the potentials; false if
-// there is no path.
+// shortestPath finds the shortest path from source to sink and updates the potentials. It returns
+// false if there is no path.
 func (p *pathSearch) shortestPath(source, sink int) bool {
 	p.searchUntil(source, sink)
 	if p.dist[sink] >= infinity {
 		return false
 	}
-	// Nodes at least as far as the sink move with it: reduced costs stay
-	// above zero, and the search can end at the sink.
+	// Nodes at least as far as the sink are treated as equally far: reduced costs stay non-negative,
+	// and the search can end at the sink.
 	for i := range p.potential {
 		if p.potential[i] < infinity {
 			p.potential[i] += min(p.dist[i], p.dist[sink])
@@ -138,7 +139,7 @@
 			continue
 		}
 		if int(nearest.node) == sink {
-			return // what is farther needs no exact distance, see shortestPath
+			return // farther nodes need no exact distance, see shortestPath
 		}
 		for _, id := range p.graph.adjacency[nearest.node] {
 			e := edges[id]
--- a/flow/flow_test.go
+++ b/flow/flow_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// bruteForce tries every assignment of tasks to machines or to none.
+// bruteForce returns the minimum cost over all assignments of tasks to machines or to none.
 func bruteForce(cost [][]int64, used []bool, i int) int64 {
 	if i == len(cost) {
 		return 0
--- a/flow/heap.go
+++ b/flow/heap.go
@@ -2,14 +2,14 @@
 
 package flow
 
-// heapItem is a node with its distance from the source, by reduced costs.
+// heapItem is a node with its distance from the source in reduced costs.
 type heapItem struct {
 	dist int64
 	node int32
 }
 
-// priorityQueue is a binary heap, nearest first. It is not container/heap, whose interface values would
-// cost an allocation for each of the many items of a round.
+// priorityQueue is a binary heap, nearest first. container/heap would allocate an interface value
+// for every item.
 type priorityQueue []heapItem
 
 func (q *priorityQueue) push(x heapItem) {
--- a/sched/cost.go
+++ b/sched/cost.go
@@ -12,24 +12,24 @@
 // Weights of the edge cost, relative to the dot product, which lies between 0
 // and the number of resources. docs/design.md gives the reasons.
 const (
-	costScale           = 1e6  // of a score as an integer cost
-	scheduledBonus      = 16.0 // being placed always beats waiting
-	rankBonus           = 32.0 // a higher priority outweighs every other term
-	agedBonus           = 8.0  // ahead of equal priority: more than guarantee and urgency together
+	costScale           = 1e6  // converts a score to an integer cost
+	scheduledBonus      = 16.0 // placing a task always beats leaving it pending
+	rankBonus           = 32.0 // a higher priority outweighs all other terms except agedAboveAllBonus
+	agedBonus           = 8.0  // first among equal priority: outweighs guarantee and urgency together
 	agedAboveAllBonus   = 5 * rankBonus
 	guaranteeBonus      = 4.0
 	urgencyBonus        = 2.0
-	spotPenalty         = 2.0 // a certain delay outweighs taking machines that latency-sensitive work needs
-	spotBonus           = 0.3 // work of low spot risk leaves the other machines to work of high risk
-	acceleratorPenalty  = 2.0 // accelerators are kept for work that needs them
-	fastStartPenalty    = 0.7 // capacity for latency-sensitive work stays free while there is other
-	fragmentationWeight = 4.0 // breaking into an empty machine outweighs any dot product, and a fetch
-	surplusPenalty      = 2.0 // more than any dot product is likely to gain
-	slowdownThreshold   = 1.3 // machines of a type differ by a tenth; beyond this one is slow
-	imageFetchWeight    = 2.0 // of a fetch, as a share of the task's whole duration
+	spotPenalty         = 2.0 // multiplied by SpotRisk; a certain delay outweighs fastStartPenalty
+	spotBonus           = 0.3 // jobs with low spot risk leave other machines to jobs with high risk
+	acceleratorPenalty  = 2.0 // accelerators are kept for jobs that need them
+	fastStartPenalty    = 0.7 // capacity for latency-sensitive jobs stays free while there is other capacity
+	fragmentationWeight = 4.0 // starting on an empty machine outweighs any dot product, and a fetch
+	surplusPenalty      = 2.0 // outweighs the usual differences of dot products
+	slowdownThreshold   = 1.3 // above the normal variation among machines of a type
+	imageFetchWeight    = 2.0 // multiplied by the share of the fetch in the task's total duration
 )
 
-// ratio is a as a share of the whole, 0 if there is no whole.
+// ratio returns a as a share of whole; 0 if whole is 0.
 func ratio(a, whole api.Quantity) float64 {
 	if whole <= 0 {
 		return 0
@@ -37,9 +37,9 @@
 	return float64(a) / float64(whole)
 }
 
-// edgeCost is the cost of placing a task of the job on the machine: the negated score, as an
-// integer. The score is the dot product of demand and free capacity, as published, with terms for
-// the job's place in the order, the machine's fitness and the image's fetch.
+// edgeCost returns the cost of placing a task of the job on the machine: the negated score, as an
+// integer. The score is the dot product of demand and free capacity, with terms for the job's
+// precedence, the suitability of the machine, and the image fetch.
 func edgeCost(in *Input, j *Job, m *Machine, free api.Resources) int64 {
 	dotProduct := ratio(j.Demand.CPU, in.LargestCapacity.CPU)*ratio(free.CPU, in.LargestCapacity.CPU) +
 		ratio(j.Demand.GPU, in.LargestCapacity.GPU)*ratio(free.GPU, in.LargestCapacity.GPU) +
@@ -78,10 +78,10 @@
 	return -int64(score * costScale)
 }
 
-// fetchPenalty is what a fetch of so many seconds takes off the score.
+// fetchPenalty returns the deduction from the score for a fetch, given in seconds.
 func fetchPenalty(j *Job, fetch float64) float64 {
 	if j.StartSLO > 0 {
-		// Beyond the objective a longer fetch still counts: a replica is missing for as long.
+		// Beyond the objective a longer fetch still costs more: a replica is missing for that time.
 		late := fetch / j.StartSLO
 		return min(1, late) + math.Log(max(1, late))
 	}
--- a/sched/fetch.go
+++ b/sched/fetch.go
@@ -1,4 +1,4 @@
-// Image fetches: which machines a service's replicas may start on without fetching for too long.
+// Selection of machines by image fetch time, for replicas of services.
 
 package sched
 
@@ -10,12 +10,11 @@
 	"basaltwall/api"
 )
 
-// limitByFetchTime chooses, of the machines that are open to a service's replicas, those that this
-// round considers: those whose fetch is so short that all pending replicas find free capacity on
-// them within some rounds, but no longer than a machine that boots would take. A round assigns at
-// most one task to a machine, so when a zone is lost the machines that hold the image are soon used
-// up in it; the next round, a tenth of a second later, has more of their capacity, while a fetch on
-// a slow machine takes a hundred times as long.
+// limitByFetchTime limits the machines eligible for a service's replicas to those with a short
+// fetch: all pending replicas must find free capacity on them within maxImageWaitRounds, and the
+// fetch must not take longer than a booting machine needs to have the image. A round assigns at
+// most one task to a machine, so the machines that have the image may be used up in this round;
+// waiting a few rounds for them takes far less time than a fetch on a slow machine.
 func limitByFetchTime(in *Input, j *Job, free []api.Resources, eligible []int) []int {
 	type candidate struct {
 		machineIndex int
@@ -47,6 +46,6 @@
 	return eligible
 }
 
-// maxImageWaitRounds is how many rounds a replica may wait for a machine that has its image: together
-// they take a second or less.
+// maxImageWaitRounds is the maximum number of rounds that a replica waits for a machine that has
+// its image.
 const maxImageWaitRounds = 8
--- a/sched/fetch_test.go
+++ b/sched/fetch_test.go
@@ -7,10 +7,9 @@
 	"basaltwall/api"
 )
 
-// A round assigns at most one task to a machine. When a zone fails, a service's replicas must not all
-// be placed on machines with long fetches while the one that has the image has free capacity for them
-// in the next rounds; but if it has none, a long fetch is better than no start. Work without a
-// start objective waits for nothing.
+// Replicas of a service wait a few rounds for free capacity on a machine that has their image
+// instead of starting on machines with a long fetch. Without such capacity they start with a long
+// fetch. Jobs without a start objective don't wait.
 func TestReplicasWaitForCachedImage(t *testing.T) {
 	round := func(kind api.Kind, freeCPU api.Quantity) (cached, uncached int) {
 		s := &api.JobSpec{Ref: "run-1", Team: "red", Kind: kind, Priority: api.Production, Tasks: 4, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 3}
@@ -33,46 +32,46 @@
 		return cached, uncached
 	}
 	if cached, uncached := round(api.Service, 16e6); cached != 1 || uncached != 0 {
-		t.Errorf("with room where the image is: %d there, %d elsewhere", cached, uncached)
+		t.Errorf("free capacity on the machine with the image: %d placed there, %d elsewhere", cached, uncached)
 	}
 	if cached, uncached := round(api.Service, 2e6); cached != 1 || uncached != 3 {
-		t.Errorf("without: %d there, %d elsewhere", cached, uncached)
+		t.Errorf("too little capacity on the machine with the image: %d placed there, %d elsewhere", cached, uncached)
 	}
 	if cached, uncached := round(api.Array, 16e6); cached+uncached != 4 {
-		t.Errorf("an array: %d there, %d elsewhere", cached, uncached)
+		t.Errorf("array: %d placed on the machine with the image, %d elsewhere", cached, uncached)
 	}
 }
 
-// A fetch that is under way is completed sooner than one that is not.
+// A fetch in progress shortens the remaining fetch time.
 func TestFetchTime(t *testing.T) {
 	s := &api.JobSpec{Image: "img", ImageGB: 2}
 	m := Machine{FetchRate: 0.5, FetchingImages: []ImageFetch{{Name: "other", SizeGB: 1, ElapsedSeconds: 1}}}
 	if got := m.FetchTime(s); got != 6 {
-		t.Errorf("beside another: %v s", got)
+		t.Errorf("with another fetch in progress: %v s", got)
 	}
 	m.FetchingImages = append(m.FetchingImages, ImageFetch{Name: "img", SizeGB: 2, ElapsedSeconds: 4})
 	if got := m.FetchTime(s); got != 2 {
-		t.Errorf("begun 4 s ago: %v s", got)
+		t.Errorf("fetch started 4 s ago: %v s", got)
 	}
 	m.FetchingImages[1].ElapsedSeconds = 60
 	if got := m.FetchTime(s); got != 0 {
-		t.Errorf("overdue: %v s", got)
+		t.Errorf("overdue fetch: %v s", got)
 	}
 }
 
-// Replicas wait for a machine that boots rather than for a fetch that takes longer; if
-// none boots a late start is better than none.
+// Replicas wait for a booting machine instead of a longer fetch. If no machine boots, they start
+// with the long fetch.
 func TestReplicasWaitForBootingMachine(t *testing.T) {
 	for _, tc := range []struct {
-		fresh float64
-		want  int
+		newMachineSeconds float64
+		want              int
 	}{{0, 1}, {30, 0}, {60, 1}} {
 		s := &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Service, Priority: api.Production, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 2}
 		in := &Input{LargestCapacity: api.Resources{CPU: 16e6, Mem: 64e6}, MaxStarts: 100, RemainingQuota: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}},
 			Machines: []Machine{{ID: "i-1", Type: "t", Zone: "a", Free: api.Resources{CPU: 16e6, Mem: 64e6}, FetchRate: 0.2, FetchingImages: []ImageFetch{{Name: "other", SizeGB: 8}}}},
-			Jobs:     []Job{{Spec: s, Demand: s.Demand(), Pending: []int{0}, StartSLO: 3, NewMachineSeconds: tc.fresh}}}
+			Jobs:     []Job{{Spec: s, Demand: s.Demand(), Pending: []int{0}, StartSLO: 3, NewMachineSeconds: tc.newMachineSeconds}}}
 		if got := len(PlanRound(in)); got != tc.want {
-			t.Errorf("50 s away, with a machine up in %v s: %d placed", tc.fresh, got)
+			t.Errorf("fetch of 50 s, booting machine in %v s: %d placed", tc.newMachineSeconds, got)
 		}
 	}
 }
--- a/sched/fragmentation_test.go
+++ b/sched/fragmentation_test.go
@@ -10,8 +10,8 @@
 	"basaltwall/fragmentation"
 )
 
-// fragmentedInput is a cluster of machines with eight accelerators, some of them in use, and pending
-// tasks that need one or eight.
+// fragmentedInput returns a cluster of machines with eight accelerators, some of them in use, and
+// pending tasks that need one or eight.
 func fragmentedInput(machines, jobs int, typical bool) *Input {
 	r := rand.New(rand.NewPCG(8, 9))
 	in := &Input{LargestCapacity: api.Resources{CPU: 96e6, GPU: 8e6, Mem: 768e6}, MaxStarts: 60,
@@ -30,19 +30,19 @@
 		in.Jobs = append(in.Jobs, j)
 	}
 	if typical {
-		asked := map[api.Resources]int{}
+		counts := map[api.Resources]int{}
 		for _, j := range in.Jobs {
-			asked[j.Demand] += len(j.Pending)
+			counts[j.Demand] += len(j.Pending)
 		}
-		in.TypicalDemands = fragmentation.TypicalDemands(asked)
+		in.TypicalDemands = fragmentation.TypicalDemands(counts)
 	}
 	return in
 }
 
-// Small tasks fill machines in use: none takes an empty machine while fragments are left, as the dot
-// product alone would do.
+// Small tasks fill partly used machines. None takes an empty machine while there are such
+// fragments, as it would by the dot product alone.
 func TestSmallTasksKeepWholeMachinesFree(t *testing.T) {
-	begun := func(typical bool) (whole int) {
+	startedOnEmpty := func(typical bool) (whole int) {
 		in := fragmentedInput(200, 40, typical)
 		for _, p := range PlanRound(in) {
 			if in.Jobs[p.JobIndex].Spec.GPUs == 1 && in.Machines[p.MachineIndex].Free.GPU == 8e6 {
@@ -51,19 +51,20 @@
 		}
 		return whole
 	}
-	if with, without := begun(true), begun(false); with != 0 || without == 0 {
-		t.Errorf("%d whole machines are begun by small models, %d by the dot product alone", with, without)
+	if with, without := startedOnEmpty(true), startedOnEmpty(false); with != 0 || without == 0 {
+		t.Errorf("%d small tasks start on empty machines with the fragmentation term, %d by the dot product alone", with, without)
 	}
 }
 
-// The machines left empty after small tasks that arrive a few at a time, against the optimum that an
-// exhaustive search finds with knowledge of all tasks. Cases where a task does not fit are not counted.
+// Small tasks that arrive a few at a time leave nearly as many machines empty as the optimum, which
+// an exhaustive search finds with knowledge of all tasks. Cases where a task does not fit are not
+// counted.
 func TestFragmentationNearOptimum(t *testing.T) {
 	sizes := []api.Quantity{1e6, 2e6, 4e6}
 	demand := func(gpus api.Quantity) api.Resources {
 		return api.Resources{CPU: 12 * gpus, GPU: gpus, Mem: 90 * gpus}
 	}
-	// best is the most machines that can be left with all eight free.
+	// best returns the maximum number of machines that can be left with all eight accelerators free.
 	var best func(free []api.Quantity, tasks []api.Quantity) int
 	best = func(free, tasks []api.Quantity) int {
 		if len(tasks) == 0 {
@@ -79,7 +80,7 @@
 		}
 		return most
 	}
-	var left, waiting [2]int // by the dot product alone, and with the term
+	var left, pending [2]int // by the dot product alone, and with the fragmentation term
 	ideal := 0
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -95,12 +96,12 @@
 		if most < 0 {
 			continue // they don't all fit
 		}
-		asked := map[api.Resources]int{demand(8e6): 2}
+		counts := map[api.Resources]int{demand(8e6): 2}
 		for _, gpus := range tasks {
-			asked[demand(gpus)]++
+			counts[demand(gpus)]++
 		}
 		ideal += most
-		for variant, typical := range [][]fragmentation.Demand{nil, fragmentation.TypicalDemands(asked)} {
+		for variant, typical := range [][]fragmentation.Demand{nil, fragmentation.TypicalDemands(counts)} {
 			free, unplaced := slices.Clone(start), 0
 			for i := 0; i < len(tasks); i += 2 {
 				in := &Input{LargestCapacity: demand(8e6), MaxStarts: 60, TypicalDemands: typical, RemainingQuota: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}}}
@@ -117,15 +118,15 @@
 				}
 				unplaced += len(in.Jobs) - len(placed)
 			}
-			waiting[variant] += unplaced
+			pending[variant] += unplaced
 			if unplaced == 0 {
 				left[variant] += countWhole(free)
 			}
 		}
 	}
-	t.Logf("whole machines left: %v of at best %d; %v tasks wait", left, ideal, waiting)
-	if 100*left[1] < 85*ideal || left[1] <= left[0] || waiting[1] > waiting[0] {
-		t.Errorf("%v machines are left whole (without the term, with it), %d at best, and %v tasks wait", left, ideal, waiting)
+	t.Logf("machines left empty: %v, optimum %d; pending tasks: %v", left, ideal, pending)
+	if 100*left[1] < 85*ideal || left[1] <= left[0] || pending[1] > pending[0] {
+		t.Errorf("machines left empty (without and with the fragmentation term): %v, optimum %d; pending tasks: %v", left, ideal, pending)
 	}
 }
 
@@ -138,7 +139,7 @@
 	return count
 }
 
-func BenchmarkRoundInPieces(b *testing.B) {
+func BenchmarkFragmentedRound(b *testing.B) {
 	for _, typical := range []bool{false, true} {
 		in := fragmentedInput(2500, 300, typical)
 		b.Run(fmt.Sprintf("typical=%v", typical), func(b *testing.B) {
--- a/sched/gang.go
+++ b/sched/gang.go
@@ -30,14 +30,14 @@
 			return assignments
 		}
 	}
-	if j.ReservesQuota { // it lacks machines now, and must not lack quota once they are free
+	if j.ReservesQuota { // the gang lacks machines now and must not lack quota once they are free
 		left.chargeQuota(j, len(j.Pending))
 	}
 	return nil
 }
 
-// gangMachines are the machines that can take a task of a gang: those with its image first, and among
-// these best-fit first, so that empty machines stay empty.
+// gangMachines returns the machines that can take a task of a gang: those with its image first, and
+// among these best-fit first, so that empty machines stay empty.
 func gangMachines(in *Input, j *Job, free []api.Resources) []int {
 	var order []int
 	for machineIndex := range in.Machines {
@@ -59,8 +59,8 @@
 	return order
 }
 
-// gangZones are the zones to try a gang in, one at a time, if it must be in one zone; else the empty
-// zone alone, which stands for all of them together.
+// gangZones returns the zones to try for a gang that must be in one zone, one at a time; for other
+// gangs only the empty zone, which stands for all zones together.
 func gangZones(in *Input, j *Job, order []int) []api.Zone {
 	if !j.Spec.OneZone {
 		return []api.Zone{""}
--- a/sched/job.go
+++ b/sched/job.go
@@ -1,4 +1,4 @@
-// Jobs: what a round knows of them, and the order in which they are served.
+// Jobs in the input of a round, and their order.
 
 package sched
 
@@ -15,32 +15,33 @@
 	Pending             []int            // indices of the pending tasks
 	PlacedByZone        map[api.Zone]int // number of its placed tasks by zone
 	Urgency             float64          // orders jobs of equal rank, between 0 and 1
-	PriorityBoost       float64          // by how many priorities rules raise it; negative: lower it
+	PriorityBoost       float64          // number of priorities by which rules raise it; negative if they lower it
 	AgingStage          AgingStage       // of a job that has not started
-	WaitedSeconds       float64          // how long it has waited, once it has aged
-	ReservesQuota       bool             // quota that it lacks is left to it as it becomes free
+	WaitedSeconds       float64          // waiting time of an aged job
+	ReservesQuota       bool             // quota that it lacks is reserved for it as it becomes free
 	WithinGuarantee     bool             // within its team's guarantee
-	HoldsJobUnits       bool             // it holds already the pool units of the job itself
+	HoldsJobUnits       bool             // it already holds the pool units required once per job
 	StartSLO            float64          // objective for a start, in seconds; 0: none
-	NewMachineSeconds   float64          // seconds until a machine that boots now would have the image; 0: none boots
+	NewMachineSeconds   float64          // seconds until a booting machine would have the image; 0: none boots
 	ExcludedMachines    map[api.MachineID]bool
 	FastStart           bool    // should start sooner than a machine boots
 	AcceleratorOptional bool    // some type without accelerators can take its tasks
-	SpotRisk            float64 // how much it would suffer from the reclaim of a spot machine, between 0 and 1
+	SpotRisk            float64 // probability that the reclaim of a spot machine makes it late, between 0 and 1
 }
 
-// AgingStage is how far a job is in the time in which it must start, see package backfill.
+// AgingStage is the stage of a job's waiting time relative to the start deadline, see package
+// backfill.
 type AgingStage int
 
-// The stages. A job that has not aged is ordered by rank, guarantee and urgency.
+// Stages of aging. A job that has not aged is ordered by rank, guarantee and urgency.
 const (
 	NotAged            AgingStage = iota
 	AgedWithinPriority            // goes before others of its priority
 	AgedAboveAll                  // goes before all others
 )
 
-// TasksWithinUnits is how many of so many tasks of the job the available pool units allow: of a
-// gang all or none.
+// TasksWithinUnits returns how many of the given number of tasks the available pool units allow;
+// for a gang all or none.
 func (j *Job) TasksWithinUnits(units map[api.PoolName]int, tasks int) int {
 	requested := tasks
 	for _, n := range j.Spec.Needs {
@@ -61,14 +62,14 @@
 	return max(0, tasks)
 }
 
-// ConsumeUnits takes the pool units of so many tasks of the job off the available ones.
+// ConsumeUnits subtracts the pool units of a number of the job's tasks from the available units.
 func (j *Job) ConsumeUnits(units map[api.PoolName]int, tasks int) {
 	for _, n := range j.Spec.Needs {
 		units[n.Pool] -= n.Units(tasks, j.HoldsJobUnits)
 	}
 }
 
-// effectivePriority is the job's priority rank as changed by rules.
+// effectivePriority returns the job's priority rank as changed by rules.
 func (j *Job) effectivePriority() float64 { return float64(j.Spec.Priority.Rank()) + j.PriorityBoost }
 
 // compareJobs orders jobs for the placement of gangs and for the use of a team's quota.
@@ -80,7 +81,6 @@
 	return cmp.Or(compareTrueFirst(a.WithinGuarantee, b.WithinGuarantee), cmp.Compare(b.Urgency, a.Urgency))
 }
 
-// compareTrueFirst compares so that true is first.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -91,5 +91,5 @@
 	return 1
 }
 
-// Descending compares so that the larger number is first.
+// Descending is a comparison that orders larger numbers first.
 func Descending(a, b float64) int { return cmp.Compare(b, a) }
--- a/sched/machine.go
+++ b/sched/machine.go
@@ -1,4 +1,4 @@
-// Machines: what a round knows of them, and which jobs may use them.
+// Machines in the input of a round, and their eligibility for jobs.
 
 package sched
 
@@ -16,15 +16,15 @@
 	Spot            bool
 	Free            api.Resources
 	GPU             bool    // the type has accelerators
-	AcceleratorOnly bool    // only for work that needs its accelerators
-	FastStart       bool    // of a type that latency-sensitive work needs
-	Surplus         bool    // beyond what the load needs: used last, so that it can be scaled in
-	Slowdown        float64 // run time of tasks here relative to other machines; 0: not known
+	AcceleratorOnly bool    // only for jobs that need its accelerators
+	FastStart       bool    // of a type that latency-sensitive jobs need
+	Surplus         bool    // exceeds the demand: used last, so that it can be scaled in
+	Slowdown        float64 // runtime of its tasks relative to other machines; 0: unknown
 	CachedImages    map[api.Image]CachedImage
 	FetchRate       float64      // GB per second
-	FetchingImages  []ImageFetch // fetches under way: they may share the rate
-	ReservedFor     api.JobID    // only for this job, for which tasks were preempted or capacity is gathered
-	SoftReservation bool         // work of a higher rank than ReservationRank may use it nevertheless
+	FetchingImages  []ImageFetch // fetches in progress, which may share the rate
+	ReservedFor     api.JobID    // only this job may use the machine; see SoftReservation
+	SoftReservation bool         // jobs of a higher rank than ReservationRank may use it too
 	ReservationRank int
 }
 
@@ -41,19 +41,21 @@
 	LastUsed api.Time
 }
 
-// Eligible reports whether a job may use the machine at all: the machine may be reserved for
-// another job, be limited to work that needs its accelerators, or be one on which the job failed.
+// Eligible reports whether a job may use the machine: its constraints allow the machine, it has not
+// failed there, and the machine is neither reserved for another job nor limited to jobs that need
+// its accelerators.
 func (m *Machine) Eligible(j *Job) bool {
-	return m.openTo(j) && !m.withholdsAccelerators(j) && !j.ExcludedMachines[m.ID] && Feasible(j.Spec, m.Type, m.Zone, m.Spot)
+	return m.reservationAllows(j) && !m.withholdsAccelerators(j) && !j.ExcludedMachines[m.ID] && Feasible(j.Spec, m.Type, m.Zone, m.Spot)
 }
 
-// openTo reports whether no reservation keeps a job off the machine.
-func (m *Machine) openTo(j *Job) bool {
+// reservationAllows reports whether the machine's reservation, if any, allows a job.
+func (m *Machine) reservationAllows(j *Job) bool {
 	return m.ReservedFor == "" || m.ReservedFor == j.Spec.Ref || m.SoftReservation && j.Spec.Priority.Rank() > m.ReservationRank
 }
 
-// withholdsAccelerators reports whether a job that can do without accelerators is kept off the
-// machine for the sake of them. A service, which never ends, would block them for good.
+// withholdsAccelerators reports whether the machine rejects a job that can run without
+// accelerators, to keep its accelerators free. A service never ends and would block them
+// permanently.
 func (m *Machine) withholdsAccelerators(j *Job) bool {
 	return j.AcceleratorOptional && m.GPU && (m.AcceleratorOnly || j.Spec.Kind == api.Service)
 }
@@ -64,8 +66,8 @@
 	return ok
 }
 
-// FetchTime is how many seconds remain until a job's image is on the machine: as long as all
-// fetches of the machine together, since they may share the rate.
+// FetchTime returns the seconds until a job's image is on the machine. It is the time of all the
+// machine's fetches together, since they may share the rate.
 func (m *Machine) FetchTime(s *api.JobSpec) float64 {
 	if m.FetchRate <= 0 || m.HasImage(s.Image) {
 		return 0
@@ -81,13 +83,15 @@
 	return max(0, totalGB/m.FetchRate-elapsed)
 }
 
-// Feasible reports whether the job's constraints allow the machine, the job's other tasks aside.
+// Feasible reports whether the job's constraints allow a machine, regardless of the job's other
+// tasks.
 func Feasible(s *api.JobSpec, typ api.MachineTypeName, zone api.Zone, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, typ)) &&
 		(s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// ZoneFeasible reports whether one more task of the job may go into the zone, given its tasks by zone.
+// ZoneFeasible reports whether one more task of the job may be placed in a zone, given its tasks by
+// zone.
 func ZoneFeasible(s *api.JobSpec, zones map[api.Zone]int, z api.Zone) bool {
 	if s.OneZone {
 		for other, n := range zones {
--- a/sched/network.go
+++ b/sched/network.go
@@ -1,4 +1,4 @@
-// The flow network of a round's jobs and machines, for all tasks that are not of gangs.
+// The flow network of a round's jobs and machines, for all tasks except those of gangs.
 
 package sched
 
@@ -19,8 +19,8 @@
 	used    bool // it carries flow
 }
 
-// flowNode is a node that tasks flow through: of a job, or of the tasks that a spread job may still
-// have in one zone.
+// flowNode is a node of the flow network: a job, or the tasks that a spread job may still have in
+// one zone.
 type flowNode struct {
 	supply int
 	parent int // the node of the job, or noParent
@@ -31,12 +31,12 @@
 const noParent = -1
 
 // placeByFlow assigns tasks by min-cost flow, at most one to a machine. Tasks of one job are
-// alike, so a job is one node with as many units of supply: the optimum is that
-// of one node per task.
+// identical, so a job is a single node with one unit of supply per task. The optimum is the same as
+// with one node per task.
 //
-// At most maxStarts tasks are assigned. A node then needs no more than that many of its cheapest
-// machines: were one beyond them used, one among them would be unused and cost no more. So the
-// other edges are left out and the optimum stays the same.
+// At most maxStarts tasks are assigned, so each node keeps only that many of its cheapest edges.
+// The optimum stays the same: if a more expensive edge were used, one of the cheapest would be
+// unused and could replace it.
 func placeByFlow(in *Input, order []int, left *remaining, maxStarts int) []Assignment {
 	if maxStarts <= 0 || len(in.Machines) == 0 {
 		return nil
@@ -49,10 +49,10 @@
 	return flowAssignments(in, nodes)
 }
 
-// flowNodes are the nodes of the jobs that take part in a round's flow, in order, and how many units
-// of supply they have together. Quota and pool units of that supply are taken off what is left.
+// flowNodes returns the nodes of the jobs in a round's flow, in order, and their total supply.
+// Quota and pool units for that supply are subtracted from left.
 func flowNodes(in *Input, order []int, left *remaining, maxStarts int) (nodes []flowNode, total int) {
-	enough := supplyPerMachine*min(maxStarts, len(in.Machines)) + minSupply
+	targetSupply := supplyPerMachine*min(maxStarts, len(in.Machines)) + minSupply
 	for _, jobIndex := range order {
 		j := &in.Jobs[jobIndex]
 		if j.Spec.Kind == api.Gang {
@@ -75,21 +75,22 @@
 		left.chargeQuota(j, supply)
 		j.ConsumeUnits(left.units, supply)
 		nodes = append(nodes, added...)
-		if total += supply; total >= enough {
+		if total += supply; total >= targetSupply {
 			break
 		}
 	}
 	return nodes, total
 }
 
-// A round's flow takes in jobs, most important first, until their supply is this many times what
-// the round can start, and a few tasks more for small rounds.
+// A round's flow adds jobs in order until their supply reaches supplyPerMachine times the number of
+// tasks that the round can start, plus minSupply.
 const (
 	supplyPerMachine = 4
 	minSupply        = 64
 )
 
-// flowSupply is how many tasks of a job quota, pool units and its zone constraint allow in the flow.
+// flowSupply returns the number of a job's tasks that quota, pool units and its zone constraint
+// allow in the flow.
 func flowSupply(j *Job, left *remaining, maxStarts int) int {
 	supply := min(len(j.Pending), j.Demand.Slots(left.quota[j.Spec.Team]), maxStarts)
 	if supply == 0 && j.ReservesQuota {
@@ -167,9 +168,9 @@
 	return false
 }
 
-// jobNodes are the nodes of one job, its own first; base is the index that this one will have. A
-// spread job has one more for each zone, with as much capacity as the zone may still take: so
-// several of its tasks can be assigned in a round and the bound still holds.
+// jobNodes returns the nodes of a job, the node of the job itself first; base is the index of that
+// node. A spread job has one more node for each zone, with the supply that the zone may still take,
+// so that several of its tasks can be assigned in a round within the limit per zone.
 func jobNodes(in *Input, jobIndex int, free []api.Resources, supply, maxStarts, base int) []flowNode {
 	j := &in.Jobs[jobIndex]
 	nodes := []flowNode{{supply: supply, parent: noParent}}
@@ -196,7 +197,7 @@
 	return nodes
 }
 
-// flowMachines are the machines that a job's tasks may flow to.
+// flowMachines returns the machines to which a job's tasks may flow.
 func flowMachines(in *Input, j *Job, free []api.Resources) []int {
 	var eligible []int
 	for machineIndex := range in.Machines {
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -1,6 +1,6 @@
-// Package sched owns one scheduling round: gangs whole and first-fit, then
-// all other pending tasks together by min-cost flow, within each team's quota.
-// It is pure: the same input gives the same plan.
+// Package sched plans a scheduling round: gangs are placed whole and first-fit, then all other
+// pending tasks together by min-cost flow, within each team's quota. It is pure: the same input
+// gives the same plan.
 package sched
 
 import (
@@ -11,14 +11,14 @@
 	"basaltwall/fragmentation"
 )
 
-// Input is everything that a round depends on.
+// Input is the complete input of a round.
 type Input struct {
 	Machines        []Machine
 	Jobs            []Job
-	RemainingQuota  map[api.Team]api.Resources // what each team may still start in the partition
-	LargestCapacity api.Resources              // the largest capacity of any machine type
-	TypicalDemands  []fragmentation.Demand     // of work that needs accelerators
-	AvailableUnits  map[api.PoolName]int       // what the partition may allocate of the pools that jobs need
+	RemainingQuota  map[api.Team]api.Resources // quota that each team has left in the partition
+	LargestCapacity api.Resources              // maximum of each resource over all machine types
+	TypicalDemands  []fragmentation.Demand     // of jobs that need accelerators
+	AvailableUnits  map[api.PoolName]int       // units of pools that the partition may allocate
 	MaxStarts       int                        // limit on starts in the round
 }
 
@@ -29,14 +29,14 @@
 	MachineIndex int // into Input.Machines
 }
 
-// remaining is what is left to allocate in a round: it shrinks as tasks are placed.
+// remaining is the free capacity, quota and pool units left to allocate in a round.
 type remaining struct {
 	free  []api.Resources // by machine index
 	quota map[api.Team]api.Resources
 	units map[api.PoolName]int
 }
 
-// remaining is what is left before anything is placed.
+// remaining returns what is available before anything is placed.
 func (in *Input) remaining() *remaining {
 	r := &remaining{
 		free:  make([]api.Resources, len(in.Machines)),
@@ -50,12 +50,12 @@
 	return r
 }
 
-// chargeQuota takes so many tasks of the job off its team's quota.
+// chargeQuota subtracts a number of the job's tasks from its team's quota.
 func (r *remaining) chargeQuota(j *Job, tasks int) {
 	r.quota[j.Spec.Team] = r.quota[j.Spec.Team].Minus(j.Demand.Times(tasks))
 }
 
-// occupy takes assigned tasks off the free capacity of their machines.
+// occupy subtracts assigned tasks from the free capacity of their machines.
 func (r *remaining) occupy(in *Input, assignments []Assignment) {
 	for _, a := range assignments {
 		r.free[a.MachineIndex] = r.free[a.MachineIndex].Minus(in.Jobs[a.JobIndex].Demand)
@@ -89,9 +89,9 @@
 	return plan
 }
 
-// withAcceleratorsReserved is the input with those machines limited to accelerator work that have
-// accelerators free for pending jobs. Jobs that rules put first, and that can run elsewhere, would
-// otherwise take the capacity.
+// withAcceleratorsReserved returns the input with machines limited to jobs that need accelerators,
+// if they have accelerators free for such pending jobs. Otherwise jobs that rules put first, and
+// that can run elsewhere, would take the capacity.
 func (in *Input) withAcceleratorsReserved() *Input {
 	out := *in
 	out.Machines = slices.Clone(in.Machines)
@@ -104,9 +104,9 @@
 	return &out
 }
 
-// priorityGroups partitions the ordered jobs into groups that are placed one after the other, gangs
-// before the flow in each. Without priority rules all are one group; with rules each effective
-// priority is, or a gang would take capacity from work that the rules put first.
+// priorityGroups divides the ordered jobs into groups that are placed one after the other, gangs
+// before the flow in each. Without priority rules all jobs are one group. With rules each effective
+// priority is a group, or a gang would take capacity from jobs that the rules put first.
 func (in *Input) priorityGroups(order []int) [][]int {
 	if !slices.ContainsFunc(in.Jobs, func(j Job) bool { return j.PriorityBoost != 0 }) {
 		return [][]int{order}
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -9,7 +9,7 @@
 	"basaltwall/flow"
 )
 
-// loadedInput is a round with many machines, partly in use, and many pending jobs.
+// loadedInput returns a round with many machines, partly in use, and many pending jobs.
 func loadedInput(machines, jobs int) *Input {
 	r := rand.New(rand.NewPCG(5, 6))
 	in := &Input{LargestCapacity: api.Resources{CPU: 16e6, Mem: 64e6}, MaxStarts: 1 << 20,
@@ -43,15 +43,15 @@
 		j, m := in.Jobs[p.JobIndex], in.Machines[p.MachineIndex]
 		cpu += j.Demand.CPU
 		if !j.Demand.Fits(m.Free) {
-			t.Errorf("%v does not fit %v", j.Demand, m.Free)
+			t.Errorf("demand %v exceeds free capacity %v", j.Demand, m.Free)
 		}
 		if seen[p.MachineIndex] {
-			t.Errorf("machine %d twice in a round", p.MachineIndex)
+			t.Errorf("machine %d assigned twice in a round", p.MachineIndex)
 		}
 		seen[p.MachineIndex] = true
 	}
 	if cpu > 60e6 {
-		t.Errorf("%v CPUs placed, 60 left", cpu.Float())
+		t.Errorf("%v CPUs placed, the quota is 60", cpu.Float())
 	}
 }
 
@@ -64,19 +64,19 @@
 		in.Jobs[i].Urgency = 1
 	}
 	if plan := PlanRound(in); len(plan) != 1 || plan[0].JobIndex != 2 {
-		t.Errorf("placed %v", plan)
+		t.Errorf("placed %v, expected one task of job 2", plan)
 	}
 }
 
 // All else equal, the faster machine, the one with the image and the one without accelerators are
-// preferred, and a service keeps off accelerators.
+// preferred, and a service does not use machines with accelerators.
 func TestMachineScoring(t *testing.T) {
 	cases := map[string]func(other *Machine, j *Job){
 		"slow":        func(m *Machine, _ *Job) { m.Slowdown = 2 },
 		"no image":    func(m *Machine, j *Job) { m.CachedImages = nil },
 		"accelerator": func(m *Machine, _ *Job) { m.GPU = true },
-		"less room":   func(m *Machine, _ *Job) { m.Free.CPU -= 4e6 },
-		"avoided":     func(m *Machine, j *Job) { j.ExcludedMachines = map[api.MachineID]bool{m.ID: true} },
+		"less free":   func(m *Machine, _ *Job) { m.Free.CPU -= 4e6 },
+		"excluded":    func(m *Machine, j *Job) { j.ExcludedMachines = map[api.MachineID]bool{m.ID: true} },
 		"other zone":  func(m *Machine, j *Job) { m.Zone, j.Spec.Zone = "x", "z" },
 		"spot":        func(m *Machine, _ *Job) { m.Spot = true },
 	}
@@ -126,13 +126,12 @@
 		zones[in.Machines[p.MachineIndex].Zone] = true
 	}
 	if len(zones) != 1 {
-		t.Errorf("a gang that must be together lies in %d zones", len(zones))
+		t.Errorf("a gang that must be in one zone is in %d zones", len(zones))
 	}
 }
 
-// The work of a round is bounded whatever is pending: the number of jobs that it considers
-// grows with the machines, not with the queue. The count of allocations stands
-// for work here, since it does not depend on the machine that runs the test.
+// The work of a round is bounded by the number of machines, not by the number of pending jobs. The
+// test counts allocations, which don't depend on the speed of the machine that runs it.
 func TestRoundIsBounded(t *testing.T) {
 	few, many := loadedInput(50, 400), loadedInput(50, 4000)
 	a := testing.AllocsPerRun(3, func() { PlanRound(few) })
@@ -157,8 +156,8 @@
 	}
 }
 
-// A node keeps only as many of its cheapest edges as the round may start tasks.
-// The plan must cost what a flow over all edges costs, which is computed separately here.
+// A node keeps only as many of its cheapest edges as the round may start tasks. The plan must cost
+// as much as a flow over all edges, which the test computes separately.
 func TestCutEdgesKeepTheOptimum(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -196,7 +195,7 @@
 	}
 }
 
-// Several tasks of a spread job start in one round, within its bound.
+// Several tasks of a spread job start in one round, within the limit per zone.
 func TestSpreadInOneRound(t *testing.T) {
 	in := loadedInput(30, 1)
 	for i := range in.Machines {
@@ -209,7 +208,7 @@
 	zones := map[api.Zone]int{"0": 2}
 	for i := range in.Machines {
 		if in.Machines[i].Zone == "0" {
-			in.Machines[i].Free.CPU += 4e6 // all would rather be there
+			in.Machines[i].Free.CPU += 4e6 // zone 0 has the best scores
 		}
 	}
 	plan := PlanRound(in)
@@ -221,13 +220,13 @@
 	}
 }
 
-// A machine on which tasks were preempted is left to the job that it is reserved for.
+// A reserved machine is only used by the job that it is reserved for.
 func TestReservedMachine(t *testing.T) {
 	in := loadedInput(1, 2)
 	in.Machines[0].Free = api.Resources{CPU: 16e6, Mem: 64e6}
 	in.Machines[0].ReservedFor = in.Jobs[1].Spec.Ref
 	in.Jobs[0].Spec.Priority = api.Production
 	if plan := PlanRound(in); len(plan) != 1 || plan[0].JobIndex != 1 {
-		t.Errorf("placed %v on a machine kept for job 1", plan)
+		t.Errorf("placed %v on a machine reserved for job 1", plan)
 	}
 }
