--- a/controller/agent/command.go
+++ b/controller/agent/command.go
@@ -1,4 +1,4 @@
-// The commands that a machine should have.
+// Commands for agents, derived from the cluster state and the latest heartbeat.
 
 package agent
 
@@ -11,20 +11,20 @@
 	"basaltwall/controller/core"
 )
 
-// CommandsFor are the commands that a machine should have now, by the durable record and its last
-// heartbeat; none is an empty list, never nil, as the agent gets it so. Composing them again is
-// harmless. Launches come last, after what frees their capacity.
+// CommandsFor returns the commands that bring a machine, as of its last heartbeat, to the state that
+// the cluster state requires. The result is never nil, since an agent receives it as a JSON list.
+// Commands are idempotent. Launches come last, after the commands that free their capacity.
 func (am *Manager) CommandsFor(m *core.Machine, owned *core.OwnedPartition) []api.Command {
 	if m.ReportedToken < am.core.MinToken(owned, m.ID) {
-		return []api.Command{} // the term is announced first
+		return []api.Command{} // the agent must learn the fencing token first
 	}
 	commands, launches := am.placementCommands(m, owned)
 	commands = append(commands, am.untrackedCommands(m, owned)...)
 	return append(commands, launches...)
 }
 
-// placementCommands stop the tasks that are no longer wanted and launch those that the machine does
-// not report.
+// placementCommands returns commands that stop unwanted tasks and launch tasks that are missing from
+// the machine's last heartbeat.
 func (am *Manager) placementCommands(m *core.Machine, owned *core.OwnedPartition) (stops, launches []api.Command) {
 	stops = []api.Command{}
 	for _, p := range am.core.State.PlacementsOn(m.ID) {
@@ -49,9 +49,9 @@
 	return stops, launches
 }
 
-// untrackedCommands stop the reported tasks that have no placement in the partition, and have the
-// agent forget those that have exited. An unanswered direct command may still arrive: forgetting a
-// task before a newer token has voided such commands would let it start anew.
+// untrackedCommands returns commands that stop the reported tasks without a placement in the partition
+// and that make the agent forget those that have exited. An unanswered direct call may still arrive.
+// If the agent forgot a task before a newer token invalidates such calls, the task could start again.
 func (am *Manager) untrackedCommands(m *core.Machine, owned *core.OwnedPartition) []api.Command {
 	var out []api.Command
 	settled := !m.CallInFlight && m.UncertainToken == 0
@@ -73,7 +73,7 @@
 	return out
 }
 
-// sortedAttempts lists the attempts by job, index and attempt.
+// sortedAttempts returns the attempts ordered by job, task index and attempt number.
 func sortedAttempts(tasks map[core.AttemptKey]api.TaskStatus) []core.AttemptKey {
 	return slices.SortedFunc(maps.Keys(tasks), func(a, b core.AttemptKey) int {
 		return cmp.Or(
--- a/controller/agent/command_test.go
+++ b/controller/agent/command_test.go
@@ -12,8 +12,8 @@
 	"basaltwall/controller/core"
 )
 
-// newTestManager is a manager whose controller owns partition 0 under term 7, with one machine,
-// i-000000 in zone a, and an array job of one task accepted.
+// newTestManager returns a manager whose controller owns partition 0 under term 7. The partition has
+// one machine, i-000000 in zone a, and one accepted job array with a single task.
 func newTestManager(t *testing.T) (*Manager, *core.OwnedPartition, *core.Machine, *core.Job) {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
@@ -50,8 +50,7 @@
 	}
 }
 
-// Forgetting an attempt while a command that starts it may still arrive would let
-// it start anew.
+// If an agent forgot an attempt while a launch of it may still arrive, the attempt would start again.
 func TestNoForgetWhileCallsAreUncertain(t *testing.T) {
 	am, owned, m, _ := newTestManager(t)
 	k := core.AttemptKey{Task: api.TaskID{Job: "run-9", Index: 0}, Attempt: 3}
@@ -60,32 +59,33 @@
 		return slices.ContainsFunc(am.CommandsFor(m, owned), func(command api.Command) bool { return command.Op == api.OpReap })
 	}
 	if !forgets() {
-		t.Error("an attempt that is over and recorded is not forgotten")
+		t.Error("an exited attempt without a placement is not forgotten")
 	}
 	if m.CallInFlight = true; forgets() {
-		t.Error("forgotten while a call is unanswered")
+		t.Error("attempt forgotten while a direct call is in flight")
 	}
 	m.CallInFlight, m.UncertainToken = false, 7
 	if forgets() {
-		t.Error("forgotten though a lost call may still arrive under the machine's token")
+		t.Error("attempt forgotten although an unanswered call may still arrive under the machine's token")
 	}
 }
 
-// A launch by the former owner of a machine that was lent with its tasks may be on its way under
-// any token below the loan's, which may be above the new owner's term.
+// A launch by the former owner of a machine that was lent with its tasks may still arrive under any
+// token below the loan's revision, which may be higher than the new owner's term.
 func TestLaunchTokenAfterTransfer(t *testing.T) {
 	am, owned, m, j := newTestManager(t)
 	am.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
 	if got := am.LatestLaunchToken(j.Placements[0], owned); got != api.FencingToken(owned.Term)-1 {
-		t.Errorf("token %d under term %d", got, owned.Term)
+		t.Errorf("latest launch token %d under term %d", got, owned.Term)
 	}
 	am.core.State.Loans[m.ID] = clusterstate.Loan{LoanValue: clusterstate.LoanValue{Transferred: true}, Revision: owned.Term + 5}
 	if got := am.LatestLaunchToken(j.Placements[0], owned); got != api.FencingToken(owned.Term)+4 {
-		t.Errorf("token %d after a transfer at %d", got, owned.Term+5)
+		t.Errorf("latest launch token %d after a transfer at revision %d", got, owned.Term+5)
 	}
 }
 
-// An agent gets a list also where it has nothing to do, whether or not it has shown the owner's token.
+// An agent without commands receives an empty JSON list, whether or not it has reported the owner's
+// token.
 func TestNoCommandsAreAnEmptyList(t *testing.T) {
 	am, owned, m, _ := newTestManager(t)
 	for _, token := range []api.FencingToken{6, 7} {
@@ -95,12 +95,12 @@
 			t.Fatal(err)
 		}
 		if string(data) != "[]" {
-			t.Errorf("no commands at token %d are sent as %s", token, data)
+			t.Errorf("no commands at token %d are encoded as %s, expected []", token, data)
 		}
 	}
 }
 
-// What ends a task goes before what starts one: it frees the capacity.
+// Commands that end tasks precede launches, since they free the capacity.
 func TestLaunchesComeLast(t *testing.T) {
 	am, owned, m, j := newTestManager(t)
 	am.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
--- a/controller/agent/directcall.go
+++ b/controller/agent/directcall.go
@@ -1,4 +1,4 @@
-// Direct calls to agents, which do not wait for their heartbeats.
+// Direct calls to agents, made without waiting for their heartbeats.
 
 package agent
 
@@ -11,17 +11,17 @@
 )
 
 const (
-	callInterval        = 100 * time.Millisecond // between two calls to a machine, at least
-	unansweredCallDelay = 500 * time.Millisecond // before a machine that did not answer is called again
+	callInterval        = 100 * time.Millisecond // minimum time between two calls to a machine
+	unansweredCallDelay = 500 * time.Millisecond // delay before an unanswered call is repeated
 
-	// Parts of the direct calls that may be under way to machines that may not answer: more would
-	// hold up every start during a network partition. An unavailable zone's own heartbeats tell when
-	// it is back.
+	// Calls to machines that may not answer use at most this fraction of the direct calls (1/divisor),
+	// so that a network partition does not delay launches. An unavailable zone needs fewer calls, since
+	// its heartbeats show when it is reachable again.
 	probeDivisor                = 2
 	unavailableZoneProbeDivisor = 8
 )
 
-// ContactNow has a machine called at once with its commands.
+// ContactNow schedules an immediate direct call that sends a machine its commands.
 func (am *Manager) ContactNow(m *core.Machine) {
 	if !m.ContactPending {
 		m.ContactPending = true
@@ -29,18 +29,18 @@
 	}
 }
 
-// PendingContactCount is how many machines are to be called at once.
+// PendingContactCount returns the number of machines with a scheduled direct call.
 func (am *Manager) PendingContactCount() int { return len(am.pendingContacts) }
 
-// ReconcileMachines calls the machines that are to be contacted now, and looks at a share of all
-// machines each time, so that each gets its turn and no step looks at all of them.
+// ReconcileMachines makes the scheduled direct calls and reconciles the next machines in order. Each
+// step reconciles only a fraction of the machines; all of them are covered within SweepInterval.
 func (am *Manager) ReconcileMachines() {
 	am.sortMachines()
 	am.contactPending()
 	am.sweep()
 }
 
-// contactPending calls the machines that are to be contacted now, as far as direct calls allow.
+// contactPending makes the scheduled direct calls, within the limit on calls in flight.
 func (am *Manager) contactPending() {
 	pending := am.pendingContacts
 	am.pendingContacts = nil
@@ -54,14 +54,14 @@
 			continue
 		}
 		if m.CallInFlight || am.core.Now < m.NextCallAt || am.directCallsInFlight >= am.maxDirectCalls {
-			am.ContactNow(m) // a little later
+			am.ContactNow(m) // retried in the next step
 			continue
 		}
 		am.reconcileMachine(m, owned, true)
 	}
 }
 
-// sweep reconciles as many machines as their turn has come for: all of them within SweepInterval.
+// sweep reconciles the next machines in order, so many that SweepInterval covers all of them.
 func (am *Manager) sweep() {
 	elapsed := am.core.Now.Sub(am.lastSweepAt)
 	count := int(int64(len(am.sortedMachines)) * int64(min(elapsed, core.SweepInterval)) / int64(core.SweepInterval))
@@ -87,7 +87,8 @@
 	}
 }
 
-// reconcileMachine does what is due for one machine.
+// reconcileMachine updates a machine's command token, calls the machine if a call is due and checks
+// its liveness.
 func (am *Manager) reconcileMachine(m *core.Machine, owned *core.OwnedPartition, urgent bool) {
 	m.CommandToken = max(m.CommandToken, am.core.MinToken(owned, m.ID))
 	if m.UncertainToken != 0 && m.CommandToken <= m.UncertainToken {
@@ -103,8 +104,8 @@
 	am.siblings.Health.CheckLiveness(m, owned)
 }
 
-// callDue reports whether a machine is to be called now: as it is urgent, as it has not shown this
-// owner's token yet, or as it is silent.
+// callDue reports whether a machine should be called now: a call is urgent, the machine has not
+// reported this owner's token yet, or its heartbeat is overdue.
 func (am *Manager) callDue(m *core.Machine, owned *core.OwnedPartition, urgent bool) bool {
 	divisor := probeDivisor
 	if am.siblings.Health.ZoneUnavailable(m.Zone) {
@@ -117,11 +118,11 @@
 		return true
 	}
 	needsAnnouncement := m.ReportedToken < am.core.MinToken(owned, m.ID)
-	silent := am.core.Now.Sub(m.LastHeartbeat) > am.core.HeartbeatTimeout
-	return (needsAnnouncement || silent) && am.directCallsInFlight < am.maxDirectCalls/divisor
+	heartbeatOverdue := am.core.Now.Sub(m.LastHeartbeat) > am.core.HeartbeatTimeout
+	return (needsAnnouncement || heartbeatOverdue) && am.directCallsInFlight < am.maxDirectCalls/divisor
 }
 
-// sendCommands sends a machine its commands without waiting for its heartbeat.
+// sendCommands sends a machine its commands in a direct call.
 func (am *Manager) sendCommands(m *core.Machine, owned *core.OwnedPartition) {
 	commands := api.CommandBatch{Token: m.CommandToken, Epoch: max(m.Epoch, 1), Commands: am.CommandsFor(m, owned)}
 	m.CallInFlight = true
@@ -131,7 +132,7 @@
 		m.CallInFlight = false
 		am.directCallsInFlight--
 		if a.Heartbeat != nil && a.Heartbeat.Machine != m.ID {
-			a.Status, a.Heartbeat = 0, nil // the address belongs to another machine now
+			a.Status, a.Heartbeat = 0, nil // the address now belongs to another machine
 		}
 		if a.Status == 0 || a.Heartbeat == nil {
 			am.handleMissedCall(m, commands)
@@ -144,7 +145,7 @@
 	})
 }
 
-// handleMissedCall handles a direct call that was not answered: its commands may still arrive.
+// handleMissedCall handles an unanswered direct call, whose commands may still arrive.
 func (am *Manager) handleMissedCall(m *core.Machine, commands api.CommandBatch) {
 	for _, command := range commands.Commands {
 		if command.Op == api.OpStart {
@@ -156,20 +157,20 @@
 	m.NextCallAt = am.core.Now.Add(unansweredCallDelay)
 }
 
-// handleDirectReply takes in the heartbeat with which a machine answered a direct call.
+// handleDirectReply processes the heartbeat in a machine's answer to a direct call.
 func (am *Manager) handleDirectReply(m *core.Machine, owned *core.OwnedPartition, heartbeat *api.Heartbeat) {
 	m.LastDirectReply, m.MissedCalls, m.SuspectSince = am.core.Now, 0, 0
 	if heartbeat.Token > m.CommandToken {
-		am.siblings.Follower.LinearizableRead(func() {}, func() {}) // deposed, as the cluster state will tell
+		am.siblings.Follower.LinearizableRead(func() {}, func() {}) // the log will show that the partition was lost
 		return
 	}
 	am.applyHeartbeat(m, heartbeat, owned)
 	if m.SuspectSince != 0 {
-		m.SuspectSince, owned.Dirty = 0, true // it has just answered
+		m.SuspectSince, owned.Dirty = 0, true // the answer proves that the machine is reachable
 	}
 	for _, command := range am.CommandsFor(m, owned) {
 		if command.Op == api.OpStart || command.Op == api.OpStop && command.GracePeriod == 0 {
-			am.ContactNow(m) // decided meanwhile, or the machine had to learn our token first
+			am.ContactNow(m) // command issued during the call, or withheld until the agent knew this owner's token
 			break
 		}
 	}
--- a/controller/agent/exit.go
+++ b/controller/agent/exit.go
@@ -1,5 +1,4 @@
-// What follows from how tasks ended: failures of machines and jobs, how fast a machine is, and which
-// images it holds.
+// Effects of task exits: failure attribution, machines' relative runtimes and cached images.
 
 package agent
 
@@ -15,22 +14,22 @@
 )
 
 const (
-	noCapacityBackoff    = 2 * time.Second // a machine that refused a task for want of capacity
-	unknownReasonBackoff = time.Second     // a job whose task ended for a reason that the agent does not know
+	noCapacityBackoff    = 2 * time.Second // for a machine that rejected a task for lack of capacity
+	unknownReasonBackoff = time.Second     // for a job whose task ended for a reason unknown to the agent
 	maxFailureBackoff    = 30 * time.Second
 	maxBackoffDoublings  = 5
 
 	recentFailureWindow   = time.Minute
 	quarantineDuration    = 10 * time.Minute
-	quarantineFailedJobs  = 2 // different jobs that failed on a machine of late
-	backoffFailedMachines = 2 // different machines on which a job failed
+	quarantineFailedJobs  = 2 // distinct jobs with recent failures that quarantine a machine
+	backoffFailedMachines = 2 // distinct machines with failures that make a job back off
 
-	runtimeSmoothing  = 0.4 // the weight of the latest task in a machine's relative runtime
+	runtimeSmoothing  = 0.4 // weight of the latest task in a machine's relative runtime
 	maxRuntimeRatio   = 4
-	minRuntimeSamples = 2
+	minRuntimeSamples = 2 // completed tasks of a job before their mean runtime is used
 )
 
-// handleExit handles a task that ended on its machine.
+// handleExit processes the end of a task on its machine.
 func (am *Manager) handleExit(owned *core.OwnedPartition, m *core.Machine, p *core.Placement, taskReport api.TaskStatus) {
 	j := p.Job
 	switch taskReport.Reason {
@@ -39,7 +38,7 @@
 		delete(m.RecentFailures, j.ID)
 		j.OwnerState.Failures = 0
 		if p.OwnerState.RunningSince != 0 {
-			am.estimateRate(m, j, am.core.Now.Sub(p.OwnerState.RunningSince).Seconds())
+			am.updateRelativeRuntime(m, j, am.core.Now.Sub(p.OwnerState.RunningSince).Seconds())
 		}
 		am.siblings.Scheduler.RecordTaskEnd(owned, p, true, "done")
 		return
@@ -59,9 +58,9 @@
 	am.siblings.Scheduler.RecordTaskEnd(owned, p, false, string(taskReport.Reason))
 }
 
-// estimateRate compares how long a task took, in seconds, with the others of its job: the same work,
-// so that what differs is the machine.
-func (am *Manager) estimateRate(m *core.Machine, j *core.Job, seconds float64) {
+// updateRelativeRuntime updates a machine's relative runtime by comparing a task's runtime, in seconds,
+// with the mean of its job array. Tasks of an array are alike, so a difference is due to the machine.
+func (am *Manager) updateRelativeRuntime(m *core.Machine, j *core.Job, seconds float64) {
 	if j.Spec.Kind != api.Array {
 		return
 	}
@@ -76,7 +75,8 @@
 	j.OwnerState.CompletedTasks++
 }
 
-// attributeFailure decides whether a failure speaks against the machine or the job.
+// attributeFailure attributes a task failure to the machine, which is quarantined, or to the job,
+// which backs off.
 func (am *Manager) attributeFailure(m *core.Machine, j *core.Job) {
 	recent := 0
 	for ref, at := range m.RecentFailures {
@@ -90,15 +90,16 @@
 		m.QuarantinedUntil = am.core.Now.Add(quarantineDuration)
 		slog.Info("machine quarantined: failures of different jobs", "machine", m.ID)
 	}
-	// A job that fails on several machines is more likely at fault itself: it backs off, so that it
-	// neither wins the same machines every round nor has them quarantined.
+	// A job that fails on several machines is probably faulty itself. The backoff prevents it from
+	// occupying the same machines every round and from having them quarantined.
 	if len(j.OwnerState.FailedOn) >= backoffFailedMachines {
 		backoff := time.Second << min(j.OwnerState.Failures, maxBackoffDoublings)
 		j.OwnerState.BackoffUntil = am.core.Now.Add(min(maxFailureBackoff, backoff))
 	}
 }
 
-// cacheImage notes that a machine holds an image and which ones it must have evicted for it.
+// cacheImage records that a machine has cached an image, and removes the images that the machine must
+// have evicted for it.
 func (am *Manager) cacheImage(m *core.Machine, s *api.JobSpec) {
 	m.CachedImages[s.Image] = sched.CachedImage{SizeGB: s.ImageGB, LastUsed: am.core.Now}
 	typ := am.core.MachineTypes[m.MachineType]
@@ -116,7 +117,7 @@
 	}
 }
 
-// leastRecentlyUsed is the image that was used longest ago, of several the first by name.
+// leastRecentlyUsed returns the least recently used image; ties are broken by name.
 func leastRecentlyUsed(images map[api.Image]sched.CachedImage) api.Image {
 	var oldest api.Image
 	for _, img := range slices.Sorted(maps.Keys(images)) {
--- a/controller/agent/heartbeat.go
+++ b/controller/agent/heartbeat.go
@@ -1,4 +1,4 @@
-// Answers to heartbeats, and their redirection to the owners of other partitions.
+// Handling of heartbeats, and their redirection to the controllers that own the machines' partitions.
 
 package agent
 
@@ -8,14 +8,14 @@
 	"basaltwall/controller/message"
 )
 
-// HTTP statuses of the answers to heartbeats.
+// HTTP statuses of responses to heartbeats.
 const (
 	statusOK          = 200
-	statusMisdirected = 421 // another controller is to be asked
-	statusUnavailable = 503 // to be retried
+	statusMisdirected = 421 // the agent must use another controller
+	statusUnavailable = 503 // the agent must retry
 )
 
-// HandleHeartbeat answers an agent's heartbeat with the commands for its machine.
+// HandleHeartbeat processes an agent's heartbeat and responds with the commands for its machine.
 func (am *Manager) HandleHeartbeat(c message.WorkerHeartbeat) {
 	heartbeat := c.Heartbeat
 	am.core.Metrics.WorkerHeartbeats++
@@ -30,18 +30,18 @@
 		return
 	}
 	if am.siblings.Autoscaler.IsDeleted(heartbeat.Machine) {
-		am.core.ReplyError(c.Req, statusUnavailable, "machine was returned")
+		am.core.ReplyError(c.Req, statusUnavailable, "machine was deleted")
 		return
 	}
 	m := am.EnsureMachine(heartbeat.Machine)
 	if m.Deleting {
-		am.core.ReplyError(c.Req, statusUnavailable, "machine is being returned")
+		am.core.ReplyError(c.Req, statusUnavailable, "machine is being deleted")
 		return
 	}
 	m.CommandToken = max(m.CommandToken, am.core.MinToken(owned, m.ID))
 	m.HeartbeatForwarded = c.Forwarded
 	if heartbeat.Token > m.CommandToken {
-		// Another controller commands it under a later term: this one was deposed for it.
+		// Another controller commands the machine under a later term, so this one no longer owns it.
 		am.core.Reply(c.Req, statusMisdirected, api.Redirect{}, 0)
 		am.siblings.Follower.LinearizableRead(func() {}, func() {})
 		return
@@ -51,38 +51,38 @@
 		m.LeaseRenewedAt = am.core.Now
 	}
 	if c.Forwarded && am.recentDirectReply(m) {
-		// It was forwarded by a peer because the agent could not reach this controller. Now that a
-		// direct call gets through again, the agent is sent back here.
+		// A peer forwarded the heartbeat because the agent could not reach this controller. A direct
+		// call has succeeded since, so the agent is redirected to this controller again.
 		am.core.Reply(c.Req, statusMisdirected, api.Redirect{Owner: am.core.Config.Label}, 0)
 		return
 	}
 	if c.Forwarded || m.SuspectSince != 0 {
 		am.ContactNow(m)
 	} else if newer {
-		// The answer carries all that a direct call would. An older heartbeat may be a copy that
-		// comes late, whose answer nobody waits for.
+		// The response carries the same commands as a direct call. An older heartbeat may be a delayed
+		// duplicate whose response nobody reads.
 		m.ContactPending = false
 	}
 	am.core.Reply(c.Req, statusOK, api.CommandBatch{Token: m.CommandToken, Commands: am.CommandsFor(m, owned)}, 0)
 }
 
-// recentDirectReply reports whether the machine has answered a direct call within the last interval
-// between heartbeats.
+// recentDirectReply reports whether the machine has answered a direct call within the last heartbeat
+// interval.
 func (am *Manager) recentDirectReply(m *core.Machine) bool {
 	return m.LastDirectReply != 0 && am.core.Now.Sub(m.LastDirectReply) < am.core.Config.HeartbeatInterval()
 }
 
-// redirect is the controller to which a machine's heartbeat was last directed.
+// redirect is the latest redirection of a machine's heartbeat to another controller.
 type redirect struct {
 	to api.ControllerID
 	at api.Time
 }
 
-// redirectHeartbeat directs an agent to the owner of its partition. An agent that comes back soon
-// can't reach the owner; its heartbeats are then forwarded.
+// redirectHeartbeat redirects an agent to the owner of its partition. If the agent returns within
+// RedirectTTL, it could not reach the owner, and its heartbeats are forwarded instead.
 func (am *Manager) redirectHeartbeat(c message.WorkerHeartbeat, owner api.ControllerID) {
 	if c.Forwarded || owner == am.core.Config.Label || owner == "" {
-		am.core.ReplyError(c.Req, statusUnavailable, "part is changing hands")
+		am.core.ReplyError(c.Req, statusUnavailable, "partition is being handed over")
 		return
 	}
 	machine := c.Heartbeat.Machine
@@ -94,26 +94,27 @@
 		return
 	}
 	if !am.core.IsLive(owner) {
-		am.core.ReplyError(c.Req, statusUnavailable, "the machine's owner is gone")
+		am.core.ReplyError(c.Req, statusUnavailable, "controller that owns the machine's partition is not live")
 		return
 	}
 	am.redirects[machine] = redirect{owner, am.core.Now}
 	am.core.Reply(c.Req, statusMisdirected, api.Redirect{Owner: owner}, 0)
 }
 
-// forwardHeartbeat has the owner of the machine's partition answer a heartbeat.
+// forwardHeartbeat forwards a heartbeat to the owner of the machine's partition and relays its
+// response.
 func (am *Manager) forwardHeartbeat(c message.WorkerHeartbeat, owner api.ControllerID) {
 	forward := message.PeerMessage{Forward: &message.Forward{Kind: "checkin", Body: c.Body}}
 	am.core.CallPeer(owner, core.PeerTimeout, forward, func(a message.PeerResponse) {
 		if !a.OK || a.Reply.Status == 0 {
-			am.core.ReplyError(c.Req, statusUnavailable, "the machine's owner does not answer")
+			am.core.ReplyError(c.Req, statusUnavailable, "controller that owns the machine's partition did not answer")
 			return
 		}
 		am.core.Emit(message.Reply{Req: c.Req, Status: a.Reply.Status, Body: a.Reply.Body})
 	})
 }
 
-// ExpireRedirects forgets heartbeats that were redirected long ago.
+// ExpireRedirects removes redirects that are older than RedirectTTL.
 func (am *Manager) ExpireRedirects() {
 	for id, r := range am.redirects {
 		if am.core.Now.Sub(r.at) > am.core.RedirectTTL {
--- a/controller/agent/machines.go
+++ b/controller/agent/machines.go
@@ -1,4 +1,4 @@
-// The known machines in order, and those of them on loan.
+// Sorted lists of the known machines, and the machines on loan.
 
 package agent
 
@@ -12,20 +12,20 @@
 	"basaltwall/controller/core"
 )
 
-// machineLoan is when a machine's latest loan was first known here.
+// machineLoan is a machine's latest loan and the time at which this controller learned of it.
 type machineLoan struct {
 	revision api.Revision
 	knownAt  api.Time
 }
 
-// MachinesOf lists a partition's machines that are known here, in order.
+// MachinesOf returns the known machines of a partition, ordered by ID.
 func (am *Manager) MachinesOf(p api.PartitionID) []*core.Machine {
 	am.sortMachines()
 	return am.machinesByPartition[p]
 }
 
-// sortMachines lists the machines in order, all and by partition, if some were added or removed or
-// changed partitions since the last time.
+// sortMachines rebuilds the sorted lists of machines if machines were added, removed or moved to other
+// partitions.
 func (am *Manager) sortMachines() {
 	loansChanged := am.sortedLoanVersion != am.core.State.LoanGeneration
 	if am.sortedMachines != nil && !loansChanged {
@@ -48,7 +48,7 @@
 	}
 }
 
-// reserveForLoan keeps a machine that was newly lent for a job for that job alone.
+// reserveForLoan reserves a newly lent machine exclusively for the job that it was lent for.
 func (am *Manager) reserveForLoan(m *core.Machine) {
 	loan := am.core.State.Loans[m.ID]
 	if loan.Revision == m.LoanRevision {
@@ -58,7 +58,7 @@
 	am.siblings.Preemptor.ReserveExclusively(m, loan.Job)
 }
 
-// recordLoans notes which loans are new and which are over.
+// recordLoans adds new loans to machineLoans and removes ended ones.
 func (am *Manager) recordLoans() {
 	for id, loan := range am.core.State.Loans {
 		if am.machineLoans[id].revision == loan.Revision {
@@ -76,8 +76,8 @@
 	}
 }
 
-// LoanInTransit reports whether a machine was lent so recently that its new owner is not likely to
-// have had a heartbeat of it: until then nobody counts it as free capacity.
+// LoanInTransit reports whether a machine was lent so recently that its new owner has probably not
+// received a heartbeat from it. Until then no controller counts it as free capacity.
 func (am *Manager) LoanInTransit(id api.MachineID) bool {
 	loan, ok := am.machineLoans[id]
 	if !ok || am.core.Now.Sub(loan.knownAt) > am.core.HeartbeatTimeout {
@@ -90,8 +90,9 @@
 	return owned == nil || m == nil || m.LastHeartbeat == 0 || !am.siblings.Scheduler.IsSchedulable(m, owned)
 }
 
-// LoanKnownAt is when a machine's latest loan was first known here; 0 if it is not on loan.
+// LoanKnownAt returns the time at which this controller learned of a machine's latest loan; 0 if the
+// machine is not on loan.
 func (am *Manager) LoanKnownAt(id api.MachineID) api.Time { return am.machineLoans[id].knownAt }
 
-// LoanedMachines are the machines that are on loan, in no order.
+// LoanedMachines returns the machines on loan, in no particular order.
 func (am *Manager) LoanedMachines() iter.Seq[api.MachineID] { return maps.Keys(am.machineLoans) }
--- a/controller/agent/manager.go
+++ b/controller/agent/manager.go
@@ -1,10 +1,10 @@
-// Package agent manages the machines of the partitions that this controller owns through the agents
-// on them: it takes in heartbeats, reconciles them with the durable record and composes the commands
-// that each machine should have, as the answer to a heartbeat or by a direct call.
+// Package agent manages the machines of the partitions that this controller owns, through the agents
+// on them. It processes heartbeats, reconciles them with the cluster state, and sends each machine its
+// commands in the response to a heartbeat or in a direct call.
 //
-// It owns the list of machines in order, the machines that are to be called at once, the direct calls
-// under way, the redirects of heartbeats and the times at which loans became known. The machines
-// themselves are in the core, as other components read them.
+// It owns the sorted lists of machines, the scheduled and in-flight direct calls, the redirects of
+// heartbeats and the times at which loans became known. The machines themselves are in package core,
+// since other components read them.
 package agent
 
 import (
@@ -19,21 +19,21 @@
 	core     *core.Core
 	siblings Siblings
 
-	sortedMachines      []*core.Machine   // all of them in order; nil: to be listed anew
-	machinesByPartition [][]*core.Machine // the same by partition
-	sortedLoanVersion   int               // the generation of loans that the lists follow
+	sortedMachines      []*core.Machine   // all machines by ID; nil if the lists must be rebuilt
+	machinesByPartition [][]*core.Machine // the machines of each partition by ID
+	sortedLoanVersion   int               // State.LoanGeneration for which the lists were built
 	machineLoans        map[api.MachineID]machineLoan
 
-	pendingContacts     []*core.Machine // to be called at once
-	sweepIndex          int             // of the next machine to reconcile in turn
+	pendingContacts     []*core.Machine // machines with a scheduled direct call
+	sweepIndex          int             // index in sortedMachines of the next machine to reconcile
 	lastSweepAt         api.Time
 	directCallsInFlight int
 	maxDirectCalls      int
 
-	redirects map[api.MachineID]redirect // the latest of each machine's heartbeats
+	redirects map[api.MachineID]redirect // latest redirect of each machine's heartbeats
 }
 
-// New returns a manager that knows no machine. Connect must be called before it is used.
+// New returns a manager without machines. Connect must be called before it is used.
 func New(shared *core.Core) *Manager {
 	return &Manager{
 		core:           shared,
@@ -43,18 +43,18 @@
 	}
 }
 
-// Connect gives the manager the components that it asks.
+// Connect sets the components that the manager calls.
 func (am *Manager) Connect(siblings Siblings) { am.siblings = siblings }
 
-// Bounds on the direct calls that may be under way at once.
+// Limits on concurrent direct calls.
 const (
 	defaultMaxDirectCalls = 64
 	minMaxDirectCalls     = 4
-	fdsPerDirectCall      = 16 // of the process's limit on file descriptors
+	fdsPerDirectCall      = 16 // file descriptors of the process's limit for each direct call
 )
 
-// directCallLimit is how many direct calls may be under way at once: file descriptors are for the
-// connections of agents and users in the first place.
+// directCallLimit returns the maximum number of concurrent direct calls. Most file descriptors are
+// reserved for the connections of agents and users.
 func directCallLimit(cfg *config.Config) int {
 	limit := defaultMaxDirectCalls
 	if fds := cfg.Deployment.Limits.FDLimit; fds > 0 {
@@ -63,10 +63,10 @@
 	return limit
 }
 
-// MaxDirectCalls is how many direct calls to agents may be under way at once.
+// MaxDirectCalls returns the maximum number of concurrent direct calls to agents.
 func (am *Manager) MaxDirectCalls() int { return am.maxDirectCalls }
 
-// EnsureMachine returns what is known of a machine; one that was not known is added.
+// EnsureMachine returns a machine and adds it if it is unknown.
 func (am *Manager) EnsureMachine(id api.MachineID) *core.Machine {
 	m := am.core.Machines[id]
 	if m == nil {
@@ -86,7 +86,7 @@
 	return m
 }
 
-// ForgetMachine drops a machine of which nothing is left to know.
+// ForgetMachine removes a machine from the known machines.
 func (am *Manager) ForgetMachine(id api.MachineID) {
 	delete(am.core.Machines, id)
 	am.sortedMachines = nil
--- a/controller/agent/reconcile.go
+++ b/controller/agent/reconcile.go
@@ -1,4 +1,4 @@
-// Reconciliation of heartbeats with the durable record.
+// Reconciliation of heartbeats with the cluster state.
 
 package agent
 
@@ -7,23 +7,22 @@
 	"basaltwall/controller/core"
 )
 
-// LatestLaunchToken is the highest token under which a launch of the placement may still be on its
-// way. Launches by former owners carry less than this owner's term or, if the machine was lent to the
-// partition since, than the loan's revision.
+// LatestLaunchToken returns the highest fencing token under which a launch of the placement may still
+// arrive. Launches by former owners carry a token below this owner's term or, if the machine was lent
+// to the partition later, below the loan's revision.
 func (am *Manager) LatestLaunchToken(p *core.Placement, owned *core.OwnedPartition) api.FencingToken {
 	return max(p.OwnerState.LaunchToken, am.core.MinToken(owned, p.Machine)-1)
 }
 
-// applyHeartbeat takes in a heartbeat if it is newer than what is known, and reports whether it was.
-// A new owner that has had none yet may get an old one first. What follows from that holds all the
-// same: epochs and ends that were reported are past for good, and that a task is missing counts only
-// under a token that was first sent under the owner's own term.
+// applyHeartbeat applies a heartbeat if it is newer than the last one, and reports whether it was. A
+// new owner may receive an old heartbeat first. That is safe: past epochs and exits are final, and a
+// missing task counts only under a token that was first sent under this owner's term.
 func (am *Manager) applyHeartbeat(m *core.Machine, heartbeat *api.Heartbeat, owned *core.OwnedPartition) bool {
 	if heartbeat.Epoch < m.Epoch || (heartbeat.Epoch == m.Epoch && heartbeat.Seq <= m.Sequence) {
 		return false
 	}
 	if !am.siblings.Scheduler.IsSchedulable(m, owned) {
-		owned.Dirty = true // it may be from now on
+		owned.Dirty = true // the heartbeat may make the machine schedulable
 	}
 	am.updateSuspicion(m, heartbeat)
 	am.updateMachine(m, heartbeat)
@@ -39,23 +38,23 @@
 	return true
 }
 
-// updateSuspicion decides whether a heartbeat may have been delayed on its way. Packets may be held for
-// minutes, so that after a silence the machine may be gone, deleted by another controller: it is called
-// before anything is started there.
+// updateSuspicion marks a machine as suspect if its heartbeat may have been delayed in the network.
+// Packets may be delayed for minutes, and another controller may have deleted the machine meanwhile. A
+// suspect machine must answer a direct call before a task starts there.
 func (am *Manager) updateSuspicion(m *core.Machine, heartbeat *api.Heartbeat) {
 	if m.LastHeartbeat == 0 {
 		m.FirstHeartbeat = am.core.Now
 	}
-	afterSilence := m.LastHeartbeat == 0 || am.core.Now.Sub(m.LastHeartbeat) > am.core.HeartbeatTimeout
+	previousOverdue := m.LastHeartbeat == 0 || am.core.Now.Sub(m.LastHeartbeat) > am.core.HeartbeatTimeout
 	switch {
-	case heartbeat.Token > 0 && afterSilence:
+	case heartbeat.Token > 0 && previousOverdue:
 		m.SuspectSince = am.core.Now
 	case m.SuspectSince != 0 && am.core.Now.Sub(m.SuspectSince) > am.core.Config.HeartbeatInterval()/2:
-		m.SuspectSince = 0 // what was held comes all at once
+		m.SuspectSince = 0 // delayed heartbeats arrive all at once, so this one is recent
 	}
 }
 
-// updateMachine notes what a heartbeat says of its machine and lists the tasks that it reports.
+// updateMachine updates a machine and its reported tasks from a heartbeat.
 func (am *Manager) updateMachine(m *core.Machine, heartbeat *api.Heartbeat) {
 	m.Epoch, m.Sequence = heartbeat.Epoch, heartbeat.Seq
 	m.ReportedToken = heartbeat.Token
@@ -75,7 +74,7 @@
 	}
 }
 
-// reconcilePlacement compares a placement with what its machine has just reported.
+// reconcilePlacement compares a placement with the tasks in its machine's latest heartbeat.
 func (am *Manager) reconcilePlacement(owned *core.OwnedPartition, m *core.Machine, p *core.Placement) {
 	if p.Epoch < m.Epoch {
 		am.siblings.Scheduler.RecordTaskEnd(owned, p, false, core.EndReasonEpochOver)
@@ -92,8 +91,8 @@
 	}
 }
 
-// handleMissingTask handles a placement that its machine does not report. Once no launch of it can
-// arrive any more, one that is no longer wanted has never started.
+// handleMissingTask handles a placement that is missing from its machine's heartbeat. An unwanted task
+// is recorded as never started once no launch of it can arrive any more.
 func (am *Manager) handleMissingTask(owned *core.OwnedPartition, m *core.Machine, p *core.Placement) {
 	p.OwnerState.Reported = false
 	if !p.Job.Terminal() && !p.OwnerState.StopRequested {
@@ -107,7 +106,7 @@
 	}
 }
 
-// updateTaskState notes the state of a task that has not ended.
+// updateTaskState updates the state of a placement whose task has not exited.
 func (am *Manager) updateTaskState(owned *core.OwnedPartition, m *core.Machine, p *core.Placement, state api.TaskState) {
 	if state == api.TaskRunning && p.OwnerState.State != api.TaskRunning {
 		p.OwnerState.RunningSince = am.core.Now
@@ -117,14 +116,13 @@
 	}
 	startWasKnown := p.OwnerState.Reported && core.TaskStarted(p.OwnerState.State)
 	if p.Job.Cancelled && !startWasKnown {
-		owned.Dirty = true // the job's cancellation may be acknowledged now
+		owned.Dirty = true // the owner may now be able to acknowledge the job's cancellation
 	}
 	p.OwnerState.Reported, p.OwnerState.State = true, state
 }
 
-// stopBeforeReclaim stops what can't end before the cloud reclaims its machine, within so many seconds:
-// it is lost there, and the sooner it runs again elsewhere the better. What is likely to end by then is
-// left alone.
+// stopBeforeReclaim stops the tasks that are not expected to complete before the cloud reclaims their
+// spot machine in noticeSeconds, so that they restart elsewhere early. Gangs are left running.
 func (am *Manager) stopBeforeReclaim(m *core.Machine, owned *core.OwnedPartition, noticeSeconds float64) {
 	for _, p := range am.core.State.PlacementsOn(m.ID) {
 		if p.Partition != owned.ID || p.Finishing || p.Job.Spec.Kind == api.Gang {
@@ -140,8 +138,8 @@
 	}
 }
 
-// countUntrackedUsage notes what a machine's tasks use that have no placement in the cluster state:
-// they must be stopped, and until they are gone they hold their capacity.
+// countUntrackedUsage sums the resources of a machine's reported tasks that have no placement in the
+// cluster state. These tasks are being stopped but occupy capacity until they exit.
 func (am *Manager) countUntrackedUsage(m *core.Machine) {
 	m.UntrackedUsage, m.HasUnknownTasks = api.Resources{}, false
 	for k, taskReport := range m.ReportedTasks {
@@ -156,7 +154,7 @@
 	}
 }
 
-// placementOf finds the placement of an attempt on a machine; nil if there is none.
+// placementOf returns the placement of an attempt on a machine; nil if there is none.
 func (am *Manager) placementOf(id api.MachineID, k core.AttemptKey) *core.Placement {
 	for _, p := range am.core.State.PlacementsOn(id) {
 		if p.Task == k.Task && p.Attempt == k.Attempt {
--- a/controller/agent/siblings.go
+++ b/controller/agent/siblings.go
@@ -1,4 +1,4 @@
-// What the manager needs of other components.
+// Interfaces of the components that the manager calls.
 
 package agent
 
@@ -7,7 +7,7 @@
 	"basaltwall/controller/core"
 )
 
-// Siblings are the other components that the manager asks.
+// Siblings holds the other components that the manager calls.
 type Siblings struct {
 	Autoscaler Autoscaler
 	Balancer   Balancer
@@ -18,55 +18,56 @@
 	Scheduler  Scheduler
 }
 
-// Autoscaler is what the manager needs of the autoscaler.
+// Autoscaler is the part of the autoscaler that the manager calls.
 type Autoscaler interface {
 	// IsDeleted reports whether the cloud has deleted the machine.
 	IsDeleted(api.MachineID) bool
-	// EvaluateScaleIn decides whether a machine is no longer needed. The partition is nil if another
-	// controller owns it.
+	// EvaluateScaleIn decides whether to delete a machine that is no longer needed. The partition is
+	// nil if another controller owns it.
 	EvaluateScaleIn(*core.Machine, *core.OwnedPartition)
 }
 
-// Balancer is what the manager needs of the component that lends machines to other partitions.
+// Balancer is the component that lends machines to other partitions.
 type Balancer interface {
-	// AdoptMachine takes over a machine that was lent to an owned partition with its tasks.
+	// AdoptMachine takes over a machine that was lent, with its tasks, to an owned partition.
 	AdoptMachine(api.MachineID)
 }
 
-// Follower is what the manager needs of the component that follows the state service's log.
+// Follower is the component that follows the log of the key-value store.
 type Follower interface {
-	// LinearizableRead calls back once everything durable at this moment is applied, or cannot be read.
+	// LinearizableRead calls onRead once all changes that are durable at the time of the call are
+	// applied, or onFailure if they can't be read.
 	LinearizableRead(onRead, onFailure func())
 }
 
-// Gossiper is what the manager needs of the exchange with other controllers.
+// Gossiper is the component that exchanges partition status with other controllers.
 type Gossiper interface {
-	// IsPeer reports whether such a controller is configured.
+	// IsPeer reports whether a controller is a configured peer.
 	IsPeer(api.ControllerID) bool
-	// ReportsSilent reports whether an owner has told that it hears nothing of the machine.
+	// ReportsSilent reports whether a machine's owner reports the machine as unreachable.
 	ReportsSilent(owner api.ControllerID, machine api.MachineID) bool
 }
 
-// Health is what the manager needs of the monitor of zones and machines.
+// Health is the component that monitors zones and machines.
 type Health interface {
-	// ZoneUnavailable reports whether nothing is to be started in the zone.
+	// ZoneUnavailable reports whether no tasks may start in the zone.
 	ZoneUnavailable(api.Zone) bool
-	// CheckLiveness deletes the machine if it has been unreachable for too long.
+	// CheckLiveness deletes the machine if it has been unreachable for longer than its timeout.
 	CheckLiveness(*core.Machine, *core.OwnedPartition)
 }
 
-// Preemptor is what the manager needs of the component that reserves machines for jobs.
+// Preemptor is the component that reserves machines for jobs.
 type Preemptor interface {
-	// ReserveExclusively keeps a machine for one job.
+	// ReserveExclusively reserves a machine for one job.
 	ReserveExclusively(*core.Machine, api.JobID)
 }
 
-// Scheduler is what the manager needs of the component that plans and records rounds.
+// Scheduler is the component that plans and records scheduling rounds.
 type Scheduler interface {
 	// IsSchedulable reports whether tasks may be placed on the machine.
 	IsSchedulable(*core.Machine, *core.OwnedPartition) bool
-	// RecordTaskEnd has the next round record that a placement is over.
+	// RecordTaskEnd adds the end of a placement to the next round's record.
 	RecordTaskEnd(owned *core.OwnedPartition, p *core.Placement, done bool, reason string)
-	// StopTask has a task stopped.
+	// StopTask requests the stop of a task.
 	StopTask(*core.Placement)
 }
