--- a/controller/health/evacuation.go
+++ b/controller/health/evacuation.go
@@ -1,4 +1,4 @@
-// When the machines of failed zones are evacuated; evacuationinput.go gathers what the plan looks at.
+// Evacuation of machines in failed zones. The input of the plan is built in evacuationinput.go.
 
 package health
 
@@ -13,11 +13,12 @@
 	"basaltwall/zonehealth"
 )
 
-// evacuationInterval is how often the plan is made anew.
+// evacuationInterval is the time between two evacuation plans.
 const evacuationInterval = 500 * time.Millisecond
 
-// EvacuateZones deletes machines of failed zones by a plan, once their leases are over: by then their
-// tasks are lost unless a controller inside keeps them. It also computes the floors that hold meanwhile.
+// EvacuateZones deletes machines of failed zones according to an evacuation plan once their leases have
+// expired. Their tasks have ended by then unless a controller inside the zone renews the leases. It also
+// computes the capacity floors.
 func (mon *Monitor) EvacuateZones() {
 	if mon.core.Now.Sub(mon.evacuationPlannedAt) < evacuationInterval {
 		return
@@ -33,7 +34,7 @@
 		mon.computeFloors(false)
 		return
 	}
-	if mon.inboundCutOff() {
+	if mon.controllerIsolated() {
 		return
 	}
 	mon.countUnreachableTasks()
@@ -46,7 +47,7 @@
 	}
 }
 
-// anyZoneFailed reports whether some zone is recorded as failed.
+// anyZoneFailed reports whether a zone is recorded as failed.
 func (mon *Monitor) anyZoneFailed() bool {
 	for _, r := range mon.records {
 		if r.State == zonehealth.Failed {
@@ -56,8 +57,8 @@
 	return false
 }
 
-// evacuatePartition has the machines of a partition deleted that a plan evacuates. While deletions are
-// not possible nothing is decided: until then a machine may come back.
+// evacuatePartition plans the evacuation of a partition's lost machines and schedules their deletion.
+// No plan is made while deletions are not possible, since machines may recover until then.
 func (mon *Monitor) evacuatePartition(owned *core.OwnedPartition) {
 	maxMachines := core.MaxDeletionBatch - mon.siblings.Autoscaler.PendingDeletionCount()
 	if maxMachines <= 0 || mon.siblings.Autoscaler.DeletionsBackingOff() {
@@ -75,15 +76,15 @@
 	}
 }
 
-// lostMachines are a partition's machines in failed zones whose leases are over, or will be before their
-// deletion.
+// lostMachines returns a partition's machines in failed zones whose leases have expired, or will expire
+// before their deletion.
 func (mon *Monitor) lostMachines(owned *core.OwnedPartition) map[api.MachineID]*core.Machine {
 	lost := map[api.MachineID]*core.Machine{}
 	for _, m := range mon.siblings.Agents.MachinesOf(owned.ID) {
 		if m.Deleting || mon.records[m.Zone].State != zonehealth.Failed || mon.core.MachineTypes[m.MachineType] == nil {
 			continue
 		}
-		if mon.silentFor(m, owned)+evacuationInterval >= mon.core.Config.WorkerLease() {
+		if mon.unreachableDuration(m, owned)+evacuationInterval >= mon.core.Config.WorkerLease() {
 			lost[m.ID] = m
 		}
 	}
--- a/controller/health/evacuationinput.go
+++ b/controller/health/evacuationinput.go
@@ -1,4 +1,4 @@
-// What the plan of an evacuation looks at.
+// Input of evacuation plans.
 
 package health
 
@@ -12,13 +12,13 @@
 	"basaltwall/zonehealth"
 )
 
-// maxPendingInPlan bounds the pending tasks that a plan looks at.
+// maxPendingInPlan is the maximum number of pending tasks in a plan's input.
 const maxPendingInPlan = 1000
 
-// lateSlackDivisor makes the slack of a job that is late as it is shorter than none.
+// lateSlackDivisor gives jobs that have missed all deadlines less slack than jobs without a deadline.
 const lateSlackDivisor = 10
 
-// inputBuilder gathers the input of one partition's plan.
+// inputBuilder builds the input of the evacuation plan of one partition.
 type inputBuilder struct {
 	mon         *Monitor
 	owned       *core.OwnedPartition
@@ -28,7 +28,7 @@
 	input       *zonehealth.Input
 }
 
-// evacuationInput gathers what the plan of a partition's evacuation looks at.
+// evacuationInput returns the input of the plan that evacuates a partition's lost machines.
 func (mon *Monitor) evacuationInput(owned *core.OwnedPartition, lost map[api.MachineID]*core.Machine, maxMachines int) *zonehealth.Input {
 	b := &inputBuilder{
 		mon:         mon,
@@ -53,7 +53,7 @@
 	return b.input
 }
 
-// tasksOn counts the tasks on some machines by job.
+// tasksOn counts the tasks on the given machines by job.
 func (mon *Monitor) tasksOn(machines map[api.MachineID]*core.Machine) map[api.JobID]int {
 	counts := map[api.JobID]int{}
 	for id := range machines {
@@ -66,13 +66,14 @@
 	return counts
 }
 
-// expectedOutage is for how many seconds a zone is likely to stay silent.
+// expectedOutage returns the expected remaining outage of a zone in seconds.
 func (mon *Monitor) expectedOutage(name api.Zone) float64 {
 	return mon.records[name].ExpectedRemaining(mon.ZoneSilenceSeconds(name))
 }
 
-// isExcluded bars a task from capacity that its job's needs allow: a service that needs no accelerators
-// from machines with some, and work that needs a single partition from the others.
+// isExcluded reports whether a task must not use capacity that its job's constraints allow: CPU-only
+// services avoid machines with accelerators, and jobs that need a single partition avoid other
+// partitions.
 func (mon *Monitor) isExcluded(task *zonehealth.Task, free *zonehealth.FreeCapacity) bool {
 	if task.Spec.Kind == api.Service && mon.core.HasAccelerators(free.Type) && mon.core.IsCPUOnly(task.Spec) {
 		return true
@@ -80,8 +81,8 @@
 	return free.OtherPartition && task.Spec.NeedsSinglePartition()
 }
 
-// addMachine adds a machine of the partition: a lost one with its tasks, the tasks of one that is being
-// deleted, or the free capacity of another.
+// addMachine adds a machine of the partition: a lost machine with its tasks, the tasks of a machine that
+// is being deleted, or the free capacity of a schedulable machine.
 func (b *inputBuilder) addMachine(m *core.Machine) {
 	mon := b.mon
 	switch {
@@ -109,7 +110,7 @@
 	}
 }
 
-// lostMachine describes a lost machine with its tasks.
+// lostMachine returns the description of a lost machine and its tasks.
 func (b *inputBuilder) lostMachine(m *core.Machine) zonehealth.Machine {
 	mon := b.mon
 	typ := mon.core.MachineTypes[m.MachineType]
@@ -128,8 +129,9 @@
 	return machine
 }
 
-// addOtherPartitions adds the free capacity of other partitions: arrays' pending tasks are moved there,
-// and empty machines are lent. All partitions look at it, so each counts on its share.
+// addOtherPartitions adds the free capacity of other partitions, since pending tasks of job arrays can
+// move there and empty machines can be lent. All partitions use this capacity, so each counts only its
+// share of it.
 func (b *inputBuilder) addOtherPartitions() {
 	partitions := len(b.mon.core.State.Partitions)
 	b.mon.siblings.Gossiper.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, free message.FreeCapacity) {
@@ -150,8 +152,8 @@
 	})
 }
 
-// addPendingTasks adds the partition's pending tasks, up to a bound. They have negative indexes, as
-// they are not numbered yet.
+// addPendingTasks adds up to maxPendingInPlan of the partition's pending tasks. Their indexes are
+// negative, since the tasks have no numbers yet.
 func (b *inputBuilder) addPendingTasks() {
 	budget := maxPendingInPlan
 	for _, id := range slices.Sorted(maps.Keys(b.mon.core.State.PendingJobs)) {
@@ -166,7 +168,7 @@
 	}
 }
 
-// task describes a task of a job; runningSince is 0 if it does not run.
+// task returns the description of a task; runningSince is 0 if the task is not running.
 func (b *inputBuilder) task(j *core.Job, index int, runningSince api.Time) zonehealth.Task {
 	mon := b.mon
 	task := zonehealth.Task{
@@ -188,7 +190,7 @@
 	return task
 }
 
-// countPlacedByZone counts a job's tasks elsewhere by zone, once.
+// countPlacedByZone counts, on the first call for a job, its tasks outside the lost machines by zone.
 func (b *inputBuilder) countPlacedByZone(j *core.Job) {
 	if b.input.PlacedByZone[j.ID] != nil {
 		return
@@ -203,7 +205,8 @@
 	}
 }
 
-// deadlineSlack is for how many seconds a job may still wait and be in time.
+// deadlineSlack returns the number of seconds that a job may still wait and meet its completion
+// objective.
 func (mon *Monitor) deadlineSlack(j *core.Job) float64 {
 	elapsed := max(0, float64(mon.core.WallClock-j.AcceptedAt)/1000)
 	limits := mon.core.CompletionObjectives(j.Spec)
@@ -213,7 +216,7 @@
 		}
 	}
 	if len(limits) > 0 {
-		return zonehealth.NoDeadline / lateSlackDivisor // late as it is
+		return zonehealth.NoDeadline / lateSlackDivisor // all objectives are missed already
 	}
 	return zonehealth.NoDeadline
 }
--- a/controller/health/floors.go
+++ b/controller/health/floors.go
@@ -1,4 +1,4 @@
-// Floors below which the work of a class or team is not preempted.
+// Capacity floors, below which the tasks of a class or team are not preempted.
 
 package health
 
@@ -14,18 +14,18 @@
 	"basaltwall/zonehealth"
 )
 
-// floorInterval is how often floors are computed while no zone has failed.
+// floorInterval is the time between two computations of the floors while no zone has failed.
 const floorInterval = 2 * time.Second
 
-// Floors are how far the work of each class and team may still be preempted in the partitions of this
-// controller, and what it may still take. Both maps are nil where no floors are kept.
+// Floors holds, by class and team, the CPUs that this controller may still preempt in its partitions
+// and the capacity that new tasks may still use. Both maps are nil if there are no floors.
 type Floors struct {
 	Classes map[api.Class]zonehealth.Allowance
 	Teams   map[api.Team]zonehealth.Allowance
 }
 
-// IsPreemptible reports whether a task may be preempted: no class and no team goes below its floor.
-// One that is new since the floors were computed has none.
+// IsPreemptible reports whether a task may be preempted without its class or team falling below its
+// floor. A class or team that is newer than the floors has no floor.
 func (mon *Monitor) IsPreemptible(p *core.Placement) bool {
 	if mon.Floors.Classes == nil {
 		return true
@@ -36,45 +36,45 @@
 	return (!classKnown || class.Preemptible >= cpus) && (!teamKnown || team.Preemptible >= cpus)
 }
 
-// StartAllowance is how many more of a job's tasks may start: no class and no team takes what would
-// leave less than the floors of the others.
+// StartAllowance returns the number of a job's tasks that may still start without using capacity that
+// is reserved for the floors of other classes and teams.
 func (mon *Monitor) StartAllowance(j *core.Job) int {
 	class, known := mon.Floors.Classes[j.Spec.Class]
 	if !known || j.Demand.CPU <= 0 {
-		return j.Spec.Tasks // no floors are kept, or the class is new since they were computed
+		return j.Spec.Tasks // there are no floors, or the class is newer than they are
 	}
 	headroom := class.Headroom
 	if team, ok := mon.Floors.Teams[j.Spec.Team]; ok {
 		headroom = min(headroom, team.Headroom)
 	}
 	if j.Spec.Kind != api.Gang {
-		headroom *= mon.ownedShare() // the rest is other owners' to take
+		headroom *= mon.ownedShare() // the rest is for other partitions' owners
 	}
 	return int(min(float64(j.Spec.Tasks), max(0, headroom)/j.Demand.CPU.Float()))
 }
 
-// AdjustFloors notes that a job's class and team hold so many CPUs more, or less, since the floors were
-// computed.
+// AdjustFloors updates the floors after a job's class and team have gained CPUs, or lost them if cpus
+// is negative.
 func (mon *Monitor) AdjustFloors(s *api.JobSpec, cpus float64) {
 	adjustAllowance(mon.Floors.Classes, s.Class, cpus)
 	adjustAllowance(mon.Floors.Teams, s.Team, cpus)
 }
 
-// adjustAllowance changes an allowance by what its holder has taken; an unknown holder is left out.
+// adjustAllowance updates the allowance of a class or team; one without an allowance is ignored.
 func adjustAllowance[K comparable](allowances map[K]zonehealth.Allowance, holder K, cpus float64) {
 	if a, ok := allowances[holder]; ok {
 		allowances[holder] = zonehealth.Allowance{Preemptible: a.Preemptible + cpus, Headroom: a.Headroom - cpus}
 	}
 }
 
-// ownedShare is the share of the partitions that this controller owns.
+// ownedShare returns the fraction of the partitions that this controller owns.
 func (mon *Monitor) ownedShare() float64 {
 	return float64(len(mon.core.Partitions)) / float64(len(mon.core.State.Partitions))
 }
 
-// computeFloors computes how far the work of each class and team may still be preempted. Each owner
-// preempts its partitions' share of that. While no zone has failed, a floor is kept only for those that
-// have been short of it for as long as zonehealth.Starving says.
+// computeFloors computes the floors. Each owner may preempt its partitions' share of the preemptible
+// capacity. While no zone has failed, only classes and teams with starving work have a floor, see
+// zonehealth.Starving.
 func (mon *Monitor) computeFloors(zoneFailed bool) {
 	usage := mon.newFloorUsage(zoneFailed)
 	for _, id := range slices.Sorted(maps.Keys(mon.core.State.Jobs)) {
@@ -90,21 +90,21 @@
 	}
 }
 
-// floorUsage sums what the work of each class and team holds and demands.
+// floorUsage sums the allocated and demanded CPUs of each class and team.
 type floorUsage struct {
 	mon        *Monitor
 	zoneFailed bool
 
 	capacity       float64                      // usable CPUs of all machines
 	machineCounts  map[message.MachineClass]int // usable machines
-	remainingQuota map[api.Team]api.Resources
+	remainingQuota map[api.Team]api.Resources   // quota that pending tasks may still use
 
 	classes   map[api.Class]zonehealth.Usage
 	teams     map[api.Team]zonehealth.Usage
 	maxUsable map[api.Class]float64 // CPUs that the class's least constrained job could use
 }
 
-// newFloorUsage returns sums without any job, over the capacity of all partitions.
+// newFloorUsage returns a floorUsage without jobs, for the capacity of all partitions.
 func (mon *Monitor) newFloorUsage(zoneFailed bool) *floorUsage {
 	u := &floorUsage{
 		mon:            mon,
@@ -128,8 +128,7 @@
 	return u
 }
 
-// usableCPUs is how much of the capacity a job could use. Work that fits nothing that is left, or is
-// beyond its team's quota, has no claim on it; nor has any to more than all that it fits.
+// usableCPUs returns the CPUs that a job could use if all usable machines were empty.
 func (u *floorUsage) usableCPUs(s *api.JobSpec) float64 {
 	slots := 0
 	for class, count := range u.machineCounts {
@@ -140,7 +139,7 @@
 	return float64(slots) * s.CPUs
 }
 
-// add counts a job's tasks.
+// add adds a job's allocated and demanded CPUs to its class and team.
 func (u *floorUsage) add(j *core.Job) {
 	lost := u.mon.unreachableTasks[j.ID]
 	running := max(0, len(j.Placements)-j.FinishingCount-lost)
@@ -159,14 +158,14 @@
 	addUsage(u.teams, j.Spec.Team, zonehealth.Usage{Allocated: held, Demand: demand, NoFloor: noFloor})
 }
 
-// mayStart reports whether a job's pending tasks count as demand. While no zone has failed, those of a
-// job that backs off or waits for units of a pool don't.
+// mayStart reports whether a job's pending tasks count as demand. While no zone has failed, the tasks
+// of a job that backs off or needs units of a pool do not count.
 func (u *floorUsage) mayStart(j *core.Job) bool {
 	return u.zoneFailed || j.OwnerState.BackoffUntil <= u.mon.core.Now && len(j.Spec.Needs) == 0
 }
 
-// reserveQuota takes a job's pending tasks from what remains of its team's quota and returns how many
-// fit. What is on lost machines is in the team's usage already.
+// reserveQuota subtracts a job's pending tasks from its team's remaining quota and returns the number
+// that fits. Tasks on lost machines are already part of the team's usage.
 func (u *floorUsage) reserveQuota(j *core.Job, running, lost int) int {
 	team := j.Spec.Team
 	waiting := max(0, j.Spec.Tasks-j.CompletedCount-running-lost)
@@ -175,8 +174,7 @@
 	return startable
 }
 
-// addUsage adds a job's usage to that of its class or team, which goes without a floor if all its jobs
-// do.
+// addUsage adds a job's usage to its class or team, which has no floor if none of its jobs has one.
 func addUsage[K comparable](usage map[K]zonehealth.Usage, holder K, job zonehealth.Usage) {
 	sum := usage[holder]
 	usage[holder] = zonehealth.Usage{
@@ -187,7 +185,7 @@
 	}
 }
 
-// limitDemand limits each class's demand to what it could use.
+// limitDemand limits each class's demand to the CPUs that it could use.
 func (u *floorUsage) limitDemand() {
 	for class, usage := range u.classes {
 		usage.Demand = min(usage.Demand, max(usage.Allocated, u.maxUsable[class]))
--- a/controller/health/floors_test.go
+++ b/controller/health/floors_test.go
@@ -11,8 +11,8 @@
 	"basaltwall/zonehealth"
 )
 
-// newTestMonitor is a monitor whose controller owns one of two partitions, with a job of ten tasks of 2
-// CPUs each.
+// newTestMonitor returns a monitor whose controller owns one of two partitions, and a job array of ten
+// tasks with 2 CPUs each.
 func newTestMonitor(t *testing.T) (*Monitor, *core.Job) {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
@@ -29,7 +29,7 @@
 	return New(shared), &core.Job{ID: spec.Ref, JobValue: clusterstate.JobValue{Spec: spec}, Demand: spec.Demand()}
 }
 
-// A task may be preempted only where neither its class nor its team goes below its floor.
+// A task may be preempted only if neither its class nor its team falls below its floor.
 func TestPreemptionStopsAtFloors(t *testing.T) {
 	mon, j := newTestMonitor(t)
 	p := &core.Placement{Task: api.TaskID{Job: j.ID}, Job: j}
@@ -38,20 +38,20 @@
 		floors Floors
 		want   bool
 	}{
-		{"no floors are kept", Floors{}, true},
-		{"both are new since the floors were computed", Floors{Classes: map[api.Class]zonehealth.Allowance{}}, true},
-		{"above both", testFloors(2, 2), true},
-		{"its class is at its floor", testFloors(1.5, 2), false},
-		{"its team is at its floor", testFloors(2, 1.5), false},
+		{"no floors", Floors{}, true},
+		{"class and team newer than the floors", Floors{Classes: map[api.Class]zonehealth.Allowance{}}, true},
+		{"class and team above their floors", testFloors(2, 2), true},
+		{"class at its floor", testFloors(1.5, 2), false},
+		{"team at its floor", testFloors(2, 1.5), false},
 	} {
 		mon.Floors = tc.floors
 		if got := mon.IsPreemptible(p); got != tc.want {
-			t.Errorf("%s: %v", tc.what, got)
+			t.Errorf("%s: preemptible: %v", tc.what, got)
 		}
 	}
 }
 
-// testFloors let the test's class and team be preempted by so many CPUs.
+// testFloors returns floors with the given preemptible CPUs of the test's class and team.
 func testFloors(class, team float64) Floors {
 	return Floors{
 		Classes: map[api.Class]zonehealth.Allowance{"batch": {Preemptible: class, Headroom: math.Inf(1)}},
@@ -59,35 +59,35 @@
 	}
 }
 
-// What starts and what is preempted counts against the floors until they are computed anew.
+// Starts and preemptions adjust the floors until their next computation.
 func TestFloorsFollowStartsAndPreemptions(t *testing.T) {
 	mon, j := newTestMonitor(t)
 	mon.Floors = testFloors(3, 5)
 	mon.AdjustFloors(j.Spec, -2)
 	if class, team := mon.Floors.Classes["batch"].Preemptible, mon.Floors.Teams["red"].Preemptible; class != 1 || team != 3 {
-		t.Errorf("after a preemption of 2 CPUs %v and %v may still be preempted, expected 1 and 3", class, team)
+		t.Errorf("after a preemption of 2 CPUs, %v and %v CPUs are preemptible, expected 1 and 3", class, team)
 	}
 	mon.AdjustFloors(&api.JobSpec{Class: "other", Team: "blue"}, 2)
 	if len(mon.Floors.Classes) != 1 || len(mon.Floors.Teams) != 1 {
-		t.Error("a class and a team without floors got some")
+		t.Error("AdjustFloors added a floor for a new class or team")
 	}
 }
 
-// A job takes its owner's share of the smaller headroom, and a gang all of it.
+// A job may use its owner's share of the smaller headroom, and a gang all of it.
 func TestStartAllowanceWithinHeadroom(t *testing.T) {
 	mon, j := newTestMonitor(t)
 	if got := mon.StartAllowance(j); got != 10 {
-		t.Errorf("%d may start without floors, expected all 10", got)
+		t.Errorf("%d tasks may start without floors, expected all 10", got)
 	}
 	mon.Floors = Floors{
 		Classes: map[api.Class]zonehealth.Allowance{"batch": {Headroom: 16}},
 		Teams:   map[api.Team]zonehealth.Allowance{"red": {Headroom: 12}},
 	}
 	if got := mon.StartAllowance(j); got != 3 {
-		t.Errorf("%d may start, expected half of 12 CPUs", got)
+		t.Errorf("%d tasks may start, expected 3 in half of 12 CPUs", got)
 	}
 	j.Spec.Kind = api.Gang
 	if got := mon.StartAllowance(j); got != 6 {
-		t.Errorf("%d of a gang may start, expected 12 CPUs", got)
+		t.Errorf("%d tasks of a gang may start, expected 6 in 12 CPUs", got)
 	}
 }
--- a/controller/health/liveness.go
+++ b/controller/health/liveness.go
@@ -1,4 +1,4 @@
-// Which silent machines are deleted one by one.
+// Deletion of individual unreachable machines.
 
 package health
 
@@ -11,81 +11,84 @@
 	"basaltwall/zonehealth"
 )
 
-// minMissedCalls is how many direct calls in a row must go unanswered before a machine is deleted.
+// minMissedCalls is the number of consecutive unanswered direct calls before a machine is deleted.
 const minMissedCalls = 3
 
-// Leases for which a machine is given time to come back before it is deleted all the same.
+// Timeouts, in lease durations, after which an unreachable machine is deleted although it may recover.
 const (
-	unhealthyZoneLeases = 3 // while its zone is not healthy, or was not until just now
-	cutOffLeases        = 2 // while it seems to be this controller that receives nothing
+	unhealthyZoneLeases      = 3 // if its zone is unhealthy or has just recovered
+	isolatedControllerLeases = 2 // if this controller itself is probably isolated
 )
 
-// silentFor is for how long a machine has been silent, as far as is known.
-func (mon *Monitor) silentFor(m *core.Machine, owned *core.OwnedPartition) time.Duration {
+// unreachableDuration returns the time since a machine's last heartbeat. If this controller has received
+// none, it counts from the takeover of the partition or from the discovery of the machine.
+func (mon *Monitor) unreachableDuration(m *core.Machine, owned *core.OwnedPartition) time.Duration {
 	last := max(m.LastHeartbeat, owned.OwnedSince)
 	if m.LastHeartbeat == 0 {
 		last = max(last, m.DiscoveredAt)
 		if r := mon.records[m.Zone]; r.LastHeartbeat != 0 && mon.ZoneUnavailable(m.Zone) {
-			last = min(last, mon.core.FromWallClock(r.LastHeartbeat)) // it was silent before the takeover, as its zone was
+			last = min(last, mon.core.FromWallClock(r.LastHeartbeat)) // the zone was unreachable before the takeover
 		}
 	}
 	return mon.core.Now.Sub(last)
 }
 
-// CheckLiveness deletes a machine that can't be reached: only the cloud's word that it is gone proves
-// its tasks over. Where its whole zone has failed, EvacuateZones decides.
+// CheckLiveness deletes a machine that has been unreachable for too long, since only the cloud's
+// confirmation of the deletion proves that its tasks have ended. Machines of a failed zone are left to
+// EvacuateZones.
 func (mon *Monitor) CheckLiveness(m *core.Machine, owned *core.OwnedPartition) {
-	silence := mon.silentFor(m, owned)
-	if silence <= mon.livenessTimeout(m) {
+	unreachable := mon.unreachableDuration(m, owned)
+	if unreachable <= mon.livenessTimeout(m) {
 		return
 	}
 	if mon.cancellationOverdue(m) {
-		// However likely it is that the network is at fault: a controller that is cut off from this
-		// one may keep its lease alive. With very many silent machines the calls that would have to
-		// fail first take longer than the cancellation has.
+		// Applies also if the network is probably at fault, since a controller that is partitioned from
+		// this one may renew the machine's lease. Waiting for minMissedCalls could exceed the
+		// cancellation timeout if many machines are unreachable.
 		mon.siblings.Autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonCancelled)
 		return
 	}
-	if mon.mayComeBack(m, silence) || mon.hardlyCalled(m, owned) {
+	if mon.mayRecover(m, unreachable) || mon.tooFewCalls(m, owned) {
 		return
 	}
-	if m.LastHeartbeat == 0 && mon.seemsBooting(m) {
+	if m.LastHeartbeat == 0 && mon.mayBeBooting(m) {
 		return
 	}
-	if mon.recentlySilent(mon.inboundCutOff(), allZones) && silence < cutOffLeases*mon.core.Config.WorkerLease() {
+	if mon.recentlyUnreachable(mon.controllerIsolated(), allZones) && unreachable < isolatedControllerLeases*mon.core.Config.WorkerLease() {
 		return
 	}
 	mon.siblings.Autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonUnreachable)
 }
 
-// livenessTimeout is how long a machine may be silent before it is checked.
+// livenessTimeout returns the time without a heartbeat after which a machine's liveness is checked.
 func (mon *Monitor) livenessTimeout(m *core.Machine) time.Duration {
 	timeout := mon.core.LivenessTimeout
 	if m.ReclaimNotice {
 		timeout = mon.lateHeartbeatTimeout()
 	}
 	if m.LastHeartbeat == 0 && m.Address != "" {
-		// Since a takeover it has been called rather than waited for: its heartbeats need not come
-		// to this controller.
+		// After a takeover this controller calls the machine directly, since its heartbeats may still go
+		// to another controller. An unreachable machine is thus detected earlier.
 		timeout /= 2
 	}
 	return timeout
 }
 
-// mayComeBack reports whether a machine may come back with its tasks, together with its zone, or is
-// just coming. Of a failed zone the evacuation decides.
-func (mon *Monitor) mayComeBack(m *core.Machine, silence time.Duration) bool {
+// mayRecover reports whether a machine may recover, with its tasks, together with its zone. It is
+// always true for machines of a failed zone, which are left to the evacuation.
+func (mon *Monitor) mayRecover(m *core.Machine, unreachable time.Duration) bool {
 	state := mon.ZoneState(m.Zone)
 	if state == zonehealth.Failed {
 		return true
 	}
-	unsettled := state != zonehealth.Healthy || mon.recentlySilent(false, m.Zone)
-	return unsettled && silence < unhealthyZoneLeases*mon.core.Config.WorkerLease()
+	unstable := state != zonehealth.Healthy || mon.recentlyUnreachable(false, m.Zone)
+	return unstable && unreachable < unhealthyZoneLeases*mon.core.Config.WorkerLease()
 }
 
-// hardlyCalled reports whether too few direct calls to a machine have failed to judge by. One without
-// an address has not been called for want of a list from the cloud that shows it.
-func (mon *Monitor) hardlyCalled(m *core.Machine, owned *core.OwnedPartition) bool {
+// tooFewCalls reports whether too few direct calls to a machine have failed to consider it unreachable.
+// A machine without an address can't be called; it counts once the cloud's list is recent enough to
+// contain it.
+func (mon *Monitor) tooFewCalls(m *core.Machine, owned *core.OwnedPartition) bool {
 	if m.Address != "" {
 		return m.MissedCalls < minMissedCalls
 	}
@@ -94,8 +97,8 @@
 	return listedAt == 0 || listedAt.Sub(owned.OwnedSince) < 2*listLag
 }
 
-// cancellationOverdue reports whether a machine holds a task whose cancellation was recorded so long
-// ago that only the machine's deletion can still end it in time.
+// cancellationOverdue reports whether a machine has a task of a cancelled job that can be ended in time
+// only by deleting the machine.
 func (mon *Monitor) cancellationOverdue(m *core.Machine) bool {
 	return slices.ContainsFunc(mon.core.State.PlacementsOn(m.ID), func(p *core.Placement) bool {
 		if p.Finishing || !p.Job.Cancelled {
@@ -105,7 +108,7 @@
 	})
 }
 
-// sinceWallClock is how long ago a time of day was.
+// sinceWallClock returns the time elapsed since a wall-clock time.
 func (mon *Monitor) sinceWallClock(at api.WallTime) time.Duration {
 	return time.Duration(mon.core.WallClock-at) * time.Millisecond
 }
--- a/controller/health/monitor.go
+++ b/controller/health/monitor.go
@@ -1,10 +1,9 @@
-// Package health watches the zones and the machines in them: it gathers evidence of which zones are
-// unreachable, keeps the durable records of their states, decides which silent machines are deleted,
-// and evacuates zones that have failed.
+// Package health monitors zones and their machines. It detects unreachable zones, writes the durable
+// records of their states, deletes unreachable machines and evacuates failed zones.
 //
-// It owns the zones' records as they were last read, the observations made of zones, the floors below
-// which the work of a class or team is not preempted, and the counts of tasks on lost machines. What
-// follows from the evidence is decided in package zonehealth.
+// It owns the zones' records as last read, the observations of zones, the floors below which tasks of a
+// class or team are not preempted, and the counts of tasks on lost machines. Decisions based on these
+// are made in package zonehealth.
 package health
 
 import (
@@ -13,9 +12,9 @@
 	"basaltwall/zonehealth"
 )
 
-// Monitor watches zones and machines.
+// Monitor monitors zones and machines.
 type Monitor struct {
-	// Floors bound how far the work of a class or team is preempted, and what it may take.
+	// Floors limits the preemption of the tasks of a class or team, and the capacity that they may use.
 	Floors Floors
 
 	core     *core.Core
@@ -24,31 +23,31 @@
 	records             map[api.Zone]zonehealth.Record
 	recordWriteInFlight bool
 
-	observations     map[api.Zone]zonehealth.Assessment // by all controllers together
-	localObservation zonehealth.Observation             // by this controller alone
+	observations     map[api.Zone]zonehealth.Assessment // combined from all controllers
+	localObservation zonehealth.Observation             // of this controller alone
 	observedAt       api.Time
 
-	lastSilentAt     map[api.Zone]api.Time         // when it was last seen unreachable; by "": all zones at once
-	controllerLostAt map[api.ControllerID]api.Time // when a controller was last seen to lose its membership
-	storeHealthyAt   api.Time                      // when the state service last answered
-	storeUnhealthyAt api.Time                      // when it had last not answered for a while
+	lastUnreachableAt map[api.Zone]api.Time         // latest time at which a zone, or allZones, was unreachable
+	controllerLostAt  map[api.ControllerID]api.Time // time at which a peer was found to have lost its membership
+	storeHealthyAt    api.Time                      // latest time at which the key-value store was reachable
+	storeUnhealthyAt  api.Time                      // latest time at which it had been unreachable for core.StoreTimeout
 
 	evacuationPlannedAt api.Time
 	floorsComputedAt    api.Time
-	replacementDemand   map[api.JobID]int // tasks on lost machines for which machines are provisioned
+	replacementDemand   map[api.JobID]int // tasks on lost machines that need replacement machines
 	unreachableTasks    map[api.JobID]int // all tasks on lost machines
-	expiredLeaseTasks   map[api.Zone]int  // tasks on lost machines past their leases
+	expiredLeaseTasks   map[api.Zone]int  // tasks on lost machines with expired leases
 }
 
-// New returns a monitor that knows no zone. Connect must be called before it is used.
+// New returns a monitor without zone records. Connect must be called before it is used.
 func New(shared *core.Core) *Monitor {
 	return &Monitor{
-		core:             shared,
-		records:          map[api.Zone]zonehealth.Record{},
-		lastSilentAt:     map[api.Zone]api.Time{},
-		controllerLostAt: map[api.ControllerID]api.Time{},
+		core:              shared,
+		records:           map[api.Zone]zonehealth.Record{},
+		lastUnreachableAt: map[api.Zone]api.Time{},
+		controllerLostAt:  map[api.ControllerID]api.Time{},
 	}
 }
 
-// Connect gives the monitor the components that it asks.
+// Connect sets the components that the monitor calls.
 func (mon *Monitor) Connect(siblings Siblings) { mon.siblings = siblings }
--- a/controller/health/observation.go
+++ b/controller/health/observation.go
@@ -1,4 +1,4 @@
-// Evidence of which zones are unreachable.
+// Observations of zones, used to detect unreachable ones.
 
 package health
 
@@ -12,10 +12,11 @@
 	"basaltwall/zonehealth"
 )
 
-// lateHeartbeatMargin is how late a heartbeat may be before its machine counts as silent.
+// lateHeartbeatMargin is the delay of a heartbeat after which its machine counts as unreachable.
 const lateHeartbeatMargin = 2 * time.Second
 
-// observeZones counts anew, now and then, what all controllers see of the zones.
+// observeZones combines the observations of all controllers into an assessment of each zone, at most
+// once per half SweepInterval.
 func (mon *Monitor) observeZones() {
 	if mon.observations != nil && mon.core.Now.Sub(mon.observedAt) <= core.SweepInterval/2 {
 		return
@@ -26,24 +27,24 @@
 	for _, p := range slices.Sorted(maps.Keys(mon.core.Partitions)) {
 		mergeCounts(mon.localObservation, mon.SilentByZone(mon.core.Partitions[p]))
 	}
-	witnesses := []zonehealth.Observation{mon.localObservation}
+	byObserver := []zonehealth.Observation{mon.localObservation}
 	for _, peer := range mon.siblings.Gossiper.Peers() {
-		witness := zonehealth.Observation{}
+		observation := zonehealth.Observation{}
 		for _, status := range mon.siblings.Gossiper.PartitionStatusesOf(peer) {
-			mergeCounts(witness, status.Zones)
+			mergeCounts(observation, status.Zones)
 		}
-		witnesses = append(witnesses, witness)
+		byObserver = append(byObserver, observation)
 	}
 	for _, name := range mon.core.Config.Deployment.Zones {
-		assessment := zonehealth.Assess(witnesses, name)
+		assessment := zonehealth.Assess(byObserver, name)
 		mon.observations[name] = assessment
 		if assessment.Unreachable {
-			mon.lastSilentAt[name] = mon.core.Now
+			mon.lastUnreachableAt[name] = mon.core.Now
 		}
 	}
 }
 
-// mergeCounts adds the counts of one partition's machines to an observation.
+// mergeCounts adds the machine counts of one partition to an observation.
 func mergeCounts(observation zonehealth.Observation, counts map[api.Zone]zonehealth.MachineCount) {
 	for name, c := range counts {
 		o := observation[name]
@@ -51,8 +52,9 @@
 	}
 }
 
-// SilentByZone counts a partition's machines, and the silent ones among them, by zone. What boots, as
-// far as is known, and what a new owner has neither called nor had a heartbeat of yet, says nothing.
+// SilentByZone counts a partition's machines, and the unreachable ones among them, by zone. Machines
+// that may be booting, or that a new owner has neither called nor received a heartbeat from, are left
+// out.
 func (mon *Monitor) SilentByZone(owned *core.OwnedPartition) map[api.Zone]zonehealth.MachineCount {
 	counts := map[api.Zone]zonehealth.MachineCount{}
 	for _, m := range mon.siblings.Agents.MachinesOf(owned.ID) {
@@ -61,7 +63,7 @@
 		}
 		c := counts[m.Zone]
 		c.All++
-		if mon.isSilent(m, owned) {
+		if mon.isUnreachable(m, owned) {
 			c.Silent++
 			if m.LastHeartbeat != 0 {
 				c.Heard = max(c.Heard, mon.core.ToWallClock(m.LastHeartbeat))
@@ -72,45 +74,47 @@
 	return counts
 }
 
-// isEvidence reports whether a machine's silence says anything of its zone.
+// isEvidence reports whether a machine's reachability is evidence of its zone's.
 func (mon *Monitor) isEvidence(m *core.Machine) bool {
 	if m.Deleting && !m.Unreachable {
-		return false // it is this controller that does not answer it
+		return false // this controller rejects its heartbeats
 	}
 	if m.LastHeartbeat != 0 {
 		return true
 	}
-	return m.MissedCalls > 0 && !mon.seemsBooting(m)
+	return m.MissedCalls > 0 && !mon.mayBeBooting(m)
 }
 
-// seemsBooting reports whether a machine without a heartbeat so far may not be up yet, as far as is known.
-func (mon *Monitor) seemsBooting(m *core.Machine) bool {
+// mayBeBooting reports whether a machine that has never sent a heartbeat may still be booting: the
+// cloud does not list it as running, and it has no placements.
+func (mon *Monitor) mayBeBooting(m *core.Machine) bool {
 	return !mon.siblings.Autoscaler.IsListedRunning(m) && len(mon.core.State.PlacementsOn(m.ID)) == 0
 }
 
-// isSilent reports whether a machine is not reached. One whose heartbeats come by way of peers alone
-// speaks for a network partition as well; one that sends them here again is back, though no call has
-// been made to it yet.
-func (mon *Monitor) isSilent(m *core.Machine, owned *core.OwnedPartition) bool {
+// isUnreachable reports whether a machine is unreachable for this controller. A machine with unanswered
+// calls whose heartbeats arrive only through peers counts as unreachable, since this is evidence of a
+// network partition. One that sends them here directly counts as reachable.
+func (mon *Monitor) isUnreachable(m *core.Machine, owned *core.OwnedPartition) bool {
 	if m.MissedCalls > 0 && (m.LastHeartbeat == 0 || m.HeartbeatForwarded) {
 		return true
 	}
 	return mon.core.Now.Sub(max(m.LastHeartbeat, owned.OwnedSince)) > mon.lateHeartbeatTimeout()
 }
 
-// lateHeartbeatTimeout is how long after the last heartbeat the next one is late.
+// lateHeartbeatTimeout returns the time after a heartbeat at which the next one is overdue.
 func (mon *Monitor) lateHeartbeatTimeout() time.Duration {
 	return mon.core.Config.HeartbeatInterval() + lateHeartbeatMargin
 }
 
-// Observation is what all controllers together last saw of a zone.
+// Observation returns the latest assessment of a zone by all controllers together.
 func (mon *Monitor) Observation(name api.Zone) zonehealth.Assessment {
 	return mon.observations[name]
 }
 
-// ZoneState is a zone's state: what is recorded or, before that, what is seen.
+// ZoneState returns a zone's recorded state, or Suspect if it is recorded as healthy but is observed as
+// unreachable.
 func (mon *Monitor) ZoneState(name api.Zone) zonehealth.State {
-	if !mon.comparesZones() {
+	if !mon.hasMultipleZones() {
 		return zonehealth.Healthy
 	}
 	mon.observeZones()
@@ -123,43 +127,45 @@
 	return zonehealth.Healthy
 }
 
-// comparesZones reports whether there are several zones: a single one can't be compared with another,
-// and its work has nowhere else to go.
-func (mon *Monitor) comparesZones() bool { return len(mon.core.Config.Deployment.Zones) >= 2 }
+// hasMultipleZones reports whether there are several zones. The health of a single zone is not tracked:
+// it can't be compared with other zones, and its tasks can't run elsewhere.
+func (mon *Monitor) hasMultipleZones() bool { return len(mon.core.Config.Deployment.Zones) >= 2 }
 
-// ZoneUnavailable reports whether nothing is to be started or provisioned in a zone.
+// ZoneUnavailable reports whether no tasks may start and no machines may be provisioned in a zone.
 func (mon *Monitor) ZoneUnavailable(name api.Zone) bool {
 	s := mon.ZoneState(name)
 	return s == zonehealth.Suspect || s == zonehealth.Failed
 }
 
-// inboundCutOff reports whether it is this controller that receives nothing, as it seems: next to no
-// machine of any zone that is not known to have failed is heard of.
-func (mon *Monitor) inboundCutOff() bool {
+// controllerIsolated reports whether this controller itself is probably isolated: at least half of the
+// machines in every zone that is not recorded as failed are unreachable.
+func (mon *Monitor) controllerIsolated() bool {
 	mon.observeZones()
-	witness := zonehealth.Observation{}
+	observation := zonehealth.Observation{}
 	for name, c := range mon.localObservation {
 		if mon.records[name].State != zonehealth.Failed {
-			witness[name] = c
+			observation[name] = c
 		}
 	}
-	return witness.ObserverIsolated()
+	return observation.ObserverIsolated()
 }
 
-// allZones stands for everything that this controller receives among the zones last seen silent.
+// allZones is the key in lastUnreachableAt for the isolation of this controller from all zones.
 const allZones api.Zone = ""
 
-// recentlySilent reports whether a zone, or allZones, was silent until just now: when a network
-// partition ends, the last machines must have time for their heartbeats.
-func (mon *Monitor) recentlySilent(silent bool, name api.Zone) bool {
-	if silent {
-		mon.lastSilentAt[name] = mon.core.Now
+// recentlyUnreachable reports whether a zone, or allZones, was unreachable within the stabilization
+// time; unreachable says that it is so now. After a network partition ends, the machines need that time
+// to send their heartbeats.
+func (mon *Monitor) recentlyUnreachable(unreachable bool, name api.Zone) bool {
+	if unreachable {
+		mon.lastUnreachableAt[name] = mon.core.Now
 	}
-	at, seen := mon.lastSilentAt[name]
-	return seen && mon.core.Now.Sub(at) < mon.settlingTime()
+	at, seen := mon.lastUnreachableAt[name]
+	return seen && mon.core.Now.Sub(at) < mon.stabilizationTime()
 }
 
-// settlingTime is how long after a network partition every machine has had time to be heard of.
-func (mon *Monitor) settlingTime() time.Duration {
+// stabilizationTime returns the time after the end of a network partition within which every machine
+// should have sent a heartbeat.
+func (mon *Monitor) stabilizationTime() time.Duration {
 	return mon.core.HeartbeatTimeout + core.WorkerTimeout
 }
--- a/controller/health/record.go
+++ b/controller/health/record.go
@@ -1,4 +1,4 @@
-// The zones' durable records.
+// Durable records of the zones' states.
 
 package health
 
@@ -17,10 +17,11 @@
 	"basaltwall/zonehealth"
 )
 
-// RecordKeyPrefix is before a zone's name in the key of its record, a zonehealth.Record.
+// RecordKeyPrefix is the key prefix of zone records. The zone's name follows it, and the value is a
+// zonehealth.Record.
 const RecordKeyPrefix = clusterstate.Root + "zone/"
 
-// RecordKind returns how the zones' records are applied to the monitor.
+// RecordKind returns the record kind that applies zone records to the monitor.
 func (mon *Monitor) RecordKind() clusterstate.RecordKind {
 	return clusterstate.RecordKind{
 		Prefix: RecordKeyPrefix,
@@ -36,23 +37,24 @@
 	}
 }
 
-// ResetRecords forgets the records, before the cluster state is read anew.
+// ResetRecords clears the zone records before the cluster state is reloaded.
 func (mon *Monitor) ResetRecords() { mon.records = map[api.Zone]zonehealth.Record{} }
 
-// Record is a zone's record; the zero record is that of a zone that was always healthy.
+// Record returns a zone's record; the zero record means that the zone was always healthy.
 func (mon *Monitor) Record(name api.Zone) zonehealth.Record { return mon.records[name] }
 
-// RecordedState is a zone's state by its record alone.
+// RecordedState returns a zone's state according to its record alone.
 func (mon *Monitor) RecordedState(name api.Zone) zonehealth.State {
 	return mon.records[name].State
 }
 
-// PartitionsInside are the partitions whose owners were lost with a zone and may go on inside.
+// PartitionsInside returns the partitions whose owners were lost with a zone and may still be running
+// inside it.
 func (mon *Monitor) PartitionsInside(name api.Zone) []api.PartitionID {
 	return mon.records[name].PartitionsInside
 }
 
-// AnyZoneFailedOrRecovering reports whether some zone is recorded as failed or recovering.
+// AnyZoneFailedOrRecovering reports whether a zone is recorded as failed or recovering.
 func (mon *Monitor) AnyZoneFailedOrRecovering() bool {
 	for _, r := range mon.records {
 		if r.State == zonehealth.Failed || r.State == zonehealth.Recovering {
@@ -62,27 +64,27 @@
 	return false
 }
 
-// ZoneSilenceSeconds is for how long a failed zone has been silent, in seconds.
+// ZoneSilenceSeconds returns the duration of a failed zone's outage so far, in seconds.
 func (mon *Monitor) ZoneSilenceSeconds(name api.Zone) float64 {
 	r := mon.records[name]
 	return max(0, float64(mon.core.WallClock-cmp.Or(r.LastHeartbeat, r.Since))/1000)
 }
 
-// writerPartition is the partition whose owner writes the zones' records; nil if that is another
-// controller.
+// writerPartition returns the partition whose owner writes the zone records; nil if another controller
+// owns it.
 func (mon *Monitor) writerPartition() *core.OwnedPartition { return mon.core.Partitions[0] }
 
-// ReconcileZones keeps the zones' records, if this controller is the one that writes them.
+// ReconcileZones updates the zone records if this controller is their writer.
 func (mon *Monitor) ReconcileZones() {
 	mon.observeControllers()
 	mon.observeStore()
 	owned := mon.writerPartition()
-	// A controller that was cut off until just now has old evidence: what is silent must have the
-	// time to be heard of first.
-	if mon.storeUnhealthyAt != 0 && mon.core.Now.Sub(mon.storeUnhealthyAt) < mon.settlingTime() {
+	// After an isolation of this controller its observations are outdated, so machines get time to
+	// send heartbeats first.
+	if mon.storeUnhealthyAt != 0 && mon.core.Now.Sub(mon.storeUnhealthyAt) < mon.stabilizationTime() {
 		return
 	}
-	if owned == nil || mon.recordWriteInFlight || !mon.comparesZones() {
+	if owned == nil || mon.recordWriteInFlight || !mon.hasMultipleZones() {
 		return
 	}
 	mon.observeZones()
@@ -93,12 +95,12 @@
 			continue
 		}
 		if mon.writeRecord(name, previous, record, owned) {
-			return // one at a time
+			return // one write at a time
 		}
 	}
 }
 
-// observeControllers notes which peers have lost their membership since when.
+// observeControllers records when peers lost their membership.
 func (mon *Monitor) observeControllers() {
 	for _, peer := range mon.siblings.Gossiper.Peers() {
 		if mon.core.IsLive(peer) {
@@ -109,7 +111,8 @@
 	}
 }
 
-// observeStore notes when the state service last answered and when it last had not for a while.
+// observeStore records when the key-value store was last reachable, and when it was last unreachable for
+// core.StoreTimeout.
 func (mon *Monitor) observeStore() {
 	if mon.core.StoreHealthy {
 		mon.storeHealthyAt = mon.core.Now
@@ -118,23 +121,23 @@
 	}
 }
 
-// nextRecord is a zone's record after what is observed now.
+// nextRecord returns a zone's record after the current observation.
 func (mon *Monitor) nextRecord(name api.Zone, previous zonehealth.Record, owned *core.OwnedPartition) zonehealth.Record {
-	healthyFor := mon.core.Now.Sub(max(mon.lastSilentAt[name], owned.OwnedSince))
+	healthyFor := mon.core.Now.Sub(max(mon.lastUnreachableAt[name], owned.OwnedSince))
 	thresholds := zonehealth.Thresholds{
 		FailAfter:       mon.core.LivenessTimeout,
-		HealthyAfter:    mon.settlingTime(),
+		HealthyAfter:    mon.stabilizationTime(),
 		RetryEmptyAfter: 2 * mon.core.Config.WorkerLease(),
 	}
 	return previous.Next(mon.core.WallClock, mon.observations[name], healthyFor, thresholds, mon.partitionsInside(name))
 }
 
-// writeRecord writes a zone's record, on the condition that the previous one still stands and that the
-// partition is still owned. It reports whether it was sent.
+// writeRecord writes a zone's record on condition that the previous one is unchanged and that this
+// controller still owns the writer partition. It reports whether the write was sent.
 func (mon *Monitor) writeRecord(name api.Zone, previous, record zonehealth.Record, owned *core.OwnedPartition) bool {
 	value, err := json.Marshal(record)
 	if err != nil {
-		slog.Error("zone record not encoded", "err", err)
+		slog.Error("zone record could not be encoded", "err", err)
 		return false
 	}
 	key := RecordKeyPrefix + string(name)
@@ -148,8 +151,8 @@
 	mon.core.CallStoreTxn(txn, func(a message.StoreResponse) {
 		if a.Status == statusOK {
 			slog.Info("zone state changed", "zone", name, "state", stateName(record.State), "term", owned.Term,
-				"machines", assessment.All, "silent", assessment.Silent,
-				"for", float64(record.Since-max(previous.LastHeartbeat, record.LastHeartbeat))/1000,
+				"machines", assessment.All, "unreachable", assessment.Silent,
+				"heartbeat_age_s", float64(record.Since-max(previous.LastHeartbeat, record.LastHeartbeat))/1000,
 				"partitions_inside", len(record.PartitionsInside))
 		}
 		mon.siblings.Follower.LinearizableRead(finish, finish)
@@ -157,19 +160,19 @@
 	return true
 }
 
-// statusOK is the state service's status of a transaction that was committed.
+// statusOK is the key-value store's status of a committed transaction.
 const statusOK = 200
 
-// stateName is a zone's state in the log.
+// stateName returns a zone's state as logged.
 func stateName(s zonehealth.State) string {
 	if s == zonehealth.Healthy {
-		return "whole"
+		return "healthy"
 	}
 	return string(s)
 }
 
-// partitionsInside lists the partitions whose preferred owner is in a zone and was lost with it: when
-// that controller was last live, the zone was still heard of.
+// partitionsInside returns the partitions whose preferred owner is in a zone and was lost with it: the
+// controller lost its membership no earlier than the zone sent its last heartbeat.
 func (mon *Monitor) partitionsInside(name api.Zone) []api.PartitionID {
 	lastHeard := cmp.Or(mon.observations[name].Heard, mon.records[name].LastHeartbeat)
 	var out []api.PartitionID
@@ -187,7 +190,7 @@
 	return out
 }
 
-// controllerZone is the zone that a controller runs in.
+// controllerZone returns the zone of a controller.
 func (mon *Monitor) controllerZone(id api.ControllerID) api.Zone {
 	i := slices.IndexFunc(mon.core.Config.Peers, func(p config.Peer) bool { return p.Label == id })
 	if i < 0 {
--- a/controller/health/replacement.go
+++ b/controller/health/replacement.go
@@ -1,4 +1,4 @@
-// Counts of the tasks on lost machines, for which machines are provisioned elsewhere.
+// Counts of tasks on lost machines, for which replacement machines are provisioned in other zones.
 
 package health
 
@@ -11,29 +11,29 @@
 	"basaltwall/zonehealth"
 )
 
-// minReplacementProbability is how likely a zone must be to stay silent until another machine is up for
-// one to be provisioned in its stead.
+// minReplacementProbability is the minimum probability that a zone's outage outlasts the boot of a
+// replacement machine for one to be provisioned.
 const minReplacementProbability = 0.5
 
-// ReplacementDemand counts, by job, the tasks on lost machines for which machines are provisioned.
+// ReplacementDemand returns the number of each job's tasks on lost machines that need replacement
+// machines.
 func (mon *Monitor) ReplacementDemand() map[api.JobID]int { return mon.replacementDemand }
 
-// ExpiredLeaseTasks is how many tasks are on a zone's lost machines past their leases.
+// ExpiredLeaseTasks returns the number of tasks on a zone's lost machines with expired leases.
 func (mon *Monitor) ExpiredLeaseTasks(name api.Zone) int { return mon.expiredLeaseTasks[name] }
 
 // lossCounter counts the tasks on machines of failed zones.
 type lossCounter struct {
-	replacements map[api.JobID]int // for which machines are provisioned
-	unreachable  map[api.JobID]int // all
-	preemptible  api.Quantity      // CPUs that urgent work could still have elsewhere by preemption
+	replacements map[api.JobID]int // tasks that need replacement machines
+	unreachable  map[api.JobID]int // all tasks
+	preemptible  api.Quantity      // CPUs elsewhere that urgent tasks could still use by preemption
 }
 
-// countUnreachableTasks counts the tasks of each job, in all partitions, that are on machines of failed
-// zones, and of these the ones past their leases that no controller inside keeps and for which another
-// machine is likely to be up before the zone is back: machines are provisioned for them as for pending
-// work. Urgent work that would not fit elsewhere even if all lower work were preempted is counted before
-// the leases end, where the outage is likely to outlast them: only for that a machine that may not be
-// needed costs less than one that is late.
+// countUnreachableTasks counts, by job and in all partitions, the tasks on machines of failed zones, and
+// those of them that need replacement machines. A task needs one if its machine's lease has expired and
+// the outage will probably outlast the boot of a replacement. Urgent tasks that would not fit elsewhere
+// even by preemption count before their leases expire, since a late replacement costs them more than an
+// unneeded one.
 func (mon *Monitor) countUnreachableTasks() {
 	counter := &lossCounter{replacements: map[api.JobID]int{}, unreachable: map[api.JobID]int{}}
 	mon.siblings.Gossiper.EachFreeCapacity(func(_ api.PartitionID, class message.MachineClass, free message.FreeCapacity) {
@@ -43,16 +43,16 @@
 	})
 	for _, id := range mon.siblings.Autoscaler.ListedMachineIDs() {
 		instance, _ := mon.siblings.Autoscaler.ListedMachine(id)
-		if mon.records[instance.Zone].State == zonehealth.Failed && !mon.isBeingHandled(id) {
+		if mon.records[instance.Zone].State == zonehealth.Failed && !mon.deletingOrReachable(id) {
 			mon.countLostMachine(counter, id, instance)
 		}
 	}
 	mon.replacementDemand, mon.unreachableTasks = counter.replacements, counter.unreachable
 }
 
-// isBeingHandled reports whether a machine of a failed zone is being deleted, or is heard of all the
-// same.
-func (mon *Monitor) isBeingHandled(id api.MachineID) bool {
+// deletingOrReachable reports whether a machine of a failed zone is being deleted or still sends
+// heartbeats.
+func (mon *Monitor) deletingOrReachable(id api.MachineID) bool {
 	m := mon.core.Machines[id]
 	if m == nil {
 		return false
@@ -62,14 +62,14 @@
 
 // countLostMachine counts the tasks on one lost machine.
 func (mon *Monitor) countLostMachine(counter *lossCounter, id api.MachineID, instance api.Instance) {
-	silence, lease := mon.ZoneSilenceSeconds(instance.Zone), mon.core.Config.WorkerLease().Seconds()
-	replace := mon.outlastsReplacement(id, instance, silence, lease)
+	outage, lease := mon.ZoneSilenceSeconds(instance.Zone), mon.core.Config.WorkerLease().Seconds()
+	replace := mon.outlastsReplacement(id, instance, outage, lease)
 	for _, p := range mon.core.State.PlacementsOn(id) {
 		if p.Finishing || p.Job.Terminal() {
 			continue
 		}
 		counter.unreachable[p.Job.ID]++
-		if silence < lease {
+		if outage < lease {
 			counter.countDuringLease(p, replace)
 			continue
 		}
@@ -80,7 +80,7 @@
 	}
 }
 
-// countDuringLease counts a task whose machine's lease has not ended yet.
+// countDuringLease counts a task whose machine's lease has not expired yet.
 func (counter *lossCounter) countDuringLease(p *core.Placement, replace bool) {
 	if p.Job.Spec.Priority.Rank() < core.PreemptorRank {
 		return
@@ -92,13 +92,14 @@
 	}
 }
 
-// outlastsReplacement reports whether a machine is likely to be lost, to any controller, for longer than
-// its lease lasts and another takes to boot. Times are in seconds.
-func (mon *Monitor) outlastsReplacement(id api.MachineID, instance api.Instance, silence, lease float64) bool {
+// outlastsReplacement reports whether a machine will probably stay unreachable until its lease has
+// expired and a replacement has booted. It is false if a controller inside the zone may still command
+// the machine. outage is the duration of the zone's outage so far; both durations are in seconds.
+func (mon *Monitor) outlastsReplacement(id api.MachineID, instance api.Instance, outage, lease float64) bool {
 	record := mon.records[instance.Zone]
 	if slices.Contains(record.PartitionsInside, mon.core.PartitionOf(id)) {
 		return false
 	}
-	target := max(lease, silence+mon.core.BootSeconds(instance.Type))
-	return record.OutlastProbability(target, silence) >= minReplacementProbability
+	target := max(lease, outage+mon.core.BootSeconds(instance.Type))
+	return record.OutlastProbability(target, outage) >= minReplacementProbability
 }
--- a/controller/health/siblings.go
+++ b/controller/health/siblings.go
@@ -1,4 +1,4 @@
-// What the monitor needs of other components.
+// Interfaces of the components that the monitor calls.
 
 package health
 
@@ -8,7 +8,7 @@
 	"basaltwall/controller/message"
 )
 
-// Siblings are the other components that the monitor asks.
+// Siblings holds the other components that the monitor calls.
 type Siblings struct {
 	Agents     Agents
 	Autoscaler Autoscaler
@@ -20,74 +20,78 @@
 	Tenancy    Tenancy
 }
 
-// Agents is what the monitor needs of the agent manager.
+// Agents is the component that manages machines through their agents.
 type Agents interface {
-	// MachinesOf lists a partition's known machines in order.
+	// MachinesOf returns the known machines of a partition, ordered by ID.
 	MachinesOf(api.PartitionID) []*core.Machine
 }
 
-// Autoscaler is what the monitor needs of the autoscaler: the cloud's list of machines and deletions.
+// Autoscaler is the part of the autoscaler that the monitor calls: the cloud's list of machines, and
+// deletions.
 type Autoscaler interface {
-	// DeletionsBackingOff reports whether deletions failed and the next is not due yet.
+	// DeletionsBackingOff reports whether deletions failed and the next attempt is not due yet.
 	DeletionsBackingOff() bool
-	// IsListedRunning reports whether the cloud's list has the machine as running.
+	// IsListedRunning reports whether the cloud lists the machine as running.
 	IsListedRunning(*core.Machine) bool
-	// ListedAt is when the cloud last listed the machines, 0 if it never did.
+	// ListedAt returns the time of the cloud's latest list of machines, 0 if there is none.
 	ListedAt() api.Time
-	// ListedMachine is a machine as the cloud last listed it.
+	// ListedMachine returns a machine as last listed by the cloud.
 	ListedMachine(api.MachineID) (api.Instance, bool)
-	// ListedMachineIDs are the machines that the cloud listed, in order.
+	// ListedMachineIDs returns the machines that the cloud last listed, ordered by ID.
 	ListedMachineIDs() []api.MachineID
-	// PendingDeletionCount is how many machines wait for their deletion.
+	// PendingDeletionCount returns the number of machines with a pending deletion.
 	PendingDeletionCount() int
-	// ScheduleDeletion has the cloud delete a machine.
+	// ScheduleDeletion schedules the deletion of a machine by the cloud.
 	ScheduleDeletion(m *core.Machine, owned *core.OwnedPartition, reason core.DeletionReason)
 }
 
-// Follower is what the monitor needs of the component that follows the state service's log.
+// Follower is the component that follows the log of the key-value store.
 type Follower interface {
-	// LinearizableRead calls back once everything durable at this moment is applied, or cannot be read.
+	// LinearizableRead calls onRead once all changes that are durable at the time of the call are
+	// applied, or onFailure if they can't be read.
 	LinearizableRead(onRead, onFailure func())
 }
 
-// Gossiper is what the monitor needs of the exchange with other controllers.
+// Gossiper is the component that exchanges partition status with other controllers.
 type Gossiper interface {
-	// EachFreeCapacity visits the free capacity of all partitions.
+	// EachFreeCapacity calls visit with the free capacity of the machines of all partitions.
 	EachFreeCapacity(visit func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity))
-	// PartitionStatusesOf is what a peer has lately told of the partitions that it owns.
+	// PartitionStatusesOf returns the recent statuses of the partitions that a peer owns.
 	PartitionStatusesOf(api.ControllerID) []message.PartitionStatus
-	// Peers are the other controllers, in order.
+	// Peers returns the other controllers, ordered by ID.
 	Peers() []api.ControllerID
-	// PreemptibleCapacity is what would be free on a machine if all work of low ranks were preempted.
+	// PreemptibleCapacity returns a machine's free capacity if all preemptible tasks were preempted.
 	PreemptibleCapacity(*core.Machine, *core.OwnedPartition) api.Resources
 }
 
-// Preemptor is what the monitor needs of the component that reserves machines for jobs.
+// Preemptor is the component that reserves machines for jobs.
 type Preemptor interface {
-	// ReservedFor is the job that a machine is reserved for, "" for none.
+	// ReservedFor returns the job that a machine is reserved for, "" if none.
 	ReservedFor(*core.Machine) api.JobID
 }
 
-// Priorities is what the monitor needs of the operators' priority rules.
+// Priorities is the component that applies the operators' priority rules.
 type Priorities interface {
-	// FairShareFloor is the share of its fair part that rules leave a job's class, 0 where none says.
+	// FairShareFloor returns the floor that rules set for a job's class, as a fraction of its fair
+	// share; 0 if no rule sets one.
 	FairShareFloor(*api.JobSpec) float64
-	// PriorityBoost is by how much rules put a job above its priority.
+	// PriorityBoost returns the number of ranks by which rules raise a job's priority; negative if they
+	// lower it.
 	PriorityBoost(*api.JobSpec) float64
 }
 
-// Scheduler is what the monitor needs of the component that plans rounds.
+// Scheduler is the component that plans scheduling rounds.
 type Scheduler interface {
-	// FreeCapacityOn is what is free on a machine.
+	// FreeCapacityOn returns the free capacity of a machine.
 	FreeCapacityOn(*core.Machine, *core.OwnedPartition) api.Resources
 	// IsSchedulable reports whether tasks may be placed on the machine.
 	IsSchedulable(*core.Machine, *core.OwnedPartition) bool
-	// MachineZone is the zone of a machine, "" if it is not known.
+	// MachineZone returns the zone of a machine, "" if it is unknown.
 	MachineZone(api.MachineID) api.Zone
 }
 
-// Tenancy is what the monitor needs of the tenants' administration.
+// Tenancy is the component that administers tenants.
 type Tenancy interface {
-	// StartsBlocked reports whether nothing of a job may start, as its tenant is suspended.
+	// StartsBlocked reports whether no task of a job may start because its tenant is suspended.
 	StartsBlocked(*core.Job) bool
 }
