--- a/zonehealth/evacuation.go
+++ b/zonehealth/evacuation.go
@@ -1,4 +1,4 @@
-// The evacuation plan: which machines of failed zones are deleted, and where their tasks could go.
+// Evacuation plans: which machines of failed zones are deleted, and where their tasks can be placed.
 
 package zonehealth
 
@@ -11,19 +11,19 @@
 	"basaltwall/sched"
 )
 
-// Task is a task that was on a machine of a failed zone, or that is pending.
+// Task is a task on a machine of a failed zone, or a pending task.
 type Task struct {
 	ID               api.TaskID
 	Spec             *api.JobSpec
 	Demand           api.Resources
-	WithinGuarantee  bool    // within its team's guarantee
-	RunningElsewhere int     // number of the job's tasks that run elsewhere
-	PriorityBoost    float64 // by how many priorities rules raise it; negative: lower it
+	WithinGuarantee  bool    // whether it is within its team's guaranteed quota
+	RunningElsewhere int     // number of the job's tasks that run outside the failed zones
+	PriorityBoost    float64 // number of ranks by which rules raise its priority; negative if they lower it
 	SlackSeconds     float64 // seconds until its job can no longer meet its deadline, see NoDeadline
-	LostWorkSeconds  float64 // seconds of work that are lost if it is ended while it may still run
+	LostWorkSeconds  float64 // seconds of work lost if it is still running when its machine is deleted
 }
 
-// NoDeadline is the slack, in seconds, of work without a deadline.
+// NoDeadline is the slack, in seconds, of a task without a deadline.
 const NoDeadline = 1e9
 
 // Machine is an unreachable machine of a failed zone.
@@ -31,52 +31,52 @@
 	ID               api.MachineID
 	Zone             api.Zone
 	Capacity         api.Resources
-	BootSeconds      float64 // seconds until a replacement is up
-	ControllerInside bool    // a controller in the zone may have kept its lease alive
+	BootSeconds      float64 // boot time of a replacement
+	ControllerInside bool    // whether a controller in the zone may be renewing its lease
 	Tasks            []Task
 }
 
-// FreeCapacity is the free capacity of a number of equal machines outside the failed zones.
+// FreeCapacity is the free capacity of Count identical machines outside the failed zones.
 type FreeCapacity struct {
 	Type                api.MachineTypeName
 	Zone                api.Zone
 	Spot                bool
 	Free                api.Resources // of each machine
-	FreeAfterPreemption api.Resources // of each, once what urgent work may preempt is preempted
+	FreeAfterPreemption api.Resources // of each machine, if urgent tasks preempt all they may
 	Count               int
-	HasImage            func(api.Image) bool // whether an image is cached there; nil: not known
-	OtherPartition      bool                 // of another partition, and not available as a whole
+	HasImage            func(api.Image) bool // reports whether an image is cached; nil if unknown
+	OtherPartition      bool                 // machine of another partition that can't be lent, since it is not empty
 }
 
-// Input is everything that a plan depends on.
+// Input is the input of an evacuation plan.
 type Input struct {
 	Machines       []Machine
-	PendingTasks   []Task // pending work of the same partition: it needs no machine evacuated
+	PendingTasks   []Task // pending tasks of the same partition, which compete for the free capacity
 	FreeCapacity   []FreeCapacity
 	PlacedByZone   map[api.JobID]map[api.Zone]int // number of each job's other tasks by zone
-	RemainingQuota map[api.Team]api.Resources     // what each team may start beyond its placements; nil: no limit
-	PreemptingRank int                            // the priority rank from which on work preempts lower work
+	RemainingQuota map[api.Team]api.Resources     // remaining quota of each team; nil if unlimited
+	PreemptingRank int                            // lowest priority rank that may preempt
 	ExpectedOutage func(api.Zone) float64         // expected remaining outage of a zone, in seconds
-	MaxMachines    int                            // limit on machines to evacuate
-	// Excluded, if set, keeps a task off capacity that its job's constraints allow.
+	MaxMachines    int                            // maximum number of machines to evacuate
+	// Excluded, if set, reports whether a task must not use capacity that its job's constraints allow.
 	Excluded func(*Task, *FreeCapacity) bool
 }
 
-// Evacuation is a machine to evacuate, with those of its tasks that have a placement elsewhere.
+// Evacuation is a machine to evacuate, with the planned placements of its tasks.
 type Evacuation struct {
 	Machine    api.MachineID
 	Placements []Placement
 }
 
-// Placement is a task that has a placement elsewhere, and the zone of it.
+// Placement is the planned placement of a task in another zone.
 type Placement struct {
 	Task api.TaskID
 	Zone api.Zone
 }
 
-// CompareTasks orders tasks by how urgently they are needed: by priority, then those within a
-// guarantee, then services by the share of their replicas that is left and gangs, which wait as a
-// whole, then by deadline. The order is total, so it is the same at every controller.
+// CompareTasks orders tasks by urgency: by priority, then tasks within their team's guarantee, then by
+// the fraction of the job's tasks that still run (services and gangs), then by deadline. The order is
+// total, so that all controllers compute the same one.
 func CompareTasks(a, b *Task) int {
 	trueFirst := func(x bool) int {
 		if x {
@@ -99,28 +99,27 @@
 		cmp.Compare(a.ID.Index, b.ID.Index))
 }
 
-// PlanEvacuation chooses the machines of failed zones to evacuate now, in order. The deletion of a
-// machine proves its tasks over, so that they can start elsewhere, but costs the machine, which would
-// return with its images as soon as the zone does. So a machine is evacuated if those of its tasks
-// that have a placement elsewhere now cost more by waiting for the expected outage than the machine
-// costs until a replacement has booted.
+// PlanEvacuation selects the machines of failed zones to evacuate now, in order. Deleting a machine
+// proves that its tasks have ended, so that they can start elsewhere, but the machine and its cached
+// images are lost. A machine is evacuated if waiting for the expected end of the outage costs more than
+// the evacuation. Only tasks that can be placed elsewhere now count.
 func PlanEvacuation(in *Input) []Evacuation {
 	p := newEvacuationPlanner(in)
 	p.placeTasks()
 	return p.evacuations()
 }
 
-// evacuationPlanner is a plan in the making.
+// evacuationPlanner is the state of a plan under construction.
 type evacuationPlanner struct {
 	in             *Input
-	capacity       []FreeCapacity // what is left of it
+	capacity       []FreeCapacity // capacity that is still free
 	remainingQuota map[api.Team]api.Resources
 	placedByZone   map[api.JobID]map[api.Zone]int
-	unplaceable    map[api.JobID]bool // capacity only shrinks, and a job's tasks are alike
+	unplaceable    map[api.JobID]bool // jobs without a feasible placement; they stay so, since capacity only shrinks
 
-	waitCost   []float64     // by machine: what its tasks with placements elsewhere cost by waiting
-	placements [][]Placement // by machine
-	order      []int         // machines with placements, by their first task that has one
+	waitCost   []float64     // by machine index: cost of waiting for its tasks with placements
+	placements [][]Placement // by machine index
+	order      []int         // indexes of machines with placements, by their most urgent placed task
 }
 
 func newEvacuationPlanner(in *Input) *evacuationPlanner {
@@ -135,13 +134,13 @@
 	}
 }
 
-// lostTask is a task with the index of its machine.
+// lostTask is a task on a machine of a failed zone, with the index of the machine.
 type lostTask struct {
 	task         *Task
 	machineIndex int
 }
 
-// lostTasks are the tasks of all machines, the most urgent first.
+// lostTasks returns the tasks of all machines of failed zones, most urgent first.
 func (p *evacuationPlanner) lostTasks() []lostTask {
 	var tasks []lostTask
 	for machineIndex := range p.in.Machines {
@@ -153,8 +152,8 @@
 	return tasks
 }
 
-// placeTasks finds placements for the lost tasks, in order of urgency. Pending tasks that are at
-// least as urgent take theirs first.
+// placeTasks finds placements for the lost tasks in order of urgency. Pending tasks that are at least
+// as urgent are placed first.
 func (p *evacuationPlanner) placeTasks() {
 	pending := slices.Clone(p.in.PendingTasks)
 	slices.SortFunc(pending, func(a, b Task) int { return CompareTasks(&a, &b) })
@@ -177,8 +176,8 @@
 	}
 }
 
-// place finds a placement for a task and takes it off the capacity left; with limited set, within
-// its team's remaining quota.
+// place finds a placement for a task and subtracts the task from the free capacity. If limited is set,
+// the team's remaining quota applies.
 func (p *evacuationPlanner) place(t *Task, limited bool) (api.Zone, bool) {
 	if p.unplaceable[t.ID.Job] {
 		return "", false
@@ -204,7 +203,7 @@
 	return rest.Zone, true
 }
 
-// zonesOf counts a job's tasks by zone, with those that the plan has placed.
+// zonesOf counts a job's tasks by zone, including those placed by the plan.
 func (p *evacuationPlanner) zonesOf(jobID api.JobID) map[api.Zone]int {
 	zones := p.placedByZone[jobID]
 	if zones == nil {
@@ -215,8 +214,8 @@
 	return zones
 }
 
-// bestCapacity is the index of the first capacity that fits a task, preferring one with its image
-// cached; -1 if none fits.
+// bestCapacity returns the index of the first capacity that fits a task, preferably with the task's
+// image cached; -1 if none fits.
 func (p *evacuationPlanner) bestCapacity(t *Task, zones map[api.Zone]int) int {
 	best := -1
 	for i := range p.capacity {
@@ -241,7 +240,8 @@
 	return best
 }
 
-// taskWaitCost is what a task costs that waits for its machine's zone instead of starting elsewhere.
+// taskWaitCost returns the cost of a task that waits for its machine's zone to recover instead of
+// starting elsewhere.
 func (p *evacuationPlanner) taskWaitCost(t *Task, m *Machine) float64 {
 	outage := p.in.ExpectedOutage(m.Zone)
 	cost := outage
@@ -254,7 +254,7 @@
 	return rankWeight[t.Spec.Priority.Rank()] * t.Demand.CPU.Float() * cost
 }
 
-// evacuations are the machines that cost more by waiting than by evacuation: first those with
+// evacuations returns the machines for which waiting costs more than evacuation: first machines with
 // placements, in order, then the others.
 func (p *evacuationPlanner) evacuations() []Evacuation {
 	var out []Evacuation
--- a/zonehealth/evacuationcost.go
+++ b/zonehealth/evacuationcost.go
@@ -1,31 +1,30 @@
-// Costs that an evacuation plan weighs, in seconds of a CPU of normal work.
+// Costs compared by evacuation plans, in CPU seconds of tasks with normal priority.
 
 package zonehealth
 
-// rankWeight is, by priority rank, the cost of a task that does not run, for each second and CPU of
-// normal work. A replica of the highest rank outweighs a whole machine of other work.
+// rankWeight is, by priority rank, the cost of a CPU second that a task does not run.
 var rankWeight = [4]float64{0.25, 1, 10, 50}
 
 const (
-	// idleWeight is the cost of a machine that is paid for and unreachable, as a share of what its
-	// CPUs could do.
+	// idleWeight is the cost of a CPU second of an unreachable machine, which is still paid for.
 	idleWeight = 0.25
-	// lateWeight multiplies the cost of a task whose job would miss its deadline if it waited for
-	// as long as the zone is likely to be out.
+	// lateWeight multiplies the cost of a task whose job would miss its deadline by waiting for the
+	// expected outage.
 	lateWeight = 4
-	// insideAliveProbability is how likely a controller that was lost with its zone goes on inside.
+	// insideAliveProbability is the probability that a controller lost with its zone is still running
+	// inside it.
 	insideAliveProbability = 0.9
-	// restartSeconds is how long a task is missing that ends here and starts elsewhere, in seconds.
+	// restartSeconds is the interruption of a task that is moved to another machine.
 	restartSeconds = 3
 )
 
-// idleCost is what it costs to keep an unreachable machine for the expected outage.
+// idleCost returns the cost of an unreachable machine for the duration of the expected outage.
 func idleCost(m *Machine, in *Input) float64 {
 	return idleWeight * m.Capacity.CPU.Float() * in.ExpectedOutage(m.Zone)
 }
 
-// evacuationCost is what the evacuation of a machine costs: its CPUs until a replacement is up, and
-// the tasks that may still run on it.
+// evacuationCost returns the cost of evacuating a machine: its CPUs until a replacement has booted, and
+// the interruption of tasks that may still run on it.
 func evacuationCost(m *Machine) float64 {
 	cost := m.Capacity.CPU.Float() * m.BootSeconds
 	if m.ControllerInside {
--- a/zonehealth/floor.go
+++ b/zonehealth/floor.go
@@ -1,4 +1,4 @@
-// Floors: the capacity that is kept for each class and team while more urgent work is short of it.
+// Capacity floors: CPUs reserved for each class and team against more urgent work.
 
 package zonehealth
 
@@ -10,35 +10,33 @@
 	"time"
 )
 
-// Usage is what the work of a class or team uses and requests, in CPUs.
+// Usage is the CPUs allocated to and demanded by a class or team.
 type Usage struct {
-	Allocated  float64 // on machines that can be used
-	Demand     float64 // allocated and pending together
-	NoFloor    bool    // no floor is kept for it
-	FloorShare float64 // its floor, as a share of its fair share; 0: DefaultFloorShare
+	Allocated  float64 // on usable machines
+	Demand     float64 // allocated and pending
+	NoFloor    bool    // whether it has no floor
+	FloorShare float64 // its floor as a fraction of its fair share; 0 means DefaultFloorShare
 }
 
-// DefaultFloorShare is the floor of a class or team as a share of its fair share of the capacity: it
-// is kept, whatever more urgent work there is, while a zone has failed or once work has starved.
+// DefaultFloorShare is the default floor of a class or team, as a fraction of its fair share of the
+// capacity. Floors apply while a zone has failed or work is starving.
 const DefaultFloorShare = 0.5
 
-// Allowance is what a class or team may lose and take, in CPUs.
+// Allowance is the CPUs that a class or team may lose by preemption or gain by new starts.
 type Allowance struct {
-	Preemptible float64 // may be preempted of it; infinite: all
-	Headroom    float64 // it may still take; infinite: all it finds
-	Shortfall   float64 // missing to its floor
+	Preemptible float64 // may be preempted; infinite if all of it may be
+	Headroom    float64 // may still be allocated; infinite if not limited
+	Shortfall   float64 // missing to reach its floor
 }
 
-// Allowances computes for each class or team how much of it may be preempted while a zone has
-// failed, and how much of the remaining capacity it may take. Its fair share of the capacity is
-// proportional to its share of the total demand; a part of that is its floor. While some are below
-// their floors, none of the others takes the capacity that becomes free and is missing there: work
-// that never ends would otherwise take all of it for good, as less urgent work can't preempt it.
-// This is what the floors cost. share is the part of the preemptible amounts that the caller may
-// use; the rest is for the owners of other partitions.
+// Allowances computes the allowance of each class or team. The fair share of the capacity is
+// proportional to the demand, and the floor is a fraction of it. Capacity that is missing to reach a
+// floor is reserved: otherwise long-running work of higher priority could occupy it permanently, since
+// less urgent work can't preempt it. share is the fraction of the preemptible CPUs that the caller may
+// preempt; the rest is for the owners of other partitions.
 func Allowances[K cmp.Ordered](usage map[K]Usage, capacity, share float64) map[K]Allowance {
 	totalDemand, totalAllocated, totalShortfall := 0.0, 0.0, 0.0
-	keys := slices.Sorted(maps.Keys(usage)) // the sums depend on the order
+	keys := slices.Sorted(maps.Keys(usage)) // a fixed order makes the floating-point sums reproducible
 	for _, k := range keys {
 		totalDemand += max(usage[k].Allocated, usage[k].Demand)
 		totalAllocated += usage[k].Allocated
@@ -64,10 +62,10 @@
 	return out
 }
 
-// minShortfall is the least sum of shortfalls, in CPUs, that is not a rounding error.
+// minShortfall is the smallest sum of shortfalls, in CPUs, that is not treated as a rounding error.
 const minShortfall = 1e-9
 
-// floor is the capacity that is kept for the work, of a total capacity and demand.
+// floor returns the floor of a class or team, given the total capacity and demand.
 func (u Usage) floor(capacity, totalDemand float64) float64 {
 	if totalDemand <= 0 {
 		return 0
@@ -79,20 +77,20 @@
 	return share * min(capacity, totalDemand) * max(u.Allocated, u.Demand) / totalDemand
 }
 
-// shortfall is what the work is missing to its floor.
+// shortfall returns the CPUs missing to reach the floor.
 func (u Usage) shortfall(capacity, totalDemand float64) float64 {
 	return max(0, u.floor(capacity, totalDemand)-u.Allocated)
 }
 
-// StarvationThreshold is how long work may wait before a floor is kept for its class and team while no
+// StarvationThreshold is the waiting time after which work gives its class and team a floor while no
 // zone has failed.
 const StarvationThreshold = 2 * time.Minute
 
-// Starving reports whether a floor is kept for work that has waited so long: beyond the threshold, three
-// quarters of the time, since the capacity that is kept may be of no use to the work for a reason
-// that is not counted here. The result follows from the age alone, so that all controllers agree,
+// Starving reports whether work that has waited for the given time has a floor. Beyond the threshold it
+// has one for three quarters of each StarvationThreshold, so that capacity that the work can't use is
+// not reserved permanently. The result depends only on the waiting time, so that all controllers agree,
 // also after a restart.
 func Starving(waited time.Duration) bool {
-	kept := waited - StarvationThreshold
-	return kept >= 0 && kept%StarvationThreshold < StarvationThreshold*3/4
+	excess := waited - StarvationThreshold
+	return excess >= 0 && excess%StarvationThreshold < StarvationThreshold*3/4
 }
--- a/zonehealth/model_test.go
+++ b/zonehealth/model_test.go
@@ -7,26 +7,23 @@
 	"basaltwall/api"
 )
 
-// The model: one zone, whose record is written by two controllers, the owner of partition 0 and a
-// previous owner that need not know. Each reads the record, assesses the zone as
-// it is at that moment, composes the next record by Next and writes it; the write takes
-// effect then or much later. Meanwhile the zone becomes unreachable and reachable, the ownership
-// changes, and time passes.
+// Model of a zone's record with two writers: the owner of partition 0, and a previous owner that may not
+// know that it was replaced. Each reads the record, computes the next one and writes it; the write may
+// take effect much later. Meanwhile the zone's reachability and the ownership change.
 //
-// What must hold: a record only ever follows the one that it was composed from (a zone never
-// fails by a writer that last read that it was healthy), it is of the current owner, and so
-// no state is skipped: all controllers see the same sequence.
+// Invariant: a write takes effect only on the record that it was computed from, and only by the current
+// owner, so that no state is skipped.
 
 type modelRead struct {
-	state State
-	fresh bool // the record has not changed since
-	leads bool // the ownership has not changed since
+	state   State
+	current bool // the record has not changed since the read
+	owner   bool // the ownership has not changed since the read
 }
 
 type modelWrite struct {
-	sent         bool
-	from, to     State
-	fresh, leads bool
+	sent           bool
+	from, to       State
+	current, owner bool
 }
 
 type modelWorld struct {
@@ -38,23 +35,22 @@
 
 type modelRules struct{ checksVersion, checksTerm bool }
 
-// next calls visit with each possible next state, and reports whether a write took effect
-// that must not.
+// next calls visit with each possible next state, and reports whether a write violated the invariant.
 func (w modelWorld) next(r modelRules, visit func(modelWorld)) (wrong bool) {
 	n := w
 	n.unreachable = !w.unreachable
 	visit(n)
-	// The ownership is taken: by the other or by the same, in a new term.
+	// The ownership changes to a new term, of either writer.
 	n = w
 	for i := range n.reads {
-		n.reads[i].leads, n.writes[i].leads = false, false
+		n.reads[i].owner, n.writes[i].owner = false, false
 	}
 	visit(n)
 	for i := range w.reads {
 		n := w
 		n.reads[i] = modelRead{w.state, true, true}
 		visit(n)
-		if v := w.reads[i]; v.leads && !w.writes[i].sent {
+		if v := w.reads[i]; v.owner && !w.writes[i].sent {
 			assessment := Assessment{MachineCount: MachineCount{All: 9}, Observed: true, Unreachable: w.unreachable}
 			if w.unreachable {
 				assessment.Silent, assessment.Heard = 9, 1
@@ -63,20 +59,20 @@
 			next := Record{State: v.state, Since: 1, LastHeartbeat: 1}.Next(api.WallTime(long), assessment, time.Hour, thresholds, nil)
 			if next.State != v.state {
 				n := w
-				n.writes[i] = modelWrite{true, v.state, next.State, v.fresh, v.leads}
+				n.writes[i] = modelWrite{true, v.state, next.State, v.current, v.owner}
 				visit(n)
 			}
 		}
 		if x := w.writes[i]; x.sent {
 			n := w
 			n.writes[i] = modelWrite{}
-			if (x.fresh || !r.checksVersion) && (x.leads || !r.checksTerm) {
-				if x.from != w.state || !x.leads {
+			if (x.current || !r.checksVersion) && (x.owner || !r.checksTerm) {
+				if x.from != w.state || !x.owner {
 					wrong = true
 				}
 				n.state = x.to
 				for k := range n.reads {
-					n.reads[k].fresh, n.writes[k].fresh = false, false
+					n.reads[k].current, n.writes[k].current = false, false
 				}
 			}
 			visit(n)
@@ -106,20 +102,20 @@
 	return len(seen), false, reached
 }
 
-// In every interleaving of reads, late writes and changes of ownership the records follow one
-// another; and each condition of a write is needed for that.
+// The invariant holds in every interleaving of reads, delayed writes and changes of ownership, and fails
+// without either condition of a write.
 func TestZoneRecordsAreSequential(t *testing.T) {
 	states, wrong, reached := exploreModel(modelRules{true, true})
 	t.Logf("%d states", states)
 	if wrong {
-		t.Error("a record is written over one that its writer did not read, or by who was replaced")
+		t.Error("a write replaced a record that its writer had not read, or was made by a replaced owner")
 	}
 	if states < 1000 || len(reached) != 4 {
-		t.Errorf("%d states, %v: the model does not move", states, reached)
+		t.Errorf("%d states, zone states %v: the model explores too little", states, reached)
 	}
-	for what, r := range map[string]modelRules{"without the record's version": {false, true}, "without the duty's term": {true, false}} {
+	for what, r := range map[string]modelRules{"without the condition on the record's version": {false, true}, "without the condition on the owner's term": {true, false}} {
 		if _, wrong, _ := exploreModel(r); !wrong {
-			t.Errorf("%s nothing goes wrong: the model does not see it", what)
+			t.Errorf("%s the model finds no violation", what)
 		}
 	}
 }
--- a/zonehealth/observation.go
+++ b/zonehealth/observation.go
@@ -1,49 +1,52 @@
-// Observations: what controllers see of a zone's machines, and what all together conclude.
+// Observations of a zone's machines by controllers, and their combined assessment.
 
 package zonehealth
 
 import "basaltwall/api"
 
-// MachineCount is what the owner of partitions observes of a zone's machines.
+// MachineCount counts a zone's machines as observed by the owner of their partitions.
 type MachineCount struct {
 	All    int
-	Silent int          // without a recent heartbeat
-	Heard  api.WallTime // latest heartbeat of the silent ones; 0: they never sent one
+	Silent int          // machines without a recent heartbeat (unreachable)
+	Heard  api.WallTime // latest heartbeat of the unreachable machines; 0 if none has sent one
 }
 
-// minSilentMachines is how many machines must be silent before a zone or an observer counts as cut off.
-const minSilentMachines = 2
+// minUnreachableMachines is the minimum number of unreachable machines for a zone to be unreachable or
+// an observer to be isolated.
+const minUnreachableMachines = 2
 
-// Unreachable reports whether so many machines are silent that the network is more likely at fault
-// than the machines.
-func (c MachineCount) Unreachable() bool { return c.Silent >= minSilentMachines && c.Silent*3 >= c.All }
+// Unreachable reports whether at least a third of the machines is unreachable, so that a network failure
+// is more likely than failures of single machines.
+func (c MachineCount) Unreachable() bool {
+	return c.Silent >= minUnreachableMachines && c.Silent*3 >= c.All
+}
 
-// Observation is what one controller observes of the zones.
+// Observation is one controller's machine counts by zone.
 type Observation map[api.Zone]MachineCount
 
-// ObserverIsolated reports whether the observer hears from next to no machine in any zone: then the
-// observer itself is cut off, and its observation says nothing of any zone.
+// ObserverIsolated reports whether at least half of the machines in every zone are unreachable. Then
+// the observer itself is probably isolated, and its observation is no evidence of any zone's state.
 func (o Observation) ObserverIsolated() bool {
-	silent := 0
+	unreachable := 0
 	for _, c := range o {
 		if c.Silent*2 < c.All {
 			return false
 		}
-		silent += c.Silent
+		unreachable += c.Silent
 	}
-	return silent >= minSilentMachines
+	return unreachable >= minUnreachableMachines
 }
 
-// Assessment is what all observers together know of a zone.
+// Assessment is the combined observation of a zone by all observers.
 type Assessment struct {
 	MachineCount
-	Observed    bool // some observer that is not isolated has machines there
+	Observed    bool // whether an observer that is not isolated has machines in the zone
 	Unreachable bool
 }
 
-// Assess sums the observations of a zone, without those of isolated observers. Where observers
-// disagree, the zone is unreachable if at least half of those with several machines there say so: a
-// zone that a single controller can't reach is healthy.
+// Assess combines the observations of a zone, except those of isolated observers. The zone is
+// unreachable if it is so by the summed counts and for at least half of the observers with several
+// machines there. A zone that is unreachable for a single controller counts as healthy.
 func Assess(observations []Observation, zone api.Zone) Assessment {
 	var a Assessment
 	voters, unreachable := 0, 0
@@ -67,5 +70,5 @@
 	return a
 }
 
-// minObservedMachines is how many machines an observer must have in a zone for its vote to count.
+// minObservedMachines is the minimum number of machines in a zone for an observer's vote to count.
 const minObservedMachines = 3
--- a/zonehealth/outage.go
+++ b/zonehealth/outage.go
@@ -1,10 +1,10 @@
-// Expected durations of outages, learned from past ones.
+// Expected durations of outages, estimated from past ones.
 
 package zonehealth
 
-// OutlastProbability is the probability that an outage that has lasted elapsedSeconds lasts longer
-// than target seconds in all. Without history an outage lasts as long again with probability one
-// half; each past outage that lasted longer counts as much as that prior.
+// OutlastProbability returns the probability that an outage that has lasted elapsedSeconds lasts longer
+// than target seconds in total. The prior is elapsedSeconds/target; it has the same weight as each past
+// outage that lasted longer than elapsedSeconds.
 func (r Record) OutlastProbability(target, elapsedSeconds float64) float64 {
 	if elapsedSeconds <= 0 || target <= elapsedSeconds {
 		return 1
@@ -21,8 +21,9 @@
 	return exceeded / total
 }
 
-// ExpectedRemaining is how much longer an outage is expected to last, in seconds, that has lasted
-// elapsedSeconds: as long again, averaged with what past outages lasted beyond that.
+// ExpectedRemaining returns the expected remaining duration, in seconds, of an outage that has lasted
+// elapsedSeconds. It is the mean of elapsedSeconds, as the prior, and the remaining durations of past
+// outages that lasted longer.
 func (r Record) ExpectedRemaining(elapsedSeconds float64) float64 {
 	total, sum := 1.0, elapsedSeconds
 	for _, past := range r.OutageHistory {
--- a/zonehealth/record.go
+++ b/zonehealth/record.go
@@ -1,8 +1,7 @@
-// Package zonehealth owns what is known and decided of a zone as a whole: whether it is healthy,
-// failed or recovering, by the observations of all controllers; how long an outage is likely to
-// last; which capacity is kept for less urgent work meanwhile; and which machines of a failed zone
-// are evacuated, and in which order. It is pure: the same observations give the same state and the
-// same plan, in whatever order they came.
+// Package zonehealth decides the state of zones (healthy, suspect, failed or recovering) from the
+// observations of all controllers. It estimates the duration of outages, computes the capacity floors of
+// classes and teams, and plans the evacuation of machines in failed zones. It has no side effects:
+// results do not depend on the order of observations.
 package zonehealth
 
 import (
@@ -13,43 +12,43 @@
 	"basaltwall/api"
 )
 
-// State is a zone's state. It affects choices only, never safety: that a task has ended is proved by
-// other means.
+// State is a zone's state. It affects scheduling decisions only, never safety: no task is considered
+// ended because of it.
 type State string
 
 // The states of a zone.
 const (
 	Healthy    State = ""
-	Suspect    State = "doubtful"  // many of its machines are unreachable: no starts, scale-outs or evacuations there
-	Failed     State = "lost"      // unreachable for longer than chance explains
-	Recovering State = "returning" // many of its machines are reachable again
+	Suspect    State = "doubtful"  // many machines are unreachable: no starts, scale-out or evacuation there
+	Failed     State = "lost"      // many machines have been unreachable for longer than Thresholds.FailAfter
+	Recovering State = "returning" // machines are reachable again, but not yet long enough to be healthy
 )
 
-// Record is a zone's durable state. One writer writes it, a few times for each outage, and all
-// controllers act on it.
+// Record is a zone's durable state. A single writer updates it, a few times per outage, and all
+// controllers follow it.
 type Record struct {
 	State         State        `json:"state,omitempty"`
-	Since         api.WallTime `json:"since,omitempty"` // when the state began
+	Since         api.WallTime `json:"since,omitempty"` // start of the state
 	LastHeartbeat api.WallTime `json:"heard,omitempty"` // latest heartbeat of its unreachable machines
-	// PartitionsInside are the partitions whose owners were in the zone and were lost with it. They
-	// may go on answering their machines there, whose leases then do not expire.
+	// PartitionsInside lists the partitions whose owners were in the zone and were lost with it. These
+	// owners may still be running and renewing the leases of their machines in the zone.
 	PartitionsInside []api.PartitionID `json:"inside,omitempty"`
 	OutageHistory    []float64         `json:"past,omitempty"` // durations of recent outages, in seconds, oldest first
 }
 
-// maxOutageHistory bounds the outages that are remembered.
+// maxOutageHistory is the maximum length of Record.OutageHistory.
 const maxOutageHistory = 8
 
-// Thresholds are how long conditions must last before the state of a zone changes.
+// Thresholds are the durations that conditions must last before the state of a zone changes.
 type Thresholds struct {
-	FailAfter       time.Duration // unreachable, counted from the last heartbeat, until it has failed
-	HealthyAfter    time.Duration // reachable until it is healthy
-	RetryEmptyAfter time.Duration // failed and without machines until it is tried again
+	FailAfter       time.Duration // since the last heartbeat, before a suspect zone fails
+	HealthyAfter    time.Duration // reachable, before a zone is healthy again
+	RetryEmptyAfter time.Duration // failed and without machines, before scale-out there is tried again
 }
 
-// Next is the record after an assessment; the record itself if nothing changes. healthyFor is for
-// how long the writer has not assessed the zone as unreachable, and partitionsInside are the
-// partitions to note if the zone fails now.
+// Next returns the record after an assessment, unchanged if the state stays the same. healthyFor is the
+// time since the writer last assessed the zone as unreachable, and partitionsInside is the new
+// PartitionsInside if the zone fails now.
 func (r Record) Next(now api.WallTime, a Assessment, healthyFor time.Duration, t Thresholds, partitionsInside []api.PartitionID) Record {
 	next := r.nextState(now, a, healthyFor, t)
 	if next == r.State {
@@ -71,11 +70,11 @@
 	if next == Healthy {
 		r.LastHeartbeat, r.PartitionsInside = 0, nil
 	}
-	r.State, r.Since = next, max(now, r.Since) // another writer's clock may be ahead; time does not go back
+	r.State, r.Since = next, max(now, r.Since) // a previous writer's clock may have been ahead
 	return r
 }
 
-// nextState is the state after an assessment.
+// nextState returns the state after an assessment.
 func (r Record) nextState(now api.WallTime, a Assessment, healthyFor time.Duration, t Thresholds) State {
 	empty := a.All == 0
 	if !a.Observed && (r.State != Failed || !empty) {
@@ -100,7 +99,7 @@
 		case responding >= minRespondingMachines && !a.Unreachable:
 			return Recovering
 		case empty && elapsed(r.Since, now) >= t.RetryEmptyAfter:
-			return Recovering // no machine is left to send heartbeats: a scale-out there finds out
+			return Recovering // no machine is left to send heartbeats; a scale-out shows whether the zone works
 		}
 	case Recovering:
 		switch {
@@ -113,11 +112,12 @@
 	return r.State
 }
 
-// minRespondingMachines is how many machines of a failed zone must respond before it recovers.
+// minRespondingMachines is the minimum number of reachable machines for a failed zone to be recovering.
 const minRespondingMachines = 2
 
-// SameState reports whether two records need no write to replace one another.
+// SameState reports whether two records have the same state since the same time, so that no write is
+// needed.
 func (r Record) SameState(o Record) bool { return r.State == o.State && r.Since == o.Since }
 
-// elapsed is the time from one reading to another.
+// elapsed returns the duration between two wall-clock times.
 func elapsed(from, to api.WallTime) time.Duration { return time.Duration(to-from) * time.Millisecond }
