--- a/controller/gossip/capacity.go
+++ b/controller/gossip/capacity.go
@@ -9,11 +9,11 @@
 	"basaltwall/controller/message"
 )
 
-// This file tells what is free in the whole cluster: on machines of this controller's partitions, on
-// those that peers have described, and on those that nobody reports on.
+// This file computes the free capacity of the whole cluster: of machines in this controller's
+// partitions, of machines in peers' gossip, and of machines without a reporting controller.
 
-// EachFreeCapacity visits the machines of all partitions by what is free on them. Machines of other
-// controllers are visited by class, a number that are alike at once.
+// EachFreeCapacity calls visit with the free capacity of the machines of all partitions. Identical
+// machines of another controller are visited together, with their count.
 func (x *Exchange) EachFreeCapacity(visit func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity)) {
 	for _, p := range slices.Sorted(maps.Keys(x.core.Partitions)) {
 		owned := x.core.Partitions[p]
@@ -37,7 +37,7 @@
 	})
 }
 
-// describeMachine is the class of a machine of this controller's, and what is free on it.
+// describeMachine returns the class and free capacity of a machine that this controller manages.
 func (x *Exchange) describeMachine(m *core.Machine, owned *core.OwnedPartition) (message.MachineClass, message.FreeCapacity) {
 	class, capacity := x.classOf(m, owned), message.FreeCapacity{Count: 1}
 	if class.Usable {
@@ -47,16 +47,16 @@
 	return class, capacity
 }
 
-// describeUnreported is the class of a machine that only the cloud's list has, and what is free on it
-// by the cluster state.
+// describeUnreported returns the class of a machine known only from the cloud's list, and its free
+// capacity according to the cluster state.
 func (x *Exchange) describeUnreported(listed api.Instance) (message.MachineClass, message.FreeCapacity) {
 	class := message.MachineClass{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot, Usable: true}
 	free := x.core.MachineTypes[listed.Type].Capacity().Minus(x.core.State.Allocated(listed.ID))
 	return class, message.FreeCapacity{Count: 1, Free: free, Could: x.withPreemptibleFreed(listed.ID, free)}
 }
 
-// classOf is what a machine has in common with others. One that does not know the owner's term yet is
-// usable, since it will know it within a moment; one that is reserved for consolidation is not.
+// classOf returns the class of a machine. A machine that has not reported the owner's token yet is
+// usable, since it will do so shortly; a machine that is reserved for consolidation is not.
 func (x *Exchange) classOf(m *core.Machine, owned *core.OwnedPartition) message.MachineClass {
 	reason := x.siblings.Eligibility.UnschedulableReason(m, owned)
 	reserved := m.Consolidated && x.siblings.Preemptor.ReservedFor(m) != ""
@@ -67,8 +67,8 @@
 	}
 }
 
-// PreemptibleCapacity is what would be free on a machine if all work were preempted that ranks below
-// core.PreemptorRank.
+// PreemptibleCapacity returns a machine's free capacity if all preemptible tasks that rank below
+// core.PreemptorRank were preempted.
 func (x *Exchange) PreemptibleCapacity(m *core.Machine, owned *core.OwnedPartition) api.Resources {
 	return x.withPreemptibleFreed(m.ID, x.siblings.Scheduler.FreeCapacityOn(m, owned))
 }
@@ -83,10 +83,10 @@
 	return capacity
 }
 
-// EachUnreportedMachine visits the machines that run according to the cloud's list but that nobody
-// reports on: those of partitions whose owners have sent no gossip lately, and this controller's that
-// have sent no heartbeat since it took them over. What they hold is in the cluster state. Without them
-// a network partition between controllers or a takeover would look like a loss of machines.
+// EachUnreportedMachine visits the machines that run according to the cloud's list but are not reported
+// by a controller: those of partitions whose owners have sent no recent gossip, and those of this
+// controller's that have sent no heartbeat since its takeover. Without them a takeover or a network
+// partition between controllers would look like a loss of machines.
 func (x *Exchange) EachUnreportedMachine(visit func(p api.PartitionID, listed api.Instance)) {
 	reported := x.reportedPartitions()
 	if !slices.Contains(reported, false) {
@@ -98,14 +98,14 @@
 			continue
 		}
 		p := x.core.PartitionOf(id)
-		if !reported[p] && !x.reportsToUs(id, p) {
+		if !reported[p] && !x.managesMachine(id, p) {
 			visit(p, listed)
 		}
 	}
 }
 
-// reportedPartitions are, by partition, those whose machines are all reported on: by a peer's recent
-// gossip, or because this controller has owned them for longer than a heartbeat takes.
+// reportedPartitions returns, by partition, whether all its machines are reported: by a peer's recent
+// gossip, or because this controller has owned the partition for longer than the heartbeat timeout.
 func (x *Exchange) reportedPartitions() []bool {
 	reported := make([]bool, len(x.core.State.Partitions))
 	for _, status := range x.PeerPartitionStatuses() {
@@ -119,8 +119,9 @@
 	return reported
 }
 
-// reportsToUs reports whether a machine of a partition is reported on as one of this controller's.
-func (x *Exchange) reportsToUs(id api.MachineID, p api.PartitionID) bool {
+// managesMachine reports whether this controller owns a machine's partition and knows the machine's
+// state, from a heartbeat or because it is deleting the machine.
+func (x *Exchange) managesMachine(id api.MachineID, p api.PartitionID) bool {
 	m := x.core.Machines[id]
 	return x.core.Partitions[p] != nil && m != nil && (m.LastHeartbeat != 0 || m.Deleting)
 }
--- a/controller/gossip/exchange.go
+++ b/controller/gossip/exchange.go
@@ -1,9 +1,9 @@
 // Package gossip exchanges the status of partitions with the other controllers.
 //
-// Every controller sends what it knows of its own partitions: unmet demand, remaining quota, machines
-// by class and free capacity. The package owns the latest gossip of each peer, and answers what is
-// free in the whole cluster from it. Gossip is advice only: nothing that safety needs rests on it, it
-// may be old, and it is disregarded after a few seconds.
+// Each controller sends the status of its own partitions: unmet demand, remaining quota, machines by
+// class and free capacity. The package owns the latest gossip of each peer and computes the free
+// capacity of the cluster from it. Gossip is advisory: it may be outdated, expires after gossipTTL and
+// is never used for decisions that affect safety.
 package gossip
 
 import (
@@ -17,39 +17,40 @@
 )
 
 const (
-	// gossipTTL is how long a peer's gossip is trusted.
+	// gossipTTL is the time after which a peer's gossip expires.
 	gossipTTL = 10 * core.GossipInterval
-	// storeStatusTTL is how long it is trusted that the key-value store answers a peer: a request
-	// that is forwarded to one that has lost the store as well is delayed for nothing.
+	// storeStatusTTL is the time after which a peer's report that it reaches the key-value store
+	// expires. It is shorter than gossipTTL, since forwarding a request to a peer without the store
+	// only delays it.
 	storeStatusTTL = 3 * core.GossipInterval
 )
 
-// Exchange sends this controller's gossip and keeps the latest of each peer.
+// Exchange sends this controller's gossip and stores the latest gossip of each peer.
 type Exchange struct {
 	core     *core.Core
 	siblings Siblings
 
 	peers      map[api.ControllerID]*peer
 	nextSendAt api.Time
-	lastSentAt api.Time // 0 if nothing was sent yet
-	lastNumber uint64   // of the last gossip sent
+	lastSentAt api.Time // 0 if no gossip was sent yet
+	lastNumber uint64   // sequence number of the last gossip sent
 }
 
-// peer is what is known of another controller.
+// peer is another controller and its latest gossip.
 type peer struct {
-	gossip           message.Gossip // the latest
-	receivedAt       api.Time       // 0: none yet
-	receivedDirectly bool           // it came from the controller itself, not through a relay
+	gossip           message.Gossip
+	receivedAt       api.Time // 0 if no gossip was received yet
+	receivedDirectly bool     // whether the gossip came from the controller itself, not through a relay
 	sendInFlight     bool
 }
 
-// recent reports whether a peer's gossip is still to be trusted.
+// recent reports whether a peer's gossip has not expired.
 func (p *peer) recent(now api.Time) bool {
 	return p.receivedAt != 0 && now.Sub(p.receivedAt) <= gossipTTL
 }
 
-// New returns an exchange with the configured peers, of which nothing is known yet. Connect must be
-// called before it is used.
+// New returns an exchange with the configured peers and without gossip. Connect must be called before
+// it is used.
 func New(shared *core.Core) *Exchange {
 	x := &Exchange{core: shared, peers: map[api.ControllerID]*peer{}}
 	for _, p := range shared.Config.Peers {
@@ -58,19 +59,19 @@
 	return x
 }
 
-// Connect sets the components that the exchange asks.
+// Connect sets the components that the exchange calls.
 func (x *Exchange) Connect(siblings Siblings) { x.siblings = siblings }
 
-// AddPeer makes another controller a peer; its gossip is taken in from then on.
+// AddPeer adds a peer, whose gossip is accepted from then on.
 func (x *Exchange) AddPeer(id api.ControllerID) { x.peers[id] = &peer{} }
 
-// Peers are the other controllers, in order.
+// Peers returns the other controllers, ordered by ID.
 func (x *Exchange) Peers() []api.ControllerID { return slices.Sorted(maps.Keys(x.peers)) }
 
-// IsPeer reports whether a controller is one of the others.
+// IsPeer reports whether a controller is a peer.
 func (x *Exchange) IsPeer(id api.ControllerID) bool { return x.peers[id] != nil }
 
-// Handle takes in another controller's gossip, and what it forwards as a relay.
+// Handle merges a peer's gossip and the gossip that it forwards as a relay.
 func (x *Exchange) Handle(c message.PeerGossip) {
 	if !x.IsPeer(c.Gossip.From) {
 		x.RejectMalformed(c.Req, string(c.Gossip.From))
@@ -83,16 +84,16 @@
 	x.core.Reply(c.Req, api.StatusOK, struct{}{}, 0)
 }
 
-// RejectMalformed refuses a message that is not understood or comes from an unknown controller: it
-// changes nothing but a count.
+// RejectMalformed rejects and counts a message that can't be decoded or comes from an unknown
+// controller.
 func (x *Exchange) RejectMalformed(req message.ReqID, from string) {
 	x.core.Metrics.MalformedMessages++
 	slog.Warn("invalid peer message", "from", from)
 	x.core.ReplyError(req, api.StatusBadRequest, "malformed")
 }
 
-// Merge takes in a controller's gossip, unless it is unknown or has sent something newer. direct says
-// that the gossip came from the controller itself and not through a relay.
+// Merge stores a controller's gossip unless the controller is unknown or newer gossip is stored. direct
+// says that the gossip came from the controller itself and not through a relay.
 func (x *Exchange) Merge(g *message.Gossip, direct bool) {
 	p := x.peers[g.From]
 	if p == nil || p.supersedes(g, direct, x.core.Now) {
@@ -110,9 +111,9 @@
 	}
 }
 
-// supersedes reports whether what is known of a peer is as new as, or newer than, its gossip: the same
-// incarnation has sent a higher number, or a relay forwards gossip of another incarnation while the
-// present one is in direct contact.
+// supersedes reports whether the peer's stored gossip must not be replaced by g: it has the same or a
+// higher number of the same incarnation, or g is relayed gossip of another incarnation while the stored
+// one is recent and was received directly.
 func (p *peer) supersedes(g *message.Gossip, direct bool, now api.Time) bool {
 	if g.Born == p.gossip.Born {
 		return g.Number != 0 && g.Number <= p.gossip.Number
@@ -120,8 +121,8 @@
 	return !direct && p.receivedDirectly && p.recent(now)
 }
 
-// recordDemand makes this controller's other partitions run a round, in which they may transfer quota
-// to the one that has unmet demand.
+// recordDemand triggers a round in this controller's other partitions, in which they may transfer quota
+// to the partition with unmet demand.
 func (x *Exchange) recordDemand(by api.PartitionID, demand map[api.Team]api.Resources) {
 	if len(demand) == 0 {
 		return
@@ -131,7 +132,7 @@
 	}
 }
 
-// PeerPartitionStatuses are the recent statuses of the peers' partitions, each as its owner sent it.
+// PeerPartitionStatuses returns the recent statuses of the peers' partitions, as sent by their owners.
 func (x *Exchange) PeerPartitionStatuses() []message.PartitionStatus {
 	var statuses []message.PartitionStatus
 	for _, id := range x.Peers() {
@@ -140,7 +141,7 @@
 	return statuses
 }
 
-// PartitionStatusesOf are the recent statuses of the partitions that a peer owns.
+// PartitionStatusesOf returns the recent statuses of the partitions that a peer owns.
 func (x *Exchange) PartitionStatusesOf(id api.ControllerID) []message.PartitionStatus {
 	p := x.peers[id]
 	if !p.recent(x.core.Now) {
@@ -155,8 +156,8 @@
 	return statuses
 }
 
-// OtherPartitionStatuses are the statuses of all partitions but one, as far as they are known. Those of
-// partitions that this controller owns have the demand only.
+// OtherPartitionStatuses returns the known statuses of all partitions except the given one. Statuses of
+// this controller's own partitions contain only their demand.
 func (x *Exchange) OtherPartitionStatuses(owned *core.OwnedPartition) []message.PartitionStatus {
 	statuses := x.PeerPartitionStatuses()
 	for _, p := range slices.Sorted(maps.Keys(x.core.Partitions)) {
@@ -167,13 +168,13 @@
 	return statuses
 }
 
-// HeardRecently reports whether a peer's gossip is recent.
+// HeardRecently reports whether recent gossip of a peer is stored.
 func (x *Exchange) HeardRecently(id api.ControllerID) bool {
 	p := x.peers[id]
 	return p != nil && p.recent(x.core.Now)
 }
 
-// PeersThatReachStore are the peers that the key-value store has answered lately, as they say.
+// PeersThatReachStore returns the peers whose recent gossip says that they reach the key-value store.
 func (x *Exchange) PeersThatReachStore() []api.ControllerID {
 	return slices.DeleteFunc(x.Peers(), func(id api.ControllerID) bool {
 		p := x.peers[id]
@@ -181,7 +182,7 @@
 	})
 }
 
-// ReportsSilent reports whether a machine's owner says that it gets no heartbeat from it.
+// ReportsSilent reports whether a machine's owner reports the machine as unreachable in recent gossip.
 func (x *Exchange) ReportsSilent(owner api.ControllerID, id api.MachineID) bool {
 	if !x.HeardRecently(owner) {
 		return false
--- a/controller/gossip/exchange_test.go
+++ b/controller/gossip/exchange_test.go
@@ -11,7 +11,8 @@
 	"basaltwall/controller/message"
 )
 
-// newTestExchange is the exchange of controller "self", whose only peer "other" owns partition 1 of two.
+// newTestExchange returns the exchange of controller "self", whose only peer "other" owns partition 1 of
+// two.
 func newTestExchange(t *testing.T) *Exchange {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"label":"self","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
@@ -29,14 +30,14 @@
 	return New(shared)
 }
 
-// otherGossip is gossip of "other" about partition 1, recognizable by the number of its waiting tasks.
-func otherGossip(incarnation int64, number uint64, waiting int) *message.Gossip {
+// otherGossip returns gossip of "other" with the given number of pending tasks in partition 1.
+func otherGossip(incarnation int64, number uint64, pending int) *message.Gossip {
 	return &message.Gossip{From: "other", Born: incarnation, Number: number,
-		Parts: []message.PartitionStatus{{Part: 1, Waiting: waiting}, {Part: 0, Waiting: -1}}}
+		Parts: []message.PartitionStatus{{Part: 1, Waiting: pending}, {Part: 0, Waiting: -1}}}
 }
 
-// waiting is the number of waiting tasks of partition 1 as far as is known, -1 if nothing is.
-func waiting(t *testing.T, x *Exchange) int {
+// pendingTasks returns the known number of pending tasks in partition 1, -1 if it is unknown.
+func pendingTasks(t *testing.T, x *Exchange) int {
 	t.Helper()
 	statuses := x.PeerPartitionStatuses()
 	if len(statuses) == 0 {
@@ -48,8 +49,8 @@
 	return statuses[0].Waiting
 }
 
-// Gossip comes late, twice, and through relays that still forward a former incarnation's: the newest of
-// the incarnation that is in direct contact counts.
+// Gossip may be delayed, duplicated, or relayed from a former incarnation. The newest gossip of the
+// incarnation in direct contact wins.
 func TestNewestGossipCounts(t *testing.T) {
 	x := newTestExchange(t)
 	for _, step := range []struct {
@@ -59,26 +60,25 @@
 		after  time.Duration
 		want   int
 	}{
-		{"the first", otherGossip(1, 2, 10), true, 0, 10},
-		{"an older one", otherGossip(1, 1, 11), true, 0, 10},
-		{"the same once more", otherGossip(1, 2, 12), false, 0, 10},
-		{"a newer one through a relay", otherGossip(1, 3, 13), false, 0, 13},
-		{"another incarnation's through a relay, without direct contact", otherGossip(2, 1, 14), false, 0, 14},
-		{"another incarnation's from itself", otherGossip(3, 1, 15), true, 0, 15},
-		{"a former incarnation's through a relay", otherGossip(2, 9, 16), false, gossipTTL, 15},
-		{"another incarnation's through a relay, long after direct contact", otherGossip(4, 1, 17), false, time.Millisecond, 17},
-		{"an unknown controller's", &message.Gossip{From: "third"}, true, 0, 17},
+		{"first gossip", otherGossip(1, 2, 10), true, 0, 10},
+		{"older gossip", otherGossip(1, 1, 11), true, 0, 10},
+		{"duplicate", otherGossip(1, 2, 12), false, 0, 10},
+		{"newer gossip through a relay", otherGossip(1, 3, 13), false, 0, 13},
+		{"another incarnation through a relay, without direct contact", otherGossip(2, 1, 14), false, 0, 14},
+		{"another incarnation directly", otherGossip(3, 1, 15), true, 0, 15},
+		{"a former incarnation through a relay", otherGossip(2, 9, 16), false, gossipTTL, 15},
+		{"another incarnation through a relay, after direct contact has expired", otherGossip(4, 1, 17), false, time.Millisecond, 17},
+		{"unknown controller", &message.Gossip{From: "third"}, true, 0, 17},
 	} {
 		x.core.Now = x.core.Now.Add(step.after)
 		x.Merge(step.gossip, step.direct)
-		if got := waiting(t, x); got != step.want {
-			t.Errorf("%s: %d waiting tasks, expected %d", step.what, got, step.want)
+		if got := pendingTasks(t, x); got != step.want {
+			t.Errorf("%s: %d pending tasks, expected %d", step.what, got, step.want)
 		}
 	}
 }
 
-// A peer that has not sent anything for a while is not trusted any more, and sooner not with requests
-// that need the store.
+// A peer's gossip expires, and its report that it reaches the key-value store expires earlier.
 func TestGossipExpires(t *testing.T) {
 	x := newTestExchange(t)
 	gossip := otherGossip(1, 1, 10)
@@ -86,20 +86,20 @@
 	x.Merge(gossip, true)
 	start := x.core.Now
 	for _, step := range []struct {
-		after           time.Duration
-		heard, hasStore bool
+		after                time.Duration
+		recent, reachesStore bool
 	}{{storeStatusTTL - 1, true, true}, {storeStatusTTL, true, false}, {gossipTTL, true, false}, {gossipTTL + 1, false, false}} {
 		x.core.Now = start.Add(step.after)
-		if got := x.HeardRecently("other"); got != step.heard || (waiting(t, x) == 10) != step.heard {
-			t.Errorf("after %v: heard recently: %v", step.after, got)
+		if got := x.HeardRecently("other"); got != step.recent || (pendingTasks(t, x) == 10) != step.recent {
+			t.Errorf("after %v: recent gossip: %v", step.after, got)
 		}
-		if got := len(x.PeersThatReachStore()) == 1; got != step.hasStore {
+		if got := len(x.PeersThatReachStore()) == 1; got != step.reachesStore {
 			t.Errorf("after %v: reaches the store: %v", step.after, got)
 		}
 	}
 }
 
-// Machines that are alike are counted, whatever the order in which they come.
+// Machines with the same class and free capacity are counted together, in any order.
 func TestMachinesAreSummarized(t *testing.T) {
 	var status message.PartitionStatus
 	summary := machineSummary{status: &status, classes: map[message.MachineClass]int{}, capacities: map[message.FreeCapacity]int{}}
--- a/controller/gossip/send.go
+++ b/controller/gossip/send.go
@@ -10,11 +10,11 @@
 	"basaltwall/relay"
 )
 
-// This file sends this controller's gossip: to all peers, or, where there are relays, to a relay,
-// which forwards it. So the number of messages grows with the controllers and not with their square.
+// This file sends this controller's gossip: to all peers or, if relays are in use, to a relay that
+// forwards it. With relays, the number of messages grows linearly with the number of controllers.
 
-// overloadFactor is how many times rarer an overloaded controller sends its gossip: it is trusted for
-// a few seconds.
+// overloadFactor multiplies the gossip interval of an overloaded controller; the product stays below
+// gossipTTL.
 const overloadFactor = 5
 
 // Send sends this controller's gossip if it is due.
@@ -33,7 +33,7 @@
 	}
 }
 
-// ownGossip is what this controller sends of itself.
+// ownGossip returns the next gossip of this controller.
 func (x *Exchange) ownGossip() *message.Gossip {
 	x.lastNumber++
 	own := &message.Gossip{
@@ -45,15 +45,15 @@
 		own.Parts = append(own.Parts, x.partitionStatus(owned))
 		x.recordDemand(p, owned.QuotaDemand)
 	}
-	if x.core.Partitions[0] != nil { // its owner scales out for the whole cluster
+	if x.core.Partitions[0] != nil { // the owner of partition 0 scales out the whole cluster
 		own.Rented = x.siblings.Inventory.ProvisionedNotListed()
 	}
 	return own
 }
 
-// sendThroughRelays sends this controller's gossip where there are relays. A controller that is none
-// sends it to one. A relay sends it to the other relays with what its clients have sent since its last
-// gossip, and to its clients with all that it has received since.
+// sendThroughRelays sends this controller's gossip if relays are in use. A controller that is not a
+// relay sends it to one. A relay sends it to the other relays together with the gossip that its clients
+// have sent since its last gossip, and to its clients together with all gossip received since then.
 func (x *Exchange) sendThroughRelays(own *message.Gossip, since api.Time) {
 	relays := x.siblings.Log.CurrentRelays()
 	if !relay.Contains(relays, x.core.Config.Label) {
@@ -78,10 +78,10 @@
 		}
 	}
 	x.sendTo(x.otherRelays(relays), &toRelays)
-	x.sendTo(x.clientsOf(relays, nonRelays), &toClients)
+	x.sendTo(x.ownClients(relays, nonRelays), &toClients)
 }
 
-// sendToRelay sends gossip to the relay of this controller, or to all peers if no relay answers.
+// sendToRelay sends gossip to this controller's relay, or to all peers if no relay is available.
 func (x *Exchange) sendToRelay(own *message.Gossip) {
 	targets := x.Peers()
 	if via := x.siblings.Log.NextRelay(); via != "" {
@@ -90,7 +90,7 @@
 	x.sendTo(targets, own)
 }
 
-// otherRelays are the relays without this controller.
+// otherRelays returns the relays except this controller.
 func (x *Exchange) otherRelays(relays []relay.Member) []api.ControllerID {
 	var others []api.ControllerID
 	for _, r := range relays {
@@ -101,18 +101,18 @@
 	return others
 }
 
-// clientsOf are the controllers that this one serves as a relay: those that prefer it or have chosen
-// it, and those that are not known to be live, since nobody knows which relay they use.
-func (x *Exchange) clientsOf(relays []relay.Member, nonRelays []api.ControllerID) []api.ControllerID {
+// ownClients returns the controllers that this one serves as a relay: those that prefer it or use it,
+// and those that are not known to be live, since it is unknown which relay they use.
+func (x *Exchange) ownClients(relays []relay.Member, nonRelays []api.ControllerID) []api.ControllerID {
 	return slices.DeleteFunc(nonRelays, func(id api.ControllerID) bool {
 		member := relay.Member{ID: id, Zone: x.siblings.Log.ZoneOfController(id)}
-		prefersUs := relay.PreferenceOrder(member, relays)[0] == x.core.Config.Label
-		hasChosenUs := x.peers[id].receivedDirectly && x.peers[id].recent(x.core.Now)
-		return x.core.IsLive(id) && !prefersUs && !hasChosenUs
+		prefersSelf := relay.PreferenceOrder(member, relays)[0] == x.core.Config.Label
+		usesSelf := x.peers[id].receivedDirectly && x.peers[id].recent(x.core.Now)
+		return x.core.IsLive(id) && !prefersSelf && !usesSelf
 	})
 }
 
-// sendTo sends gossip to peers, except those to which a message is still on its way.
+// sendTo sends gossip to the given peers, except those with a message still in flight.
 func (x *Exchange) sendTo(targets []api.ControllerID, g *message.Gossip) {
 	for _, id := range targets {
 		p := x.peers[id]
--- a/controller/gossip/status.go
+++ b/controller/gossip/status.go
@@ -10,12 +10,12 @@
 	"basaltwall/controller/message"
 )
 
-// This file describes the partitions that this controller owns to its peers.
+// This file builds the status of this controller's partitions for its peers.
 
-// minFreshDuration is for how long after its first heartbeat a machine counts as fresh at least.
+// minFreshDuration is the minimum time after its first heartbeat for which a machine counts as fresh.
 const minFreshDuration = time.Minute
 
-// demandOf is the part of a partition's status that says what its waiting tasks lack.
+// demandOf returns a partition's status with only the unmet demand of its pending tasks.
 func demandOf(owned *core.OwnedPartition) message.PartitionStatus {
 	return message.PartitionStatus{
 		Part: owned.ID, Want: owned.QuotaDemand, Due: owned.MustStartQuotaDemand,
@@ -23,8 +23,8 @@
 	}
 }
 
-// partitionStatus describes a partition. Machines that are alike are counted, since there may be very
-// many.
+// partitionStatus returns the status of a partition. Machines with the same class and free capacity are
+// counted together, to limit the size of the message.
 func (x *Exchange) partitionStatus(owned *core.OwnedPartition) message.PartitionStatus {
 	status := demandOf(owned)
 	status.Short = slices.Sorted(maps.Keys(owned.ShortTypes))
@@ -37,7 +37,7 @@
 		if m.LastHeartbeat == 0 || m.Deleting {
 			continue
 		}
-		if x.isSilent(m) && len(status.Silent) < message.MaxSilentMachines {
+		if x.isUnreachable(m) && len(status.Silent) < message.MaxSilentMachines {
 			status.Silent = append(status.Silent, m.ID)
 		}
 		if x.isFresh(m) && len(status.Fresh) < message.MaxSilentMachines {
@@ -48,11 +48,12 @@
 	return status
 }
 
-func (x *Exchange) isSilent(m *core.Machine) bool {
+func (x *Exchange) isUnreachable(m *core.Machine) bool {
 	return x.core.Now.Sub(m.LastHeartbeat) > x.core.HeartbeatTimeout
 }
 
-// isFresh reports whether a machine has come up lately, within twice the time that its type boots.
+// isFresh reports whether a machine sent its first heartbeat within twice the boot time of its type, or
+// within minFreshDuration if that is longer.
 func (x *Exchange) isFresh(m *core.Machine) bool {
 	freshDuration := max(minFreshDuration, api.Seconds(2*x.core.BootSeconds(m.MachineType)))
 	return x.core.Now.Sub(m.FirstHeartbeat) < freshDuration
@@ -61,11 +62,11 @@
 // machineSummary counts the machines of a status by class and free capacity.
 type machineSummary struct {
 	status     *message.PartitionStatus
-	classes    map[message.MachineClass]int // index in status.Kinds
-	capacities map[message.FreeCapacity]int // index in status.Rooms, by capacity with count 0
+	classes    map[message.MachineClass]int // indexes in status.Kinds
+	capacities map[message.FreeCapacity]int // indexes in status.Rooms, by capacity with Count 0
 }
 
-// add counts the machines of one class that have the same free capacity.
+// add adds machines with the same class and free capacity.
 func (s *machineSummary) add(class message.MachineClass, capacity message.FreeCapacity) {
 	count := capacity.Count
 	capacity.Count = 0
--- a/controller/ownership/claims.go
+++ b/controller/ownership/claims.go
@@ -14,8 +14,8 @@
 
 // This file claims partitions and hands them over.
 
-// ReconcilePartitions claims the partitions that this controller should own and hands over those whose
-// preferred owner is back.
+// ReconcilePartitions claims the partitions that this controller should own and hands over partitions
+// whose preferred owner is live again.
 func (m *Manager) ReconcilePartitions() {
 	m.observeMembers()
 	if !m.lease.registered {
@@ -31,8 +31,8 @@
 	}
 }
 
-// releasePartition marks a partition for handover once its preferred owner should get it back, and
-// hands it over as soon as nothing of it is in flight.
+// releasePartition marks a partition for handover once its failback to the preferred owner is due, and
+// hands it over as soon as none of its writes is in flight.
 func (m *Manager) releasePartition(owned *core.OwnedPartition) {
 	preferred := m.core.PreferredOwner(owned.ID)
 	owned.Releasing = preferred != m.core.Config.Label && m.core.IsLive(preferred) && m.failbackDue(preferred)
@@ -41,12 +41,12 @@
 	}
 }
 
-// claimIfSuccessor claims a partition that this controller does not run, if it is the one to own it.
+// claimIfSuccessor claims a partition if this controller should own it but does not.
 func (m *Manager) claimIfSuccessor(p api.PartitionID) {
 	self := m.core.Config.Label
 	owner := m.core.State.Partitions[p].Owner
 	switch {
-	case owner == self: // handed over to this controller, or of a former incarnation
+	case owner == self: // handed over to this controller, or owned by its former incarnation
 		m.claimPartition(p)
 	case m.successor(p) != self:
 	case owner == "":
@@ -59,8 +59,8 @@
 	}
 }
 
-// successor is the controller that claims a partition without a live owner: its preferred owner, or a
-// live member that all controllers agree on; empty if none is live.
+// successor returns the controller that claims a partition without a live owner: the preferred owner if
+// it is live, otherwise a live member that all controllers compute alike; empty if none is live.
 func (m *Manager) successor(p api.PartitionID) api.ControllerID {
 	if preferred := m.core.PreferredOwner(p); m.core.IsLive(preferred) {
 		return preferred
@@ -72,8 +72,8 @@
 	return live[int(p)%len(live)]
 }
 
-// claimPartition claims a partition under a new term, on condition that nobody else has changed its
-// key, and on further conditions. The claim's revision is the term.
+// claimPartition claims a partition under a new term by a compare-and-swap of its key, with additional
+// conditions. The revision of the claim is the new term.
 func (m *Manager) claimPartition(p api.PartitionID, conditions ...api.Condition) {
 	m.claimsInFlight[p] = true
 	key := clusterstate.PartitionKey(clusterstate.KeyPartition, p)
@@ -90,9 +90,8 @@
 	})
 }
 
-// beginOwnership takes up a partition whose claim is durable. Everything that the former owner wrote
-// is durable before the claim's revision and nothing of it can follow, so the partition is taken up
-// after a read that includes the claim.
+// beginOwnership begins the ownership of a partition whose claim is durable, after a read that includes
+// the claim. All writes of the former owner precede the claim's revision, so the read includes them too.
 func (m *Manager) beginOwnership(p api.PartitionID, term api.Revision) {
 	m.siblings.Log.LinearizableRead(func() {
 		delete(m.claimsInFlight, p)
@@ -105,8 +104,8 @@
 	})
 }
 
-// handOverPartition gives a partition to its preferred owner, unless something of it is in flight, such
-// as a round: that is finished first.
+// handOverPartition hands a partition over to its preferred owner, unless a write of the partition, such
+// as a round, is still in flight.
 func (m *Manager) handOverPartition(owned *core.OwnedPartition, newOwner api.ControllerID) {
 	if owned.InFlight != nil || owned.HandingOver || owned.Checkpointing || owned.LoanInFlight {
 		return
@@ -125,7 +124,7 @@
 	})
 }
 
-// DropLostPartitions drops the partitions that the cluster state gives to another owner or term.
+// DropLostPartitions drops the partitions that have another owner or term in the cluster state.
 func (m *Manager) DropLostPartitions() {
 	for p, owned := range m.core.Partitions {
 		recorded := m.core.State.Partitions[p]
--- a/controller/ownership/lease.go
+++ b/controller/ownership/lease.go
@@ -10,23 +10,23 @@
 	"basaltwall/controller/message"
 )
 
-// This file keeps the controller's member key alive: a lease is granted, the key is written under it,
-// and the lease is renewed.
+// This file maintains the lease of this controller's member key: it requests the lease, writes the key
+// under it and renews it.
 
-// keyRewriteDelay is how long after its member key was written this controller waits for the log to
-// show it, before it takes the key for lost.
+// keyRewriteDelay is the time after the write of the member key within which the log must contain it.
+// Otherwise the key counts as lost and is rewritten.
 const keyRewriteDelay = time.Second
 
-// memberLease is the lease that the member key is tied to.
+// memberLease is the state of the lease under which the member key is written.
 type memberLease struct {
-	id           api.LeaseID // 0: none
+	id           api.LeaseID // 0 if there is none
 	callInFlight bool
 	nextCallAt   api.Time
-	registered   bool // the member key is written under the lease
+	registered   bool // whether the member key is written under the lease
 	registeredAt api.Time
 }
 
-// MaintainLease sends the next call that keeps the member key alive, if one is due.
+// MaintainLease sends the next call that maintains the lease and the member key, if one is due.
 func (m *Manager) MaintainLease() {
 	if m.memberKeyLost() {
 		m.lease.registered = false
@@ -45,16 +45,16 @@
 	}
 }
 
-// memberKeyLost reports whether the member key is gone, or names another incarnation, although it was
-// written: the lease of this controller's former incarnation may have taken the key along, or a late
-// write of that incarnation has tied the key to it.
+// memberKeyLost reports whether the member key is missing or names another incarnation although it was
+// written. The key may have been deleted with the expired lease of a former incarnation, or overwritten
+// by a delayed write of that incarnation.
 func (m *Manager) memberKeyLost() bool {
 	member, exists := m.core.State.Members[m.core.Config.Label]
 	current := exists && member.Incarnation == m.core.Incarnation
 	return m.lease.registered && m.core.Loaded && !current && m.core.Now.Sub(m.lease.registeredAt) > keyRewriteDelay
 }
 
-// leaseCallDone ends the call in flight; the next one is due after a delay.
+// leaseCallDone marks the call in flight as completed and schedules the next one.
 func (m *Manager) leaseCallDone(delay time.Duration) {
 	m.lease.callInFlight = false
 	m.lease.nextCallAt = m.core.Now.Add(delay)
--- a/controller/ownership/lease_test.go
+++ b/controller/ownership/lease_test.go
@@ -12,7 +12,8 @@
 	"basaltwall/controller/message"
 )
 
-// newTestManager is the manager of a lone controller "n" of incarnation 1 with a loaded state.
+// newTestManager returns the manager of controller "n", incarnation 1, without peers and with a loaded
+// state.
 func newTestManager(t *testing.T) *Manager {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
@@ -28,8 +29,8 @@
 	return New(shared)
 }
 
-// A member key that names another incarnation of ours is written anew, tied to our lease: the
-// other's lease would take it along when it expires.
+// A member key that names a former incarnation is rewritten under the current lease; otherwise it would
+// be deleted when the former incarnation's lease expires.
 func TestMemberKeyOfOldIncarnationIsRewritten(t *testing.T) {
 	m := newTestManager(t)
 	m.core.StoreHealthy, m.lease.id, m.lease.registered = true, 9, true
@@ -51,9 +52,9 @@
 		}
 	}
 	if put(1, 20); writes() {
-		t.Error("written though it is ours")
+		t.Error("member key rewritten although it names the current incarnation")
 	}
 	if put(77, 21); !writes() {
-		t.Error("the key of a former incarnation is left as it is")
+		t.Error("member key of a former incarnation not rewritten")
 	}
 }
--- a/controller/ownership/manager.go
+++ b/controller/ownership/manager.go
@@ -1,9 +1,9 @@
 // Package ownership decides which partitions this controller owns.
 //
-// It owns the controller's lease and the member key tied to it, what is known of the other members'
-// restarts and record formats, and the claims under way. The partitions themselves are in
-// core.Core.Partitions; a claim or handover is a compare-and-swap of the partition's key in the
-// key-value store, whose revision is the owner's term.
+// It owns the controller's lease with its member key, the restart history and record formats of the
+// other members, and the claims in flight. The partitions themselves are in core.Core.Partitions. A claim
+// or handover is a compare-and-swap of the partition's key in the key-value store; the key's revision is
+// the owner's term.
 package ownership
 
 import (
@@ -12,7 +12,7 @@
 	"basaltwall/membership"
 )
 
-// Manager keeps this controller's member key alive, claims partitions that are its to own and hands
+// Manager maintains this controller's member key, claims the partitions that it should own and hands
 // over those that another controller should own.
 type Manager struct {
 	core     *core.Core
@@ -20,30 +20,30 @@
 
 	lease memberLease
 
-	liveSince      map[api.ControllerID]api.Time // live members only
+	liveSince      map[api.ControllerID]api.Time // by live member
 	restartHistory membership.RestartTracker
-	memberFormats  map[api.ControllerID]int // newest record format that each controller understands, live or not
+	memberFormats  map[api.ControllerID]int // newest record format that each controller, live or not, supports
 
 	claimsInFlight map[api.PartitionID]bool
-	nextClaimAt    map[api.PartitionID]api.Time // after a claim that failed
+	nextClaimAt    map[api.PartitionID]api.Time // time of the next attempt after a failed claim
 }
 
-// Siblings are the other components that a Manager asks.
+// Siblings holds the other components that a Manager calls.
 type Siblings struct {
 	Log       Log
 	Scheduler Scheduler
 }
 
-// Log is the component that reads the log of the key-value store.
+// Log is the component that follows the log of the key-value store.
 type Log interface {
-	// LinearizableRead calls onRead once everything that was durable when it was called is applied,
-	// or onFailure if that can't be had.
+	// LinearizableRead calls onRead once all changes that are durable at the time of the call are
+	// applied, or onFailure if they can't be read.
 	LinearizableRead(onRead, onFailure func())
 }
 
-// Scheduler is the component that runs the partitions that this controller owns.
+// Scheduler is the component that plans scheduling rounds for the owned partitions.
 type Scheduler interface {
-	// BeginOwnership takes up a partition under the term of its claim.
+	// BeginOwnership begins the ownership of a partition under the term of its claim.
 	BeginOwnership(p api.PartitionID, term api.Revision)
 }
 
@@ -58,13 +58,14 @@
 	}
 }
 
-// Connect sets the components that the manager asks.
+// Connect sets the components that the manager calls.
 func (m *Manager) Connect(siblings Siblings) { m.siblings = siblings }
 
-// Format is the newest record format that a controller understands, 0 if it has never been seen live.
+// Format returns the newest record format that a controller supports, 0 if the controller was never
+// observed live.
 func (m *Manager) Format(id api.ControllerID) int { return m.memberFormats[id] }
 
-// observeMembers notes who is live, since when, and what record formats the members understand.
+// observeMembers updates liveSince, memberFormats and the restart history from the member keys.
 func (m *Manager) observeMembers() {
 	for id := range m.liveSince {
 		if !m.core.IsLive(id) {
@@ -73,7 +74,7 @@
 	}
 	for id, member := range m.core.State.Members {
 		m.memberFormats[id] = member.Format
-		// A process that restarts at once may write its key before the former incarnation's is gone.
+		// A process that restarts quickly may write its key before its former key has expired.
 		restarted := m.restartHistory.Observe(id, member.Incarnation, m.core.Now)
 		if _, known := m.liveSince[id]; restarted || !known {
 			m.liveSince[id] = m.core.Now
@@ -81,15 +82,15 @@
 	}
 }
 
-// failbackDue reports whether a live controller has been live for long enough to get its partitions
-// back: the longer, the more often it has restarted of late.
+// failbackDue reports whether a controller has been live for long enough to get its partitions back.
+// Recent restarts increase the delay.
 func (m *Manager) failbackDue(id api.ControllerID) bool {
 	delay := m.restartHistory.FailbackDelay(id, m.core.Now, m.core.HandoverDelay)
 	return m.core.Now.Sub(m.liveSince[id]) > delay
 }
 
-// startupGracePassed reports whether this process has run for long enough that a preferred owner which
-// started at the same time would have registered by now.
+// startupGracePassed reports whether this process has run for long enough that a preferred owner that
+// started at the same time has had time to register.
 func (m *Manager) startupGracePassed() bool {
 	return m.core.Now.Sub(m.core.StartedAt) > m.core.HandoverDelay
 }
