--- a/controller/logfollow/follower.go
+++ b/controller/logfollow/follower.go
@@ -1,13 +1,12 @@
-// Package logfollow keeps a controller's replica of the cluster state in step with the log of the
-// key-value store, and serves linearizable reads of it.
+// Package logfollow updates a controller's replica of the cluster state from the log of the key-value
+// store, and serves linearizable reads of the replica.
 //
-// It owns the reading alone: which load, watch or read is under way, who waits for one, which relay
-// it goes through and what of the log is retained for other controllers. The replica that it applies
-// the log to is core.Core.State.
+// It owns the state of loads, watches and reads, the callers that wait for a read, the choice of a relay
+// and the part of the log that is retained for other controllers. The replica itself is core.Core.State.
 //
-// Beyond a number of controllers that follows from the store's limit on requests, most read the log
-// through one of a few relays, so that a read takes no longer with each controller that is added
-// (package relay, docs/relays.md).
+// If there are more controllers than the store's limit on requests allows to read directly, most of them
+// read through a few relays, so that read latency does not grow with the number of controllers (see
+// package relay and docs/relays.md).
 package logfollow
 
 import (
@@ -20,8 +19,8 @@
 
 // Follower follows the log of the key-value store and serves linearizable reads of it.
 type Follower struct {
-	// NextReadAt is the time before which no linearizable read is sent: reads are spaced so that
-	// all controllers together stay within the store's limit on requests.
+	// NextReadAt is the earliest time of the next linearizable read. Reads are spaced so that all
+	// controllers together stay within the store's limit on requests.
 	NextReadAt api.Time
 
 	core     *core.Core
@@ -29,60 +28,60 @@
 
 	loading    bool
 	nextLoadAt api.Time
-	resumeLoad func() // repeats the step that failed or waits; nil: the load starts at its first page
+	resumeLoad func() // runs the next step of the load, or repeats a failed one; nil to start at the first page
 
 	watching    bool
 	nextWatchAt api.Time
 
 	readInFlight     bool
-	nextDirectReadAt api.Time // no direct read before, where this controller has a relay
-	readRequestedAt  api.Time // when a linearizable read was last requested
+	nextDirectReadAt api.Time // earliest time of the next direct read of a controller that uses relays
+	readRequestedAt  api.Time // time of the latest request for a linearizable read
 	waiters          []Waiter
-	lastReadAt       api.Time // when the log was last read up to its end, 0 if it never was
+	lastReadAt       api.Time // time of the latest read up to the end of the log, 0 if there was none
 
-	relaySelector relay.Selector // of the relay that this controller reads through
+	relaySelector relay.Selector // selects the relay that this controller reads through
 	relays        relaySelection
-	retainedLog   relay.ChangeLog // what this controller serves if it is a relay
+	retainedLog   relay.ChangeLog // changes that this controller serves if it is a relay
 	subscribers   []subscriber
 }
 
-// Siblings are the other components that a Follower asks.
+// Siblings holds the other components that a Follower calls.
 type Siblings struct {
 	State     StateFactory
 	Ownership Ownership
 }
 
-// StateFactory makes the replica that a load fills.
+// StateFactory creates the replica that a load fills.
 type StateFactory interface {
 	// NewState returns an empty cluster state with all record kinds registered.
 	NewState() *core.ClusterState
 }
 
-// Ownership is the component that holds partitions.
+// Ownership is the component that decides which partitions this controller owns.
 type Ownership interface {
-	// DropLostPartitions drops the partitions that the cluster state gives to another owner or term.
+	// DropLostPartitions drops the partitions that have another owner or term in the cluster state.
 	DropLostPartitions()
 }
 
 // Waiter is a caller that waits for a linearizable read.
 type Waiter struct {
-	OnRead    func() // called once all that was durable when the read was requested is applied
+	OnRead    func() // called once all changes that were durable at the request are applied
 	OnFailure func() // called if the read failed
-	direct    bool   // the read has to be one of this controller, not one through a relay
+	direct    bool   // whether the read must be direct, not through a relay
 }
 
-// New returns a follower that has read nothing yet. Connect must be called before it is used.
+// New returns a follower without a loaded state. Connect must be called before it is used.
 func New(shared *core.Core) *Follower { return &Follower{core: shared} }
 
-// Connect sets the components that the follower asks.
+// Connect sets the components that the follower calls.
 func (f *Follower) Connect(siblings Siblings) { f.siblings = siblings }
 
-// readRequestWindow is how long after the last request for a linearizable read the follower keeps
-// reading in place of a watch.
+// readRequestWindow is the time after the latest request for a linearizable read during which the
+// follower continues periodic reads instead of a watch.
 const readRequestWindow = time.Second
 
-// LinearizableRead calls onRead once everything that was durable when it was called is applied, or
-// onFailure if that can't be had. Requests that come between two reads share the next one.
+// LinearizableRead calls onRead once all changes that are durable at the time of the call are applied,
+// or onFailure if they can't be read. Requests between two reads share the next one.
 func (f *Follower) LinearizableRead(onRead, onFailure func()) {
 	if !f.core.Loaded {
 		onFailure()
@@ -96,18 +95,19 @@
 	f.readRequestedAt = f.core.Now
 }
 
-// WaiterCount is how many callers wait for the next read.
+// WaiterCount returns the number of callers that wait for the next read.
 func (f *Follower) WaiterCount() int { return len(f.waiters) }
 
-// TakeWaiters removes the callers that wait for the next read; the taker answers them.
+// TakeWaiters removes and returns the callers that wait for the next read. The caller of TakeWaiters
+// must answer them.
 func (f *Follower) TakeWaiters() []Waiter {
 	waiters := f.waiters
 	f.waiters = nil
 	return waiters
 }
 
-// LastReadAt is when the log was last read up to its end, 0 if it never was.
+// LastReadAt returns the time of the latest read up to the end of the log, 0 if there was none.
 func (f *Follower) LastReadAt() api.Time { return f.lastReadAt }
 
-// RecordRead notes that the log has been read up to its end at this moment.
+// RecordRead records the current time as that of the latest read up to the end of the log.
 func (f *Follower) RecordRead() { f.lastReadAt = f.core.Now }
--- a/controller/logfollow/load.go
+++ b/controller/logfollow/load.go
@@ -9,16 +9,16 @@
 	"basaltwall/controller/message"
 )
 
-// This file loads the whole cluster state when a controller starts, or when the log no longer
-// reaches back to its revision: pages of all records, then the changes since the first page.
+// This file loads the whole cluster state when a controller starts, or when the log no longer contains
+// the changes after its revision. It reads all records in pages, then the changes since the first page.
 
-// LoadState takes the next step of the load if it is due and none is under way.
+// LoadState starts the next step of the load if it is due and no step is in flight.
 func (f *Follower) LoadState() {
 	if f.loading || f.core.Now < f.nextLoadAt {
 		return
 	}
 	f.loading = true
-	if f.resumeLoad != nil { // a page that did not come is asked for again, not all of them
+	if f.resumeLoad != nil { // continues with the current page instead of the first one
 		f.resumeLoad()
 		return
 	}
@@ -27,14 +27,13 @@
 	f.loadPage("", 0)
 }
 
-// scheduleLoad continues the load after a pause with the given step, or from its beginning if that
-// is nil. Pages are as rare as linearizable reads: a process that crashes in a loop must leave the
-// others their requests.
+// scheduleLoad schedules the next step of the load after a delay; a nil step restarts the load.
 func (f *Follower) scheduleLoad(delay time.Duration, resume func()) {
 	f.loading, f.resumeLoad, f.nextLoadAt = false, resume, f.core.Now.Add(delay)
 }
 
-// loadPage reads the page after a key. firstRevision is that of the first page, 0 if this is it.
+// loadPage reads the page after a key. firstRevision is the revision of the first page, 0 if this is the
+// first.
 func (f *Follower) loadPage(after string, firstRevision api.Revision) {
 	f.core.CallStore(message.StoreCall{Page: &message.PageRequest{After: after}}, func(response message.StoreResponse) {
 		if response.Status != api.StatusOK {
@@ -47,6 +46,8 @@
 		f.applyPage(response.Page.Pairs)
 		if response.Page.More && len(response.Page.Pairs) > 0 {
 			last := response.Page.Pairs[len(response.Page.Pairs)-1].Key
+			// Pages are spaced like linearizable reads, so that a crash loop does not use up the
+			// store's limit on requests.
 			f.scheduleLoad(f.PageReadInterval(), func() { f.loadPage(last, firstRevision) })
 			return
 		}
@@ -62,13 +63,13 @@
 	}
 }
 
-// loadChanges reads what has changed since the first page and finishes the load.
+// loadChanges reads the changes since the first page and finishes the load.
 func (f *Follower) loadChanges(since api.Revision) {
 	f.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: since}}, func(response message.StoreResponse) {
 		switch response.Status {
 		case api.StatusOK:
 			f.finishLoad(response.Changes)
-		case api.StatusGone: // the load took so long that the log no longer reaches back
+		case api.StatusGone: // the log no longer contains the changes since the first page
 			f.scheduleLoad(core.RetryDelay, nil)
 		default:
 			f.scheduleLoad(core.RetryDelay, func() { f.loadChanges(since) })
@@ -89,9 +90,10 @@
 	slog.Info("state loaded", "revision", f.core.State.Revision, "jobs", len(f.core.State.Jobs))
 }
 
-// reloadState starts over with an empty state: the log no longer reaches back to our revision.
+// reloadState discards the state, so that it is loaded again, because the log no longer contains the
+// changes after its revision.
 func (f *Follower) reloadState() {
-	slog.Info("reloading state")
+	slog.Info("reloading state: log no longer contains the next changes")
 	f.core.Loaded = false
 	f.core.Partitions = map[api.PartitionID]*core.OwnedPartition{}
 	for _, w := range f.waiters {
--- a/controller/logfollow/read.go
+++ b/controller/logfollow/read.go
@@ -9,14 +9,13 @@
 	"basaltwall/controller/message"
 )
 
-// This file follows the log once the state is loaded: a watch while nobody asks for the latest
-// state, linearizable reads while somebody does.
+// This file follows the log once the state is loaded: by a watch while no linearizable reads are
+// requested, otherwise by linearizable reads.
 
-// FollowLog sends the watch or the read that is due. While linearizable reads are requested all the
-// time, as many users' polls do, those reads carry the changes and no watch is opened beside them;
-// each serves all callers that came since the one before. Both are spaced so that all controllers
-// together stay well within the store's limit on requests; of many controllers most read through a
-// relay, see relays.go.
+// FollowLog sends the watch or read that is due. While linearizable reads are requested continuously,
+// for example by users' polls, the reads return the changes and no watch is needed. Each read serves all
+// callers since the previous one. Watches and reads are spaced so that all controllers together stay
+// within the store's limit on requests.
 func (f *Follower) FollowLog() {
 	readsRequested := f.core.Now.Sub(f.readRequestedAt) < readRequestWindow && f.readRequestedAt != 0
 	if !f.watching && !readsRequested && f.core.Now >= f.nextWatchAt {
@@ -27,7 +26,7 @@
 	}
 	via := f.NextRelay()
 	if slices.ContainsFunc(f.waiters, func(w Waiter) bool { return w.direct }) {
-		via = "" // a relay's clients wait for a read that it sends itself
+		via = "" // clients of a relay need a direct read
 	}
 	if via == "" && f.core.Now < f.nextDirectReadAt {
 		return
@@ -35,7 +34,7 @@
 	f.readLatest(f.TakeWaiters(), via)
 }
 
-// watchLog asks for the changes after our revision once there are any.
+// watchLog waits for changes after the replica's revision.
 func (f *Follower) watchLog() {
 	f.watching = true
 	since := f.core.State.Revision
@@ -46,8 +45,8 @@
 	})
 }
 
-// readLatest reads what is durable by now and answers the waiters. If a relay fails, a direct read
-// follows.
+// readLatest reads all durable changes and answers the waiters. If a relay fails, it retries by a direct
+// read.
 func (f *Follower) readLatest(waiters []Waiter, via api.ControllerID) {
 	f.readInFlight, f.NextReadAt = true, f.core.Now.Add(f.ReadInterval())
 	if via == "" && f.readsThroughRelay() {
@@ -65,7 +64,7 @@
 		if !ok {
 			f.NextReadAt = f.core.Now.Add(f.ReadInterval())
 			if len(waiters) == 0 {
-				f.readRequestedAt = 0 // a watch outlasts an outage, such reads do not
+				f.readRequestedAt = 0 // without waiters, a watch replaces the failed periodic reads
 			}
 		}
 		answerWaiters(waiters, ok)
@@ -82,11 +81,12 @@
 	}
 }
 
-// handleResult applies what a read of the log after a revision brought and reports whether it did.
+// handleResult applies the result of a read of the log after a revision and reports whether the read
+// succeeded.
 func (f *Follower) handleResult(result readResult, since api.Revision) bool {
 	switch {
 	case !f.core.Loaded || since > f.core.State.Revision:
-		return false // asked before a reload
+		return false // the read was sent before a reload
 	case result.status == api.StatusOK:
 		f.RecordRead()
 		f.applyChanges(result.changes)
@@ -99,7 +99,7 @@
 	return false
 }
 
-// applyChanges applies changes to the cluster state; those that were applied before are skipped.
+// applyChanges applies changes to the cluster state and skips those already applied.
 func (f *Follower) applyChanges(changes api.Changes) {
 	f.retainChanges(changes)
 	for _, change := range changes.Log {
@@ -125,15 +125,15 @@
 	f.siblings.Ownership.DropLostPartitions()
 }
 
-// readResult is what a read of the log brought.
+// readResult is the result of a read of the log.
 type readResult struct {
-	status  int // as the store has it, 0 without an answer
+	status  int // HTTP status of the store or relay, 0 without a valid response
 	changes api.Changes
-	via     api.ControllerID // the relay that was asked, none for a direct read
+	via     api.ControllerID // relay that was used, empty for a direct read
 }
 
-// readChanges reads the log after a revision, through a relay or directly. With wait the answer
-// comes once there is something, or after the time that a watch may take.
+// readChanges reads the log after a revision, through the relay via or, if that is empty, directly. With
+// wait, the response arrives once there are changes or the watch times out.
 func (f *Follower) readChanges(since api.Revision, wait bool, via api.ControllerID, done func(readResult)) {
 	if via != "" {
 		f.readFromRelay(since, wait, via, done)
--- a/controller/logfollow/relays.go
+++ b/controller/logfollow/relays.go
@@ -10,35 +10,36 @@
 	"basaltwall/relay"
 )
 
-// This file chooses the relays and reads through them. A relay begins a read of its own after the
-// request has come, so what it answers is as current as a read that the client had begun itself. A
-// relay that is silent, refuses or gives an invalid answer is avoided for a while, and the client
-// reads directly.
+// This file selects relays and reads through them. A relay starts its own read after it has received a
+// request, so its response is as current as a direct read. A relay that times out, rejects a request or
+// gives an invalid response is avoided for a while, and the client reads directly.
 
 const (
-	// relayTimeout is how long a relay may take for a read: its interval between two reads, a
-	// slow read, and the way.
+	// relayTimeout is the timeout of a read through a relay. It covers the relay's read interval, a
+	// slow read of the store and the network latency.
 	relayTimeout = 600 * time.Millisecond
-	// relayPollTimeout is how long a relay keeps a watch open: shorter than a watch of the store,
-	// since a relay that hangs says nothing.
+	// relayPollTimeout is the maximum duration of a watch through a relay. It is shorter than that of
+	// a watch of the store, so that an unresponsive relay is detected early.
 	relayPollTimeout = 2 * time.Second
-	// watchGracePeriod is how much longer than its own timeout a watch of the store may take.
+	// watchGracePeriod is the additional time that a call to the store may take beyond the watch's
+	// own timeout.
 	watchGracePeriod = 2 * time.Second
 )
 
-// relaySelection is the relays for the members that are live, kept until those change.
+// relaySelection is the relays selected for the live members, cached until the members change.
 type relaySelection struct {
-	memberFormats []int // by controller, as core.Core.Controllers lists them: its record format or notLive
-	supported     bool  // all live members know of relays
+	memberFormats []int // record format, or notLive, of each controller in core.Core.Controllers
+	supported     bool  // whether all live members support relays
 	relays        []relay.Member
-	preference    []api.ControllerID // the order in which this controller asks them
+	preference    []api.ControllerID // relays in this controller's order of preference
 }
 
-// notLive stands in for the record format of a controller that is not live.
+// notLive replaces the record format of a controller that is not live.
 const notLive = -1
 
-// UsesRelays reports whether there are so many controllers that most read through relays, and all
-// live ones support it: during a rolling upgrade each reads for itself.
+// UsesRelays reports whether relays are in use: there are more controllers than may read directly, and
+// all live ones support relays. During a rolling upgrade from a version without relays all read
+// directly.
 func (f *Follower) UsesRelays() bool {
 	if len(f.core.Controllers) <= f.core.MaxRelays {
 		return false
@@ -47,7 +48,7 @@
 	return f.relays.supported
 }
 
-// CurrentRelays are the controllers that are relays, as far as this one knows.
+// CurrentRelays returns the controllers that are relays, according to this controller's state.
 func (f *Follower) CurrentRelays() []relay.Member {
 	f.selectRelays()
 	return f.relays.relays
@@ -58,12 +59,12 @@
 	return f.UsesRelays() && relay.Contains(f.CurrentRelays(), f.core.Config.Label)
 }
 
-// readsThroughRelay reports whether this controller is one of those that read through relays.
+// readsThroughRelay reports whether this controller reads through relays.
 func (f *Follower) readsThroughRelay() bool {
 	return f.UsesRelays() && !relay.Contains(f.CurrentRelays(), f.core.Config.Label)
 }
 
-// NextRelay is the relay to read through, none for a direct read.
+// NextRelay returns the relay to read through, empty for a direct read.
 func (f *Follower) NextRelay() api.ControllerID {
 	if !f.readsThroughRelay() {
 		return ""
@@ -72,12 +73,12 @@
 	return via
 }
 
-// MarkRelayFailed notes that a relay did not answer, so that others are preferred for a while.
+// MarkRelayFailed records that a relay did not answer, so that others are used for a while.
 func (f *Follower) MarkRelayFailed(id api.ControllerID) {
 	f.relaySelector.MarkFailed(id, f.core.Now)
 }
 
-// ReadInterval is the time between two reads of the log.
+// ReadInterval returns the time between two reads of the log.
 func (f *Follower) ReadInterval() time.Duration {
 	if f.UsesRelays() {
 		return f.core.ReadInterval
@@ -85,8 +86,9 @@
 	return f.PageReadInterval()
 }
 
-// PageReadInterval is the time between two reads that each controller sends directly, such as pages
-// of the state when it starts: a third of the store's requests for all together.
+// PageReadInterval returns the time between two direct reads if every controller reads directly, as it
+// does when it loads the state. All controllers together then use a third of the store's limit on
+// requests.
 func (f *Follower) PageReadInterval() time.Duration {
 	if len(f.core.Controllers) <= f.core.MaxRelays {
 		return f.core.ReadInterval
@@ -94,7 +96,7 @@
 	return f.core.DirectReadInterval / 2
 }
 
-// ZoneOfController is the zone that a controller is in, empty if the controller is unknown.
+// ZoneOfController returns the zone of a controller, empty if the controller is unknown.
 func (f *Follower) ZoneOfController(id api.ControllerID) api.Zone {
 	if id == f.core.Config.Label {
 		return f.core.Config.Zone
@@ -107,7 +109,7 @@
 	return ""
 }
 
-// formatOf is the record format that a live controller understands, or notLive.
+// formatOf returns the record format that a controller supports, or notLive.
 func (f *Follower) formatOf(id api.ControllerID) int {
 	member, live := f.core.State.Members[id]
 	if !live {
@@ -116,7 +118,7 @@
 	return member.Format
 }
 
-// selectRelays selects the relays anew if the live members or their formats have changed.
+// selectRelays updates the selected relays if the live members or their formats have changed.
 func (f *Follower) selectRelays() {
 	if f.relaysUpToDate() {
 		return
@@ -137,7 +139,7 @@
 	f.relays = selection
 }
 
-// relaysUpToDate reports whether the relays were selected for the members that are live now.
+// relaysUpToDate reports whether the relays were selected for the current live members.
 func (f *Follower) relaysUpToDate() bool {
 	if f.relays.memberFormats == nil {
 		return false
@@ -150,7 +152,7 @@
 	return true
 }
 
-// readFromRelay reads the log after a revision through a relay, which is avoided for a while if it
+// readFromRelay reads the log after a revision through a relay, and avoids the relay for a while if it
 // fails.
 func (f *Follower) readFromRelay(since api.Revision, wait bool, via api.ControllerID, done func(readResult)) {
 	timeout := relayTimeout
@@ -168,8 +170,8 @@
 	})
 }
 
-// validateRelayResponse is the result of a read through a relay: status 0 if there is no answer or
-// an invalid one.
+// validateRelayResponse returns the result of a read through a relay. Its status is 0 if the response is
+// missing or invalid.
 func (f *Follower) validateRelayResponse(response message.PeerResponse, since api.Revision, via api.ControllerID) readResult {
 	result := readResult{status: response.Reply.Status, via: via}
 	if !response.OK {
--- a/controller/logfollow/relays_test.go
+++ b/controller/logfollow/relays_test.go
@@ -12,7 +12,7 @@
 	"basaltwall/relay"
 )
 
-// newTestFollower is the follower of one among so many controllers, with an empty state.
+// newTestFollower returns the follower of one of the given number of controllers, with an empty state.
 func newTestFollower(t *testing.T, controllers int) *Follower {
 	t.Helper()
 	var peers []string
@@ -32,48 +32,48 @@
 	return New(shared)
 }
 
-// Of many controllers the first few relays read for themselves, each other one reads through one of
-// them, and through another when that fails; of three all read for themselves.
+// With many controllers, relays read directly and each other controller reads through a relay, or through
+// another one after a failure. With three controllers all read directly.
 func TestRelaySelection(t *testing.T) {
 	f := newTestFollower(t, 3)
 	if f.UsesRelays() || f.NextRelay() != "" {
-		t.Error("one of three reads through another")
+		t.Error("with three controllers, one reads through another")
 	}
 	f = newTestFollower(t, 23)
-	for _, l := range f.core.Controllers {
-		f.core.State.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatTransfers}
+	for _, id := range f.core.Controllers {
+		f.core.State.Members[id] = clusterstate.MemberValue{Format: clusterstate.FormatTransfers}
 	}
-	if gap := f.ReadInterval(); f.UsesRelays() || gap != f.core.DirectReadInterval/2 {
-		t.Errorf("relays, read every %v, though no other controller knows of them", gap)
+	if interval := f.ReadInterval(); f.UsesRelays() || interval != f.core.DirectReadInterval/2 {
+		t.Errorf("relays used, or read interval %v, although no controller supports relays", interval)
 	}
-	for _, l := range f.core.Controllers {
-		f.core.State.Members[l] = clusterstate.MemberValue{Format: clusterstate.FormatRelays}
+	for _, id := range f.core.Controllers {
+		f.core.State.Members[id] = clusterstate.MemberValue{Format: clusterstate.FormatRelays}
 	}
-	if gap := f.ReadInterval(); !f.UsesRelays() || gap != f.core.ReadInterval {
-		t.Errorf("no relays, read every %v, though all know of them", gap)
+	if interval := f.ReadInterval(); !f.UsesRelays() || interval != f.core.ReadInterval {
+		t.Errorf("relays not used, or read interval %v, although all controllers support relays", interval)
 	}
 	f.core.State.Members[f.core.Controllers[3]] = clusterstate.MemberValue{}
 	if f.UsesRelays() {
-		t.Error("relays beside a controller of an older version")
+		t.Error("relays used although a live controller does not support them")
 	}
 	delete(f.core.State.Members, f.core.Controllers[3])
 	relays := f.CurrentRelays()
 	if len(relays) != f.core.MaxRelays || !f.UsesRelays() || relay.Contains(relays, f.core.Controllers[3]) {
-		t.Fatalf("%d relays", len(relays))
+		t.Fatalf("%d relays, or one that is not live", len(relays))
 	}
 	if relay.Contains(relays, f.core.Config.Label) {
-		t.Fatal("the test needs names with which we are no relay")
+		t.Fatal("the test needs controller names for which this controller is not a relay")
 	}
-	asked := map[api.ControllerID]bool{}
+	used := map[api.ControllerID]bool{}
 	for range relays {
 		via := f.NextRelay()
-		if via == "" || asked[via] || !relay.Contains(relays, via) {
-			t.Fatalf("asks %q after %v", via, asked)
+		if via == "" || used[via] || !relay.Contains(relays, via) {
+			t.Fatalf("reads through %q after the failures of %v", via, used)
 		}
-		asked[via] = true
+		used[via] = true
 		f.relaySelector.MarkFailed(via, f.core.Now)
 	}
 	if via := f.NextRelay(); via != "" {
-		t.Errorf("asks %s, which has failed", via)
+		t.Errorf("reads through the failed relay %s", via)
 	}
 }
--- a/controller/logfollow/serve.go
+++ b/controller/logfollow/serve.go
@@ -7,24 +7,24 @@
 	"basaltwall/controller/message"
 )
 
-// This file is a relay's side: it serves the log to controllers that read through this one.
+// This file serves the log, as a relay, to the controllers that read through this one.
 
-// subscriber is a controller that waits for changes after a revision.
+// subscriber is a pending request of a controller that waits for changes after a revision.
 type subscriber struct {
 	req   message.ReqID
 	since api.Revision
-	until api.Time // it is answered by then, with or without changes
+	until api.Time // deadline of the response, with or without changes
 }
 
-// retainChanges keeps changes for controllers that read through this one.
+// retainChanges retains changes for controllers that read through this one.
 func (f *Follower) retainChanges(changes api.Changes) {
 	if len(f.core.Controllers) > f.core.MaxRelays {
 		f.retainedLog.Append(changes.Log, changes.Revision)
 	}
 }
 
-// HandleReadLog answers another controller's read of the log. Without Wait the answer comes after a
-// direct read that starts later than the request, so that it holds all that was durable by then.
+// HandleReadLog answers another controller's read of the log. Without Wait, the response follows a direct
+// read that starts after the request, so that it contains all changes that were durable at the request.
 func (f *Follower) HandleReadLog(c message.ReadLog) {
 	if !f.core.Loaded {
 		f.core.ReplyError(c.Req, api.StatusServiceUnavailable, "starting")
@@ -46,18 +46,20 @@
 	f.subscribers = append(f.subscribers, subscriber{req: c.Req, since: since, until: f.core.Now.Add(relayPollTimeout)})
 }
 
-// replyLog answers with the changes after a revision, 410 if they are no longer retained.
+// replyLog responds with the changes after a revision, or with status 410 if they are no longer
+// retained.
 func (f *Follower) replyLog(req message.ReqID, since api.Revision) {
 	changes, ok := f.retainedLog.Since(since)
 	if !ok {
-		f.core.ReplyError(req, api.StatusGone, "the log does not reach back so far")
+		f.core.ReplyError(req, api.StatusGone, "changes after the requested revision are no longer retained")
 		return
 	}
 	f.core.Metrics.ReadsServed++
 	f.core.Emit(message.Reply{Req: req, Status: api.StatusOK, Log: &changes})
 }
 
-// ReplyToSubscribers answers the controllers that wait for changes, if there are any or the time is up.
+// ReplyToSubscribers answers the controllers that wait for changes, if there are changes or the deadline
+// has passed.
 func (f *Follower) ReplyToSubscribers() {
 	f.subscribers = slices.DeleteFunc(f.subscribers, func(s subscriber) bool {
 		if s.since >= f.core.State.Revision && f.core.Now < s.until {
@@ -68,7 +70,7 @@
 	})
 }
 
-// rejectSubscribers refuses the controllers that wait for changes: the state is loaded anew.
+// rejectSubscribers rejects the pending requests of subscribers before the state is reloaded.
 func (f *Follower) rejectSubscribers() {
 	for _, s := range f.subscribers {
 		f.core.ReplyError(s.req, api.StatusServiceUnavailable, "starting")
