--- a/membership/restarts.go
+++ b/membership/restarts.go
@@ -1,6 +1,6 @@
-// Package membership owns the failback of partitions to controllers that restart: a controller that
-// restarted several times of late gets its partitions back later and later, so that a crash loop costs
-// the others no more than a few changes of ownership. It is pure: the time is passed in.
+// Package membership computes the delay of failback: how long a restarted controller must be live before
+// it gets its partitions back. The delay grows with the number of recent restarts, so that a crash loop
+// causes only a few changes of ownership. The package has no side effects; callers pass the time.
 package membership
 
 import (
@@ -11,34 +11,35 @@
 )
 
 const (
-	// historyWindow is for how long a start counts.
+	// historyWindow is the time for which a start counts.
 	historyWindow = 2 * time.Minute
-	// freeRestarts is how many starts within that time cause no delay: the first, and one restart.
-	freeRestarts = 2
-	// maxFailbackDelay bounds the delay, unless the base is longer.
+	// freeStarts is the number of starts within historyWindow that do not increase the delay: the
+	// first start and one restart.
+	freeStarts = 2
+	// maxFailbackDelay is the maximum delay, unless the base delay is longer.
 	maxFailbackDelay = time.Minute
 )
 
-// RestartTracker tracks the starts of controllers. The zero value is ready to use.
+// RestartTracker tracks the recent starts of controllers. The zero value is ready to use.
 type RestartTracker struct {
-	controllers map[api.ControllerID]*restarts
+	controllers map[api.ControllerID]*startHistory
 }
 
-// restarts are the starts of a controller.
-type restarts struct {
-	incarnation int64 // the latest
+// startHistory is the recent starts of a controller.
+type startHistory struct {
+	incarnation int64 // latest incarnation
 	starts      []api.Time
 }
 
-// Observe notes that a controller is alive in the incarnation that its member key names. It reports
-// whether that is a new one.
+// Observe records that a controller is live in the given incarnation, and reports whether the incarnation
+// is new.
 func (t *RestartTracker) Observe(controller api.ControllerID, incarnation int64, now api.Time) bool {
 	if t.controllers == nil {
-		t.controllers = map[api.ControllerID]*restarts{}
+		t.controllers = map[api.ControllerID]*startHistory{}
 	}
 	history := t.controllers[controller]
 	if history == nil {
-		history = &restarts{}
+		history = &startHistory{}
 		t.controllers[controller] = history
 	}
 	if len(history.starts) > 0 && history.incarnation == incarnation {
@@ -49,8 +50,8 @@
 	return true
 }
 
-// FailbackDelay is how long a controller must have been alive before it gets its home partitions back:
-// base, doubled for each recent start beyond the free ones.
+// FailbackDelay returns the time for which a controller must be live before it gets its partitions back:
+// base, doubled for each recent start beyond freeStarts, up to maxFailbackDelay.
 func (t *RestartTracker) FailbackDelay(controller api.ControllerID, now api.Time, base time.Duration) time.Duration {
 	history := t.controllers[controller]
 	if history == nil {
@@ -63,7 +64,7 @@
 		}
 	}
 	delay := base
-	for range max(0, recent-freeRestarts) {
+	for range max(0, recent-freeStarts) {
 		delay = min(2*delay, max(maxFailbackDelay, base))
 	}
 	return delay
--- a/relay/changelog.go
+++ b/relay/changelog.go
@@ -1,4 +1,4 @@
-// The log that a relay retains for the controllers that read through it.
+// Log of recent changes that a relay retains for its clients.
 
 package relay
 
@@ -9,27 +9,27 @@
 	"basaltwall/api"
 )
 
-// Bounds on the changes that a relay retains.
+// Limits on the changes retained by a relay.
 const (
 	maxChanges = 4096
 	maxBytes   = 8 << 20
 )
 
-// ChangeLog is the latest part of the log of the key-value store, without gaps: all changes after
-// startRevision up to endRevision. Not safe for concurrent use.
+// ChangeLog is the end of the key-value store's log, without gaps: all changes after startRevision up to
+// endRevision. It is not safe for concurrent use.
 type ChangeLog struct {
 	startRevision, endRevision api.Revision
 	changes                    []api.Change
-	bytes                      int // of keys and values
+	bytes                      int // total size of keys and values
 }
 
-// Reset drops all changes; the log then starts after a revision.
+// Reset removes all changes, so that the log starts after the given revision.
 func (l *ChangeLog) Reset(startRevision api.Revision) {
 	*l = ChangeLog{startRevision: startRevision, endRevision: startRevision}
 }
 
-// Append adds all changes after the end of the log up to endRevision, in order. Changes that are in the
-// log already are skipped.
+// Append appends the changes up to endRevision, in order, and skips those already in the log. The
+// caller must pass all changes after the end of the log.
 func (l *ChangeLog) Append(changes []api.Change, endRevision api.Revision) {
 	for _, c := range changes {
 		if c.Version <= l.endRevision {
@@ -42,7 +42,7 @@
 	l.trim()
 }
 
-// trim drops the oldest changes beyond the bounds, those of one revision together.
+// trim removes the oldest changes beyond the limits. Changes of one revision are removed together.
 func (l *ChangeLog) trim() {
 	cut := 0
 	for cut < len(l.changes) && (len(l.changes)-cut > maxChanges || l.bytes > maxBytes) {
@@ -58,11 +58,11 @@
 	}
 }
 
-// changeSize is the size of a change in bytes.
+// changeSize returns the size of a change in bytes.
 func changeSize(c api.Change) int { return len(c.Put) + len(c.Drop) + len(c.Value) }
 
-// Since returns all changes after a revision, and the revision up to which they reach; ok is false if
-// the log does not reach back that far, or not up to there.
+// Since returns all changes after a revision, with the revision up to which they are complete. ok is
+// false if the log starts after the requested revision or ends before it.
 func (l *ChangeLog) Since(rev api.Revision) (changes api.Changes, ok bool) {
 	if rev < l.startRevision || rev > l.endRevision {
 		return api.Changes{}, false
@@ -79,10 +79,10 @@
 	return api.Changes{Revision: l.endRevision, Log: l.changes[from:len(l.changes):len(l.changes)]}, true
 }
 
-// errInvalidResponse is the error of a response that no correct relay gives.
-var errInvalidResponse = errors.New("the relay's answer is not a part of the log after what was asked")
+// errInvalidResponse is returned for a response that no correct relay sends.
+var errInvalidResponse = errors.New("relay response is not a valid range of the log after the requested revision")
 
-// Validate checks the response of a relay to a request for the changes after a revision.
+// Validate checks a relay's response to a request for the changes after a revision.
 func Validate(since api.Revision, response *api.Changes) error {
 	if response == nil || response.Revision < since {
 		return errInvalidResponse
--- a/relay/model_test.go
+++ b/relay/model_test.go
@@ -6,52 +6,51 @@
 	"basaltwall/internal/modelcheck"
 )
 
-// The model: a key-value store whose log grows, a relay, and a controller that reads through it for a
-// user. Reads, requests and responses arrive late, twice or never; the relay stalls or
-// restarts, in which case it reads the state first; the controller falls back to a direct read. A change
-// is a bit: the controller must never return to a user less than what was durable when the
-// user asked, and must never miss a change.
+// Model of a key-value store with a growing log, a relay, and a controller that reads through the relay
+// for a user. Requests and responses may be delayed, duplicated or lost, the relay may stall or restart,
+// and the controller may fall back to a direct read. The controller must never miss a change, nor return
+// to a user less than what was durable at the user's request.
 
-// readGuards are what a read through a relay depends on.
+// readGuards are the checks that make a read through a relay correct.
 type readGuards struct {
 	readsAfterRequest bool // the relay begins its read after the request has arrived
-	checksRetention   bool // it answers only if its log reaches back to the requested revision
-	matchesRequest    bool // a response counts only for the request that it answers
+	checksRetention   bool // the relay answers only if its log contains all changes after the requested revision
+	matchesRequest    bool // the controller accepts a response only for its latest request
 }
 
-const modelChanges = 4
+const modelChanges = 4 // maximum number of changes to the log
 
-// request is a request in flight to the relay, or pending there.
+// request is a request in flight to the relay or pending at it.
 type request struct {
 	active       bool
 	number       int8
 	since        int8
 	arrived      bool
-	reading      bool // a read was begun for it
-	readRevision int8 // and what that read found, -1: not yet
+	reading      bool // the relay has started its read
+	readRevision int8 // result of that read, -1 if it is not finished
 }
 
 type response struct {
 	active bool
 	number int8
-	after  int8 // the changes begin after this
-	upTo   int8
+	after  int8 // revision after which the changes start
+	upTo   int8 // revision up to which the changes are complete
 }
 
 type readWorld struct {
-	durable             int8 // changes so far
-	relay               int8 // applied by the relay
-	retained            int8 // its log begins after this
-	followed            int8 // applied by the controller
-	gap                 bool // it has a gap
-	userWaiting         bool // a user waits
-	durableAtRequest    int8 // what was durable when the user asked
-	sent                bool // a request was sent for that user
-	number              int8 // of the latest request
+	durable             int8 // latest revision of the store
+	relay               int8 // revision applied by the relay
+	retained            int8 // revision after which the relay's log starts
+	followed            int8 // revision applied by the controller
+	gap                 bool // the controller has missed a change
+	userWaiting         bool
+	durableAtRequest    int8 // latest revision at the user's request
+	sent                bool // a request to the relay was sent for the user
+	number              int8 // number of the latest request
 	request             request
-	response, duplicate response // in flight; duplicate is one that arrives again
-	returned            int8     // what was returned to the user, -1: not yet
-	rounds              int8
+	response, duplicate response // in flight; duplicate is a response that arrives a second time
+	returned            int8     // revision returned to the user, -1 if none yet
+	rounds              int8     // number of user requests
 }
 
 func (w readWorld) next(g readGuards, visit func(readWorld)) bool {
@@ -66,7 +65,7 @@
 	if w.durable < modelChanges {
 		step(func(n *readWorld) { n.durable++ })
 	}
-	// The relay reads by itself, restarts, or drops the oldest change that it retains.
+	// The relay reads on its own, restarts, or drops the oldest retained change.
 	step(func(n *readWorld) { n.relay = n.durable })
 	step(func(n *readWorld) { n.relay, n.retained, n.request = n.durable, n.durable, request{} })
 	if w.retained < w.relay {
@@ -77,7 +76,7 @@
 	return false
 }
 
-// followerSteps are the steps of the controller that reads through the relay.
+// followerSteps takes the possible steps of the controller that reads through the relay.
 func (w readWorld) followerSteps(step func(func(*readWorld)), g readGuards) {
 	if !w.userWaiting && w.rounds < 2 {
 		step(func(n *readWorld) {
@@ -90,7 +89,7 @@
 			n.request = request{active: true, number: n.number, since: n.followed, readRevision: -1}
 		})
 	}
-	if w.userWaiting && w.sent { // timed out: it reads directly
+	if w.userWaiting && w.sent { // the request times out and the controller reads directly
 		step(func(n *readWorld) { n.followed, n.returned, n.userWaiting = n.durable, n.durable, false })
 	}
 	for _, a := range []response{w.response, w.duplicate} {
@@ -107,7 +106,7 @@
 				return
 			}
 			if a.after > n.followed {
-				n.gap = true // the changes between are not in it
+				n.gap = true // the response lacks the changes between followed and after
 			}
 			n.followed = max(n.followed, a.upTo)
 			if n.userWaiting && n.sent {
@@ -117,7 +116,7 @@
 	}
 }
 
-// relaySteps are the relay's steps for a request.
+// relaySteps takes the possible steps of the relay for a request.
 func (w readWorld) relaySteps(step func(func(*readWorld)), g readGuards) {
 	if !w.request.active {
 		return
@@ -135,7 +134,7 @@
 		return
 	}
 	if g.checksRetention && w.request.since < w.retained {
-		step(func(n *readWorld) { n.request = request{} }) // refused: it reads directly
+		step(func(n *readWorld) { n.request = request{} }) // rejected; the controller reads directly
 		return
 	}
 	step(func(n *readWorld) {
@@ -145,9 +144,8 @@
 	})
 }
 
-// However the log grows and requests, reads and responses are ordered, no user gets less
-// than what was durable at the request, and no change is missed; and without any of the
-// guards one of these happens.
+// In every interleaving no user gets less than what was durable at the request and no change is missed.
+// Without any one of the guards, the model finds a violation.
 func TestEveryInterleavingOfARelayedRead(t *testing.T) {
 	all := readGuards{true, true, true}
 	first := readWorld{returned: -1, request: request{readRevision: -1}}
@@ -157,20 +155,20 @@
 	states, wrong := search(all)
 	t.Logf("%d states", states)
 	if wrong {
-		t.Error("a user is told something older, or a change is missed")
+		t.Error("a user received an outdated result, or a change was missed")
 	}
 	if states < 10_000 {
-		t.Errorf("%d states: the model does not move", states)
+		t.Errorf("%d states: the model explores too little", states)
 	}
 	for what, without := range map[string]func(*readGuards){
-		"reading after the question":   func(g *readGuards) { g.readsAfterRequest = false },
-		"a log that reaches back":      func(g *readGuards) { g.checksRetention = false },
-		"the question that it answers": func(g *readGuards) { g.matchesRequest = false },
+		"reading after the request":         func(g *readGuards) { g.readsAfterRequest = false },
+		"checking the retained log":         func(g *readGuards) { g.checksRetention = false },
+		"matching responses to the request": func(g *readGuards) { g.matchesRequest = false },
 	} {
 		g := all
 		without(&g)
 		if _, wrong := search(g); !wrong {
-			t.Errorf("without %s nothing goes wrong: the model does not see it", what)
+			t.Errorf("without %s the model finds no violation", what)
 		}
 	}
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,8 +1,8 @@
-// Package relay owns which controllers read the log of the key-value store for the others, and the
-// changes that they pass on. Controllers beyond a number that follows from the key-value store's
-// request limit read through a relay, so that a read does not slow down with each controller that is
-// added. It does no input or output; docs/relays.md explains why nothing that is read through a relay
-// can be older than what a direct read would return.
+// Package relay selects the controllers that read the log of the key-value store for others (relays), and
+// stores the changes that they forward. If there are more controllers than the store's limit on requests
+// allows to read directly, the others read through a relay, so that read latency does not grow with the
+// number of controllers. The package does no input or output. docs/relays.md explains why reads through a
+// relay are linearizable.
 package relay
 
 import (
@@ -15,17 +15,17 @@
 	"basaltwall/api"
 )
 
-// ReadInterval is the time between two reads of a relay, and so about the delay that it adds.
+// ReadInterval is the time between two reads of a relay, and approximately the latency that a relay adds.
 const ReadInterval = 100 * time.Millisecond
 
-// readShare is the share of the key-value store's request limit that reads of the log may use.
+// readShare is the fraction of the key-value store's limit on requests that reads of the log may use.
 const readShare = 1.0 / 3
 
-// minReaders is how many controllers read for themselves whatever the limit: two may fail at once and
-// one still reads.
+// minReaders is the minimum number of controllers that read directly, so that one still reads after two
+// failures.
 const minReaders = 3
 
-// MaxRelays is how many relays the key-value store's limit on requests allows.
+// MaxRelays returns the number of relays that the key-value store's limit on requests allows.
 func MaxRelays(requestsPerSecond float64) int {
 	return max(minReaders, int(requestsPerSecond*readShare*ReadInterval.Seconds()))
 }
@@ -36,28 +36,29 @@
 	Zone api.Zone
 }
 
-// weight is the weight of a member for a purpose. The highest wins (rendezvous hashing), so that the
-// failure or return of one member moves nothing but what was its own.
-func weight(purpose, label api.ControllerID) uint64 {
+// weight returns the rendezvous hash of a member for a key. The member with the highest weight is
+// selected, so that the failure or return of a member does not change the selection of others.
+func weight(key, member api.ControllerID) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(purpose))
+	h.Write([]byte(key))
 	h.Write([]byte{0})
-	h.Write([]byte(label))
-	// FNV's low bits are spread better than its high ones, which decide here.
+	h.Write([]byte(member))
+	// The byte order is reversed because FNV's low bits are distributed better than its high bits,
+	// which decide the comparison.
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], h.Sum64())
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// byWeight orders members by weight for a purpose, highest first.
-func byWeight(purpose api.ControllerID, members []Member) []Member {
+// byWeight returns the members ordered by weight for a key, highest first.
+func byWeight(key api.ControllerID, members []Member) []Member {
 	return slices.SortedFunc(slices.Values(members), func(a, b Member) int {
-		return cmp.Or(cmp.Compare(weight(purpose, b.ID), weight(purpose, a.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(weight(key, b.ID), weight(key, a.ID)), cmp.Compare(a.ID, b.ID))
 	})
 }
 
-// Select chooses the relays among the live members: at most limit, over as many zones as
-// possible. All controllers that see the same members choose the same.
+// Select selects at most limit relays among the live members, in as many zones as possible. Controllers
+// with the same view of the members select the same relays.
 func Select(members []Member, limit int) []Member {
 	rest := byWeight("", members)
 	if len(rest) <= limit {
@@ -67,7 +68,7 @@
 	for len(out) < limit {
 		usedZones := map[api.Zone]bool{}
 		var remaining []Member
-		for _, m := range rest { // one of each zone, then again
+		for _, m := range rest { // selects one member per zone in each pass
 			if len(out) < limit && !usedZones[m.Zone] {
 				usedZones[m.Zone] = true
 				out = append(out, m)
@@ -85,7 +86,7 @@
 	return slices.ContainsFunc(members, func(m Member) bool { return m.ID == id })
 }
 
-// PreferenceOrder is the order in which a controller tries the relays: those of its own zone first.
+// PreferenceOrder returns the relays in a controller's order of preference, those of its own zone first.
 func PreferenceOrder(member Member, relays []Member) []api.ControllerID {
 	var out []api.ControllerID
 	for _, same := range []bool{true, false} {
@@ -98,16 +99,16 @@
 	return out
 }
 
-// Selector chooses the relay that a controller reads through; a relay that fails is skipped for a
-// while. The zero value is ready to use.
+// Selector selects the relay that a controller reads through, and skips relays that failed recently. The
+// zero value is ready to use.
 type Selector struct {
 	backoffUntil map[api.ControllerID]api.Time
 }
 
-// failureBackoff is for how long a relay that failed is skipped.
+// failureBackoff is the time for which a relay is skipped after a failure.
 const failureBackoff = 5 * time.Second
 
-// MarkFailed notes that a relay timed out, refused, or gave an invalid response.
+// MarkFailed records that a relay timed out, rejected a request or sent an invalid response.
 func (s *Selector) MarkFailed(relay api.ControllerID, now api.Time) {
 	if s.backoffUntil == nil {
 		s.backoffUntil = map[api.ControllerID]api.Time{}
@@ -115,7 +116,7 @@
 	s.backoffUntil[relay] = now.Add(failureBackoff)
 }
 
-// Next is the first relay of the order that has not failed recently; false if all have.
+// Next returns the first relay in the given order that has not failed recently; false if all have.
 func (s *Selector) Next(order []api.ControllerID, now api.Time) (api.ControllerID, bool) {
 	for _, r := range order {
 		if s.backoffUntil[r] <= now {
