--- a/clusterstate/checkpoint.go
+++ b/clusterstate/checkpoint.go
@@ -1,4 +1,4 @@
-// Checkpoints: a partition's whole state in a few values.
+// Checkpoints: the whole state of a partition, stored in a few keys.
 
 package clusterstate
 
@@ -14,7 +14,7 @@
 	"basaltwall/api"
 )
 
-// Checkpoint is a partition's whole state as a record, in an order that depends on the state alone.
+// Checkpoint returns a partition's whole state as a record. The order of its entries is deterministic.
 func (s *State[J, P]) Checkpoint(partition api.PartitionID) Record {
 	c := Record{Seq: s.Partitions[partition].RoundSeq, Revision: s.Revision}
 	for _, jobID := range slices.Sorted(maps.Keys(s.Jobs)) {
@@ -44,8 +44,8 @@
 	return c
 }
 
-// CheckpointWrites are the writes of a partition's checkpoint, none larger than maxBytes; the last
-// one, the head, makes the chunks before it valid.
+// CheckpointWrites returns the writes of a partition's checkpoint, each with a value of at most maxBytes.
+// The last write is the head, which makes the chunks before it valid.
 func (s *State[J, P]) CheckpointWrites(partition api.PartitionID, maxBytes int) ([]api.Write, error) {
 	c := s.Checkpoint(partition)
 	blob, err := encodeCheckpoint(c)
@@ -72,32 +72,32 @@
 	return append(writes, api.Write{Put: PartitionKey(KeyCheckpointHead, partition), Value: v}), nil
 }
 
-// encodeCheckpoint compresses a checkpoint: it names the same jobs and machines over and
-// over, and the key-value store limits writes.
+// encodeCheckpoint encodes and compresses a checkpoint, since the key-value store limits writes and IDs of
+// jobs and machines occur many times.
 func encodeCheckpoint(c Record) ([]byte, error) {
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
-		return nil, fmt.Errorf("packing: %w", err)
+		return nil, fmt.Errorf("encoding checkpoint: %w", err)
 	}
 	if err := json.NewEncoder(w).Encode(c); err != nil {
-		return nil, fmt.Errorf("packing: %w", err)
+		return nil, fmt.Errorf("encoding checkpoint: %w", err)
 	}
 	if err := w.Close(); err != nil {
-		return nil, fmt.Errorf("packing: %w", err)
+		return nil, fmt.Errorf("encoding checkpoint: %w", err)
 	}
 	return buf.Bytes(), nil
 }
 
-// decodeCheckpoint reverses encodeCheckpoint.
+// decodeCheckpoint decodes the result of encodeCheckpoint.
 func decodeCheckpoint(blob []byte) (Record, error) {
 	var c Record
 	text, err := io.ReadAll(flate.NewReader(bytes.NewReader(blob)))
 	if err != nil {
-		return c, fmt.Errorf("unpacking: %w", err)
+		return c, fmt.Errorf("decompressing: %w", err)
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
-		return c, fmt.Errorf("unpacking: %w", err)
+		return c, fmt.Errorf("decoding: %w", err)
 	}
 	return c, nil
 }
--- a/clusterstate/errors.go
+++ b/clusterstate/errors.go
@@ -1,4 +1,4 @@
-// Errors of records that can't be applied.
+// Errors returned for records that can't be applied.
 
 package clusterstate
 
@@ -9,22 +9,22 @@
 	"basaltwall/api"
 )
 
-// Sentinel errors of a record that can't be applied; the returned error names the key, and the field
-// or value at fault.
+// Sentinel errors of records that can't be applied. The errors that wrap them contain the key and the
+// invalid field or value.
 var (
-	// ErrNoSuchPartition is returned for a record of a partition that the cluster does not have.
+	// ErrNoSuchPartition is returned for a record of a partition that does not exist.
 	ErrNoSuchPartition = errors.New("no such partition")
-	// ErrNoJobSpec is returned for a job's record without the job's specification.
+	// ErrNoJobSpec is returned for a job record without a specification.
 	ErrNoJobSpec = errors.New("job record without a specification")
 )
 
-// RoundGapError is the error of a partition whose rounds after its checkpoint have a gap.
+// RoundGapError is returned if the rounds after a partition's checkpoint have a gap.
 type RoundGapError struct {
 	Partition api.PartitionID
-	Seq       uint64 // the round found
-	Latest    uint64 // the round before it
+	Seq       uint64 // sequence number of the round after the gap
+	Latest    uint64 // sequence number of the round before the gap
 }
 
 func (e *RoundGapError) Error() string {
-	return fmt.Sprintf("part %d: round %d follows %d", e.Partition, e.Seq, e.Latest)
+	return fmt.Sprintf("partition %d: rounds missing: round %d follows round %d", e.Partition, e.Seq, e.Latest)
 }
--- a/clusterstate/golden_test.go
+++ b/clusterstate/golden_test.go
@@ -10,17 +10,17 @@
 	"basaltwall/internal/golden"
 )
 
-type goldenBook = State[struct{}, struct{}]
+type goldenState = State[struct{}, struct{}]
 
-// put applies what an earlier version wrote.
-func put(t *testing.T, b *goldenBook, key string, value []byte, version api.Revision) {
+// put applies a key's value to a state.
+func put(t *testing.T, b *goldenState, key string, value []byte, version api.Revision) {
 	t.Helper()
 	if err := b.Put(key, value, version); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Keys and values as earlier versions wrote them, applied as they applied them.
+// Keys and values stored by earlier versions are still decoded and applied correctly.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	f.Text("keys", strings.Join([]string{Root, KeyMember, KeyPartition, KeyCheckpointHead, KeyCheckpointChunk, KeyRound, KeyJob, KeyLoan, KeyJobResult,
@@ -28,14 +28,14 @@
 	b := New[struct{}, struct{}](4)
 
 	member := golden.Filled[MemberValue](t)
-	put(t, b, "b/member/stone-1", golden.JSON(f, "member", member), 5)
-	golden.Same(t, "member", b.Members["stone-1"], member)
+	put(t, b, "b/member/controller-1", golden.JSON(f, "member", member), 5)
+	golden.Same(t, "member", b.Members["controller-1"], member)
 	golden.JSON(f, "empty member", MemberValue{})
 
 	partition := golden.Filled[PartitionValue](t)
 	put(t, b, "b/part/2", golden.JSON(f, "part", partition), 6)
 	if p := b.Partitions[2]; p.Owner != partition.Owner || p.Term != 6 {
-		t.Errorf("part: %+v", p)
+		t.Errorf("partition: %+v", p)
 	}
 
 	head := golden.Filled[CheckpointHeadValue](t)
@@ -59,19 +59,19 @@
 	b.Partitions[2].RoundSeq = round.Seq - 1
 	put(t, b, "b/round/2/2", golden.JSON(f, "round", round), 11)
 	if b.Partitions[2].RoundSeq != round.Seq {
-		t.Errorf("round %d is the latest, expected %d", b.Partitions[2].RoundSeq, round.Seq)
+		t.Errorf("latest round is %d, expected %d", b.Partitions[2].RoundSeq, round.Seq)
 	}
-	for _, g := range round.QuotaTransfers {
-		golden.Same(t, "gift", b.Partitions[2].quotaTransferred[g.To][g.Team], g.Amount)
+	for _, transfer := range round.QuotaTransfers {
+		golden.Same(t, "quota transfer", b.Partitions[2].quotaTransferred[transfer.To][transfer.Team], transfer.Amount)
 	}
-	for _, k := range round.Reservations {
-		golden.Same(t, "keep", b.Partitions[2].Reservations[k.Machine], k)
+	for _, reservation := range round.Reservations {
+		golden.Same(t, "reservation", b.Partitions[2].Reservations[reservation.Machine], reservation)
 	}
 	golden.JSON(f, "empty round", Record{Jobs: []JobDelta{{Starts: []TaskStart{{}}}}, QuotaTransfers: []QuotaTransfer{{}}, Reservations: []Reservation{{}}})
 }
 
-// The tasks of a job start, complete and fail in rounds that an earlier version wrote, and in a
-// checkpoint of them: both when applied and when loaded, they are what they were.
+// Rounds and checkpoints stored by earlier versions, with starts, completions and failures of tasks,
+// result in the same state, both when applied one by one and when loaded.
 func TestGoldenFold(t *testing.T) {
 	const job = `{"s":{"ref":"run-7","mestiere":"render","bottega":"red","forma":"sweep","urgenza":"normal","pezzi":70,"cores":1,"gpus":0,"ram_gb":1,` +
 		`"stampo":"x","image_gb":1,"stima_s":5},"p":[[0,40,0],[40,70,1]],"t":1000}`
@@ -90,9 +90,9 @@
 	want := Record{Seq: 3, Revision: 8, Jobs: []JobDelta{{Job: "run-7", CancellationAcknowledged: true, CompletedBits: []byte{1, 0, 0, 0, 128},
 		Starts: []TaskStart{{Task: 1, Machine: "i-1", Epoch: 11, Attempt: 3}, {Task: 3, Machine: "i-1", Epoch: 11, Attempt: 5}}}},
 		QuotaTransfers: []QuotaTransfer{{To: 1, Team: "red", Amount: api.Resources{CPU: 2e6, GPU: 3e6, Mem: 4e6}}}, Reservations: []Reservation{{Machine: "i-3", Job: "run-7", Since: 1500}}}
-	golden.Same(t, "folded", b.Checkpoint(0), want)
+	golden.Same(t, "state after the rounds", b.Checkpoint(0), want)
 	if j := b.Jobs["run-7"]; j.RetryCount != 1 || !j.Completed.Has(39) || j.Completed.Has(2) {
-		t.Errorf("%d starts ended otherwise, done %v", j.RetryCount, j.Completed)
+		t.Errorf("%d retries, completed tasks %v", j.RetryCount, j.Completed)
 	}
 
 	writes, err := b.CheckpointWrites(0, 80)
@@ -103,21 +103,21 @@
 	for _, w := range writes {
 		lines = append(lines, w.Put+" "+string(w.Value))
 	}
-	// The compression of a checkpoint may change, as long as it can be read.
+	// The compressed bytes of a checkpoint may differ between versions, but both must be readable.
 	f := golden.Open(t)
-	today := strings.Join(lines, "\n")
-	for what, pieces := range map[string]string{"checkpoint": f.Section("checkpoint", today), "checkpoint of today": today} {
+	current := strings.Join(lines, "\n")
+	for what, stored := range map[string]string{"checkpoint": f.Section("checkpoint", current), "checkpoint of this version": current} {
 		n := New[struct{}, struct{}](2)
 		n.BeginLoad()
 		put(t, n, "b/job/run-7", []byte(job), 5)
 		count := 0
-		for l := range strings.Lines(pieces) {
-			key, value, _ := strings.Cut(strings.TrimSpace(l), " ")
+		for line := range strings.Lines(stored) {
+			key, value, _ := strings.Cut(strings.TrimSpace(line), " ")
 			put(t, n, key, json.RawMessage(value), 9)
 			count++
 		}
 		if count < 3 {
-			t.Errorf("%s: only %d keys", what, count)
+			t.Errorf("%s: %d keys, expected at least 3", what, count)
 		}
 		if err := n.FinishLoad(); err != nil {
 			t.Fatalf("%s: %v", what, err)
--- a/clusterstate/job.go
+++ b/clusterstate/job.go
@@ -1,4 +1,4 @@
-// Jobs: their records, the state that users see, and the indexes by what is left to do.
+// Jobs: their records, their states as shown to users, and indexes of jobs by state.
 
 package clusterstate
 
@@ -8,7 +8,8 @@
 	"basaltwall/api"
 )
 
-// Job is an accepted job that is not yet archived. J is what owners of partitions track of it.
+// Job is an accepted job that is not yet archived. J is the type of the state that owners of partitions
+// track without recording it.
 type Job[J, P any] struct {
 	JobValue
 	ID              api.JobID
@@ -16,22 +17,21 @@
 	Version         api.Revision
 	Completed       TaskSet
 	CompletedCount  int
-	Placements      map[int]*Placement[J, P] // by task
+	Placements      map[int]*Placement[J, P] // by task index
 	PlacementCounts map[api.PartitionID]int  // number of placements by partition
-	FinishingCount  int                      // placements whose end is known but not yet recorded
-	RetryCount      int                      // starts that ended otherwise than by completing, since this process knows the job
+	FinishingCount  int                      // number of placements whose end is known but not yet recorded
+	RetryCount      int                      // number of starts, seen by this process, that ended without completion
 	OwnerState      J
 
 	completedBy              map[api.PartitionID]*TaskSet
-	liveCount                int                      // placements that are not finishing
-	transferredCount         int                      // placements in another partition than the one that starts the task
-	cancellationAcknowledged map[api.PartitionID]bool // partitions whose owner has recorded that it stops the job's tasks
+	liveCount                int                      // number of placements that are not finishing
+	transferredCount         int                      // number of placements outside the partition that starts their task
+	cancellationAcknowledged map[api.PartitionID]bool // partitions whose owner has acknowledged the job's cancellation
 }
 
-// State is the job's state as users see it. A job all of whose tasks are completed is done even
-// when a cancellation is recorded too: no completion is recorded after a cancellation, so the
-// completion came first. A cancellation does not show before every owner that could keep its
-// tasks alive has acknowledged it, see CancellationConfirmed.
+// State returns the job's state as shown to users. A job with all tasks completed is done even if a
+// cancellation is recorded too, since no completion is recorded after a cancellation. A cancellation
+// shows only once it is confirmed, see CancellationConfirmed.
 func (j *Job[J, P]) State() api.JobState {
 	switch {
 	case j.CompletedCount >= j.Spec.Tasks:
@@ -44,11 +44,10 @@
 	return api.JobPending
 }
 
-// CancellationConfirmed reports whether users may see a recorded cancellation: the owner of
-// each partition that holds placements of the job has recorded that it knows of the cancellation
-// and alone commands their machines. No placement is added after a cancellation, and both the
-// placements and the acknowledgements are replicated, so once this holds for one controller it
-// holds for every one that reads later.
+// CancellationConfirmed reports whether a recorded cancellation may be shown to users: the owner of each
+// partition with placements of the job has acknowledged it. No placement is added after a cancellation,
+// and placements and acknowledgements are replicated, so a confirmation holds for all later reads of any
+// controller.
 func (j *Job[J, P]) CancellationConfirmed() bool {
 	for partition, count := range j.PlacementCounts {
 		if count > 0 && !j.cancellationAcknowledged[partition] {
@@ -58,22 +57,23 @@
 	return true
 }
 
-// CancellationAcknowledged reports whether a partition's owner has recorded that it knows of the job's cancellation.
+// CancellationAcknowledged reports whether a partition's owner has acknowledged the job's cancellation.
 func (j *Job[J, P]) CancellationAcknowledged(partition api.PartitionID) bool {
 	return j.cancellationAcknowledged[partition]
 }
 
-// Terminal reports whether the job is completed or cancelled, for planning; users see State.
+// Terminal reports whether the job is completed or its cancellation is recorded. It is for scheduling;
+// State is for users.
 func (j *Job[J, P]) Terminal() bool { return j.CompletedCount >= j.Spec.Tasks || j.Cancelled }
 
-// HasPendingTasks reports whether some task of the job is neither completed nor placed; finishing
+// HasPendingTasks reports whether the job has tasks that are neither completed nor placed. Finishing
 // placements do not count as placed.
 func (j *Job[J, P]) HasPendingTasks() bool {
 	return j.CompletedCount+len(j.Placements)-j.FinishingCount < j.Spec.Tasks
 }
 
-// PendingTasks counts the job's tasks in a partition that are neither completed nor placed. It
-// does not look at each task: a job may have 100,000.
+// PendingTasks returns the number of the job's tasks in a partition that are neither completed nor
+// placed. It is fast for very large jobs, since it does not visit each task.
 func (j *Job[J, P]) PendingTasks(partition api.PartitionID) int {
 	if j.CompletedCount+len(j.Placements) >= j.Spec.Tasks {
 		return 0
@@ -87,7 +87,7 @@
 	return max(0, c-j.PlacementCounts[partition]+j.transferAdjustment(partition))
 }
 
-// markCompleted records that a partition completed a task; an invalid index is ignored.
+// markCompleted records the completion of a task in a partition; an invalid index is ignored.
 func (j *Job[J, P]) markCompleted(partition api.PartitionID, i int) {
 	if i < 0 || i >= j.Spec.Tasks {
 		return
@@ -101,10 +101,10 @@
 	}
 }
 
-// maxJobResults bounds the results of archived jobs that are remembered.
+// maxJobResults is the maximum number of archived jobs in State.JobResults.
 const maxJobResults = 50_000
 
-// putJob applies the key of a job.
+// putJob applies the value of a job's key.
 func (s *State[J, P]) putJob(name string, value json.RawMessage, version api.Revision) error {
 	var v JobValue
 	if err := json.Unmarshal(value, &v); err != nil {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// deleteJob applies the deletion of a job that was archived.
+// deleteJob applies the deletion of an archived job's key.
 func (s *State[J, P]) deleteJob(name string) {
 	jobID := api.JobID(name)
 	j := s.Jobs[jobID]
@@ -160,11 +160,10 @@
 	delete(s.CancellingJobs, jobID)
 }
 
-// LiveCount is how many of the job's placements are not finishing.
+// LiveCount returns the number of the job's placements that are not finishing.
 func (j *Job[J, P]) LiveCount() int { return j.liveCount }
 
-// reindex updates the sets of jobs by what is left to do for them, so that no round looks at the
-// many jobs that need nothing.
+// reindex updates a job's membership in PendingJobs, FinishedJobs and CancellingJobs.
 func (s *State[J, P]) reindex(j *Job[J, P]) {
 	delete(s.PendingJobs, j.ID)
 	delete(s.FinishedJobs, j.ID)
@@ -179,7 +178,7 @@
 	}
 }
 
-// SetJobResult remembers the result of a job that is archived, for the latest maxJobResults jobs.
+// SetJobResult stores the result of an archived job. Only the latest maxJobResults are retained.
 func (s *State[J, P]) SetJobResult(jobID api.JobID, state api.JobState) {
 	if _, known := s.JobResults[jobID]; !known {
 		s.resultOrder = append(s.resultOrder, jobID)
--- a/clusterstate/keys.go
+++ b/clusterstate/keys.go
@@ -1,4 +1,4 @@
-// Keys: under which key of the key-value store each kind of record is stored.
+// Keys of the records in the key-value store.
 
 package clusterstate
 
@@ -11,8 +11,8 @@
 	"basaltwall/api"
 )
 
-// Keys in the key-value store. Controllers follow all keys under Root; the results of
-// finished jobs lie outside, so that what a restart reads stays bounded.
+// Keys in the key-value store. Controllers follow all keys under Root. Results of finished jobs are
+// stored outside of it, so that the state loaded at a restart stays bounded.
 const (
 	Root               = "b/"
 	KeyMember          = Root + "member/"
@@ -25,45 +25,42 @@
 	KeyJobResult       = "final/"
 )
 
-// RingSize is how many round records a partition keeps before their keys are reused;
-// a checkpoint must have covered a record by then. A checkpoint grows with
-// the running tasks, a record with those that start or end, so checkpoints must
-// be much rarer than rounds, or they would use up the write limit; a restart reads
-// a hundred records or so.
+// RingSize is the number of round records of a partition before their keys are reused. A checkpoint must
+// cover a record by then. Checkpoints are large, so a larger ring saves writes, but a load reads more
+// records.
 const RingSize = 128
 
-// PartitionKey is the key of a partition under a prefix.
+// PartitionKey returns the key of a partition under a prefix.
 func PartitionKey(prefix string, partition api.PartitionID) string {
 	return prefix + strconv.Itoa(int(partition))
 }
 
-// RoundKey is the key of the record of a partition's round in its ring.
+// RoundKey returns the key of a partition's round. Keys are reused after RingSize rounds.
 func RoundKey(partition api.PartitionID, seq uint64) string {
 	return fmt.Sprintf("%s%d/%d", KeyRound, partition, seq%RingSize)
 }
 
-// checkpointGenerations is how many checkpoints of a partition are stored.
+// checkpointGenerations is the number of checkpoints stored for each partition.
 const checkpointGenerations = 2
 
-// CheckpointChunkKey is the key of a chunk of a partition's checkpoint. Two generations alternate, so that
-// a checkpoint being written never overwrites the current one.
+// CheckpointChunkKey returns the key of a chunk of a partition's checkpoint. Generations alternate, so
+// that a new checkpoint never overwrites the current one.
 func CheckpointChunkKey(partition api.PartitionID, gen uint64, i int) string {
 	return fmt.Sprintf("%s%d/%d/%d", KeyCheckpointChunk, partition, gen%checkpointGenerations, i)
 }
 
-// RecordKind is a kind of durable record: all keys with a prefix that ends with a slash, or the key
-// that is the prefix. The value of a key is the record's whole state, so checkpoints need not contain
-// it, and a restart reads it from its keys. A write is conditional on VersionCondition, and on the key
-// of the partition or member that is entitled to write.
+// RecordKind is a kind of durable record: all keys with a prefix that ends in a slash, or the single key
+// equal to the prefix. Each key stores the whole record, so checkpoints do not contain it. A write must be
+// conditional on VersionCondition and on the key of the partition or member that may write the record.
 type RecordKind struct {
 	Prefix string
-	// Put applies a value; name is what follows the prefix. On error everything stays as it was.
+	// Put applies a value; name is the key without the prefix. On error it changes nothing.
 	Put func(name string, value json.RawMessage, ver api.Revision) error
-	// Delete applies a deletion; nil if nothing is kept of the key.
+	// Delete applies a deletion; nil if deletions have no effect.
 	Delete func(name string)
 }
 
-// SingleKey is the kind of a single key whose value is decoded into target.
+// SingleKey returns the record kind of a single key whose value is decoded into target.
 func SingleKey[T any](key string, target *T) RecordKind {
 	return RecordKind{Prefix: key, Put: func(_ string, value json.RawMessage, _ api.Revision) error {
 		var v T
@@ -75,7 +72,7 @@
 	}}
 }
 
-// parsePartition parses the number of a partition from what follows a prefix. The error wraps
+// parsePartition parses the partition number at the start of a key without its prefix. The error wraps
 // ErrNoSuchPartition.
 func parsePartition(name string, partitions int) (api.PartitionID, error) {
 	num, _, _ := strings.Cut(name, "/")
--- a/clusterstate/load.go
+++ b/clusterstate/load.go
@@ -1,4 +1,4 @@
-// Loading: applying all keys anew, from checkpoints and the rounds after them.
+// Loading of the whole state from checkpoints, the rounds after them and all other keys.
 
 package clusterstate
 
@@ -12,12 +12,13 @@
 	"basaltwall/api"
 )
 
-// BeginLoad begins loading: until FinishLoad, values are only collected, since the rounds of a
-// partition can't be applied before its checkpoint.
+// BeginLoad begins a load. Until FinishLoad, Put only collects values, since the rounds of a partition
+// can't be applied before its checkpoint.
 func (s *State[J, P]) BeginLoad() { s.rawValues = map[string]json.RawMessage{} }
 
-// FinishLoad applies the collected values: first all that do not depend on others, then each
-// partition's checkpoint and the rounds after it. After an error the state must be loaded anew.
+// FinishLoad applies the collected values: first those that do not depend on others, then each
+// partition's checkpoint and the rounds after it. After an error the load must be repeated from the
+// beginning.
 func (s *State[J, P]) FinishLoad() error {
 	raw := s.rawValues
 	s.rawValues = nil
@@ -48,13 +49,13 @@
 	return nil
 }
 
-// loadedRound is a round with the revision at which it was written.
+// loadedRound is a round and the revision at which it was written.
 type loadedRound struct {
 	Record
 	revision api.Revision
 }
 
-// decodeRound decodes the record of a round; name is its key without the prefix.
+// decodeRound decodes a round; name is its key without the prefix.
 func (s *State[J, P]) decodeRound(name string, value json.RawMessage, revision api.Revision) (api.PartitionID, loadedRound, error) {
 	partition, err := parsePartition(name, len(s.Partitions))
 	if err != nil {
@@ -67,7 +68,7 @@
 	return partition, r, nil
 }
 
-// readCheckpoint assembles a partition's checkpoint from its chunks; empty if there is none.
+// readCheckpoint decodes a partition's checkpoint from its chunks; it is empty if there is none.
 func (s *State[J, P]) readCheckpoint(partition api.PartitionID, raw map[string]json.RawMessage) (Record, error) {
 	head := s.Partitions[partition].CheckpointHead
 	if head.Chunks == 0 {
@@ -77,23 +78,23 @@
 	for k := range head.Chunks {
 		var chunk []byte
 		if err := json.Unmarshal(raw[CheckpointChunkKey(partition, head.Generation, k)], &chunk); err != nil {
-			return Record{}, fmt.Errorf("checkpoint of part %d, piece %d: %w", partition, k, err)
+			return Record{}, fmt.Errorf("checkpoint of partition %d, chunk %d: %w", partition, k, err)
 		}
 		blob = append(blob, chunk...)
 	}
 	c, err := decodeCheckpoint(blob)
 	if err != nil {
-		return Record{}, fmt.Errorf("checkpoint of part %d: %w", partition, err)
+		return Record{}, fmt.Errorf("checkpoint of partition %d: %w", partition, err)
 	}
 	return c, nil
 }
 
-// restorePartition applies a partition's checkpoint and, in the order of their revisions, the rounds
-// after it and the transfers of machines with their tasks to it. The error is a *RoundGapError.
+// restorePartition applies a partition's checkpoint and then, ordered by revision, the rounds after it and
+// the transfers of machines with tasks to the partition. The error is a *RoundGapError.
 func (s *State[J, P]) restorePartition(partition api.PartitionID, c Record, rounds []loadedRound) error {
 	ps := &s.Partitions[partition]
 	ps.RoundSeq = c.Seq
-	s.applyDeltas(partition, c.Seq, c.Jobs, max(c.Revision, 1)) // without a revision it is from before all transfers
+	s.applyDeltas(partition, c.Seq, c.Jobs, max(c.Revision, 1)) // a checkpoint without a revision precedes all transfers
 	s.addQuotaTransfers(partition, c.QuotaTransfers)
 	s.applyReservations(partition, c.Reservations)
 	incoming := s.incomingTransfers(partition, c.Revision)
--- a/clusterstate/loan.go
+++ b/clusterstate/loan.go
@@ -1,4 +1,4 @@
-// Loans of machines to other partitions, with and without the tasks that run there.
+// Loans of machines to other partitions, with or without their running tasks.
 
 package clusterstate
 
@@ -14,33 +14,31 @@
 	"basaltwall/api"
 )
 
-// A loan of a machine with running tasks transfers them: from the loan's revision on they are
-// placements of the borrowing partition, whose owner alone records their ends.
+// A loan of a machine with running tasks transfers their placements to the borrowing partition at the
+// loan's revision. From then on only that partition's owner records their ends.
 //
-// A controller that follows the log transfers the placements when it applies the loan. One that loads
-// the state finds only the machine's latest loan, and checkpoints that may be older. So a loan lists
-// all tasks that the machine has at its revision, and starts on the machine in older checkpoints and
-// rounds are ignored.
+// A controller that follows the log transfers the placements when it applies the loan. A controller that
+// loads the state finds only the machine's latest loan, and possibly older checkpoints. So a loan lists
+// all tasks on the machine at its revision, and older starts on the machine are ignored.
 
-// LoanValue is the value of the key of a machine that is on loan to another partition.
+// LoanValue is the stored value of a loan of a machine to another partition.
 type LoanValue struct {
 	Partition api.PartitionID
 	Job       api.JobID
-	// Transferred says that this loan of the machine or an earlier one transferred tasks. Then
-	// Tasks are all placements on the machine at this revision.
+	// Transferred is set if this loan of the machine or an earlier one transferred tasks. Tasks then
+	// lists all placements on the machine at this revision.
 	Transferred bool
 	Tasks       []JobDelta
 }
 
-// Loan is a machine that is on loan to another partition.
+// Loan is a loan of a machine to another partition, with the revision of its key.
 type Loan struct {
 	LoanValue
 	Revision api.Revision
 }
 
-// loanJSON is a loan as stored. Once tasks were transferred, the partition is a string: a process
-// of a version without transfers then refuses the state rather than command a machine by a record
-// that it misreads.
+// loanJSON is the stored form of a loan. If tasks were transferred, the partition is stored as a string,
+// so that versions without support for transfers fail to load the state instead of misinterpreting it.
 type loanJSON struct {
 	Partition   json.RawMessage `json:"part"`
 	Job         api.JobID       `json:"for,omitempty"`
@@ -48,7 +46,7 @@
 	Tasks       []JobDelta      `json:"tasks,omitempty"`
 }
 
-// MarshalJSON writes a loan, see loanJSON.
+// MarshalJSON encodes a loan, see loanJSON.
 func (v LoanValue) MarshalJSON() ([]byte, error) {
 	partition := strconv.Itoa(int(v.Partition))
 	if v.Transferred {
@@ -57,7 +55,7 @@
 	return json.Marshal(loanJSON{Partition: json.RawMessage(partition), Job: v.Job, Transferred: v.Transferred, Tasks: v.Tasks})
 }
 
-// UnmarshalJSON reads a loan, see loanJSON.
+// UnmarshalJSON decodes a loan, see loanJSON.
 func (v *LoanValue) UnmarshalJSON(data []byte) error {
 	var w loanJSON
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -65,25 +63,25 @@
 	}
 	partition, err := strconv.Atoi(strings.Trim(string(w.Partition), `"`))
 	if err != nil {
-		return fmt.Errorf("part: %s: %w", w.Partition, ErrNoSuchPartition)
+		return fmt.Errorf("partition %s: %w", w.Partition, ErrNoSuchPartition)
 	}
 	*v = LoanValue{Partition: api.PartitionID(partition), Job: w.Job, Transferred: w.Transferred, Tasks: w.Tasks}
 	return nil
 }
 
-// putLoan applies the key of a loan, and the transfer of the tasks on its machine.
+// putLoan applies the value of a loan's key and transfers the placements on the machine.
 func (s *State[J, P]) putLoan(name string, value json.RawMessage, version api.Revision) error {
 	var v LoanValue
 	if err := json.Unmarshal(value, &v); err != nil {
 		return err
 	}
 	if v.Partition < 0 || int(v.Partition) >= len(s.Partitions) {
-		return fmt.Errorf("part: %d: %w", v.Partition, ErrNoSuchPartition)
+		return fmt.Errorf("partition %d: %w", v.Partition, ErrNoSuchPartition)
 	}
 	id := api.MachineID(name)
 	s.Loans[id] = Loan{LoanValue: v, Revision: version}
 	s.LoanGeneration++
-	if v.Transferred { // while loading no placement is applied yet, see restorePartition
+	if v.Transferred { // during a load there are no placements yet, see restorePartition
 		for _, p := range slices.Clone(s.PlacementsOn(id)) {
 			s.transfer(p, v.Partition)
 		}
@@ -97,8 +95,8 @@
 	s.LoanGeneration++
 }
 
-// transfer moves a placement to another partition. What the former owner tracked of it without
-// recording it is dropped: the new owner learns it from the machine's heartbeats.
+// transfer moves a placement to another partition and clears its OwnerState, which the new owner restores
+// from the machine's heartbeats.
 func (s *State[J, P]) transfer(p *Placement[J, P], to api.PartitionID) {
 	if p.Partition == to {
 		return
@@ -113,7 +111,7 @@
 	s.countPlacement(p, 1)
 }
 
-// countPlacement adds a placement to its partition's counts (n is 1) or removes it (-1).
+// countPlacement adds a placement to its partition's counts (n is 1) or removes it from them (n is -1).
 func (s *State[J, P]) countPlacement(p *Placement[J, P], n int) {
 	p.Job.PlacementCounts[p.Partition] += n
 	if n > 0 {
@@ -132,9 +130,9 @@
 	}
 }
 
-// transferAdjustment corrects a partition's number of pending tasks, as computed from its placement
-// count, for transfers: the count includes placements that were transferred to the partition, and lacks
-// those of its own tasks that were transferred away.
+// transferAdjustment returns the correction for transfers to a partition's number of pending tasks. The
+// placement count includes placements transferred to the partition, and lacks those of its own tasks that
+// were transferred away.
 func (j *Job[J, P]) transferAdjustment(partition api.PartitionID) int {
 	if j.transferredCount == 0 {
 		return 0
@@ -154,7 +152,7 @@
 	return adjustment
 }
 
-// partitionOf is the partition that starts a task, -1 if none does.
+// partitionOf returns the partition that starts a task according to the job's split, -1 if none does.
 func (j *Job[J, P]) partitionOf(task int) api.PartitionID {
 	for _, r := range j.Split {
 		if r.From <= task && task < r.To {
@@ -164,21 +162,21 @@
 	return -1
 }
 
-// transferredSince reports whether a machine was on loan with its tasks after a revision, so that
-// the loan lists what is on it; never for revision 0, which stands for now.
+// transferredSince reports whether a machine was lent with its tasks after a revision, so that the loan
+// lists its tasks. It is false for revision 0, which means the current revision.
 func (s *State[J, P]) transferredSince(id api.MachineID, revision api.Revision) bool {
 	l, ok := s.Loans[id]
 	return revision != 0 && ok && l.Transferred && l.Revision > revision
 }
 
-// incomingTransfer is a machine that was transferred to a partition with its tasks.
+// incomingTransfer is a machine that was lent with its tasks to a partition.
 type incomingTransfer struct {
 	Loan
 	machine api.MachineID
 }
 
-// incomingTransfers are the machines that were transferred to a partition after a revision, in order of
-// their revisions.
+// incomingTransfers returns the machines lent with their tasks to a partition after a revision, ordered by
+// revision.
 func (s *State[J, P]) incomingTransfers(partition api.PartitionID, revision api.Revision) []incomingTransfer {
 	var out []incomingTransfer
 	for _, id := range slices.Sorted(maps.Keys(s.Loans)) {
@@ -190,7 +188,7 @@
 	return out
 }
 
-// StartsOn lists the placements on a machine as a loan stores them.
+// StartsOn returns the placements on a machine in the form in which a loan stores them.
 func (s *State[J, P]) StartsOn(id api.MachineID) []JobDelta {
 	var out []JobDelta
 	for _, p := range s.PlacementsOn(id) {
@@ -203,8 +201,8 @@
 	return out
 }
 
-// LoanCheckpointed reports whether every partition's checkpoint was written after a machine's latest
-// loan, so that none lists tasks that were transferred with it.
+// LoanCheckpointed reports whether every partition's checkpoint is newer than a machine's latest loan, so
+// that no checkpoint contains starts of tasks that were transferred since.
 func (s *State[J, P]) LoanCheckpointed(id api.MachineID) bool {
 	l := s.Loans[id]
 	return !l.Transferred || !slices.ContainsFunc(s.Partitions, func(p Partition) bool { return p.CheckpointHead.Revision < l.Revision })
--- a/clusterstate/loan_test.go
+++ b/clusterstate/loan_test.go
@@ -12,15 +12,15 @@
 	"basaltwall/api"
 )
 
-// stateService keeps the latest value of each key, as the key-value store does.
-type stateService struct {
+// fakeStore stores the latest value of each key, as the key-value store does.
+type fakeStore struct {
 	revision api.Revision
 	values   map[string]json.RawMessage
 	versions map[string]api.Revision
 }
 
-// write writes all values at one revision and has the cluster states apply them.
-func (s *stateService) write(t *testing.T, values map[string]any, states ...*testState) {
+// write writes all values at one revision and applies them to the given states.
+func (s *fakeStore) write(t *testing.T, values map[string]any, states ...*testState) {
 	t.Helper()
 	s.revision++
 	for _, key := range slices.Sorted(maps.Keys(values)) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// read is the state of a controller that starts now.
-func (s *stateService) read(t *testing.T, partitions int) *testState {
+// load returns the state of a controller that loads it now.
+func (s *fakeStore) load(t *testing.T, partitions int) *testState {
 	t.Helper()
 	state := New[none, none](partitions)
 	state.BeginLoad()
@@ -57,7 +57,7 @@
 	return state
 }
 
-// dump is what two cluster states must agree on.
+// dump returns the parts of a state that must be equal in a loaded and a followed state.
 func dump(state *testState) string {
 	var out strings.Builder
 	for _, jobID := range slices.Sorted(maps.Keys(state.Jobs)) {
@@ -68,11 +68,11 @@
 		}
 		fmt.Fprintln(&out, jobID, j.CompletedCount, j.Completed)
 		for p := range state.Partitions {
-			fmt.Fprintln(&out, "waiting", p, j.PendingTasks(api.PartitionID(p)), j.PlacementCounts[api.PartitionID(p)])
+			fmt.Fprintln(&out, "pending", p, j.PendingTasks(api.PartitionID(p)), j.PlacementCounts[api.PartitionID(p)])
 		}
 	}
 	for i, p := range state.Partitions {
-		fmt.Fprintln(&out, "part", i, p.RoundSeq, p.CountByRank, len(state.PlacementsByPartition[i]))
+		fmt.Fprintln(&out, "partition", i, p.RoundSeq, p.CountByRank, len(state.PlacementsByPartition[i]))
 		for _, team := range slices.Sorted(maps.Keys(p.TeamUsage)) {
 			if p.TeamUsage[team] == (api.Resources{}) {
 				continue
@@ -83,13 +83,13 @@
 	return out.String()
 }
 
-// Whatever rounds, checkpoints and transfers follow one another, a controller that loads the
-// state knows the same as one that has followed the log; and so do the counts.
+// After any sequence of rounds, checkpoints and transfers, a controller that loads the state gets the same
+// state and counts as one that has followed the log.
 func TestTransfersSurviveReload(t *testing.T) {
 	const partitions, machines, jobs = 3, 5, 4
 	for seed := range 30 {
 		r := rand.New(rand.NewPCG(uint64(seed), 7))
-		s := &stateService{values: map[string]json.RawMessage{}, versions: map[string]api.Revision{}}
+		s := &fakeStore{values: map[string]json.RawMessage{}, versions: map[string]api.Revision{}}
 		state := New[none, none](partitions)
 		for i := range jobs {
 			spec := testSpec(1 + r.IntN(8))
@@ -126,7 +126,7 @@
 					values[w.Put] = w.Value
 				}
 				s.write(t, values, state)
-			default: // a round: what runs on the machine ends, or a task starts there
+			default: // a round that ends or starts a task on the machine
 				d := JobDelta{Job: api.JobID(fmt.Sprintf("run-%d", r.IntN(jobs)))}
 				j := state.Jobs[d.Job]
 				task := r.IntN(j.Spec.Tasks)
@@ -143,20 +143,20 @@
 				}
 			}
 			if len(state.PlacementsOn(id)) == 0 && state.LoanCheckpointed(id) {
-				delete(s.values, KeyLoan+string(id)) // the machine is gone
+				delete(s.values, KeyLoan+string(id)) // the machine was deleted
 				state.Delete(KeyLoan+string(id), s.revision)
 			}
 			if step%10 == 0 {
 				checkPending(t, state)
-				if got, want := dump(s.read(t, partitions)), dump(state); got != want {
-					t.Fatalf("seed %d, step %d: read anew\n%s\nfollowed\n%s", seed, step, got, want)
+				if got, want := dump(s.load(t, partitions)), dump(state); got != want {
+					t.Fatalf("seed %d, step %d: loaded state\n%s\nfollowed state\n%s", seed, step, got, want)
 				}
 			}
 		}
 	}
 }
 
-// checkPending counts the pending tasks of each partition independently.
+// checkPending compares PendingTasks with a count of each job's tasks by partition.
 func checkPending(t *testing.T, state *testState) {
 	t.Helper()
 	for jobID, j := range state.Jobs {
@@ -168,16 +168,16 @@
 		}
 		for p, want := range pending {
 			if got := j.PendingTasks(api.PartitionID(p)); got != want {
-				t.Fatalf("%s: %d tasks wait in part %d, the book says %d", jobID, want, p, got)
+				t.Fatalf("%s: %d tasks are pending in partition %d, PendingTasks returns %d", jobID, want, p, got)
 			}
 		}
 	}
 }
 
-// A version without transfers can't read a loan that transferred tasks, so that it does
-// not command the machine by what it misreads; it can read one that did not.
+// A version without support for transfers fails to decode a loan that transferred tasks, so that it does
+// not misinterpret it. It can decode loans without transfers.
 func TestOlderVersionsRefuseTransfers(t *testing.T) {
-	type before struct {
+	type olderLoan struct {
 		Part api.PartitionID `json:"part"`
 		For  api.JobID       `json:"for,omitempty"`
 	}
@@ -186,17 +186,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var old before
+		var old olderLoan
 		if err := json.Unmarshal(data, &old); (err != nil) != transferred {
 			t.Errorf("%s: %v", data, err)
 		}
 		var now LoanValue
 		if err := json.Unmarshal(data, &now); err != nil || now.Partition != 2 || now.Job != "run-1" || now.Transferred != transferred {
-			t.Errorf("%s comes back as %+v: %v", data, now, err)
+			t.Errorf("%s is decoded as %+v: %v", data, now, err)
 		}
 	}
 	var v LoanValue
 	if err := json.Unmarshal([]byte(`{"part":"x"}`), &v); err == nil {
-		t.Error("a part that is no number is read")
+		t.Error("an invalid partition number is accepted")
 	}
 }
--- a/clusterstate/partition.go
+++ b/clusterstate/partition.go
@@ -1,4 +1,4 @@
-// Partitions: their owner and term, their checkpoint and the quota shares they transferred.
+// Partitions: owner and term, checkpoint, reservations and transferred quota.
 
 package clusterstate
 
@@ -8,23 +8,23 @@
 	"basaltwall/api"
 )
 
-// priorityRanks is the number of priority ranks, see api.Priority.Rank.
+// priorityRanks is the number of priority ranks (api.Priority.Rank).
 const priorityRanks = 4
 
-// Partition is the replicated state of a partition of the fleet.
+// Partition is the replicated state of a partition of the machines.
 type Partition struct {
-	TeamUsage        map[api.Team]api.Resources // of the placements that are not finishing
-	PoolUsage        map[api.PoolName]int       // pool units that these hold
-	CountByRank      [priorityRanks]int         // placements by priority rank, without those of gangs
+	TeamUsage        map[api.Team]api.Resources // resources of placements that are not finishing
+	PoolUsage        map[api.PoolName]int       // pool units of placements that are not finishing
+	CountByRank      [priorityRanks]int         // number of placements by priority rank, without gangs
 	Owner            api.ControllerID
 	Term             api.Revision
-	RoundSeq         uint64 // of the latest round
+	RoundSeq         uint64 // sequence number of the latest round
 	CheckpointHead   CheckpointHeadValue
 	Reservations     map[api.MachineID]Reservation
-	quotaTransferred map[api.PartitionID]map[api.Team]api.Resources // to each other partition, in total
+	quotaTransferred map[api.PartitionID]map[api.Team]api.Resources // total quota transferred to each other partition
 }
 
-// putPartition applies the key of a partition: a new owner, or a new term of the same.
+// putPartition applies the value of a partition's key: a new owner, or a new term of the same owner.
 func (s *State[J, P]) putPartition(name string, value json.RawMessage, version api.Revision) error {
 	partition, err := parsePartition(name, len(s.Partitions))
 	if err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// putCheckpointHead applies the key that makes a checkpoint valid.
+// putCheckpointHead applies the head of a checkpoint, which makes the checkpoint valid.
 func (s *State[J, P]) putCheckpointHead(name string, value json.RawMessage, _ api.Revision) error {
 	partition, err := parsePartition(name, len(s.Partitions))
 	if err != nil {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// addQuotaTransfers adds transfers of quota shares from a partition.
+// addQuotaTransfers adds quota transfers from a partition to its totals.
 func (s *State[J, P]) addQuotaTransfers(partition api.PartitionID, transfers []QuotaTransfer) {
 	for _, g := range transfers {
 		m := s.Partitions[partition].quotaTransferred[g.To]
@@ -64,7 +64,7 @@
 	}
 }
 
-// QuotaShare is the share of a team's limit that a partition may use, transfers included.
+// QuotaShare returns a partition's share of a team's limit, including quota transfers.
 func (s *State[J, P]) QuotaShare(partition api.PartitionID, team api.Team, limit api.Resources) api.Resources {
 	n := api.Quantity(len(s.Partitions))
 	share := api.Resources{CPU: limit.CPU / n, GPU: limit.GPU / n}
--- a/clusterstate/placement.go
+++ b/clusterstate/placement.go
@@ -1,4 +1,4 @@
-// Placements: which task is on which machine, and what the placements use of it and of quotas.
+// Placements of tasks on machines, and their usage of machines, quotas and pools.
 
 package clusterstate
 
@@ -10,8 +10,8 @@
 	"basaltwall/api"
 )
 
-// Placement is a task's durable start whose end is not yet recorded. P is what the partition's owner
-// tracks of it.
+// Placement is a durable start of a task whose end is not yet recorded. P is the type of the state that
+// the partition's owner tracks without recording it.
 type Placement[J, P any] struct {
 	Task       api.TaskID
 	Partition  api.PartitionID
@@ -19,24 +19,25 @@
 	Epoch      api.Epoch
 	Attempt    api.Attempt
 	Job        *Job[J, P]
-	Finishing  bool // its end is known by evidence, the record of it not yet durable; see SetFinishing
+	Finishing  bool // the task's end is known but not yet recorded, see SetFinishing
 	OwnerState P
 
-	transferred bool // in another partition than the one that starts the task, see transfer
+	transferred bool // whether Partition is not the one that starts the task, see transfer
 }
 
-// machinePlacements is the placements on a machine, in order of task.
+// machinePlacements is the placements on a machine, ordered by task.
 type machinePlacements[J, P any] struct {
 	placements []*Placement[J, P]
-	allocated  api.Resources // of the placements that are not finishing
+	allocated  api.Resources // resources of placements that are not finishing
 }
 
-// AttemptNumber numbers the starts of a round: unique for a task wherever it moves.
+// AttemptNumber returns the attempt number of starts in a round. It is unique across partitions and
+// rounds.
 func (s *State[J, P]) AttemptNumber(partition api.PartitionID, seq uint64) api.Attempt {
 	return api.Attempt(seq*uint64(len(s.Partitions)) + uint64(partition) + 1)
 }
 
-// comparePlacements orders the placements on a machine.
+// comparePlacements orders placements by job, task index and attempt.
 func comparePlacements[J, P any](a, b *Placement[J, P]) int {
 	return cmp.Or(strings.Compare(string(a.Task.Job), string(b.Task.Job)), cmp.Compare(a.Task.Index, b.Task.Index),
 		cmp.Compare(a.Attempt, b.Attempt))
@@ -74,8 +75,8 @@
 	s.reindex(p.Job)
 }
 
-// addUsage adds what a placement uses of its machine, its team's quota and pools (n is 1), or subtracts
-// it (-1).
+// addUsage adds a placement to the usage of its machine, its team's quota and its pools (n is 1), or
+// subtracts it (n is -1).
 func (s *State[J, P]) addUsage(p *Placement[J, P], n int) {
 	demand := p.Job.Demand.Times(n)
 	if h := s.machines[p.Machine]; h != nil {
@@ -87,13 +88,13 @@
 	p.Job.liveCount += n
 	for _, x := range p.Job.Spec.Needs {
 		s.Partitions[p.Partition].PoolUsage[x.Pool] += n * x.Task
-		if before == 0 || p.Job.liveCount == 0 { // the job's own units, with its first and last placement
+		if before == 0 || p.Job.liveCount == 0 { // units of the whole job, added or removed with its first or last placement
 			s.Partitions[p.Partition].PoolUsage[x.Pool] += n * x.Job
 		}
 	}
 }
 
-// SetFinishing notes whether there is evidence that a placement's task has ended.
+// SetFinishing sets whether a placement's task is known to have ended.
 func (s *State[J, P]) SetFinishing(p *Placement[J, P], finishing bool) {
 	if p.Finishing == finishing {
 		return
@@ -109,7 +110,7 @@
 	s.reindex(p.Job)
 }
 
-// PlacementsOn lists the placements on a machine, in order.
+// PlacementsOn returns the placements on a machine, ordered by job, task index and attempt.
 func (s *State[J, P]) PlacementsOn(id api.MachineID) []*Placement[J, P] {
 	if h := s.machines[id]; h != nil {
 		return h.placements
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// Allocated is what the placements on a machine take, without those that are finishing.
+// Allocated returns the resources of the placements on a machine that are not finishing.
 func (s *State[J, P]) Allocated(id api.MachineID) api.Resources {
 	if h := s.machines[id]; h != nil {
 		return h.allocated
--- a/clusterstate/records.go
+++ b/clusterstate/records.go
@@ -1,4 +1,4 @@
-// Record types: the values of the keys, with the JSON names in which they are stored.
+// Types of the stored values, with their JSON names.
 
 package clusterstate
 
@@ -8,18 +8,18 @@
 	"basaltwall/api"
 )
 
-// TaskRange is a range of a job's tasks, from From up to but without To, that a partition starts.
+// TaskRange is the range [From, To) of a job's task indexes that a partition starts.
 type TaskRange struct {
 	From, To  int
 	Partition api.PartitionID
 }
 
-// MarshalJSON writes a range as three numbers.
+// MarshalJSON encodes a range as a list of three numbers.
 func (r TaskRange) MarshalJSON() ([]byte, error) {
 	return json.Marshal([3]int{r.From, r.To, int(r.Partition)})
 }
 
-// UnmarshalJSON reads three numbers.
+// UnmarshalJSON decodes a range from a list of three numbers.
 func (r *TaskRange) UnmarshalJSON(data []byte) error {
 	var v [3]int
 	if err := json.Unmarshal(data, &v); err != nil {
@@ -36,29 +36,30 @@
 	Cancelled   bool         `json:"x,omitempty"`
 	CancelledAt api.WallTime `json:"c,omitempty"`
 	AcceptedAt  api.WallTime `json:"t"`
-	Tenant      string       `json:"n,omitempty"` // its tenant, in a hosted service
-	TenantJobID api.JobID    `json:"u,omitempty"` // its id as the tenant chose it
+	Tenant      string       `json:"n,omitempty"` // tenant of the hosted service, empty otherwise
+	TenantJobID api.JobID    `json:"u,omitempty"` // job ID chosen by the tenant
 }
 
-// MemberValue is the value of the key of a live controller.
+// MemberValue is the value of a live controller's member key.
 type MemberValue struct {
 	Incarnation int64 `json:"born"` // identifies a run of the process
-	// Format is the newest format of records that the process understands, see Format.
+	// Format is the newest record format that the process supports, see the constant Format.
 	Format int `json:"format,omitempty"`
 }
 
-// Format is the format of records of this version. A record of a newer format is written only
-// once every member understands it.
+// Format is the newest record format that this version supports. Records of a newer format are written
+// only once every member supports it.
 const Format = FormatRelays
 
 const (
-	// FormatTransfers is the format in which a loan may transfer the tasks on its machine.
+	// FormatTransfers is the format with loans that transfer the tasks on the machine.
 	FormatTransfers = 1
-	// FormatRelays is the format of processes that relay the log to others. No record differs.
+	// FormatRelays marks versions that can relay the log to other controllers. The records are the
+	// same as in FormatTransfers.
 	FormatRelays = 2
 )
 
-// PartitionValue is the value of a partition's key. Its revision is the term of the owner.
+// PartitionValue is the value of a partition's key. The key's revision is the owner's term.
 type PartitionValue struct {
 	Owner api.ControllerID `json:"owner"`
 }
@@ -68,47 +69,47 @@
 	Seq        uint64       `json:"seq"`
 	Generation uint64       `json:"gen"`
 	Chunks     int          `json:"chunks"`
-	Revision   api.Revision `json:"rev,omitempty"` // as in the checkpoint, see Record
+	Revision   api.Revision `json:"rev,omitempty"` // revision of the checkpoint, see Record
 }
 
-// TaskStart is a durable start: the task, its machine and the machine's epoch.
+// TaskStart is a durable start of a task on a machine in an epoch of its agent.
 type TaskStart struct {
 	Task    int           `json:"i"`
 	Machine api.MachineID `json:"m"`
 	Epoch   api.Epoch     `json:"s"`
-	Attempt api.Attempt   `json:"a,omitempty"` // in checkpoints only
+	Attempt api.Attempt   `json:"a,omitempty"` // only in checkpoints and loans; computed by AttemptNumber in rounds
 }
 
-// JobDelta is the changes of a job in a record, or its whole state in a checkpoint.
+// JobDelta is the changes of a job in a round, or the job's whole state in a checkpoint.
 type JobDelta struct {
 	Job                      api.JobID   `json:"j"`
 	Starts                   []TaskStart `json:"+,omitempty"`
-	Completed                []int       `json:"d,omitempty"` // ended by completing
-	Terminated               []int       `json:"l,omitempty"` // ended otherwise
-	CancellationAcknowledged bool        `json:"x,omitempty"` // its owner acknowledges the cancellation, see Job.CancellationConfirmed
-	CompletedBits            []byte      `json:"b,omitempty"` // in checkpoints: all that this partition completed
+	Completed                []int       `json:"d,omitempty"` // tasks that ended by completion
+	Terminated               []int       `json:"l,omitempty"` // tasks that ended otherwise
+	CancellationAcknowledged bool        `json:"x,omitempty"` // see Job.CancellationConfirmed
+	CompletedBits            []byte      `json:"b,omitempty"` // only in checkpoints: bit set of completed tasks
 }
 
-// QuotaTransfer moves a share of a team's limit to another partition.
+// QuotaTransfer transfers a part of a team's quota to another partition.
 type QuotaTransfer struct {
 	To     api.PartitionID `json:"to"`
 	Team   api.Team        `json:"team"`
 	Amount api.Resources   `json:"n"`
 }
 
-// Reservation reserves a machine of the partition for a job, so that the whole machine becomes free, or,
-// without a job, ends the reservation. It affects choices only, never safety.
+// Reservation reserves a machine of the partition for a job, so that the whole machine becomes free.
+// Without a job it ends the reservation. Reservations affect scheduling decisions only, never safety.
 type Reservation struct {
 	Machine api.MachineID `json:"m"`
 	Job     api.JobID     `json:"r,omitempty"`
 	Since   api.WallTime  `json:"t,omitempty"`
 }
 
-// Record is a partition's round. A checkpoint is a partition's whole state in the same form:
-// placements as starts, completions as bits, quota transfers as totals since the beginning.
+// Record is the changes of a partition's round. A checkpoint is a partition's whole state in the same form,
+// with placements as starts, completions as bits and quota transfers as totals.
 type Record struct {
 	Seq uint64 `json:"q"`
-	// Revision, in a checkpoint, is the revision up to which its writer had applied the log.
+	// Revision, set only in checkpoints, is the revision up to which the writer had applied the log.
 	Revision       api.Revision    `json:"rev,omitempty"`
 	Jobs           []JobDelta      `json:"j,omitempty"`
 	QuotaTransfers []QuotaTransfer `json:"g,omitempty"`
--- a/clusterstate/round.go
+++ b/clusterstate/round.go
@@ -1,4 +1,4 @@
-// Rounds: how a partition's record changes placements, completions and reservations.
+// Application of rounds and checkpoints to the state.
 
 package clusterstate
 
@@ -9,7 +9,7 @@
 	"basaltwall/api"
 )
 
-// putRound applies the key of a round.
+// putRound applies the value of a round's key.
 func (s *State[J, P]) putRound(name string, value json.RawMessage, _ api.Revision) error {
 	partition, err := parsePartition(name, len(s.Partitions))
 	if err != nil {
@@ -23,7 +23,8 @@
 	return nil
 }
 
-// applyDeltas applies a partition's deltas as they stood at a revision; 0: now.
+// applyDeltas applies a partition's job deltas of round seq. at is the revision at which they were
+// written, 0 for the current one; starts on machines transferred since then are ignored.
 func (s *State[J, P]) applyDeltas(partition api.PartitionID, seq uint64, deltas []JobDelta, at api.Revision) {
 	for _, d := range deltas {
 		j := s.Jobs[d.Job]
@@ -66,12 +67,12 @@
 	}
 }
 
-// ApplyRecord applies a round unless it was applied before.
+// ApplyRecord applies a round if it is the next one of the partition.
 func (s *State[J, P]) ApplyRecord(partition api.PartitionID, r *Record) {
 	s.applyRound(partition, r, 0)
 }
 
-// applyRound applies a round as it stood at a revision; 0: now.
+// applyRound applies a round if it is the next one of the partition; at is as in applyDeltas.
 func (s *State[J, P]) applyRound(partition api.PartitionID, r *Record, at api.Revision) {
 	ps := &s.Partitions[partition]
 	if r.Seq != ps.RoundSeq+1 {
@@ -85,11 +86,11 @@
 
 // applyReservations applies new and ended reservations.
 func (s *State[J, P]) applyReservations(partition api.PartitionID, reservations []Reservation) {
-	for _, k := range reservations {
-		if k.Job == "" {
-			delete(s.Partitions[partition].Reservations, k.Machine)
+	for _, r := range reservations {
+		if r.Job == "" {
+			delete(s.Partitions[partition].Reservations, r.Machine)
 		} else {
-			s.Partitions[partition].Reservations[k.Machine] = k
+			s.Partitions[partition].Reservations[r.Machine] = r
 		}
 	}
 }
--- a/clusterstate/state.go
+++ b/clusterstate/state.go
@@ -1,9 +1,9 @@
-// Package clusterstate owns the replicated state of the cluster as a controller knows it: every key
-// under Root in the consensus-backed key-value store, applied in the order of revisions. Two states
-// at the same revision are equal. It decides nothing; what the owner of a partition tracks of jobs and
-// placements beyond their records is of the type parameters J and P.
+// Package clusterstate owns a controller's replica of the cluster state: all keys under Root in the
+// consensus-backed key-value store, applied in the order of revisions. Replicas at the same revision are
+// equal. The package makes no scheduling decisions. The type parameters J and P are the types of the state
+// that the owner of a partition tracks for jobs and placements without recording it.
 //
-// Not safe for concurrent use: the controller's single owner goroutine holds it.
+// A State is not safe for concurrent use.
 package clusterstate
 
 import (
@@ -14,31 +14,31 @@
 	"basaltwall/api"
 )
 
-// State is the replicated state up to a revision. Its exported fields are for reading only, except
-// Revision, which whoever follows the log advances.
+// State is the replicated state up to a revision. Exported fields are read-only for other packages, except
+// Revision, which is advanced by the component that follows the log.
 type State[J, P any] struct {
 	Revision              api.Revision
 	Members               map[api.ControllerID]MemberValue
 	Partitions            []Partition
 	Jobs                  map[api.JobID]*Job[J, P]
 	PlacementsByPartition []map[*Placement[J, P]]bool
-	PendingJobs           map[api.JobID]*Job[J, P]            // with pending tasks
-	FinishedJobs          map[api.JobID]*Job[J, P]            // terminal, without placements, not yet archived
-	CancellingJobs        map[api.JobID]*Job[J, P]            // cancelled, with placements left
-	JobsByTenant          map[string]map[api.JobID]*Job[J, P] // of a hosted service
+	PendingJobs           map[api.JobID]*Job[J, P]            // jobs with pending tasks
+	FinishedJobs          map[api.JobID]*Job[J, P]            // terminal jobs without placements that are not yet archived
+	CancellingJobs        map[api.JobID]*Job[J, P]            // cancelled jobs with remaining placements
+	JobsByTenant          map[string]map[api.JobID]*Job[J, P] // jobs of tenants of a hosted service
 	Loans                 map[api.MachineID]Loan              // machines on loan to another partition
-	LoanGeneration        int                                 // grows with each change of Loans, so that what is derived from them can be cached
-	JobResults            map[api.JobID]api.JobState          // the latest, at most maxJobResults
+	LoanGeneration        int                                 // incremented with each change of Loans, to invalidate caches
+	JobResults            map[api.JobID]api.JobState          // latest results of archived jobs, at most maxJobResults
 
 	recordKinds []RecordKind
 	versions    map[string]api.Revision
-	rawValues   map[string]json.RawMessage // only while loading
+	rawValues   map[string]json.RawMessage // values collected during a load, nil otherwise
 	machines    map[api.MachineID]*machinePlacements[J, P]
-	resultOrder []api.JobID // of JobResults, oldest first
+	resultOrder []api.JobID // keys of JobResults, oldest first
 }
 
-// New returns an empty state of so many partitions, which applies the given kinds of records beside
-// its own.
+// New returns an empty state with the given number of partitions. It applies recordKinds in addition to
+// its own record kinds.
 func New[J, P any](partitions int, recordKinds ...RecordKind) *State[J, P] {
 	s := &State[J, P]{
 		Members:               map[api.ControllerID]MemberValue{},
@@ -71,7 +71,7 @@
 	return s
 }
 
-// recordKindOf finds the kind of a key and what follows its prefix.
+// recordKindOf returns the record kind of a key, nil if there is none, and the key without its prefix.
 func (s *State[J, P]) recordKindOf(key string) (*RecordKind, string) {
 	for i := range s.recordKinds {
 		if name, ok := cutPrefix(key, s.recordKinds[i].Prefix); ok {
@@ -81,29 +81,29 @@
 	return nil, ""
 }
 
-// cutPrefix is strings.CutPrefix, but a prefix that does not end with a slash must be
-// the whole key.
+// cutPrefix is like strings.CutPrefix, but a prefix that does not end in a slash must equal the key.
 func cutPrefix(key, prefix string) (string, bool) {
 	name, ok := strings.CutPrefix(key, prefix)
 	return name, ok && (name == "" || strings.HasSuffix(prefix, "/"))
 }
 
-// VersionCondition is the compare-and-swap condition that a key is as it was last applied, or absent.
+// VersionCondition returns the compare-and-swap condition that a key has not changed since it was last
+// applied.
 func (s *State[J, P]) VersionCondition(key string) api.Condition {
 	return api.Condition{Key: key, Version: s.versions[key]}
 }
 
-// Version is the revision of a key's latest change, 0 if it does not exist.
+// Version returns the revision of a key's latest change, 0 if the key does not exist.
 func (s *State[J, P]) Version(key string) api.Revision { return s.versions[key] }
 
-// SetVersion notes the version of a key that this controller wrote, so that the next write
-// need not wait for the log.
+// SetVersion sets the version of a key that this controller has written, so that its next write of the key
+// does not have to wait for the log.
 func (s *State[J, P]) SetVersion(key string, revision api.Revision) {
 	s.versions[key] = max(s.versions[key], revision)
 }
 
-// Put applies a changed key; a version that is not newer than the known one is ignored. While the
-// state is loading, values are only collected.
+// Put applies the value of a key if its version is newer than the known one. During a load, values are
+// only collected.
 func (s *State[J, P]) Put(key string, value json.RawMessage, version api.Revision) error {
 	if s.versions[key] >= version {
 		return nil
@@ -116,7 +116,7 @@
 	return s.apply(key, value, version)
 }
 
-// apply applies the value of a key, if keys of its kind are followed.
+// apply applies the value of a key; keys without a record kind are ignored.
 func (s *State[J, P]) apply(key string, value json.RawMessage, version api.Revision) error {
 	if k, name := s.recordKindOf(key); k != nil {
 		if err := k.Put(name, value, version); err != nil {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// Delete applies a deletion.
+// Delete applies the deletion of a key unless the known version is newer.
 func (s *State[J, P]) Delete(key string, version api.Revision) {
 	if s.versions[key] > version {
 		return
@@ -141,7 +141,7 @@
 	}
 }
 
-// putMember applies the key of a live controller.
+// putMember applies the value of a live controller's member key.
 func (s *State[J, P]) putMember(name string, value json.RawMessage, _ api.Revision) error {
 	var m MemberValue
 	if err := json.Unmarshal(value, &m); err != nil {
--- a/clusterstate/state_test.go
+++ b/clusterstate/state_test.go
@@ -23,7 +23,7 @@
 		for range r.IntN(300) {
 			i := r.IntN(500)
 			if s.Add(i) == m[i] {
-				t.Fatalf("set(%d) says the wrong thing", i)
+				t.Fatalf("Add(%d) returns a wrong result", i)
 			}
 			m[i] = true
 		}
@@ -34,14 +34,14 @@
 		want := 0
 		for i := range 500 {
 			if s.Has(i) != m[i] || copied.Has(i) != m[i] {
-				t.Fatalf("%d: %v, copied %v, expected %v", i, s.Has(i), copied.Has(i), m[i])
+				t.Fatalf("Has(%d) = %v, after decoding %v, expected %v", i, s.Has(i), copied.Has(i), m[i])
 			}
 			if i >= from && i < to && m[i] {
 				want++
 			}
 		}
 		if got := s.Count(from, to); got != want {
-			t.Fatalf("count(%d, %d) = %d, expected %d", from, to, got, want)
+			t.Fatalf("Count(%d, %d) = %d, expected %d", from, to, got, want)
 		}
 	}
 }
@@ -50,8 +50,8 @@
 	return &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: tasks, CPUs: 1}
 }
 
-// The counts that the state keeps as placements come and go equal a count from scratch,
-// and a checkpoint restores them.
+// The incremental counts of the state equal a full recount after any sequence of records, and a checkpoint
+// is decoded unchanged.
 func TestStateKeepsCounts(t *testing.T) {
 	r := rand.New(rand.NewPCG(21, 22))
 	state := New[none, none](3)
@@ -87,7 +87,7 @@
 		}
 		state.ApplyRecord(partition, &Record{Seq: state.Partitions[partition].RoundSeq + 1, Jobs: []JobDelta{d}, Reservations: []Reservation{reservation}})
 		if got, reserved := state.Partitions[partition].Reservations[reservation.Machine]; reserved != (reservation.Job != "") || reserved && got != reservation {
-			t.Fatalf("%+v is kept after %+v", got, reservation)
+			t.Fatalf("reservation %+v after record %+v", got, reservation)
 		}
 		if step%50 == 0 {
 			recount(t, state)
@@ -99,16 +99,17 @@
 	}
 	c, err := decodeCheckpoint(blob)
 	if err != nil || !reflect.DeepEqual(c, state.Checkpoint(1)) {
-		t.Errorf("a checkpoint comes back changed: %v", err)
+		t.Errorf("a decoded checkpoint differs: %v", err)
 	}
 }
 
+// recount compares the counts and usage of a state with a full recount.
 func recount(t *testing.T, state *testState) {
 	t.Helper()
-	use := make([]map[api.Team]api.Resources, len(state.Partitions))
-	need := map[api.MachineID]api.Resources{}
-	for i := range use {
-		use[i] = map[api.Team]api.Resources{}
+	teamUsage := make([]map[api.Team]api.Resources, len(state.Partitions))
+	machineUsage := map[api.MachineID]api.Resources{}
+	for i := range teamUsage {
+		teamUsage[i] = map[api.Team]api.Resources{}
 	}
 	for _, j := range state.Jobs {
 		pending, finishing := 0, 0
@@ -119,36 +120,36 @@
 			case p != nil && p.Finishing:
 				finishing++
 			case p != nil:
-				use[p.Partition][j.Spec.Team] = use[p.Partition][j.Spec.Team].Plus(j.Demand)
-				need[p.Machine] = need[p.Machine].Plus(j.Demand)
+				teamUsage[p.Partition][j.Spec.Team] = teamUsage[p.Partition][j.Spec.Team].Plus(j.Demand)
+				machineUsage[p.Machine] = machineUsage[p.Machine].Plus(j.Demand)
 			}
 		}
 		if got := j.PendingTasks(j.Split[0].Partition); got != pending {
-			t.Fatalf("%s: %d tasks wait, the book says %d", j.ID, pending, got)
+			t.Fatalf("%s: %d tasks are pending, PendingTasks returns %d", j.ID, pending, got)
 		}
 		if state.PendingJobs[j.ID] != nil != (pending+finishing > 0) {
-			t.Fatalf("%s: %d tasks wait, %d are over, open %v", j.ID, pending, finishing, state.PendingJobs[j.ID] != nil)
+			t.Fatalf("%s: %d tasks pending, %d finishing, in PendingJobs: %v", j.ID, pending, finishing, state.PendingJobs[j.ID] != nil)
 		}
 		if state.FinishedJobs[j.ID] != nil != (j.Terminal() && len(j.Placements) == 0) {
-			t.Fatalf("%s: final %v with %d places, ended %v", j.ID, j.Terminal(), len(j.Placements), state.FinishedJobs[j.ID] != nil)
+			t.Fatalf("%s: terminal %v with %d placements, in FinishedJobs: %v", j.ID, j.Terminal(), len(j.Placements), state.FinishedJobs[j.ID] != nil)
 		}
 	}
-	for i := range use {
-		for team, u := range state.Partitions[i].TeamUsage {
-			if u != use[i][team] {
-				t.Fatalf("part %d, team %s: %v used, the book says %v", i, team, use[i][team], u)
+	for i := range teamUsage {
+		for team, usage := range state.Partitions[i].TeamUsage {
+			if usage != teamUsage[i][team] {
+				t.Fatalf("partition %d, team %s: usage %v, TeamUsage is %v", i, team, teamUsage[i][team], usage)
 			}
 		}
 	}
 	for id, h := range state.machines {
-		if h.allocated != need[id] {
-			t.Fatalf("machine %s: %v needed, the book says %v", id, need[id], h.allocated)
+		if h.allocated != machineUsage[id] {
+			t.Fatalf("machine %s: %v allocated, the state has %v", id, machineUsage[id], h.allocated)
 		}
 	}
 }
 
-// The acknowledgement of a cancellation survives checkpoints and reloads: what was answered once
-// stays true.
+// Acknowledgements of a cancellation survive checkpoints and reloads, so that a job once shown as cancelled
+// stays cancelled.
 func TestCancellationAcknowledgementsSurviveReload(t *testing.T) {
 	put := func(state *State[struct{}, struct{}], key string, version api.Revision, v any) {
 		data, err := json.Marshal(v)
@@ -172,14 +173,14 @@
 		put(state, key, api.Revision(2+i), rounds[key])
 	}
 	if j := state.Jobs["run-1"]; j.CancellationConfirmed() || j.State() != api.JobRunning || !j.CancellationAcknowledged(0) || state.CancellingJobs["run-1"] == nil {
-		t.Fatalf("%s with one of two owners that know, told %v", j.State(), j.CancellationConfirmed())
+		t.Fatalf("job %s, confirmed %v, with one of two acknowledgements", j.State(), j.CancellationConfirmed())
 	}
 	rounds[RoundKey(1, 2)] = Record{Seq: 2, Jobs: []JobDelta{{Job: "run-1", CancellationAcknowledged: true}}}
 	put(state, RoundKey(1, 2), 5, rounds[RoundKey(1, 2)])
 	if j := state.Jobs["run-1"]; j.State() != api.JobCancelled {
-		t.Fatalf("%s when both know", j.State())
+		t.Fatalf("job %s with both acknowledgements", j.State())
 	}
-	// Partition 0 from a checkpoint, partition 1 from its rounds.
+	// Partition 0 is loaded from a checkpoint, partition 1 from its rounds.
 	writes, err := state.CheckpointWrites(0, 8192)
 	if err != nil {
 		t.Fatal(err)
@@ -198,6 +199,6 @@
 		t.Fatal(err)
 	}
 	if j := reloaded.Jobs["run-1"]; j.State() != api.JobCancelled || len(j.Placements) != 2 {
-		t.Errorf("%s with %d places after a reload", j.State(), len(j.Placements))
+		t.Errorf("job %s with %d placements after a reload", j.State(), len(j.Placements))
 	}
 }
--- a/clusterstate/taskset.go
+++ b/clusterstate/taskset.go
@@ -1,10 +1,10 @@
-// Task sets: which of a job's tasks are completed, as bits.
+// Bit sets of a job's tasks.
 
 package clusterstate
 
 import "math/bits"
 
-// TaskSet is a set of task indices.
+// TaskSet is a bit set of task indexes.
 type TaskSet []uint64
 
 // Add adds an index, and reports whether it was absent before.
@@ -20,7 +20,7 @@
 // Has reports whether an index is in the set.
 func (s TaskSet) Has(i int) bool { return i/64 < len(s) && s[i/64]&(1<<(i%64)) != 0 }
 
-// Count counts the members from one index up to, but without, another.
+// Count returns the number of members in the range [from, to).
 func (s TaskSet) Count(from, to int) int {
 	n := 0
 	for w := from / 64; w < len(s) && w*64 < to; w++ {
@@ -36,7 +36,7 @@
 	return n
 }
 
-// bytes encodes the set, lowest index first, without trailing zero bytes.
+// bytes returns the encoded set, lowest index first, without trailing zero bytes.
 func (s TaskSet) bytes() []byte {
 	out := make([]byte, 0, len(s)*8)
 	for _, w := range s {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// addBytes adds the members of an encoded set that are below a limit.
+// addBytes adds the members of an encoded set that are smaller than limit.
 func (s *TaskSet) addBytes(in []byte, limit int) {
 	for i, c := range in {
 		for k := range 8 {
