--- a/controller/health/liveness.go
+++ b/controller/health/liveness.go
@@ -20,8 +20,9 @@
 	isolatedControllerLeases = 2 // if this controller itself is probably isolated
 )
 
-// unreachableDuration returns the time since a machine's last heartbeat. If this controller has received
-// none, it counts from the takeover of the partition or from the discovery of the machine.
+// unreachableDuration returns the time since a machine's last heartbeat or the takeover of its partition,
+// whichever is later. Without a heartbeat it counts from the discovery of the machine, or from the last
+// heartbeat of its zone if the zone is unavailable.
 func (mon *Monitor) unreachableDuration(m *core.Machine, owned *core.OwnedPartition) time.Duration {
 	last := max(m.LastHeartbeat, owned.OwnedSince)
 	if m.LastHeartbeat == 0 {
@@ -86,8 +87,8 @@
 }
 
 // tooFewCalls reports whether too few direct calls to a machine have failed to consider it unreachable.
-// A machine without an address can't be called; it counts once the cloud's list is recent enough to
-// contain it.
+// A machine without an address can't be called. It is considered unreachable once the cloud's list is
+// recent enough to contain the address.
 func (mon *Monitor) tooFewCalls(m *core.Machine, owned *core.OwnedPartition) bool {
 	if m.Address != "" {
 		return m.MissedCalls < minMissedCalls
--- a/controller/health/observation.go
+++ b/controller/health/observation.go
@@ -27,16 +27,16 @@
 	for _, p := range slices.Sorted(maps.Keys(mon.core.Partitions)) {
 		mergeCounts(mon.localObservation, mon.SilentByZone(mon.core.Partitions[p]))
 	}
-	byObserver := []zonehealth.Observation{mon.localObservation}
+	allObservations := []zonehealth.Observation{mon.localObservation}
 	for _, peer := range mon.siblings.Gossiper.Peers() {
 		observation := zonehealth.Observation{}
 		for _, status := range mon.siblings.Gossiper.PartitionStatusesOf(peer) {
 			mergeCounts(observation, status.Zones)
 		}
-		byObserver = append(byObserver, observation)
+		allObservations = append(allObservations, observation)
 	}
 	for _, name := range mon.core.Config.Deployment.Zones {
-		assessment := zonehealth.Assess(byObserver, name)
+		assessment := zonehealth.Assess(allObservations, name)
 		mon.observations[name] = assessment
 		if assessment.Unreachable {
 			mon.lastUnreachableAt[name] = mon.core.Now
--- a/controller/health/record.go
+++ b/controller/health/record.go
@@ -172,7 +172,7 @@
 }
 
 // partitionsInside returns the partitions whose preferred owner is in a zone and was lost with it: the
-// controller lost its membership no earlier than the zone sent its last heartbeat.
+// owner lost its membership after the zone's last heartbeat, or before this controller started.
 func (mon *Monitor) partitionsInside(name api.Zone) []api.PartitionID {
 	lastHeard := cmp.Or(mon.observations[name].Heard, mon.records[name].LastHeartbeat)
 	var out []api.PartitionID
--- a/zonehealth/evacuation.go
+++ b/zonehealth/evacuation.go
@@ -162,7 +162,7 @@
 			p.place(&pending[0], true)
 			pending = pending[1:]
 		}
-		// The quota that a lost task holds is released with it, so no quota limits it.
+		// The quota of a lost task is released with its old placement, so it does not limit the new one.
 		zone, ok := p.place(lost.task, false)
 		if !ok {
 			continue
