--- a/clusterstate/golden_test.go
+++ b/clusterstate/golden_test.go
@@ -28,8 +28,8 @@
 	b := New[struct{}, struct{}](4)
 
 	member := golden.Filled[MemberValue](t)
-	put(t, b, "b/member/controller-1", golden.JSON(f, "member", member), 5)
-	golden.Same(t, "member", b.Members["controller-1"], member)
+	put(t, b, "b/member/stone-1", golden.JSON(f, "member", member), 5)
+	golden.Same(t, "member", b.Members["stone-1"], member)
 	golden.JSON(f, "empty member", MemberValue{})
 
 	partition := golden.Filled[PartitionValue](t)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -14,7 +14,7 @@
 func members(n, zones int) []Member {
 	var out []Member
 	for i := range n {
-		out = append(out, Member{api.ControllerID(fmt.Sprintf("controller-%d", i)), api.Zone(fmt.Sprint("zone-", i%zones))})
+		out = append(out, Member{api.ControllerID(fmt.Sprintf("stone-%d", i)), api.Zone(fmt.Sprint("zone-", i%zones))})
 	}
 	return out
 }
