--- a/server/hostedadmin_test.go
+++ b/server/hostedadmin_test.go
@@ -86,11 +86,11 @@
 func rotateAdminKey(t *testing.T, root string, call callFunc, expect expectFunc) {
 	t.Helper()
 	at := func() string { return `{"revision":` + operatorsRevision(t, root, call) }
-	expect("the only key that changes", 409, "must be left")(call(0, root, "POST", "/admin/v1/operators/keys/first/revoke", at()+`}`))
+	expect("the only key that changes", 409, "must remain")(call(0, root, "POST", "/admin/v1/operators/keys/first/revoke", at()+`}`))
 	next := createdSecret(t, expect("another", 200, `"secret"`)(call(0, root, "POST", "/admin/v1/operators/keys", at()+`,"name":"next","role":"change"}`)))
 	expect("the first retired", 200, `"first_retired":true`)(call(1, next, "POST", "/admin/v1/operators/keys/first/revoke", at()+`}`))
 	expect("it opens nothing", 401, "")(call(0, root, "GET", "/admin/v1/tenants", ""))
 	expect("the other does", 200, "")(call(0, next, "GET", "/admin/v1/tenants", ""))
 	root = next // for at
-	expect("which is the last now", 409, "must be left")(call(1, next, "POST", "/admin/v1/operators/keys/next/revoke", at()+`}`))
+	expect("which is the last now", 409, "must remain")(call(1, next, "POST", "/admin/v1/operators/keys/next/revoke", at()+`}`))
 }
--- a/tenant/errors.go
+++ b/tenant/errors.go
@@ -1,4 +1,4 @@
-// Errors of operations, with the HTTP status of their answer.
+// This file defines the errors of tenant operations and their HTTP statuses.
 
 package tenant
 
@@ -6,16 +6,16 @@
 
 // HTTP statuses of an Error.
 const (
-	StatusInvalid       = 400 // the request or a record is not valid
-	StatusUnauthorized  = 401 // the key opens nothing
-	StatusConflict      = 409 // the state of the tenant, team or key does not allow it
-	StatusUnprocessable = 422 // valid by itself, but not with the rest of the record
+	StatusInvalid       = 400 // the request or a record is invalid
+	StatusUnauthorized  = 401 // the API key is invalid
+	StatusConflict      = 409 // the current state does not allow the operation
+	StatusUnprocessable = 422 // the value is inconsistent with other data
 )
 
-// Error is why an operation is refused.
+// Error describes why an operation is refused.
 type Error struct {
 	Status int    // HTTP status
-	Field  string // the field at fault; empty: none is
+	Field  string // name of the invalid field; empty if the error concerns no field
 	Reason string
 }
 
@@ -26,12 +26,12 @@
 	return e.Field + ": " + e.Reason
 }
 
-// invalid is the error of a field that is not acceptable.
+// invalid returns the error for an invalid field.
 func invalid(field, format string, args ...any) *Error {
 	return &Error{Status: StatusInvalid, Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// conflict is the error of an operation that the state does not allow.
+// conflict returns the error for an operation that the current state does not allow.
 func conflict(format string, args ...any) *Error {
 	return &Error{Status: StatusConflict, Reason: fmt.Sprintf(format, args...)}
 }
--- a/tenant/fairlimiter.go
+++ b/tenant/fairlimiter.go
@@ -1,4 +1,4 @@
-// Fair admission: whose submission is taken when a controller can't write all of them.
+// This file implements fair admission of submissions among tenants when a controller is overloaded.
 
 package tenant
 
@@ -9,34 +9,35 @@
 	"basaltwall/api"
 )
 
-// FairLimiter divides the submissions that a controller can write among the tenants that submit:
-// deficit round robin without a queue. Each recently active tenant is credited an equal share, up to
-// a bound; the excess is shared credit for whoever needs more. A tenant that stays within its share is
-// not refused, whatever others do. The zero value is ready to use.
+// FairLimiter divides a controller's submission rate fairly among the tenants that submit: deficit round
+// robin without a queue. Each active tenant is credited an equal share, up to a bound; the excess goes to
+// a shared credit that any tenant may use. A tenant within its share is admitted regardless of the load
+// from other tenants. The zero value is ready to use.
 type FairLimiter struct {
 	accounts     map[Name]*account
-	order        []*account // by arrival, so that float sums are the same each time
-	sharedCredit float64    // submissions
+	order        []*account // in order of arrival, so that floating-point sums are deterministic
+	sharedCredit float64    // in submissions
 	filledAt     api.Time
 }
 
-// account is the credit of an active tenant.
+// account holds the credit of an active tenant.
 type account struct {
 	name     Name
-	level    float64  // submissions
-	lastSeen api.Time // of its latest submission
+	level    float64  // credit, in submissions
+	lastSeen api.Time // time of the latest submission
 }
 
 const (
-	// activeWindow is for how long a tenant counts as active after a submission.
+	// activeWindow is the duration for which a tenant counts as active after a submission.
 	activeWindow = 2 * time.Second
-	// maxCreditSeconds is how many seconds of its share a tenant may have credited, and how many of
-	// the whole rate the shared credit may hold.
+	// maxCreditSeconds bounds the credit of a tenant, in seconds of its share, and the shared credit, in
+	// seconds of the total rate.
 	maxCreditSeconds = 1.0
 )
 
-// Take admits a submission of a tenant, out of rate submissions a second in all; otherwise wait is the
-// time until the tenant's credit will have grown to one.
+// Take admits a submission if the tenant's credit or the shared credit allows it; otherwise wait is the
+// time until the tenant's credit reaches one submission. rate is the total admission rate in submissions
+// per second.
 func (f *FairLimiter) Take(now api.Time, name Name, rate float64) (ok bool, wait time.Duration) {
 	if f.accounts == nil {
 		f.accounts = map[Name]*account{}
@@ -44,7 +45,7 @@
 	f.fill(now, rate)
 	c := f.accounts[name]
 	if c == nil {
-		// What it would have been credited while inactive is in the shared credit.
+		// The shared credit includes the credit of inactive tenants.
 		c = &account{name: name, level: min(1, f.sharedCredit)}
 		f.sharedCredit -= c.level
 		f.accounts[name] = c
@@ -64,7 +65,7 @@
 	return true, 0
 }
 
-// fill credits the submissions of the time since the last call.
+// fill adds the credit for the time since the last call.
 func (f *FairLimiter) fill(now api.Time, rate float64) {
 	since := now.Sub(f.filledAt).Seconds()
 	if since <= 0 {
--- a/tenant/golden_test.go
+++ b/tenant/golden_test.go
@@ -9,7 +9,7 @@
 	"basaltwall/internal/golden"
 )
 
-// Records, keys and job ids of a hosted service as earlier versions wrote them.
+// TestGolden checks that records, keys and job ids are encoded and decoded as by earlier versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	networks, err := ParseNetworks([]string{"10.0.0.0/8", "2001:db8::/32", "192.0.2.7"})
@@ -27,7 +27,7 @@
 	f.Text("values", fmt.Sprint(Active, Suspended, Removing, Removed, RoleRead, RoleChange, AdminKeyName))
 	f.Text("job id", string(JobID("kipper", "run-17")))
 
-	// Keys are stored as hashes: both are read as they were written.
+	// Keys are stored as hashes: a key and a secret written by an earlier version must still match.
 	random := [RandomBytes]byte{}
 	for i := range random {
 		random[i] = byte(i + 1)
@@ -49,6 +49,6 @@
 		t.Fatal(err)
 	}
 	if e, k := table.Find(read.ID); e == nil || k == nil || !k.Verify(read, 1500, 0) || k.Verify(read, 2000, 0) {
-		t.Error("the key does not open as it did")
+		t.Error("the stored key does not verify its secret, or verifies it after its expiry")
 	}
 }
--- a/tenant/key.go
+++ b/tenant/key.go
@@ -1,4 +1,4 @@
-// API keys: their records, their secrets and the check of one against the other.
+// This file defines API keys: their records, their secrets and the verification of a secret.
 
 package tenant
 
@@ -13,11 +13,11 @@
 	"basaltwall/api"
 )
 
-// KeyID is the public part of a key, by which it is looked up.
+// KeyID is the public part of a key, which identifies its record.
 type KeyID string
 
-// Key is the record of an API key: its secret is shown once and stored as a hash. The secret is
-// 256 random bits, so the hash needs neither salt nor a work factor.
+// Key is the record of an API key. The secret is shown once, at its creation, and only its hash is
+// stored. The secret consists of 256 random bits, so the hash needs neither salt nor a work factor.
 type Key struct {
 	ID      KeyID        `json:"id"`
 	Name    string       `json:"name"`
@@ -31,63 +31,63 @@
 	secretFields = 3     // prefix, id and random data, separated by dots
 	keyIDBytes   = 8
 	secretBytes  = 32
-	// RandomBytes is how many random bytes a new key needs.
+	// RandomBytes is the number of random bytes in a new key.
 	RandomBytes = keyIDBytes + secretBytes
 )
 
-// Secret is a key as its holder has it.
+// Secret is the confidential form of a key, which a client sends to authenticate.
 type Secret struct {
 	ID   KeyID
 	data [secretBytes]byte
 }
 
-// String is the secret as it is shown, once.
+// String returns the text form of the secret.
 func (s Secret) String() string {
 	return secretPrefix + "." + string(s.ID) + "." + base64.RawURLEncoding.EncodeToString(s.data[:])
 }
 
-// Key is the record of a key with this secret that never expires.
+// Key returns the record of a key with this secret that does not expire.
 func (s Secret) Key(name string) Key {
 	hash := sha256.Sum256(s.data[:])
 	return Key{ID: s.ID, Name: name, Hash: hash[:]}
 }
 
-// errNotAKey is the error of a text that is not a secret. It says nothing of the text, which may
-// be a secret of something else.
-func errNotAKey() *Error { return &Error{Status: StatusUnauthorized, Reason: "not a key"} }
+// errMalformedKey returns the error for a malformed key. The error does not contain the text, which may
+// be the secret of another service.
+func errMalformedKey() *Error { return &Error{Status: StatusUnauthorized, Reason: "malformed API key"} }
 
-// ParseSecret parses the credential of a request. The error says nothing of its text.
+// ParseSecret parses the credential of a request. The error does not contain the credential.
 func ParseSecret(text string) (Secret, error) {
 	var s Secret
 	parts := strings.Split(text, ".")
 	if len(parts) != secretFields || parts[0] != secretPrefix {
-		return s, errNotAKey()
+		return s, errMalformedKey()
 	}
 	id, err := hex.DecodeString(parts[1])
 	if err != nil || len(id) != keyIDBytes {
-		return s, errNotAKey()
+		return s, errMalformedKey()
 	}
 	data, err := base64.RawURLEncoding.Strict().DecodeString(parts[2])
 	if err != nil || len(data) != secretBytes {
-		return s, errNotAKey()
+		return s, errMalformedKey()
 	}
 	s.ID = KeyID(parts[1])
 	copy(s.data[:], data)
 	if s.String() != text {
-		return Secret{}, errNotAKey() // the decoder skips line ends
+		return Secret{}, errMalformedKey() // the base64 decoder ignores line breaks
 	}
 	return s, nil
 }
 
-// NewKey makes a key of random bytes, with its secret. The times are in milliseconds since 1970; expires
-// is 0 for a key that never does.
+// NewKey returns a key and its secret, derived from random bytes. Times are in milliseconds since 1970;
+// expires is 0 for a key that does not expire.
 func NewKey(random [RandomBytes]byte, name string, now, expires api.WallTime) (Key, Secret, error) {
 	s := Secret{ID: KeyID(hex.EncodeToString(random[:keyIDBytes]))}
 	copy(s.data[:], random[keyIDBytes:])
 	k := s.Key(name)
 	k.Created, k.Expires = now, expires
 	if expires != 0 && expires <= now {
-		return k, s, invalid("expires", "is past")
+		return k, s, invalid("expires", "must be in the future")
 	}
 	if err := k.check(); err != nil {
 		return k, s, err
@@ -101,14 +101,14 @@
 		return err
 	}
 	if id, err := hex.DecodeString(string(k.ID)); err != nil || len(id) != keyIDBytes || len(k.Hash) != sha256.Size {
-		return invalid("keys", "%q is damaged", k.Name)
+		return invalid("keys", "%q has an invalid id or hash", k.Name)
 	}
 	return nil
 }
 
-// Verify reports whether a secret is the key's and the key has not expired. The clock may be off by
-// clockError: a key that has expired by true time is refused everywhere, so it may be refused by up to
-// twice the error too soon.
+// Verify reports whether the secret matches the key and the key has not expired. clockError is the
+// maximum error of the clock: an expired key is always refused, and a key may be refused up to twice the
+// clock error before its expiry.
 func (k *Key) Verify(s Secret, now api.WallTime, clockError time.Duration) bool {
 	hash := sha256.Sum256(s.data[:])
 	hashMatches := subtle.ConstantTimeCompare(hash[:], k.Hash) == 1
--- a/tenant/lifecycle.go
+++ b/tenant/lifecycle.go
@@ -1,12 +1,12 @@
-// The lifecycle of a tenant: suspended, resumed, removed.
+// This file implements the lifecycle of a tenant: suspension, resumption and removal.
 
 package tenant
 
 import "basaltwall/api"
 
-// Suspend stops starts of the tenant and drains what runs; its services go on for so many seconds. On
-// a suspended tenant it changes nothing.
-func (t Tenant) Suspend(reason string, drain float64, now api.WallTime) (Tenant, error) {
+// Suspend suspends an active tenant: its pending tasks are not started and its running tasks drain; its
+// services keep running for drainSeconds. Suspend has no effect on a suspended tenant.
+func (t Tenant) Suspend(reason string, drainSeconds float64, now api.WallTime) (Tenant, error) {
 	switch t.State {
 	case Suspended:
 		return t, nil
@@ -14,11 +14,11 @@
 	default:
 		return t, conflict("%s is %s", t.Name, t.State)
 	}
-	t.State, t.SuspendReason, t.Drain, t.SuspendedAt = Suspended, reason, drain, now
+	t.State, t.SuspendReason, t.Drain, t.SuspendedAt = Suspended, reason, drainSeconds, now
 	return t, t.Check()
 }
 
-// Resume makes a suspended tenant active again.
+// Resume makes a suspended tenant active again. It has no effect on an active tenant.
 func (t Tenant) Resume() (Tenant, error) {
 	switch t.State {
 	case Active:
@@ -31,31 +31,31 @@
 	return t, nil
 }
 
-// Remove begins the removal of a suspended tenant with so many open jobs; with cancel they are
-// cancelled, without there must be none.
-func (t Tenant) Remove(open int, cancel bool) (Tenant, error) {
+// Remove begins the removal of a suspended tenant that has openJobs open jobs. These are cancelled if
+// cancel is true; otherwise Remove refuses while there are any.
+func (t Tenant) Remove(openJobs int, cancel bool) (Tenant, error) {
 	switch {
 	case t.State == Removing || t.State == Removed:
 		return t, nil
 	case t.State != Suspended:
 		return t, conflict("%s is %s: suspend it first", t.Name, t.State)
-	case open > 0 && !cancel:
-		return t, conflict("%d jobs of %s are not over: wait, or cancel them", open, t.Name)
+	case openJobs > 0 && !cancel:
+		return t, conflict("%d jobs of %s are open: wait until they end, or cancel them", openJobs, t.Name)
 	}
 	t.State, t.CancelJobs = Removing, cancel
 	return t, nil
 }
 
-// FinishRemoval completes the removal once no job is open. The name stays taken and the history is
-// retained for its time; the keys are dropped.
-func (t Tenant) FinishRemoval(open int) (Tenant, error) {
+// FinishRemoval completes the removal once no job is open. The name stays reserved and the history is
+// kept for its retention time; the keys and teams are deleted.
+func (t Tenant) FinishRemoval(openJobs int) (Tenant, error) {
 	switch {
 	case t.State == Removed:
 		return t, nil
 	case t.State != Removing:
 		return t, conflict("%s is %s", t.Name, t.State)
-	case open > 0:
-		return t, conflict("%d jobs of %s are not over", open, t.Name)
+	case openJobs > 0:
+		return t, conflict("%d jobs of %s are open", openJobs, t.Name)
 	}
 	t.State, t.Keys, t.Teams = Removed, nil, nil
 	return t, nil
--- a/tenant/networks.go
+++ b/tenant/networks.go
@@ -1,4 +1,5 @@
-// IP networks: from where tenants and operators may connect, and the client address behind proxies.
+// This file defines lists of IP networks, which restrict client addresses, and determines the client
+// address behind proxies.
 
 package tenant
 
@@ -12,22 +13,22 @@
 	"github.com/gaissmai/bart"
 )
 
-// maxNetworks bounds the networks of a list.
+// maxNetworks is the maximum number of networks in a list.
 const maxNetworks = 10_000
 
 // ipv4MappedBits is the prefix length of the IPv4-mapped IPv6 addresses.
 const ipv4MappedBits = 96
 
-// Networks is a sorted list of IP networks with a table to look addresses up in. The zero value
-// is empty.
+// Networks is a sorted list of IP networks with a lookup table for addresses. The zero value is an empty
+// list.
 type Networks struct {
 	list  []netip.Prefix
 	table *bart.Lite
 }
 
-// NewNetworks makes a list, sorted and without duplicates. IPv4-mapped IPv6 networks become IPv4
-// networks. A network with bits set beyond its prefix length is refused: most likely a different one
-// was meant.
+// NewNetworks returns a sorted list without duplicates. It converts IPv4-mapped IPv6 networks to IPv4
+// networks. It refuses a network with bits set beyond its prefix length, which is probably a typing
+// error.
 func NewNetworks(prefixes []netip.Prefix) (Networks, error) {
 	if len(prefixes) > maxNetworks {
 		return Networks{}, invalid("networks", "at most %d", maxNetworks)
@@ -35,16 +36,16 @@
 	n := Networks{}
 	for _, p := range prefixes {
 		if !p.IsValid() || p.Addr().Zone() != "" {
-			return Networks{}, invalid("networks", "%v is none", p)
+			return Networks{}, invalid("networks", "%v is not a network", p)
 		}
 		if p.Addr().Is4In6() {
 			if p.Bits() < ipv4MappedBits {
-				return Networks{}, invalid("networks", "%v holds more than IPv4", p)
+				return Networks{}, invalid("networks", "%v is wider than the IPv4-mapped addresses", p)
 			}
 			p = netip.PrefixFrom(p.Addr().Unmap(), p.Bits()-ipv4MappedBits)
 		}
 		if p != p.Masked() {
-			return Networks{}, invalid("networks", "%v has bits beyond its length; %v?", p, p.Masked())
+			return Networks{}, invalid("networks", "%v has bits set beyond its prefix length; did you mean %v?", p, p.Masked())
 		}
 		n.list = append(n.list, p)
 	}
@@ -88,13 +89,13 @@
 	return NewNetworks(out)
 }
 
-// Len is the number of networks.
+// Len returns the number of networks.
 func (n Networks) Len() int { return len(n.list) }
 
 // IsZero reports whether the list is empty.
 func (n Networks) IsZero() bool { return len(n.list) == 0 }
 
-// Prefixes are the networks, sorted.
+// Prefixes returns the networks, sorted.
 func (n Networks) Prefixes() []netip.Prefix { return slices.Clone(n.list) }
 
 // Contains reports whether an address is in one of the networks.
@@ -105,12 +106,12 @@
 // Allows reports whether an address is allowed: an empty list allows any.
 func (n Networks) Allows(a netip.Addr) bool { return n.IsZero() || n.Contains(a) }
 
-// MarshalJSON writes the networks as a list of strings, an empty one for none.
+// MarshalJSON encodes the networks as a list of strings; an empty list is [], not null.
 func (n Networks) MarshalJSON() ([]byte, error) {
 	return json.Marshal(append([]netip.Prefix{}, n.list...))
 }
 
-// UnmarshalJSON reads the networks from a list of strings.
+// UnmarshalJSON decodes a list of strings.
 func (n *Networks) UnmarshalJSON(b []byte) error {
 	var texts []string
 	if err := json.Unmarshal(b, &texts); err != nil {
@@ -124,9 +125,9 @@
 	return nil
 }
 
-// ClientAddr is the address that a request comes from. X-Forwarded-For is trusted only if the
-// connection comes from a proxy, and from its end on only as long as each address is a proxy too:
-// the first that is not is the client.
+// ClientAddr returns the client address of a request. It uses the X-Forwarded-For header, forwarded, only
+// if the connection comes from a trusted proxy. It then reads the header from its end and returns the
+// first address that is not a trusted proxy.
 func ClientAddr(conn netip.Addr, forwarded string, proxies Networks) netip.Addr {
 	addr := conn.Unmap()
 	if !proxies.Contains(addr) || forwarded == "" {
@@ -136,7 +137,7 @@
 	for _, hop := range slices.Backward(hops) {
 		a, err := netip.ParseAddr(strings.TrimSpace(hop))
 		if err != nil {
-			return addr // not written by one of the proxies
+			return addr // malformed address, which no trusted proxy added
 		}
 		if addr = a.Unmap().WithZone(""); !proxies.Contains(addr) {
 			return addr
--- a/tenant/networks_test.go
+++ b/tenant/networks_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// The table agrees with a linear scan.
+// Contains and Allows agree with a linear scan of the networks, also after encoding and decoding.
 func TestNetworksAgainstLinearScan(t *testing.T) {
 	addr := rapid.Custom(func(t *rapid.T) netip.Addr {
-		if rapid.Bool().Draw(t, "six") {
+		if rapid.Bool().Draw(t, "ipv6") {
 			var a [16]byte
 			copy(a[:], rapid.SliceOfN(rapid.ByteRange(0, 3), 16, 16).Draw(t, "bytes"))
 			a[0] = 0x20
@@ -40,8 +40,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var back Networks
-		if err := json.Unmarshal(data, &back); err != nil {
+		var decoded Networks
+		if err := json.Unmarshal(data, &decoded); err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
@@ -51,8 +51,8 @@
 				want = want || p.Contains(a)
 			}
 			mapped := netip.AddrFrom16(a.As16())
-			if n.Contains(a) != want || back.Contains(a) != want || a.Is4() && n.Contains(mapped) != want {
-				t.Errorf("%v in %v: %v, expected %v", a, list, n.Contains(a), want)
+			if n.Contains(a) != want || decoded.Contains(a) != want || a.Is4() && n.Contains(mapped) != want {
+				t.Errorf("%v is in %v: %v, expected %v", a, list, n.Contains(a), want)
 			}
 			if n.Allows(a) != (want || len(list) == 0) {
 				t.Errorf("%v is allowed: %v", a, n.Allows(a))
@@ -87,18 +87,18 @@
 	}
 	for _, c := range []struct{ conn, forwarded, want string }{
 		{"192.0.2.1", "", "192.0.2.1"},
-		{"192.0.2.1", "198.51.100.7", "192.0.2.1"}, // not a proxy: not trusted
+		{"192.0.2.1", "198.51.100.7", "192.0.2.1"}, // the connection is not from a proxy: the header is ignored
 		{"10.0.0.1", "", "10.0.0.1"},
 		{"10.0.0.1", "198.51.100.7", "198.51.100.7"},
 		{"::ffff:10.0.0.1", "198.51.100.7", "198.51.100.7"},
-		{"10.0.0.1", "203.0.113.9, 198.51.100.7", "198.51.100.7"}, // the first address is the client's own claim
+		{"10.0.0.1", "203.0.113.9, 198.51.100.7", "198.51.100.7"}, // the client may have set the first address
 		{"10.0.0.1", "203.0.113.9, 10.0.0.2", "203.0.113.9"},
 		{"10.0.0.1", "203.0.113.9, 2001:db8::5 ,10.0.0.2", "203.0.113.9"},
 		{"10.0.0.1", "unknown, 10.0.0.2", "10.0.0.2"},
 		{"10.0.0.1", "203.0.113.9:443", "10.0.0.1"},
 	} {
 		if got := ClientAddr(netip.MustParseAddr(c.conn), c.forwarded, proxies); got != netip.MustParseAddr(c.want) {
-			t.Errorf("%s by way of %q: %v, expected %s", c.forwarded, c.conn, got, c.want)
+			t.Errorf("client of %q behind %s: %v, expected %s", c.forwarded, c.conn, got, c.want)
 		}
 	}
 }
--- a/tenant/operators.go
+++ b/tenant/operators.go
@@ -1,4 +1,5 @@
-// Operators of the service: their keys and roles, and what they set aside for teams.
+// This file defines the operators of the service: their keys, roles and networks, and their budget for
+// teams.
 
 package tenant
 
@@ -11,10 +12,10 @@
 	"basaltwall/api"
 )
 
-// Role is what the key of an operator permits.
+// Role determines the permissions of an operator's key.
 type Role string
 
-// The roles.
+// Roles of operators' keys.
 const (
 	RoleRead   Role = "read"   // reads everything
 	RoleChange Role = "change" // reads and changes everything
@@ -26,25 +27,25 @@
 	Role Role `json:"role"`
 }
 
-// Operators is the record of who operates the service and of what they decided for all tenants.
+// Operators is the record of the operators' keys and of their settings for the whole service.
 type Operators struct {
 	Keys             []OperatorKey `json:"keys,omitempty"`
-	Networks         Networks      `json:"networks,omitzero"` // from where operators may connect; none: from anywhere
-	Proxies          Networks      `json:"proxies,omitzero"`  // whose X-Forwarded-For is trusted
-	CPUs             float64       `json:"cpus,omitempty"`    // guarantees that all teams made here may have together
-	GPUs             float64       `json:"gpus,omitempty"`    // the same
-	RetiredAdminKeys []KeyID       `json:"retired,omitempty"` // keys of the configuration file that are revoked
+	Networks         Networks      `json:"networks,omitzero"` // client networks of operators; empty: any
+	Proxies          Networks      `json:"proxies,omitzero"`  // proxies whose X-Forwarded-For header is trusted
+	CPUs             float64       `json:"cpus,omitempty"`    // budget for the CPU guarantees of all teams created at run time
+	GPUs             float64       `json:"gpus,omitempty"`    // budget for the GPU guarantees of all teams created at run time
+	RetiredAdminKeys []KeyID       `json:"retired,omitempty"` // revoked keys of the configuration file
 }
 
-// AdminKeyName names the key of the configuration file, for its revocation.
+// AdminKeyName is the name by which the key of the configuration file is revoked.
 const AdminKeyName = "first"
 
 const (
 	maxRetiredAdminKeys = 16
-	maxAmount           = 1e7 // of CPUs or GPUs
+	maxAmount           = 1e7 // CPUs or GPUs
 )
 
-// Check validates the record. The error is an *Error that names the field at fault.
+// Check validates the record. The error is an *Error that names the invalid field.
 func (o *Operators) Check() error {
 	switch {
 	case len(o.Keys) > maxKeys:
@@ -64,17 +65,17 @@
 			return invalid("role", "must be %s or %s", RoleRead, RoleChange)
 		}
 		if k.Name == AdminKeyName {
-			return invalid("name", "%s is the key of the file", AdminKeyName)
+			return invalid("name", "%s is reserved for the key of the configuration file", AdminKeyName)
 		}
 		if slices.ContainsFunc(o.Keys[:i], func(p OperatorKey) bool { return p.ID == k.ID || p.Name == k.Name }) {
-			return invalid("keys", "%q is there twice", k.Name)
+			return invalid("keys", "%q has the same id or name as another key", k.Name)
 		}
 	}
 	return nil
 }
 
-// Authenticate finds the role of a secret: that of a key of the record, or RoleChange for the key of the
-// configuration file unless it was revoked. It is false if no key fits.
+// Authenticate returns the role of the key that matches a secret; the key of the configuration file has
+// RoleChange unless it is revoked. It returns false if no key matches.
 func (o *Operators) Authenticate(adminKey Key, s Secret, now api.WallTime, clockError time.Duration) (Role, bool) {
 	if adminKey.Verify(s, now, clockError) && !slices.Contains(o.RetiredAdminKeys, adminKey.ID) {
 		return RoleChange, true
@@ -87,7 +88,7 @@
 	return "", false
 }
 
-// Add adds a key.
+// Add returns the operators with another key.
 func (o Operators) Add(k Key, role Role) (Operators, error) {
 	if slices.ContainsFunc(o.Keys, func(p OperatorKey) bool { return p.Name == k.Name }) {
 		return o, conflict("name: there is a key of that name; its secret is not shown again")
@@ -96,8 +97,9 @@
 	return o, o.Check()
 }
 
-// Revoke revokes a key; AdminKeyName is that of the configuration file. A key with RoleChange that never
-// expires must be left, or operators could lock themselves out.
+// Revoke returns the operators without a key; AdminKeyName stands for the key of the configuration file.
+// It refuses to revoke the last key that has RoleChange and does not expire, so that operators keep
+// access.
 func (o Operators) Revoke(adminKey Key, name string) (Operators, error) {
 	if name == AdminKeyName {
 		if !slices.Contains(o.RetiredAdminKeys, adminKey.ID) {
@@ -111,16 +113,16 @@
 	}
 	permanentWriter := func(k OperatorKey) bool { return k.Role == RoleChange && k.Expires == 0 }
 	if slices.Contains(o.RetiredAdminKeys, adminKey.ID) && !slices.ContainsFunc(o.Keys, permanentWriter) {
-		return o, conflict("key: a key with the role %s that never expires must be left", RoleChange)
+		return o, conflict("key: at least one key with the role %s that does not expire must remain", RoleChange)
 	}
 	return o, o.Check()
 }
 
-// CheckAccessFrom refuses a record that would lock out the address which the change of it comes from:
-// that is a mistake.
+// CheckAccessFrom refuses a record whose networks exclude the address that requests the change, so that
+// operators do not lock themselves out by mistake.
 func (o *Operators) CheckAccessFrom(from netip.Addr) error {
 	if !o.Networks.Allows(from) {
-		return &Error{Status: StatusUnprocessable, Field: "networks", Reason: fmt.Sprintf("%v, from where this comes, is not in them", from)}
+		return &Error{Status: StatusUnprocessable, Field: "networks", Reason: fmt.Sprintf("%v, the address of this request, is not included", from)}
 	}
 	return nil
 }
--- a/tenant/operators_test.go
+++ b/tenant/operators_test.go
@@ -13,28 +13,28 @@
 	"basaltwall/api"
 )
 
-// Whatever operators do to their keys, one with RoleChange that never expires is left,
-// and each authenticates as it was made to until it is revoked.
+// In any sequence of additions and revocations, a key that has RoleChange and does not expire remains,
+// and each key authenticates with its role until it is revoked.
 func TestOperatorsNeverLockedOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		secret := func(b byte) Secret {
 			return Secret{ID: KeyID("00112233445566" + string("0123456789abcdef"[b%16]) + "0"), data: [secretBytes]byte{b}}
 		}
-		first := secret(15)
+		adminSecret := secret(15)
 		var o Operators
 		model := map[string]Role{} // by name
 		names := []string{"a", "b", "c"}
-		retired := false
-		for range rapid.IntRange(1, 30).Draw(t, "acts") {
+		adminKeyRevoked := false
+		for range rapid.IntRange(1, 30).Draw(t, "operations") {
 			i := rapid.IntRange(0, len(names)-1).Draw(t, "key")
 			name := names[i]
-			switch rapid.IntRange(0, 2).Draw(t, "act") {
+			switch rapid.IntRange(0, 2).Draw(t, "operation") {
 			case 0:
 				k := secret(byte(i)).Key(name)
 				role := rapid.SampledFrom([]Role{RoleRead, RoleChange}).Draw(t, "role")
 				next, err := o.Add(k, role)
-				if _, there := model[name]; (err == nil) == there {
-					t.Fatalf("added %s, there already %v: %v", name, there, err)
+				if _, exists := model[name]; (err == nil) == exists {
+					t.Fatalf("adding %s, which exists: %v: %v", name, exists, err)
 				}
 				if err == nil {
 					o, model[name] = next, role
@@ -43,28 +43,28 @@
 				if rapid.IntRange(0, 4).Draw(t, "first") == 0 {
 					name = AdminKeyName
 				}
-				next, err := o.Revoke(first.Key("admin"), name)
+				next, err := o.Revoke(adminSecret.Key("admin"), name)
 				if err == nil {
 					o = next
 					delete(model, name)
-					retired = retired || name == AdminKeyName
+					adminKeyRevoked = adminKeyRevoked || name == AdminKeyName
 				}
 			}
-			opens := 0
+			writers := 0
 			for i, name := range names {
-				role, ok := o.Authenticate(first.Key("admin"), secret(byte(i)), 1000, 0)
+				role, ok := o.Authenticate(adminSecret.Key("admin"), secret(byte(i)), 1000, 0)
 				if want := model[name]; role != want || ok != (want != "") {
-					t.Fatalf("%s opens %q, expected %q", name, role, want)
+					t.Fatalf("%s has the role %q, expected %q", name, role, want)
 				}
 				if role == RoleChange {
-					opens++
+					writers++
 				}
 			}
-			if _, ok := o.Authenticate(first.Key("admin"), first, 1000, 0); ok == retired {
-				t.Fatalf("the first key opens %v, retired %v", ok, retired)
+			if _, ok := o.Authenticate(adminSecret.Key("admin"), adminSecret, 1000, 0); ok == adminKeyRevoked {
+				t.Fatalf("the admin key authenticates: %v, revoked: %v", ok, adminKeyRevoked)
 			}
-			if retired && opens == 0 {
-				t.Fatal("nobody can change anything")
+			if adminKeyRevoked && writers == 0 {
+				t.Fatal("no key with RoleChange remains")
 			}
 		}
 	})
@@ -79,7 +79,7 @@
 		var e *Error
 		ok := errors.As(o.Check(), &e)
 		if !ok || e.Field != field || e.Status != 400 {
-			t.Errorf("%s spoilt: %v", field, e)
+			t.Errorf("%s corrupted: %v", field, e)
 		}
 	}
 	inside, err := ParseNetworks([]string{"10.0.0.0/8"})
@@ -88,50 +88,50 @@
 	}
 	o := Operators{Networks: inside}
 	if o.CheckAccessFrom(netip.MustParseAddr("10.1.2.3")) != nil || o.CheckAccessFrom(netip.MustParseAddr("11.1.2.3")) == nil {
-		t.Error("who may come is not told from who may not")
+		t.Error("CheckAccessFrom does not distinguish allowed addresses from others")
 	}
 }
 
-// The guarantees of teams together stay within the budget, by any sequence of
-// changes; and the stored total is the sum of the teams.
+// In any sequence of changes, the guarantees of all teams stay within the budget, and the stored total is
+// their sum.
 func TestGuaranteedTotalIsTheSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget := Operators{CPUs: float64(rapid.IntRange(0, 20).Draw(t, "aside")), GPUs: 3}
+		budget := Operators{CPUs: float64(rapid.IntRange(0, 20).Draw(t, "budget")), GPUs: 3}
 		teams := map[api.Team]Team{}
-		var given GuaranteedTotal
-		for range rapid.IntRange(1, 30).Draw(t, "acts") {
+		var total GuaranteedTotal
+		for range rapid.IntRange(1, 30).Draw(t, "operations") {
 			name := rapid.SampledFrom([]api.Team{"x", "y", "z"}).Draw(t, "team")
-			was := teams[name]
-			var now Team
+			old := teams[name]
+			var updated Team
 			var err error
-			if rapid.IntRange(0, 4).Draw(t, "act") == 0 {
-				now, err = was.Remove("", 0)
-				if was.Name == "" {
+			if rapid.IntRange(0, 4).Draw(t, "operation") == 0 {
+				updated, err = old.Remove("", 0)
+				if old.Name == "" {
 					continue
 				}
 			} else {
 				cpus := float64(rapid.IntRange(0, 12).Draw(t, "cpus"))
-				now, err = was.Change(Team{Name: name, CPUs: cpus, GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
+				updated, err = old.Change(Team{Name: name, CPUs: cpus, GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus")),
 					CPUsMax: rapid.SampledFrom([]float64{0, cpus, 2 * cpus}).Draw(t, "max")})
 			}
 			if err != nil {
 				continue
 			}
-			if next, err := given.Adjust(was, now, budget); err == nil {
-				given, teams[name] = next, now
+			if next, err := total.Adjust(old, updated, budget); err == nil {
+				total, teams[name] = next, updated
 			}
 			var sum GuaranteedTotal
 			for _, x := range teams {
 				sum.CPUs, sum.GPUs = sum.CPUs+x.CPUs, sum.GPUs+x.GPUs
 			}
-			if sum != given || sum.CPUs > budget.CPUs || sum.GPUs > budget.GPUs {
-				t.Fatalf("teams are given %v, kept is %v, set aside %v", sum, given, budget)
+			if sum != total || sum.CPUs > budget.CPUs || sum.GPUs > budget.GPUs {
+				t.Fatalf("sum of the guarantees %v, stored total %v, budget %v", sum, total, budget)
 			}
 		}
 	})
 }
 
-// A limit is divided among the partitions, which transfer shares, so it can't be taken back.
+// A team's limit is divided into shares of the partitions, so it may only be raised or removed.
 func TestTeamLimitNeverShrinks(t *testing.T) {
 	team := Team{Name: "dispo", CPUs: 2, CPUsMax: 4}
 	for max, ok := range map[float64]bool{3: false, 4: true, 9: true, 0: true} {
@@ -140,17 +140,17 @@
 		}
 	}
 	if _, err := (Team{Name: "dispo"}).Change(Team{Name: "dispo", GPUsMax: 1}); err == nil {
-		t.Error("a limit is put where there was none")
+		t.Error("a limit is added to a team without one")
 	}
 	if _, err := (Team{}).Change(Team{Name: "dispo", CPUsMax: 3}); err != nil {
-		t.Errorf("a new team has a limit: %v", err)
+		t.Errorf("a new team with a limit is refused: %v", err)
 	}
-	gone, err := team.Remove("", 0)
-	if err != nil || !gone.Removed || gone.CPUs != 0 {
-		t.Errorf("%+v, %v", gone, err)
+	removed, err := team.Remove("", 0)
+	if err != nil || !removed.Removed || removed.CPUs != 0 {
+		t.Errorf("%+v, %v", removed, err)
 	}
-	if _, err := gone.Change(team); err == nil {
-		t.Error("the name of a removed team is used again")
+	if _, err := removed.Change(team); err == nil {
+		t.Error("the name of a removed team is reused")
 	}
 	for _, c := range []struct {
 		owner Name
@@ -162,39 +162,39 @@
 	}
 }
 
-// A window never exceeds its limit, always has the most important jobs, and within
-// RoundsToCoverAll rounds each of the others once.
+// A window never exceeds its limit and always contains the most important jobs; RoundsToCoverAll rounds
+// contain every job.
 func TestWindowCoversAllJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(2, 40).Draw(t, "most")
+		limit := rapid.IntRange(2, 40).Draw(t, "limit")
 		n := rapid.IntRange(0, 300).Draw(t, "n")
-		from := rapid.IntRange(0, 1000).Draw(t, "turn")
+		firstTurn := rapid.IntRange(0, 1000).Draw(t, "turn")
 		seen := map[int]bool{}
-		for turn := range RoundsToCoverAll(n, most) {
-			w := Window(n, most, from+turn)
-			if len(w) != min(n, most) {
-				t.Fatalf("%d of %d, at most %d", len(w), n, most)
+		for turn := range RoundsToCoverAll(n, limit) {
+			w := Window(n, limit, firstTurn+turn)
+			if len(w) != min(n, limit) {
+				t.Fatalf("window of %d of %d jobs, limit %d", len(w), n, limit)
 			}
 			once := map[int]bool{}
 			for _, i := range w {
 				if i < 0 || i >= n || once[i] {
-					t.Fatalf("%v of %d", w, n)
+					t.Fatalf("window %v of %d jobs", w, n)
 				}
 				once[i], seen[i] = true, true
 			}
-			for i := range min(n, (most+1)/2) {
+			for i := range min(n, (limit+1)/2) {
 				if !slices.Contains(w, i) {
-					t.Fatalf("%d, one of the first, is not in %v", i, w)
+					t.Fatalf("job %d, one of the most important, is not in the window %v", i, w)
 				}
 			}
 		}
 		if len(seen) != n {
-			t.Fatalf("%d of %d had a turn", len(seen), n)
+			t.Fatalf("%d of %d jobs were in a window", len(seen), n)
 		}
 	})
 }
 
-// Empty lists of networks are encoded as lists: a client reads them without a special case.
+// An empty list of networks is encoded as [], so that clients need no special case.
 func TestEmptyNetworksEncodeAsList(t *testing.T) {
 	data, err := json.Marshal(Networks{})
 	if err != nil || string(data) != "[]" {
--- a/tenant/ratelimit.go
+++ b/tenant/ratelimit.go
@@ -1,4 +1,4 @@
-// Rate limits of tenants: token buckets, and a controller's share of them.
+// This file implements rate limits of tenants: token buckets, and a controller's share of a limit.
 
 package tenant
 
@@ -8,15 +8,16 @@
 	"basaltwall/api"
 )
 
-// TokenBucket is a token bucket: a burst at once, a rate over time. The zero value is ready to use and
-// empty: a process that restarts again and again would otherwise allow a burst each time.
+// TokenBucket limits a rate and allows bursts. The zero value is an empty bucket that is ready to use. A
+// new bucket is empty so that a process that restarts repeatedly does not allow a burst each time.
 type TokenBucket struct {
-	level    float64 // tokens
+	level    float64 // in tokens
 	filledAt api.Time
 }
 
-// Take takes a token if there is one; otherwise wait is the time until there will be. Rate, in tokens a
-// second, and burst may differ from call to call: they are this controller's share.
+// Take takes a token if one is available; otherwise wait is the time until the next one. rate, in tokens
+// per second, and burst are this controller's share of the tenant's limit; they may differ from call to
+// call.
 func (b *TokenBucket) Take(now api.Time, rate, burst float64) (ok bool, wait time.Duration) {
 	b.fill(now, rate, burst)
 	if b.level >= 1 {
@@ -26,27 +27,26 @@
 	return false, waitForToken(b.level, rate)
 }
 
-// fill adds the tokens of the time since the last call.
+// fill adds the tokens for the time since the last call.
 func (b *TokenBucket) fill(now api.Time, rate, burst float64) {
 	b.level += rate * max(0, now.Sub(b.filledAt).Seconds())
 	b.level, b.filledAt = min(b.level, max(1, burst)), now
 }
 
-// RateShare is a controller's share of a tenant's rate and burst with so many members. The sum
-// over all controllers is the whole, or less while some count more members than there are.
-// While some still count fewer, the sum exceeds it by what these take too much in that
-// time, and by one token: a share of a burst is never less than one.
+// RateShare returns a controller's share of a tenant's rate and burst, by the number of controllers that
+// it counts. While all controllers count the same number, the shares add up to the limit, except that
+// each share of the burst is at least one token. While some count too few, the sum exceeds the limit.
 func RateShare(rate, burst float64, members int) (float64, float64) {
 	m := float64(max(1, members))
 	return rate / m, max(1, burst/m)
 }
 
 const (
-	maxWaitSeconds = 3600 // longest wait that a refusal names
-	minRate        = 1e-9 // a smaller rate counts as this one
+	maxWaitSeconds = 3600 // upper bound of a returned wait
+	minRate        = 1e-9 // lower bound of a rate, which avoids a division by zero
 )
 
-// waitForToken is the time until a level grows to one token at a rate a second.
+// waitForToken returns the time until a level reaches one token, at a rate in tokens per second.
 func waitForToken(level, rate float64) time.Duration {
 	return api.Seconds(min(maxWaitSeconds, (1-level)/max(rate, minRate)))
 }
--- a/tenant/ratelimit_test.go
+++ b/tenant/ratelimit_test.go
@@ -10,7 +10,7 @@
 	"basaltwall/api"
 )
 
-// Over any interval a bucket allows no more than its burst and its rate.
+// Over any interval a bucket admits at most its burst plus its rate times the interval.
 func TestTokenBucketRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate, burst := rapid.Float64Range(0.01, 50).Draw(t, "rate"), rapid.Float64Range(1, 30).Draw(t, "burst")
@@ -26,64 +26,63 @@
 			}
 			later := b
 			if ok, _ := later.Take(now.Add(wait+time.Microsecond), rate, burst); !ok {
-				t.Fatalf("told to come back after %v, refused then", wait)
+				t.Fatalf("refused again after the returned wait of %v", wait)
 			}
 		}
 		for i := range taken {
 			for j := i; j < len(taken); j++ {
-				if n, most := float64(j-i+1), burst+rate*taken[j].Sub(taken[i]).Seconds()+1e-6; n > most+1e-6 {
-					t.Fatalf("%v taken in %v, at most %v", n, taken[j].Sub(taken[i]), most)
+				if n, limit := float64(j-i+1), burst+rate*taken[j].Sub(taken[i]).Seconds()+1e-6; n > limit+1e-6 {
+					t.Fatalf("%v taken in %v, at most %v", n, taken[j].Sub(taken[i]), limit)
 				}
 			}
 		}
 	})
 }
 
-// A tenant's first submission is not refused for being the first, unless the process has
-// just started.
+// The first submission of a tenant is admitted, unless the process has just started.
 func TestTokenBucketOfNewTenant(t *testing.T) {
 	var b TokenBucket
 	if ok, _ := b.Take(api.Time(time.Minute), 0.5, 3); !ok {
-		t.Error("the first is refused after a minute")
+		t.Error("the first submission is refused a minute after the start")
 	}
 	var c TokenBucket
 	if ok, wait := c.Take(api.Time(time.Second), 0.5, 3); ok || wait != time.Second {
-		t.Errorf("a second after the beginning: taken %v, wait %v", ok, wait)
+		t.Errorf("a second after the start: admitted %v, wait %v", ok, wait)
 	}
 }
 
-// The rate is that of the whole service: over all controllers no more is taken than the
-// rate and the burst allow, and a bound for the times in which their member counts differ.
+// A rate limit holds for the whole service: all controllers together admit at most the rate and the
+// burst, plus a bounded excess for each membership change.
 func TestRateShareAcrossMembershipChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, burst = 20.0, 12.0
 		now, total := api.Time(1), 0
-		alive := []*TokenBucket{{}, {}, {}}
-		changes, extra := 0, 0.0
-		begun := now
+		buckets := []*TokenBucket{{}, {}, {}}
+		changes, excess := 0, 0.0
+		start := now
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now = now.Add(20 * time.Millisecond)
-			counted := len(alive)
+			members := len(buckets)
 			event := 2
 			if changes < 3 {
 				event = rapid.IntRange(0, 19).Draw(t, "event")
 			}
 			switch event {
 			case 0:
-				if len(alive) > 1 { // one fails; the others learn it by the end of its lease
-					alive = alive[1:]
+				if len(buckets) > 1 { // one controller fails; the others still count it in this step
+					buckets = buckets[1:]
 					changes++
 				}
 			case 1:
-				if len(alive) < 5 {
-					// One starts; the others count it a moment later, it counts all.
-					alive = append(alive, &TokenBucket{})
-					extra += rate * 0.02
+				if len(buckets) < 5 {
+					// One controller starts; all controllers count it from the next step on.
+					buckets = append(buckets, &TokenBucket{})
+					excess += rate * 0.02
 					changes++
 				}
 			}
-			for _, b := range alive {
-				r, k := RateShare(rate, burst, counted)
+			for _, b := range buckets {
+				r, k := RateShare(rate, burst, members)
 				for {
 					if ok, _ := b.Take(now, r, k); !ok {
 						break
@@ -92,38 +91,38 @@
 				}
 			}
 		}
-		// A changed membership may leave each with a share of the burst that was the
-		// larger one's: as many more as the largest share, once for each change.
-		most := burst + rate*now.Sub(begun).Seconds() + extra + float64(changes)*burst + float64(len(alive))
-		if float64(total) > most {
-			t.Fatalf("%d submissions taken in %v with %d changes, at most %.1f", total, now.Sub(begun), changes, most)
+		// After a membership change, buckets may still hold burst shares of the earlier number of
+		// controllers: at most one burst more per change.
+		limit := burst + rate*now.Sub(start).Seconds() + excess + float64(changes)*burst + float64(len(buckets))
+		if float64(total) > limit {
+			t.Fatalf("%d submissions admitted in %v with %d membership changes, at most %.1f", total, now.Sub(start), changes, limit)
 		}
 	})
 }
 
-// However many tenants overload the service, one that stays within its share is never refused, and all
-// together get no more than there is.
+// A tenant within its share is never refused, however many tenants overload the service, and all tenants
+// together get at most the total rate.
 func TestFairLimiterIsolatesTenants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(4, 80).Draw(t, "rate")
-		floods := rapid.IntRange(1, 6).Draw(t, "floods")
-		// Its share while all are active, less what a step takes.
-		part := rate / float64(floods+1)
-		every := api.Seconds(1.05 / part)
-		if every > activeWindow {
-			every = activeWindow // it must submit to count as active
+		heavyTenants := rapid.IntRange(1, 6).Draw(t, "heavy tenants")
+		// The share of a tenant while all are active; the light tenant submits slightly less.
+		share := rate / float64(heavyTenants+1)
+		interval := api.Seconds(1.05 / share)
+		if interval > activeWindow {
+			interval = activeWindow // it must submit to count as active
 		}
 		var f FairLimiter
 		now := api.Time(1)
-		next := now.Add(every)
+		next := now.Add(interval)
 		taken, end := 0.0, now.Add(20*time.Second)
-		begun := now
-		f.Take(now, "calm", rate)
+		start := now
+		f.Take(now, "light", rate)
 		for now < end {
 			now = now.Add(10 * time.Millisecond)
-			for i := range floods {
+			for i := range heavyTenants {
 				for range rapid.IntRange(0, 4).Draw(t, "tries") {
-					if ok, _ := f.Take(now, Name(fmt.Sprint("flood-", i)), rate); ok {
+					if ok, _ := f.Take(now, Name(fmt.Sprint("heavy-", i)), rate); ok {
 						taken++
 					}
 				}
@@ -131,24 +130,24 @@
 			if now < next {
 				continue
 			}
-			next = next.Add(every)
-			ok, _ := f.Take(now, "calm", rate)
+			next = next.Add(interval)
+			ok, _ := f.Take(now, "light", rate)
 			if ok {
 				taken++
-			} else if now.Sub(begun) > 2*every && part >= 1/activeWindow.Seconds() {
-				t.Fatalf("refused at %v though within its part of %.2f a second", now.Sub(begun), part)
+			} else if now.Sub(start) > 2*interval && share >= 1/activeWindow.Seconds() {
+				t.Fatalf("refused after %v although within its share of %.2f submissions per second", now.Sub(start), share)
 			}
 		}
-		if most := rate*now.Sub(begun).Seconds() + 2*max(1, rate*maxCreditSeconds) + float64(floods+1); taken > most {
-			t.Fatalf("%v taken of %v", taken, most)
+		if limit := rate*now.Sub(start).Seconds() + 2*max(1, rate*maxCreditSeconds) + float64(heavyTenants+1); taken > limit {
+			t.Fatalf("%v submissions admitted, at most %v", taken, limit)
 		}
 	})
 }
 
-// Credit that nobody used for long is not available all at once.
+// Credit that accumulates while tenants are idle is bounded.
 func TestFairLimiterAfterIdle(t *testing.T) {
 	var f FairLimiter
-	f.Take(1, "calm", 10)
+	f.Take(1, "light", 10)
 	now := api.Time(1).Add(time.Hour)
 	taken := 0
 	for i := range 500 {
@@ -157,6 +156,6 @@
 		}
 	}
 	if taken != 10 {
-		t.Errorf("%d taken at once after a pause, expected what comes in a second, 10", taken)
+		t.Errorf("%d submissions admitted at once after an idle hour, expected the credit of one second, 10", taken)
 	}
 }
--- a/tenant/roundwindow.go
+++ b/tenant/roundwindow.go
@@ -1,11 +1,10 @@
-// The window of a tenant's jobs that a round considers.
+// This file selects the window of a tenant's jobs that a scheduling round considers.
 
 package tenant
 
-// Window chooses which of a tenant's n jobs take part in a round: at most limit, as
-// indices into their order of importance. Half of them are the most important; the others rotate, so
-// that none waits for good behind jobs that fit nowhere. turn counts the rounds, by which the choice
-// differs from round to round.
+// Window returns which of a tenant's n jobs take part in a round, as at most limit indices into their
+// order of importance. Half of the window holds the most important jobs. The other half rotates with
+// turn, the number of the round, so that no job starves behind jobs that can't be placed.
 func Window(n, limit int, turn int) []int {
 	if n <= limit {
 		limit = n
@@ -28,8 +27,8 @@
 	return out
 }
 
-// RoundsToCoverAll is after how many rounds at most each of n jobs has taken part, with at most limit a
-// round.
+// RoundsToCoverAll returns the maximum number of rounds until each of n jobs has taken part, with at most
+// limit jobs per round.
 func RoundsToCoverAll(n, limit int) int {
 	if n <= limit {
 		return 1
--- a/tenant/table.go
+++ b/tenant/table.go
@@ -1,4 +1,4 @@
-// The table of tenants, as the log of the key-value store has it.
+// This file implements the table of tenants, replicated from the log of the key-value store.
 
 package tenant
 
@@ -10,14 +10,14 @@
 	"basaltwall/api"
 )
 
-// Entry is the record of a tenant with its revision, which a compare-and-swap change must name.
+// Entry is the record of a tenant with its revision, on which a compare-and-swap is conditional.
 type Entry struct {
 	Tenant
 	Revision api.Revision
 }
 
-// Table holds the tenants, as replicated by the log of the key-value store. Not safe for concurrent
-// use.
+// Table holds the records of all tenants, replicated from the log of the key-value store. It is not safe
+// for concurrent use.
 type Table struct {
 	entries map[Name]*Entry
 	keys    map[KeyID]*Entry
@@ -27,7 +27,7 @@
 // NewTable returns a table without tenants.
 func NewTable() *Table { return &Table{entries: map[Name]*Entry{}, keys: map[KeyID]*Entry{}} }
 
-// Put applies a changed record. On error the table stays as it was.
+// Put applies a changed record. On error the table is unchanged.
 func (t *Table) Put(name string, value json.RawMessage, version api.Revision) error {
 	e := &Entry{Revision: version}
 	if err := json.Unmarshal(value, &e.Tenant); err != nil {
@@ -37,7 +37,7 @@
 		return err
 	}
 	if string(e.Name) != name {
-		return invalid("name", "%q in the record of %q", e.Name, name)
+		return invalid("name", "%q does not match the key %q of the record", e.Name, name)
 	}
 	t.Drop(name)
 	t.entries[e.Name], t.names = e, nil
@@ -62,10 +62,10 @@
 	}
 }
 
-// Get returns the entry of a tenant, nil if there is none. It must not be changed.
+// Get returns the entry of a tenant, or nil if there is none. Callers must not modify it.
 func (t *Table) Get(name Name) *Entry { return t.entries[name] }
 
-// Names lists the names of the tenants, sorted. The list must not be changed.
+// Names returns the names of the tenants, sorted. Callers must not modify the list.
 func (t *Table) Names() []Name {
 	if t.names == nil {
 		t.names = slices.Sorted(maps.Keys(t.entries))
@@ -73,7 +73,7 @@
 	return t.names
 }
 
-// Find returns the tenant and the key with an id, nil if there is none; the secret is not verified.
+// Find returns the tenant and the key with an id, or nil if there is none. It does not verify the secret.
 func (t *Table) Find(id KeyID) (*Entry, *Key) {
 	e := t.keys[id]
 	if e == nil {
@@ -83,8 +83,8 @@
 	return e, &e.Keys[i]
 }
 
-// MayStartTasks reports whether pending tasks of a tenant may be started; those of an unknown one may
-// not.
+// MayStartTasks reports whether pending tasks of a tenant may be started. It is false for an unknown
+// tenant.
 func (t *Table) MayStartTasks(name Name) bool {
 	e := t.entries[name]
 	return e != nil && e.MayStartTasks()
--- a/tenant/table_test.go
+++ b/tenant/table_test.go
@@ -8,8 +8,8 @@
 	"basaltwall/api"
 )
 
-// records are those of a service with 2,000 tenants and 5,000 keys.
-func records(t testing.TB) map[string]json.RawMessage {
+// testRecords returns the records of 2,000 tenants with 5,000 keys in total.
+func testRecords(t testing.TB) map[string]json.RawMessage {
 	t.Helper()
 	out := map[string]json.RawMessage{}
 	for i := range 2000 {
@@ -31,10 +31,10 @@
 	return out
 }
 
-// A key authenticates by the latest record alone.
+// A revoked key is not found, and an invalid record leaves the previous one in force.
 func TestTableAppliesRecords(t *testing.T) {
 	table := NewTable()
-	for name, data := range records(t) {
+	for name, data := range testRecords(t) {
 		if err := table.Put(name, data, 5); err != nil {
 			t.Fatal(err)
 		}
@@ -60,13 +60,13 @@
 		t.Errorf("%+v %+v", e, k)
 	}
 	if err := table.Put("tenant-0008", []byte(`{"name":"tenant-0009"}`), 7); err == nil || table.Get("tenant-0008") == nil {
-		t.Errorf("a damaged record: %v, and the one before is kept: %v", err, table.Get("tenant-0008") != nil)
+		t.Errorf("an invalid record: %v; the previous one is in force: %v", err, table.Get("tenant-0008") != nil)
 	}
 }
 
-// BenchmarkTable reads 2,000 tenants with 5,000 keys; B/op bounds what they hold.
+// BenchmarkTable loads 2,000 tenants with 5,000 keys; B/op is an upper bound of their memory use.
 func BenchmarkTable(b *testing.B) {
-	all := records(b)
+	all := testRecords(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		table := NewTable()
--- a/tenant/team.go
+++ b/tenant/team.go
@@ -1,4 +1,4 @@
-// Teams that operators make at run time, and the budget of their guarantees.
+// This file defines teams that operators create at run time, and the budget for their guarantees.
 
 package tenant
 
@@ -8,23 +8,23 @@
 	"basaltwall/api"
 )
 
-// Team is a team that the operators made, beside those of the configuration file.
+// Team is a team that operators created at run time, in addition to those of the configuration file.
 type Team struct {
 	Name    api.Team `json:"name"`
 	CPUs    float64  `json:"cpus"` // guarantee
 	GPUs    float64  `json:"gpus"`
 	CPUsMax float64  `json:"cpus_max"` // limit; 0: none
 	GPUsMax float64  `json:"gpus_max"`
-	Removed bool     `json:"removed,omitempty"` // the name stays taken
+	Removed bool     `json:"removed,omitempty"` // the name stays reserved
 }
 
-// GuaranteedTotal is the sum of the guarantees of all teams that the operators made.
+// GuaranteedTotal is the sum of the guarantees of all teams that operators created at run time.
 type GuaranteedTotal struct {
 	CPUs float64 `json:"cpus"`
 	GPUs float64 `json:"gpus"`
 }
 
-// Check validates the record. The error is an *Error that names the field at fault.
+// Check validates the record. The error is an *Error that names the invalid field.
 func (t *Team) Check() error {
 	if err := CheckName("name", string(t.Name)); err != nil {
 		return err
@@ -43,52 +43,50 @@
 	return nil
 }
 
-// Change replaces a team's guarantees and limits; t is zero for a new team. A limit is divided into
-// shares of the partitions, which may have been transferred, so it can't be taken back: it may only
-// grow or be dropped.
+// Change returns the team with new guarantees and limits; t is zero for a new team. A limit may only be
+// raised or removed, because it is divided into shares that the partitions transfer among one another.
 func (t Team) Change(to Team) (Team, error) {
-	shrinks := func(from, to float64) bool { return t.Name != "" && to != 0 && (from == 0 || to < from) }
+	lowers := func(from, to float64) bool { return t.Name != "" && to != 0 && (from == 0 || to < from) }
 	switch {
 	case t.Removed:
-		return t, conflict("name: %s was removed, and its name stays taken", t.Name)
-	case shrinks(t.CPUsMax, to.CPUsMax):
-		return t, conflict("cpus_max: a limit may grow or end, not shrink")
-	case shrinks(t.GPUsMax, to.GPUsMax):
-		return t, conflict("gpus_max: a limit may grow or end, not shrink")
+		return t, conflict("name: %s was removed, and its name stays reserved", t.Name)
+	case lowers(t.CPUsMax, to.CPUsMax):
+		return t, conflict("cpus_max: a limit may be raised or removed, but not lowered")
+	case lowers(t.GPUsMax, to.GPUsMax):
+		return t, conflict("gpus_max: a limit may be raised or removed, but not lowered")
 	}
 	return to, to.Check()
 }
 
-// Remove removes a team with so many open jobs; it must not belong to a tenant. On a removed team it
-// changes nothing.
-func (t Team) Remove(owner Name, jobs int) (Team, error) {
+// Remove returns the record of the removed team. It refuses if the team belongs to a tenant or has open
+// jobs, and has no effect on a removed team.
+func (t Team) Remove(owner Name, openJobs int) (Team, error) {
 	switch {
 	case t.Removed:
 		return t, nil
 	case owner != "":
 		return t, conflict("name: %s belongs to %s", t.Name, owner)
-	case jobs > 0:
-		return t, conflict("name: %d jobs of %s are not over", jobs, t.Name)
+	case openJobs > 0:
+		return t, conflict("name: %d jobs of %s are open", openJobs, t.Name)
 	}
 	return Team{Name: t.Name, Removed: true}, nil
 }
 
-// CheckBudget requires that the total does not exceed what the operators set aside for teams.
+// CheckBudget returns an error if the total exceeds the operators' budget for teams.
 func (g GuaranteedTotal) CheckBudget(budget Operators) error {
-	const epsilon = 1e-6 // rounding errors of a sum of many amounts
+	const epsilon = 1e-6 // tolerance for rounding errors of the sums
 	for _, f := range []struct {
 		field         string
 		total, budget float64
 	}{{"cpus", g.CPUs, budget.CPUs}, {"gpus", g.GPUs, budget.GPUs}} {
 		if f.total > f.budget+epsilon {
-			return &Error{Status: StatusUnprocessable, Field: f.field, Reason: fmt.Sprintf("teams would be guaranteed %v of the %v that are set aside for them", f.total, f.budget)}
+			return &Error{Status: StatusUnprocessable, Field: f.field, Reason: fmt.Sprintf("the guarantees of all teams would be %v, which exceeds their budget of %v", f.total, f.budget)}
 		}
 	}
 	return nil
 }
 
-// Adjust is the total after the change of one team, if it does not exceed what the operators set
-// aside.
+// Adjust returns the total after the change of one team, with the error of CheckBudget.
 func (g GuaranteedTotal) Adjust(from, to Team, budget Operators) (GuaranteedTotal, error) {
 	next := GuaranteedTotal{CPUs: max(0, g.CPUs-from.CPUs+to.CPUs), GPUs: max(0, g.GPUs-from.GPUs+to.GPUs)}
 	return next, next.CheckBudget(budget)
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -23,7 +23,7 @@
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
-	for field, spoil := range map[string]func(*Tenant){
+	for field, corrupt := range map[string]func(*Tenant){
 		"name":        func(x *Tenant) { x.Name = "Kipper" },
 		"display":     func(x *Tenant) { x.Display = "two\nlines" },
 		"teams":       func(x *Tenant) { x.Teams = []api.Team{"a", "b", "a"} },
@@ -37,10 +37,10 @@
 		"keys":        func(x *Tenant) { x.Keys = []Key{{ID: "00", Name: "first", Hash: make([]byte, 32)}} },
 	} {
 		x := testTenant()
-		spoil(&x)
+		corrupt(&x)
 		var e *Error
 		if err := x.Check(); !errors.As(err, &e) || e.Field != field || e.Status != 400 {
-			t.Errorf("%s spoilt: %v", field, err)
+			t.Errorf("%s corrupted: %v", field, err)
 		}
 	}
 	for _, name := range []string{"", "-a", "1a", "a b", "a/b", "ä", strings.Repeat("a", 41), "a\x00"} {
@@ -50,22 +50,21 @@
 	}
 }
 
-// A random walk through a tenant's lifecycle: the possible transitions are written down here
-// once more, as a table.
+// Random sequences of operations follow the transition table of the lifecycle.
 func TestLifecycle(t *testing.T) {
-	type act struct {
+	type operation struct {
 		name string
 		do   func(Tenant, int) (Tenant, error)
 	}
-	acts := []act{
+	operations := []operation{
 		{"suspend", func(x Tenant, _ int) (Tenant, error) { return x.Suspend("unpaid", 60, 1000) }},
 		{"resume", func(x Tenant, _ int) (Tenant, error) { return x.Resume() }},
 		{"remove", func(x Tenant, open int) (Tenant, error) { return x.Remove(open, false) }},
 		{"cancel", func(x Tenant, open int) (Tenant, error) { return x.Remove(open, true) }},
 		{"finish", func(x Tenant, open int) (Tenant, error) { return x.FinishRemoval(open) }},
 	}
-	// From a state by an operation: without open jobs, with some. "" is a refusal.
-	leads := map[State]map[string][2]State{
+	// The next state by state and operation: without open jobs, with one. An empty state is a refusal.
+	transitions := map[State]map[string][2]State{
 		Active:    {"suspend": {Suspended, Suspended}, "resume": {Active, Active}, "remove": {}, "cancel": {}, "finish": {}},
 		Suspended: {"suspend": {Suspended, Suspended}, "resume": {Active, Active}, "remove": {Removing, ""}, "cancel": {Removing, Removing}, "finish": {}},
 		Removing:  {"suspend": {}, "resume": {}, "remove": {Removing, Removing}, "cancel": {Removing, Removing}, "finish": {Removed, ""}},
@@ -73,22 +72,22 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		x := testTenant()
-		for range rapid.IntRange(1, 12).Draw(t, "acts") {
-			a := acts[rapid.IntRange(0, len(acts)-1).Draw(t, "act")]
+		for range rapid.IntRange(1, 12).Draw(t, "operations") {
+			a := operations[rapid.IntRange(0, len(operations)-1).Draw(t, "operation")]
 			open := rapid.IntRange(0, 1).Draw(t, "open")
 			before := x
 			after, err := a.do(x, open)
-			want := leads[before.State][a.name][open]
+			want := transitions[before.State][a.name][open]
 			if (err == nil) != (want != "") || err == nil && after.State != want {
-				t.Fatalf("%s in %s with %d open: %s, %v; expected %q", a.name, before.State, open, after.State, err, want)
+				t.Fatalf("%s in state %s with %d open jobs: %s, %v; expected %q", a.name, before.State, open, after.State, err, want)
 			}
 			if err == nil {
 				if x = after; x.Check() != nil {
-					t.Fatalf("%s leaves a record that is refused: %v", a.name, x.Check())
+					t.Fatalf("%s results in an invalid record: %v", a.name, x.Check())
 				}
 			}
 			if x.MayStartTasks() != (x.State == Active) {
-				t.Fatalf("%s starts: %v", x.State, x.MayStartTasks())
+				t.Fatalf("MayStartTasks in state %s: %v", x.State, x.MayStartTasks())
 			}
 		}
 	})
@@ -105,31 +104,31 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := ParseSecret(s.String())
-		if err != nil || back != s {
-			t.Fatalf("%v comes back as %v: %v", s, back, err)
+		parsed, err := ParseSecret(s.String())
+		if err != nil || parsed != s {
+			t.Fatalf("%v is parsed as %v: %v", s, parsed, err)
 		}
-		const off = 250 * time.Millisecond
+		const clockError = 250 * time.Millisecond
 		_, other, _ := NewKey(b, "other", 1000, 0)
-		other.ID = k.ID // one that knows the public part
-		for now, open := range map[api.WallTime]bool{1000: true, 4749: true, 4750: false, 5000: false, 9000: false} {
-			if k.Verify(s, now, off) != open {
-				t.Errorf("at %d: opens %v", now, !open)
+		other.ID = k.ID // another secret with the same public id
+		for now, valid := range map[api.WallTime]bool{1000: true, 4749: true, 4750: false, 5000: false, 9000: false} {
+			if k.Verify(s, now, clockError) != valid {
+				t.Errorf("at %d: verified %v", now, !valid)
 			}
 		}
-		if a != b && string(a[keyIDBytes:]) != string(b[keyIDBytes:]) && k.Verify(other, 1000, off) {
-			t.Error("opened by another's secret")
+		if a != b && string(a[keyIDBytes:]) != string(b[keyIDBytes:]) && k.Verify(other, 1000, clockError) {
+			t.Error("the key verifies another key's secret")
 		}
 		data, err := json.Marshal(k)
 		if err != nil || strings.Contains(string(data), strings.Split(s.String(), ".")[2]) {
-			t.Errorf("the record holds the secret: %s", data)
+			t.Errorf("the record contains the secret: %s", data)
 		}
-		// One changed character: no key, or another.
-		text := []byte(s.String())
-		i := rapid.IntRange(0, len(text)-1).Draw(t, "at")
-		text[i] ^= byte(rapid.IntRange(1, 127).Draw(t, "by"))
-		if c, err := ParseSecret(string(text)); err == nil && k.Verify(c, 1000, off) {
-			t.Errorf("%q opens what %q opens", text, s)
+		// A secret with one altered character does not verify.
+		altered := []byte(s.String())
+		i := rapid.IntRange(0, len(altered)-1).Draw(t, "at")
+		altered[i] ^= byte(rapid.IntRange(1, 127).Draw(t, "by"))
+		if parsedAltered, err := ParseSecret(string(altered)); err == nil && k.Verify(parsedAltered, 1000, clockError) {
+			t.Errorf("the altered secret %q verifies as %q does", altered, s)
 		}
 	})
 }
@@ -140,7 +139,7 @@
 	f.Add("bw1..")
 	f.Fuzz(func(t *testing.T, text string) {
 		if s, err := ParseSecret(text); err == nil && s.String() != text {
-			t.Errorf("%q is read as %q", text, s)
+			t.Errorf("%q is parsed as %q", text, s)
 		}
 	})
 }
@@ -150,8 +149,8 @@
 	if a == b || !api.ValidJobID(string(a)) || a != JobID("kipper", "run-1") {
 		t.Errorf("%s and %s", a, b)
 	}
-	// Names and job ids of different tenants do not run into one another.
+	// The derived id depends on where the name ends and the job id begins.
 	if JobID("a", "run-1") == JobID("arun-", "1") {
-		t.Error("two jobs have one id")
+		t.Error("two jobs have the same id")
 	}
 }
