--- a/pool/allocation.go
+++ b/pool/allocation.go
@@ -1,4 +1,5 @@
-// Allocation: the shares of partitions, and what a partition may allocate within them.
+// This file divides a pool into shares of the partitions and computes the units that a partition may
+// allocate.
 
 package pool
 
@@ -9,16 +10,15 @@
 	"basaltwall/api"
 )
 
-// Available is how many units a partition may allocate. held is by partition: exact for this one,
-// while the others may hold more by now than it says, or less.
+// Available returns the number of units that a partition may allocate. held is the number of held units
+// by partition: exact for this partition, possibly outdated for the others.
 //
-// It must be used under the version of the record that was read together with held, or
-// later. What the others allocated under an earlier version is then in held, and under
-// this version no partition comes to hold more than its share unless it did before. So each of the
-// others holds at most the larger of the two; what that leaves of the size may be
-// allocated here, within the partition's own share. If shares are below what is held, after the pool
-// was made smaller or its shares were moved on outdated knowledge, no partition allocates anything
-// until enough units are released.
+// The caller must allocate under the version of the record that it read together with held, or a later
+// one. Units that others allocated under an earlier version are then included in held, and under this
+// version a partition can't exceed its share unless it already did. Each other partition thus holds at
+// most the larger of its share and its held units; this partition may allocate the rest of the size,
+// within its own share. If a share is below the held units, after a reduction of the pool or a change of
+// shares based on outdated counts, no partition allocates units until enough are released.
 func (p *Pool) Available(partition api.PartitionID, held []int) int {
 	if p.State != Active {
 		return 0
@@ -33,25 +33,26 @@
 	return max(0, min(p.Shares[partition]-own, p.Size-others-own))
 }
 
-// Demand is pending work that requests units.
+// Demand describes pending work that requests units of a pool.
 type Demand struct {
 	Partition api.PartitionID
-	Units     int // of each start
+	Units     int // per start
 	Starts    int
-	Reserves  bool // it has waited for long enough: what it lacks is withheld from those after it
+	Reserves  bool // released units are reserved for it and withheld from later demands
 }
 
-// AllocateShares divides a pool into shares by partition: each gets what it holds, then the demands are
-// met in their order, and what is left is divided evenly, so that the next demand need not wait for a
-// change of shares. A demand of which not even one start fits is skipped unless it reserves.
+// AllocateShares divides the size of a pool into shares by partition. Each partition gets the units that
+// it holds; then the demands are satisfied in order. The remaining units are divided evenly, so that new
+// demands can start before the next change of shares. A demand is skipped if not even one of its starts
+// fits, unless it reserves units.
 func AllocateShares(size int, held []int, demands []Demand) []int {
 	shares := slices.Clone(held)
 	remaining := size
 	for _, h := range held {
 		remaining -= h
 	}
-	// More is held than there is: the shares are cut, the largest first, and nothing is
-	// allocated until that many units are released.
+	// The partitions hold more than the size: the largest shares are reduced, and no units are allocated
+	// until the excess is released.
 	for ; remaining < 0; remaining++ {
 		shares[slices.Index(shares, slices.Max(shares))]--
 	}
@@ -76,8 +77,8 @@
 	return shares
 }
 
-// SatisfiedUnits is how many of the requested units the partitions could allocate under the pool's
-// shares, counting those that are gathered for a demand that reserves.
+// SatisfiedUnits returns the number of requested units that the partitions can allocate under the pool's
+// shares, including the units reserved for a demand that can't start yet.
 func SatisfiedUnits(p *Pool, held []int, demands []Demand) int {
 	free := make([]int, len(held))
 	for partition := range held {
@@ -92,16 +93,16 @@
 		free[demand.Partition] -= starts * demand.Units
 		satisfied += starts * demand.Units
 		if starts < demand.Starts && demand.Reserves {
-			return satisfied + free[demand.Partition] // gathered for it
+			return satisfied + free[demand.Partition] // reserved for the demand
 		}
 	}
 	return satisfied
 }
 
-// ReservationInterval is for how long work that requests several units may be overtaken by work that
-// requests fewer. After that it reserves released units for as long, and so on in alternation: work
-// that can't start for another reason thus withholds at most half of the pool's use from others.
+// ReservationInterval is the duration for which smaller demands may overtake a demand for several units.
+// The demand then reserves released units for the same duration, and so on in alternation: a demand that
+// can't start for another reason blocks the pool for at most half of the time.
 const ReservationInterval = time.Minute
 
-// ShouldReserve reports whether work that has waited so long reserves released units.
+// ShouldReserve reports whether work with the given waiting time reserves released units.
 func ShouldReserve(waited time.Duration) bool { return waited/ReservationInterval%2 == 1 }
--- a/pool/model_test.go
+++ b/pool/model_test.go
@@ -7,40 +7,40 @@
 	"basaltwall/internal/modelcheck"
 )
 
-// The model: two partitions and one pool. The owner of a partition reads the state and composes a round
-// that allocates a unit; the round is written at some later moment, perhaps after its
-// owner was replaced, on the condition that the records of the pool and the partition are as they were
-// read. At any moment units may be released, a partition be taken over, and the pool be resized with any
-// shares that fit: the writer of shares may know little of what is held.
+// The model has two partitions and one pool. The owner of a partition reads the state and composes a
+// round that allocates a unit. The write of the round may be delayed, also beyond a failover; it succeeds
+// if the records of the pool and the partition are unchanged since the read. At any time units may be
+// released, a partition may fail over, and the pool may be resized and its shares changed without
+// knowledge of the held units.
 
 const (
 	modelPartitions = 2
 	modelSize       = 3
 )
 
-// partitionRead is what an owner has read; poolCurrent and partitionCurrent are whether the records of
-// the pool and the partition have not changed since.
+// partitionRead is the state that an owner has read. poolCurrent and partitionCurrent report whether the
+// records of the pool and the partition are unchanged since the read.
 type partitionRead struct {
 	size                          int8
 	shares, held                  [modelPartitions]int8
 	poolCurrent, partitionCurrent bool
 }
 
-// modelState is a state of the model.
 type modelState struct {
 	size         int8
 	shares, held [modelPartitions]int8
 	reads        [modelPartitions]partitionRead
-	rounds       [modelPartitions][2]roundWrite // of the owner and of the one before
+	rounds       [modelPartitions][2]roundWrite // writes of the current and the previous owner
 }
 
-// roundWrite is a write in flight; the rest is whether what its condition names is as it was read.
+// roundWrite is a write in flight. poolCurrent and partitionCurrent report whether the records in its
+// condition are unchanged since the read.
 type roundWrite struct{ sent, poolCurrent, partitionCurrent bool }
 
-// modelRules are the rules that the protocol depends on; a model without one of them must go wrong.
+// modelRules are the rules of the protocol; without any one of them the model must violate the pool size.
 type modelRules struct {
 	checksPoolVersion, checksPartitionVersion bool // in the conditions of a round
-	countsOverage                             bool // a partition minds what others hold beyond their shares
+	countsExcess                              bool // a partition counts the units that others hold beyond their shares
 }
 
 func (w modelState) total() int8 { return w.held[0] + w.held[1] }
@@ -49,11 +49,11 @@
 // beyond the size.
 func (w modelState) next(r modelRules, visit func(modelState)) (wrong bool) {
 	for p := range modelPartitions {
-		// The owner, or a new one, reads.
+		// The current owner or a new one reads the state.
 		n := w
 		n.reads[p] = partitionRead{w.size, w.shares, w.held, true, true}
 		visit(n)
-		// It composes a round by what it has read.
+		// The owner composes a round from the state that it has read.
 		slot := 0
 		if w.rounds[p][0].sent {
 			slot = 1
@@ -62,7 +62,7 @@
 			x := Pool{Size: int(v.size), Largest: modelSize, State: Active, Shares: []int{int(v.shares[0]), int(v.shares[1])}}
 			held := []int{int(v.held[0]), int(v.held[1])}
 			free := x.Available(api.PartitionID(p), held)
-			if !r.countsOverage {
+			if !r.countsExcess {
 				free = x.Shares[p] - held[p]
 			}
 			if free > 0 {
@@ -71,7 +71,7 @@
 				visit(n)
 			}
 		}
-		// A round takes effect, or it never will.
+		// A write in flight succeeds or fails.
 		for i, x := range w.rounds[p] {
 			if !x.sent {
 				continue
@@ -86,19 +86,19 @@
 			}
 			visit(n)
 		}
-		// A unit comes back.
+		// A unit is released.
 		if w.held[p] > 0 {
 			n := w
 			n.held[p]--
 			n.invalidateReads(p)
 			visit(n)
 		}
-		// The partition is taken over: a round in flight, of the previous owner, stays in flight.
+		// The partition fails over; a write of the previous owner stays in flight.
 		n = w
 		n.invalidateReads(p)
 		visit(n)
 	}
-	// The pool's record is written: any size, any shares that fit.
+	// The pool is resized to any size, with any shares within it.
 	for size := range int8(modelSize + 1) {
 		for a := range size + 1 {
 			for b := range size - a + 1 {
@@ -117,7 +117,8 @@
 	return wrong
 }
 
-// invalidateReads marks what was read as outdated, after a change of a partition's record or owner.
+// invalidateReads marks the reads and writes of a partition as outdated, after a change of its record or
+// owner.
 func (w *modelState) invalidateReads(p int) {
 	w.reads[p].partitionCurrent = false
 	for i := range w.rounds[p] {
@@ -126,24 +127,24 @@
 }
 
 func exploreAll(r modelRules, steps int) (states int, wrong bool) {
-	return modelcheck.Explore(modelState{}, steps, func(w modelState, do func(modelState)) bool { return w.next(r, do) })
+	return modelcheck.Explore(modelState{}, steps, func(w modelState, visit func(modelState)) bool { return w.next(r, visit) })
 }
 
-// No sequence of reads, late writes, releases, failovers, resizings and moves of
-// shares allocates a unit beyond the current size; and each rule is needed for that.
+// No sequence of reads, delayed writes, releases, failovers, resizings and changes of shares allocates a
+// unit beyond the current size, and each rule is necessary for that.
 func TestEveryInterleaving(t *testing.T) {
 	states, wrong := exploreAll(modelRules{true, true, true}, 9)
 	t.Logf("%d states", states)
 	if wrong {
-		t.Error("a unit is handed out beyond the size")
+		t.Error("a unit is allocated beyond the size")
 	}
 	if states < 50_000 {
-		t.Errorf("%d states: the model does not move", states)
+		t.Errorf("only %d states are reachable", states)
 	}
-	for what, r := range map[string]modelRules{"without the pool's version": {false, true, true}, "without the part's": {true, false, true},
-		"without minding what others hold": {true, true, false}} {
+	for omission, r := range map[string]modelRules{"without the pool's version": {false, true, true}, "without the partition's version": {true, false, true},
+		"without counting the excess of others": {true, true, false}} {
 		if _, wrong := exploreAll(r, 8); !wrong {
-			t.Errorf("%s nothing goes wrong: the model does not see it", what)
+			t.Errorf("%s the model finds no violation", omission)
 		}
 	}
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -1,6 +1,6 @@
-// Package pool owns pools of counted resources, such as licences and connections: their
-// records, how their units are shared out among the partitions, and how many of
-// them a partition may allocate. It is pure: it stores nothing and reads no clock.
+// Package pool defines pools of counted resources, such as licences and connections: their records, the
+// division of their units among the partitions, and the units that a partition may allocate. It does no
+// I/O and reads no clock.
 package pool
 
 import (
@@ -13,45 +13,46 @@
 	"basaltwall/tenant"
 )
 
-// State is what the units of a pool may be used for.
+// State determines whether units of a pool may be allocated.
 type State string
 
-// The states of a pool.
+// States of a pool.
 const (
 	Active  State = "active"
-	Frozen  State = "frozen"  // no more units are allocated; holders keep theirs
+	Frozen  State = "frozen"  // no units are allocated; holders keep theirs
 	Removed State = "removed" // as frozen, and jobs that request units are refused
 )
 
-// Pool is the record of a pool. All controllers that allocate units do so under one version of it.
+// Pool is the record of a pool. Controllers allocate units in transactions that are conditional on its
+// version.
 type Pool struct {
 	Name    api.PoolName  `json:"name"`
-	Unit    string        `json:"unit,omitempty"` // what is counted, for people
+	Unit    string        `json:"unit,omitempty"` // name of the counted unit, for display
 	Size    int           `json:"size"`
-	Largest int           `json:"largest"` // the largest size it may ever have: requests for more are refused
+	Largest int           `json:"largest"` // upper bound of the size; requests for more units are refused
 	Teams   []api.Team    `json:"teams,omitempty"`
-	Tenants []tenant.Name `json:"tenants,omitempty"` // allowed beside the teams; if both are empty, everybody is
-	// Guaranteed is how many units teams may have before other work of the same priority.
+	Tenants []tenant.Name `json:"tenants,omitempty"` // allowed in addition to the teams; if both lists are empty, all work is allowed
+	// Guaranteed is the number of units that a team gets before other work of the same priority, by team.
 	Guaranteed map[api.Team]int `json:"guaranteed,omitempty"`
 	State      State            `json:"state"`
-	Reclaim    bool             `json:"reclaim,omitempty"` // holders are preempted when more is held than there is
+	Reclaim    bool             `json:"reclaim,omitempty"` // holders are preempted while more units are held than the size
 	Shares     []int            `json:"shares"`            // by partition; their sum is at most the size
 }
 
-// Bounds on what a record may hold.
+// Limits on the contents of a record.
 const (
-	maxSize  = 1_000_000
-	maxUsers = 64 // teams, tenants or guarantees
-	maxText  = 100
+	maxSize    = 1_000_000
+	maxEntries = 64  // teams, tenants or guarantees
+	maxText    = 100 // bytes
 )
 
-// invalid is the error of a record whose field is not acceptable.
+// invalid returns the error for an invalid field of a record.
 func invalid(field, reason string, args ...any) error {
 	return &tenant.Error{Status: tenant.StatusInvalid, Field: field, Reason: fmt.Sprintf(reason, args...)}
 }
 
-// Validate checks a record for a number of partitions. The error is a *tenant.Error that names the
-// field at fault.
+// Validate checks a record in a cluster with the given number of partitions. The error is a *tenant.Error
+// that names the invalid field.
 func (p *Pool) Validate(partitions int) error {
 	if err := tenant.CheckName("name", string(p.Name)); err != nil {
 		return err
@@ -63,16 +64,16 @@
 		return invalid("size", "must be between 0 and %d", maxSize)
 	case p.Largest < p.Size || p.Largest > maxSize:
 		return invalid("largest", "must be between the size and %d", maxSize)
-	case len(p.Teams) > maxUsers:
-		return invalid("teams", "at most %d", maxUsers)
+	case len(p.Teams) > maxEntries:
+		return invalid("teams", "at most %d", maxEntries)
 	case !p.validGuarantees():
-		return invalid("guaranteed", "at most %d teams, none below 0, and together the largest size at most", maxUsers)
-	case len(p.Tenants) > maxUsers:
-		return invalid("tenants", "at most %d", maxUsers)
+		return invalid("guaranteed", "must have at most %d teams, no value below 0, and a sum of at most the largest size", maxEntries)
+	case len(p.Tenants) > maxEntries:
+		return invalid("tenants", "at most %d", maxEntries)
 	case !slices.Contains([]State{Active, Frozen, Removed}, p.State):
-		return invalid("state", "%q is none", p.State)
+		return invalid("state", "%q is not a valid state", p.State)
 	case !p.validShares(partitions):
-		return invalid("shares", "must be one for each part, none below 0, and the size at most together")
+		return invalid("shares", "must have one value per partition, none below 0, and a sum of at most the size")
 	}
 	return nil
 }
@@ -83,9 +84,9 @@
 		if guarantee < 0 {
 			return false
 		}
-		sum += min(guarantee, maxSize) // a sum of these can't overflow
+		sum += min(guarantee, maxSize) // bounded, so that the sum can't overflow
 	}
-	return len(p.Guaranteed) <= maxUsers && sum <= p.Largest
+	return len(p.Guaranteed) <= maxEntries && sum <= p.Largest
 }
 
 func (p *Pool) validShares(partitions int) bool {
@@ -109,7 +110,8 @@
 	return true
 }
 
-// Allows reports whether work of a team, and of a tenant unless the name is empty, may use the pool.
+// Allows reports whether work of a team may use the pool; name is the tenant of the work, or empty if it
+// has none.
 func (p *Pool) Allows(team api.Team, name tenant.Name) bool {
 	return len(p.Teams)+len(p.Tenants) == 0 || slices.Contains(p.Teams, team) || name != "" && slices.Contains(p.Tenants, name)
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -12,12 +12,11 @@
 	"basaltwall/tenant"
 )
 
-// However a pool is divided, there is one share for each partition, none below 0, together the
-// size; holders keep their units as far as there are enough; and all partitions
-// together may allocate no more than is free.
+// Shares are nonnegative, one per partition, and add up to the size. Partitions keep their held units
+// while the size suffices, and all partitions together may allocate at most the free units.
 func TestAllocateShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		partitions := rapid.IntRange(1, 5).Draw(t, "parts")
+		partitions := rapid.IntRange(1, 5).Draw(t, "partitions")
 		size := rapid.IntRange(0, 30).Draw(t, "size")
 		held, total := make([]int, partitions), 0
 		for q := range held {
@@ -25,9 +24,9 @@
 			total += held[q]
 		}
 		demands := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Demand {
-			return Demand{Partition: api.PartitionID(rapid.IntRange(0, partitions-1).Draw(t, "part")), Units: rapid.IntRange(0, 8).Draw(t, "units"),
+			return Demand{Partition: api.PartitionID(rapid.IntRange(0, partitions-1).Draw(t, "partition")), Units: rapid.IntRange(0, 8).Draw(t, "units"),
 				Starts: rapid.IntRange(1, 5).Draw(t, "starts"), Reserves: rapid.Bool().Draw(t, "reserve")}
-		}), 0, 8).Draw(t, "asks")
+		}), 0, 8).Draw(t, "demands")
 		shares := AllocateShares(size, held, demands)
 		p := Pool{Name: "routing", Size: size, Largest: size, State: Active, Shares: shares}
 		if err := p.Validate(partitions); err != nil {
@@ -39,35 +38,35 @@
 			f := p.Available(api.PartitionID(q), held)
 			free += f
 			if total <= size && s < held[q] || total > size && s > held[q] {
-				t.Fatalf("part %d holds %d of %d in all, its share is %d of %d", q, held[q], total, s, size)
+				t.Fatalf("partition %d holds %d of %d held units, its share is %d of %d", q, held[q], total, s, size)
 			}
 		}
 		if sum != size || free > max(0, size-total) {
 			t.Fatalf("shares %v of %d, held %v, free %d", shares, size, held, free)
 		}
-		// The first demand is met if there are enough units, or gets all there are if it
-		// reserves.
+		// The first demand is satisfied if enough units are free; if it reserves, it gets the free units
+		// it needs.
 		if len(demands) > 0 && demands[0].Units > 0 && demands[0].Units <= size && total <= size {
-			a, rest := demands[0], size-total
-			if got := shares[a.Partition] - held[a.Partition]; rest >= a.Units && got < a.Units || a.Reserves && got < min(rest, a.Units*a.Starts) {
-				t.Fatalf("%+v is first of %d and gets %d", a, rest, got)
+			first, remaining := demands[0], size-total
+			if got := shares[first.Partition] - held[first.Partition]; remaining >= first.Units && got < first.Units || first.Reserves && got < min(remaining, first.Units*first.Starts) {
+				t.Fatalf("%+v is the first demand for %d free units and gets %d", first, remaining, got)
 			}
 		}
 		frozen := p
 		frozen.State = Frozen
 		for q := range shares {
 			if frozen.Available(api.PartitionID(q), held) != 0 {
-				t.Fatal("a frozen pool hands out units")
+				t.Fatal("a frozen pool allocates units")
 			}
 		}
 	})
 }
 
-// Waiting work reserves in alternate intervals, never in the first.
+// Pending work reserves units in every second interval, not in the first.
 func TestReservationIntervalsAlternate(t *testing.T) {
 	for waited, want := range map[time.Duration]bool{0: false, ReservationInterval - 1: false, ReservationInterval: true, 2*ReservationInterval - 1: true, 2 * ReservationInterval: false, 3 * ReservationInterval: true} {
 		if ShouldReserve(waited) != want {
-			t.Errorf("after %v: %v", waited, !want)
+			t.Errorf("ShouldReserve after %v: %v", waited, !want)
 		}
 	}
 }
@@ -81,13 +80,13 @@
 		"name": func(p *Pool) { p.Name = "Routing/1" }, "size": func(p *Pool) { p.Size = -1 }, "largest": func(p *Pool) { p.Largest = 2 },
 		"unit": func(p *Pool) { p.Unit = "a\nb" }, "state": func(p *Pool) { p.State = "" }, "shares": func(p *Pool) { p.Shares = []int{3, 1} },
 		"guaranteed": func(p *Pool) { p.Guaranteed = map[api.Team]int{"red": 3, "blue": 3} },
-		"teams":      func(p *Pool) { p.Teams = make([]api.Team, maxUsers+1) }, "tenants": func(p *Pool) { p.Tenants = make([]tenant.Name, maxUsers+1) },
+		"teams":      func(p *Pool) { p.Teams = make([]api.Team, maxEntries+1) }, "tenants": func(p *Pool) { p.Tenants = make([]tenant.Name, maxEntries+1) },
 	} {
 		p := good
 		corrupt(&p)
 		var e *tenant.Error
 		if err := p.Validate(2); !errors.As(err, &e) || e.Field != field {
-			t.Errorf("%s spoilt: %v", field, err)
+			t.Errorf("%s corrupted: %v", field, err)
 		}
 	}
 	p := good
@@ -111,7 +110,7 @@
 	}
 	for _, bad := range []string{`{`, `{"name":"pay","size":3,"largest":3,"state":"active","shares":[2,1]}`, `{"name":"routing","size":3,"largest":3,"state":"active","shares":[2,2]}`} {
 		if table.Put("routing", []byte(bad), 6) == nil {
-			t.Errorf("%s is taken in", bad)
+			t.Errorf("the invalid record %s is accepted", bad)
 		}
 	}
 	if e := table.Get("routing"); e == nil || e.Revision != 5 || table.Len() != 1 {
--- a/pool/table.go
+++ b/pool/table.go
@@ -1,4 +1,4 @@
-// The table of pools, as the log of the key-value store has it.
+// This file implements the table of pools, replicated from the log of the key-value store.
 
 package pool
 
@@ -10,24 +10,25 @@
 	"basaltwall/api"
 )
 
-// Entry is the record of a pool with its revision, which a compare-and-swap change must name.
+// Entry is the record of a pool with its revision, on which a compare-and-swap is conditional.
 type Entry struct {
 	Pool
 	Revision api.Revision
 }
 
-// Table holds the pools, as replicated by the log of the key-value store. Not safe for concurrent use.
+// Table holds the records of all pools, replicated from the log of the key-value store. It is not safe
+// for concurrent use.
 type Table struct {
 	partitions int
 	entries    map[api.PoolName]*Entry
 }
 
-// NewTable returns a table without pools, for a number of partitions.
+// NewTable returns an empty table in a cluster with the given number of partitions.
 func NewTable(partitions int) *Table {
 	return &Table{partitions: partitions, entries: map[api.PoolName]*Entry{}}
 }
 
-// Put applies a changed record. On error the table stays as it was.
+// Put applies a changed record. On error the table is unchanged.
 func (t *Table) Put(name string, value json.RawMessage, version api.Revision) error {
 	e := &Entry{Revision: version}
 	if err := json.Unmarshal(value, &e.Pool); err != nil {
@@ -37,17 +38,17 @@
 		return err
 	}
 	if string(e.Name) != name {
-		return invalid("name", "%q in the record of %q", e.Name, name)
+		return invalid("name", "%q does not match the key %q of the record", e.Name, name)
 	}
 	t.entries[e.Name] = e
 	return nil
 }
 
-// Get returns the entry of a pool, nil if there is none. It must not be changed.
+// Get returns the entry of a pool, or nil if there is none. Callers must not modify it.
 func (t *Table) Get(name api.PoolName) *Entry { return t.entries[name] }
 
-// Names lists the names of the pools, sorted.
+// Names returns the names of the pools, sorted.
 func (t *Table) Names() []api.PoolName { return slices.Sorted(maps.Keys(t.entries)) }
 
-// Len is the number of pools.
+// Len returns the number of pools.
 func (t *Table) Len() int { return len(t.entries) }
