--- a/reservation/block.go
+++ b/reservation/block.go
@@ -1,4 +1,5 @@
-// Blocks: the stored state of the skips, and when it must be written.
+// This file defines blocks, which store the state of the skips, and determines when a block must be
+// written.
 
 package reservation
 
@@ -8,28 +9,28 @@
 	"slices"
 )
 
-// Bounds on the storage of a shard. Its records lie in a ring of keys, the state of its skips in
-// blocks, each as of some record. The key of a record may be reused once every block that the record
-// changed has been written since.
+// Limits on the storage of a shard. Its records are stored in a ring of keys, and the state of its skips
+// in blocks, each as of some record. The key of a record is reused only after all blocks that the record
+// changed have been written.
 const (
-	RingSize        = 256
-	skipsPerBlock   = 24           // skips of a new block
-	maxBlockBytes   = 7000         // a larger block is split, to stay below the limit on values
+	RingSize        = 256          // records
+	skipsPerBlock   = 24           // a full block gets no new skips
+	maxBlockBytes   = 7000         // a larger block is split, to stay below the value size limit of the key-value store
 	blockWriteDelay = RingSize / 4 // records after which a changed block is written
 )
 
-// BlockID names a block of a shard.
+// BlockID identifies a block of a shard.
 type BlockID uint64
 
 // Block is a group of skips of a shard, stored as one value.
 type Block struct {
-	LastSeq uint64  `json:"u"` // the record as of which it was written
+	LastSeq uint64  `json:"u"` // number of the record as of which it was written
 	Skips   []*Skip `json:"s"`
 
-	dirtySince uint64 // the first record that changed it since; 0: none
+	dirtySince uint64 // number of the first record that changed it since; 0: none
 }
 
-// block is a block for reading, nil if there is none.
+// block returns a block for reading, or nil if there is none.
 func (s *Shard) block(blockID BlockID) *Block {
 	b := s.blocks[blockID]
 	if b == nil && s.parent != nil {
@@ -38,7 +39,8 @@
 	return b
 }
 
-// mutableBlock is a block for changes; a fork copies it first.
+// mutableBlock returns a block for changes, or nil if there is none. A fork first copies it from its
+// parent.
 func (s *Shard) mutableBlock(blockID BlockID) *Block {
 	if b := s.blocks[blockID]; b != nil || s.parent == nil {
 		return b
@@ -52,7 +54,7 @@
 	return b
 }
 
-// blockIDs lists the blocks, sorted.
+// blockIDs returns the ids of all blocks, sorted.
 func (s *Shard) blockIDs() []BlockID {
 	blockIDs := slices.Collect(maps.Keys(s.blocks))
 	if s.parent != nil {
@@ -66,7 +68,8 @@
 	return blockIDs
 }
 
-// newBlock adds an empty block. Its id follows from the record, so that all controllers use the same.
+// newBlock adds an empty block. Its id is derived from the record number, so that all controllers use the
+// same.
 func (s *Shard) newBlock(seq uint64) BlockID {
 	blockID := BlockID(seq)*maxOps + 1
 	for s.block(blockID) != nil {
@@ -77,7 +80,7 @@
 	return blockID
 }
 
-// splitBlock halves a block that has become too large for a value.
+// splitBlock moves half of the skips of a block to a new block if the block is too large for a value.
 func (s *Shard) splitBlock(blockID BlockID, seq uint64) {
 	b := s.block(blockID)
 	if len(b.Skips) < 2 || encodedSize(b) <= maxBlockBytes {
@@ -93,7 +96,7 @@
 	}
 }
 
-// encodedSize is the size of a block as a value, in bytes.
+// encodedSize returns the size of a block as a value, in bytes.
 func encodedSize(b *Block) int {
 	data, err := json.Marshal(b)
 	if err != nil {
@@ -102,8 +105,8 @@
 	return len(data)
 }
 
-// HasRingSpace reports whether the key of the next record may be reused: all that its old record changed
-// is in blocks.
+// HasRingSpace reports whether the next record may overwrite the oldest one in the ring: all blocks that
+// the oldest record changed must have been written since.
 func (s *Shard) HasRingSpace() bool {
 	for _, b := range s.blocks {
 		if b.dirtySince != 0 && b.dirtySince+RingSize <= s.Seq+1 {
@@ -113,7 +116,7 @@
 	return true
 }
 
-// BlockWritten notes that a block was written as of a record.
+// BlockWritten marks a block as written as of a record.
 func (s *Shard) BlockWritten(blockID BlockID, seq uint64) {
 	if b := s.blocks[blockID]; b != nil && seq > b.LastSeq {
 		if b.LastSeq = seq; seq >= b.dirtySince {
--- a/reservation/booking.go
+++ b/reservation/booking.go
@@ -1,7 +1,8 @@
-// Package reservation owns the ledger of skip reservations: which skip is offered, promised to which
-// building site, delivered or returned, for which days. It is pure: a shard of the ledger is folded from
-// records in their order, composes the next one, and says which blocks of it must be written
-// with it. docs/skips.md gives the reasons.
+// Package reservation implements the ledger of skip reservations. Skips are containers that depots lend
+// to building sites; the ledger stores for which days each of them is offered, promised, delivered or
+// returned. A shard of the ledger is built by applying its records in order; it composes the next record
+// and determines the blocks to be written with it. The package does no I/O. docs/skips.md gives the
+// reasons for the design.
 package reservation
 
 import (
@@ -14,24 +15,24 @@
 )
 
 type (
-	// Depot names a depot, to which skips belong.
+	// Depot is the name of a depot, which owns skips.
 	Depot string
-	// SkipID names a skip; it is unique within its depot.
+	// SkipID identifies a skip within its depot.
 	SkipID string
-	// Kind names a kind of skips, such as a size.
+	// Kind is the name of a kind of skip, such as a size.
 	Kind string
-	// Site names a building site.
+	// Site is the name of a building site.
 	Site string
-	// IdempotencyKey identifies a request: its client chooses it, and retries carry the same.
+	// IdempotencyKey identifies a request. The client chooses it and sends the same one in retries.
 	IdempotencyKey string
 	// Day is a calendar day of a depot, in days since 1 January 1970.
 	Day int
-	// BookingID numbers an offer or a promise. It is never used twice.
+	// BookingID identifies an offer or a promise. It is never reused.
 	BookingID uint64
 )
 
-// ErrInvalidDay is the error of a text that is not a day.
-var ErrInvalidDay = errors.New("is no day: it must be like 2026-12-01")
+// ErrInvalidDay is the error for text that is not a valid day.
+var ErrInvalidDay = errors.New("is not a valid day; the format is 2026-12-01")
 
 const secondsPerDay = 24 * 60 * 60
 
@@ -44,43 +45,43 @@
 	return Day(t.Unix() / secondsPerDay), nil
 }
 
-// String formats a day as 2026-12-01.
+// String formats the day as 2026-12-01.
 func (d Day) String() string { return time.Unix(int64(d)*secondsPerDay, 0).UTC().Format(time.DateOnly) }
 
 // Stage is the stage of a booking.
 type Stage string
 
-// The stages. Only the first three hold the skip for their days.
+// Stages of a booking. The first three reserve the skip for the days of the booking.
 const (
-	Offered   Stage = "offered"   // held for one enquiry until it is recorded as expired
-	Promised  Stage = "promised"  // held for a building site
+	Offered   Stage = "offered"   // reserved for an enquiry, until a record expires the offer
+	Promised  Stage = "promised"  // reserved for a building site
 	Delivered Stage = "delivered" // on the building site
 	Returned  Stage = "back"
 	Released  Stage = "released"
 	Expired   Stage = "expired"
 )
 
-// Booking is an offer or a promise of a skip, of the days from From up to, but without, To. It is kept
-// for a while after it is closed, so that late retries of its requests get the same answer.
+// Booking is an offer or a promise of a skip for the days [From, To). A closed booking is retained for a
+// while, so that late retries of its requests get the same answer.
 type Booking struct {
 	ID              BookingID      `json:"n"`
-	Key             IdempotencyKey `json:"w"`           // of the request that created it
-	ConfirmationKey IdempotencyKey `json:"c,omitempty"` // of the request that made an offer a promise
+	Key             IdempotencyKey `json:"w"`           // key of the request that created it
+	ConfirmationKey IdempotencyKey `json:"c,omitempty"` // key of the request that confirmed the offer
 	Site            Site           `json:"s,omitempty"`
 	From            Day            `json:"f"`
 	To              Day            `json:"t"`
-	OfferedAt       api.WallTime   `json:"m,omitempty"` // when an offer was made
-	ExpiresAt       api.WallTime   `json:"u,omitempty"` // when an offer may expire
+	OfferedAt       api.WallTime   `json:"m,omitempty"` // time of an open offer
+	ExpiresAt       api.WallTime   `json:"u,omitempty"` // earliest expiry of an open offer
 	Stage           Stage          `json:"g"`
-	ClosedAt        api.WallTime   `json:"e,omitempty"` // when it was closed, by the clock of the writer
+	ClosedAt        api.WallTime   `json:"e,omitempty"` // by the writer's clock
 }
 
-// Active reports whether the booking holds its skip.
+// Active reports whether the booking reserves its skip.
 func (b *Booking) Active() bool {
 	return b.Stage == Offered || b.Stage == Promised || b.Stage == Delivered
 }
 
-// overlaps reports whether the booking includes some of the days from one up to, but without, another.
+// overlaps reports whether the booking includes any of the days [from, to).
 func (b *Booking) overlaps(from, to Day) bool { return b.From < to && from < b.To }
 
 // Skip is a skip with its bookings.
@@ -92,10 +93,11 @@
 	Bookings     []Booking `json:"p,omitempty"`
 }
 
-// maxBookings bounds the bookings of a skip, closed ones included.
+// maxBookings is the maximum number of bookings of a skip, including closed ones.
 const maxBookings = 24
 
-// CheckFree is why a skip can't be booked for the days from one up to, but without, another; empty if it can.
+// CheckFree returns the reason why a skip can't be booked for the days [from, to), or an empty one if it
+// can.
 func (s *Skip) CheckFree(from, to Day) RefusalReason {
 	if s.OutOfService {
 		return ReasonOutOfService
@@ -111,7 +113,7 @@
 	return ""
 }
 
-// booking finds a booking, nil if there is none.
+// booking returns the booking with an id, or nil if there is none.
 func (s *Skip) booking(id BookingID) *Booking {
 	for i := range s.Bookings {
 		if s.Bookings[i].ID == id {
@@ -121,7 +123,7 @@
 	return nil
 }
 
-// clone is a copy that shares nothing with the skip.
+// clone returns a deep copy of the skip.
 func (s *Skip) clone() *Skip {
 	c := *s
 	c.Bookings = slices.Clone(s.Bookings)
--- a/reservation/booking_test.go
+++ b/reservation/booking_test.go
@@ -15,9 +15,9 @@
 
 const clockError = 250 * time.Millisecond
 
-// fakeStore is what the key-value store holds of a shard.
+// fakeStore holds the data of one shard in the key-value store.
 type fakeStore struct {
-	archived int // bookings in the archive
+	archived int // number of bookings in the archive
 	records  map[uint64]*Record
 	blocks   map[BlockID]json.RawMessage
 }
@@ -57,7 +57,7 @@
 	return s
 }
 
-// dump is the state of every skip, and the answer of each key.
+// dump returns the state of all skips and the number of request keys as text, for comparisons.
 func (s *Shard) dump() string {
 	var out []string
 	for _, blockID := range s.blockIDs() {
@@ -76,7 +76,7 @@
 	for len(reqs) > 0 {
 		d := s.Compose("a", reqs, now, clockError, Limits{MaxValueBytes: 8 << 10, MaxPuts: 12})
 		if d.RequestCount == 0 {
-			t.Fatal("no request fits")
+			t.Fatal("no request fits into a record")
 		}
 		var results []Result
 		if len(d.Record.Ops) > 0 {
@@ -90,11 +90,11 @@
 				}
 			}
 			if len(data) > 8<<10 || 2+len(d.Blocks) > 12 {
-				t.Fatal("a record too large for its bounds")
+				t.Fatal("a record exceeds its limits")
 			}
 			st.write(&d)
 			if results = s.ApplyRecord(&d.Record); results == nil {
-				t.Fatal("not the next record")
+				t.Fatal("the record is not the next one")
 			}
 			for _, b := range d.Blocks {
 				s.BlockWritten(b.ID, d.Record.Seq)
@@ -120,12 +120,12 @@
 	return r
 }
 
-// calendar is the plain model: which booking holds which skip on which day.
+// calendar is the reference model: the booking that reserves a skip on a day.
 type calendar map[SkipID]map[Day]BookingID
 
-// Whatever is requested, in whichever batches, with restarts between: a day of a skip is held by at most
-// one booking, as in a plain calendar; what is granted is free there; a restart
-// restores the ledger; and a key gets the same answer each time.
+// For random requests, batches and restarts the ledger agrees with a plain calendar: at most one booking
+// reserves a skip on a day, and only free days are booked. A restart restores the ledger, and an offer is
+// repeated with the same key.
 func TestLedgerAgainstCalendar(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, st := NewShard(), newFakeStore()
@@ -133,33 +133,33 @@
 		applyRequests(t, s, st, now, addRequest("d1", "k", 3), addRequest("d2", "k", 2))
 		cal := calendar{}
 		key := func(d Depot, id SkipID) SkipID { return SkipID(d) + "/" + id }
-		held := map[BookingID]Request{} // that hold their skip, by the model
-		var numbers []BookingID
-		items := map[BookingID]Result{}
-		answers := map[requestKey]Result{} // by depot and name
+		creators := map[BookingID]Request{} // the request that created each booking
+		var bookingIDs []BookingID
+		latest := map[BookingID]Result{}   // the latest result by booking
+		answers := map[requestKey]Result{} // by depot and key
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += api.WallTime(rapid.IntRange(0, 20_000).Draw(t, "later"))
 			var reqs []*Request
 			for i := range rapid.IntRange(1, 4).Draw(t, "batch") {
 				r := &Request{Depot: Depot(rapid.SampledFrom([]string{"d1", "d2"}).Draw(t, "depot")), Key: IdempotencyKey(fmt.Sprintf("n%d-%d", step, i))}
-				if rapid.IntRange(0, 9).Draw(t, "again") == 0 && len(answers) > 0 {
-					r.Key = IdempotencyKey(fmt.Sprintf("n%d-%d", rapid.IntRange(0, step).Draw(t, "old"), 0))
+				if rapid.IntRange(0, 9).Draw(t, "retry") == 0 && len(answers) > 0 {
+					r.Key = IdempotencyKey(fmt.Sprintf("n%d-%d", rapid.IntRange(0, step).Draw(t, "retried"), 0))
 				}
 				r.From = Day(rapid.IntRange(0, 9).Draw(t, "from"))
 				r.To = r.From + Day(rapid.IntRange(1, 4).Draw(t, "days"))
 				r.Kind, r.Site, r.OfferDuration = "k", "site", 10*time.Second
-				switch rapid.IntRange(0, 7).Draw(t, "what") {
+				switch rapid.IntRange(0, 7).Draw(t, "request") {
 				case 0, 1, 2:
 					r.Type = OpPromise
 				case 3, 4:
 					r.Type, r.Site = OpOffer, ""
 				default:
-					if len(numbers) == 0 {
+					if len(bookingIDs) == 0 {
 						continue
 					}
-					num := rapid.SampledFrom(numbers).Draw(t, "num")
-					r.Type = rapid.SampledFrom([]OpType{OpPromise, OpRelease, OpDeliver, OpReturn}).Draw(t, "do")
-					r.Booking, r.Skip, r.Depot, r.Kind = num, items[num].Skip, held[num].Depot, ""
+					bookedID := rapid.SampledFrom(bookingIDs).Draw(t, "booking")
+					r.Type = rapid.SampledFrom([]OpType{OpPromise, OpRelease, OpDeliver, OpReturn}).Draw(t, "operation")
+					r.Booking, r.Skip, r.Depot, r.Kind = bookedID, latest[bookedID].Skip, creators[bookedID].Depot, ""
 					if r.Depot == "" {
 						continue
 					}
@@ -177,14 +177,14 @@
 				if res.Reason != "" || res.Booking.ID == 0 {
 					continue
 				}
-				num := res.Booking.ID
-				if r.Booking == 0 && items[num].Booking.ID == 0 && (r.Type == OpOffer || r.Type == OpPromise) {
+				bookedID := res.Booking.ID
+				if r.Booking == 0 && latest[bookedID].Booking.ID == 0 && (r.Type == OpOffer || r.Type == OpPromise) {
 					k := key(r.Depot, res.Skip)
-					// Expired offers are ended by the request that needs their days.
+					// A request for the days of an expired offer closes the offer.
 					for d := r.From; d < r.To; d++ {
 						if other := cal[k][d]; other != 0 {
-							if o := items[other].Booking; o.Stage != Offered || now <= o.ExpiresAt+250 {
-								t.Fatalf("%s on %s is held by %d and granted as %d", k, d, other, num)
+							if o := latest[other].Booking; o.Stage != Offered || now <= o.ExpiresAt+250 {
+								t.Fatalf("%s on %s is reserved by booking %d and booked again as %d", k, d, other, bookedID)
 							}
 							for x := range cal[k] {
 								if cal[k][x] == other {
@@ -195,17 +195,17 @@
 						if cal[k] == nil {
 							cal[k] = map[Day]BookingID{}
 						}
-						cal[k][d] = num
+						cal[k][d] = bookedID
 					}
-					numbers = append(numbers, num)
-					held[num] = *r
+					bookingIDs = append(bookingIDs, bookedID)
+					creators[bookedID] = *r
 					answers[requestKey{r.Depot, r.Key}] = res
 				}
-				items[num] = res
+				latest[bookedID] = res
 				if !res.Booking.Active() {
 					for k := range cal {
-						for d, by := range cal[k] {
-							if by == num {
+						for d, holder := range cal[k] {
+							if holder == bookedID {
 								delete(cal[k], d)
 							}
 						}
@@ -222,8 +222,8 @@
 	})
 }
 
-// Closed bookings are dropped by a fixed rule, the ring wraps around many times, blocks split, and a
-// restart reads bounded data and restores the same state.
+// With many bookings, closed ones are archived, the ring wraps around and blocks are split; the stored
+// data stays bounded, and a restart restores the same state.
 func TestManySkipsAndRingWraparound(t *testing.T) {
 	s, st := NewShard(), newFakeStore()
 	now := api.WallTime(1_000_000)
@@ -255,10 +255,10 @@
 			open, depots = open[1:], depots[1:]
 		}
 	}
-	items := 0
+	retained := 0
 	for _, blockID := range s.blockIDs() {
 		for _, sk := range s.block(blockID).Skips {
-			items += len(sk.Bookings)
+			retained += len(sk.Bookings)
 		}
 	}
 	bytes := 0
@@ -269,93 +269,93 @@
 	for _, b := range st.blocks {
 		bytes += len(b)
 	}
-	t.Logf("%d records, %d blocks, %d items kept, a restart reads %d KB", s.Seq, len(st.blocks), items, bytes>>10)
+	t.Logf("%d records, %d blocks, %d bookings retained, a restart reads %d KB", s.Seq, len(st.blocks), retained, bytes>>10)
 	if len(st.blocks) <= 600/skipsPerBlock {
-		t.Error("no block was divided")
+		t.Error("no block was split")
 	}
-	if items > 4000 || bytes > 2<<20 {
-		t.Errorf("%d items of 600 skips are kept in %d KB", items, bytes>>10)
+	if retained > 4000 || bytes > 2<<20 {
+		t.Errorf("%d bookings of 600 skips are retained in %d KB", retained, bytes>>10)
 	}
-	if granted := 8 * 4 * RingSize; st.archived+items != granted {
-		t.Errorf("%d of %d are in the archive and %d kept", st.archived, granted, items)
+	if granted := 8 * 4 * RingSize; st.archived+retained != granted {
+		t.Errorf("%d of %d bookings are archived and %d retained", st.archived, granted, retained)
 	}
 	before := s.dump()
-	if again := st.load(t); again.dump() != before {
-		t.Error("a restart finds another ledger")
+	if restored := st.load(t); restored.dump() != before {
+		t.Error("a restart restores a different ledger")
 	}
 	if s.SkipsExamined > 60*9*int(s.Seq) {
-		t.Errorf("%d skips were looked at", s.SkipsExamined)
+		t.Errorf("%d skips were examined", s.SkipsExamined)
 	}
 }
 
-// An operation that names a former booking changes nothing.
+// An operation on a closed booking changes nothing.
 func TestLateChangesNameTheirBooking(t *testing.T) {
 	s, st := NewShard(), newFakeStore()
 	now := api.WallTime(1_000_000)
 	applyRequests(t, s, st, now, addRequest("d", "k", 1))
-	promise := func(name IdempotencyKey) Result {
-		return applyRequests(t, s, st, now, &Request{Type: OpPromise, Depot: "d", Kind: "k", Key: name, Site: "s", From: 5, To: 9})[0]
+	promise := func(key IdempotencyKey) Result {
+		return applyRequests(t, s, st, now, &Request{Type: OpPromise, Depot: "d", Kind: "k", Key: key, Site: "s", From: 5, To: 9})[0]
 	}
-	do := func(what OpType, num BookingID) RefusalReason {
-		return applyRequests(t, s, st, now, &Request{Type: what, Depot: "d", Skip: "k-0000", Booking: num, Site: "s"})[0].Reason
+	do := func(opType OpType, id BookingID) RefusalReason {
+		return applyRequests(t, s, st, now, &Request{Type: opType, Depot: "d", Skip: "k-0000", Booking: id, Site: "s"})[0].Reason
 	}
 	first := promise("a")
 	for range 2 {
-		if why := do(OpRelease, first.Booking.ID); why != "" {
-			t.Errorf("a release, or once more, is refused: %s", why)
+		if refusal := do(OpRelease, first.Booking.ID); refusal != "" {
+			t.Errorf("a release or its retry is refused: %s", refusal)
 		}
 	}
 	if again := promise("a"); again.Booking.ID != first.Booking.ID || again.Booking.Stage != Released {
-		t.Errorf("the same name promises anew: %+v", again)
+		t.Errorf("a retry with the same key gets a new promise: %+v", again)
 	}
 	second := promise("b")
 	if second.Reason != "" || do(OpRelease, first.Booking.ID) != "" || s.Get("d", "k-0000").CheckFree(5, 9) != ReasonBooked {
 		t.Error("a late release of an older promise frees the skip")
 	}
 	if do(OpDeliver, first.Booking.ID) != ReasonClosed || do(OpReturn, second.Booking.ID) != ReasonNotDelivered {
-		t.Error("delivered or returned what was not promised or delivered")
+		t.Error("a delivery of a released promise or a return without a delivery is accepted")
 	}
 	if do(OpDeliver, second.Booking.ID) != "" || do(OpRelease, second.Booking.ID) != ReasonDelivered || do(OpReturn, second.Booking.ID) != "" {
-		t.Error("a promise that is delivered")
+		t.Error("delivery, release and return of a delivered skip have wrong results")
 	}
-	if why := promise("c"); why.Reason != "" {
-		t.Errorf("what is back is not free: %s", why.Reason)
+	if refusal := promise("c"); refusal.Reason != "" {
+		t.Errorf("a returned skip is not free: %s", refusal.Reason)
 	}
 	if res := applyRequests(t, s, st, now, &Request{Type: OpOffer, Depot: "d", Kind: "k", Key: "c", From: 5, To: 9})[0]; res.Reason != ReasonKeyReused {
-		t.Errorf("another request under a used name: %+v", res)
+		t.Errorf("a different request with a used key: %+v", res)
 	}
 }
 
-// The end of an offer is recorded: until then its confirmation holds, after it is refused.
+// A record ends an offer: a confirmation before that record succeeds, and one after it is refused.
 func TestOfferExpiresByRecord(t *testing.T) {
 	s, st := NewShard(), newFakeStore()
 	now := api.WallTime(1_000_000)
 	applyRequests(t, s, st, now, addRequest("d", "k", 1))
-	offer := func(name IdempotencyKey) Result {
-		return applyRequests(t, s, st, now, &Request{Type: OpOffer, Depot: "d", Kind: "k", Key: name, From: 5, To: 9, OfferDuration: time.Minute})[0]
+	offer := func(key IdempotencyKey) Result {
+		return applyRequests(t, s, st, now, &Request{Type: OpOffer, Depot: "d", Kind: "k", Key: key, From: 5, To: 9, OfferDuration: time.Minute})[0]
 	}
-	take := func(num BookingID) RefusalReason {
-		return applyRequests(t, s, st, now, &Request{Type: OpPromise, Depot: "d", Skip: "k-0000", Booking: num, Key: "take", Site: "s"})[0].Reason
+	confirm := func(id BookingID) RefusalReason {
+		return applyRequests(t, s, st, now, &Request{Type: OpPromise, Depot: "d", Skip: "k-0000", Booking: id, Key: "confirm", Site: "s"})[0].Reason
 	}
 	first := offer("a")
 	now += 60_100
 	if offer("b").Reason != ReasonNoneFree {
-		t.Error("given to another before it can be over by every clock")
+		t.Error("the offer expires before its end by every clock")
 	}
 	now += 200
 	second := offer("b")
 	if second.Reason != "" {
-		t.Fatalf("not given to another after its time: %s", second.Reason)
+		t.Fatalf("the skip is not free after the end of the offer: %s", second.Reason)
 	}
-	if why := take(first.Booking.ID); why != ReasonClosed {
-		t.Errorf("a confirmation after the end: %q", why)
+	if reason := confirm(first.Booking.ID); reason != ReasonClosed {
+		t.Errorf("a confirmation after the end of the offer: %q", reason)
 	}
-	if why := take(second.Booking.ID); why != "" {
-		t.Errorf("a confirmation before the end is refused: %s", why)
+	if reason := confirm(second.Booking.ID); reason != "" {
+		t.Errorf("a confirmation before the end of the offer is refused: %s", reason)
 	}
 	now += 10_000_000
 	if offer("c").Reason != ReasonNoneFree {
-		t.Error("an offer that was taken ends all the same")
+		t.Error("a confirmed offer expires")
 	}
 }
 
@@ -363,13 +363,13 @@
 	if d, err := ParseDay("2026-12-01"); err != nil || d.String() != "2026-12-01" || d+1 != func() Day { d, _ := ParseDay("2026-12-02"); return d }() {
 		t.Errorf("%v, %v", d, err)
 	}
-	// Days on which daylight saving time begins or ends are days like others.
+	// A change of daylight saving time does not change the number of days between two dates.
 	a, _ := ParseDay("2026-03-28")
 	b, _ := ParseDay("2026-03-30")
 	if b-a != 2 {
 		t.Errorf("%d days", b-a)
 	}
 	if _, err := ParseDay("01.12.2026"); err == nil {
-		t.Error("not refused")
+		t.Error("an invalid day is accepted")
 	}
 }
--- a/reservation/compose.go
+++ b/reservation/compose.go
@@ -1,4 +1,4 @@
-// Composition of the next record from requests.
+// This file composes the next record of a shard from requests.
 
 package reservation
 
@@ -12,7 +12,7 @@
 	"basaltwall/api"
 )
 
-// BlockWrite is a block to be written with a record, as it is after the record.
+// BlockWrite is the value of a block as of a record, to be written with that record.
 type BlockWrite struct {
 	ID   BlockID
 	Data json.RawMessage
@@ -23,7 +23,7 @@
 	Record       Record
 	Blocks       []BlockWrite
 	Archived     []ArchivedBooking // bookings that the record drops, for the archive
-	OpIndexes    []int             // by request: its last operation in the record; noOps: none
+	OpIndexes    []int             // by request: index of its last operation in the record, or noOps
 	Results      []Result          // by request: its answer, if it needs no operation
 	RequestCount int               // number of requests handled; the others wait for the next record
 }
@@ -31,22 +31,22 @@
 // noOps is the operation index of a request that needs no operation.
 const noOps = -1
 
-// ArchivedBooking is a booking that was closed long ago, as stored in the archive.
+// ArchivedBooking is a closed booking as stored in the archive.
 type ArchivedBooking struct {
 	Depot Depot  `json:"d"`
 	Skip  SkipID `json:"i"`
 	Booking
 }
 
-// Limits bound a record and its transaction.
+// Limits bounds the size of a record and of its transaction.
 type Limits struct {
-	MaxValueBytes int // of a value
-	MaxPuts       int // of a transaction
+	MaxValueBytes int // maximum size of a value
+	MaxPuts       int // maximum number of writes of a transaction
 }
 
-// Compose makes the next record from requests, in their order, as many as fit, and from what is due by
-// time. Requests that need no operation are answered from the state of the shard, which must be current
-// for that. If the record of the draft is empty there is nothing to write.
+// Compose returns a draft of the next record, with the operations of as many requests as fit, in their
+// order, and due cleanup operations. It answers requests that need no operation from the state of the
+// shard, which must be current for that. If the record of the draft is empty, there is nothing to write.
 func (s *Shard) Compose(writerID string, requests []*Request, now api.WallTime, clockError time.Duration, l Limits) Draft {
 	c := &composer{
 		fork:       s.fork(),
@@ -69,7 +69,7 @@
 	if len(d.Archived) > 0 {
 		l.MaxPuts--
 	}
-	// The record is applied as a whole to find the blocks that it moves skips between.
+	// Applying the whole record shows the blocks that it adds skips to or moves skips between.
 	after := s.fork()
 	after.ApplyRecord(&d.Record)
 	written := s.resizedBlocks(after)
@@ -84,15 +84,15 @@
 }
 
 const (
-	recordOverhead   = 64  // bytes of a record beside its writer and operations, at most
-	cleanupOpBytes   = 120 // bytes of a cleanup operation, at most
-	maxCleanupOps    = 16  // of a record
-	maxOpsForCleanup = maxOps / 2
+	recordOverhead   = 64         // maximum size of a record without its writer id and operations, in bytes
+	cleanupOpBytes   = 120        // maximum size of a cleanup operation, in bytes
+	maxCleanupOps    = 16         // per record
+	maxOpsForCleanup = maxOps / 2 // a record with more operations gets no cleanup
 )
 
-// composer composes a draft.
+// composer builds a draft.
 type composer struct {
-	fork       *Shard // the shard with the operations of the draft
+	fork       *Shard // the shard with the operations of the draft applied
 	draft      Draft
 	bytes      int // size of the record
 	limits     Limits
@@ -100,14 +100,14 @@
 	clockError time.Duration
 }
 
-// add handles a request; false if the record has no space for it.
+// add adds a request to the draft, and returns false if the record has no space for it.
 func (c *composer) add(r *Request) bool {
 	if result, known := c.fork.Duplicate(r); known {
 		c.answer(result)
 		return true
 	}
 	ops, reason := c.fork.operations(r, c.now, c.clockError)
-	if reason != "" || len(ops) == 0 { // without a reason: all skips were added before
+	if reason != "" || len(ops) == 0 { // without a reason: all skips exist already
 		c.answer(Result{Reason: reason})
 		return true
 	}
@@ -130,7 +130,7 @@
 	return true
 }
 
-// answer notes the answer of a request that needs no operation.
+// answer adds a request that needs no operation, with its answer.
 func (c *composer) answer(result Result) { c.appendRequest(noOps, result) }
 
 func (c *composer) appendRequest(opIndex int, result Result) {
@@ -138,7 +138,7 @@
 	c.draft.RequestCount++
 }
 
-// addCleanup adds operations that are due by time, if there is space for them.
+// addCleanup adds due cleanup operations if the record has space for them.
 func (c *composer) addCleanup() {
 	d := &c.draft
 	freeOps := (c.limits.MaxValueBytes - c.bytes) / cleanupOpBytes
@@ -154,7 +154,7 @@
 	}
 }
 
-// lastWithOps is the index of the last request that needs operations, 0 if none does.
+// lastWithOps returns the index of the last request that needs operations, or 0 if none does.
 func lastWithOps(opIndexes []int) int {
 	last := 0
 	for i, opIndex := range opIndexes {
@@ -165,8 +165,8 @@
 	return last
 }
 
-// resizedBlocks are the blocks that a record moved skips between or added skips to. They must be
-// written with it, so that the division into blocks is the same for all controllers.
+// resizedBlocks returns the blocks that a record added skips to or moved skips between. They must be
+// written with the record, so that the assignment of skips to blocks is the same for all controllers.
 func (s *Shard) resizedBlocks(after *Shard) map[BlockID]bool {
 	resized := map[BlockID]bool{}
 	for blockID, b := range after.blocks {
@@ -177,8 +177,8 @@
 	return resized
 }
 
-// overdueBlocks are the blocks, beside those written anyway, that were changed long ago and must be
-// written to keep the ring free: the oldest first, a few with each record and at most limit.
+// overdueBlocks returns changed blocks that must be written before the ring wraps around, besides those
+// written anyway: the oldest first, few with each record, and at most limit.
 func (s *Shard) overdueBlocks(seq uint64, written map[BlockID]bool, limit int) []BlockID {
 	var overdue []BlockID
 	for _, blockID := range s.blockIDs() {
@@ -191,7 +191,7 @@
 	return overdue[:min(len(overdue), max(0, limit))]
 }
 
-// encodeBlocks are the values of blocks as of a record, in order.
+// encodeBlocks returns the values of blocks as of a record, sorted by id.
 func (s *Shard) encodeBlocks(blockIDs map[BlockID]bool, seq uint64) []BlockWrite {
 	var out []BlockWrite
 	for _, blockID := range slices.Sorted(maps.Keys(blockIDs)) {
--- a/reservation/count.go
+++ b/reservation/count.go
@@ -1,4 +1,4 @@
-// Counts and ages for reports.
+// This file computes counts and ages of bookings for reports.
 
 package reservation
 
@@ -9,7 +9,7 @@
 	"basaltwall/api"
 )
 
-// OldestOfferTime is when the oldest offer was made that still holds its skip, 0 if there is none.
+// OldestOfferTime returns the time of the oldest open offer, or 0 if there is none.
 func (s *Shard) OldestOfferTime() api.WallTime {
 	oldest := api.WallTime(0)
 	for _, b := range s.blocks {
@@ -24,7 +24,7 @@
 	return oldest
 }
 
-// Counts are the numbers of skips of a kind at a depot, for a range of days.
+// Counts holds the numbers of skips of a kind at a depot, for a range of days.
 type Counts struct {
 	Depot        Depot `json:"depot"`
 	Kind         Kind  `json:"kind"`
@@ -35,7 +35,7 @@
 	OutOfService int   `json:"out_of_service"`
 }
 
-// Count counts skips by depot and kind, for the days from one up to, but without, another.
+// Count counts skips by depot and kind, for the days [from, to).
 func (s *Shard) Count(from, to Day) []Counts {
 	counts := map[kindKey]*Counts{}
 	for _, blockID := range s.blockIDs() {
@@ -55,7 +55,7 @@
 	return out
 }
 
-// add counts a skip.
+// add counts a skip for the days [from, to).
 func (c *Counts) add(sk *Skip, from, to Day) {
 	c.Skips++
 	if sk.OutOfService {
--- a/reservation/golden_test.go
+++ b/reservation/golden_test.go
@@ -10,7 +10,7 @@
 	"basaltwall/internal/golden"
 )
 
-// Stored values of the ledger as earlier versions wrote them.
+// TestGolden checks that stored values of the ledger are encoded as by earlier versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	golden.JSON(f, "block", golden.Filled[Block](t))
@@ -19,21 +19,20 @@
 	golden.JSON(f, "empty record", Record{Ops: []Op{{}}})
 	golden.JSON(f, "archive", golden.Filled[[]ArchivedBooking](t))
 	golden.JSON(f, "counts", golden.Filled[Counts](t))
-	f.Text("keys", strings.Join([]string{Root, roundKey(3, 257), blockKey(4, 513), KeyArchive}, "\n"))
+	f.Text("keys", strings.Join([]string{Root, ringKey(3, 257), blockKey(4, 513), KeyArchive}, "\n"))
 	var values []string
 	for _, v := range []any{Offered, Promised, Delivered, Returned, Released, Expired, OpAdd, OpOutOfService, OpInService, OpOffer, OpPromise, OpRelease, OpDeliver, OpReturn, OpExpire, OpForget,
 		Day(20788), bookingID(5, 6)} {
 		values = append(values, fmt.Sprint(v))
 	}
-	// The shard of a depot must not change with the version.
+	// The shard of a depot must be the same in all versions.
 	for _, d := range []Depot{"hof-nord", "hof-sued", "depot-1", "depot-2"} {
 		values = append(values, fmt.Sprint(d, " ", ShardOf(d, 3), " ", ShardOf(d, 7)))
 	}
 	f.Text("values", strings.Join(values, "\n"))
 }
 
-// A ledger reads what an earlier version wrote as that version did: blocks, records after them,
-// and blocks that come with the log.
+// A ledger decodes blocks and records of earlier versions, from a full load and from the log.
 func TestGoldenLedger(t *testing.T) {
 	const block = `{"u":4,"s":[{"d":"hof-nord","i":"six-1","k":"six","p":[{"n":1025,"w":"first","s":"site 1","f":20788,"t":20790,"g":"promised"}]},` +
 		`{"d":"hof-nord","i":"six-2","k":"six","o":true}]}`
--- a/reservation/keys.go
+++ b/reservation/keys.go
@@ -1,4 +1,4 @@
-// Keys of the ledger in the key-value store.
+// This file defines the keys of the ledger in the key-value store.
 
 package reservation
 
@@ -11,37 +11,38 @@
 	"basaltwall/api"
 )
 
-// Keys of the ledger. They lie outside of the keys that controllers follow all the time, so that a
-// restart reads them only once a request for a skip comes.
+// Prefixes of the keys of the ledger. Controllers do not replicate these keys all the time: a controller
+// loads them with the first request for a skip after its restart.
 const (
-	Root     = "s/"
-	keyRound = Root + "r/" // SHARD/SLOT
-	keyBlock = Root + "b/" // SHARD/BLOCK
+	Root        = "s/"
+	ringPrefix  = Root + "r/" // followed by SHARD/SLOT
+	blockPrefix = Root + "b/" // followed by SHARD/BLOCK
 )
 
-// The archive of dropped bookings. Its keys are ordered by the time of that in milliseconds, and no
-// controller follows them.
+// Key prefix and retention of the archive of dropped bookings. Its keys sort by the time of archiving in
+// milliseconds; controllers do not replicate them.
 const (
-	KeyArchive       = "skipold/" // TIME/SHARD-RECORD
+	KeyArchive       = "skipold/" // followed by TIME/SHARD-RECORD
 	ArchiveRetention = 5 * 366 * 24 * time.Hour
 )
 
-// roundKey is the key of a record in the ring of its shard.
-func roundKey(shard int, seq uint64) string {
-	return fmt.Sprintf("%s%d/%d", keyRound, shard, seq%RingSize)
+// ringKey returns the key of a record in the ring of its shard.
+func ringKey(shard int, seq uint64) string {
+	return fmt.Sprintf("%s%d/%d", ringPrefix, shard, seq%RingSize)
 }
 
-// blockKey is the key of a block.
+// blockKey returns the key of a block.
 func blockKey(shard int, blockID BlockID) string {
-	return fmt.Sprintf("%s%d/%d", keyBlock, shard, blockID)
+	return fmt.Sprintf("%s%d/%d", blockPrefix, shard, blockID)
 }
 
-// archiveKey is the key of the bookings that a record drops.
+// archiveKey returns the key of the bookings that a record drops.
 func archiveKey(at api.WallTime, shard int, seq uint64) string {
 	return fmt.Sprintf("%s%013d/%d-%d", KeyArchive, at, shard, seq)
 }
 
-// parseShardKey parses PREFIX SHARD/NUMBER; ok is false if the key does not have that form.
+// parseShardKey parses a key that consists of a prefix, a shard and a number, as in s/r/2/17. ok is false
+// if the key has another form or names an unknown shard.
 func (g *Ledger) parseShardKey(key, prefix string) (shard int, number uint64, ok bool) {
 	name, ok := strings.CutPrefix(key, prefix)
 	if !ok {
--- a/reservation/ledger.go
+++ b/reservation/ledger.go
@@ -1,4 +1,4 @@
-// The ledger of a controller: its replica of the shards, and the requests that wait for them.
+// This file defines a controller's ledger: its replica of the shards and its pending requests.
 
 package reservation
 
@@ -10,45 +10,47 @@
 	"basaltwall/api"
 )
 
-// PendingRequest is a request that waits for its answer.
+// PendingRequest is a request that is not answered yet.
 type PendingRequest struct {
 	Request   *Request
 	ArrivedAt api.Time
-	Respond   func(Result) // called once; nil once it was
+	Respond   func(Result) // called once with the answer; nil after that
 }
 
-// Ledger is a controller's replica of all shards and its writes to them. Its caller sends what it
-// composes, reads what it asks for, and reports the outcomes. Not safe for concurrent use.
+// Ledger is a controller's replica of all shards, with its writes to them. The caller sends the
+// transactions that the ledger composes, reads the log when the next step requires it, and passes in the
+// outcomes. It is not safe for concurrent use.
 type Ledger struct {
-	WriterID   string // identifies this run of a controller among all
+	WriterID   string // identifies the controller process among all others, also former ones
 	Limits     Limits
-	ClockError time.Duration // bound on the difference of clocks
-	Conflicts  uint64        // records that lost to another controller's
-	Records    uint64        // records written by this controller
-	Refused    map[RefusalReason]uint64
-
-	revision api.Revision // the replica is current up to it
-	versions map[string]api.Revision
-	shards   []*Shard
-	queues   []shardQueue // by shard
-	count    uint64       // of composed records
+	ClockError time.Duration            // maximum difference of the controllers' clocks
+	Conflicts  uint64                   // records that were not written because of another controller's record
+	Records    uint64                   // records written by this controller
+	Refused    map[RefusalReason]uint64 // number of refused requests
+
+	revision        api.Revision            // the replica is current up to this revision
+	versions        map[string]api.Revision // by key
+	shards          []*Shard
+	queues          []shardQueue // by shard
+	composedRecords uint64
 }
 
-// shardQueue is the pending requests of a shard and its write in flight, at most one at a time.
+// shardQueue holds the pending requests of a shard and its write in flight, of which there is at most
+// one.
 type shardQueue struct {
 	pending  []*PendingRequest
 	inFlight *inFlightWrite
 }
 
-// inFlightWrite is a record whose write has no known outcome yet.
+// inFlightWrite is the write of a record whose outcome is not known yet.
 type inFlightWrite struct {
 	draft    Draft
 	requests []*PendingRequest
 	txn      api.Txn
-	results  []Result // once the record has been applied
+	results  []Result // set when the record has been applied
 }
 
-// NewLedger returns an empty ledger of so many shards.
+// NewLedger returns an empty ledger with the given number of shards.
 func NewLedger(writerID string, shards int, clockError time.Duration, l Limits) *Ledger {
 	g := &Ledger{
 		WriterID:   writerID,
@@ -64,8 +66,8 @@
 	return g
 }
 
-// ShardOf is the shard of a depot, of so many. All skips of a depot are in one shard, so that requests
-// with the same key meet there.
+// ShardOf returns the shard of a depot, for a number of shards. All skips of a depot are in one shard,
+// which thus detects repeated requests by their keys.
 func ShardOf(d Depot, shards int) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(d))
@@ -75,7 +77,7 @@
 // Shard returns a shard, for reading.
 func (g *Ledger) Shard(i int) *Shard { return g.shards[i] }
 
-// Revision is the revision up to which the replica is current.
+// Revision returns the revision up to which the replica is current.
 func (g *Ledger) Revision() api.Revision { return g.revision }
 
 // Enqueue adds a request to the queue of its shard.
@@ -87,11 +89,11 @@
 // Idle reports whether no write to a shard is in flight.
 func (g *Ledger) Idle(shard int) bool { return g.queues[shard].inFlight == nil }
 
-// HasPending reports whether requests wait for a shard.
+// HasPending reports whether a shard has pending requests.
 func (g *Ledger) HasPending(shard int) bool { return len(g.queues[shard].pending) > 0 }
 
-// RemoveTimedOut removes the unanswered requests that arrived before a time and returns them: the caller
-// answers that their outcome is not known. A write in flight continues.
+// RemoveTimedOut removes and returns the unanswered requests that arrived before a time. Their outcome is
+// unknown: a write in flight continues.
 func (g *Ledger) RemoveTimedOut(before api.Time) []*PendingRequest {
 	var out []*PendingRequest
 	timedOut := func(a *PendingRequest) bool { return a.ArrivedAt < before && a.Respond != nil }
@@ -118,7 +120,7 @@
 	return out
 }
 
-// NeedsCleanup reports whether operations of a shard are due by time.
+// NeedsCleanup reports whether cleanup operations of a shard are due.
 func (g *Ledger) NeedsCleanup(shard int, now api.WallTime) bool {
 	return len(g.shards[shard].cleanupOps(now, g.ClockError, 1)) > 0
 }
--- a/reservation/load.go
+++ b/reservation/load.go
@@ -1,4 +1,4 @@
-// Loading a shard from its blocks and records.
+// This file loads a shard from its blocks and records.
 
 package reservation
 
@@ -9,10 +9,10 @@
 	"slices"
 )
 
-// ErrRecordMissing is the error of a log with a gap.
+// ErrRecordMissing is the error for a gap in the sequence of records.
 var ErrRecordMissing = errors.New("is missing")
 
-// DuplicateSkipError is the error of blocks of which two hold the same skip.
+// DuplicateSkipError is the error for a skip that is in two blocks.
 type DuplicateSkipError struct {
 	Depot  Depot
 	Skip   SkipID
@@ -59,15 +59,15 @@
 		}
 		s.blockBySkip[key] = blockID
 		for i := range sk.Bookings {
-			s.recordKey(sk, sk.Bookings[i].Key, sk.Bookings[i].ID)
-			s.recordKey(sk, sk.Bookings[i].ConfirmationKey, sk.Bookings[i].ID)
+			s.indexKey(sk, sk.Bookings[i].Key, sk.Bookings[i].ID)
+			s.indexKey(sk, sk.Bookings[i].ConfirmationKey, sk.Bookings[i].ID)
 		}
 	}
 	return nil
 }
 
-// loadRecord applies the operations of a record that are not in the blocks yet. Blocks that a record
-// moved skips between were written with it, so no skip is added or moved here.
+// loadRecord applies the operations of a record that are not included in the blocks yet. The blocks that
+// a record adds skips to or moves skips between are written with it, so loadRecord need not do either.
 func (s *Shard) loadRecord(r *Record) {
 	s.Seq = r.Seq - 1
 	for k := range r.Ops {
--- a/reservation/operation.go
+++ b/reservation/operation.go
@@ -1,4 +1,4 @@
-// Operations: the changes that records hold, and how they apply to a skip.
+// This file defines operations, the changes that a record contains, and applies them to skips.
 
 package reservation
 
@@ -8,10 +8,11 @@
 	"basaltwall/api"
 )
 
-// RefusalReason is why a request is refused, as its client sees it; empty if it is not.
+// RefusalReason is the reason of a refusal, as sent to the client and used as a metric label. It is empty
+// without one.
 type RefusalReason string
 
-// The reasons.
+// Reasons of refusals.
 const (
 	ReasonBooked          RefusalReason = "it is promised or offered to somebody for some of these days"
 	ReasonOutOfService    RefusalReason = "it is out of service"
@@ -31,13 +32,13 @@
 // OpType is the type of an operation.
 type OpType string
 
-// The types of operations.
+// Types of operations.
 const (
 	OpAdd          OpType = "add"
 	OpOutOfService OpType = "out"
 	OpInService    OpType = "in"
 	OpOffer        OpType = "offer"
-	OpPromise      OpType = "promise" // of free days, or of an offer if it names one
+	OpPromise      OpType = "promise" // books free days, or confirms the offer that it names
 	OpRelease      OpType = "release"
 	OpDeliver      OpType = "deliver"
 	OpReturn       OpType = "return"
@@ -45,8 +46,8 @@
 	OpForget       OpType = "forget" // drops a booking that was closed long ago
 )
 
-// Op is an operation on one skip. An operation on a booking names it: if the booking is gone or closed,
-// the operation changes nothing.
+// Op is an operation on one skip. An operation on a booking names it, and changes nothing if the booking
+// does not exist or is closed.
 type Op struct {
 	Type      OpType         `json:"o"`
 	Depot     Depot          `json:"d"`
@@ -61,28 +62,28 @@
 	At        api.WallTime   `json:"a,omitempty"`
 }
 
-// Record is what one write appends to the log of a shard.
+// Record is an entry of a shard's log, written by one transaction.
 type Record struct {
 	Seq      uint64 `json:"q"`
-	WriterID string `json:"by"` // tells it from a record of another controller with the same Seq
+	WriterID string `json:"by"` // distinguishes it from another controller's record with the same Seq
 	Ops      []Op   `json:"ops,omitempty"`
 }
 
 // Result is the outcome of an operation or a request.
 type Result struct {
-	Reason  RefusalReason // why it was refused; empty: it was applied, or had been before
+	Reason  RefusalReason // reason of a refusal; empty: it was applied, now or earlier
 	Skip    SkipID
-	Booking Booking // as it is afterwards
+	Booking Booking // state after the operation
 }
 
-// bookingID is the id of the booking that an operation of a record creates; op counts from 1.
+// bookingID returns the id of the booking that an operation of a record creates; op counts from 1.
 func bookingID(seq uint64, op int) BookingID { return BookingID(seq*maxOps + uint64(op)) }
 
-// maxOps bounds the operations of a record.
+// maxOps is an upper bound of the number of operations in a record.
 const maxOps = 256
 
-// apply applies an operation. The operations of a record were composed when all records before it had been
-// applied, so they are valid; they are checked again to guard against records that should not exist.
+// apply applies an operation. Operations are valid when they are composed; apply checks them again to
+// guard against invalid records.
 func (s *Shard) apply(op *Op, bookingID BookingID) Result {
 	if op.Type == OpAdd {
 		return s.addSkip(op)
@@ -101,10 +102,10 @@
 		}
 		return s.addBooking(sk, op, bookingID)
 	}
-	return s.closeBooking(sk, op)
+	return s.changeStage(sk, op)
 }
 
-// refused is the result of an operation that is not applied.
+// refused returns the result of an operation that is not applied.
 func refused(sk *Skip, reason RefusalReason) Result { return Result{Reason: reason, Skip: sk.ID} }
 
 // confirmOffer turns an offer into a promise.
@@ -118,11 +119,11 @@
 	}
 	booking.Stage, booking.Site, booking.ConfirmationKey = Promised, op.Site, op.Key
 	booking.ExpiresAt, booking.OfferedAt = 0, 0
-	s.recordKey(sk, op.Key, booking.ID)
+	s.indexKey(sk, op.Key, booking.ID)
 	return Result{Skip: sk.ID, Booking: *booking}
 }
 
-// addBooking offers or promises a skip that is free for the requested days.
+// addBooking offers or promises a skip if it is free for the requested days.
 func (s *Shard) addBooking(sk *Skip, op *Op, bookingID BookingID) Result {
 	if reason := sk.CheckFree(op.From, op.To); reason != "" {
 		return refused(sk, reason)
@@ -132,24 +133,24 @@
 		created.Stage, created.OfferedAt = Offered, op.At
 	}
 	sk.Bookings = append(sk.Bookings, created)
-	s.recordKey(sk, op.Key, bookingID)
+	s.indexKey(sk, op.Key, bookingID)
 	return Result{Skip: sk.ID, Booking: created}
 }
 
-// closeBooking moves a booking to its delivery or its end, or drops it.
-func (s *Shard) closeBooking(sk *Skip, op *Op) Result {
+// changeStage moves a booking to its next stage, or drops it.
+func (s *Shard) changeStage(sk *Skip, op *Op) Result {
 	booking := sk.booking(op.Booking)
 	if booking == nil {
 		return refused(sk, ReasonNoSuchBooking)
 	}
 	if op.Type == OpForget {
-		return s.forgetBooking(sk, booking)
+		return s.dropBooking(sk, booking)
 	}
 	to := stageAfter[op.Type]
 	if booking.Stage == to {
 		return Result{Skip: sk.ID, Booking: *booking} // a retry
 	}
-	if reason := checkClose(sk, booking, op.Type); reason != "" {
+	if reason := checkTransition(sk, booking, op.Type); reason != "" {
 		return refused(sk, reason)
 	}
 	if booking.Stage = to; !booking.Active() {
@@ -161,8 +162,9 @@
 // stageAfter is the stage to which an operation moves a booking.
 var stageAfter = map[OpType]Stage{OpRelease: Released, OpDeliver: Delivered, OpReturn: Returned, OpExpire: Expired}
 
-// checkClose is why an operation can't move a booking on; empty if it can.
-func checkClose(sk *Skip, booking *Booking, op OpType) RefusalReason {
+// checkTransition returns the reason why an operation can't change the stage of a booking, or an empty
+// one if it can.
+func checkTransition(sk *Skip, booking *Booking, op OpType) RefusalReason {
 	switch {
 	case !booking.Active():
 		return ReasonClosed
@@ -180,14 +182,14 @@
 	return ""
 }
 
-// forgetBooking drops a closed booking with its keys.
-func (s *Shard) forgetBooking(sk *Skip, booking *Booking) Result {
+// dropBooking drops a closed booking with its keys.
+func (s *Shard) dropBooking(sk *Skip, booking *Booking) Result {
 	if booking.Active() {
 		return refused(sk, ReasonBooked)
 	}
 	id := booking.ID
-	s.forgetKey(sk.Depot, booking.Key)
-	s.forgetKey(sk.Depot, booking.ConfirmationKey)
+	s.unindexKey(sk.Depot, booking.Key)
+	s.unindexKey(sk.Depot, booking.ConfirmationKey)
 	sk.Bookings = slices.DeleteFunc(sk.Bookings, func(b Booking) bool { return b.ID == id })
 	return Result{Skip: sk.ID}
 }
--- a/reservation/replica.go
+++ b/reservation/replica.go
@@ -1,4 +1,4 @@
-// Replication: loading the ledger and applying the changes of the log.
+// This file replicates the ledger: it loads all keys and applies the changes of the log.
 
 package reservation
 
@@ -9,7 +9,8 @@
 	"basaltwall/api"
 )
 
-// Load replaces the replica by all keys of the ledger as of a revision. On error it stays as it was.
+// Load replaces the replica with all keys of the ledger as of a revision. On error the replica is
+// unchanged.
 func (g *Ledger) Load(pairs []api.KeyValue, revision api.Revision) error {
 	blocks, records := make([]map[BlockID]*Block, len(g.shards)), make([][]*Record, len(g.shards))
 	for i := range blocks {
@@ -18,13 +19,13 @@
 	versions := map[string]api.Revision{}
 	for _, p := range pairs {
 		versions[p.Key] = p.Version
-		if shard, blockID, ok := g.parseShardKey(p.Key, keyBlock); ok {
+		if shard, blockID, ok := g.parseShardKey(p.Key, blockPrefix); ok {
 			b := &Block{}
 			if err := json.Unmarshal(p.Value, b); err != nil {
 				return fmt.Errorf("key %s: %w", p.Key, err)
 			}
 			blocks[shard][BlockID(blockID)] = b
-		} else if shard, _, ok := g.parseShardKey(p.Key, keyRound); ok {
+		} else if shard, _, ok := g.parseShardKey(p.Key, ringPrefix); ok {
 			r := &Record{}
 			if err := json.Unmarshal(p.Value, r); err != nil {
 				return fmt.Errorf("key %s: %w", p.Key, err)
@@ -40,7 +41,7 @@
 		}
 		shards[i] = s
 	}
-	for i := range g.queues { // if a write in flight succeeded, its requests are duplicates now
+	for i := range g.queues { // if the write in flight succeeded, its requests are duplicates now
 		if w := g.queues[i].inFlight; w != nil {
 			g.queues[i].pending, g.queues[i].inFlight = append(w.requests, g.queues[i].pending...), nil
 		}
@@ -49,20 +50,20 @@
 	return nil
 }
 
-// ApplyChanges applies changes of the log. After an error the replica must be loaded anew.
+// ApplyChanges applies changes of the log. After an error the replica must be loaded again.
 func (g *Ledger) ApplyChanges(c api.Changes) error {
 	for _, ch := range c.Log {
 		if ch.Version <= g.versions[ch.Put] || ch.Put == "" {
 			continue
 		}
 		g.versions[ch.Put] = ch.Version
-		if shard, blockID, ok := g.parseShardKey(ch.Put, keyBlock); ok {
+		if shard, blockID, ok := g.parseShardKey(ch.Put, blockPrefix); ok {
 			var header blockHeader
 			if err := json.Unmarshal(ch.Value, &header); err != nil {
 				return fmt.Errorf("key %s: %w", ch.Put, err)
 			}
 			g.shards[shard].BlockWritten(BlockID(blockID), header.LastSeq)
-		} else if shard, _, ok := g.parseShardKey(ch.Put, keyRound); ok {
+		} else if shard, _, ok := g.parseShardKey(ch.Put, ringPrefix); ok {
 			var r Record
 			if err := json.Unmarshal(ch.Value, &r); err != nil {
 				return fmt.Errorf("key %s: %w", ch.Put, err)
@@ -81,7 +82,7 @@
 	LastSeq uint64 `json:"u"`
 }
 
-// SequenceError is the error of a record that does not follow the latest one of its shard.
+// SequenceError is the error for a record that does not follow the latest one of its shard.
 type SequenceError struct {
 	Shard  int
 	Seq    uint64
--- a/reservation/request.go
+++ b/reservation/request.go
@@ -1,4 +1,4 @@
-// Requests: which operations a request of a client needs, and which are due by time.
+// This file determines the operations for client requests and the due cleanup operations.
 
 package reservation
 
@@ -8,13 +8,13 @@
 	"basaltwall/api"
 )
 
-// Request is a request of a client for the skips of a depot.
+// Request is a client's request concerning skips of a depot.
 type Request struct {
 	Type          OpType
 	Depot         Depot
 	Key           IdempotencyKey
-	Skip          SkipID // a particular skip; empty: any that is free
-	Kind          Kind   // of any skip
+	Skip          SkipID // empty: any free skip of the kind
+	Kind          Kind   // kind of skip if none is named
 	Booking       BookingID
 	Site          Site
 	From          Day
@@ -23,14 +23,14 @@
 	Skips         []Skip // to add
 }
 
-// Retention of closed bookings: they are dropped long after any client would retry a request.
+// Retention of closed bookings, which is longer than clients retry their requests.
 const (
 	ExpiredOfferRetention  = time.Hour
 	ClosedBookingRetention = 7 * 24 * time.Hour
 )
 
-// Duplicate answers a request that was made before under the same key, and refuses another request
-// under that key; false if the key is new.
+// Duplicate returns the answer to a repeated request, or a refusal if the key was used for a different
+// request. It returns false if the key is new.
 func (s *Shard) Duplicate(r *Request) (Result, bool) {
 	if r.Key == "" || r.Type != OpOffer && r.Type != OpPromise {
 		return Result{}, false
@@ -41,14 +41,14 @@
 	}
 	sk := s.Get(r.Depot, ref.skip)
 	booking := sk.booking(ref.booking)
-	if !r.madeBooking(sk, booking) {
+	if !r.matchesBooking(sk, booking) {
 		return Result{Reason: ReasonKeyReused}, true
 	}
 	return Result{Skip: sk.ID, Booking: *booking}, true
 }
 
-// madeBooking reports whether a booking under the request's key is what the same request made.
-func (r *Request) madeBooking(sk *Skip, b *Booking) bool {
+// matchesBooking reports whether the request created or confirmed a booking that has its key.
+func (r *Request) matchesBooking(sk *Skip, b *Booking) bool {
 	if r.Type == OpPromise && r.Booking != 0 {
 		return b.ConfirmationKey == r.Key && b.ID == r.Booking && b.Site == r.Site
 	}
@@ -61,10 +61,10 @@
 	return b.ConfirmationKey == "" && b.Site == r.Site
 }
 
-// operations are the operations that a request needs, or why it is refused.
+// operations returns the operations that a request needs, or the reason of its refusal.
 func (s *Shard) operations(r *Request, now api.WallTime, clockError time.Duration) ([]Op, RefusalReason) {
 	if r.Type == OpAdd {
-		return s.addOperations(r)
+		return s.addSkipOperations(r)
 	}
 	op := Op{Type: r.Type, Depot: r.Depot, Skip: r.Skip, Booking: r.Booking, Key: r.Key, Site: r.Site, From: r.From, To: r.To, At: now}
 	if r.Type == OpOffer {
@@ -95,8 +95,8 @@
 	return nil, ReasonNoneFree
 }
 
-// addOperations add those of the requested skips that are not there yet.
-func (s *Shard) addOperations(r *Request) ([]Op, RefusalReason) {
+// addSkipOperations returns the operations that add those of the requested skips that do not exist yet.
+func (s *Shard) addSkipOperations(r *Request) ([]Op, RefusalReason) {
 	var out []Op
 	for i := range r.Skips {
 		skip := &r.Skips[i]
@@ -111,8 +111,8 @@
 	return out, ""
 }
 
-// bookingOperations book a skip, after the expiry of offers of the same days that are due, or say why
-// it can't be booked.
+// bookingOperations returns the operations that book a skip, preceded by the expiry of overlapping offers
+// that are due, or the reason why the skip can't be booked.
 func (s *Shard) bookingOperations(sk *Skip, booking Op, clockError time.Duration) ([]Op, RefusalReason) {
 	var ops []Op
 	after := sk.clone()
@@ -130,13 +130,12 @@
 	return append(ops, booking), ""
 }
 
-// offerExpired reports whether the time of an offer is over by every clock.
+// offerExpired reports whether an offer has expired by every controller's clock.
 func offerExpired(b *Booking, now api.WallTime, clockError time.Duration) bool {
 	return now > b.ExpiresAt+api.WallTime(clockError.Milliseconds())
 }
 
-// cleanupOps are at most limit operations that are due by time: offers to expire and closed bookings
-// to drop.
+// cleanupOps returns at most limit due operations, which expire offers and drop closed bookings.
 func (s *Shard) cleanupOps(now api.WallTime, clockError time.Duration, limit int) []Op {
 	var out []Op
 	for _, blockID := range s.blockIDs() {
@@ -155,7 +154,7 @@
 	return out
 }
 
-// cleanupOp is the operation on a booking that is due by time, if one is.
+// cleanupOp returns the due cleanup operation on a booking; due is false if there is none.
 func cleanupOp(sk *Skip, b *Booking, now api.WallTime, clockError time.Duration) (op Op, due bool) {
 	op = Op{Depot: sk.Depot, Skip: sk.ID, Booking: b.ID, At: now}
 	retention := ClosedBookingRetention
--- a/reservation/shard.go
+++ b/reservation/shard.go
@@ -1,4 +1,5 @@
-// Shards: the skips of some depots, indexed, with forks for trying changes.
+// This file defines shards of the ledger, with indexes of their skips and with forks for tentative
+// changes.
 
 package reservation
 
@@ -32,17 +33,18 @@
 	kind  Kind
 }
 
-// Shard is a shard of the ledger, with a log of its own. Not safe for concurrent use.
+// Shard is a shard of the ledger: the skips of some depots, with a log of their own. It is not safe for
+// concurrent use.
 type Shard struct {
-	Seq           uint64 // of the latest record
-	SkipsExamined int    // counts skips that were examined for free days
+	Seq           uint64 // number of the latest record
+	SkipsExamined int    // number of skips that were examined for free days
 
 	newestBlock   BlockID
 	blocks        map[BlockID]*Block
 	blockBySkip   map[skipKey]BlockID
-	bookingsByKey map[requestKey]bookingRef // in a fork, booking 0: dropped
+	bookingsByKey map[requestKey]bookingRef // in a fork, booking 0 marks a dropped key
 	skipsByKind   map[kindKey][]SkipID
-	parent        *Shard // of a fork: the shard that it was forked from
+	parent        *Shard // the shard that this fork was made from; nil if it is not a fork
 }
 
 // NewShard returns an empty shard.
@@ -55,14 +57,15 @@
 	}
 }
 
-// fork is a shard with the same state that can be changed and discarded without an effect on this one.
+// fork returns a copy of the shard whose changes do not affect the original. It copies blocks when they
+// change.
 func (s *Shard) fork() *Shard {
 	f := NewShard()
 	f.Seq, f.newestBlock, f.parent = s.Seq, s.newestBlock, s
 	return f
 }
 
-// blockOf is the block of a skip.
+// blockOf returns the block of a skip; it returns false if there is no such skip.
 func (s *Shard) blockOf(key skipKey) (BlockID, bool) {
 	blockID, ok := s.blockBySkip[key]
 	if !ok && s.parent != nil {
@@ -71,7 +74,7 @@
 	return blockID, ok
 }
 
-// Get returns a skip, nil if there is none. It must not be changed.
+// Get returns a skip, or nil if there is none. Callers must not modify it.
 func (s *Shard) Get(d Depot, id SkipID) *Skip {
 	blockID, ok := s.blockOf(skipKey{depot: d, skip: id})
 	if !ok {
@@ -80,7 +83,7 @@
 	return findSkip(s.block(blockID), d, id)
 }
 
-// mutableSkip is a skip for changes by the next record, nil if there is none.
+// mutableSkip returns a skip for changes by the next record, or nil if there is none.
 func (s *Shard) mutableSkip(d Depot, id SkipID) *Skip {
 	blockID, ok := s.blockOf(skipKey{depot: d, skip: id})
 	if !ok {
@@ -93,7 +96,7 @@
 	return findSkip(b, d, id)
 }
 
-// findSkip finds a skip in its block.
+// findSkip returns a skip of a block, or nil if the block does not contain it.
 func findSkip(b *Block, d Depot, id SkipID) *Skip {
 	for _, sk := range b.Skips {
 		if sk.ID == id && sk.Depot == d {
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// lookupKey finds the booking of a request, by the key of the request.
+// lookupKey returns the booking that the request with a key created or confirmed.
 func (s *Shard) lookupKey(d Depot, key IdempotencyKey) (bookingRef, bool) {
 	ref, ok := s.bookingsByKey[requestKey{depot: d, key: key}]
 	if !ok && s.parent != nil {
@@ -112,15 +115,15 @@
 	return ref, ok && ref.booking != 0
 }
 
-// recordKey notes the booking that a request made, unless it has no key.
-func (s *Shard) recordKey(sk *Skip, key IdempotencyKey, id BookingID) {
+// indexKey adds the key of a request and its booking to the index, unless the key is empty.
+func (s *Shard) indexKey(sk *Skip, key IdempotencyKey, id BookingID) {
 	if key != "" {
 		s.bookingsByKey[requestKey{depot: sk.Depot, key: key}] = bookingRef{skip: sk.ID, booking: id}
 	}
 }
 
-// forgetKey drops the key of a request.
-func (s *Shard) forgetKey(d Depot, key IdempotencyKey) {
+// unindexKey removes the key of a request from the index.
+func (s *Shard) unindexKey(d Depot, key IdempotencyKey) {
 	if s.parent != nil {
 		s.bookingsByKey[requestKey{depot: d, key: key}] = bookingRef{}
 		return
@@ -128,7 +131,7 @@
 	delete(s.bookingsByKey, requestKey{depot: d, key: key})
 }
 
-// skipsOfKind lists the skips of a kind at a depot, in the order in which they were added.
+// skipsOfKind returns the skips of a kind at a depot, in the order in which they were added.
 func (s *Shard) skipsOfKind(d Depot, k Kind) []SkipID {
 	own := s.skipsByKind[kindKey{depot: d, kind: k}]
 	if s.parent != nil {
@@ -137,8 +140,8 @@
 	return own
 }
 
-// List returns at most limit skips of a depot that come after one, sorted by id; more is true if there
-// are others.
+// List returns at most limit skips of a depot whose ids are greater than after, sorted by id; more
+// reports whether there are others.
 func (s *Shard) List(d Depot, after SkipID, limit int) (out []*Skip, more bool) {
 	for blockID := range s.blocks {
 		for _, sk := range s.blocks[blockID].Skips {
@@ -151,13 +154,13 @@
 	return out[:min(len(out), limit)], len(out) > limit
 }
 
-// addSkip adds a skip unless it is there.
+// addSkip adds a skip unless it exists.
 func (s *Shard) addSkip(op *Op) Result {
 	key := skipKey{depot: op.Depot, skip: op.Skip}
 	if _, ok := s.blockOf(key); ok {
 		return Result{Skip: op.Skip}
 	}
-	// The newest block, or a new one if that is full.
+	// The skip goes to the newest block, or to a new block if that one is full.
 	blockID := s.newestBlock
 	if b := s.block(blockID); b == nil || len(b.Skips) >= skipsPerBlock {
 		blockID = s.newBlock(s.Seq + 1)
@@ -173,21 +176,21 @@
 	return Result{Skip: op.Skip}
 }
 
-// ApplyRecord applies a record and returns the results of its operations; nil if the record is not the
+// ApplyRecord applies a record and returns the results of its operations, or nil if the record is not the
 // next one.
 func (s *Shard) ApplyRecord(r *Record) []Result {
 	if r.Seq != s.Seq+1 {
 		return nil
 	}
 	out := make([]Result, len(r.Ops))
-	touched := map[BlockID]bool{}
+	changed := map[BlockID]bool{}
 	for i := range r.Ops {
 		out[i] = s.apply(&r.Ops[i], bookingID(r.Seq, i+1))
 		if blockID, ok := s.blockOf(skipKey{depot: r.Ops[i].Depot, skip: r.Ops[i].Skip}); ok {
-			touched[blockID] = true
+			changed[blockID] = true
 		}
 	}
-	for _, blockID := range slices.Sorted(maps.Keys(touched)) {
+	for _, blockID := range slices.Sorted(maps.Keys(changed)) {
 		s.splitBlock(blockID, r.Seq)
 	}
 	s.Seq = r.Seq
--- a/reservation/write.go
+++ b/reservation/write.go
@@ -1,4 +1,4 @@
-// Writes: composing a transaction, and what follows from its outcome.
+// This file composes the transactions of a ledger and handles their outcomes.
 
 package reservation
 
@@ -10,12 +10,12 @@
 	"basaltwall/api"
 )
 
-// maxRequestsPerRecord bounds the requests that one record is composed from.
+// maxRequestsPerRecord is the maximum number of requests that one record is composed from.
 const maxRequestsPerRecord = 200
 
-// Compose answers pending requests of a shard that need no write, and makes the transaction that
-// writes the next record; nil if there is none. readAt is the start of the read up to which the replica
-// is current: requests that arrived later keep waiting, and so do those that do not fit into the record.
+// Compose answers pending requests of a shard that need no write, and returns the transaction that writes
+// the next record, or nil if there is none. readAt is the start time of the read up to which the replica
+// is current: requests that arrived later stay pending, and so do those that do not fit into the record.
 func (g *Ledger) Compose(shard int, now api.WallTime, readAt api.Time) *api.Txn {
 	queue, s := &g.queues[shard], g.shards[shard]
 	if queue.inFlight != nil {
@@ -26,8 +26,8 @@
 	for i, a := range pending {
 		requests[i] = a.Request
 	}
-	g.count++
-	d := s.Compose(fmt.Sprintf("%s-%d", g.WriterID, g.count), requests, now, g.ClockError, g.Limits)
+	g.composedRecords++
+	d := s.Compose(fmt.Sprintf("%s-%d", g.WriterID, g.composedRecords), requests, now, g.ClockError, g.Limits)
 	queue.pending = slices.Clone(queue.pending[d.RequestCount:])
 	pending = slices.Clone(pending[:d.RequestCount])
 	if len(d.Record.Ops) == 0 {
@@ -47,7 +47,7 @@
 	return &queue.inFlight.txn
 }
 
-// arrivedBy are the pending requests, up to the bound for a record, that arrived by a time.
+// arrivedBy returns the pending requests that arrived by a time, at most maxRequestsPerRecord.
 func (q *shardQueue) arrivedBy(at api.Time) []*PendingRequest {
 	arrived := 0
 	for arrived < min(len(q.pending), maxRequestsPerRecord) && q.pending[arrived].ArrivedAt <= at {
@@ -56,9 +56,10 @@
 	return q.pending[:arrived]
 }
 
-// transaction writes a record, with its blocks and archive, if no other record has taken its key.
+// transaction returns the transaction that writes a record, with its blocks and archived bookings, on the
+// condition that no other record has been written to its key.
 func (g *Ledger) transaction(shard int, d *Draft, record json.RawMessage, now api.WallTime) api.Txn {
-	key := roundKey(shard, d.Record.Seq)
+	key := ringKey(shard, d.Record.Seq)
 	txn := api.Txn{
 		If:     []api.Condition{{Key: key, Version: g.versions[key]}},
 		Writes: []api.Write{{Put: key, Value: record}},
@@ -75,17 +76,17 @@
 	return txn
 }
 
-// ReasonBusy is the refusal while the ring has no space for another record.
+// ReasonBusy refuses a request that the ledger can't process at present.
 const ReasonBusy RefusalReason = "the ledger can't take more now"
 
-// NextStep is what the caller must do after the outcome of a transaction.
+// NextStep is the action required of the caller after the outcome of a transaction.
 type NextStep int
 
-// The next steps.
+// Actions after the outcome of a transaction.
 const (
 	StepDone  NextStep = iota // nothing: the record is written and its requests are answered
 	StepRead                  // read and apply the changes of the log, then call ResolveConflict
-	StepRetry                 // send the same transaction again: its outcome must be known first
+	StepRetry                 // send the same transaction again, because its outcome is unknown
 )
 
 // HTTP statuses of a transaction's outcome.
@@ -94,8 +95,8 @@
 	statusConflict  = 409
 )
 
-// HandleOutcome handles the outcome of a shard's transaction: the HTTP status, 0 if no response came, and
-// the revision of a successful one.
+// HandleOutcome handles the outcome of a shard's transaction: its HTTP status, or 0 if there was no
+// response, and its revision if it succeeded.
 func (g *Ledger) HandleOutcome(shard, status int, revision api.Revision) NextStep {
 	w := g.queues[shard].inFlight
 	switch {
@@ -103,7 +104,7 @@
 		return StepDone
 	case status == statusCommitted:
 		if w.results == nil && !g.applyWritten(shard, w, revision) {
-			return StepRead // records before it are not applied yet: its condition rules that out
+			return StepRead // an earlier record is not applied; the condition of the transaction excludes this
 		}
 		g.complete(shard)
 		return StepDone
@@ -113,8 +114,8 @@
 	return StepRetry
 }
 
-// applyWritten applies a record that was written, without waiting for the log; false if it is not the
-// next one.
+// applyWritten applies a written record before it is read from the log; it returns false if the record is
+// not the next one.
 func (g *Ledger) applyWritten(shard int, w *inFlightWrite, revision api.Revision) bool {
 	s := g.shards[shard]
 	if w.results = s.ApplyRecord(&w.draft.Record); w.results == nil {
@@ -128,9 +129,9 @@
 	return true
 }
 
-// ResolveConflict ends a write whose condition failed, once the log has been read: either an earlier
-// attempt succeeded and the record is in the log, or it can never be written and its requests are
-// pending again.
+// ResolveConflict ends a write whose condition failed, after the log has been read. If an earlier attempt
+// succeeded, its requests are answered; otherwise the record can't be written any more, and its requests
+// are pending again.
 func (g *Ledger) ResolveConflict(shard int) {
 	queue := &g.queues[shard]
 	switch w := queue.inFlight; {
@@ -143,7 +144,7 @@
 	}
 }
 
-// complete answers the requests of a record that is written.
+// complete answers the requests of a written record.
 func (g *Ledger) complete(shard int) {
 	queue := &g.queues[shard]
 	w := queue.inFlight
@@ -158,7 +159,7 @@
 	}
 }
 
-// respond answers a request, unless it was removed.
+// respond answers a request unless it was removed, and counts refusals.
 func (g *Ledger) respond(a *PendingRequest, r Result) {
 	if r.Reason != "" {
 		g.Refused[r.Reason]++
