--- a/fairqueue/fairqueue.go
+++ b/fairqueue/fairqueue.go
@@ -1,8 +1,7 @@
-// Package fairqueue owns whose polls are answered while a controller can't answer all of them: each
-// job has a time slice by the wall clock, the same at all controllers, so that whoever polls every
-// few seconds is answered within a bounded time, whatever others do. A refusal costs next to nothing,
-// while answering in order of arrival would leave some without an answer for minutes, by chance. It is
-// pure: the time is passed in.
+// Package fairqueue decides which polls an overloaded controller answers. Each job has a time slice by
+// the wall clock, the same at all controllers, so that a client that polls every few seconds is answered
+// within a bounded time. In order of arrival, some jobs could stay unanswered for minutes. The package
+// reads no clock: callers pass in the time.
 package fairqueue
 
 import (
@@ -12,16 +11,16 @@
 	"basaltwall/api"
 )
 
-// TimeSlice is the length of a time slice: longer than users wait before they poll again, and than the
-// controllers' clocks can differ.
+// TimeSlice is the length of a time slice. It exceeds the polling interval of clients and the clock
+// difference of controllers.
 const TimeSlice = 7 * time.Second
 
-// MaxSlices is the largest number of slices: a whole cycle is shorter than the 75 s after which a
-// job counts as abandoned, including a slice that is missed once at its edges.
+// MaxSlices is the maximum number of time slices. A full cycle plus one missed slice is shorter than the
+// 75 s after which a job counts as abandoned.
 const MaxSlices = 8
 
-// SliceCount is into how many time slices polls are divided while so many commands wait. From threshold
-// waiting commands on the owner counts as overloaded; each doubling doubles the slices.
+// SliceCount returns the number of time slices for a number of waiting commands. The owner counts as
+// overloaded from threshold waiting commands on; each doubling of their number doubles the slices.
 func SliceCount(waiting, threshold int) int {
 	sliceCount := 1
 	for n := threshold; waiting >= n && sliceCount < MaxSlices; n *= 2 {
@@ -30,8 +29,8 @@
 	return sliceCount
 }
 
-// Admit reports whether the current time slice is a job's, and if not how long it is until then. Every
-// controller decides alike.
+// Admit reports whether the current time slice is that of a job; otherwise wait is the time until the
+// job's next slice. All controllers assign the same slices.
 func Admit(jobID api.JobID, at api.WallTime, sliceCount int) (admitted bool, wait time.Duration) {
 	hash := fnv.New32a()
 	hash.Write([]byte(jobID))
--- a/jobresult/jobresult.go
+++ b/jobresult/jobresult.go
@@ -1,8 +1,8 @@
-// Package jobresult owns the order in which the results of finished jobs are looked up that a
-// controller does not remember: after a restart that may be thousands at once, of which the key-value
-// store answers a few requests a second. The lookups are served in key order by an elevator scan, with
-// pages that answer all lookups within them: so each is answered within one scan, however many others
-// there are and however often those are repeated. It is pure.
+// Package jobresult schedules lookups of job results that a controller does not have in memory. After a
+// restart there may be thousands of lookups at once, while the key-value store answers only a few
+// requests per second. An elevator scan serves the lookups in key order, and each page answers all
+// lookups in its range of keys, so that every lookup is answered within one scan. The package does no
+// I/O.
 package jobresult
 
 import (
@@ -12,55 +12,55 @@
 	"basaltwall/api"
 )
 
-// PageSize is how many results one request may return.
+// PageSize is the maximum number of results in a page.
 const PageSize = 500
 
-// pageThreshold is from how many open lookups on they are served by pages: below it a request
-// for each costs less.
+// pageThreshold is the number of open lookups from which pages are requested; fewer lookups cost less as
+// one request each.
 const pageThreshold = 3
 
-// Request is a request to the key-value store: for one key, or for a page of the keys after one, in
-// key order.
+// Request is a read request to the key-value store: for one key, or for a page of keys in key order.
 type Request struct {
-	JobID  api.JobID // of the single key; empty for a page
-	After  string    // the key before the page
-	maxSeq uint64    // the latest lookup before the request
+	JobID  api.JobID // job of the single key; empty for a page
+	After  string    // a page holds keys greater than this one
+	maxSeq uint64    // number of the latest lookup before the request
 }
 
-// Queue is the open lookups. The zero value is empty and ready to use. Not safe for concurrent use.
+// Queue holds the open lookups. The zero value is empty and ready to use. It is not safe for concurrent
+// use.
 type Queue struct {
-	pending map[api.JobID]query
+	pending map[api.JobID]pendingLookups
 	lastSeq uint64
 	cursor  api.JobID // the position of the elevator scan
 }
 
-// query is the open lookups of a job's result.
-type query struct {
-	firstSeq uint64 // the earliest that is not answered
-	lastSeq  uint64 // the latest
+// pendingLookups describes the open lookups of one job's result by their numbers.
+type pendingLookups struct {
+	firstSeq uint64 // the earliest unanswered lookup
+	lastSeq  uint64 // the latest lookup
 }
 
-// Add notes a lookup and returns its number, which is higher than those before it.
+// Add adds a lookup and returns its number, which is greater than all earlier ones.
 func (q *Queue) Add(jobID api.JobID) uint64 {
 	if q.pending == nil {
-		q.pending = map[api.JobID]query{}
+		q.pending = map[api.JobID]pendingLookups{}
 	}
 	q.lastSeq++
 	first := q.lastSeq
 	if x, open := q.pending[jobID]; open {
 		first = x.firstSeq
 	}
-	q.pending[jobID] = query{firstSeq: first, lastSeq: q.lastSeq}
+	q.pending[jobID] = pendingLookups{firstSeq: first, lastSeq: q.lastSeq}
 	return q.lastSeq
 }
 
-// Remove drops the lookups of a job's result that nobody waits for any more.
+// Remove drops the open lookups of a job's result, for which no caller waits any more.
 func (q *Queue) Remove(jobID api.JobID) { delete(q.pending, jobID) }
 
-// Len is the number of jobs with open lookups.
+// Len returns the number of jobs with open lookups.
 func (q *Queue) Len() int { return len(q.pending) }
 
-// Next is the request to send; ok is false if no lookup is open.
+// Next returns the next request to send; ok is false if no lookup is open.
 func (q *Queue) Next() (request Request, ok bool) {
 	if len(q.pending) == 0 {
 		return Request{}, false
@@ -70,12 +70,11 @@
 	}
 	next := q.nextInScan()
 	q.cursor = next
-	// A page begins after a key: the job's own without its last character comes before it, with
-	// hardly any key in between.
+	// A page begins after a key. The job id without its last character sorts shortly before the job id.
 	return Request{After: string(next[:len(next)-1]), maxSeq: q.lastSeq}, true
 }
 
-// oldest is the job with the oldest lookup: newer ones may arrive all the time.
+// oldest returns the job with the oldest lookup, so that newer lookups can't starve it.
 func (q *Queue) oldest() (oldest api.JobID) {
 	for jobID, x := range q.pending {
 		if oldest == "" || x.firstSeq < q.pending[oldest].firstSeq {
@@ -85,7 +84,7 @@
 	return oldest
 }
 
-// nextInScan is the first pending job after the cursor or, at the end, the first of all.
+// nextInScan returns the first job after the cursor or, at the end of the scan, the first of all.
 func (q *Queue) nextInScan() api.JobID {
 	var next, first api.JobID
 	for jobID := range q.pending {
@@ -102,33 +101,33 @@
 	return next
 }
 
-// Result is the answer to lookups: the state, empty if there is none. That there is none answers only
-// lookups with numbers up to MaxSeq: a job that was looked up after the request was sent may have
-// become terminal since.
+// Result is the answer to the lookups of a job: its state, or empty if no result is stored. An empty
+// state answers only lookups with numbers up to MaxSeq: the job may have become terminal after the
+// request was sent.
 type Result struct {
 	JobID  api.JobID
 	State  api.JobState
 	MaxSeq uint64
 }
 
-// resolve applies that a job's result was found, or was absent when a request was served; ok reports
-// whether that answers any lookup.
+// resolve closes the lookups that a response answers for one job; an empty state means that no result was
+// stored. ok reports whether it answers any lookup.
 func (q *Queue) resolve(request Request, jobID api.JobID, state api.JobState) (result Result, ok bool) {
 	x, open := q.pending[jobID]
 	switch {
 	case !open || state == "" && x.firstSeq > request.maxSeq:
 		return Result{}, false
 	case state == "" && x.lastSeq > request.maxSeq:
-		q.pending[jobID] = query{firstSeq: request.maxSeq + 1, lastSeq: x.lastSeq}
+		q.pending[jobID] = pendingLookups{firstSeq: request.maxSeq + 1, lastSeq: x.lastSeq}
 	default:
 		delete(q.pending, jobID)
 	}
 	return Result{JobID: jobID, State: state, MaxSeq: request.maxSeq}, true
 }
 
-// HandlePage applies the results of a page, in key order; more says whether there are keys after it.
-// It returns the answers, in order of job. A job that is absent from the page is answered only to
-// lookups before the request.
+// HandlePage handles a page of results in key order; more reports whether keys follow the page. It
+// returns the answers, sorted by job id. A job's absence from the page answers only lookups from before
+// the request.
 func (q *Queue) HandlePage(request Request, states []Result, more bool) []Result {
 	var out []Result
 	found := map[api.JobID]api.JobState{}
@@ -149,18 +148,18 @@
 	slices.SortFunc(out, func(a, b Result) int { return strings.Compare(string(a.JobID), string(b.JobID)) })
 	switch {
 	case !more:
-		q.cursor = endOfKeys // the scan restarts
+		q.cursor = endOfKeys // the next request restarts the scan
 	case last > string(q.cursor):
 		q.cursor = api.JobID(last)
 	}
 	return out
 }
 
-// endOfKeys comes after every job id.
+// endOfKeys sorts after every job id.
 const endOfKeys = "\x7f"
 
-// HandleSingle applies the answer for one key, empty if there is no result; ok reports whether that
-// answers any lookup.
+// HandleSingle handles the response to a request for one key; state is empty if no result is stored. ok
+// reports whether it answers any lookup.
 func (q *Queue) HandleSingle(request Request, state api.JobState) (result Result, ok bool) {
 	return q.resolve(request, request.JobID, state)
 }
--- a/jobresult/jobresult_test.go
+++ b/jobresult/jobresult_test.go
@@ -11,7 +11,7 @@
 	_ "basaltwall/internal/proptest"
 )
 
-// fakeStore answers as the key-value store does, from the results that it has.
+// fakeStore returns a page of the stored results, as the key-value store does.
 func fakeStore(stored []api.JobID, a Request) (states []Result, more bool) {
 	slices.Sort(stored)
 	for _, jobID := range stored {
@@ -26,9 +26,8 @@
 	return states, false
 }
 
-// Each lookup is served within one scan, whatever is added meanwhile, and
-// answered by what is stored; a page does not answer lookups after it with the absence of a
-// result.
+// Each lookup is answered within one scan with the stored state, regardless of lookups added meanwhile.
+// The absence of a result from a page does not answer lookups made after the request.
 func TestEachQueryIsAnsweredWithinACycle(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var q Queue
@@ -39,19 +38,19 @@
 		for i := 0; i < total; i += rapid.IntRange(1, 3).Draw(r, "step") {
 			stored, exists[jobID(i)] = append(stored, jobID(i)), true
 		}
-		own := jobID(rapid.IntRange(0, total).Draw(r, "mine"))
-		q.cursor = jobID(rapid.IntRange(0, total).Draw(r, "at"))
+		own := jobID(rapid.IntRange(0, total).Draw(r, "own"))
+		q.cursor = jobID(rapid.IntRange(0, total).Draw(r, "cursor"))
 		number := q.Add(own)
 		for requests := 1; ; requests++ {
 			if requests > 2*(len(stored)/PageSize+2) {
-				r.Fatalf("%s was not answered after %d requests, of %d states", own, requests, len(stored))
+				r.Fatalf("the lookup of %s is open after %d requests, with %d stored results", own, requests, len(stored))
 			}
-			for range rapid.IntRange(0, 20).Draw(r, "others") { // that are looked up all the time
+			for range rapid.IntRange(0, 20).Draw(r, "others") { // concurrent lookups
 				q.Add(jobID(rapid.IntRange(0, total).Draw(r, "other")))
 			}
 			a, ok := q.Next()
 			if !ok {
-				r.Fatal("nothing to ask")
+				r.Fatal("no request for an open lookup")
 			}
 			if a.JobID != "" {
 				s := api.JobState("")
@@ -71,11 +70,11 @@
 					r.Fatalf("%s: %q", f.JobID, f.State)
 				}
 				if f.JobID == late {
-					r.Fatal("a page answered what was asked after it")
+					r.Fatal("a page answered a lookup made after its request")
 				}
 				if f.JobID == own {
 					if f.State == "" && f.MaxSeq < number {
-						r.Fatalf("%s is answered for questions up to %d, its own is %d", own, f.MaxSeq, number)
+						r.Fatalf("the answer for %s covers lookups up to %d, its own number is %d", own, f.MaxSeq, number)
 					}
 					return
 				}
@@ -85,10 +84,10 @@
 	})
 }
 
-// A lookup during a request that finds nothing is not answered by it, even if the job had been looked up
-// before: the lookup stays open, and the next request answers it.
+// A request that finds no result does not answer lookups made while it is in flight, even if the same job
+// was looked up before; the next request answers them.
 func TestAbsenceAnswersOnlyEarlierQueries(t *testing.T) {
-	for _, others := range []int{0, pageThreshold} { // by single keys, and by pages
+	for _, others := range []int{0, pageThreshold} { // with single keys, and with pages
 		var q Queue
 		first := q.Add("run-000001")
 		for i := range others {
@@ -108,13 +107,13 @@
 			return []Result{f}
 		}
 		if got := handle(a)[0]; got.JobID != "run-000001" || got.State != "" || got.MaxSeq < first || got.MaxSeq >= second {
-			t.Errorf("answered %+v; asked as %d before the request and as %d after", got, first, second)
+			t.Errorf("answered %+v; lookup %d was made before the request, lookup %d after it", got, first, second)
 		}
 		if a, ok := q.Next(); !ok || handle(a, Result{JobID: "run-000001", State: api.JobDone})[0].State != api.JobDone {
-			t.Error("who asked meanwhile is not answered")
+			t.Error("the lookup made during the request is not answered")
 		}
 		if q.Len() != 0 {
-			t.Errorf("%d questions stay", q.Len())
+			t.Errorf("%d lookups stay open", q.Len())
 		}
 	}
 }
