--- a/pool/model_test.go
+++ b/pool/model_test.go
@@ -37,7 +37,7 @@
 // condition are unchanged since the read.
 type roundWrite struct{ sent, poolCurrent, partitionCurrent bool }
 
-// modelRules are the rules of the protocol; without any one of them the model must violate the pool size.
+// modelRules are the rules of the protocol; without any one of them the model must exceed the pool size.
 type modelRules struct {
 	checksPoolVersion, checksPartitionVersion bool // in the conditions of a round
 	countsExcess                              bool // a partition counts the units that others hold beyond their shares
--- a/reservation/ledger.go
+++ b/reservation/ledger.go
@@ -92,8 +92,8 @@
 // HasPending reports whether a shard has pending requests.
 func (g *Ledger) HasPending(shard int) bool { return len(g.queues[shard].pending) > 0 }
 
-// RemoveTimedOut removes and returns the unanswered requests that arrived before a time. Their outcome is
-// unknown: a write in flight continues.
+// RemoveTimedOut removes and returns the unanswered requests that arrived before a time. The outcome of
+// those in flight is unknown, because their write continues.
 func (g *Ledger) RemoveTimedOut(before api.Time) []*PendingRequest {
 	var out []*PendingRequest
 	timedOut := func(a *PendingRequest) bool { return a.ArrivedAt < before && a.Respond != nil }
--- a/reservation/operation.go
+++ b/reservation/operation.go
@@ -46,8 +46,8 @@
 	OpForget       OpType = "forget" // drops a booking that was closed long ago
 )
 
-// Op is an operation on one skip. An operation on a booking names it, and changes nothing if the booking
-// does not exist or is closed.
+// Op is an operation on one skip. An operation on a booking names the booking. It changes nothing if the
+// booking does not exist, and a closed booking can only be dropped.
 type Op struct {
 	Type      OpType         `json:"o"`
 	Depot     Depot          `json:"d"`
--- a/tenant/team.go
+++ b/tenant/team.go
@@ -43,17 +43,18 @@
 	return nil
 }
 
-// Change returns the team with new guarantees and limits; t is zero for a new team. A limit may only be
-// raised or removed, because it is divided into shares that the partitions transfer among one another.
+// Change returns the team with new guarantees and limits; t is zero for a new team. The limit of an
+// existing team may only be raised or removed, because it is divided into shares that the partitions
+// transfer among one another.
 func (t Team) Change(to Team) (Team, error) {
 	lowers := func(from, to float64) bool { return t.Name != "" && to != 0 && (from == 0 || to < from) }
 	switch {
 	case t.Removed:
 		return t, conflict("name: %s was removed, and its name stays reserved", t.Name)
 	case lowers(t.CPUsMax, to.CPUsMax):
-		return t, conflict("cpus_max: a limit may be raised or removed, but not lowered")
+		return t, conflict("cpus_max: a limit may be raised or removed, but not lowered or added")
 	case lowers(t.GPUsMax, to.GPUsMax):
-		return t, conflict("gpus_max: a limit may be raised or removed, but not lowered")
+		return t, conflict("gpus_max: a limit may be raised or removed, but not lowered or added")
 	}
 	return to, to.Check()
 }
