--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -11,8 +11,8 @@
 	"basaltwall/controller/message"
 )
 
-// newCancelledJob is an owner with two tasks of a job on its machine, reported under its token,
-// that has read the job's cancellation.
+// newCancelledJob returns an owner that has read the cancellation of a job. Two tasks of the job run
+// on its machine, which has reported them under the owner's fencing token.
 func newCancelledJob(t *testing.T) (*Controller, *core.OwnedPartition, *core.Machine, *core.Job) {
 	t.Helper()
 	n, owned, m, j := newTestOwner(t, testSpec(2))
@@ -32,8 +32,8 @@
 	return n, owned, m, j
 }
 
-// An owner acknowledges a cancellation only when it alone commands the machines of the job's
-// tasks, no launch of one is in flight and all have started; and users are answered only then.
+// An owner acknowledges a cancellation only when no other owner can command the machines of the
+// job's tasks, no launch is in flight and all tasks have started. Users are answered only then.
 func TestOwnerAcknowledgesCancellation(t *testing.T) {
 	for what, tc := range map[string]struct {
 		change func(n *Controller, m *core.Machine, j *core.Job)
@@ -41,7 +41,7 @@
 	}{
 		"all tasks have started": {func(*Controller, *core.Machine, *core.Job) {}, true},
 		"a former owner's token": {func(_ *Controller, m *core.Machine, _ *core.Job) { m.ReportedToken = 6 }, false},
-		"on loan, and no heartbeat since": {func(n *Controller, m *core.Machine, _ *core.Job) {
+		"on loan, without a heartbeat since": {func(n *Controller, m *core.Machine, _ *core.Job) {
 			n.core.State.Loans[m.ID] = clusterstate.Loan{Revision: 8}
 		}, false},
 		"an unknown machine":             {func(n *Controller, m *core.Machine, _ *core.Job) { n.agents.ForgetMachine(m.ID) }, false},
@@ -77,8 +77,8 @@
 	}
 }
 
-// A request for a cancellation is answered once it is acknowledged, and else with 503 and
-// Retry-After after a while; a request that a peer has forwarded waits less.
+// A cancellation request is answered once the cancellation is acknowledged, or with 503 and
+// Retry-After after a timeout, which is shorter for a request that a peer has forwarded.
 func TestCancellationAnsweredOnceAcknowledged(t *testing.T) {
 	n, _, _, j := newCancelledJob(t)
 	retried, answered := 0, 0
@@ -93,19 +93,19 @@
 	ask(false)
 	n.core.Now = n.core.Now.Add(time.Second)
 	if n.jobs.AnswerCancellations(); retried != 1 || answered != 0 {
-		t.Errorf("after a second %d were answered, %d are to retry", answered, retried)
+		t.Errorf("after a second: %d answered, %d told to retry", answered, retried)
 	}
 	n.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 2, Jobs: []clusterstate.JobDelta{{Job: j.ID, CancellationAcknowledged: true}}})
 	if n.jobs.AnswerCancellations(); retried != 1 || answered != 1 || n.jobs.PendingCancellations() != 0 {
-		t.Errorf("%d were answered, %d are to retry, %d wait", answered, retried, n.jobs.PendingCancellations())
+		t.Errorf("%d answered, %d told to retry, %d pending", answered, retried, n.jobs.PendingCancellations())
 	}
 	if v := n.reporter.View(); v.PendingCancellations != 0 {
-		t.Errorf("%d cancellations wait", v.PendingCancellations)
+		t.Errorf("%d cancellations pending", v.PendingCancellations)
 	}
 }
 
-// A task that completes once its job's cancellation is read is recorded as lost: a job that was
-// reported cancelled must not become done.
+// A task that completes after the owner has read its job's cancellation is recorded as lost: a job
+// that was reported cancelled must not become done.
 func TestNoCompletionAfterACancellation(t *testing.T) {
 	n, owned, _, j := newCancelledJob(t)
 	n.scheduler.RecordTaskEnd(owned, j.Placements[0], true, "done")
@@ -117,11 +117,11 @@
 	lost := 0
 	for _, d := range owned.InFlight.Record.Jobs {
 		if lost += len(d.Terminated); len(d.Completed) > 0 {
-			t.Errorf("%v are recorded as done", d.Completed)
+			t.Errorf("tasks recorded as done: %v", d.Completed)
 		}
 	}
 	if lost != 2 {
-		t.Errorf("%d are recorded as lost, expected 2", lost)
+		t.Errorf("%d tasks recorded as lost, expected 2", lost)
 	}
 	n.scheduler.ApplyCommittedRound(owned, 10)
 	if s, _ := n.jobs.JobStatus(j.ID); s.State != api.JobCancelled {
@@ -129,8 +129,8 @@
 	}
 }
 
-// The machines that hold a cancelled job's tasks are contacted as soon as the cancellation is
-// read, each once: their next heartbeats are seconds away.
+// Each machine that runs tasks of a cancelled job is contacted once, as soon as the cancellation is
+// read and without waiting for its next heartbeat.
 func TestMachinesContactedForCancelledTasks(t *testing.T) {
 	n, owned, m, j := newCancelledJob(t)
 	m.Address = "10.1.0.1:9000"
@@ -157,6 +157,6 @@
 	}
 	n.jobs.StopCancelledTasks(owned, j)
 	if n.agents.PendingContactCount() != 0 {
-		t.Error("it is contacted again for the same")
+		t.Error("the machine is contacted again for the same cancellation")
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller puts a controller together from its components, and steps it. What components
-// share is in package core, everything else in the packages of the components. A controller does no
-// input or output, reads no clock and starts no goroutine: Step takes what happened and returns what
-// is to be done, and the same inputs give the same outputs.
+// Package controller assembles a controller from its components and steps it. State that components
+// share is in package core, everything else in the packages of the components. A controller is
+// deterministic: it does no input or output, reads no clock and starts no goroutine. Step takes
+// commands and returns effects.
 package controller
 
 import (
@@ -35,12 +35,12 @@
 	"basaltwall/controller/tenancy"
 )
 
-// TickInterval is how often Step wants to be called when nothing happens.
+// TickInterval is the interval at which Step must be called when there are no commands.
 const TickInterval = 50 * time.Millisecond
 
 // Controller is one of the controllers of a cluster. Its methods are not safe for concurrent use.
 type Controller struct {
-	// OnWorkStart, if set, is called before each kind of work with the kind that begins.
+	// OnWorkStart, if set, is called with the kind of work that is about to begin.
 	OnWorkStart func(message.WorkKind)
 
 	started bool // Step has been called
@@ -67,8 +67,8 @@
 	reporter     *metrics.Reporter
 }
 
-// New returns a controller that has read nothing yet; incarnation tells this run of the process from
-// others.
+// New returns a controller that has not read the cluster state yet. The incarnation distinguishes
+// this run of the process from other runs.
 func New(cfg *config.Config, incarnation int64) *Controller {
 	shared := core.New(cfg, incarnation)
 	n := &Controller{core: shared}
@@ -96,8 +96,8 @@
 	return n
 }
 
-// NewState returns a cluster state without any records. The records that stand for themselves are
-// registered with it, and what was read of them before is forgotten.
+// NewState returns an empty cluster state, with the kinds of records that components decode
+// registered, and resets what these components read from such records before.
 func (n *Controller) NewState() *core.ClusterState {
 	n.core.Settings, n.core.RecordedTypes = core.Settings{}, api.MachineTypes{}
 	n.health.ResetRecords()
@@ -112,8 +112,8 @@
 	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
 }
 
-// Step hands the controller the commands that have come and returns the effects that it wants, in
-// order. It is also to be called without commands at least every TickInterval.
+// Step processes the commands that have arrived and returns the requested effects in order. It must
+// be called at least every TickInterval, also without commands.
 func (n *Controller) Step(now api.Time, wall api.WallTime, commands []message.Command) []message.Effect {
 	n.core.Now, n.core.WallClock = now, wall
 	if !n.started {
@@ -127,14 +127,14 @@
 	return n.core.TakeEffects()
 }
 
-// startWork tells that another kind of work begins, for the account of the time that each takes.
+// startWork announces the kind of work that begins, so that the time it takes is attributed to it.
 func (n *Controller) startWork(kind message.WorkKind) {
 	if n.OnWorkStart != nil {
 		n.OnWorkStart(kind)
 	}
 }
 
-// Names in metrics of the latencies that are measured here.
+// Names of latencies in metrics.
 const (
 	submitLatency = "submit"
 	pollLatency   = "poll"
@@ -142,7 +142,7 @@
 	stepLatency   = "step"
 )
 
-// dispatch hands a command to the component that handles it, or a response to whoever made the call.
+// dispatch passes a command to the component that handles it, or a response to its caller.
 func (n *Controller) dispatch(c message.Command) {
 	switch c := c.(type) {
 	case message.Submit:
@@ -184,8 +184,8 @@
 	}
 }
 
-// tick does whatever is due. Until the state has been read once, that is only to run deferred calls,
-// to hold the lease, to answer cancellations and to read the state.
+// tick does the work that is due. Until the cluster state has been read once, it only runs deferred
+// calls, renews the lease, answers cancellations and reads the state.
 func (n *Controller) tick() {
 	n.core.RunDeferredCalls()
 	n.startWork(message.WorkMembership)
@@ -207,8 +207,8 @@
 	n.gossiper.Send()
 }
 
-// followState reads what is new in the log, answers what waited for it, and claims or releases
-// partitions by it.
+// followState applies new log entries, answers the requests that wait for them, and claims or
+// releases partitions accordingly.
 func (n *Controller) followState() {
 	n.follower.FollowLog()
 	n.follower.ReplyToSubscribers()
@@ -217,18 +217,18 @@
 	n.membership.ReconcilePartitions()
 }
 
-// runRounds runs the rounds that are due, by partition in order.
+// runRounds runs the scheduling rounds that are due, in order of partition.
 func (n *Controller) runRounds() {
 	n.scheduler.ObserveRounds()
 	for _, p := range slices.Sorted(maps.Keys(n.core.Partitions)) {
-		if owned := n.core.Partitions[p]; owned != nil { // a round before may have ended the ownership
+		if owned := n.core.Partitions[p]; owned != nil { // an earlier round may have ended the ownership
 			n.scheduler.RunPartition(owned)
 		}
 	}
 }
 
-// reconcileMachines looks after the machines of this controller's partitions: which zones and
-// machines have failed, and what has to be called, evacuated and deleted.
+// reconcileMachines detects failed zones and machines of the owned partitions, and calls, evacuates
+// and deletes machines.
 func (n *Controller) reconcileMachines() {
 	n.health.ReconcileZones()
 	n.priorities.UpdateShortage()
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -37,7 +37,7 @@
 	return networks
 }
 
-// Records that stand for themselves, and their keys, as earlier versions wrote them.
+// Stored records, their keys and their values keep the format of earlier versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	f.Text("keys", strings.Join([]string{core.SettingsKey, core.MachineTypesKey, ordering.KeyShortage, health.RecordKeyPrefix, core.KeyPool, tenancy.KeyTenant, tenancy.KeyTeamOf, core.KeyGate, tenancy.KeyOperators, tenancy.KeyTeam, tenancy.KeyGuaranteedTotal,
@@ -63,16 +63,16 @@
 	golden.JSON(f, "final", api.JobDone)
 	f.Text("values", fmt.Sprint(zonehealth.Healthy, zonehealth.Suspect, zonehealth.Failed, zonehealth.Recovering, pool.Active, pool.Frozen, pool.Removed,
 		priority.Always, priority.CapacityShort, priority.ControllerDown, priority.ZoneFailed))
-	// Which part a machine belongs to must not change with the version.
-	var parts []string
+	// The partition of a machine must not change with the version.
+	var partitions []string
 	for i := range 12 {
 		id := api.MachineID(fmt.Sprintf("i-%06d", i))
-		parts = append(parts, fmt.Sprint(id, " ", core.HashPartition(id, 3), " ", core.HashPartition(id, 7)))
+		partitions = append(partitions, fmt.Sprint(id, " ", core.HashPartition(id, 3), " ", core.HashPartition(id, 7)))
 	}
-	f.Text("parts", strings.Join(parts, "\n"))
+	f.Text("parts", strings.Join(partitions, "\n"))
 }
 
-// A controller folds the records of earlier versions as they did.
+// A controller decodes and applies the records of earlier versions as these did.
 func TestGoldenFold(t *testing.T) {
 	n, _, _, _ := hostedOwner(t)
 	n.core.State = n.NewState()
@@ -115,7 +115,7 @@
 		Tenants: []tenant.Name{"kipper"}, Guaranteed: map[api.Team]int{"dispo": 2}, State: pool.Frozen, Reclaim: true, Shares: []int{8}}, Revision: 28})
 }
 
-// What operators and tenants are shown, as earlier versions wrote it.
+// Answers to operators and tenants keep the format of earlier versions.
 func TestGoldenViews(t *testing.T) {
 	f, networks := golden.Open(t), goldenNetworks(t)
 	golden.JSON(f, "members", golden.Filled[[]operations.MemberView](t))
@@ -130,7 +130,7 @@
 	golden.JSON(f, "skip answer", golden.Filled[reservations.ChangeView](t))
 	tenants := golden.Filled[[]tenancy.TenantView](t, networks)
 	for i := range tenants {
-		tenants[i].Tenant.Keys = nil // it is not shown
+		tenants[i].Tenant.Keys = nil // keys are never shown
 	}
 	golden.JSON(f, "tenants", tenants)
 	golden.JSON(f, "new key", golden.Filled[tenancy.NewKeyView](t))
@@ -141,7 +141,7 @@
 	golden.JSON(f, "queue", golden.Filled[tenancy.QueueView](t))
 	golden.JSON(f, "history", golden.Filled[tenancy.HistoryView](t))
 	golden.JSON(f, "audit", golden.Filled[tenancy.AuditView](t))
-	// Without what may be left out.
+	// Views without their optional fields.
 	golden.JSON(f, "empty machine", operations.MachineView{})
 	golden.JSON(f, "empty team", operations.TeamView{})
 	golden.JSON(f, "empty job", jobs.View{})
@@ -153,10 +153,10 @@
 	golden.JSON(f, "empty holder", pools.HolderView{})
 }
 
-// asksOf reads what an earlier version's client sent, no field of which may be unknown.
-func asksOf[T any](t *testing.T, f *golden.File, name string, own ...any) {
+// checkRequest decodes a request of an earlier version's client; no field of it may be unknown.
+func checkRequest[T any](t *testing.T, f *golden.File, name string, values ...any) {
 	t.Helper()
-	want := golden.Filled[T](t, own...)
+	want := golden.Filled[T](t, values...)
 	var got T
 	if err := core.DecodeRequest(golden.JSON(f, name, want), &got); err != nil {
 		t.Errorf("%s: %v", name, err)
@@ -164,22 +164,22 @@
 	golden.Same(t, name, got, want)
 }
 
-// What operators send, as earlier versions read it.
+// Requests of operators keep the format of earlier versions.
 func TestGoldenAsks(t *testing.T) {
 	f, networks := golden.Open(t), goldenNetworks(t)
-	asksOf[operations.VersionedSettings](t, f, "settings")
-	asksOf[tenancy.TenantRequest](t, f, "tenant", networks)
-	asksOf[tenancy.OperatorsRequest](t, f, "operators", networks)
-	asksOf[tenancy.TeamRequest](t, f, "team")
-	asksOf[pools.ChangeRequest](t, f, "pool")
-	asksOf[reservations.RequestBody](t, f, "skip")
+	checkRequest[operations.VersionedSettings](t, f, "settings")
+	checkRequest[tenancy.TenantRequest](t, f, "tenant", networks)
+	checkRequest[tenancy.OperatorsRequest](t, f, "operators", networks)
+	checkRequest[tenancy.TeamRequest](t, f, "team")
+	checkRequest[pools.ChangeRequest](t, f, "pool")
+	checkRequest[reservations.RequestBody](t, f, "skip")
 }
 
-// A question about skips that is passed on to another controller, as earlier versions wrote it;
-// package peer's test reads it.
+// A forwarded request about skip reservations keeps the format of earlier versions. The golden test
+// of package peer decodes one.
 func TestGoldenSkipsForward(t *testing.T) {
 	f := golden.Open(t)
-	n := manyControllers(t, 2)
+	n := newControllerInCluster(t, 2)
 	n.core.Loaded, n.core.StoreHealthy = true, false
 	n.gossiper.Merge(&message.Gossip{From: "n-00", StateOK: true}, false)
 	n.dispatch(message.AdminRequest{Req: 1, What: "skips-do", ID: "hof-nord", Sub: "out", After: "six-1", Limit: 2, Body: []byte(`{"skip":"six-1"}`), Caller: message.Caller{Auth: "Bearer x"}})
@@ -193,9 +193,9 @@
 	f.Text("forward", fmt.Sprintf("%s %s %s", call.Message.Forward.Kind, call.Message.Forward.Ref, call.Message.Forward.Body))
 }
 
-// goldenTalk gives a controller a request and writes down what it asks of the state service,
-// which carries everything out, and what it answers.
-func goldenTalk(t *testing.T, n *Controller, command func(), kept map[string][]api.KeyValue) string {
+// transcript runs a command on a controller and returns the calls that it makes to the state service,
+// all of which succeed, and its reply. Pages are read from stored, by prefix.
+func transcript(t *testing.T, n *Controller, command func(), stored map[string][]api.KeyValue) string {
 	t.Helper()
 	var out strings.Builder
 	n.core.Effects = nil
@@ -212,7 +212,7 @@
 			case message.Reply:
 				fmt.Fprintf(&out, "%d %s\n", e.Status, e.Body)
 			case message.StoreCall:
-				a := message.StoreResponse{ID: e.ID, Status: 200, Txn: api.TxnResponse{Revision: 77}}
+				response := message.StoreResponse{ID: e.ID, Status: 200, Txn: api.TxnResponse{Revision: 77}}
 				switch {
 				case e.Txn != nil:
 					for _, c := range e.Txn.If {
@@ -223,11 +223,11 @@
 					}
 				case e.Page != nil:
 					fmt.Fprintf(&out, "page %s after %q\n", e.Page.Prefix, e.Page.After)
-					a.Page = api.KeyPage{Pairs: kept[e.Page.Prefix], Revision: 76}
+					response.Page = api.KeyPage{Pairs: stored[e.Page.Prefix], Revision: 76}
 				default:
 					t.Fatalf("%+v", e)
 				}
-				n.dispatch(a)
+				n.dispatch(response)
 			default:
 				t.Fatalf("%T", e)
 			}
@@ -236,8 +236,8 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-// running gives a controller's job a task on its machine, and time.
-func running(t *testing.T, n *Controller) {
+// startTask places a task of a controller's job on its machine, and sets the wall clock.
+func startTask(t *testing.T, n *Controller) {
 	t.Helper()
 	n.core.WallClock, n.core.StoreHealthy = 1_000_000, true
 	if err := n.core.State.Put("b/round/0/1", []byte(`{"q":1,"j":[{"j":"run-1","+":[{"i":0,"m":"i-000000","s":1}]}],"k":[{"m":"i-000000","r":"run-2","t":5}]}`), 9); err != nil {
@@ -245,50 +245,51 @@
 	}
 }
 
-// What a controller answers, one of each kind.
+// Answers of a controller keep the text of earlier versions, one of each kind.
 func TestGoldenAnswers(t *testing.T) {
 	f := golden.Open(t)
 	n, _, _, j := newTestOwner(t, testSpec(4))
 	j.AcceptedAt = 900_000
-	running(t, n)
+	startTask(t, n)
 	n.core.Metrics.ObserveLatency("poll", 5*time.Millisecond)
 	n.core.Metrics.Rounds, n.core.Metrics.Starts = 3, 4
 	for _, ask := range []message.AdminRequest{{What: "metrics"}, {What: "members"}, {What: "parts"}, {What: "machines"}, {What: "teams"}, {What: "jobs", Limit: 5}, {What: "jobs", Team: "nobody"},
 		{What: "job", ID: "run-1"}, {What: "job", ID: "run-9"}, {What: "settings"}, {What: "set", Body: []byte(`{"drained":["i-7"],"idle_hold_s":5,"no_rent":true,"revision":0}`)},
 		{What: "set", Body: []byte(`{"other":1}`)}, {What: "drain", ID: "i-000000"}, {What: "undrain", ID: "i-000000"}, {What: "skips"}, {What: "other"}} {
-		f.Text(strings.TrimSpace(fmt.Sprint(ask.What, " ", ask.ID, ask.Team, string(ask.Body))), goldenTalk(t, n, func() { n.dispatch(ask) }, nil))
+		f.Text(strings.TrimSpace(fmt.Sprint(ask.What, " ", ask.ID, ask.Team, string(ask.Body))), transcript(t, n, func() { n.dispatch(ask) }, nil))
 	}
 	spec := string(submission(t, nil))
-	f.Text("ready", goldenTalk(t, n, func() { n.dispatch(message.ReadinessProbe{Req: 1}) }, nil))
-	f.Text("submit", goldenTalk(t, n, func() { n.dispatch(message.Submit{Req: 1, Body: []byte(spec)}) }, nil))
-	f.Text("submit what is malformed", goldenTalk(t, n, func() { n.dispatch(message.Submit{Req: 1, Body: []byte(`{"ref":"run-9"}`)}) }, nil))
-	f.Text("poll", goldenTalk(t, n, func() { n.dispatch(message.Poll{Req: 1, Ref: "run-1"}) }, nil))
-	f.Text("hear nobody", goldenTalk(t, n, func() { n.dispatch(message.PeerGossip{Req: 1, Gossip: &message.Gossip{From: "x"}}) }, nil))
+	f.Text("ready", transcript(t, n, func() { n.dispatch(message.ReadinessProbe{Req: 1}) }, nil))
+	f.Text("submit", transcript(t, n, func() { n.dispatch(message.Submit{Req: 1, Body: []byte(spec)}) }, nil))
+	f.Text("submit what is malformed", transcript(t, n, func() { n.dispatch(message.Submit{Req: 1, Body: []byte(`{"ref":"run-9"}`)}) }, nil))
+	f.Text("poll", transcript(t, n, func() { n.dispatch(message.Poll{Req: 1, Ref: "run-1"}) }, nil))
+	f.Text("hear nobody", transcript(t, n, func() { n.dispatch(message.PeerGossip{Req: 1, Gossip: &message.Gossip{From: "x"}}) }, nil))
 
 	l := reservation.NewLedger("n-1", 1, time.Second, reservation.Limits{})
 	if err := l.Load([]api.KeyValue{{Key: "s/b/0/257", Value: []byte(`{"u":1,"s":[{"d":"hof-nord","i":"six-1","k":"six"}]}`), Version: 3}}, 5); err != nil {
 		t.Fatal(err)
 	}
 	n.reservations.Install(l)
-	f.Text("skips counted", goldenTalk(t, n, func() { n.dispatch(message.AdminRequest{What: "skips"}) }, nil))
-	f.Text("skips listed", goldenTalk(t, n, func() {
+	f.Text("skips counted", transcript(t, n, func() { n.dispatch(message.AdminRequest{What: "skips"}) }, nil))
+	f.Text("skips listed", transcript(t, n, func() {
 		n.dispatch(message.AdminRequest{What: "skips", ID: "hof-nord", Limit: 5})
 		n.reservations.PendingReads()[0].OnRead()
 	}, nil))
 	request := &reservation.Request{Type: reservation.OpOffer, Depot: "hof-nord"}
 	for name, r := range map[string]reservation.Result{"skip offered": {Skip: "six-1", Booking: reservation.Booking{ID: 7, Key: "x", Site: "y", From: 20788, To: 20790, ExpiresAt: 8, Stage: reservation.Offered}},
 		"skip done": {Skip: "six-1"}, "skip refused": {Reason: reservation.ReasonNoneFree}, "no skip": {Reason: reservation.ReasonNoSuchSkip}, "skips busy": {Reason: reservation.ReasonBusy}} {
-		f.Text(name, goldenTalk(t, n, func() { n.reservations.ReplyResult(1, request, r) }, nil))
+		f.Text(name, transcript(t, n, func() { n.reservations.ReplyResult(1, request, r) }, nil))
 	}
 }
 
-// What a controller of a hosted service writes and answers, one of each kind.
+// Writes and answers of a hosted service's controller keep the format of earlier versions, one of
+// each kind.
 func TestGoldenHostedAnswers(t *testing.T) {
 	f := golden.Open(t)
 	n, _, j := pooledOwner(t, 5)
 	j.AcceptedAt, j.OwnerState.BackoffUntil = 900_000, 0
 	_, _, _, secret := hostedOwner(t)
-	running(t, n)
+	startTask(t, n)
 	n.core.WallClock = 50_000 // before the key expires
 	if err := n.core.State.Put("b/job/run-1", []byte(`{"s":{"ref":"run-1","mestiere":"batch","bottega":"red","forma":"sweep","urgenza":"normal","pezzi":4,"cores":1,"gpus":0,"ram_gb":1,"stampo":"x","image_gb":1,"stima_s":5,"gettoni":[{"nome":"routing","a_pezzo":1}]},"p":[[0,4,0]],"t":900,"n":"kipper","u":"run-1"}`), 10); err != nil {
 		t.Fatal(err)
@@ -297,7 +298,7 @@
 	n.tenancy.CountSubmission("kipper", "")
 	n.tenancy.CountSubmission("kipper", "rate")
 	random := [tenant.RandomBytes]byte{7}
-	kept := map[string][]api.KeyValue{
+	stored := map[string][]api.KeyValue{
 		"used/kipper/":    {{Key: "used/kipper/0200000000000000", Value: []byte("3600000")}},
 		"used/-/":         {{Key: "used/-/0102030405060708", Value: []byte("7200000")}},
 		"history/kipper/": {{Key: "history/kipper/0000000000007-run-1", Value: []byte(`{"ref":"run-1","stato":"done","mestiere":"batch","bottega":"red","pezzi":3,"accepted":4,"ended":5}`)}},
@@ -313,13 +314,13 @@
 		{What: "pools"}, {What: "pool", ID: "routing"}, {What: "pool-put", ID: "pay", Body: []byte(`{"revision":0,"size":3,"largest":4,"unit":"seats","teams":["red"],"tenants":["kipper"],"reclaim":true,"guaranteed":{"red":1}}`)},
 		{What: "pool-remove", ID: "routing", Body: []byte(`{"revision":9}`)}, {What: "audit", Limit: 5}, {What: "drain", ID: "i-000000"}, {What: "teams"}} {
 		ask.Random, ask.KeyID, ask.Caller = &random, "00aa", message.Caller{From: netip.MustParseAddr("198.51.100.1")}
-		f.Text(strings.TrimSpace(fmt.Sprint(ask.What, " ", ask.ID, ask.Sub, string(ask.Body))), goldenTalk(t, n, func() { n.admin.HandleAuthorized(ask) }, kept))
+		f.Text(strings.TrimSpace(fmt.Sprint(ask.What, " ", ask.ID, ask.Sub, string(ask.Body))), transcript(t, n, func() { n.admin.HandleAuthorized(ask) }, stored))
 	}
 	caller := message.Caller{Auth: "Bearer " + secret.String(), From: netip.MustParseAddr("192.0.2.7")}
-	f.Text("own jobs", goldenTalk(t, n, func() { n.dispatch(message.TenantQuery{What: "jobs", Limit: 5, Caller: caller}) }, kept))
-	f.Text("own usage", goldenTalk(t, n, func() { n.dispatch(message.TenantQuery{What: "usage", Caller: caller}) }, kept))
-	f.Text("own history", goldenTalk(t, n, func() { n.dispatch(message.ListHistory{Limit: 5, Caller: caller}) }, kept))
-	f.Text("no key", goldenTalk(t, n, func() { n.dispatch(message.ListHistory{Limit: 5}) }, kept))
+	f.Text("own jobs", transcript(t, n, func() { n.dispatch(message.TenantQuery{What: "jobs", Limit: 5, Caller: caller}) }, stored))
+	f.Text("own usage", transcript(t, n, func() { n.dispatch(message.TenantQuery{What: "usage", Caller: caller}) }, stored))
+	f.Text("own history", transcript(t, n, func() { n.dispatch(message.ListHistory{Limit: 5, Caller: caller}) }, stored))
+	f.Text("no key", transcript(t, n, func() { n.dispatch(message.ListHistory{Limit: 5}) }, stored))
 	f.Text("other controllers' forward", fmt.Sprint(tenancy.ForwardKind, " ", message.ForwardSkips))
 	write := n.tenancy.HistoryWrite(n.core.State.Jobs["run-1"])
 	f.Text("history", fmt.Sprintf("%s %s", write.Put, write.Value))
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -17,8 +17,8 @@
 	"basaltwall/tenant"
 )
 
-// hostedOwner is a controller of a hosted service with tenant kipper of team red, whose job
-// waits, and kipper's key.
+// hostedOwner returns a controller of a hosted service that owns partition 0, a pending job of the
+// tenant kipper, which has the team red, and a secret key of that tenant.
 func hostedOwner(t testing.TB) (*Controller, *core.OwnedPartition, *core.Job, tenant.Secret) {
 	t.Helper()
 	n, owned, _, j := newTestOwner(t, testSpec(4))
@@ -54,7 +54,7 @@
 	}
 }
 
-// putJob has a tenant's job accepted, all of it in partition 0.
+// putJob stores an accepted job of a tenant, with all tasks in partition 0.
 func putJob(t testing.TB, n *Controller, spec *api.JobSpec, name string, accepted api.WallTime) *core.Job {
 	t.Helper()
 	data, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}, AcceptedAt: accepted, Tenant: name, TenantJobID: spec.Ref})
@@ -67,8 +67,8 @@
 	return n.core.State.Jobs[spec.Ref]
 }
 
-// stateCalls are the calls to the state service that were wanted since the last time.
-func stateCalls(n *Controller) []message.StoreCall {
+// takeStoreCalls removes the pending effects and returns the calls to the state service among them.
+func takeStoreCalls(n *Controller) []message.StoreCall {
 	var out []message.StoreCall
 	for _, e := range n.core.Effects {
 		if c, ok := e.(message.StoreCall); ok {
@@ -79,12 +79,12 @@
 	return out
 }
 
-// A round is conditional on the gate where there are tenants, and only there: one condition more
-// is all that a hosted service's rounds differ by.
+// In a hosted service a round has exactly one more condition than without tenants: the version of
+// the gate record.
 func TestRoundIsConditionalOnGate(t *testing.T) {
 	gate := func(n *Controller, owned *core.OwnedPartition) (int, bool) {
 		n.scheduler.RunPartition(owned)
-		for _, c := range stateCalls(n) {
+		for _, c := range takeStoreCalls(n) {
 			if c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
 				return len(c.Txn.If), slices.ContainsFunc(c.Txn.If, func(x api.Condition) bool { return x.Key == core.KeyGate })
 			}
@@ -92,19 +92,18 @@
 		t.Fatal("no round is written")
 		return 0, false
 	}
-	cpuOnly, owned, _, _ := newTestOwner(t, testSpec(4))
-	without, named := gate(cpuOnly, owned)
-	if named {
-		t.Error("a round names the gate though there are no tenants")
+	withoutTenants, owned, _, _ := newTestOwner(t, testSpec(4))
+	without, conditional := gate(withoutTenants, owned)
+	if conditional {
+		t.Error("a round is conditional on the gate though there are no tenants")
 	}
 	n, owned, _, _ := hostedOwner(t)
-	if with, named := gate(n, owned); !named || with != without+1 {
-		t.Errorf("%d conditions, %d without tenants; names the gate: %v", with, without, named)
+	if with, conditional := gate(n, owned); !conditional || with != without+1 {
+		t.Errorf("%d conditions, %d without tenants; conditional on the gate: %v", with, without, conditional)
 	}
 }
 
-// Work of a tenant that is suspended, or of whom nothing is known, is neither started nor
-// are machines wanted for it.
+// Jobs of a suspended or unknown tenant are neither started nor counted as demand for machines.
 func TestBlockedJobsCreateNoDemand(t *testing.T) {
 	for state, starts := range map[tenant.State]bool{tenant.Active: true, tenant.Suspended: false, tenant.Removing: false, "": false} {
 		n, owned, j, _ := hostedOwner(t)
@@ -116,10 +115,10 @@
 			putTenant(t, n, e)
 		}
 		if got := len(n.scheduler.PlanRound(owned).Starts) > 0; got != starts || n.tenancy.StartsBlocked(j) == starts {
-			t.Errorf("%q: starts %v, held %v", state, got, n.tenancy.StartsBlocked(j))
+			t.Errorf("tenant state %q: starts planned %v, starts blocked %v", state, got, n.tenancy.StartsBlocked(j))
 		}
-		if waiting := n.capacity.PendingTasksIn(0, j.Spec); (waiting > 0) != starts {
-			t.Errorf("%q: %d tasks count as waiting", state, waiting)
+		if pending := n.capacity.PendingTasksIn(0, j.Spec); (pending > 0) != starts {
+			t.Errorf("tenant state %q: %d tasks count as pending", state, pending)
 		}
 	}
 }
@@ -133,8 +132,9 @@
 	return a
 }
 
-// A queue of one tenant makes nobody's rounds longer than by the jobs of it that a round
-// looks at, and each of them has its turn though no machine has the free capacity for those before it.
+// A round examines a bounded number of jobs of one tenant, so a long queue does not delay other
+// tenants. Each job in the queue is examined eventually, also when no machine fits the jobs before
+// it.
 func TestLongQueueRotatesAcrossRounds(t *testing.T) {
 	n, owned, j, _ := hostedOwner(t)
 	putTenant(t, n, tenant.Tenant{Name: "flood", State: tenant.Active, Teams: []api.Team{"blue"}, Retention: 100})
@@ -146,7 +146,7 @@
 		return putJob(t, n, spec, "flood", accepted)
 	}
 	for i := range queue - 1 {
-		put(i, 9, 1000) // which no machine has
+		put(i, 9, 1000) // more CPUs than any machine has
 	}
 	fits := put(queue, 1, 2000)
 	j.Tenant = "kipper"
@@ -155,10 +155,10 @@
 	}
 	round := n.scheduler.PlanRound(owned)
 	if !starts(round, j) {
-		t.Error("another tenant's job waits behind the queue")
+		t.Error("another tenant's job is not started because of the long queue")
 	}
 	if examined, limit := n.core.Metrics.FlowTasks, tenancy.MaxJobsPerRound+j.Spec.Tasks; examined > limit {
-		t.Errorf("a round looks at %d tasks, expected %d at most", examined, limit)
+		t.Errorf("a round examines %d tasks, expected at most %d", examined, limit)
 	}
 	delete(n.core.State.PendingJobs, j.ID) // a round places one task on each machine
 	rounds := 1
@@ -167,22 +167,22 @@
 		rounds++
 	}
 	if limit := tenant.RoundsToCoverAll(queue, tenancy.MaxJobsPerRound); rounds > limit {
-		t.Errorf("a job has its turn after %d rounds, expected %d at most", rounds, limit)
+		t.Errorf("a job is examined after %d rounds, expected at most %d", rounds, limit)
 	}
-	// A round comes by itself for those who were left out.
+	// A round runs without any new event for the jobs that the last one did not examine.
 	owned.Dirty, owned.NextRound = false, 0
 	owned.PlannedAt = n.core.Now
 	n.core.Now = n.core.Now.Add(core.DeferredJobsInterval)
 	before := n.tenancy.RoundTurns("flood", 0)
 	n.scheduler.RunPartition(owned)
 	if n.tenancy.RoundTurns("flood", 0) == before {
-		t.Error("nobody has a turn when nothing else happens")
+		t.Error("no job is examined while there are no new events")
 	}
 }
 
-// Operators' keys are judged by what is current; a controller that can't know answers
-// questions about itself alone, by what it knew within the last minute, or by the key of
-// the file it was started with.
+// Operators' keys are checked against the current state. A controller that can't read the state
+// answers only read requests about itself, and accepts keys from its cache while this is fresh, or
+// the key of its admin key file.
 func TestOperatorKeysDuringOutage(t *testing.T) {
 	n, _, _, _ := hostedOwner(t)
 	_, first, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
@@ -195,7 +195,7 @@
 	}
 	n.tenancy.Operators().Keys = []tenant.OperatorKey{{Key: watch, Role: tenant.RoleRead}}
 	n.follower.RecordRead()
-	asks := func(key tenant.Secret, what string) int {
+	request := func(key tenant.Secret, what string) int {
 		n.core.Effects = nil
 		n.dispatch(message.AdminRequest{Req: 1, What: message.AdminOperation(what), Caller: message.Caller{Auth: "Bearer " + key.String(), From: mustAddr(t, "192.0.2.1")}})
 		for _, w := range n.follower.TakeWaiters() {
@@ -216,12 +216,12 @@
 	}{{0, secret, "metrics", 200}, {0, secret, "tenants", 503}, {0, secret, "drain", 503}, {0, first, "set", 503}, {0, first, "members", 200},
 		{tenancy.OperatorKeyCacheTTL - time.Second, secret, "machines", 200}, {2 * time.Second, secret, "machines", 503}, {0, first, "machines", 200}, {0, first, "operators", 503}} {
 		n.core.Now = n.core.Now.Add(c.after)
-		if got := asks(c.key, c.what); got != c.want {
-			t.Errorf("%s by %s, the state last read %v ago: %d, expected %d", c.what, c.key.ID, n.core.Now.Sub(n.follower.LastReadAt()), got, c.want)
+		if got := request(c.key, c.what); got != c.want {
+			t.Errorf("request %s with key %s, state last read %v ago: status %d, expected %d", c.what, c.key.ID, n.core.Now.Sub(n.follower.LastReadAt()), got, c.want)
 		}
 	}
 	n.tenancy.Operators().RetiredAdminKeys = []tenant.KeyID{first.ID}
-	if got := asks(first, "metrics"); got != 401 {
-		t.Errorf("the retired key of the file: %d", got)
+	if got := request(first, "metrics"); got != 401 {
+		t.Errorf("request with the retired key of the admin key file: status %d", got)
 	}
 }
--- a/controller/message/accelerators.go
+++ b/controller/message/accelerators.go
@@ -1,15 +1,16 @@
 package message
 
-// This file holds how controllers count machines with accelerators, for capacity targets.
+// This file holds the counts of machines with accelerators that controllers exchange for capacity
+// targets.
 
 import "basaltwall/api"
 
-// AcceleratorKind is machines with accelerators that cost alike.
+// AcceleratorKind identifies machines with accelerators that have the same price.
 type AcceleratorKind struct {
 	Type api.MachineTypeName
 	Spot bool
 }
 
-// AcceleratorCount says how many machines of an AcceleratorKind are up, and how many of these have
-// work that they are kept for and that does not end soon: services and gangs.
+// AcceleratorCount is the number of machines of an AcceleratorKind that are up and, of these, the
+// number that run services or gangs, which do not end soon.
 type AcceleratorCount struct{ Up, Lasting int }
--- a/controller/message/adminoperation.go
+++ b/controller/message/adminoperation.go
@@ -1,9 +1,9 @@
 package message
 
-// This file holds what operators may ask.
+// This file holds the operations that operators may request.
 
-// AdminOperation says what an AdminRequest asks. Its text is the wire of a forwarded request, and the
-// action that the audit names.
+// AdminOperation is the operation that an AdminRequest asks for. Its value is sent in forwarded
+// requests and recorded as the action in the audit log.
 type AdminOperation string
 
 // Operations of any service.
@@ -15,8 +15,8 @@
 	AdminTeams             AdminOperation = "teams"
 	AdminJobs              AdminOperation = "jobs"
 	AdminJob               AdminOperation = "job"
-	AdminReservations      AdminOperation = "skips"    // of a depot, or without one the counts of all
-	AdminChangeReservation AdminOperation = "skips-do" // AdminRequest.Sub says how
+	AdminReservations      AdminOperation = "skips"    // of one depot, or the counts of all depots
+	AdminChangeReservation AdminOperation = "skips-do" // AdminRequest.Sub is the kind of change
 	AdminSettings          AdminOperation = "settings"
 	AdminChangeSettings    AdminOperation = "set"
 	AdminDrain             AdminOperation = "drain"
@@ -47,5 +47,5 @@
 	AdminAudit             AdminOperation = "audit"
 )
 
-// AddsKey reports whether the operation makes a key, for which the request brings random bytes.
+// AddsKey reports whether the operation generates a key, from random bytes in the request.
 func (o AdminOperation) AddsKey() bool { return o == AdminAddKey || o == AdminAddOperatorKey }
--- a/controller/message/commands.go
+++ b/controller/message/commands.go
@@ -1,10 +1,10 @@
-// Package message holds what a controller is told and what it wants done: commands (requests from
-// outside and answers to its calls), effects (replies and calls), and the messages that controllers send
-// each other. It holds no state. PeerMessage and PeerReply are sent as encoding/gob, and AdminRequest
-// within a Forward as JSON, by the names of their fields: these names are the wire.
+// Package message defines the input and output of a controller: commands (requests from outside and
+// responses to its calls), effects (replies and calls), and the messages that controllers send each
+// other. PeerMessage and PeerReply are sent as encoding/gob, and an AdminRequest in a Forward as JSON:
+// the names of their fields are part of the protocol and must not change.
 package message
 
-// This file holds the commands that come as requests from outside.
+// This file holds the commands that are requests from outside.
 
 import (
 	"net/netip"
@@ -14,30 +14,30 @@
 	"basaltwall/tenant"
 )
 
-// ReqID names a request from outside that waits for a Reply.
+// ReqID identifies a request from outside that waits for a Reply.
 type ReqID uint64
 
-// Command is something the controller is told: a request from outside, the answer to a Call, or
+// Command is an input of the controller: a request from outside, the response to a call, or
 // ResourceUsage.
 type Command any
 
 // Requests from users, workers, operators and other controllers.
 type (
-	// Submit is a user's submission.
+	// Submit submits a job.
 	Submit struct {
 		Req       ReqID
 		Body      []byte
 		Forwarded bool   // by another controller
-		Caller    Caller // looked at by a hosted service only
+		Caller    Caller // checked only by a hosted service
 	}
-	// Poll asks for a job's state.
+	// Poll requests a job's state.
 	Poll struct {
 		Req       ReqID
 		Ref       string
 		Forwarded bool
 		Caller    Caller
 	}
-	// Cancel asks for a job's end.
+	// Cancel requests the cancellation of a job.
 	Cancel struct {
 		Req       ReqID
 		Ref       string
@@ -50,35 +50,35 @@
 	WorkerHeartbeat struct {
 		Req       ReqID
 		Heartbeat *api.Heartbeat
-		Body      []byte // as it came, for passing on
+		Body      []byte // the encoded heartbeat, for forwarding
 		Forwarded bool
 	}
-	// AdminRequest is an operator's question or order; What says which.
+	// AdminRequest is an operator's request for the operation What.
 	AdminRequest struct {
 		Req   ReqID
 		What  AdminOperation
 		ID    string
-		Team  string // jobs: only this team's
-		Limit int    // jobs: so many at most
+		Team  string // for jobs: only jobs of this team
+		Limit int    // maximum number of entries of a page
 		Body  []byte
 
-		Sub    string // of ID, the name of a key
-		After  string // audit: what comes after
+		Sub    string // within ID: the name of a key or, for AdminChangeReservation, the kind of change
+		After  string // the entry after which a page begins
 		Caller Caller
 		Random *[tenant.RandomBytes]byte // set if What.AddsKey
 
-		Forwarded bool // by a peer, which has looked at the key
+		Forwarded bool // by a peer, which has checked the key
 
-		KeyID tenant.KeyID `json:"-"` // never forwarded: the operators' key that came with it
+		KeyID tenant.KeyID `json:"-"` // the operators' key of the request; never forwarded
 	}
-	// ListHistory asks for a page of the tenant's finished jobs.
+	// ListHistory requests a page of the tenant's finished jobs.
 	ListHistory struct {
 		Req    ReqID
 		After  string
 		Limit  int
 		Caller Caller
 	}
-	// TenantQuery asks for a tenant's own: a page of its jobs that are not over, or its usage.
+	// TenantQuery requests a page of the tenant's unfinished jobs, or its usage.
 	TenantQuery struct {
 		Req    ReqID
 		What   string // "jobs" or "usage"
@@ -86,7 +86,7 @@
 		Limit  int
 		Caller Caller
 	}
-	// MalformedMessage is a message of another controller that can't be decoded.
+	// MalformedMessage is a message from another controller that can't be decoded.
 	MalformedMessage struct {
 		Req  ReqID
 		From string
@@ -96,25 +96,26 @@
 		Req    ReqID
 		Gossip *Gossip
 	}
-	// ReadLog is another controller's request for what follows a revision of the log.
+	// ReadLog is another controller's request for the log after a revision.
 	ReadLog struct {
 		Req     ReqID
 		Request *ReadLogRequest
 	}
 )
 
-// Caller is who sends a request, as far as the connection and the request say.
+// Caller is the sender of a request, as given by the connection and the request's headers.
 type Caller struct {
 	Auth      string // the Authorization header
 	From      netip.Addr
 	Forwarded string // the X-Forwarded-For header
 }
 
-// BearerSecret reads a caller's key; the error is a *tenant.Error with status 401 if there is none.
+// BearerSecret parses the caller's key from the Authorization header. Without a bearer token the
+// error is a *tenant.Error with status 401.
 func (c Caller) BearerSecret() (tenant.Secret, error) {
 	text, ok := strings.CutPrefix(c.Auth, "Bearer ")
 	if !ok {
-		return tenant.Secret{}, &tenant.Error{Status: 401, Reason: "Authorization: a key is needed, as Bearer"}
+		return tenant.Secret{}, &tenant.Error{Status: 401, Reason: "Authorization: a key is required as bearer token"}
 	}
 	return tenant.ParseSecret(strings.TrimSpace(text))
 }
--- a/controller/message/effects.go
+++ b/controller/message/effects.go
@@ -1,6 +1,6 @@
 package message
 
-// This file holds the effects: what a controller wants done.
+// This file holds the effects: the output of a controller.
 
 import (
 	"time"
@@ -8,20 +8,20 @@
 	"basaltwall/api"
 )
 
-// Effect is something the controller wants done: a Reply or a call.
+// Effect is an output of the controller: a Reply or a call.
 type Effect any
 
-// Effects.
+// Kinds of effects.
 type (
 	// Reply answers a request.
 	Reply struct {
 		Req        ReqID
 		Status     int
 		Body       []byte
-		RetryAfter int          // seconds; 0: none is named
+		RetryAfter int          // in seconds; 0: no Retry-After header
 		Log        *api.Changes // answers a ReadLog
 	}
-	// StoreCall is a request to the state service; one of its fields is set.
+	// StoreCall is a request to the state service. Besides ID and Timeout exactly one field is set.
 	StoreCall struct {
 		ID         CallID
 		Txn        *api.Txn
@@ -32,26 +32,26 @@
 		RenewLease api.LeaseID
 		Timeout    time.Duration
 	}
-	// ChangesRequest asks for the changes under root.
+	// ChangesRequest requests the changes after a revision.
 	ChangesRequest struct {
 		Since  api.Revision
 		Wait   time.Duration
-		Prefix string // or under another prefix
+		Prefix string // of the keys; empty: the root of the cluster state
 	}
-	// PageRequest asks for keys under root, or under another prefix where one is named.
+	// PageRequest requests a page of key-value pairs.
 	PageRequest struct {
 		After  string
-		Prefix string
-		Limit  int // so many at most; 0: as many as a page holds
+		Prefix string // of the keys; empty: the root of the cluster state
+		Limit  int    // maximum number of pairs; 0: a full page
 	}
-	// WorkerCall sends commands straight to a worker.
+	// WorkerCall sends commands directly to a worker.
 	WorkerCall struct {
 		ID       CallID
 		Address  string
 		Commands api.CommandBatch
 		Timeout  time.Duration
 	}
-	// CloudCall is a request to the cloud; one of its fields is set.
+	// CloudCall is a request to the cloud. Besides ID and Timeout exactly one field is set.
 	CloudCall struct {
 		ID      CallID
 		Types   bool
@@ -60,7 +60,7 @@
 		Delete  []api.MachineID
 		Timeout time.Duration
 	}
-	// ListRequest asks for a page of machines.
+	// ListRequest requests the page of machines after Since.
 	ListRequest struct{ Since api.MachineID }
 	// PeerCall is a message to another controller.
 	PeerCall struct {
--- a/controller/message/peer.go
+++ b/controller/message/peer.go
@@ -1,6 +1,7 @@
 package message
 
-// This file holds what controllers send each other. The fields' names are the wire (encoding/gob).
+// This file holds the messages between controllers. They are sent as encoding/gob, so renaming a field
+// breaks the protocol.
 
 import (
 	"basaltwall/api"
@@ -8,14 +9,14 @@
 	"basaltwall/zonehealth"
 )
 
-// PeerMessage is what controllers send each other; one field is set.
+// PeerMessage is a message to another controller; exactly one field is set.
 type PeerMessage struct {
 	Gossip  *Gossip
 	Forward *Forward
 	ReadLog *ReadLogRequest
 }
 
-// PeerReply answers a PeerMessage.
+// PeerReply is the reply to a PeerMessage.
 type PeerReply struct {
 	Status     int
 	Body       []byte
@@ -23,44 +24,44 @@
 	Log        *api.Changes // answers a ReadLogRequest
 }
 
-// ReadLogRequest asks a controller that reads the state service's log for what follows a revision. With
-// Wait the answer comes when there is something; without, it holds all that was durable when the
-// request came.
+// ReadLogRequest asks a controller that reads the state service's log, a relay, for the entries after a
+// revision. With Wait the reply is sent once there are entries; without, it holds all entries that were
+// durable when the request arrived.
 type ReadLogRequest struct {
 	Since api.Revision
 	Wait  bool
 }
 
-// Forward passes on a request that another controller can answer better.
+// Forward is a request that a controller forwards to one that can answer it.
 type Forward struct {
-	Kind string // one of the Forward constants, or a hosted service's
+	Kind string // one of the Forward constants, or the kind of a hosted service's requests
 	Ref  string
 	Body []byte
 }
 
-// Kinds of a Forward, by what its fields hold.
+// Kinds of a Forward, with the fields that they use.
 const (
 	ForwardSubmit    = "submit"  // Body: a job's specification
 	ForwardPoll      = "poll"    // Ref: the job's reference
 	ForwardCancel    = "cancel"  // Ref: the job's reference
-	ForwardHeartbeat = "checkin" // Body: a worker's heartbeat, as it came
+	ForwardHeartbeat = "checkin" // Body: a worker's encoded heartbeat
 	ForwardSkips     = "skips"   // Body: an AdminRequest about reservations, as JSON
 )
 
-// Gossip is what a controller tells the others of itself. It is advice only:
-// nothing that safety needs rests on it.
+// Gossip is a controller's status for the other controllers. It is advisory: safety never depends on
+// it.
 type Gossip struct {
 	From    api.ControllerID
-	Born    int64  // the sender's incarnation: which run of the process sends it
-	Number  uint64 // grows with each that this incarnation sends
+	Born    int64  // the sender's incarnation
+	Number  uint64 // sequence number within the incarnation
 	StateOK bool   // the sender reaches the state service
 	Parts   []PartitionStatus
 	Rented  []RecentScaleOut
-	Passed  []*Gossip // what others sent of themselves lately, which a relay passes on
+	Passed  []*Gossip // recent gossip of other controllers, forwarded by a relay
 }
 
-// RecentScaleOut names machines that were created lately: whoever scales out next must count on
-// them before the cloud's list shows them.
+// RecentScaleOut lists recently created machines, so that the next scale-out counts them before the
+// cloud's list shows them.
 type RecentScaleOut struct {
 	Type     api.MachineTypeName
 	Zone     api.Zone
@@ -71,52 +72,52 @@
 // PartitionStatus describes a partition to the controllers that do not own it.
 type PartitionStatus struct {
 	Part        api.PartitionID
-	Kinds       []MachineClass // that Rooms refer to
+	Kinds       []MachineClass // classes that Rooms refers to by index
 	Rooms       []FreeCapacity
 	Accelerated map[AcceleratorKind]AcceleratorCount
 	Zones       map[api.Zone]zonehealth.MachineCount
-	Silent      []api.MachineID            // that send no heartbeats to their owner
-	Fresh       []api.MachineID            // that have come up lately
-	Want        map[api.Team]api.Resources // quota share it could use
-	Due         map[api.Team]api.Resources // of that, what jobs lack that must begin
-	Starved     map[api.Team]api.Resources // of that, what jobs lack that have machines and nothing of the limit
-	Short       []api.MachineTypeName      // on which work found no free capacity
-	Spare       map[api.Team]api.Resources // quota share it does not use
-	Waiting     int                        // tasks that found no free capacity
-	Lack        []UnmetDemand              // jobs that this partition can't hold whole
+	Silent      []api.MachineID            // machines without heartbeats to their owner
+	Fresh       []api.MachineID            // machines that have booted recently
+	Want        map[api.Team]api.Resources // quota that pending jobs could use
+	Due         map[api.Team]api.Resources // of Want: quota for aged jobs, which must start
+	Starved     map[api.Team]api.Resources // of Want: quota for jobs that have free capacity but quota for no task
+	Short       []api.MachineTypeName      // types without free capacity for pending tasks
+	Spare       map[api.Team]api.Resources // unused quota
+	Waiting     int                        // tasks without free capacity
+	Lack        []UnmetDemand              // jobs that do not fit in this partition as a whole
 }
 
-// MaxSilentMachines bounds the silent machines that a partition names.
+// MaxSilentMachines is the maximum number of machines in PartitionStatus.Silent.
 const MaxSilentMachines = 500
 
-// MachineClass is what machines may have in common.
+// MachineClass is the attributes by which machines are grouped.
 type MachineClass struct {
 	Type   api.MachineTypeName
 	Zone   api.Zone
 	Spot   bool
 	Usable bool // gets new tasks
-	Closed bool // only for work that needs its accelerators
+	Closed bool // only for tasks that need its accelerators
 }
 
-// FreeCapacity is what is free on a number of machines that are alike, and what would be
-// if all work were preempted that urgent work may preempt.
+// FreeCapacity is the free capacity of each machine in a group of equal machines, now and after the
+// preemption of all tasks that urgent jobs may preempt.
 type FreeCapacity struct {
-	Kind  int // index into PartitionStatus.Kinds
-	Free  api.Resources
-	Could api.Resources
-	Count int
+	Kind  int           // index into PartitionStatus.Kinds
+	Free  api.Resources // free now
+	Could api.Resources // free after preemption
+	Count int           // number of machines
 }
 
-// UnmetDemand is a job whose tasks must lie in one partition, and don't fit there.
+// UnmetDemand is a job whose tasks must be in one partition, and do not fit there.
 type UnmetDemand struct {
 	Spec  *api.JobSpec
-	Zones map[api.Zone]int // where some of its tasks are
-	Zone  api.Zone         // where it should be, when they must be together
-	Stage sched.AgingStage // whether it must begin
-	// Lenders are other partitions with free capacity for it, once it has waited for long: they may lend
-	// machines with the tasks that run there.
+	Zones map[api.Zone]int // number of placed tasks by zone
+	Zone  api.Zone         // the zone for a job whose tasks must be in one zone
+	Stage sched.AgingStage // NotAged, or how far it takes precedence over other jobs
+	// Lenders are partitions with free capacity for a job that has been pending for long. They may lend
+	// it machines together with the tasks that run there.
 	Lenders []api.PartitionID
 }
 
-// MaxUnmetDemands bounds the unmet demands that a partition names.
+// MaxUnmetDemands is the maximum number of jobs in PartitionStatus.Lack.
 const MaxUnmetDemands = 4
--- a/controller/message/responses.go
+++ b/controller/message/responses.go
@@ -1,16 +1,16 @@
 package message
 
-// This file holds the commands that answer calls.
+// This file holds the commands that are responses to calls.
 
 import "basaltwall/api"
 
-// CallID names a call to outside, which is answered by exactly one command: with status 0 (of a
-// PeerResponse: not OK) when no answer came in time.
+// CallID identifies a call, which gets exactly one response: with status 0 (a PeerResponse: OK false)
+// if it times out.
 type CallID uint64
 
-// Answers to calls.
+// Responses to calls.
 type (
-	// StoreResponse answers a StoreCall.
+	// StoreResponse is the response to a StoreCall.
 	StoreResponse struct {
 		ID      CallID
 		Status  int
@@ -20,13 +20,13 @@
 		Pair    api.KeyValue
 		Lease   api.LeaseID
 	}
-	// WorkerResponse answers a WorkerCall.
+	// WorkerResponse is the response to a WorkerCall.
 	WorkerResponse struct {
 		ID        CallID
 		Status    int
 		Heartbeat *api.Heartbeat
 	}
-	// CloudResponse answers a CloudCall.
+	// CloudResponse is the response to a CloudCall.
 	CloudResponse struct {
 		ID       CallID
 		Status   int
@@ -34,9 +34,9 @@
 		Hosts    api.InstanceList
 		Machines []api.MachineID
 
-		NoCapacity bool // refused for want of machines, not of time
+		NoCapacity bool // the cloud has no machines of the requested type, zone and price class
 	}
-	// PeerResponse answers a PeerCall.
+	// PeerResponse is the response to a PeerCall.
 	PeerResponse struct {
 		ID    CallID
 		OK    bool
--- a/controller/message/usage.go
+++ b/controller/message/usage.go
@@ -1,40 +1,40 @@
 package message
 
-// This file holds the accounts of the time that a controller's work takes.
+// This file holds the measurements of a controller's run time and queues.
 
 import "time"
 
-// ResourceUsage tells the controller, which has no clock, how long its last step took and, since
-// the process began, each kind of work and the whole process; and how many commands wait.
+// ResourceUsage informs the controller, which reads no clock, of the time that its work takes and of
+// the number of queued commands.
 type ResourceUsage struct {
-	StepTime       time.Duration
-	WorkTime       [WorkKinds]time.Duration
-	ProcessTime    time.Duration
-	QueueLength    int
-	QueuedRequests int // of these, all but workers' heartbeats
+	StepTime       time.Duration            // duration of the last step
+	WorkTime       [WorkKinds]time.Duration // by kind of work, since the process started
+	ProcessTime    time.Duration            // of the whole process, since it started
+	QueueLength    int                      // queued commands
+	QueuedRequests int                      // queued commands other than workers' heartbeats
 }
 
-// WorkKind is a kind of work, for accounts of the time that it takes.
+// WorkKind is a kind of work by which time is accounted.
 type WorkKind int
 
-// Kinds of work: commands by where they come from, then what is done by the clock.
+// Kinds of work: commands by their source, then periodic work.
 const (
 	WorkUsers WorkKind = iota
 	WorkHeartbeats
 	WorkStore
-	WorkWorkers // answers to direct calls
+	WorkWorkers // responses to direct calls
 	WorkCloud
 	WorkPeers
 	WorkOperators
-	WorkMembership // the lease, and following the log
+	WorkMembership // lease renewal and log reads
 	WorkFleet
 	WorkRounds
 	WorkMachines
 	WorkGossip
-	WorkKinds // how many there are
+	WorkKinds // number of kinds
 )
 
-// workKindNames are the kinds' names, as metrics show them.
+// workKindNames are the names of the kinds in metrics.
 var workKindNames = [WorkKinds]string{
 	WorkUsers:      "users",
 	WorkHeartbeats: "reports",
@@ -50,10 +50,10 @@
 	WorkGossip:     "gossip",
 }
 
-// MetricName is the kind's name among the metrics.
+// MetricName returns the name of the kind in metrics.
 func (k WorkKind) MetricName() string { return workKindNames[k] }
 
-// WorkKindOf is the kind of work that a command makes.
+// WorkKindOf returns the kind of work that processes a command.
 func WorkKindOf(c Command) WorkKind {
 	switch c.(type) {
 	case Submit, Poll, Cancel, ReadinessProbe, ListHistory, TenantQuery:
--- a/controller/metrics_test.go
+++ b/controller/metrics_test.go
@@ -11,7 +11,7 @@
 	"basaltwall/controller/message"
 )
 
-// A round that was not answered is counted, and what it was found to be.
+// An unanswered write of a round is counted as indeterminate, and later by its outcome.
 func TestIndeterminateRoundsAreCounted(t *testing.T) {
 	for _, written := range []bool{true, false} {
 		n, owned, _, _ := newTestOwner(t, testSpec(2))
@@ -24,7 +24,7 @@
 					return
 				}
 			}
-			t.Fatal("no write is under way")
+			t.Fatal("no write is in flight")
 		}
 		send(message.StoreResponse{Status: 0})
 		n.core.Now = n.core.Now.Add(time.Second)
@@ -37,12 +37,12 @@
 		}
 		v := n.reporter.View()
 		if v.IndeterminateWrites != 1 || (v.IndeterminateWritten == 1) != written || (v.IndeterminateUnwritten == 1) == written {
-			t.Errorf("written %v: %d unanswered, %d found written, %d found not to be", written, v.IndeterminateWrites, v.IndeterminateWritten, v.IndeterminateUnwritten)
+			t.Errorf("written %v: %d indeterminate writes, %d found written, %d found not written", written, v.IndeterminateWrites, v.IndeterminateWritten, v.IndeterminateUnwritten)
 		}
 	}
 }
 
-// Jobs that wait for over a minute are counted by their reason, without its figures.
+// Jobs that have been pending for over a minute are counted by the kind of reason.
 func TestLongPendingByReason(t *testing.T) {
 	for reason, change := range map[string]func(n *Controller, m *core.Machine, j *core.Job){
 		"has room": func(*Controller, *core.Machine, *core.Job) {},
@@ -59,12 +59,12 @@
 		n.core.WallClock = 100_000
 		j.AcceptedAt = 50_000
 		if got := n.jobs.LongPendingJobs(); len(got) != 0 {
-			t.Errorf("%s: after 50 s %v are counted", reason, got)
+			t.Errorf("%s: counts after 50 s: %v, expected none", reason, got)
 		}
 		j.AcceptedAt = 30_000
 		change(n, m, j)
 		if got := n.jobs.LongPendingJobs(); len(got) != 1 || got[reason] != 1 {
-			t.Errorf("%s: %v are counted", reason, got)
+			t.Errorf("%s: counts after 70 s: %v, expected 1 for this reason", reason, got)
 		}
 	}
 }
--- a/controller/overload_test.go
+++ b/controller/overload_test.go
@@ -8,8 +8,7 @@
 	"basaltwall/controller/message"
 )
 
-// A controller that is behind puts off what is merely better, and starts tasks all
-// the same.
+// An overloaded controller skips optional work such as rebalancing, but still starts tasks.
 func TestOverloadShedsOnlyOptionalWork(t *testing.T) {
 	n, owned, _, _ := newTestOwner(t, testSpec(2))
 	n.core.Teams["red"] = config.Team{Name: "red"}
@@ -17,11 +16,11 @@
 	n.autoscaler.NextDemandSample = 0
 	n.autoscaler.Reconcile()
 	if n.autoscaler.NextDemandSample != 0 {
-		t.Error("the load was reckoned")
+		t.Error("capacity targets are computed under overload")
 	}
 	n.scheduler.RunPartition(owned)
 	if owned.NextMove != 0 || owned.NextLoan != 0 {
-		t.Error("moves and lending were looked at")
+		t.Error("moves and loans are evaluated under overload")
 	}
 	if owned.InFlight == nil || len(owned.InFlight.Starts) == 0 {
 		t.Error("no start was planned")
@@ -29,6 +28,6 @@
 	n.dispatch(message.ResourceUsage{QueueLength: 0})
 	n.autoscaler.Reconcile()
 	if n.autoscaler.NextDemandSample == 0 {
-		t.Error("the load was not reckoned when there was time again")
+		t.Error("capacity targets are not computed after the overload")
 	}
 }
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -14,8 +14,8 @@
 	"basaltwall/pool"
 )
 
-// pooledOwner is a controller of a hosted service whose job's tasks need a unit each of a pool
-// of so many.
+// pooledOwner returns a controller of a hosted service with a job whose tasks each need a unit of a
+// pool of the given size.
 func pooledOwner(t testing.TB, size int) (*Controller, *core.OwnedPartition, *core.Job) {
 	t.Helper()
 	n, owned, j, _ := hostedOwner(t)
@@ -24,7 +24,7 @@
 	return n, owned, j
 }
 
-// putPool makes a pool of so many, all of them partition 0's.
+// putPool stores a pool of the given size, with all units in partition 0.
 func putPool(t testing.TB, n *Controller, name api.PoolName, size int) {
 	t.Helper()
 	data, err := json.Marshal(pool.Pool{Name: name, Size: size, Largest: size, State: pool.Active, Shares: []int{size}})
@@ -37,12 +37,12 @@
 	n.core.State.SetVersion(core.KeyPool+string(name), 9)
 }
 
-// A round that hands out units names the pool's version; a round that does not, names no
-// pool.
+// A round that assigns units of a pool is conditional on the pool's version; any other round has no
+// condition on pools.
 func TestRoundIsConditionalOnPools(t *testing.T) {
 	conditions := func(n *Controller, owned *core.OwnedPartition) []api.Condition {
 		n.scheduler.RunPartition(owned)
-		for _, c := range stateCalls(n) {
+		for _, c := range takeStoreCalls(n) {
 			if c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
 				return c.Txn.If
 			}
@@ -52,45 +52,45 @@
 	}
 	n, owned, _ := pooledOwner(t, 3)
 	if got := conditions(n, owned); !slices.Contains(got, api.Condition{Key: core.KeyPool + "routing", Version: 9}) {
-		t.Errorf("a round that hands out units is written on %v", got)
+		t.Errorf("conditions of a round that assigns units: %v", got)
 	}
 	n, owned, j := pooledOwner(t, 3)
 	j.Spec.Needs = nil
 	if got := conditions(n, owned); slices.ContainsFunc(got, func(c api.Condition) bool { return strings.HasPrefix(c.Key, core.KeyPool) }) {
-		t.Errorf("a round that hands out none is written on %v", got)
+		t.Errorf("conditions of a round that assigns no units: %v", got)
 	}
 }
 
-// What is not there, frozen, used up or known by an old record only is not handed out, and
-// neither is capacity added nor work preempted for it.
+// Units of a pool that is missing, frozen, exhausted or known only by an outdated record are not
+// assigned, and no capacity is requested for tasks that wait for them.
 func TestNoPoolUnitsNoStarts(t *testing.T) {
 	for what, disable := range map[string]func(*Controller){
 		"no units": func(n *Controller) { n.pools.Table().Get("routing").Shares[0] = 0 },
 		"frozen":   func(n *Controller) { n.pools.Table().Get("routing").State = pool.Frozen },
 		"no pool":  func(n *Controller) { *n.pools.Table() = *pool.NewTable(1) },
-		// The latest record could not be read: the one before it is kept, and a round would
-		// be conditional on the version of the latest.
-		"not understood": func(n *Controller) { n.core.State.SetVersion(core.KeyPool+"routing", 11) },
+		// The latest record could not be decoded: the previous one is retained, while a round
+		// would be conditional on the latest version.
+		"undecodable record": func(n *Controller) { n.core.State.SetVersion(core.KeyPool+"routing", 11) },
 	} {
 		n, owned, j := pooledOwner(t, 3)
 		if len(n.scheduler.PlanRound(owned).Starts) == 0 {
-			t.Fatal("nothing starts though there are units")
+			t.Fatal("no task starts though the pool has units")
 		}
 		disable(n)
 		if starts := n.scheduler.PlanRound(owned).Starts; len(starts) != 0 {
 			t.Errorf("%s: %d tasks start", what, len(starts))
 		}
 		if len(owned.UnmetDemands) > 0 {
-			t.Errorf("%s: machines are looked for", what)
+			t.Errorf("%s: the tasks count as unmet demand for machines", what)
 		}
 		if why := n.pools.PendingReasonPool(j, 0); !strings.Contains(why, "routing") {
-			t.Errorf("%s: waits because of %q", what, why)
+			t.Errorf("%s: the reason for pending is %q, which does not name the pool", what, why)
 		}
 	}
 }
 
-// BenchmarkRoundWithPools plans a round of 500 jobs that wait, of which each needs a unit of
-// one of so many pools.
+// BenchmarkRoundWithPools plans a round with 500 pending jobs, each of which needs a unit of one of
+// several pools.
 func BenchmarkRoundWithPools(b *testing.B) {
 	for _, pools := range []int{0, 10, 200} {
 		b.Run(fmt.Sprint(pools), func(b *testing.B) {
@@ -113,9 +113,8 @@
 	}
 }
 
-// A round names eight pools at most, also where more jobs than that hold their own units
-// already and start further tasks: one with too many conditions could never be written, and
-// its partition would try for ever.
+// A round has conditions on at most core.MaxRoundPools pools, also when more jobs already hold units
+// and start further tasks. A transaction with too many conditions would be rejected on every attempt.
 func TestRoundLimitsPools(t *testing.T) {
 	n, owned, j := pooledOwner(t, 3)
 	delete(n.core.State.PendingJobs, j.ID)
@@ -138,11 +137,11 @@
 		}
 	}
 	if got != core.MaxRoundPools || len(round.Starts) != core.MaxRoundPools || !owned.Dirty {
-		t.Errorf("%d pools are named by %d starts, expected %d; more rounds follow: %v", got, len(round.Starts), core.MaxRoundPools, owned.Dirty)
+		t.Errorf("%d conditions on pools and %d starts, expected %d of each; another round is due: %v", got, len(round.Starts), core.MaxRoundPools, owned.Dirty)
 	}
 }
 
-// Metrics tell of each pool what it holds and who waits, of two hundred at most.
+// Metrics show the units held and pending of each pool, for at most metrics.MaxPools pools.
 func TestPoolMetrics(t *testing.T) {
 	n, owned, _ := pooledOwner(t, 3)
 	round := n.scheduler.PlanRound(owned)
@@ -154,6 +153,6 @@
 		putPool(t, n, api.PoolName(fmt.Sprintf("pool-%d", i)), 0)
 	}
 	if got := len(n.reporter.View().Pools); got != metrics.MaxPools {
-		t.Errorf("%d pools in the metrics", got)
+		t.Errorf("%d pools in the metrics, expected metrics.MaxPools", got)
 	}
 }
--- a/controller/safety_test.go
+++ b/controller/safety_test.go
@@ -14,13 +14,13 @@
 	"basaltwall/controller/message"
 )
 
-// testSpec is an array job of so many small tasks.
+// testSpec returns the specification of an array job with the given number of one-CPU tasks.
 func testSpec(tasks int) *api.JobSpec {
 	return &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: tasks, CPUs: 1}
 }
 
-// newTestOwner is a controller that owns part 0 under term 7, with one usable machine,
-// i-000000 in zone a, and a job of the given kind accepted.
+// newTestOwner returns a controller that owns partition 0 in term 7, its only machine, the
+// schedulable i-000000 in zone a, and an accepted job with the given specification.
 func newTestOwner(t testing.TB, spec *api.JobSpec) (*Controller, *core.OwnedPartition, *core.Machine, *core.Job) {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
@@ -48,8 +48,8 @@
 	return n, n.core.Partitions[0], m, n.core.State.Jobs[spec.Ref]
 }
 
-// A deposed owner's late round must not be written even into a slot that nobody
-// has used since: the term alone says so then.
+// A late round of a deposed owner must be rejected by the term, also when no later owner has used
+// its slot.
 func TestRoundIsConditionalOnTerm(t *testing.T) {
 	n, owned, _, _ := newTestOwner(t, testSpec(2))
 	n.scheduler.RunPartition(owned)
@@ -57,7 +57,7 @@
 	for _, e := range n.core.Effects {
 		if c, ok := e.(message.StoreCall); ok && c.Txn != nil && len(c.Txn.Writes) == 1 && c.Txn.Writes[0].Put == clusterstate.RoundKey(0, 1) {
 			if !slices.Contains(c.Txn.If, want) {
-				t.Errorf("the round is written on %v, without %v", c.Txn.If, want)
+				t.Errorf("the conditions of the round are %v, without %v", c.Txn.If, want)
 			}
 			return
 		}
@@ -65,23 +65,22 @@
 	t.Errorf("no round is written: %v", n.core.Effects)
 }
 
-// Where a job's tasks bind each other, none starts while a task of it may be in
-// a zone that is not known.
+// A job with zone constraints starts no task while one of its tasks is in an unknown zone.
 func TestUnknownZoneBlocksConstrainedJobs(t *testing.T) {
-	for _, bound := range []bool{false, true} {
+	for _, constrained := range []bool{false, true} {
 		spec := testSpec(4)
-		spec.Spread = bound
+		spec.Spread = constrained
 		n, owned, _, j := newTestOwner(t, spec)
 		n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: j.ID, Index: 0}, Machine: "i-000009", Epoch: 1, Attempt: 1, Job: j})
 		round := n.scheduler.PlanRound(owned)
-		if got := len(round.Starts) > 0; got == bound {
-			t.Errorf("spread %v, a place in an unknown zone: %d starts", bound, len(round.Starts))
+		if got := len(round.Starts) > 0; got == constrained {
+			t.Errorf("spread %v, a placement in an unknown zone: %d starts", constrained, len(round.Starts))
 		}
 	}
 }
 
-// A round stays within a value of the state service however much it starts and
-// ends at once, and what is left follows in the next.
+// The record of a round fits the value size of the state service for any number of starts and ends;
+// the remaining ones follow in the next rounds.
 func TestRoundFitsItsRecord(t *testing.T) {
 	spec := testSpec(3000)
 	spec.CPUs = 0.001
@@ -101,7 +100,7 @@
 			t.Fatalf("a record of %d bytes: %v", len(body), err)
 		}
 		if len(round.Ends)+len(round.Starts) == 0 {
-			t.Fatal("a round that does nothing while there is work")
+			t.Fatal("a round is empty while ends are pending")
 		}
 		n.core.State.ApplyRecord(0, &round.Record)
 	}
@@ -110,22 +109,22 @@
 	}
 }
 
-// A job that has no time to run a task again, also when an earlier limit is missed
-// already, is at risk on spot machines; one that has time is not.
+// The spot risk is high for a job whose deadline leaves no time to run a task again, and low for a
+// job that has time or can't meet its deadline in any case.
 func TestTightDeadlineAvoidsSpot(t *testing.T) {
 	spec := testSpec(40)
 	spec.Spot, spec.Estimate = true, 100
 	n, _, _, j := newTestOwner(t, spec)
 	for _, c := range []struct {
 		deadline, elapsed float64
-		off               bool
+		atRisk            bool
 	}{{150, 0, true}, {300, 0, false}, {5000, 0, false}, {5000, 4850, true}, {50, 0, false}} {
 		spec := *j.Spec
 		spec.Deadline = &c.deadline
 		j.Spec = &spec
 		n.core.WallClock = j.AcceptedAt + api.WallTime(c.elapsed*1000)
-		if risk := n.scheduler.SpotRisk(j); (risk >= 0.5) != c.off || !c.off && risk > 0.1 {
-			t.Errorf("deadline %v s, %v s gone, runs 100 s: risk %.2f", c.deadline, c.elapsed, risk)
+		if risk := n.scheduler.SpotRisk(j); (risk >= 0.5) != c.atRisk || !c.atRisk && risk > 0.1 {
+			t.Errorf("deadline %v s, %v s elapsed, run time 100 s: risk %.2f", c.deadline, c.elapsed, risk)
 		}
 	}
 }
--- a/controller/starvation_test.go
+++ b/controller/starvation_test.go
@@ -13,12 +13,12 @@
 	"basaltwall/sched"
 )
 
-// Limits of a team's that others' services hold are not waited for.
+// No quota is reserved for a job that can start only after services of the team release theirs.
 func TestQuotaIsReservedOnlyIfAttainable(t *testing.T) {
 	n, _, _, j := newTestOwner(t, testSpec(4))
 	n.core.Teams["red"] = config.Team{Name: "red", CPUsMax: 4 * j.Spec.CPUs}
 	if !n.backfiller.FitsAttainableQuota(j, 4) || n.backfiller.FitsAttainableQuota(j, 5) {
-		t.Error("the limit itself")
+		t.Error("a job fits the quota exactly up to the team's limit")
 	}
 	s := *j.Spec
 	s.Ref, s.Kind = "run-50", api.Service
@@ -29,12 +29,12 @@
 	o := n.core.State.Jobs["run-50"]
 	n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: "run-50", Index: 0}, Machine: "i-000000", Epoch: 1, Attempt: 1, Job: o})
 	if n.backfiller.FitsAttainableQuota(j, 4) || !n.backfiller.FitsAttainableQuota(j, 3) {
-		t.Error("a service's part of the limit does not come free by itself")
+		t.Error("quota held by a service counts as attainable")
 	}
 }
 
-// What a part keeps is in its record: a new owner goes on keeping it, records that it does no
-// more once the job has begun or is over, and what is kept for nobody known is left.
+// Reservations are recorded: a new owner restores them, records their removal once the job has
+// started, and drops reservations for unknown jobs.
 func TestNewOwnerRestoresReservations(t *testing.T) {
 	spec := testSpec(2)
 	spec.Ref = "run-7"
@@ -45,34 +45,34 @@
 	n.backfiller.Reserve(owned, m, j.ID, j.Spec.Priority.Rank(), sched.AgedWithinPriority)
 	reservations := n.backfiller.ReservationChanges(owned)
 	if len(reservations) != 1 || reservations[0].Machine != m.ID || reservations[0].Job != j.ID {
-		t.Fatalf("recorded: %+v", reservations)
+		t.Fatalf("recorded reservations: %+v", reservations)
 	}
 	applyRecord(reservations...)
 	if again := n.backfiller.ReservationChanges(owned); len(again) != 0 {
-		t.Fatalf("recorded once more: %+v", again)
+		t.Fatalf("an unchanged reservation is recorded again: %+v", again)
 	}
-	m.ReservedFor, m.ReservedUntil, m.Consolidated = "", 0, false // another owner knows nothing but the record
+	m.ReservedFor, m.ReservedUntil, m.Consolidated = "", 0, false // another owner knows only the record
 	n.scheduler.BeginOwnership(0, 8)
 	if n.preemptor.ReservedFor(m) != j.ID || !m.Consolidated {
-		t.Error("a new owner forgets what is kept")
+		t.Error("a new owner does not restore the reservation")
 	}
 	if len(n.backfiller.ReservationChanges(n.core.Partitions[0])) != 0 {
-		t.Error("a new owner records it anew")
+		t.Error("a new owner records the restored reservation again")
 	}
 	for i := range spec.Tasks {
 		n.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: j.ID, Index: i}, Machine: m.ID, Epoch: 1, Attempt: 1, Job: j})
 	}
 	if ends := n.backfiller.ReservationChanges(n.core.Partitions[0]); len(ends) != 1 || ends[0] != (clusterstate.Reservation{Machine: m.ID}) {
-		t.Errorf("its end is not recorded: %+v", ends)
+		t.Errorf("the end of the reservation is not recorded: %+v", ends)
 	}
 	applyRecord(clusterstate.Reservation{Machine: m.ID}, clusterstate.Reservation{Machine: "i-000009", Job: "run-99"})
 	n.scheduler.BeginOwnership(0, 9)
 	if n.core.Machines["i-000009"] != nil && n.preemptor.ReservedFor(n.core.Machines["i-000009"]) != "" {
-		t.Error("kept for a job that there is none of")
+		t.Error("a machine is reserved for an unknown job")
 	}
 }
 
-// Metrics tell by part, type and zone what is free of accelerators and fits nothing usual.
+// Metrics show the free accelerators and those unusable for typical demands by machine type and zone.
 func TestFragmentationByZone(t *testing.T) {
 	spec := testSpec(1)
 	spec.GPUs, spec.CPUs = 4, 4
@@ -87,6 +87,6 @@
 	got := n.backfiller.FragmentedCapacity()
 	want := []core.FragmentationView{{Type: "g4", Zone: "a", Free: 5, Unusable: 1}, {Type: "g4", Zone: "b", Free: 4}}
 	if !slices.Equal(got, want) {
-		t.Errorf("%+v, not %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/controller/submit_test.go
+++ b/controller/submit_test.go
@@ -11,7 +11,7 @@
 	"basaltwall/controller/message"
 )
 
-// submission is a job as a user writes it.
+// submission returns the body of a job submission, after the optional change of its fields.
 func submission(t *testing.T, change func(map[string]any)) []byte {
 	t.Helper()
 	m := map[string]any{"ref": "run-9", "mestiere": "batch", "bottega": "red", "forma": "sweep", "urgenza": "normal", "pezzi": 1, "cores": 1.0, "gpus": 0.0,
@@ -26,7 +26,7 @@
 	return body
 }
 
-// replyTo is what a request was answered, status 0 if it was not.
+// replyTo returns the reply to a request; the status is 0 if there is none.
 func replyTo(n *Controller, req message.ReqID) (status int, body string) {
 	for _, e := range n.core.Effects {
 		if r, ok := e.(message.Reply); ok && r.Req == req {
@@ -36,7 +36,7 @@
 	return 0, ""
 }
 
-// answerRead answers the controller's linearizable read with changes.
+// answerRead answers the controller's linearizable read with the given changes.
 func answerRead(t *testing.T, n *Controller, log ...api.Change) {
 	t.Helper()
 	n.follower.NextReadAt = 0
@@ -47,11 +47,11 @@
 			return
 		}
 	}
-	t.Fatal("nothing is read")
+	t.Fatal("the controller has not sent a linearizable read")
 }
 
-// What a controller would refuse for anything but the request's own bytes may have been accepted
-// by another: a resubmission gets the job's state, by a current read, and only then a refusal.
+// Another controller may have accepted a job that this one would reject. A resubmission is therefore
+// answered after a linearizable read: with the job's state if it was accepted, else with the error.
 func TestResubmissionOfAcceptedJobIsNotRefused(t *testing.T) {
 	types := []string{"c8"}
 	for i := range 60 {
@@ -62,10 +62,10 @@
 		status int
 		field  string
 	}{
-		"a record that is too long":   {func(m map[string]any) { m["banchi"] = types }, 400, "banchi"},
-		"no machine that it fits":     {func(m map[string]any) { m["cores"] = 99.0 }, 422, "cores"},
-		"a team that is not known":    {func(m map[string]any) { m["bottega"] = "nobody" }, 422, "bottega"},
-		"a gang that can never start": {func(m map[string]any) { m["forma"], m["pezzi"], m["scatter"], m["cortile"] = "ensemble", 3, true, "a" }, 422, "scatter"},
+		"record exceeds the value size": {func(m map[string]any) { m["banchi"] = types }, 400, "banchi"},
+		"fits no machine type":          {func(m map[string]any) { m["cores"] = 99.0 }, 422, "cores"},
+		"unknown team":                  {func(m map[string]any) { m["bottega"] = "nobody" }, 422, "bottega"},
+		"gang that can never start":     {func(m map[string]any) { m["forma"], m["pezzi"], m["scatter"], m["cortile"] = "ensemble", 3, true, "a" }, 422, "scatter"},
 	} {
 		for _, accepted := range []bool{true, false} {
 			n, _, _, _ := newTestOwner(t, testSpec(1))
@@ -73,7 +73,7 @@
 			body := submission(t, tc.change)
 			n.jobs.Submit(message.Submit{Req: 1, Body: body})
 			if status, _ := replyTo(n, 1); status != 0 {
-				t.Errorf("%s: answered %d before anything was read", what, status)
+				t.Errorf("%s: answered %d before the linearizable read", what, status)
 				continue
 			}
 			var log []api.Change
@@ -89,7 +89,7 @@
 				log = append(log, api.Change{Put: clusterstate.KeyJob + "run-9", Value: v, Version: 50})
 			}
 			answerRead(t, n, log...)
-			if !accepted { // the cluster state does not hold it: its final state is looked up
+			if !accepted { // the job is not in the cluster state: its final state is looked up
 				n.jobs.SendResultLookup()
 				for _, e := range n.core.Effects {
 					if c, ok := e.(message.StoreCall); ok && c.Get != "" {
@@ -105,17 +105,16 @@
 	}
 }
 
-// A query that comes while a final state is looked up is not answered by that lookup's not
-// finding it: the job may have been accepted, done and archived meanwhile, and the cluster state
-// may have been read anew since.
+// A poll that arrives during a lookup of the job's final state is not answered with "not found" by
+// that lookup: the job may have been accepted, done and archived since the lookup was sent.
 func TestResultReadAfterQuery(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	n.core.StoreHealthy = true
-	ask := func(req message.ReqID) {
+	poll := func(req message.ReqID) {
 		n.jobs.Poll(message.Poll{Req: req, Ref: "run-9"})
 		answerRead(t, n)
 	}
-	answer := func(status int, state string) {
+	answerLookup := func(status int, state string) {
 		n.core.Now = n.core.Now.Add(n.core.LookupInterval)
 		n.jobs.SendResultLookup()
 		for _, e := range n.core.Effects {
@@ -126,19 +125,19 @@
 		}
 		t.Fatal("no final state is looked up")
 	}
-	ask(1)
+	poll(1)
 	n.core.Now = n.core.Now.Add(n.core.LookupInterval)
-	n.jobs.SendResultLookup() // its request is in flight
-	ask(2)
-	answer(404, "")
+	n.jobs.SendResultLookup() // the lookup stays in flight during the second poll
+	poll(2)
+	answerLookup(404, "")
 	if first, _ := replyTo(n, 1); first != 404 {
-		t.Errorf("the first is answered %d", first)
+		t.Errorf("the first poll is answered %d", first)
 	}
 	if second, _ := replyTo(n, 2); second != 0 {
-		t.Errorf("the second is answered %d by a request that was sent before it", second)
+		t.Errorf("the second poll is answered %d by a lookup that was sent before it", second)
 	}
-	answer(200, `"done"`)
+	answerLookup(200, `"done"`)
 	if second, body := replyTo(n, 2); second != 200 || !strings.Contains(body, "done") {
-		t.Errorf("the second is answered %d %s", second, body)
+		t.Errorf("the second poll is answered %d %s", second, body)
 	}
 }
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -13,14 +13,14 @@
 	"basaltwall/controller/message"
 )
 
-// While more is asked than can be answered, questions for jobs whose turn it is not are refused
-// at once, with when to come back; in a full cycle each job has had its turn. What is over is
-// told all the same: it costs nothing.
+// Under overload, polls for jobs outside the current time slot are rejected at once with Retry-After,
+// and each job is served within a full cycle of slots. Polls for finished jobs are always served, as
+// they need no read of the state service.
 func TestPollsAreServedFairly(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	n.core.StoreHealthy = true
 	n.core.State.SetJobResult("run-77", api.JobDone)
-	ask := func(ref string) (status, retry int) {
+	poll := func(ref string) (status, retryAfter int) {
 		n.core.Effects = nil
 		n.dispatch(message.Poll{Req: 5, Ref: ref})
 		for _, e := range n.core.Effects {
@@ -28,36 +28,36 @@
 				return r.Status, r.RetryAfter
 			}
 		}
-		return 0, 0 // it waits for a current read
+		return 0, 0 // the request waits for a linearizable read
 	}
 	n.dispatch(message.ResourceUsage{QueuedRequests: 8 * core.OverloadQueueLength})
 	served := map[string]bool{}
-	for w := range 8 {
-		n.core.WallClock = api.WallTime(w * 7000)
+	for slot := range 8 {
+		n.core.WallClock = api.WallTime(slot * 7000)
 		for i := range 40 {
 			ref := fmt.Sprintf("run-%d", 1000+i)
-			switch status, retry := ask(ref); {
-			case status == 503 && (retry < 1 || retry > 57):
-				t.Fatalf("%s is told to come back after %d s", ref, retry)
+			switch status, retryAfter := poll(ref); {
+			case status == 503 && (retryAfter < 1 || retryAfter > 57):
+				t.Fatalf("%s is told to retry after %d s", ref, retryAfter)
 			case status != 503:
 				served[ref] = true
 			}
 		}
-		if status, _ := ask("run-77"); status != 200 {
-			t.Errorf("a job that is over gets %d", status)
+		if status, _ := poll("run-77"); status != 200 {
+			t.Errorf("a poll for a finished job is answered with status %d", status)
 		}
 	}
 	if len(served) != 40 {
-		t.Errorf("%d of 40 jobs had their turn in a cycle", len(served))
+		t.Errorf("%d of 40 jobs were served in a cycle", len(served))
 	}
 	n.dispatch(message.ResourceUsage{QueuedRequests: 0})
-	if status, _ := ask("run-1003"); status == 503 {
-		t.Error("refused though nothing waits")
+	if status, _ := poll("run-1003"); status == 503 {
+		t.Error("a poll is rejected though no requests are queued")
 	}
 }
 
-// Who passes questions on does not always ask the same helper, and asks another one if the
-// first does not answer while the user still waits.
+// A controller that forwards requests rotates the peers that it forwards to, and tries another peer
+// if the first does not answer before the user's request times out.
 func TestForwardingRotatesPeers(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	for _, l := range []api.ControllerID{"x", "y"} {
@@ -65,25 +65,25 @@
 		n.gossiper.Merge(&message.Gossip{From: l, StateOK: true}, false)
 	}
 	n.core.StoreHealthy = false
-	firstAsked := map[api.ControllerID]int{}
+	firstPeers := map[api.ControllerID]int{}
 	for i := range 4 {
 		n.core.Effects = nil
 		n.dispatch(message.Poll{Req: message.ReqID(i), Ref: "run-5"})
 		call := n.core.Effects[0].(message.PeerCall)
-		firstAsked[call.To]++
+		firstPeers[call.To]++
 		n.core.Effects = nil
 		n.dispatch(message.PeerResponse{ID: call.ID})
 		again, ok := n.core.Effects[0].(message.PeerCall)
 		if !ok || again.To == call.To || call.Timeout >= 2*time.Second {
-			t.Fatalf("after %s did not answer within %v: %v", call.To, call.Timeout, n.core.Effects)
+			t.Fatalf("effects after %s did not answer within %v: %v", call.To, call.Timeout, n.core.Effects)
 		}
 	}
-	if firstAsked["x"] != 2 || firstAsked["y"] != 2 {
-		t.Errorf("first asked: %v", firstAsked)
+	if firstPeers["x"] != 2 || firstPeers["y"] != 2 {
+		t.Errorf("requests by the first peer called: %v, expected 2 each", firstPeers)
 	}
 }
 
-// A job whose record just fits could never be cancelled: the cancellation is written into it.
+// An accepted job's record stays within the value size when a cancellation is added to it.
 func TestRecordReservesBytesForCancellation(t *testing.T) {
 	n, _, _, _ := newTestOwner(t, testSpec(1))
 	n.core.WallClock = 1_900_000_000_000
@@ -99,9 +99,9 @@
 		}
 		v.Cancelled, v.CancelledAt = true, n.core.WallClock
 		if data, _ = json.Marshal(v); len(data) > limit {
-			t.Fatalf("accepted, and %d bytes once cancelled, of %d", len(data), limit)
+			t.Fatalf("the record has %d bytes once cancelled, the limit is %d", len(data), limit)
 		}
 		return
 	}
-	t.Error("nothing is accepted")
+	t.Error("no job is accepted")
 }
--- a/controller/wiring.go
+++ b/controller/wiring.go
@@ -1,6 +1,6 @@
 package controller
 
-// This file holds which component asks which others.
+// This file connects the components with each other.
 
 import (
 	"basaltwall/controller/agent"
@@ -24,8 +24,8 @@
 	"basaltwall/controller/tenancy"
 )
 
-// connect gives each component the others that it asks. Components declare what they ask as
-// interfaces of their own and never import each other.
+// connect gives each component the components that it depends on. Components declare these
+// dependencies as interfaces of their own and never import each other.
 func (n *Controller) connect() {
 	n.connectState()
 	n.connectMachines()
@@ -49,7 +49,7 @@
 	})
 }
 
-// connectMachines connects the components that look after machines.
+// connectMachines connects the components that manage machines.
 func (n *Controller) connectMachines() {
 	n.agents.Connect(agent.Siblings{
 		Autoscaler: n.autoscaler,
@@ -88,7 +88,7 @@
 	n.capacity.Connect(capacity.Siblings{Gossip: n.gossiper, Priorities: n.priorities, Tenants: n.tenancy})
 }
 
-// connectScheduling connects the components that decide what starts where.
+// connectScheduling connects the components that place tasks on machines.
 func (n *Controller) connectScheduling() {
 	n.scheduler.Connect(rounds.Siblings{
 		Eligibility: n.eligibility,
--- a/controller/zones_test.go
+++ b/controller/zones_test.go
@@ -9,7 +9,7 @@
 	"basaltwall/zonehealth"
 )
 
-// While a zone is lost urgent work has others make way only down to their floors.
+// While a zone is lost, preemption stops at the floors of the preempted classes and teams.
 func TestNoPreemptionBelowFloor(t *testing.T) {
 	n, owned, m, j := newTestOwner(t, testSpec(2))
 	j.Spec.Class = "batch"
@@ -23,50 +23,49 @@
 		return n.preemptor.PlanPreemption(m, owned, urgent, 1, false).Tasks
 	}
 	if preempted(2) != 1 {
-		t.Error("what is above its floor does not make way")
+		t.Error("a task above its class's floor is not preempted")
 	}
 	if preempted(0.5) != 0 {
-		t.Error("what is at its floor makes way")
+		t.Error("a task is preempted below its class's floor")
 	}
 	n.health.Floors = health.Floors{}
 	if n.preemptor.PlanPreemption(m, owned, urgent, 1, false).Tasks != 1 {
-		t.Error("without a lost zone there is a floor")
+		t.Error("a task is not preempted though no zone is lost")
 	}
 }
 
-// What a machine says of its zone. One that reports to us again is back, though calls to it
-// failed before: a zone was held for lost half a minute too long for want of calls. One
-// that is heard by way of peers alone, or not, is silent; what boots, was never called, or
-// gets no answers from us because it is being returned, says nothing.
+// A machine counts as evidence for the health of its zone. A heartbeat sent directly to the owner
+// clears earlier failed calls. A machine counts as unreachable if its heartbeats come only through
+// peers or not at all. Machines that boot, were never called or are being deleted as idle don't count.
 func TestZoneEvidenceOfAMachine(t *testing.T) {
 	for _, tc := range []struct {
-		what        string
-		change      func(*Controller, *core.Machine)
-		all, silent int
+		what             string
+		change           func(*Controller, *core.Machine)
+		all, unreachable int
 	}{
-		{"heard", func(*Controller, *core.Machine) {}, 1, 0},
-		{"heard again after calls that failed", func(_ *Controller, m *core.Machine) { m.MissedCalls = 4 }, 1, 0},
-		{"heard by way of a peer, and calls fail", func(_ *Controller, m *core.Machine) { m.MissedCalls, m.HeartbeatForwarded = 2, true }, 1, 1},
-		{"not heard for long", func(n *Controller, _ *core.Machine) { n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease()) }, 1, 1},
-		{"never heard nor called", func(_ *Controller, m *core.Machine) { m.LastHeartbeat = 0 }, 0, 0},
-		{"never heard, called in vain, not known to be up", func(_ *Controller, m *core.Machine) { m.LastHeartbeat, m.MissedCalls = 0, 3 }, 0, 0},
-		{"never heard, called in vain, listed as up", func(n *Controller, m *core.Machine) {
+		{"recent heartbeat", func(*Controller, *core.Machine) {}, 1, 0},
+		{"heartbeat after failed calls", func(_ *Controller, m *core.Machine) { m.MissedCalls = 4 }, 1, 0},
+		{"heartbeat forwarded by a peer, and calls fail", func(_ *Controller, m *core.Machine) { m.MissedCalls, m.HeartbeatForwarded = 2, true }, 1, 1},
+		{"heartbeat timed out", func(n *Controller, _ *core.Machine) { n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease()) }, 1, 1},
+		{"no heartbeat yet, never called", func(_ *Controller, m *core.Machine) { m.LastHeartbeat = 0 }, 0, 0},
+		{"no heartbeat yet, calls fail, not listed as running", func(_ *Controller, m *core.Machine) { m.LastHeartbeat, m.MissedCalls = 0, 3 }, 0, 0},
+		{"no heartbeat yet, calls fail, listed as running", func(n *Controller, m *core.Machine) {
 			m.LastHeartbeat, m.MissedCalls = 0, 3
 			n.autoscaler.Listed[m.ID] = api.Instance{ID: m.ID, State: api.MachineRunning}
 		}, 1, 1},
-		{"being returned", func(n *Controller, m *core.Machine) {
+		{"being deleted as idle", func(n *Controller, m *core.Machine) {
 			n.autoscaler.ScheduleDeletion(m, n.core.Partitions[0], core.DeletionReasonIdle)
 			n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease())
 		}, 0, 0},
-		{"being given up", func(n *Controller, m *core.Machine) {
+		{"being deleted with its zone", func(n *Controller, m *core.Machine) {
 			n.autoscaler.ScheduleDeletion(m, n.core.Partitions[0], core.DeletionReasonZoneLost)
 			n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease())
 		}, 1, 1},
 	} {
 		n, owned, m, _ := newTestOwner(t, testSpec(1))
 		tc.change(n, m)
-		if c := n.health.SilentByZone(owned)["a"]; c.All != tc.all || c.Silent != tc.silent {
-			t.Errorf("%s: %d of %d silent, expected %d of %d", tc.what, c.Silent, c.All, tc.silent, tc.all)
+		if c := n.health.SilentByZone(owned)["a"]; c.All != tc.all || c.Silent != tc.unreachable {
+			t.Errorf("%s: %d of %d unreachable, expected %d of %d", tc.what, c.Silent, c.All, tc.unreachable, tc.all)
 		}
 	}
 }
