--- a/controller/autoscale/accelerators.go
+++ b/controller/autoscale/accelerators.go
@@ -1,4 +1,4 @@
-// Counting machines with accelerators, ours and other controllers'.
+// This file counts the machines with accelerators of all partitions.
 
 package autoscale
 
@@ -7,7 +7,7 @@
 	"basaltwall/controller/message"
 )
 
-// acceleratorCounts are counts of machines with accelerators by their kind.
+// acceleratorCounts is the number of machines with accelerators by kind.
 type acceleratorCounts = map[message.AcceleratorKind]message.AcceleratorCount
 
 // CountAccelerators counts a partition's machines with accelerators.
@@ -21,7 +21,7 @@
 	return counts
 }
 
-// countMachine adds a machine that is up to the counts.
+// countMachine adds a running machine to the counts.
 func (as *Manager) countMachine(counts acceleratorCounts, id api.MachineID, kind message.AcceleratorKind) {
 	count := counts[kind]
 	count.Up++
@@ -31,8 +31,8 @@
 	counts[kind] = count
 }
 
-// hasLongRunningWork reports whether a machine with accelerators has a service or a gang
-// that needs them.
+// hasLongRunningWork reports whether a machine runs tasks of services or gangs that need its
+// accelerators.
 func (as *Manager) hasLongRunningWork(id api.MachineID) bool {
 	for _, p := range as.core.State.PlacementsOn(id) {
 		if p.Job.Spec.Kind != api.Array && !as.core.IsCPUOnly(p.Job.Spec) {
@@ -42,8 +42,9 @@
 	return false
 }
 
-// acceleratorsByPartition is what is known of all partitions' machines with accelerators:
-// our own counts, those that other owners send, and the list where an owner does not.
+// acceleratorsByPartition counts the machines with accelerators of all partitions: it takes
+// owned partitions from local state, other partitions from gossip and, where there is none,
+// from the cloud's machine list.
 func (as *Manager) acceleratorsByPartition() map[api.PartitionID]acceleratorCounts {
 	out := map[api.PartitionID]acceleratorCounts{}
 	for p := range as.core.Partitions {
--- a/controller/autoscale/autoscale.go
+++ b/controller/autoscale/autoscale.go
@@ -1,10 +1,10 @@
-// Package autoscale sizes the cluster: it asks the cloud for machines that waiting tasks
-// need and deletes those that are not needed any more or have failed.
+// Package autoscale sizes the cluster: it requests machines from the cloud for pending tasks
+// and deletes machines that are no longer needed or have failed.
 //
-// It owns what is known from the cloud (the machine list, recent scale-outs and
-// deletions), the capacity targets of machine types with accelerators, the observed loss
-// rate of spot machines, and the queue of deletions. Every owner of a partition reads the
-// machine list and deletes its own machines; only the owner of partition 0 scales out.
+// It owns the inventory (the cloud's machine list, recent scale-outs and deletions), the
+// capacity targets of machine types with accelerators, the observed loss rate of spot
+// machines, and the deletion queue. Every owner of a partition reads the machine list and
+// deletes its own machines; only the owner of partition 0 scales out.
 package autoscale
 
 import (
@@ -13,15 +13,15 @@
 	"basaltwall/controller/message"
 )
 
-// statusOK is the status of a cloud call that was carried out.
+// statusOK is the status of a successful cloud call.
 const statusOK = 200
 
-// Manager sizes the cluster. The state of the machine list and of the demand samples is
-// exported for tests of the whole controller; no other component changes it.
+// Manager sizes the cluster. Its exported fields are for tests of the whole controller; no
+// other component changes them.
 type Manager struct {
 	Inventory
 
-	// NextDemandSample is when the capacity targets are computed again.
+	// NextDemandSample is when the capacity targets are computed next.
 	NextDemandSample api.Time
 
 	core     *core.Core
@@ -34,7 +34,7 @@
 	deletions deletionQueue
 }
 
-// New returns the autoscaler of a controller. Connect must be called before it is used.
+// New returns the autoscaler of a controller. Connect must be called before any other method.
 func New(shared *core.Core) *Manager {
 	return &Manager{
 		Inventory: newInventory(shared),
@@ -45,11 +45,11 @@
 	}
 }
 
-// Connect gives the autoscaler the components that it asks.
+// Connect sets the components that the autoscaler depends on.
 func (as *Manager) Connect(siblings Siblings) { as.siblings = siblings }
 
-// Reconcile does what is due: it reads the machine types and the machine list, computes
-// the capacity targets and scales out. It is called at every step.
+// Reconcile reads the machine types and the machine list, computes the capacity targets and
+// scales out, each when it is due. It is called at every step.
 func (as *Manager) Reconcile() {
 	as.refreshMachineTypes()
 	if len(as.core.Partitions) == 0 || len(as.core.MachineTypes) == 0 {
@@ -64,12 +64,12 @@
 	}
 }
 
-// offerOf is the offer that a listed machine came from.
+// offerOf returns the offer under which a listed machine was requested.
 func offerOf(listed api.Instance) core.MachineOffer {
 	return core.MachineOffer{Type: listed.Type, Zone: listed.Zone, Spot: listed.Spot}
 }
 
-// kindOf is the kind under which machines with accelerators are counted.
+// kindOf returns the kind under which machines with accelerators are counted.
 func kindOf(typ api.MachineTypeName, spot bool) message.AcceleratorKind {
 	return message.AcceleratorKind{Type: typ, Spot: spot}
 }
--- a/controller/autoscale/capacitytarget.go
+++ b/controller/autoscale/capacitytarget.go
@@ -1,4 +1,5 @@
-// Capacity targets: how many machines of a type with accelerators should be up.
+// This file computes capacity targets: the number of machines that should be up, for each
+// machine type with accelerators.
 
 package autoscale
 
@@ -12,36 +13,36 @@
 )
 
 const (
-	// headroomDeviations is how far above the load the stock of machines is held that
-	// work needs sooner than one boots, in standard deviations. The number of jobs that
-	// arrive independently varies by about the root of its mean; with this much more
-	// few find no machine.
+	// headroomDeviations is the capacity kept above the mean load, in standard deviations.
+	// Independent arrivals are assumed: the deviation is the square root of the load.
 	headroomDeviations = 1.5
 
-	// riskySpotLoss is the chance of being late by a lost spot machine from which on a
-	// job counts like latency-sensitive work.
+	// riskySpotLoss is the probability of a missed deadline after the loss of a spot machine
+	// from which on a job counts as latency-sensitive.
 	riskySpotLoss = 0.3
 )
 
-// capacityTarget is the demand for a type with accelerators and what follows from it.
+// capacityTarget is the recent demand for a machine type with accelerators, and the target
+// computed from it.
 type capacityTarget struct {
-	samples              []demandSample // of late, oldest first
-	latencySensitiveSpec *api.JobSpec   // a job of a class that should start sooner than a machine boots, if any
-	batchSpec            *api.JobSpec   // another job that needs the accelerators, if any
-	total                int            // how many machines should be up
-	latencySensitive     int            // how many of them should suit latency-sensitive work
+	samples              []demandSample // recent samples, oldest first
+	latencySensitiveSpec *api.JobSpec   // an example of a latency-sensitive job, if any
+	batchSpec            *api.JobSpec   // an example of another job that needs the accelerators, if any
+	total                int            // machines that should be up
+	latencySensitive     int            // of these, machines that should suit latency-sensitive jobs
 }
 
-// demandSample is how many machines the work at a time wants: all work that needs the
-// accelerators, and of it that of classes that should start sooner than one boots.
+// demandSample is the demand at a time, in machines: of all jobs that need accelerators, and of
+// those that are latency-sensitive.
 type demandSample struct {
 	sampledAt               api.Time
 	total, latencySensitive float64
 }
 
+// withHeadroom returns the machines for a load with headroom for random variation.
 func withHeadroom(load float64) int { return int(math.Ceil(load + headroomDeviations*math.Sqrt(load))) }
 
-// sampleAt is the last sample that is not newer than a time, zero if there is none.
+// sampleAt returns the last sample at or before a time, or the zero sample if there is none.
 func (target *capacityTarget) sampleAt(at api.Time) demandSample {
 	var out demandSample
 	for _, sample := range target.samples {
@@ -53,7 +54,7 @@
 	return out
 }
 
-// mean is the mean of the samples.
+// mean returns the mean of the samples.
 func (target *capacityTarget) mean() demandSample {
 	var mean demandSample
 	for _, sample := range target.samples {
@@ -63,8 +64,8 @@
 	return mean
 }
 
-// addSample computes the targets from a new sample and those of the retention time before
-// it. boot is how long a machine of the type takes to boot.
+// addSample adds a sample, drops samples older than the retention time and computes the target.
+// boot is the boot time of the machine type.
 func (target *capacityTarget) addSample(sample demandSample, retention, boot api.Time) {
 	target.samples = append(target.samples, sample)
 	target.samples = slices.DeleteFunc(target.samples, func(o demandSample) bool { return sample.sampledAt-o.sampledAt > retention })
@@ -78,9 +79,9 @@
 	target.total = target.latencySensitive + withHeadroom(max(mean.total-mean.latencySensitive, sample.total-sample.latencySensitive))
 }
 
-// sustainedGrowth is what is likely to be added to the latency-sensitive load until one
-// more machine is up: what was added while one boots, but not when it came all at once,
-// nor when there was next to nothing before it.
+// sustainedGrowth estimates the growth of the latency-sensitive load until one more machine has
+// booted, as the growth over the last boot time. The estimate is limited by twice the growth of
+// the later half and by the earlier load, so that a single step is not extrapolated.
 func (target *capacityTarget) sustainedGrowth(sample demandSample, boot api.Time) float64 {
 	before, halfBefore := target.sampleAt(sample.sampledAt-boot), target.sampleAt(sample.sampledAt-boot/2)
 	return max(0, min(
@@ -89,13 +90,13 @@
 		before.latencySensitive))
 }
 
-// suits reports whether machines of the type may take latency-sensitive work.
+// suits reports whether spot or on-demand machines of the type may run latency-sensitive jobs.
 func (target *capacityTarget) suits(spot bool) bool {
 	return target.latencySensitiveSpec != nil && (target.latencySensitiveSpec.Spot || !spot)
 }
 
-// noteJob keeps a job as an example of those that want the type: one that any machine
-// suits as batch work, one that only on-demand machines suit as latency-sensitive work.
+// noteJob records a job as an example for offers: of batch jobs preferably one that may run on
+// spot machines, of latency-sensitive jobs preferably one that must not.
 func (target *capacityTarget) noteJob(spec *api.JobSpec, latencySensitive bool) {
 	if !latencySensitive {
 		if target.batchSpec == nil || !target.batchSpec.Spot && spec.Spot {
@@ -108,11 +109,9 @@
 	}
 }
 
-// updateCapacityTargets computes how many machines with accelerators are wanted and which
-// of those that are up are more than that. Work that moves round the machines would
-// otherwise keep all of them though it never needs them at once. Those are the expensive
-// ones; of the others a few more do not matter, and rounds of short tasks miss them
-// (docs/measurements.md).
+// updateCapacityTargets computes the capacity targets of all types with accelerators and marks
+// surplus machines. Without targets, jobs that move between machines would keep more of these
+// expensive machines from being idle than they need.
 func (as *Manager) updateCapacityTargets() {
 	as.NextDemandSample = as.core.Now.Add(core.DemandSampleInterval)
 	as.recordSpotUptime()
@@ -132,8 +131,8 @@
 	}
 }
 
-// sampleDemand counts the machines that all jobs want that need accelerators, by the
-// cheapest type that suits each.
+// sampleDemand counts the machines that jobs need which use accelerators, by the cheapest type
+// for each job.
 func (as *Manager) sampleDemand() map[api.MachineTypeName]demandSample {
 	samples := map[api.MachineTypeName]demandSample{}
 	for _, j := range as.core.State.Jobs {
@@ -166,21 +165,21 @@
 	return target
 }
 
-// IsLatencySensitive reports whether work should start sooner than a machine for it boots,
-// which takes up to slowBootFactor times the type's boot time.
+// IsLatencySensitive reports whether a job's start objective is shorter than the time in which
+// a new machine for it boots.
 func (as *Manager) IsLatencySensitive(s *api.JobSpec) bool {
 	within, typ := as.core.StartObjective(s.Class), as.CheapestType(s)
 	return within > 0 && typ != nil && within < slowBootFactor*typ.BootSeconds
 }
 
-// SuitsLatencySensitive reports whether a machine is such as latency-sensitive work needs:
-// other work avoids it if it can, or it would have to be preempted.
+// SuitsLatencySensitive reports whether latency-sensitive jobs need machines like this one.
+// Other jobs avoid it where possible, since their tasks would have to be preempted.
 func (as *Manager) SuitsLatencySensitive(m *core.Machine) bool {
 	target := as.targets[m.MachineType]
 	return target != nil && target.suits(m.Spot)
 }
 
-// CheapestType is the cheapest type that can take a job's tasks, nil if none can.
+// CheapestType returns the cheapest machine type that a job's tasks may use and fit, or nil.
 func (as *Manager) CheapestType(s *api.JobSpec) *api.MachineType {
 	var best *api.MachineType
 	for _, name := range slices.Sorted(maps.Keys(as.core.MachineTypes)) {
--- a/controller/autoscale/consolidate.go
+++ b/controller/autoscale/consolidate.go
@@ -1,4 +1,4 @@
-// Consolidation: moving the services of one machine to others so that it can be deleted.
+// This file consolidates services: it moves them off a machine so that it can be deleted.
 
 package autoscale
 
@@ -11,10 +11,10 @@
 	"basaltwall/controller/message"
 )
 
-// consolidate moves the services of a machine, the one with fewest, to others that have
-// free capacity and their image, so that it can be deleted: services that came while there
-// was much other work are spread over many machines when that is gone. The cost is a
-// moment without the replica.
+// consolidate stops the services on the machine with the fewest placements, if other machines
+// have free capacity and cached images for all of them, so that the machine can be deleted.
+// Services that started under high load would otherwise stay spread over many machines. Each
+// stopped replica is missing until it has started again.
 func (as *Manager) consolidate(owned *core.OwnedPartition, kind message.AcceleratorKind) {
 	if as.core.Now.Sub(owned.OwnedSince) < as.idleTimeout(kind.Type) {
 		return
@@ -36,8 +36,8 @@
 	}
 }
 
-// consolidationCandidates are the machines whose services may move, and those that may
-// take them.
+// consolidationCandidates returns the machines whose services may move, and the machines that
+// may receive them.
 func (as *Manager) consolidationCandidates(owned *core.OwnedPartition, kind message.AcceleratorKind) (sources, destinations []*core.Machine) {
 	for _, m := range as.siblings.Agents.MachinesOf(owned.ID) {
 		if kindOf(m.MachineType, m.Spot) != kind || m.Surplus || as.core.Now < m.ConsolidatingUntil {
@@ -56,8 +56,8 @@
 	return sources, destinations
 }
 
-// fitsElsewhere reports whether others that have the images have free capacity for all
-// that a machine holds.
+// fitsElsewhere reports whether other machines, with the images cached, have free capacity for
+// all tasks of a machine.
 func (as *Manager) fitsElsewhere(source *core.Machine, owned *core.OwnedPartition, destinations []*core.Machine) bool {
 	taken := map[*core.Machine]api.Resources{}
 	for _, p := range as.core.State.PlacementsOn(source.ID) {
@@ -73,15 +73,15 @@
 	return true
 }
 
-// allServicesMovable reports whether all that a machine holds are services that may move.
+// allServicesMovable reports whether all tasks of a machine are replicas that may move.
 func (as *Manager) allServicesMovable(m *core.Machine, owned *core.OwnedPartition) bool {
 	return !slices.ContainsFunc(as.core.State.PlacementsOn(m.ID), func(p *core.Placement) bool {
 		return !as.serviceMovable(p, owned)
 	})
 }
 
-// serviceMovable reports whether a placement is a service's that may move: it has run for a
-// while, and its place does not depend on its other replicas.
+// serviceMovable reports whether a placement is a replica of a service that may move: it has
+// run for a minimum time, and no zone constraint ties it to the other replicas.
 func (as *Manager) serviceMovable(p *core.Placement, owned *core.OwnedPartition) bool {
 	spec := p.Job.Spec
 	if spec.Kind != api.Service || spec.Spread || spec.OneZone || p.Job.Terminal() {
--- a/controller/autoscale/deletions.go
+++ b/controller/autoscale/deletions.go
@@ -1,4 +1,4 @@
-// Deletions: the queue of machines to delete, and the calls that delete them in batches.
+// This file holds the queue of machines to delete, and deletes them in batches.
 
 package autoscale
 
@@ -15,26 +15,26 @@
 )
 
 const (
-	// maxDeletionBackoff is how long the next deletion waits at most after failures.
+	// maxDeletionBackoff is the maximum delay of the next deletion call after failures.
 	maxDeletionBackoff = 8 * time.Second
 	// maxBackoffDoublings bounds the exponent of the backoff, against overflow.
 	maxBackoffDoublings = 16
-	// cancelledDeletionDelay is how long a machine is not called after its deletion was
-	// given up.
+	// cancelledDeletionDelay is the time without calls to a machine after its deletion was
+	// cancelled.
 	cancelledDeletionDelay = time.Second
 
-	// labelHashRange is the range that the controller's label is hashed into for the
-	// seed of the backoff's jitter.
+	// labelHashRange is the range of the hash of the controller's label, which seeds the
+	// jitter of the backoff.
 	labelHashRange = 1 << 30
 )
 
-// deletionQueue holds the machines to delete and the state of the call that deletes them.
+// deletionQueue holds the machines to delete and the state of the deletion call.
 type deletionQueue struct {
 	pending  []pendingDeletion
 	inFlight bool
 	nextAt   api.Time
-	failures int        // failed calls in a row
-	rng      *rand.Rand // of the backoff's jitter
+	failures int        // consecutive failed calls
+	rng      *rand.Rand // for the jitter of the backoff
 }
 
 // pendingDeletion is a machine to delete.
@@ -49,25 +49,25 @@
 	return deletionQueue{rng: rand.New(rand.NewPCG(uint64(shared.Incarnation), uint64(seed)))}
 }
 
-// ScheduleDeletion has the cloud delete a machine. The cloud's confirmation proves that the
-// machine's tasks have ended.
+// ScheduleDeletion queues a machine for deletion by the cloud. The cloud's confirmation proves
+// that the machine's tasks have ended.
 func (as *Manager) ScheduleDeletion(m *core.Machine, owned *core.OwnedPartition, reason core.DeletionReason) {
 	m.Deleting = true
 	m.Unreachable = reason == core.DeletionReasonUnreachable || reason == core.DeletionReasonCancelled || reason == core.DeletionReasonZoneLost
 	as.deletions.pending = append(as.deletions.pending, pendingDeletion{machine: m, partition: owned, reason: reason})
 }
 
-// PendingDeletionCount is how many machines wait for their deletion.
+// PendingDeletionCount returns the number of queued deletions.
 func (as *Manager) PendingDeletionCount() int { return len(as.deletions.pending) }
 
-// DeletionsBackingOff reports whether deletions failed and the next is not due yet.
+// DeletionsBackingOff reports whether deletion calls fail and the next one is delayed.
 func (as *Manager) DeletionsBackingOff() bool {
 	return as.deletions.failures > 0 && as.core.Now < as.deletions.nextAt
 }
 
-// ProcessDeletions deletes what is scheduled, many machines by one call. It first reads
-// that the partitions are still ours: a deposed owner, perhaps cut off, must not delete
-// what another owner uses.
+// ProcessDeletions deletes a batch of queued machines. A linearizable read first confirms that
+// this controller still owns their partitions: a deposed owner, perhaps in a network partition,
+// must not delete machines that the new owner uses.
 func (as *Manager) ProcessDeletions() {
 	queue := &as.deletions
 	if queue.inFlight || len(queue.pending) == 0 || as.core.Now < queue.nextAt {
@@ -83,9 +83,9 @@
 		})
 }
 
-// takeDeletionBatch takes the most urgent deletions off the queue: those by which a
-// cancellation must be proven in time, then a lost zone's in the order of its plan, then
-// those of work that should never stop or that others of its gang wait for.
+// takeDeletionBatch removes the most urgent deletions from the queue: first those that confirm
+// a cancellation before its deadline, then those of a lost zone in the order of its evacuation
+// plan, then by the number of tasks of services and gangs on the machine.
 func (as *Manager) takeDeletionBatch() []pendingDeletion {
 	queue := &as.deletions
 	slices.SortStableFunc(queue.pending, func(a, b pendingDeletion) int {
@@ -100,7 +100,7 @@
 	return batch
 }
 
-// rank orders deletions by reason, the most urgent first.
+// rank returns the position of a deletion by its reason; lower is more urgent.
 func (deletion pendingDeletion) rank() int {
 	switch deletion.reason {
 	case core.DeletionReasonCancelled:
@@ -112,7 +112,7 @@
 	}
 }
 
-// nonArrayTasks counts the tasks on a machine that are not of an array.
+// nonArrayTasks counts the tasks of services and gangs on a machine.
 func (as *Manager) nonArrayTasks(m *core.Machine) int {
 	count := 0
 	for _, p := range as.core.State.PlacementsOn(m.ID) {
@@ -123,7 +123,7 @@
 	return count
 }
 
-// deleteBatch asks the cloud to delete those of a batch whose deletion is still right.
+// deleteBatch deletes the machines of a batch whose reasons for deletion still hold.
 func (as *Manager) deleteBatch(batch []pendingDeletion) {
 	confirmed := as.confirmDeletions(batch)
 	if len(confirmed) == 0 {
@@ -147,8 +147,7 @@
 	})
 }
 
-// confirmDeletions cancels the deletions that were decided on grounds that have changed,
-// and returns the others.
+// confirmDeletions cancels the deletions whose reasons no longer hold, and returns the others.
 func (as *Manager) confirmDeletions(batch []pendingDeletion) []pendingDeletion {
 	var confirmed []pendingDeletion
 	for _, deletion := range batch {
@@ -163,7 +162,7 @@
 	return confirmed
 }
 
-// stillDue reports whether the grounds for a deletion still hold.
+// stillDue reports whether the reason for a deletion still holds.
 func (as *Manager) stillDue(deletion pendingDeletion) bool {
 	m, owned := deletion.machine, deletion.partition
 	if as.core.Partitions[owned.ID] != owned || as.core.PartitionOf(m.ID) != owned.ID {
@@ -179,7 +178,7 @@
 	}
 }
 
-// cancelDeletions leaves machines as they are; they may be scheduled again.
+// cancelDeletions cancels deletions; the machines may be scheduled for deletion again.
 func (as *Manager) cancelDeletions(deletions []pendingDeletion) {
 	for _, deletion := range deletions {
 		as.cancelDeletion(deletion)
@@ -191,9 +190,9 @@
 	deletion.machine.NextCallAt = as.core.Now.Add(cancelledDeletionDelay)
 }
 
-// finishDeletionCall sets when the next call may be made. After a failure that is twice as
-// long each time, with jitter: when a zone is lost all owners have much to delete, and the
-// cloud may be down just then.
+// finishDeletionCall sets the time of the next deletion call. Failures delay it by an
+// exponential backoff with jitter: after the loss of a zone all owners delete many machines,
+// and the cloud may be down at the same time.
 func (as *Manager) finishDeletionCall(ok bool) {
 	queue, interval := &as.deletions, as.core.CloudCallInterval
 	queue.inFlight = false
@@ -207,11 +206,11 @@
 	queue.nextAt = as.core.Now.Add(backoff/2 + jitter)
 }
 
-// completeDeletion accounts for a machine that the cloud has deleted and ends its tasks.
+// completeDeletion records that the cloud has deleted a machine and ends its tasks.
 func (as *Manager) completeDeletion(deletion pendingDeletion) {
 	m, owned := deletion.machine, deletion.partition
 	as.deletedAt[m.ID] = as.core.Now
-	delete(as.scaleOuts.backoffUntil, core.MachineOffer{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot}) // there may be capacity again
+	delete(as.scaleOuts.backoffUntil, core.MachineOffer{Type: m.MachineType, Zone: m.Zone, Spot: m.Spot}) // the offer may have capacity again
 	if m.Spot && deletion.wasReclaimed() {
 		as.spot.reclaimed++
 	}
@@ -222,7 +221,7 @@
 	as.siblings.Agents.ForgetMachine(m.ID)
 }
 
-// wasReclaimed reports whether the cloud seems to have taken a spot machine.
+// wasReclaimed reports whether a spot machine was presumably reclaimed by the cloud.
 func (deletion pendingDeletion) wasReclaimed() bool {
 	return deletion.reason == core.DeletionReasonUnreachable || deletion.reason == core.DeletionReasonCancelled || deletion.machine.ReclaimNotice
 }
--- a/controller/autoscale/deletions_test.go
+++ b/controller/autoscale/deletions_test.go
@@ -14,7 +14,7 @@
 	"basaltwall/zonehealth"
 )
 
-// The fakes answer what deletions ask; any other question panics.
+// The fakes implement the methods that deletions use; any other call panics.
 type (
 	fakeAgents struct {
 		Agents
@@ -44,7 +44,7 @@
 	f.ended = append(f.ended, fmt.Sprintf("%s %t %s", p.Machine, done, reason))
 }
 
-// deletionTest is an autoscaler that owns the only partition, with its fakes.
+// deletionTest is an autoscaler with one owned partition and fake dependencies.
 type deletionTest struct {
 	*Manager
 	owned     *core.OwnedPartition
@@ -83,24 +83,24 @@
 	return m
 }
 
-// place puts a service's replica on a machine.
+// place adds a placement of a service's replica on a machine.
 func (test *deletionTest) place(id api.MachineID) {
 	spec := &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Service, Priority: api.Normal, Tasks: 1, CPUs: 1}
 	j := &core.Job{ID: spec.Ref, JobValue: clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}}, Placements: map[int]*core.Placement{}, PlacementCounts: map[api.PartitionID]int{}}
 	test.core.State.AddPlacement(&core.Placement{Task: api.TaskID{Job: j.ID}, Machine: id, Job: j})
 }
 
-// sentDeletion takes the one call to the cloud that was made, fails if there is none.
+// sentDeletion removes and returns the only effect, which must be a deletion call to the cloud.
 func (test *deletionTest) sentDeletion(t *testing.T) message.CloudCall {
 	t.Helper()
 	effects := test.core.Effects
 	test.core.Effects = nil
 	if len(effects) != 1 {
-		t.Fatalf("%d effects, expected one call to the cloud", len(effects))
+		t.Fatalf("%d effects, expected one deletion call", len(effects))
 	}
 	call, ok := effects[0].(message.CloudCall)
 	if !ok || len(call.Delete) == 0 {
-		t.Fatalf("%#v is no deletion", effects[0])
+		t.Fatalf("effect is %#v, expected a deletion call", effects[0])
 	}
 	return call
 }
@@ -111,44 +111,45 @@
 	callback(message.CloudResponse{ID: call.ID, Status: status})
 }
 
-// A cancellation has a deadline and goes first, a lost zone keeps the order of its plan.
+// Deletions that confirm a cancellation go first, as they have a deadline. Deletions of a lost zone
+// keep the order of its evacuation plan.
 func TestDeletionsGoByReason(t *testing.T) {
 	test := newDeletionTest(t)
 	test.health.recorded["b"] = zonehealth.Failed
 	test.schedule("i-1", "a", core.DeletionReasonIdle)
 	test.schedule("i-9", "b", core.DeletionReasonZoneLost)
 	test.schedule("i-2", "b", core.DeletionReasonZoneLost)
-	test.place("i-2") // work that should not stop does not change that order
+	test.place("i-2") // a service does not change the order within a lost zone
 	test.schedule("i-3", "a", core.DeletionReasonCancelled)
 	test.ProcessDeletions()
 	call := test.sentDeletion(t)
 	if want := []api.MachineID{"i-3", "i-9", "i-2", "i-1"}; !slices.Equal(call.Delete, want) {
-		t.Errorf("deleted in the order %v, expected %v", call.Delete, want)
+		t.Errorf("deletion order %v, expected %v", call.Delete, want)
 	}
 	test.answer(call, statusOK)
 	if !slices.Equal(test.agents.forgotten, call.Delete) || !test.IsDeleted("i-9") {
-		t.Errorf("%v are forgotten after %v were deleted", test.agents.forgotten, call.Delete)
+		t.Errorf("machines forgotten: %v, deleted: %v", test.agents.forgotten, call.Delete)
 	}
 	if want := []string{"i-2 false machine deleted"}; !slices.Equal(test.scheduler.ended, want) {
 		t.Errorf("tasks ended: %q, expected %q", test.scheduler.ended, want)
 	}
 }
 
-// A machine whose zone is back by the time of the deletion stays.
+// A machine is not deleted if its zone has recovered by the time of the call.
 func TestDeletionIsCancelledWhenItsGroundsAreGone(t *testing.T) {
 	test := newDeletionTest(t)
 	recovered := test.schedule("i-1", "b", core.DeletionReasonZoneLost)
 	test.schedule("i-2", "a", core.DeletionReasonFailed)
 	test.ProcessDeletions()
 	if call := test.sentDeletion(t); !slices.Equal(call.Delete, []api.MachineID{"i-2"}) {
-		t.Errorf("%v are deleted", call.Delete)
+		t.Errorf("machines deleted: %v, expected only i-2", call.Delete)
 	}
 	if recovered.Deleting {
-		t.Error("a machine of a zone that is back is still marked for deletion")
+		t.Error("a machine of a recovered zone is still marked for deletion")
 	}
 }
 
-// Failed deletions back off, up to a bound, and each machine can be scheduled again.
+// Failed deletions back off up to a maximum delay, and their machines can be scheduled again.
 func TestFailedDeletionsBackOff(t *testing.T) {
 	test := newDeletionTest(t)
 	longest := time.Duration(0)
@@ -157,22 +158,22 @@
 		test.ProcessDeletions()
 		test.answer(test.sentDeletion(t), 503)
 		if m.Deleting || !test.DeletionsBackingOff() || test.IsDeleted("i-1") {
-			t.Fatal("a deletion that failed counts as under way or done")
+			t.Fatal("a failed deletion counts as in flight or completed, or does not back off")
 		}
 		delay := test.deletions.nextAt.Sub(test.core.Now)
 		if delay > maxDeletionBackoff {
-			t.Fatalf("the next deletion waits for %v", delay)
+			t.Fatalf("the next deletion is delayed by %v, more than the maximum", delay)
 		}
 		longest = max(longest, delay)
 		test.core.Now = test.deletions.nextAt
 	}
 	if longest < maxDeletionBackoff/2 {
-		t.Errorf("after 20 failures in a row the longest delay was %v", longest)
+		t.Errorf("the longest delay after 20 consecutive failures is %v", longest)
 	}
 	test.schedule("i-1", "a", core.DeletionReasonFailed)
 	test.ProcessDeletions()
 	test.answer(test.sentDeletion(t), statusOK)
 	if test.DeletionsBackingOff() {
-		t.Error("deletions back off after one that succeeded")
+		t.Error("deletions back off after a success")
 	}
 }
--- a/controller/autoscale/incoming.go
+++ b/controller/autoscale/incoming.go
@@ -1,4 +1,4 @@
-// Incoming machines: those that are not counted as free capacity yet but will be soon.
+// This file counts incoming machines: those that are about to add free capacity.
 
 package autoscale
 
@@ -7,8 +7,8 @@
 	"basaltwall/controller/core"
 )
 
-// IncomingMachines counts the machines that no owner reports yet but will soon: they boot,
-// were requested a moment ago, or were just loaned to another partition.
+// IncomingMachines counts the machines that no owner reports yet but soon will: booting
+// machines, recently created ones, and loaned ones without a heartbeat to the new owner.
 func (as *Manager) IncomingMachines() map[core.MachineOffer]int {
 	accounted := as.accountedMachines()
 	incoming := map[core.MachineOffer]int{}
@@ -35,12 +35,12 @@
 	return incoming
 }
 
-// accountedMachines are the machines that owners report or that have work.
+// accountedMachines returns the machines that owners report or that have placements.
 func (as *Manager) accountedMachines() map[api.MachineID]bool {
 	accounted := map[api.MachineID]bool{}
 	for id := range as.Listed {
 		if as.hasHeartbeat(id) || len(as.core.State.PlacementsOn(id)) > 0 {
-			accounted[id] = true // the list lags
+			accounted[id] = true // the cloud's list may lag behind
 		}
 	}
 	for _, status := range as.siblings.Gossip.PeerPartitionStatuses() {
@@ -52,14 +52,15 @@
 	return accounted
 }
 
-// isBooting reports whether a listed machine may be expected to send its first heartbeat. One
-// that is late is not; one that the list shows to run may not have sent any yet.
+// isBooting reports whether a listed machine is expected to send its first heartbeat soon. It
+// also holds for machines listed as running, which may not have sent one yet, but not for
+// machines that exceed the usual boot time.
 func (as *Manager) isBooting(listed api.Instance) bool {
 	typ := as.core.MachineTypes[listed.Type]
 	return typ != nil && listed.State != api.MachineFailed && listed.AgeSeconds <= slowBootFactor*typ.BootSeconds
 }
 
-// hasHeartbeat reports whether a machine has sent a heartbeat to us.
+// hasHeartbeat reports whether this controller has received a heartbeat of a machine.
 func (as *Manager) hasHeartbeat(id api.MachineID) bool {
 	m := as.core.Machines[id]
 	return m != nil && m.LastHeartbeat != 0
--- a/controller/autoscale/inventory.go
+++ b/controller/autoscale/inventory.go
@@ -1,4 +1,4 @@
-// The inventory: what is known from the cloud of the machines that there are.
+// This file holds the inventory of machines as known from the cloud.
 
 package autoscale
 
@@ -13,22 +13,22 @@
 )
 
 const (
-	deletedRetention     = 5 * time.Minute // how long a deletion is remembered once the list shows it
-	provisionedRetention = time.Minute     // how long the list may take to show a machine
+	deletedRetention     = 5 * time.Minute // for confirmed deletions
+	provisionedRetention = time.Minute     // for created machines that the list does not show
 )
 
-// Inventory is what a controller knows from the cloud of the machines that there are.
+// Inventory holds the machines that a controller knows from the cloud.
 type Inventory struct {
 	// Listed are the machines of the last complete list.
 	Listed map[api.MachineID]api.Instance
-	// Provisioned are machines that were created of late and are not listed yet.
+	// Provisioned are recently created machines that are not listed yet.
 	Provisioned map[api.MachineID]ProvisionedMachine
 
 	core        *core.Core
 	listedOrder []api.MachineID
-	listedAt    api.Time                       // when the last complete list was read
-	deletedAt   map[api.MachineID]api.Time     // machines whose deletion the cloud confirmed
-	partialList map[api.MachineID]api.Instance // pages read so far
+	listedAt    api.Time                       // time of the last complete list
+	deletedAt   map[api.MachineID]api.Time     // time of confirmed deletions
+	partialList map[api.MachineID]api.Instance // machines of the pages read so far
 	listing     bool
 	nextListAt  api.Time
 }
@@ -56,22 +56,22 @@
 	return inv.Listed[m.ID].State == api.MachineRunning
 }
 
-// ListedMachine is a machine as the cloud's list shows it.
+// ListedMachine returns a machine's entry in the cloud's list, and false if it is not listed.
 func (inv *Inventory) ListedMachine(id api.MachineID) (api.Instance, bool) {
 	listed, ok := inv.Listed[id]
 	return listed, ok
 }
 
-// ListedZone is a machine's zone by the cloud's list, empty if it is not listed.
+// ListedZone returns a machine's zone in the cloud's list, or "" if it is not listed.
 func (inv *Inventory) ListedZone(id api.MachineID) api.Zone { return inv.Listed[id].Zone }
 
-// ListedMachineIDs are the machines of the cloud's list, in order.
+// ListedMachineIDs returns the machines of the cloud's list, sorted by ID.
 func (inv *Inventory) ListedMachineIDs() []api.MachineID { return inv.listedOrder }
 
-// ListedAt is when the last complete list was read, 0 if none was.
+// ListedAt returns when the last complete list was read, or 0.
 func (inv *Inventory) ListedAt() api.Time { return inv.listedAt }
 
-// ProvisionedNotListed are machines that were provisioned and the list does not show yet.
+// ProvisionedNotListed returns the provisioned machines that the list does not show yet.
 func (inv *Inventory) ProvisionedNotListed() []message.RecentScaleOut {
 	byOffer := map[core.MachineOffer][]api.MachineID{}
 	for _, id := range slices.Sorted(maps.Keys(inv.Provisioned)) {
@@ -87,13 +87,13 @@
 	return out
 }
 
-// awaitsListing reports whether a provisioned machine is neither listed nor deleted.
+// awaitsListing reports whether a machine is neither listed nor deleted.
 func (inv *Inventory) awaitsListing(id api.MachineID) bool {
 	_, listed := inv.Listed[id]
 	return !listed && !inv.IsDeleted(id)
 }
 
-// NoteProvisioned notes a machine that another controller has provisioned.
+// NoteProvisioned records a machine that another controller has provisioned.
 func (inv *Inventory) NoteProvisioned(id api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool) {
 	if _, known := inv.Provisioned[id]; !known {
 		inv.noteProvisioned(id, core.MachineOffer{Type: typ, Zone: zone, Spot: spot})
@@ -104,13 +104,13 @@
 	inv.Provisioned[id] = ProvisionedMachine{Offer: offer, ProvisionedAt: inv.core.Now}
 }
 
-// adoptList makes the pages that were read the list that counts.
+// adoptList replaces the machine list by the pages that were read.
 func (inv *Inventory) adoptList() {
 	inv.Listed, inv.listing, inv.listedAt = inv.partialList, false, inv.core.Now
 	inv.listedOrder = slices.Sorted(maps.Keys(inv.Listed))
 }
 
-// expire forgets deletions and scale-outs that the list accounts for.
+// expire removes outdated records of deletions and of provisioned machines.
 func (inv *Inventory) expire() {
 	for id, at := range inv.deletedAt {
 		if _, listed := inv.Listed[id]; !listed && inv.core.Now.Sub(at) > deletedRetention {
--- a/controller/autoscale/jobdemand.go
+++ b/controller/autoscale/jobdemand.go
@@ -1,4 +1,4 @@
-// A job's demand: how many of its tasks need machines, and which machines suit them.
+// This file holds a job's demand for machines in a scale-out plan.
 
 package autoscale
 
@@ -8,22 +8,22 @@
 	"basaltwall/sched"
 )
 
-// jobDemand is what a job still wants in a scale-out plan.
+// jobDemand is the demand of a job that a scale-out plan has not assigned to machines yet.
 type jobDemand struct {
 	job     *core.Job
-	total   int // tasks that wanted machines to begin with
-	waiting int // tasks that still want one
+	total   int // tasks that need machines
+	waiting int // tasks that are not assigned to a machine yet
 	cpuOnly bool
 
-	// A job whose tasks stay together does not leave its partition once some have started.
+	// A job whose tasks must be in one partition is bound to it once some have started.
 	bound     bool
 	partition api.PartitionID
 
-	zone         api.Zone         // the only zone for it, empty: any
-	placedByZone map[api.Zone]int // of a job that is spread: its tasks, with those assigned
+	zone         api.Zone         // the only zone for the job; empty: any
+	placedByZone map[api.Zone]int // for a spread job: its placed and assigned tasks
 }
 
-// newJobDemand describes what a job wants, given the machines of the plan.
+// newJobDemand returns the demand of a job, given the machines of the plan.
 func (plan *scaleOutPlan) newJobDemand(j *core.Job, waiting int) *jobDemand {
 	demand := &jobDemand{
 		job:          j,
@@ -35,7 +35,7 @@
 		placedByZone: map[api.Zone]int{},
 	}
 	if j.Spec.OneZone {
-		demand.zone = plan.roomiestZone(j)
+		demand.zone = plan.zoneWithMostCapacity(j)
 	}
 	if j.Spec.Spread {
 		demand.placedByZone, _ = plan.manager.siblings.Scheduler.TaskZones(j)
@@ -43,9 +43,9 @@
 	return demand
 }
 
-// roomiestZone is the zone with the most free capacity for a job that must be in one: the
-// machines that it lacks are requested there. It is empty if there is none anywhere.
-func (plan *scaleOutPlan) roomiestZone(j *core.Job) api.Zone {
+// zoneWithMostCapacity returns the zone with the most free capacity for a job that must be in
+// one zone, or "" if no zone has any. The missing machines are requested there.
+func (plan *scaleOutPlan) zoneWithMostCapacity(j *core.Job) api.Zone {
 	freeSlots := map[api.Zone]int{}
 	for _, m := range plan.machines {
 		if sched.Feasible(j.Spec, m.offer.Type, m.offer.Zone, m.offer.Spot) {
@@ -59,8 +59,8 @@
 	return zone
 }
 
-// zoneLimit is how many more tasks may go to a zone: of a job that is spread a zone takes
-// no more than half.
+// zoneLimit returns the number of further tasks that may go to a zone. A spread job may have
+// at most half of its tasks in one zone.
 func (demand *jobDemand) zoneLimit(zone api.Zone) int {
 	if !demand.job.Spec.Spread {
 		return demand.waiting
@@ -73,8 +73,8 @@
 	return (demand.zone == "" || zone == demand.zone) && demand.zoneLimit(zone) > 0
 }
 
-// mayUse reports whether tasks may go to a machine. Those of a bound job stay in their
-// partition, to which only an empty machine can be loaned.
+// mayUse reports whether tasks may go to a machine. A bound job can use machines of other
+// partitions only if they are empty and can be loaned.
 func (demand *jobDemand) mayUse(m *plannedMachine) bool {
 	if demand.bound && !m.empty && m.partition != demand.partition {
 		return false
@@ -86,7 +86,7 @@
 		sched.Feasible(demand.job.Spec, m.offer.Type, m.offer.Zone, m.offer.Spot)
 }
 
-// assign assigns as many tasks as possible to a machine in a zone and returns how many.
+// assign assigns as many tasks as possible to a machine and returns their number.
 func (demand *jobDemand) assign(zone api.Zone, free api.Resources) int {
 	count := min(demand.zoneLimit(zone), demand.job.Demand.Slots(free))
 	demand.waiting -= count
--- a/controller/autoscale/machinelist.go
+++ b/controller/autoscale/machinelist.go
@@ -1,4 +1,4 @@
-// Reading the cloud's machine list, page by page, and acting on what it shows.
+// This file reads the cloud's machine list page by page and reconciles the machines with it.
 
 package autoscale
 
@@ -11,21 +11,21 @@
 )
 
 const (
-	listInterval = 4 * time.Second // at least; see nextListDelay
-	listPageSize = 500             // machines in a page of the list
+	listInterval = 4 * time.Second // minimum; see nextListDelay
+	listPageSize = 500             // machines per page
 
-	// listCallDivisor: one in so many of the cloud's calls may be for lists.
+	// listCallDivisor limits list calls to this fraction of the cloud's rate limit.
 	listCallDivisor = 3
 
-	// A machine usually boots within slowBootFactor times its type's boot time. After
-	// that it is not counted on any more, and replacements are requested; after
-	// failedBootFactor, and bootGraceSeconds more, it is deleted.
+	// A machine that has not booted after slowBootFactor times its type's boot time no
+	// longer counts as incoming, and is replaced. After failedBootFactor times the boot time
+	// plus bootGraceSeconds it is deleted.
 	slowBootFactor   = 1.5
 	failedBootFactor = 2.5
 	bootGraceSeconds = 10
 )
 
-// refreshMachineList begins to read the list when that is due.
+// refreshMachineList starts to read the list when this is due.
 func (as *Manager) refreshMachineList() {
 	if as.listing || as.core.Now < as.nextListAt {
 		return
@@ -35,7 +35,7 @@
 	as.readMachinePage("")
 }
 
-// readMachinePage reads the page after a machine and the pages after it.
+// readMachinePage reads the pages that follow a machine, one after the other.
 func (as *Manager) readMachinePage(since api.MachineID) {
 	as.core.CallCloud(message.CloudCall{List: &message.ListRequest{Since: since}}, func(response message.CloudResponse) {
 		if response.Status != statusOK {
@@ -57,16 +57,16 @@
 	})
 }
 
-// nextListDelay keeps lists within their share of the cloud's calls, however many pages
-// they have and controllers read them.
+// nextListDelay returns the delay until the next list, so that the list calls of all
+// controllers stay within their share of the cloud's rate limit.
 func (as *Manager) nextListDelay() time.Duration {
 	pages := float64(len(as.Listed)/listPageSize + 1)
 	calls := listCallDivisor * pages * float64(len(as.core.Controllers))
 	return max(listInterval, api.Seconds(calls/as.core.Config.Deployment.Cloud.RPS))
 }
 
-// ReconcileMachineList notes the machines that the list shows and deletes those that
-// failed or do not boot. A list may be old: it never proves that a task has ended.
+// ReconcileMachineList adds the listed machines of owned partitions and deletes those that
+// failed or do not boot. The list may be outdated and never proves that a task has ended.
 func (as *Manager) ReconcileMachineList() {
 	for _, id := range as.listedOrder {
 		owned := as.core.Partitions[as.core.PartitionOf(id)]
@@ -88,7 +88,7 @@
 	}
 }
 
-// bootFailed reports whether a machine boots for so long that it will not come up.
+// bootFailed reports whether a machine has exceeded the maximum boot time.
 func (as *Manager) bootFailed(listed api.Instance) bool {
 	typ := as.core.MachineTypes[listed.Type]
 	return typ != nil && listed.AgeSeconds > failedBootFactor*typ.BootSeconds+bootGraceSeconds
--- a/controller/autoscale/machinetypes.go
+++ b/controller/autoscale/machinetypes.go
@@ -1,4 +1,5 @@
-// Machine types: read from the cloud, and recorded for a start while the cloud is down.
+// This file reads the machine types from the cloud and records them in the state service, for
+// controllers that start while the cloud is down.
 
 package autoscale
 
@@ -22,8 +23,8 @@
 	nextAt   api.Time
 }
 
-// refreshMachineTypes reads the machine types when that is due. Once they are known only
-// partition 0's owner reads them again.
+// refreshMachineTypes reads the machine types when this is due. Once they are known, only the
+// owner of partition 0 reads them again.
 func (as *Manager) refreshMachineTypes() {
 	refresh := &as.types
 	known := len(as.core.MachineTypes) > 0
@@ -45,11 +46,10 @@
 	})
 }
 
-// recordMachineTypes writes the types to the state service, so that a controller that
-// starts while the cloud is down knows them. A write that fails is made again after the
-// next read, as the recorded types still differ then.
+// recordMachineTypes writes the types to the state service. A failed write is repeated after
+// the next read, as the recorded types still differ then.
 func (as *Manager) recordMachineTypes(owned *core.OwnedPartition, types []api.MachineType) {
-	value, _ := json.Marshal(api.MachineTypes{Types: types}) // plain data always encodes
+	value, _ := json.Marshal(api.MachineTypes{Types: types}) // plain data; encoding can't fail
 	as.core.CallStoreTxn(api.Txn{
 		If:     []api.Condition{owned.OwnershipCondition(), as.core.State.VersionCondition(core.MachineTypesKey)},
 		Writes: []api.Write{{Put: core.MachineTypesKey, Value: value}},
--- a/controller/autoscale/offers.go
+++ b/controller/autoscale/offers.go
@@ -1,4 +1,4 @@
-// Offers: which of the cloud's offers is the cheapest for a job.
+// This file finds the cheapest of the cloud's offers for a job.
 
 package autoscale
 
@@ -14,17 +14,17 @@
 )
 
 const (
-	// probeMachines is how many machines are requested in a zone to find out whether it
-	// is back: a zone is not taken to be cut off on the evidence of one machine.
+	// probeMachines is the number of machines requested in a zone to test whether it has
+	// recovered. One machine would not suffice as evidence of an outage.
 	probeMachines = 2
 
-	// repeatPenalty is added to an offer's price for each machine planned of it, so that
-	// equal offers take turns.
+	// repeatPenalty is added to an offer's price for each machine that is planned from it,
+	// so that requests alternate between offers of equal price.
 	repeatPenalty = 1e-6
 )
 
-// cheapestOffer finds the offer with the lowest price for one task of a job, in a zone
-// that is open to it.
+// cheapestOffer finds the offer with the lowest price per task of a job, in the zones for which
+// open returns true.
 func (plan *scaleOutPlan) cheapestOffer(s *api.JobSpec, open func(api.Zone) bool) (core.MachineOffer, bool) {
 	shared := plan.manager.core
 	demand, cpuOnly := s.Demand(), shared.IsCPUOnly(s)
@@ -49,7 +49,7 @@
 	return best, bestPrice > 0
 }
 
-// compareOffers orders offers by type and zone, and on-demand before spot.
+// compareOffers orders offers by type, zone, and on-demand before spot.
 func compareOffers(a, b core.MachineOffer) int {
 	return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), compareBools(a.Spot, b.Spot))
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// offersOf are the offers of a type in all of its zones.
+// offersOf returns the offers of a machine type in all of its zones.
 func (as *Manager) offersOf(typ *api.MachineType) []core.MachineOffer {
 	zones := typ.Zones
 	if len(zones) == 0 {
@@ -96,11 +96,11 @@
 		plan.mayProbeZone(offer.Zone)
 }
 
-// mayProbeZone reports whether one more machine may be requested in a zone: in one that has
-// no machines left and may be back, a few at a time.
+// mayProbeZone reports whether one more machine may be requested in a zone. In a recovering
+// zone without machines, at most probeMachines are requested.
 func (plan *scaleOutPlan) mayProbeZone(zone api.Zone) bool {
 	health := plan.manager.siblings.Health
-	observed := health.Observation(zone) // as it was before the state is asked, which may observe anew
+	observed := health.Observation(zone) // must be read before ZoneState, which may update it
 	if health.ZoneState(zone) != zonehealth.Recovering || observed.All > 0 {
 		return true
 	}
--- a/controller/autoscale/plan.go
+++ b/controller/autoscale/plan.go
@@ -1,5 +1,5 @@
-// The scale-out plan: what free and incoming capacity takes of the waiting tasks, and the
-// machines to request for the rest.
+// This file plans scale-outs: it assigns pending tasks to free and incoming capacity and
+// requests machines for the remaining tasks.
 
 package autoscale
 
@@ -14,30 +14,30 @@
 	"basaltwall/sched"
 )
 
-// maxPlannedTasks bounds the tasks that a plan looks at.
+// maxPlannedTasks bounds the tasks that a plan considers.
 const maxPlannedTasks = 20000
 
-// scaleOutPlan assigns waiting tasks, job by job, to the machines that are up, incoming or
-// planned, and plans more where they do not suffice.
+// scaleOutPlan assigns pending tasks, job by job, to machines that are up, incoming or
+// planned, and plans requests for more machines where these do not suffice.
 type scaleOutPlan struct {
 	manager        *Manager
 	machines       []plannedMachine
 	incoming       map[core.MachineOffer]int
 	requests       map[core.MachineOffer]int
-	requestOrder   []core.MachineOffer        // in the order of the work that needs them
-	remainingQuota map[api.Team]api.Resources // what teams may still start
-	freeUnits      map[api.PoolName]int       // what pools still have
-	taskBudget     int                        // tasks that may still be looked at
-	queuedTasks    int                        // tasks that wait for accelerators
+	requestOrder   []core.MachineOffer        // offers for pending jobs, the most urgent job's first
+	remainingQuota map[api.Team]api.Resources // quota not used or planned
+	freeUnits      map[api.PoolName]int       // pool units not used or planned
+	taskBudget     int                        // tasks that may still be considered
+	queuedTasks    int                        // pending tasks that wait for existing accelerators
 }
 
-// plannedMachine is a machine with what is free on it after the plan so far.
+// plannedMachine is a machine with the capacity that the plan leaves free on it.
 type plannedMachine struct {
 	offer           core.MachineOffer
 	free            api.Resources
-	acceleratorOnly bool // only for work that needs its accelerators
+	acceleratorOnly bool // only for tasks that need its accelerators
 	partition       api.PartitionID
-	empty           bool // it may be loaned to another partition
+	empty           bool // may be loaned to another partition
 }
 
 func (as *Manager) newScaleOutPlan() *scaleOutPlan {
@@ -77,7 +77,7 @@
 	})
 }
 
-// addIncomingMachines adds the machines that will be up soon.
+// addIncomingMachines adds the machines that will soon be up.
 func (plan *scaleOutPlan) addIncomingMachines() {
 	plan.incoming = plan.manager.IncomingMachines()
 	for _, offer := range slices.SortedFunc(maps.Keys(plan.incoming), compareOffers) {
@@ -91,9 +91,8 @@
 	}
 }
 
-// jobsByUrgency are the jobs with tasks that wait or must be replaced, the most urgent
-// first: those that have waited for so long that they go before all, then by priority,
-// then by how long they have waited.
+// jobsByUrgency returns the jobs with tasks that are pending or must be replaced, the most
+// urgent first: those aged above all others, then by priority, then by aging stage.
 func (as *Manager) jobsByUrgency() []*core.Job {
 	jobs := slices.Collect(maps.Values(as.core.State.PendingJobs))
 	for id := range as.siblings.Health.ReplacementDemand() {
@@ -113,7 +112,7 @@
 	return jobs
 }
 
-// addJob plans for a job's tasks that wait.
+// addJob plans machines for a job's pending and replacement tasks.
 func (plan *scaleOutPlan) addJob(j *core.Job) {
 	if j.OwnerState.BackoffUntil > plan.manager.core.Now || plan.manager.siblings.Tenancy.StartsBlocked(j) {
 		return
@@ -124,22 +123,22 @@
 		return
 	}
 	demand := plan.newJobDemand(j, waiting)
-	if plan.startsInTimeWithout(demand) {
+	if plan.meetsStartObjective(demand) {
 		return
 	}
 	plan.assignToMachines(demand)
 	plan.requestFor(demand)
 }
 
-// takeStartable counts the tasks of a job that could start if there were machines, and
-// takes what they need off the quota, the pools and the budget.
+// takeStartable counts the tasks of a job that could start if there were machines, and subtracts
+// them from the quota, the pools' units and the task budget.
 func (plan *scaleOutPlan) takeStartable(j *core.Job) int {
 	waiting := 0
 	for p := range plan.manager.core.State.Partitions {
 		waiting += j.PendingTasks(api.PartitionID(p))
 	}
 	waiting = min(waiting, j.Demand.Slots(plan.remainingQuota[j.Spec.Team]), plan.taskBudget)
-	if len(j.Spec.Needs) > 0 { // no machine for work that its pools keep waiting
+	if len(j.Spec.Needs) > 0 { // no machines for tasks that wait for pool units
 		request := sched.Job{Spec: j.Spec, HoldsJobUnits: j.LiveCount() > 0}
 		if waiting = request.TasksWithinUnits(plan.freeUnits, waiting); waiting > 0 {
 			request.ConsumeUnits(plan.freeUnits, waiting)
@@ -150,10 +149,10 @@
 	return waiting
 }
 
-// startsInTimeWithout reports whether a job that needs accelerators starts in time on the
-// machines that there are: work that ends frees capacity, and more machines are requested
-// only when that comes too late. It notes the job's tasks as queued.
-func (plan *scaleOutPlan) startsInTimeWithout(demand *jobDemand) bool {
+// meetsStartObjective reports whether a job that needs accelerators is expected to meet its
+// class's start objective on existing machines, as running tasks end. It counts the job's tasks
+// as queued.
+func (plan *scaleOutPlan) meetsStartObjective(demand *jobDemand) bool {
 	spec, shared := demand.job.Spec, plan.manager.core
 	within := shared.StartObjective(spec.Class)
 	if within <= 0 || demand.cpuOnly {
@@ -169,8 +168,7 @@
 	return elapsed+float64(plan.queuedTasks)/float64(slots)*taskTurnaround < within
 }
 
-// totalCapacitySlots counts how many of a job's tasks the machines that are up could hold
-// if they were empty.
+// totalCapacitySlots counts the tasks of a job that the machines would hold if they were empty.
 func (as *Manager) totalCapacitySlots(s *api.JobSpec) int {
 	slots := 0
 	for _, count := range as.siblings.Capacity.TotalSlotsByPartition(s) {
@@ -179,7 +177,7 @@
 	return slots
 }
 
-// assignToMachines assigns tasks to the machines of the plan.
+// assignToMachines assigns a job's tasks to the machines of the plan.
 func (plan *scaleOutPlan) assignToMachines(demand *jobDemand) {
 	for i := range plan.machines {
 		if demand.waiting == 0 {
@@ -193,7 +191,7 @@
 	}
 }
 
-// requestFor plans more machines for the tasks that are left.
+// requestFor plans requests of machines for the tasks that are not assigned yet.
 func (plan *scaleOutPlan) requestFor(demand *jobDemand) {
 	for demand.waiting > 0 {
 		offer, ok := plan.offerFor(demand)
@@ -213,8 +211,8 @@
 	}
 }
 
-// offerFor is the cheapest offer for a job. Where its zone has none, all of the job goes
-// to another.
+// offerFor returns the cheapest offer for a job. If the job's only zone has none, the whole job
+// is planned in another zone.
 func (plan *scaleOutPlan) offerFor(demand *jobDemand) (core.MachineOffer, bool) {
 	offer, ok := plan.cheapestOffer(demand.job.Spec, demand.zoneOpen)
 	if ok || demand.zone == "" {
--- a/controller/autoscale/scaleahead.go
+++ b/controller/autoscale/scaleahead.go
@@ -1,5 +1,5 @@
-// Scaling out ahead of demand: machines with accelerators that should be up before the
-// work comes that will need them.
+// This file scales out ahead of demand, by the capacity targets of machine types with
+// accelerators.
 
 package autoscale
 
@@ -11,8 +11,7 @@
 	"basaltwall/controller/core"
 )
 
-// addCapacityTargets plans the machines that the capacity targets want beyond those that
-// are up, incoming or planned.
+// addCapacityTargets plans the machines that are missing to reach the capacity targets.
 func (plan *scaleOutPlan) addCapacityTargets() {
 	counts := plan.manager.acceleratorsByPartition()
 	for _, name := range slices.Sorted(maps.Keys(plan.manager.targets)) {
@@ -20,8 +19,8 @@
 		if target.latencySensitiveSpec == nil {
 			continue
 		}
-		suiting := plan.countMachines(name, counts, target.suits)
-		plan.requestAhead(target.latencySensitiveSpec, target.latencySensitive-suiting)
+		suitable := plan.countMachines(name, counts, target.suits)
+		plan.requestAhead(target.latencySensitiveSpec, target.latencySensitive-suitable)
 		if target.batchSpec != nil {
 			all := plan.countMachines(name, counts, func(bool) bool { return true })
 			plan.requestAhead(target.batchSpec, target.total-all)
@@ -29,8 +28,7 @@
 	}
 }
 
-// countMachines counts the machines of a type that are up, incoming or planned, of the
-// kinds that match.
+// countMachines counts the machines of a type that are up, incoming or planned, and match.
 func (plan *scaleOutPlan) countMachines(name api.MachineTypeName, counts map[api.PartitionID]acceleratorCounts, matches func(spot bool) bool) int {
 	sum := 0
 	for _, ofPartition := range counts {
@@ -50,7 +48,7 @@
 	return sum
 }
 
-// requestAhead plans machines that suit a job, as long as there are offers.
+// requestAhead plans requests of machines for an example job, as long as there are offers.
 func (plan *scaleOutPlan) requestAhead(s *api.JobSpec, missing int) {
 	anyZone := func(api.Zone) bool { return true }
 	for range missing {
--- a/controller/autoscale/scalein.go
+++ b/controller/autoscale/scalein.go
@@ -1,4 +1,4 @@
-// Scale-in: which machines are not needed any more.
+// This file decides which machines are no longer needed.
 
 package autoscale
 
@@ -10,19 +10,19 @@
 )
 
 const (
-	defaultIdleTimeout = time.Minute // of machines of an unknown type
+	defaultIdleTimeout = time.Minute // for an unknown machine type
 	minIdleTimeout     = 15 * time.Second
 
-	// surplusIdleDivisor is how many times sooner a surplus machine is idle for too long.
+	// surplusIdleDivisor divides the idle timeout for surplus machines.
 	surplusIdleDivisor = 3
 
-	// forgetAfter is how long a machine is remembered that is not ours, or that is
-	// neither listed nor has sent a heartbeat.
+	// forgetAfter is the time after which a machine is forgotten that belongs to another
+	// controller, or that is neither listed nor has sent a heartbeat.
 	forgetAfter = time.Minute
 )
 
-// EvaluateScaleIn decides whether a machine is still needed. It is called for each machine
-// in turn; owned is nil for machines of other controllers' partitions.
+// EvaluateScaleIn deletes or forgets a machine that is no longer needed. It is called for each
+// known machine; owned is nil for machines of other controllers' partitions.
 func (as *Manager) EvaluateScaleIn(m *core.Machine, owned *core.OwnedPartition) {
 	if len(as.core.MachineTypes) == 0 {
 		return
@@ -44,16 +44,16 @@
 	as.deleteIfUnneeded(m, owned, idle)
 }
 
-// isRetained reports whether a machine is not idle: it has work that it is kept for, is
-// kept together with others for a large job, or is in a zone that is out, whose
-// machines are deleted by the evacuation plan alone.
+// isRetained reports whether a machine can't count as idle: it runs tasks that retain it, is
+// reserved for a large job, or is in an unavailable zone, whose machines only the evacuation
+// plan deletes.
 func (as *Manager) isRetained(m *core.Machine) bool {
 	return as.hasRetainingWork(m.ID, m.MachineType) ||
 		as.siblings.Health.ZoneUnavailable(m.Zone) ||
 		m.Consolidated && as.siblings.Preemptor.ReservedFor(m) != ""
 }
 
-// isIdle reports whether a machine has stood idle for long enough to be deleted.
+// isIdle reports whether a machine has exceeded its idle timeout.
 func (as *Manager) isIdle(m *core.Machine, owned *core.OwnedPartition) bool {
 	if target := as.targets[m.MachineType]; target != nil && target.latencySensitiveSpec != nil && !m.Surplus {
 		return false
@@ -65,8 +65,8 @@
 	return idleFor > timeout || m.Surplus && idleFor > timeout/surplusIdleDivisor
 }
 
-// deleteIfUnneeded deletes or forgets a machine without placements that is gone,
-// quarantined or idle.
+// deleteIfUnneeded forgets a machine without placements that no longer exists, and deletes it
+// if it is quarantined or idle.
 func (as *Manager) deleteIfUnneeded(m *core.Machine, owned *core.OwnedPartition, idle bool) {
 	_, listed := as.Listed[m.ID]
 	switch {
@@ -75,14 +75,14 @@
 	case m.QuarantinedUntil > as.core.Now && m.LastHeartbeat != 0:
 		as.ScheduleDeletion(m, owned, core.DeletionReasonQuarantined)
 	case idle && owned.InFlight == nil && len(m.ReportedTasks) == 0 && as.deletions.failures == 0:
-		// While deletions fail it is not worth it: a machine that is being deleted gets
-		// no answers, and many of them would look like a zone that is cut off.
+		// Not while deletions fail: heartbeats of machines that are being deleted get no
+		// responses, and many such machines would look like a zone outage.
 		as.ScheduleDeletion(m, owned, core.DeletionReasonIdle)
 	}
 }
 
-// hasRetainingWork reports whether a machine has work that it is kept for: any, but on
-// one with accelerators only such as needs them.
+// hasRetainingWork reports whether a machine runs tasks that retain it: on a machine with
+// accelerators only tasks that need them, else any.
 func (as *Manager) hasRetainingWork(id api.MachineID, typ api.MachineTypeName) bool {
 	for _, p := range as.core.State.PlacementsOn(id) {
 		if !as.core.HasAccelerators(typ) || !as.core.IsCPUOnly(p.Job.Spec) {
@@ -92,8 +92,8 @@
 	return false
 }
 
-// idleTimeout is how long a machine may stand idle: as long as booting another would
-// take. By then it has cost what deleting it too early would cost.
+// idleTimeout returns the configured idle timeout, else the boot time of the type: by then an
+// idle machine has cost as much as booting a replacement.
 func (as *Manager) idleTimeout(name api.MachineTypeName) time.Duration {
 	if configured := as.core.Settings.IdleTimeout; configured > 0 {
 		return api.Seconds(configured)
--- a/controller/autoscale/scaleout.go
+++ b/controller/autoscale/scaleout.go
@@ -1,4 +1,4 @@
-// Scale-out: when machines are requested, which ones, and the calls that request them.
+// This file decides when and which machines are requested, and sends the requests.
 
 package autoscale
 
@@ -18,14 +18,14 @@
 	// maxScaleOutBatch is the cloud protocol's limit of machines in one request.
 	maxScaleOutBatch = 50
 
-	// takeoverSettleTime is how long after a takeover the machines that there are may
-	// take to send their heartbeats.
+	// takeoverSettleTime is the time after a failover in which existing machines send
+	// heartbeats to the new owner, before it scales out.
 	takeoverSettleTime = 3 * time.Second
-	// placementSettleTime is how long tasks must have been short of machines: what is
-	// about to be placed is placed first.
+	// placementSettleTime is the time for which tasks must lack machines before machines
+	// are requested, so that tasks can be placed on existing machines first.
 	placementSettleTime = time.Second
 
-	offerBackoff       = 20 * time.Second // for offers of which the cloud has no more
+	offerBackoff       = 20 * time.Second // after the cloud had no capacity for an offer
 	scaleOutRetryDelay = time.Second
 )
 
@@ -33,14 +33,14 @@
 type scaleOutCalls struct {
 	inFlight     bool
 	nextAt       api.Time
-	lastUrgent   bool // the last request was for the most urgent work
+	lastUrgent   bool // the last request was for the most urgent job
 	requestCount int
-	backoffUntil map[core.MachineOffer]api.Time // no requests of an offer before
-	unmetSince   api.Time                       // since when tasks are short of machines, 0: they are not
+	backoffUntil map[core.MachineOffer]api.Time // by offer: the time until which it is not requested
+	unmetSince   api.Time                       // time since which tasks lack machines; 0: none do
 }
 
-// scaleOut finds the waiting tasks that fit nowhere, neither on machines that are up nor
-// on those that are coming, and requests the cheapest machines for them.
+// scaleOut requests the cheapest machines for pending tasks that fit neither on existing nor on
+// incoming machines, and for the capacity targets.
 func (as *Manager) scaleOut(owned *core.OwnedPartition) {
 	if !as.scaleOutDue(owned) {
 		return
@@ -62,14 +62,13 @@
 	if as.core.Settings.DisableScaleOut || calls.inFlight || as.core.Now < calls.nextAt || as.listedAt == 0 {
 		return false
 	}
-	// After a takeover the existing machines must send heartbeats first; where none
-	// exist there is nothing to wait for.
+	// After a failover existing machines must first send heartbeats to the new owner.
 	machinesExist := len(as.Listed) > 0 || len(as.core.Machines) > 0
 	return !machinesExist || as.core.Now.Sub(owned.OwnedSince) >= takeoverSettleTime
 }
 
-// nextOffer chooses the offer to request: the most urgent work's and the one that is
-// needed most, by turns. ok is false if none is needed, or not for long enough.
+// nextOffer chooses the offer to request: alternately the offer for the most urgent job and the
+// one with the most planned machines. ok is false if no machines are needed, or not yet.
 func (as *Manager) nextOffer(plan *scaleOutPlan) (offer core.MachineOffer, ok bool) {
 	calls := &as.scaleOuts
 	if len(plan.requests) == 0 {
@@ -90,7 +89,7 @@
 	return slices.MaxFunc(offers, func(a, b core.MachineOffer) int { return plan.requests[a] - plan.requests[b] }), true
 }
 
-// requestMachines asks the cloud for machines.
+// requestMachines requests machines from the cloud.
 func (as *Manager) requestMachines(owned *core.OwnedPartition, offer core.MachineOffer, count int) {
 	calls := &as.scaleOuts
 	calls.requestCount++
@@ -105,8 +104,8 @@
 		case response.NoCapacity:
 			calls.backoffUntil[offer] = as.core.Now.Add(offerBackoff)
 		case response.Status == 0:
-			// The name is not used again: should the request be carried out late, its
-			// machines appear by themselves. The list may show them meanwhile.
+			// The outcome is unknown. The request is not repeated under its name; machines
+			// that it has created appear in the list, so wait for the list's lag.
 			listLag := api.Seconds(as.core.Config.Deployment.Cloud.ListLag)
 			calls.nextAt = as.core.Now.Add(max(scaleOutRetryDelay, listLag))
 		default:
@@ -115,13 +114,13 @@
 	})
 }
 
-// noteScaleOut accounts for the machines that a request has created.
+// noteScaleOut records the machines that a request has created.
 func (as *Manager) noteScaleOut(offer core.MachineOffer, requested int, requestedAt api.Time, created []api.MachineID) {
 	calls := &as.scaleOuts
 	if requested == maxScaleOutBatch {
-		calls.nextAt = requestedAt.Add(as.core.CloudCallInterval * 2 / 3) // much is needed: half of the cloud's calls
+		calls.nextAt = requestedAt.Add(as.core.CloudCallInterval * 2 / 3) // many machines are needed: send requests more often
 	}
-	slog.Info("machines provisioned", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "asked", requested, "got", len(created))
+	slog.Info("machines provisioned", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "requested", requested, "created", len(created))
 	if len(created) < requested {
 		calls.backoffUntil[offer] = as.core.Now.Add(offerBackoff)
 	}
--- a/controller/autoscale/siblings.go
+++ b/controller/autoscale/siblings.go
@@ -1,4 +1,4 @@
-// The components that the autoscaler asks, as it sees them.
+// This file declares the components that the autoscaler depends on.
 
 package autoscale
 
@@ -12,7 +12,7 @@
 	"basaltwall/zonehealth"
 )
 
-// Siblings are the other components that the autoscaler asks.
+// Siblings are the other components that the autoscaler depends on.
 type Siblings struct {
 	Agents     Agents
 	Backfiller Backfiller
@@ -28,75 +28,76 @@
 	Tenancy    Tenancy
 }
 
-// Agents is what the autoscaler needs of the agent manager.
+// Agents is the interface to the agent manager.
 type Agents interface {
 	MachinesOf(api.PartitionID) []*core.Machine
 	EnsureMachine(api.MachineID) *core.Machine
 	ForgetMachine(api.MachineID)
-	// LoanedMachines are the machines whose partition changed of late.
+	// LoanedMachines iterates over the machines whose partition changed recently.
 	LoanedMachines() iter.Seq[api.MachineID]
-	// LoanInTransit reports whether a machine was loaned of late and has not sent a
+	// LoanInTransit reports whether a machine was loaned recently and has not sent a
 	// heartbeat to its new owner yet.
 	LoanInTransit(api.MachineID) bool
 }
 
-// Backfiller is what the autoscaler needs of the backfiller.
+// Backfiller is the interface to the backfiller.
 type Backfiller interface {
 	WaitStage(*core.Job, api.PartitionID) sched.AgingStage
 }
 
-// Balancer is what the autoscaler needs of the balancer.
+// Balancer is the interface to the balancer.
 type Balancer interface {
 	// DropLoanRecord removes the record of a deleted machine's loan.
 	DropLoanRecord(*core.OwnedPartition, api.MachineID)
 }
 
-// Follower is what the autoscaler needs of the log follower.
+// Follower is the interface to the log follower.
 type Follower interface {
-	// LinearizableRead calls onRead once everything written before is applied.
+	// LinearizableRead calls onRead once all earlier writes are applied.
 	LinearizableRead(onRead, onFailure func())
 }
 
-// Gossip is what the autoscaler needs of the gossiper: other controllers' machines.
+// Gossip is the interface to the gossiper, which knows other controllers' machines.
 type Gossip interface {
 	EachFreeCapacity(visit func(api.PartitionID, message.MachineClass, message.FreeCapacity))
 	EachUnreportedMachine(visit func(api.PartitionID, api.Instance))
 	PeerPartitionStatuses() []message.PartitionStatus
 }
 
-// Health is what the autoscaler needs of the zone health monitor.
+// Health is the interface to the zone health monitor.
 type Health interface {
 	Observation(api.Zone) zonehealth.Assessment
 	RecordedState(api.Zone) zonehealth.State
 	ZoneState(api.Zone) zonehealth.State
 	ZoneUnavailable(api.Zone) bool
-	// ReplacementDemand counts the tasks by job that need machines in place of those of
-	// a lost zone.
+	// ReplacementDemand returns, by job, the number of tasks that need replacements for
+	// machines of a lost zone.
 	ReplacementDemand() map[api.JobID]int
 }
 
-// Capacity is what the autoscaler needs of the count of free capacity.
+// Capacity is the interface to the counter of capacity.
 type Capacity interface {
-	// TotalSlotsByPartition counts the tasks that the machines would hold when empty.
+	// TotalSlotsByPartition counts the tasks that each partition's machines would hold if
+	// they were empty.
 	TotalSlotsByPartition(*api.JobSpec) []int
 }
 
-// Pools is what the autoscaler needs of the pool manager.
+// Pools is the interface to the pool manager.
 type Pools interface {
 	FreePoolUnits() map[api.PoolName]int
 }
 
-// Preemptor is what the autoscaler needs of the preemptor.
+// Preemptor is the interface to the preemption planner.
 type Preemptor interface {
 	ReservedFor(*core.Machine) api.JobID
 }
 
-// Priorities is what the autoscaler needs of the priorities.
+// Priorities is the interface to the priority rules.
 type Priorities interface {
 	EffectivePriority(*api.JobSpec) float64
 }
 
-// Scheduler is what the autoscaler needs of the round scheduler.
+// Scheduler is the interface to the scheduler of rounds.
 type Scheduler interface {
 	FreeCapacityOn(*core.Machine, *core.OwnedPartition) api.Resources
 	IsSchedulable(*core.Machine, *core.OwnedPartition) bool
@@ -106,7 +107,7 @@
 	TaskZones(*core.Job) (zones map[api.Zone]int, known bool)
 }
 
-// Tenancy is what the autoscaler needs of the tenant service.
+// Tenancy is the interface to the tenant service.
 type Tenancy interface {
 	StartsBlocked(*core.Job) bool
 }
--- a/controller/autoscale/spothistory.go
+++ b/controller/autoscale/spothistory.go
@@ -1,4 +1,4 @@
-// Spot machines: how often they were reclaimed of late.
+// This file estimates the rate at which the cloud reclaims spot machines.
 
 package autoscale
 
@@ -10,18 +10,17 @@
 )
 
 const (
-	// spotDecayTime is the time in which past observations come to count a third as
-	// much: the cloud reclaims more machines at some times than at others.
+	// spotDecayTime is the time constant of the exponential decay of past observations, as
+	// the loss rate changes over time.
 	spotDecayTime = 2 * time.Minute
 
-	// The loss rate is assumed to be one in an hour to begin with, which counts as much
-	// as an hour of observation.
+	// The prior loss rate is one loss per hour, with the weight of an hour of observation.
 	priorSpotLosses        = 1
 	priorSpotUptimeSeconds = 3600
 )
 
-// spotHistory is how long spot machines were seen up and how many were reclaimed, with
-// exponential decay.
+// spotHistory is the observed uptime of spot machines and the number of reclaimed ones, both
+// with exponential decay.
 type spotHistory struct {
 	uptimeSeconds float64
 	reclaimed     float64
@@ -38,10 +37,10 @@
 	h.reclaimed *= factor
 }
 
-// SpotLossRate is how often a spot machine is reclaimed, per second, as seen of late.
+// SpotLossRate returns the recent rate at which a spot machine is reclaimed, per second.
 func (as *Manager) SpotLossRate() float64 { return as.spot.lossRate() }
 
-// recordSpotUptime adds the uptime of our partitions' spot machines since the last call.
+// recordSpotUptime adds the uptime of the owned partitions' spot machines since the last call.
 func (as *Manager) recordSpotUptime() {
 	h := &as.spot
 	if elapsed := as.core.Now.Sub(h.sampledAt); h.sampledAt != 0 && elapsed > 0 {
--- a/controller/autoscale/surplus.go
+++ b/controller/autoscale/surplus.go
@@ -1,4 +1,4 @@
-// Surplus: which machines with accelerators are more than the targets want.
+// This file marks surplus machines: those with accelerators that exceed the capacity targets.
 
 package autoscale
 
@@ -12,11 +12,10 @@
 	"basaltwall/controller/message"
 )
 
-// markSurplus chooses our share of the machines that are more than needed, of those
-// without long-running work: the most expensive first, but of those that suit
-// latency-sensitive work as many stay as it needs. They get work last and are deleted
-// when they are idle. Every owner computes this from the same counts, so that together
-// they choose about as many as there are too many.
+// markSurplus marks this controller's share of the surplus machines of a type, the most
+// expensive first. It does not mark machines with long-running work, nor those needed for
+// latency-sensitive jobs. Surplus machines get tasks last and are deleted sooner when idle. All
+// owners compute their shares from the same counts, so that together they mark about the surplus.
 func (as *Manager) markSurplus(name api.MachineTypeName, target *capacityTarget, countsByPartition map[api.PartitionID]acceleratorCounts) {
 	totals, up := totalCounts(name, countsByPartition)
 	surplus := up - target.total
@@ -35,7 +34,8 @@
 	}
 }
 
-// totalCounts adds up the counts of a type's machines by kind, and those that are up.
+// totalCounts sums the counts of a type's machines over all partitions, by kind, and the number
+// of those that are up.
 func totalCounts(name api.MachineTypeName, countsByPartition map[api.PartitionID]acceleratorCounts) (totals acceleratorCounts, up int) {
 	totals = acceleratorCounts{}
 	for _, counts := range countsByPartition {
@@ -50,8 +50,8 @@
 	return totals, up
 }
 
-// distributeSurplus divides the surplus of a kind among the partitions in proportion to
-// their free machines, and marks those of our partitions.
+// distributeSurplus divides the surplus of a kind among the partitions in proportion to their
+// machines without long-running work, and marks the machines of owned partitions.
 func (as *Manager) distributeSurplus(kind message.AcceleratorKind, surplus, free int, countsByPartition map[api.PartitionID]acceleratorCounts, mayConsolidate bool) {
 	freeBefore := 0
 	for _, p := range slices.Sorted(maps.Keys(countsByPartition)) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// selectSurplus marks so many of a partition's machines: those marked before, then those
-// with least work, then the newest.
+// selectSurplus marks count machines of a partition as surplus: first those already marked,
+// then those with the fewest placements, then the newest.
 func (as *Manager) selectSurplus(p api.PartitionID, kind message.AcceleratorKind, count int) {
 	var free []*core.Machine
 	for _, m := range as.siblings.Agents.MachinesOf(p) {
