--- a/controller/autoscale/scalein.go
+++ b/controller/autoscale/scalein.go
@@ -45,8 +45,8 @@
 }
 
 // isRetained reports whether a machine can't count as idle: it runs tasks that retain it, is
-// reserved for a large job, or is in an unavailable zone, whose machines only the evacuation
-// plan deletes.
+// reserved for a job that has been pending for long, or is in an unavailable zone, whose
+// machines only the evacuation plan deletes.
 func (as *Manager) isRetained(m *core.Machine) bool {
 	return as.hasRetainingWork(m.ID, m.MachineType) ||
 		as.siblings.Health.ZoneUnavailable(m.Zone) ||
--- a/controller/balance/balancer.go
+++ b/controller/balance/balancer.go
@@ -1,12 +1,12 @@
-// Package balance evens out what the partitions of the cluster have: it moves pending tasks to
-// partitions with free capacity, gives away quota that a partition does not use, and lends
-// machines, empty or together with their tasks, to partitions whose jobs lack them.
+// Package balance rebalances work and capacity between partitions: it moves pending tasks to
+// partitions with free capacity, transfers unused quota, and lends machines, empty or together
+// with their tasks, to partitions whose jobs lack them.
 //
-// It owns no state. Records of loans are in the cluster state, and what is in flight for a
-// partition is in core.OwnedPartition.
+// It owns no state. Records of loans are in the cluster state, and the state of calls in flight
+// for a partition is in core.OwnedPartition.
 package balance
 
-// This file has the component and what it asks of others.
+// This file holds the component and the interfaces to the components that it depends on.
 
 import (
 	"basaltwall/api"
@@ -22,7 +22,7 @@
 	siblings Siblings
 }
 
-// Siblings are the other components that the balancer asks.
+// Siblings are the other components that the balancer depends on.
 type Siblings struct {
 	Agents     Agents
 	Autoscaler Autoscaler
@@ -37,67 +37,67 @@
 	Tenancy    Tenancy
 }
 
-// Agents is what the balancer needs of the agent manager.
+// Agents is the interface to the agent manager.
 type Agents interface {
-	// MachinesOf are a partition's machines, in order.
+	// MachinesOf returns a partition's machines, sorted by ID.
 	MachinesOf(api.PartitionID) []*core.Machine
-	// EnsureMachine is the machine of that name, which is added if it was not known.
+	// EnsureMachine returns a machine, and adds it if it is unknown.
 	EnsureMachine(api.MachineID) *core.Machine
-	// ContactNow has a machine called at once.
+	// ContactNow schedules an immediate call to a machine.
 	ContactNow(*core.Machine)
 }
 
-// Autoscaler is what the balancer needs of the autoscaler.
+// Autoscaler is the interface to the autoscaler.
 type Autoscaler interface {
-	// ListedMachine is a machine as the cloud last listed it.
+	// ListedMachine returns a machine's entry in the cloud's list.
 	ListedMachine(api.MachineID) (api.Instance, bool)
 }
 
-// Backfiller is what the balancer needs of the component that reserves machines for the jobs that
-// have waited longest.
+// Backfiller is the interface to the component that reserves machines for aged jobs.
 type Backfiller interface {
-	// WaitStage is how far a job has aged in a partition.
+	// WaitStage returns the aging stage of a job in a partition.
 	WaitStage(*core.Job, api.PartitionID) sched.AgingStage
-	// ReservableMachines are the candidates that may be reserved for a job, and what is and will be
-	// free on each.
+	// ReservableMachines returns the candidates that may be reserved for a job, and the present
+	// and future free capacity of each.
 	ReservableMachines(*core.OwnedPartition, *api.JobSpec, []*core.Machine) ([]*core.Machine, []backfill.Machine)
-	// Reserve reserves a machine for a job of that priority rank and stage.
+	// Reserve reserves a machine for a job with the given priority rank and aging stage.
 	Reserve(owned *core.OwnedPartition, m *core.Machine, jobID api.JobID, rank int, stage sched.AgingStage)
 }
 
-// Capacity is what the balancer needs of the component that counts free capacity by partition.
+// Capacity is the interface to the component that counts capacity by partition.
 type Capacity interface {
-	// FreeSlotsByPartition counts the tasks of a job that could start at once.
+	// FreeSlotsByPartition counts the tasks of a job that could start now.
 	FreeSlotsByPartition(*api.JobSpec) []int
-	// TotalSlotsByPartition counts the tasks of a job that fit the machines while these are empty.
+	// TotalSlotsByPartition counts the tasks of a job that the machines would hold if they were
+	// empty.
 	TotalSlotsByPartition(*api.JobSpec) []int
-	// PendingTasksIn counts the pending tasks of a partition that go before a job's, or with them.
+	// PendingTasksIn counts the pending tasks of a partition that compete with a job.
 	PendingTasksIn(api.PartitionID, *api.JobSpec) int
 }
 
-// Gossip is what the balancer needs of the gossiper.
+// Gossip is the interface to the gossiper.
 type Gossip interface {
-	// OtherPartitionStatuses are all partitions but this one, whoever owns them.
+	// OtherPartitionStatuses returns the statuses of all other partitions, whoever owns them.
 	OtherPartitionStatuses(*core.OwnedPartition) []message.PartitionStatus
-	// EachFreeCapacity visits the machines of all partitions, those that are alike together.
+	// EachFreeCapacity visits the machines of all partitions in groups of equal machines.
 	EachFreeCapacity(visit func(api.PartitionID, message.MachineClass, message.FreeCapacity))
 }
 
-// Log is what the balancer needs of the follower of the state service's log.
+// Log is the interface to the follower of the state service's log.
 type Log interface {
-	// LinearizableRead calls onRead once everything that was written before is known.
+	// LinearizableRead calls onRead once all earlier writes are applied.
 	LinearizableRead(onRead, onFailure func())
 }
 
-// Membership is what the balancer needs of the membership.
+// Membership is the interface to the membership of controllers.
 type Membership interface {
-	// Format is the newest format of records that a controller understands.
+	// Format returns the newest record format that a controller supports.
 	Format(api.ControllerID) int
 }
 
-// Preemptor is what the balancer needs of the preemptor.
+// Preemptor is the interface to the preemption planner.
 type Preemptor interface {
-	// ReservedFor is the job that a machine is reserved for; empty if there is none.
+	// ReservedFor returns the job that a machine is reserved for, or "".
 	ReservedFor(*core.Machine) api.JobID
 	// ReserveExclusively reserves a machine for a job for which tasks are preempted there.
 	ReserveExclusively(*core.Machine, api.JobID)
@@ -105,33 +105,34 @@
 	ExecutePreemption(core.PreemptionPlan, api.JobID)
 }
 
-// Priorities is what the balancer needs of the operators' rules.
+// Priorities is the interface to the operators' priority rules.
 type Priorities interface {
-	// SortByPriority puts jobs that rules raise first.
+	// SortByPriority moves the jobs to the front that rules raise.
 	SortByPriority([]api.JobID) []api.JobID
 }
 
-// Scheduler is what the balancer needs of the scheduler.
+// Scheduler is the interface to the scheduler of rounds.
 type Scheduler interface {
 	// IsSchedulable reports whether a machine may get new tasks.
 	IsSchedulable(*core.Machine, *core.OwnedPartition) bool
 	FreeCapacityOn(*core.Machine, *core.OwnedPartition) api.Resources
 	// CommitRound writes a round's record.
 	CommitRound(*core.OwnedPartition, *core.PendingRound)
-	// IsRecordRingFull reports whether a partition has to write a checkpoint before its next record.
+	// IsRecordRingFull reports whether a partition must write a checkpoint before its next record.
 	IsRecordRingFull(*core.OwnedPartition) bool
-	// RoundConditionBudget is how many conditions a round's transaction may have beside its own.
+	// RoundConditionBudget returns the number of conditions that a round's transaction may have in
+	// addition to the standard ones.
 	RoundConditionBudget() int
 }
 
-// Tenancy is what the balancer needs of the tenants' service.
+// Tenancy is the interface to the tenant service.
 type Tenancy interface {
-	// StartsBlocked reports whether a job may not start tasks now, whatever capacity is free.
+	// StartsBlocked reports whether a job may not start tasks now, regardless of free capacity.
 	StartsBlocked(*core.Job) bool
 }
 
-// New returns a balancer; Connect is to be called before use.
+// New returns a balancer. Connect must be called before any other method.
 func New(k *core.Core) *Balancer { return &Balancer{core: k} }
 
-// Connect names the components that the balancer asks.
+// Connect sets the components that the balancer depends on.
 func (b *Balancer) Connect(s Siblings) { b.siblings = s }
--- a/controller/balance/capacity.go
+++ b/controller/balance/capacity.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file has which partitions and zones have capacity for all of a job.
+// This file finds the partitions and zones that have capacity for a whole job.
 
 import (
 	"basaltwall/api"
@@ -9,8 +9,8 @@
 	"basaltwall/sched"
 )
 
-// PartitionsWithCapacity finds the partitions that have capacity for all of a job's tasks: now, or
-// after preemption if the job's priority is high enough for that.
+// PartitionsWithCapacity finds the partitions that have capacity for all tasks of a job, now and, if
+// the job's priority allows preemption, after preemption.
 func (b *Balancer) PartitionsWithCapacity(s *api.JobSpec) (now, afterPreemption map[api.PartitionID]bool) {
 	demand, cpuOnly := s.Demand(), b.core.IsCPUOnly(s)
 	mayPreempt := s.Priority.Rank() >= core.PreemptorRank
@@ -19,7 +19,7 @@
 		if !class.Usable || !b.core.IsEligible(s, cpuOnly, class.Type, class.Zone, class.Spot) {
 			return
 		}
-		for range min(capacity.Count, s.Tasks) { // more that are alike are never needed
+		for range min(capacity.Count, s.Tasks) { // the job never needs more equal machines than it has tasks
 			if demand.Fits(capacity.Free) {
 				free[p] = append(free[p], machineWithFree(class, capacity.Free))
 			}
@@ -31,12 +31,12 @@
 	return partitionsThatFit(free, s), partitionsThatFit(preemptible, s)
 }
 
-// machineWithFree is a machine of a class, as the scheduler sees it, with so much free.
+// machineWithFree returns the scheduler's view of a machine of a class with the given free capacity.
 func machineWithFree(class message.MachineClass, free api.Resources) sched.Machine {
 	return sched.Machine{Type: class.Type, Zone: class.Zone, Spot: class.Spot, Free: free}
 }
 
-// partitionsThatFit are the partitions whose machines hold all of a job's tasks.
+// partitionsThatFit returns the partitions whose machines hold all tasks of a job.
 func partitionsThatFit(machines map[api.PartitionID][]sched.Machine, s *api.JobSpec) map[api.PartitionID]bool {
 	out := map[api.PartitionID]bool{}
 	for p, ms := range machines {
@@ -47,8 +47,8 @@
 	return out
 }
 
-// preferredZone is the zone with most capacity for a job whose tasks must be in one zone; empty
-// for other jobs.
+// preferredZone returns the zone with the most capacity for a job whose tasks must be in one zone, or
+// "" for other jobs.
 func (b *Balancer) preferredZone(s *api.JobSpec) api.Zone {
 	if !s.OneZone {
 		return ""
@@ -56,7 +56,7 @@
 	slots := map[api.Zone]int{}
 	b.siblings.Gossip.EachFreeCapacity(func(_ api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
 		if class.Usable && sched.Feasible(s, class.Type, class.Zone, class.Spot) {
-			// What is free at once counts for more than what preemption would free.
+			// Free capacity counts more than capacity that preemption would free.
 			slots[class.Zone] += capacity.Count * (2*s.Demand().Slots(capacity.Free) + s.Demand().Slots(capacity.Could))
 		}
 	})
--- a/controller/balance/demand.go
+++ b/controller/balance/demand.go
@@ -1,7 +1,7 @@
 package balance
 
-// This file describes the jobs that found no capacity in their partition, for other partitions to
-// lend machines.
+// This file describes the jobs that find no capacity in their partition, so that other partitions
+// can lend machines.
 
 import (
 	"cmp"
@@ -15,15 +15,16 @@
 )
 
 const (
-	// transferWait is how long a job waits before machines are lent to it with their tasks: that
-	// tears the work of other jobs from their partition, and capacity may come free by itself.
+	// transferWait is the time for which a job must lack capacity before machines are lent to it
+	// together with their tasks. This separates tasks of other jobs from their partition, and
+	// capacity may become free without it.
 	transferWait = 20 * time.Second
-	// unmetDemandExpiry is how long after a job was last seen to find no capacity its wait counts
-	// anew.
+	// unmetDemandExpiry is the time after the last observation of unmet demand after which the wait
+	// of a job starts again.
 	unmetDemandExpiry = 4 * core.UnmetDemandRecheckInterval
 )
 
-// UnmetDemandOf describes a job that found no capacity in its partition, and notes since when.
+// UnmetDemandOf describes a job that finds no capacity in its partition, and records since when.
 func (b *Balancer) UnmetDemandOf(owned *core.OwnedPartition, j *core.Job, request *sched.Job) message.UnmetDemand {
 	if j.OwnerState.UnmetSince == 0 || b.core.Now.Sub(j.OwnerState.UnmetSeenAt) > unmetDemandExpiry {
 		j.OwnerState.UnmetSince = b.core.Now
@@ -32,7 +33,7 @@
 	demand := message.UnmetDemand{Spec: j.Spec, Zones: request.PlacedByZone, Zone: b.preferredZone(j.Spec), Stage: request.AgingStage}
 	if j.Spec.OneZone {
 		for zone := range request.PlacedByZone {
-			demand.Zone = zone // where its other tasks are
+			demand.Zone = zone // the zone of its placed tasks
 		}
 	}
 	if b.core.Now.Sub(j.OwnerState.UnmetSince) > transferWait {
@@ -41,8 +42,8 @@
 	return demand
 }
 
-// findLenders are the other partitions whose machines have most capacity for a job that finds none
-// in its own, as many as it takes. There are none if a gang would not fit all partitions together.
+// findLenders returns the other partitions with the most capacity for a job, as many as are needed
+// for its missing tasks. It returns none for a gang that would not fit all partitions together.
 func (b *Balancer) findLenders(owned *core.OwnedPartition, j *core.Job, demand *message.UnmetDemand) []api.PartitionID {
 	slots, machines := b.lenderCapacity(j, demand)
 	missing := j.PendingTasks(owned.ID)
@@ -67,8 +68,8 @@
 	return lenders[:count]
 }
 
-// lenderCapacity counts, by partition, the tasks of a job that machines could hold which it may be
-// lent; for a gang it returns these machines too.
+// lenderCapacity counts, by partition, the tasks of a job that fit the free capacity of machines which
+// may be lent to it. For a gang it also returns these machines.
 func (b *Balancer) lenderCapacity(j *core.Job, demand *message.UnmetDemand) (slots []int, machines []sched.Machine) {
 	cpuOnly := b.core.IsCPUOnly(j.Spec)
 	slots = make([]int, len(b.core.State.Partitions))
--- a/controller/balance/loan.go
+++ b/controller/balance/loan.go
@@ -15,13 +15,13 @@
 	"basaltwall/sched"
 )
 
-// minLendInterval is how long after it looked at others' demands a partition looks again.
+// minLendInterval is the minimum interval at which a partition evaluates the unmet demand of others.
 const minLendInterval = 2 * core.GossipInterval
 
-// LendMachines lends a machine to a partition that can't hold a job whole. The write raises the
-// token under which the machine is commanded, so nothing that this partition has sent it can take
-// effect any more. If no empty machine fits, tasks of lower priority are preempted on one, or one
-// is lent with its tasks, or one is reserved.
+// LendMachines lends a machine to another partition in which a job does not fit as a whole. The loan
+// raises the machine's fencing token, so that earlier commands of this partition no longer take
+// effect. If no empty machine fits, it preempts tasks of lower priority, lends a machine together with
+// its tasks, or reserves a machine.
 func (b *Balancer) LendMachines(owned *core.OwnedPartition) {
 	if owned.LoanInFlight || owned.Releasing || owned.InFlight != nil || b.core.Now < owned.NextLoan {
 		return
@@ -30,7 +30,7 @@
 	for _, status := range b.siblings.Gossip.OtherPartitionStatuses(owned) {
 		for _, demand := range status.Lack {
 			if demand.Spec == nil || len(owned.UnmetDemands) > 0 && status.Part > owned.ID {
-				continue // of two partitions with unmet demand, the higher one lends
+				continue // of two partitions with unmet demand, the one with the higher ID lends
 			}
 			if b.meetDemand(owned, status.Part, &demand) {
 				return
@@ -39,12 +39,12 @@
 	}
 }
 
-// meetDemand does what a partition can for a job of another one, and reports whether it has lent a
-// machine.
+// meetDemand lends, preempts for or reserves a machine for a job of another partition, and reports
+// whether it has lent one.
 func (b *Balancer) meetDemand(owned *core.OwnedPartition, borrower api.PartitionID, demand *message.UnmetDemand) (lent bool) {
 	cpuOnly, aged := b.core.IsCPUOnly(demand.Spec), demand.Stage != sched.NotAged
 	if cpuOnly && owned.PendingTaskCount > 0 && !aged && !slices.Contains(demand.Lenders, owned.ID) {
-		return false // the partition's own tasks can use what is free
+		return false // the partition's own pending tasks can use the free capacity
 	}
 	empty, plan := b.selectLoanMachine(owned, demand, cpuOnly)
 	if empty != nil {
@@ -66,8 +66,8 @@
 	return false
 }
 
-// selectLoanMachine finds an empty machine for a job of another partition or, if there is none,
-// the machine that preemption would empty at the least cost.
+// selectLoanMachine finds an empty machine for a job of another partition or, if there is none, the
+// machine that preemption would empty at the lowest cost.
 func (b *Balancer) selectLoanMachine(owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) (empty *core.Machine, best core.PreemptionPlan) {
 	mayPreempt := !cpuOnly || demand.Stage != sched.NotAged
 	for _, m := range b.siblings.Agents.MachinesOf(owned.ID) {
@@ -93,17 +93,17 @@
 	return nil, best
 }
 
-// isEmpty reports whether no task is on a machine, known or not.
+// isEmpty reports whether a machine has no tasks, neither placed nor unknown ones.
 func (b *Balancer) isEmpty(m *core.Machine) bool {
 	return len(b.core.State.PlacementsOn(m.ID)) == 0 && hasOnlyKnownTasks(m)
 }
 
-// hasOnlyKnownTasks reports whether the cluster state has all tasks that a machine has reported.
+// hasOnlyKnownTasks reports whether all tasks that a machine has reported are in the cluster state.
 func hasOnlyKnownTasks(m *core.Machine) bool {
 	return !m.HasUnknownTasks && m.UntrackedUsage == (api.Resources{})
 }
 
-// isLendable reports whether a machine may be lent, as it is, to a job with unmet demand.
+// isLendable reports whether a machine may be lent, in its present state, for a job with unmet demand.
 func (b *Balancer) isLendable(m *core.Machine, owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) bool {
 	return b.siblings.Scheduler.IsSchedulable(m, owned) && !m.CallInFlight &&
 		isInZoneOf(m, demand) &&
@@ -115,7 +115,8 @@
 	return (demand.Zone == "" || m.Zone == demand.Zone) && sched.ZoneFeasible(demand.Spec, demand.Zones, m.Zone)
 }
 
-// reserveForLoan reserves the machine that will be empty soonest for another partition's aged job.
+// reserveForLoan reserves the machine that is expected to be empty soonest for an aged job of another
+// partition.
 func (b *Balancer) reserveForLoan(owned *core.OwnedPartition, demand *message.UnmetDemand) {
 	var candidates []*core.Machine
 	for _, m := range b.siblings.Agents.MachinesOf(owned.ID) {
@@ -129,13 +130,13 @@
 	}
 }
 
-// lendMachine writes the record of a loan, again until the outcome is known. No round is planned
-// before: a late write must not give away a machine that has got a task meanwhile.
+// lendMachine writes the record of a loan and retries until the outcome is known. Until then no round
+// is planned, as a late write must not lend a machine that has received a task.
 func (b *Balancer) lendMachine(owned *core.OwnedPartition, id api.MachineID, borrower api.PartitionID, jobID api.JobID) {
 	key := clusterstate.KeyLoan + string(id)
 	value, err := json.Marshal(clusterstate.LoanValue{Partition: borrower, Job: jobID, Transferred: b.core.State.Loans[id].Transferred})
 	if err != nil {
-		slog.Error("loan not encoded", "err", err)
+		slog.Error("failed to encode loan record", "err", err)
 		return
 	}
 	owned.LoanInFlight = true
@@ -166,8 +167,8 @@
 	attempt()
 }
 
-// DropLoanRecord removes the record of a machine's loan once the machine is gone and no checkpoint
-// names tasks that went with it.
+// DropLoanRecord removes the loan record of a deleted machine, unless a checkpoint still depends on
+// the record for tasks that were transferred with the machine.
 func (b *Balancer) DropLoanRecord(owned *core.OwnedPartition, id api.MachineID) {
 	if _, ok := b.core.State.Loans[id]; !ok || !b.core.State.LoanCheckpointed(id) {
 		return
--- a/controller/balance/move.go
+++ b/controller/balance/move.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// maxMoveCandidates bounds the jobs that are considered for a move at once.
+	// maxMoveCandidates bounds the jobs that are considered for a move at a time.
 	maxMoveCandidates = 16
-	// moveRetryInterval is for how long a job is not considered again once it was moved.
+	// moveRetryInterval is the minimum interval between two moves of a job.
 	moveRetryInterval = 3 * core.GossipInterval
-	// minRebalanceShare is the share of the pending tasks that is worth a write to move.
+	// minRebalanceShare is the minimum fraction of the competing pending tasks that is moved for balance.
 	minRebalanceShare = 0.25
-	// stuckMoveInterval is how long an aged job stays in a partition where nothing that it may use
-	// will come free.
+	// stuckMoveInterval is the time that an aged job stays in a partition where it can't be placed.
 	stuckMoveInterval = 15 * time.Second
 )
 
-// moveTarget is where pending tasks of a job are to move, and how many at most; none if tasks is 0.
+// moveTarget is the partition to which pending tasks of a job move, and their maximum number; 0 means
+// no move.
 type moveTarget struct {
 	partition api.PartitionID
 	tasks     int
 }
 
-// RebalancePending moves pending tasks of one job of a partition to another that has capacity for
+// RebalancePending moves pending tasks of one job from a partition to another that has capacity for
 // them.
 func (b *Balancer) RebalancePending(owned *core.OwnedPartition) {
 	if owned.MoveInFlight || owned.Releasing || owned.InFlight != nil || b.core.Now < owned.NextMove || owned.PendingTaskCount == 0 {
@@ -54,7 +54,7 @@
 		candidatesLeft--
 		owned.MoveCursor = jobID
 		if b.HasReservationFor(owned, jobID) {
-			continue // capacity is gathered for it here
+			continue // machines are reserved for it here
 		}
 		if target := b.moveTargetFor(owned, j); target.tasks > 0 && b.moveTasks(owned, j, target) {
 			return
@@ -62,8 +62,8 @@
 	}
 }
 
-// isMovable reports whether a job may be moved now: its tasks may start, and it was not moved a
-// moment ago.
+// isMovable reports whether a job may be moved now: its tasks may start, and it was not moved
+// recently.
 func (b *Balancer) isMovable(j *core.Job) bool {
 	if j.OwnerState.BackoffUntil > b.core.Now || b.siblings.Tenancy.StartsBlocked(j) {
 		return false
@@ -72,21 +72,21 @@
 	return movedAt == 0 || b.core.Now.Sub(movedAt) >= moveRetryInterval
 }
 
-// HasReservationFor reports whether a partition reserves a machine for a job because capacity is
-// gathered for it.
+// HasReservationFor reports whether a partition has reserved a machine for a job because it has been
+// pending for long.
 func (b *Balancer) HasReservationFor(owned *core.OwnedPartition, jobID api.JobID) bool {
 	return slices.ContainsFunc(b.siblings.Agents.MachinesOf(owned.ID), func(m *core.Machine) bool {
 		return m.Consolidated && b.siblings.Preemptor.ReservedFor(m) == jobID
 	})
 }
 
-// moveTargetFor decides where a job's pending tasks of a partition are better off, if anywhere.
+// moveTargetFor chooses the partition to which a job's pending tasks should move, if any.
 func (b *Balancer) moveTargetFor(owned *core.OwnedPartition, j *core.Job) moveTarget {
 	stuck := j.OwnerState.Unplaceable && b.siblings.Backfiller.WaitStage(j, owned.ID) != sched.NotAged &&
 		b.core.Now.Sub(j.OwnerState.RebalancedAt) > stuckMoveInterval
 	freeSlots := b.siblings.Capacity.FreeSlotsByPartition(j.Spec)
 	if freeSlots[owned.ID] > 0 && j.Spec.Kind == api.Array {
-		return moveTarget{} // it will be placed here
+		return moveTarget{} // the next round can place tasks here
 	}
 	target := b.mostFreeSlots(owned, j, freeSlots)
 	if j.Spec.NeedsSinglePartition() {
@@ -104,8 +104,8 @@
 	return target
 }
 
-// mostFreeSlots is the other partition with most capacity free beyond what its own pending tasks
-// will take.
+// mostFreeSlots returns the other partition with the most free capacity in excess of its own pending
+// tasks.
 func (b *Balancer) mostFreeSlots(owned *core.OwnedPartition, j *core.Job, freeSlots []int) moveTarget {
 	best := moveTarget{}
 	for i, free := range freeSlots {
@@ -120,9 +120,9 @@
 	return best
 }
 
-// targetForWholeJob corrects the target of a job whose tasks must all be in one partition: to one
-// that can hold it whole, now or, if the job is urgent enough, after preemption. It stays where it
-// is if that is one of them.
+// targetForWholeJob corrects the target of a job whose tasks must all be in one partition to a
+// partition with capacity for the whole job, now or, if the job's priority allows it, after preemption.
+// The job stays if its own partition has this capacity.
 func (b *Balancer) targetForWholeJob(owned *core.OwnedPartition, j *core.Job, target moveTarget) (corrected moveTarget, stays bool) {
 	if target.tasks == 0 {
 		target = b.largestForWholeJob(owned, j)
@@ -143,8 +143,8 @@
 	return target, false
 }
 
-// largestForWholeJob is the largest partition whose machines could hold a job that its own
-// partition can never hold: there it may wait, or have other tasks preempted.
+// largestForWholeJob returns the partition with the most total capacity for a job that does not fit
+// its own partition even if this were empty. There the job can wait for capacity or preempt tasks.
 func (b *Balancer) largestForWholeJob(owned *core.OwnedPartition, j *core.Job) moveTarget {
 	best := moveTarget{}
 	slots := b.siblings.Capacity.TotalSlotsByPartition(j.Spec)
@@ -159,9 +159,9 @@
 	return best
 }
 
-// balanceTarget finds a partition in which, for the machines it has, less work waits that goes
-// before a job's tasks: where rules say what goes first, work that comes after them would start
-// there while they wait here.
+// balanceTarget finds the partition with the fewest competing pending tasks relative to its capacity.
+// It applies only with priority rules: else tasks of lower precedence would start in that partition
+// while the job's tasks wait here.
 func (b *Balancer) balanceTarget(owned *core.OwnedPartition, j *core.Job) moveTarget {
 	best := moveTarget{}
 	if len(b.core.Settings.Priority) == 0 {
@@ -184,8 +184,7 @@
 	return best
 }
 
-// nextWithCapacity is the next partition that has machines which an aged job may use, for one that
-// has nothing to hope for in its own.
+// nextWithCapacity returns the next partition, in order of ID, with machines that a job may use.
 func (b *Balancer) nextWithCapacity(owned *core.OwnedPartition, j *core.Job) moveTarget {
 	slots := b.siblings.Capacity.TotalSlotsByPartition(j.Spec)
 	for i := 1; i < len(slots); i++ {
@@ -196,8 +195,8 @@
 	return moveTarget{}
 }
 
-// moveTasks writes a job's record with pending tasks given to another partition, and reports
-// whether there was anything to write.
+// moveTasks writes a job's record with pending tasks assigned to another partition, and reports
+// whether it has sent a write.
 func (b *Balancer) moveTasks(owned *core.OwnedPartition, j *core.Job, target moveTarget) bool {
 	split, ok := splitAfterMove(j, owned.ID, target.partition, target.tasks)
 	if !ok {
@@ -221,7 +220,7 @@
 		if response.Status == 200 {
 			b.core.Metrics.TaskMoves++
 		}
-		slog.Info("pending tasks moved", "job", jobID, "from", owned.ID, "to", target.partition, "most", target.tasks, "status", response.Status)
+		slog.Info("pending tasks moved", "job", jobID, "from", owned.ID, "to", target.partition, "max_tasks", target.tasks, "status", response.Status)
 		b.siblings.Log.LinearizableRead(settle, settle)
 	})
 	return true
--- a/controller/balance/quota.go
+++ b/controller/balance/quota.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file gives shares of teams' limits that a partition does not use to others.
+// This file transfers unused quota between partitions.
 
 import (
 	"maps"
@@ -12,12 +12,12 @@
 	"basaltwall/controller/message"
 )
 
-// quotaTransferInterval is how long a partition gets no further share: until then its owner has
-// said what it still lacks.
+// quotaTransferInterval is the minimum interval between quota transfers to a partition, long enough
+// for its owner to gossip its remaining demand.
 const quotaTransferInterval = 2 * core.GossipInterval
 
-// SpareQuotaTransfers gives shares of teams' limits that a partition does not use to partitions
-// that could use them, first those reserved for others' aged jobs.
+// SpareQuotaTransfers returns transfers of unused quota to partitions that need it: first the quota
+// reserved for aged jobs of other partitions, then idle quota.
 func (b *Balancer) SpareQuotaTransfers(owned *core.OwnedPartition) []clusterstate.QuotaTransfer {
 	remaining := b.core.RemainingQuota(owned.ID)
 	if owned.InFlight != nil {
@@ -32,13 +32,13 @@
 	return transfers
 }
 
-// reservedQuotaTransfers are the shares that are reserved for others' aged jobs, which it takes off
-// what remains: no start of this round uses them, whatever else is pending here.
+// reservedQuotaTransfers returns transfers of the quota reserved for aged jobs of other partitions. It
+// subtracts it from the remaining quota, so that this round does not use it for starts.
 func (b *Balancer) reservedQuotaTransfers(owned *core.OwnedPartition, remaining map[api.Team]api.Resources) []clusterstate.QuotaTransfer {
 	var out []clusterstate.QuotaTransfer
 	for _, to := range slices.Sorted(maps.Keys(owned.ReservedQuota)) {
 		if b.core.Now < owned.NextQuotaTransfer[to] {
-			continue // it has not gossiped since; what is reserved waits here
+			continue // its demand may be outdated since the last transfer; the quota stays reserved
 		}
 		for _, team := range slices.Sorted(maps.Keys(owned.ReservedQuota[to])) {
 			amount := owned.ReservedQuota[to][team]
@@ -50,8 +50,8 @@
 	return out
 }
 
-// idleQuotaTransfers are the shares for another partition that idle here, which it takes off what
-// remains.
+// idleQuotaTransfers returns transfers of idle quota to another partition, and subtracts it from the
+// remaining quota.
 func (b *Balancer) idleQuotaTransfers(owned *core.OwnedPartition, status *message.PartitionStatus, remaining map[api.Team]api.Resources) []clusterstate.QuotaTransfer {
 	var out []clusterstate.QuotaTransfer
 	for _, team := range slices.Sorted(maps.Keys(status.Want)) {
@@ -74,14 +74,13 @@
 	return out
 }
 
-// transferableDemand is what another partition may be given of a team's limit; ok is false if the
-// team's share is needed here. What a round has just planned to use is not in the remaining quota
-// yet, and a team that lacks quota here gives none away, so only idle shares move.
+// transferableDemand returns a team's quota demand in another partition that may be met from here; ok
+// is false if the quota is needed here. That is the case for a team with planned starts, whose
+// use the remaining quota does not include yet, and for a team that lacks quota here.
 //
-// There is one exception: what this round could not use, as it is too little for any of its tasks
-// or their machines are missing, is of use to a partition that has machines and no quota at all.
-// Pieces of a limit in several partitions would leave all of them waiting. It goes to the lowest
-// partition, so that it comes together, unless an aged job here is to have it.
+// A team that lacks quota here still gives it to a partition that has free capacity but no quota for
+// a single task, unless an aged job here needs it. Otherwise fragments of a limit in several partitions
+// could block all of them. Between two such partitions the one with the lower ID gets the quota.
 func transferableDemand(owned *core.OwnedPartition, status *message.PartitionStatus, team api.Team) (demand api.Resources, ok bool) {
 	if owned.PlannedTeams[team] {
 		return api.Resources{}, false
@@ -98,8 +97,8 @@
 	return starvedDemand, true
 }
 
-// limitedResources is the part of an amount that a team's limits are about: what it may use
-// without limit is not shared out.
+// limitedResources returns an amount without the resources that the team may use without limit, for
+// which there is no quota to transfer.
 func (b *Balancer) limitedResources(team api.Team, amount api.Resources) api.Resources {
 	if b.core.Teams[team].CPUsMax <= 0 {
 		amount.CPU = 0
--- a/controller/balance/split.go
+++ b/controller/balance/split.go
@@ -1,6 +1,6 @@
 package balance
 
-// This file has which tasks of a job belong to which partition after a move.
+// This file computes the assignment of a job's tasks to partitions after a move.
 
 import (
 	"slices"
@@ -10,12 +10,12 @@
 	"basaltwall/controller/core"
 )
 
-// maxSplitRanges bounds how finely a job may be split.
+// maxSplitRanges bounds the number of task ranges of a job.
 const maxSplitRanges = 64
 
-// splitAfterMove returns a job's split with up to maxTasks of the pending tasks of one partition
-// given to another. Jobs whose tasks belong together move whole or not at all; ok is false if
-// nothing can move.
+// splitAfterMove returns a job's split after up to maxTasks pending tasks of one partition have moved
+// to another. A job whose tasks must be in one partition moves as a whole or not at all. ok is false
+// if nothing can move.
 func splitAfterMove(j *core.Job, from, to api.PartitionID, maxTasks int) (split []clusterstate.TaskRange, ok bool) {
 	if j.Spec.NeedsSinglePartition() {
 		if len(j.Placements) > 0 || j.Spec.Kind == api.Gang && maxTasks < j.Spec.Tasks {
@@ -39,8 +39,8 @@
 	return nil, false
 }
 
-// lastPendingTasks are the last pending tasks of a range that follow one another, up to maxTasks;
-// begin equals end if there is none.
+// lastPendingTasks returns the last run of consecutive pending tasks of a range, up to maxTasks; begin
+// equals end if there are none.
 func lastPendingTasks(j *core.Job, r clusterstate.TaskRange, maxTasks int) (begin, end int) {
 	pending := func(task int) bool { return !j.Completed.Has(task) && j.Placements[task] == nil }
 	end = r.To
@@ -54,12 +54,12 @@
 	return begin, end
 }
 
-// moveOutOf divides a range so that the tasks from begin to end belong to another partition.
+// moveOutOf divides a range so that the tasks from begin to before end belong to another partition.
 func moveOutOf(r clusterstate.TaskRange, begin, end int, to api.PartitionID) []clusterstate.TaskRange {
-	parts := []clusterstate.TaskRange{
+	ranges := []clusterstate.TaskRange{
 		{From: r.From, To: begin, Partition: r.Partition},
 		{From: begin, To: end, Partition: to},
 		{From: end, To: r.To, Partition: r.Partition},
 	}
-	return slices.DeleteFunc(parts, func(part clusterstate.TaskRange) bool { return part.From >= part.To })
+	return slices.DeleteFunc(ranges, func(taskRange clusterstate.TaskRange) bool { return taskRange.From >= taskRange.To })
 }
--- a/controller/balance/split_test.go
+++ b/controller/balance/split_test.go
@@ -9,7 +9,7 @@
 	"basaltwall/controller/core"
 )
 
-// A job is split and moved without losing or doubling a task.
+// A move neither loses nor duplicates tasks of a job.
 func TestRebalanceKeepsEveryTask(t *testing.T) {
 	r := rand.New(rand.NewPCG(8, 9))
 	for range 300 {
@@ -24,7 +24,7 @@
 		split, ok := splitAfterMove(j, 0, 1, 1+r.IntN(10))
 		if !ok {
 			if before > 0 {
-				t.Fatalf("%d tasks wait and none can be moved", before)
+				t.Fatalf("%d tasks are pending and none can be moved", before)
 			}
 			continue
 		}
@@ -34,7 +34,7 @@
 			for i := rg.From; i < rg.To; i++ {
 				owners[i]++
 				if rg.Partition == 1 && j.Completed.Has(i) {
-					t.Fatalf("task %d was done and is moved", i)
+					t.Fatalf("completed task %d is moved", i)
 				}
 			}
 		}
@@ -44,7 +44,7 @@
 			}
 		}
 		if after := j.PendingTasks(0) + j.PendingTasks(1); after != before {
-			t.Fatalf("%d tasks wait, %d before", after, before)
+			t.Fatalf("%d tasks are pending after the move, %d before", after, before)
 		}
 	}
 }
--- a/controller/balance/transfer.go
+++ b/controller/balance/transfer.go
@@ -1,11 +1,10 @@
 package balance
 
-// This file lends machines together with the tasks that run there, where a job whose tasks must be
-// in one partition has waited for long and no machine is empty. One record of the lender's
-// partition carries the loan, the tasks and the share of their teams' limits that they use, on
-// condition that none of their jobs has changed. So none was cancelled, and no placement is added
-// to a partition that has not acknowledged a cancellation. See clusterstate/transfer.go and
-// docs/safety.md.
+// This file lends machines together with their tasks, for jobs that have been pending for long and
+// whose tasks must be in one partition, when no machine is empty. One transaction writes the loan, the
+// tasks and the quota that they use, on condition that none of their jobs has changed. So no job with
+// an unacknowledged cancellation gets placements in a further partition. See clusterstate/transfer.go
+// and docs/safety.md.
 
 import (
 	"cmp"
@@ -19,13 +18,13 @@
 	"basaltwall/controller/message"
 )
 
-// allSupportFormat reports whether every controller understands a format of records.
+// allSupportFormat reports whether every controller supports a record format.
 func (b *Balancer) allSupportFormat(format int) bool {
 	return !slices.ContainsFunc(b.core.Controllers, func(id api.ControllerID) bool { return b.siblings.Membership.Format(id) < format })
 }
 
-// selectTransferMachine is the machine of a partition that has capacity for most of a job's tasks
-// and, of those, runs fewest others; nil if none can be lent with what runs there.
+// selectTransferMachine returns the machine of a partition with free capacity for the most tasks of a
+// job and, among equals, the fewest tasks of its own; nil if no machine can be lent with its tasks.
 func (b *Balancer) selectTransferMachine(owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) *core.Machine {
 	if !slices.Contains(demand.Lenders, owned.ID) || b.siblings.Scheduler.IsRecordRingFull(owned) || !b.allSupportFormat(clusterstate.FormatTransfers) {
 		return nil
@@ -45,8 +44,8 @@
 	return best
 }
 
-// IsTransferable reports whether everything on a machine can go with it: only tasks that are known
-// to have arrived there, and so few jobs that one transaction can have conditions on all.
+// IsTransferable reports whether all tasks of a machine can be transferred with it: each is known and
+// transferable, and their jobs are few enough for the conditions of one transaction.
 func (b *Balancer) IsTransferable(m *core.Machine, owned *core.OwnedPartition) bool {
 	if !hasOnlyKnownTasks(m) || m.UncertainToken != 0 {
 		return false
@@ -61,14 +60,13 @@
 	return len(jobs) < b.siblings.Scheduler.RoundConditionBudget()
 }
 
-// isTransferableTask reports whether a task can change its partition: it is known to have arrived
-// at its machine, is not being stopped, and its job neither holds units of pools nor has to be
-// stopped as a whole.
+// isTransferableTask reports whether a task can change its partition: its machine has reported it, it
+// is not being stopped, and its job is neither a gang nor holds units of pools.
 func isTransferableTask(p *core.Placement) bool {
-	arrived := p.OwnerState.Reported
+	reported := p.OwnerState.Reported
 	ending := p.Finishing || p.OwnerState.StopRequested || p.Job.Terminal()
 	bound := p.Job.Spec.Kind == api.Gang || len(p.Job.Spec.Needs) > 0
-	return arrived && !ending && !bound
+	return reported && !ending && !bound
 }
 
 // lendMachineWithTasks lends a machine to another partition together with its tasks.
@@ -101,7 +99,7 @@
 	b.siblings.Scheduler.CommitRound(owned, round)
 }
 
-// usedQuotaTransfers gives another partition what is used of the limits of teams that have one.
+// usedQuotaTransfers returns transfers of the quota that transferred tasks use, for teams with a limit.
 func (b *Balancer) usedQuotaTransfers(to api.PartitionID, used map[api.Team]api.Resources) []clusterstate.QuotaTransfer {
 	var out []clusterstate.QuotaTransfer
 	for team, amount := range used {
@@ -113,9 +111,8 @@
 	return out
 }
 
-// AdoptMachine takes over a machine that was lent to an owned partition with its tasks: it is
-// called as soon as its address is known, so that it learns our token and we learn what became of
-// the tasks.
+// AdoptMachine adds a machine that was lent to an owned partition with its tasks. The machine is called
+// as soon as its address is known, so that it receives the new fencing token and reports its tasks.
 func (b *Balancer) AdoptMachine(id api.MachineID) {
 	m := b.siblings.Agents.EnsureMachine(id)
 	m.DiscoveredAt, m.MissedCalls = b.core.Now, 0
