--- a/controller/capacity/capacity.go
+++ b/controller/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity counts the cluster's free and total capacity and the demand that waits for
-// it, by partition. It owns no state: it counts anew for each question, from the cluster state
-// and from what the owners of partitions gossip of their machines.
+// Package capacity counts the free and total capacity and the pending demand of each partition.
+// It owns no state: each call counts from the cluster state and from gossip about the machines
+// of other partitions.
 package capacity
 
 import (
@@ -10,41 +10,41 @@
 	"basaltwall/sched"
 )
 
-// Counter answers questions about capacity.
+// Counter counts capacity and pending demand.
 type Counter struct {
 	core     *core.Core
 	siblings Siblings
 }
 
-// Siblings are the other components that a Counter asks.
+// Siblings are the other components that the Counter depends on.
 type Siblings struct {
 	Gossip     Gossip
 	Priorities Priorities
 	Tenants    Tenants
 }
 
-// Gossip is what a Counter needs of the gossiper.
+// Gossip is the interface to the gossiper.
 type Gossip interface {
 	EachFreeCapacity(visit func(api.PartitionID, message.MachineClass, message.FreeCapacity))
 }
 
-// Priorities is what a Counter needs of the priority rules.
+// Priorities is the interface to the operators' priority rules.
 type Priorities interface {
 	EffectivePriority(spec *api.JobSpec) float64
 }
 
-// Tenants is what a Counter needs of the tenant service.
+// Tenants is the interface to the tenant service.
 type Tenants interface {
 	StartsBlocked(j *core.Job) bool
 }
 
-// New returns a Counter, to be connected before it is asked.
+// New returns a Counter. Connect must be called before any other method.
 func New(shared *core.Core) *Counter { return &Counter{core: shared} }
 
-// Connect gives the Counter the components that it asks.
+// Connect sets the components that the Counter depends on.
 func (c *Counter) Connect(siblings Siblings) { c.siblings = siblings }
 
-// FreeSlotsByPartition counts how many of a job's tasks each partition could start now.
+// FreeSlotsByPartition counts the tasks of a job that each partition could start now.
 func (c *Counter) FreeSlotsByPartition(spec *api.JobSpec) []int {
 	slots := make([]int, len(c.core.State.Partitions))
 	demand, cpuOnly := spec.Demand(), c.core.IsCPUOnly(spec)
@@ -59,8 +59,8 @@
 	return slots
 }
 
-// TotalSlotsByPartition counts how many of a job's tasks each partition's machines could hold
-// if they were empty.
+// TotalSlotsByPartition counts the tasks of a job that each partition's machines would hold if
+// they were empty.
 func (c *Counter) TotalSlotsByPartition(spec *api.JobSpec) []int {
 	slots := make([]int, len(c.core.State.Partitions))
 	demand, cpuOnly := spec.Demand(), c.core.IsCPUOnly(spec)
@@ -74,8 +74,8 @@
 }
 
 // PendingTasksIn counts the pending tasks of a partition that compete with a job, in units of
-// that job's demand: not those that may not start, and not those of a lower priority where
-// there are priority rules.
+// that job's CPU demand. Tasks whose start is blocked do not compete, nor tasks without
+// accelerators if the job needs some, nor, with priority rules, tasks of lower priority.
 func (c *Counter) PendingTasksIn(p api.PartitionID, spec *api.JobSpec) int {
 	count, demand := 0, spec.Demand()
 	hasRules, priority := len(c.core.Settings.Priority) > 0, c.siblings.Priorities.EffectivePriority(spec)
@@ -96,8 +96,8 @@
 	return count
 }
 
-// FreeCapacityGroups counts the machines by partition, class and free resources, in the order
-// in which such machines are first met.
+// FreeCapacityGroups counts the machines by partition, class and free resources, in the order of
+// the first machine of each group.
 func (c *Counter) FreeCapacityGroups() []core.FreeCapacityGroup {
 	var groups []core.FreeCapacityGroup
 	index := map[core.FreeCapacityGroup]int{}
--- a/controller/eligibility/eligibility.go
+++ b/controller/eligibility/eligibility.go
@@ -1,5 +1,4 @@
-// Package eligibility decides whether a machine gets new tasks. It owns no state: it judges by what the core and
-// its siblings know.
+// Package eligibility decides whether a machine gets new tasks. It owns no state.
 package eligibility
 
 import (
@@ -16,33 +15,35 @@
 	siblings Siblings
 }
 
-// Siblings are the other components that this one asks.
+// Siblings are the other components that the checker depends on.
 type Siblings struct {
 	Agents Agents
 	Health Health
 }
 
-// Agents is what the checker needs of the agent manager.
+// Agents is the interface to the agent manager.
 type Agents interface {
-	// LoanKnownAt is when this controller learnt of the machine's latest loan.
+	// LoanKnownAt returns when this controller read the machine's latest loan, or 0.
 	LoanKnownAt(api.MachineID) api.Time
 }
 
-// Health is what the checker needs of the zones' health.
+// Health is the interface to the zone health monitor.
 type Health interface {
 	ZoneUnavailable(api.Zone) bool
 }
 
-// New returns a checker; Connect is to be called before it is asked.
+// New returns a checker. Connect must be called before any other method.
 func New(k *core.Core) *Checker { return &Checker{core: k} }
 
-// Connect names the components that the checker asks.
+// Connect sets the components that the checker depends on.
 func (e *Checker) Connect(s Siblings) { e.siblings = s }
 
-// callSilenceThreshold is how long a machine that missed a call must have been silent to count as unresponsive.
-const callSilenceThreshold = time.Second
+// missedCallTimeout is the time since the last heartbeat after which a machine that missed a call counts as
+// unresponsive.
+const missedCallTimeout = time.Second
 
-// UnschedulableReason says why a machine of an owned partition gets no new tasks, or Schedulable.
+// UnschedulableReason returns the reason why a machine of an owned partition gets no new tasks, or
+// core.Schedulable.
 func (e *Checker) UnschedulableReason(m *core.Machine, owned *core.OwnedPartition) core.UnschedulableReason {
 	if reason := e.machineReason(m); reason != core.Schedulable {
 		return reason
@@ -50,7 +51,7 @@
 	return e.contactReason(m, owned)
 }
 
-// machineReason is why the machine itself can't be used, whatever contact there is with it.
+// machineReason returns a reason in the state of the machine itself, or core.Schedulable.
 func (e *Checker) machineReason(m *core.Machine) core.UnschedulableReason {
 	switch {
 	case m.Deleting:
@@ -71,17 +72,17 @@
 	return core.Schedulable
 }
 
-// contactReason is why the contact with the machine does not allow new tasks there.
+// contactReason returns a reason in the communication with the machine, or core.Schedulable.
 func (e *Checker) contactReason(m *core.Machine, owned *core.OwnedPartition) core.UnschedulableReason {
-	silence := e.core.Now.Sub(m.LastHeartbeat)
+	sinceHeartbeat := e.core.Now.Sub(m.LastHeartbeat)
 	switch {
-	case silence >= e.silenceThreshold():
+	case sinceHeartbeat >= e.heartbeatTimeout():
 		return core.ReasonSilent
-	case m.MissedCalls > 0 && silence > callSilenceThreshold:
+	case m.MissedCalls > 0 && sinceHeartbeat > missedCallTimeout:
 		return core.ReasonUnresponsive
 	case m.SuspectSince != 0:
 		return core.ReasonSuspect
-	case e.siblings.Health.ZoneUnavailable(m.Zone) && silence > e.core.Config.HeartbeatInterval()*5/4:
+	case e.siblings.Health.ZoneUnavailable(m.Zone) && sinceHeartbeat > e.core.Config.HeartbeatInterval()*5/4:
 		return core.ReasonZoneUnavailable
 	case e.outboundCutOff(m, owned):
 		return core.ReasonOutboundCutOff
@@ -91,14 +92,15 @@
 	return core.Schedulable
 }
 
-// silenceThreshold is how long a machine may be without a heartbeat: two are missing, and some time.
-func (e *Checker) silenceThreshold() time.Duration {
+// heartbeatTimeout returns the time without a heartbeat after which a machine gets no new tasks: two heartbeat
+// intervals and a margin.
+func (e *Checker) heartbeatTimeout() time.Duration {
 	return 2*e.core.Config.HeartbeatInterval() + 2*time.Second
 }
 
-// outboundCutOff reports whether a machine answers calls while no heartbeat of its own comes, though there was
-// time for some: nobody renews its lease, and what is started there dies with it.
+// outboundCutOff reports whether a machine has sent no heartbeat of its own for the heartbeat timeout, also if it
+// answers calls. Its lease is then not renewed, and its tasks end when the lease expires.
 func (e *Checker) outboundCutOff(m *core.Machine, owned *core.OwnedPartition) bool {
 	since := max(m.LeaseRenewedAt, m.FirstHeartbeat, m.DiscoveredAt, owned.OwnedSince, e.siblings.Agents.LoanKnownAt(m.ID))
-	return e.core.Now.Sub(since) >= e.silenceThreshold()
+	return e.core.Now.Sub(since) >= e.heartbeatTimeout()
 }
--- a/controller/eligibility/eligibility_test.go
+++ b/controller/eligibility/eligibility_test.go
@@ -10,7 +10,7 @@
 	"basaltwall/controller/core"
 )
 
-// fakeSiblings is agents without loans, and zones of which one may be unavailable.
+// fakeSiblings is a fake of all dependencies, with one loan time and one unavailable zone.
 type fakeSiblings struct {
 	loanKnownAt     api.Time
 	unavailableZone api.Zone
@@ -22,7 +22,7 @@
 
 const testTerm = 7
 
-// newSchedulable returns a checker of a machine that gets tasks: it was heard a moment ago.
+// newSchedulable returns a checker and a schedulable machine with a recent heartbeat.
 func newSchedulable(t *testing.T) (*Checker, *fakeSiblings, *core.Machine, *core.OwnedPartition) {
 	t.Helper()
 	cfg := &config.Config{}
@@ -31,10 +31,10 @@
 	k.State = clusterstate.New[core.JobTracking, core.PlacementTracking](1)
 	k.AddMachineTypes([]api.MachineType{{Name: "c4"}})
 	k.Now = api.Time(time.Hour)
-	heardAt := k.Now.Add(-time.Millisecond)
+	heartbeatAt := k.Now.Add(-time.Millisecond)
 	m := &core.Machine{
 		ID: "i-1", MachineType: "c4", Zone: "a",
-		HeartbeatState: core.HeartbeatState{LastHeartbeat: heardAt, FirstHeartbeat: heardAt, LeaseRenewedAt: heardAt},
+		HeartbeatState: core.HeartbeatState{LastHeartbeat: heartbeatAt, FirstHeartbeat: heartbeatAt, LeaseRenewedAt: heartbeatAt},
 		TokenState:     core.TokenState{ReportedToken: testTerm},
 	}
 	siblings := &fakeSiblings{}
@@ -48,27 +48,27 @@
 		change func(*Checker, *fakeSiblings, *core.Machine)
 		want   core.UnschedulableReason
 	}{
-		"heard":         {func(*Checker, *fakeSiblings, *core.Machine) {}, core.Schedulable},
-		"deleting":      {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.Deleting = true }, core.ReasonDeleting},
-		"drained":       {func(c *Checker, _ *fakeSiblings, m *core.Machine) { c.core.Settings.Drained = []api.MachineID{"i-1"} }, core.ReasonDrained},
-		"not yet heard": {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.LastHeartbeat = 0 }, core.ReasonNoHeartbeatYet},
-		"reclaimed":     {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.ReclaimNotice = true }, core.ReasonReclaimed},
-		"unknown type":  {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.MachineType = "c5" }, core.ReasonUnknownType},
-		"quarantined":   {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.QuarantinedUntil = c.core.Now }, core.ReasonQuarantined},
-		"full":          {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.FullUntil = c.core.Now }, core.ReasonFull},
-		"silent": {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.LastHeartbeat = c.core.Now.Add(-6 * time.Second) },
+		"recent heartbeat": {func(*Checker, *fakeSiblings, *core.Machine) {}, core.Schedulable},
+		"deleting":         {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.Deleting = true }, core.ReasonDeleting},
+		"drained":          {func(c *Checker, _ *fakeSiblings, m *core.Machine) { c.core.Settings.Drained = []api.MachineID{"i-1"} }, core.ReasonDrained},
+		"no heartbeat yet": {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.LastHeartbeat = 0 }, core.ReasonNoHeartbeatYet},
+		"reclaimed":        {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.ReclaimNotice = true }, core.ReasonReclaimed},
+		"unknown type":     {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.MachineType = "c5" }, core.ReasonUnknownType},
+		"quarantined":      {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.QuarantinedUntil = c.core.Now }, core.ReasonQuarantined},
+		"full":             {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.FullUntil = c.core.Now }, core.ReasonFull},
+		"heartbeat timeout": {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.LastHeartbeat = c.core.Now.Add(-6 * time.Second) },
 			core.ReasonSilent},
-		"silent for less": {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.LastHeartbeat = c.core.Now.Add(-5 * time.Second) },
+		"late heartbeat within the timeout": {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.LastHeartbeat = c.core.Now.Add(-5 * time.Second) },
 			core.Schedulable},
 		"missed a call": {func(c *Checker, _ *fakeSiblings, m *core.Machine) {
 			m.MissedCalls, m.LastHeartbeat = 1, c.core.Now.Add(-1500*time.Millisecond)
 		}, core.ReasonUnresponsive},
-		"missed a call and heard since": {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.MissedCalls = 1 }, core.Schedulable},
-		"suspect":                       {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.SuspectSince = c.core.Now }, core.ReasonSuspect},
+		"missed a call, recent heartbeat": {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.MissedCalls = 1 }, core.Schedulable},
+		"suspect":                         {func(c *Checker, _ *fakeSiblings, m *core.Machine) { m.SuspectSince = c.core.Now }, core.ReasonSuspect},
 		"zone unavailable": {func(c *Checker, s *fakeSiblings, m *core.Machine) {
 			s.unavailableZone, m.LastHeartbeat = "a", c.core.Now.Add(-3*time.Second)
 		}, core.ReasonZoneUnavailable},
-		"zone unavailable and heard": {func(_ *Checker, s *fakeSiblings, _ *core.Machine) { s.unavailableZone = "a" }, core.Schedulable},
+		"zone unavailable, recent heartbeat": {func(_ *Checker, s *fakeSiblings, _ *core.Machine) { s.unavailableZone = "a" }, core.Schedulable},
 		"lease not renewed": {func(c *Checker, _ *fakeSiblings, m *core.Machine) {
 			m.FirstHeartbeat, m.LeaseRenewedAt = c.core.Now.Add(-time.Minute), c.core.Now.Add(-6*time.Second)
 		}, core.ReasonOutboundCutOff},
@@ -76,7 +76,7 @@
 			m.FirstHeartbeat, m.LeaseRenewedAt = c.core.Now.Add(-time.Minute), c.core.Now.Add(-6*time.Second)
 			s.loanKnownAt = c.core.Now
 		}, core.Schedulable},
-		"older term": {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.ReportedToken = testTerm - 1 }, core.ReasonTokenNotAnnounced},
+		"token of an older term": {func(_ *Checker, _ *fakeSiblings, m *core.Machine) { m.ReportedToken = testTerm - 1 }, core.ReasonTokenNotAnnounced},
 		"the first reason counts": {func(c *Checker, _ *fakeSiblings, m *core.Machine) {
 			m.Deleting, m.LastHeartbeat, c.core.Settings.Drained = true, 0, []api.MachineID{"i-1"}
 		}, core.ReasonDeleting},
--- a/controller/ordering/priorities.go
+++ b/controller/ordering/priorities.go
@@ -1,9 +1,9 @@
-// Package ordering orders work by the operators' rules: which job goes before which, and by how
-// much. It owns the record of which machine types are short of capacity, as some rules hold only
-// then, and the order that it last computed. The rules themselves are package priority.
+// Package ordering applies the operators' priority rules to jobs. It owns the record of machine
+// types that are short of capacity, on which some rules depend, and a cache of the computed order.
+// The rules themselves are in package priority.
 package ordering
 
-// This file has the component, and what the rules make of a job.
+// This file holds the component, and computes the priorities of jobs.
 
 import (
 	"cmp"
@@ -18,7 +18,7 @@
 	"basaltwall/sched"
 )
 
-// Priorities orders work by the operators' rules. Without rules a job's own priority decides.
+// Priorities orders jobs by the operators' rules. Without rules only a job's own priority counts.
 type Priorities struct {
 	core     *core.Core
 	siblings Siblings
@@ -27,7 +27,7 @@
 	order    orderCache
 }
 
-// Siblings are the other components that Priorities asks.
+// Siblings are the other components that Priorities depends on.
 type Siblings struct {
 	Agents Agents
 	Gossip Gossip
@@ -35,55 +35,54 @@
 	Log    Log
 }
 
-// Agents is what Priorities needs of the agent manager.
+// Agents is the interface to the agent manager.
 type Agents interface {
-	// MachinesOf are a partition's machines, in order.
+	// MachinesOf returns a partition's machines, sorted by ID.
 	MachinesOf(api.PartitionID) []*core.Machine
-	// ContactNow has a machine called at once.
+	// ContactNow schedules an immediate call to a machine.
 	ContactNow(*core.Machine)
-	// MaxDirectCalls is how many machines are called at the same time.
+	// MaxDirectCalls returns the maximum number of simultaneous calls to machines.
 	MaxDirectCalls() int
 }
 
-// Gossip is what Priorities needs of the gossiper.
+// Gossip is the interface to the gossiper.
 type Gossip interface {
-	// PeerPartitionStatuses are the partitions of other controllers, as these last described them.
+	// PeerPartitionStatuses returns the latest statuses of other controllers' partitions.
 	PeerPartitionStatuses() []message.PartitionStatus
 }
 
-// Health is what Priorities needs of the zones' health.
+// Health is the interface to the zone health monitor.
 type Health interface {
 	AnyZoneFailedOrRecovering() bool
 }
 
-// Log is what Priorities needs of the follower of the state service's log.
+// Log is the interface to the follower of the state service's log.
 type Log interface {
-	// LinearizableRead calls onRead once everything that was written before is known.
+	// LinearizableRead calls onRead once all earlier writes are applied.
 	LinearizableRead(onRead, onFailure func())
 }
 
-// New returns Priorities without a known shortage; Connect is to be called before use.
+// New returns Priorities without a known shortage. Connect must be called before any other method.
 func New(k *core.Core) *Priorities { return &Priorities{core: k} }
 
-// Connect names the components that Priorities asks.
+// Connect sets the components that Priorities depends on.
 func (po *Priorities) Connect(s Siblings) { po.siblings = s }
 
-// orderCache is the order that was last computed.
+// orderCache holds the latest computed order.
 type orderCache struct {
 	ordering   priority.Ordering
 	computedAt api.Time
 	computed   bool
 }
 
-// maxOrderAge is how old the order may be: the work that there is, and which conditions hold,
-// changes.
+// maxOrderAge is the maximum age of the cached order.
 const maxOrderAge = time.Second
 
 // hasRules reports whether operators have set any rules.
 func (po *Priorities) hasRules() bool { return len(po.core.Settings.Priority) > 0 }
 
-// currentOrder is which work goes before which now. All controllers compute the same from the
-// same cluster state, but for the moment that one lags behind another.
+// currentOrder returns the present order of workloads, at most maxOrderAge old. All controllers
+// compute the same order from the same cluster state.
 func (po *Priorities) currentOrder() *priority.Ordering {
 	cache := &po.order
 	if cache.computed && po.core.Now.Sub(cache.computedAt) < maxOrderAge {
@@ -108,7 +107,7 @@
 	return &cache.ordering
 }
 
-// compareWorkloads is any total order, so that the same work is always resolved the same way.
+// compareWorkloads is an arbitrary total order, which makes the resolution of rules deterministic.
 func compareWorkloads(a, b priority.Workload) int {
 	return cmp.Or(
 		cmp.Compare(a.Class, b.Class),
@@ -131,13 +130,13 @@
 	}
 }
 
-// workloadOf is what rules see of a job.
+// workloadOf returns the attributes of a job that rules depend on.
 func (po *Priorities) workloadOf(s *api.JobSpec) priority.Workload {
 	return priority.Workload{Class: s.Class, Team: s.Team, Form: s.Kind, Priority: s.Priority, CapacityShort: po.isCapacityShort(s)}
 }
 
-// PriorityBoost is by how much rules put a job above its priority; negative where other work
-// comes before it.
+// PriorityBoost returns the difference between a job's level by the rules and its own priority rank;
+// it is negative where rules put other work first.
 func (po *Priorities) PriorityBoost(s *api.JobSpec) float64 {
 	if !po.hasRules() {
 		return 0
@@ -145,12 +144,13 @@
 	return po.currentOrder().Level(po.workloadOf(s)) - float64(s.Priority.Rank())
 }
 
-// EffectivePriority is a job's priority rank with what rules add to it.
+// EffectivePriority returns a job's priority rank plus its boost by rules.
 func (po *Priorities) EffectivePriority(s *api.JobSpec) float64 {
 	return float64(s.Priority.Rank()) + po.PriorityBoost(s)
 }
 
-// PendingReasonPriority names the rule by which other work goes before a job; empty if none does.
+// PendingReasonPriority returns the name of the rule by which other work takes precedence over a job,
+// or "".
 func (po *Priorities) PendingReasonPriority(s *api.JobSpec) string {
 	if !po.hasRules() {
 		return ""
@@ -158,8 +158,7 @@
 	return po.currentOrder().OutrankedBy(po.workloadOf(s))
 }
 
-// FairShareFloor is the fraction of its fair share that rules leave a job's class, and 0 where
-// none says.
+// FairShareFloor returns the fraction of its fair share that rules guarantee to a job's workload, or 0.
 func (po *Priorities) FairShareFloor(s *api.JobSpec) float64 {
 	if !po.hasRules() {
 		return 0
@@ -168,8 +167,8 @@
 	return share
 }
 
-// SortByPriority puts pending jobs that rules raise first, in place, and keeps the order of the
-// others.
+// SortByPriority sorts pending jobs in place by their boost from rules, the highest first; the sort is
+// stable.
 func (po *Priorities) SortByPriority(jobIDs []api.JobID) []api.JobID {
 	if !po.hasRules() {
 		return jobIDs
@@ -181,9 +180,9 @@
 	return jobIDs
 }
 
-// ContactPriorityMachines has the machines of a partition called at once, after it was taken
-// over, that hold the work that rules put first: its former owner may not have sent the starts.
-// At most half of the direct calls are used for it.
+// ContactPriorityMachines schedules immediate calls to the machines with the tasks of highest priority
+// after a failover of their partition, as the former owner may not have sent the starts. It uses at
+// most half of the direct calls. It does nothing without priority rules.
 func (po *Priorities) ContactPriorityMachines(owned *core.OwnedPartition) {
 	if !po.hasRules() {
 		return
--- a/controller/ordering/shortage.go
+++ b/controller/ordering/shortage.go
@@ -1,7 +1,7 @@
 package ordering
 
-// This file has which machine types are short of capacity: partitions note what found none, and
-// the owner of partition 0 records it for all controllers.
+// This file tracks the machine types that are short of capacity: partitions observe them, and the owner
+// of partition 0 records them for all controllers.
 
 import (
 	"encoding/json"
@@ -16,31 +16,31 @@
 	"basaltwall/priority"
 )
 
-// KeyShortage holds which machine types are short of capacity, a priority.Shortage.
+// KeyShortage is the key of the record of machine types that are short of capacity, a priority.Shortage.
 const KeyShortage = clusterstate.Root + "short"
 
-// shortageWriterPartition is the partition whose owner writes the record of the shortage.
+// shortageWriterPartition is the partition whose owner writes the shortage record.
 const shortageWriterPartition = api.PartitionID(0)
 
-// shortageState is what is known of the shortage of machine types.
+// shortageState is the recorded and observed shortage of machine types.
 type shortageState struct {
-	recorded      priority.Shortage // as the state service has it
+	recorded      priority.Shortage // from the state service
 	tracker       priority.ShortageTracker
 	writeInFlight bool
 	checkedAt     api.Time
 }
 
-// ShortageRecordKind forgets the recorded shortage and returns the kind of record that fills it
-// in again as the cluster state is read.
+// ShortageRecordKind resets the recorded shortage and returns the kind of record that sets it when the
+// cluster state is read.
 func (po *Priorities) ShortageRecordKind() clusterstate.RecordKind {
 	po.shortage.recorded = priority.Shortage{}
 	return clusterstate.SingleKey(KeyShortage, &po.shortage.recorded)
 }
 
-// RecordedShortage is the shortage as the state service has it.
+// RecordedShortage returns the shortage as recorded in the state service.
 func (po *Priorities) RecordedShortage() priority.Shortage { return po.shortage.recorded }
 
-// isCapacityShort reports whether all types that a job may use are short of capacity.
+// isCapacityShort reports whether all machine types that a job may use are short of capacity.
 func (po *Priorities) isCapacityShort(s *api.JobSpec) bool {
 	recorded := po.shortage.recorded
 	if len(recorded.Types) == 0 {
@@ -50,7 +50,7 @@
 	return len(eligible) > 0 && !slices.ContainsFunc(eligible, func(t api.MachineTypeName) bool { return !recorded.Includes(t) })
 }
 
-// EligibleTypes are the machine types that a job's tasks may use and fit, in order.
+// EligibleTypes returns the machine types that a job's tasks may use and fit, sorted by name.
 func (po *Priorities) EligibleTypes(s *api.JobSpec) []api.MachineTypeName {
 	var out []api.MachineTypeName
 	demand, cpuOnly := s.Demand(), po.core.IsCPUOnly(s)
@@ -64,7 +64,7 @@
 	return out
 }
 
-// RecordShortage notes that a job's pending tasks found no free capacity in a partition.
+// RecordShortage records that a job's pending tasks find no free capacity in a partition.
 func (po *Priorities) RecordShortage(owned *core.OwnedPartition, s *api.JobSpec) {
 	if !po.HasShortageRule() {
 		return
@@ -77,15 +77,14 @@
 	}
 }
 
-// HasShortageRule reports whether any rule depends on a shortage of capacity; without one nobody
-// records it.
+// HasShortageRule reports whether any rule depends on a shortage of capacity. Without such a rule
+// shortages are not recorded.
 func (po *Priorities) HasShortageRule() bool {
 	return slices.ContainsFunc(po.core.Settings.Priority, func(r priority.Rule) bool { return r.Condition == priority.CapacityShort })
 }
 
-// UpdateShortage follows which types are short of capacity and, on the owner of partition 0,
-// writes the record when it changes. A controller that can't read the record goes by the last one
-// that it knows.
+// UpdateShortage tracks the types that are short of capacity and, on the owner of partition 0, writes
+// the record when they change. A controller that can't read the record uses the last one it has read.
 func (po *Priorities) UpdateShortage() {
 	state := &po.shortage
 	if !po.HasShortageRule() || po.core.Now.Sub(state.checkedAt) < priority.ShortageOnset/4 {
@@ -103,7 +102,7 @@
 	}
 }
 
-// observedShortTypes are the types on which work found no free capacity of late, in any partition.
+// observedShortTypes returns the types without free capacity for pending tasks in any partition.
 func (po *Priorities) observedShortTypes() map[api.MachineTypeName]bool {
 	short := map[api.MachineTypeName]bool{}
 	for _, owned := range po.core.Partitions {
@@ -119,12 +118,12 @@
 	return short
 }
 
-// writeShortage writes the record on condition that its partition is still ours and that nobody
-// has changed it since.
+// writeShortage writes the record, on condition that this controller still owns the writer partition and
+// that the record has not changed.
 func (po *Priorities) writeShortage(owned *core.OwnedPartition, next priority.Shortage) {
 	value, err := json.Marshal(next)
 	if err != nil {
-		slog.Error("shortage not encoded", "err", err)
+		slog.Error("failed to encode shortage record", "err", err)
 		return
 	}
 	state := &po.shortage
--- a/controller/preemption/faststart.go
+++ b/controller/preemption/faststart.go
@@ -1,7 +1,6 @@
 package preemption
 
-// This file preempts tasks for jobs that would otherwise start too late, as their image would have
-// to be fetched first.
+// This file preempts tasks for jobs that would otherwise start too late because of an image fetch.
 
 import (
 	"slices"
@@ -12,17 +11,15 @@
 )
 
 const (
-	// preemptionFetchRatio is how many times longer an image must take to fetch where there is
-	// free capacity than after a preemption, for tasks to be preempted although the job is late
-	// either way.
+	// preemptionFetchRatio is the minimum ratio of the fetch times of an image on free capacity and
+	// after preemption, for tasks to be preempted if the job misses its start objective either way.
 	preemptionFetchRatio = 3.0
-	// lostReplicaFetchRatio is the same for replicas that were lost: they are missed while they
-	// fetch.
+	// lostReplicaFetchRatio is this ratio for replacements of lost replicas, which are more urgent.
 	lostReplicaFetchRatio = 1.5
 )
 
-// StartDelay is for how long a job's tasks have been due to start, in seconds: since it was
-// accepted, or since a service lost replicas, which should be back as soon.
+// StartDelay returns the time for which a job's tasks have been due to start, in seconds: since the
+// job's acceptance, or since a service's latest loss of replicas.
 func (p *Planner) StartDelay(j *core.Job) float64 {
 	delay := max(0, p.core.SecondsSinceAcceptance(j))
 	if hasLostReplicas(j) {
@@ -36,10 +33,10 @@
 	return j.Spec.Kind == api.Service && j.OwnerState.LastLossAt != 0
 }
 
-// PreemptForFastStart preempts tasks, once for a job and for each loss of a service's replicas, on
-// machines that hold its image, when its tasks would otherwise miss its class's start objective
-// for having to fetch it. The tasks that no machine can start soon meanwhile wait for that: they
-// are left out of the request.
+// PreemptForFastStart preempts tasks on machines that can provide a job's image sooner, if the job
+// would otherwise miss its class's start objective because of image fetches. It does so once for a job
+// and for each loss of a service's replicas. Tasks that wait for the preempted machines are removed
+// from the request.
 func (p *Planner) PreemptForFastStart(owned *core.OwnedPartition, input *sched.Input, request *sched.Job, j *core.Job) {
 	slack := request.StartSLO - p.StartDelay(j) - core.PreemptionDelay.Seconds()
 	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.PreemptedForStart {
@@ -68,7 +65,7 @@
 	}
 }
 
-// fetchRatio is how many times longer than after a preemption a job's image must take to fetch.
+// fetchRatio returns the minimum ratio of fetch times for preempting tasks for a job.
 func fetchRatio(j *core.Job) float64 {
 	if hasLostReplicas(j) {
 		return lostReplicaFetchRatio
@@ -76,9 +73,8 @@
 	return preemptionFetchRatio
 }
 
-// findFastSlots counts the tasks of a job that could start within slack seconds where there is
-// free capacity. slowFetches is how long the other machines with free capacity would take to
-// fetch its image.
+// findFastSlots counts the tasks of a job that could start on free capacity within slack seconds.
+// slowFetches are the fetch times of its image on the other machines with free capacity.
 func findFastSlots(input *sched.Input, request *sched.Job, j *core.Job, slack float64) (fastSlots int, slowFetches []float64) {
 	byZone := map[api.Zone]int{}
 	for i := range input.Machines {
@@ -101,8 +97,9 @@
 	return usableSlots(byZone, request), slowFetches
 }
 
-// usableSlots is how many of the slots in each zone a job can use: those of the largest zone if
-// its tasks must be together, and no more than its limit of each if they are spread.
+// usableSlots returns the number of slots that a job can use, given the slots by zone: only those of
+// the largest zone if its tasks must be in one zone, and at most spreadLimit of each zone if they are
+// spread.
 func usableSlots(byZone map[api.Zone]int, request *sched.Job) int {
 	if request.Spec.OneZone {
 		return byZone[core.LargestZone(byZone)]
--- a/controller/preemption/plan.go
+++ b/controller/preemption/plan.go
@@ -11,8 +11,8 @@
 	"basaltwall/controller/core"
 )
 
-// PlanPreemption finds how up to maxTasks of a job's tasks could come to fit on a machine, at the
-// least cost. With avoidLate no task is preempted whose job would miss an objective for it.
+// PlanPreemption finds the preemption of lowest cost after which up to maxTasks tasks of a job fit on a
+// machine. With avoidLate no task is preempted whose job would then miss a completion objective.
 func (p *Planner) PlanPreemption(m *core.Machine, owned *core.OwnedPartition, spec *api.JobSpec, maxTasks int, avoidLate bool) core.PreemptionPlan {
 	demand := spec.Demand()
 	candidates, available := p.candidates(m, owned, spec, avoidLate)
@@ -35,8 +35,8 @@
 	return plan
 }
 
-// candidates lists the tasks on a machine that may be preempted for a job, and what is free there
-// once those have ended that are to stop anyway.
+// candidates returns the tasks on a machine that may be preempted for a job, and the free capacity
+// there after tasks that are already being stopped have ended.
 func (p *Planner) candidates(m *core.Machine, owned *core.OwnedPartition, spec *api.JobSpec, avoidLate bool) (candidates []*core.Placement, available api.Resources) {
 	preemptor := p.newPreemptingJob(m, spec)
 	available = p.siblings.Scheduler.FreeCapacityOn(m, owned)
@@ -48,7 +48,7 @@
 			available = available.Plus(placement.Job.Demand)
 			continue
 		}
-		if placement.Partition == owned.ID && p.yieldsTo(placement, preemptor) &&
+		if placement.Partition == owned.ID && p.isPreemptibleBy(placement, preemptor) &&
 			p.siblings.Health.IsPreemptible(placement) && !(avoidLate && p.missedObjective(placement) > 0) {
 			candidates = append(candidates, placement)
 		}
@@ -60,8 +60,7 @@
 type preemptingJob struct {
 	rank              int
 	effectivePriority float64
-	// needsAccelerators is set if the job needs the machine's accelerators, which work that does
-	// not need them could leave.
+	// needsAccelerators is set if the job needs the machine's accelerators.
 	needsAccelerators bool
 }
 
@@ -73,10 +72,10 @@
 	}
 }
 
-// yieldsTo reports whether a task may be preempted for a job by their priorities: it has a lower
-// rank, and no rule puts it before the job unless it occupies accelerators that only the job
-// needs. Tasks of gangs are never preempted.
-func (p *Planner) yieldsTo(placement *core.Placement, preemptor preemptingJob) bool {
+// isPreemptibleBy reports whether the priorities allow preempting a task for a job: the task has a lower
+// rank, and also a lower effective priority unless it occupies accelerators that only the job needs.
+// Tasks of gangs are never preempted.
+func (p *Planner) isPreemptibleBy(placement *core.Placement, preemptor preemptingJob) bool {
 	spec := placement.Job.Spec
 	if spec.Priority.Rank() >= preemptor.rank || spec.Kind == api.Gang {
 		return false
@@ -84,24 +83,24 @@
 	return p.siblings.Priorities.EffectivePriority(spec) < preemptor.effectivePriority || preemptor.needsAccelerators && p.core.IsCPUOnly(spec)
 }
 
-// preemptionCost is what stopping a task would lose, in CPU seconds: what it has run and, when
-// its job would be late by it, as much as the objective that it would miss.
+// preemptionCost returns the cost of preempting a task, in CPU seconds: its run time plus the
+// completion objective that its job would miss, if any.
 func (p *Planner) preemptionCost(placement *core.Placement) float64 {
 	return (p.secondsSincePlaced(placement)+p.missedObjective(placement))*placement.Job.Demand.CPU.Float() + 1
 }
 
-// missedObjective is the completion objective, in seconds after its acceptance, that a task's job
-// could meet but would not if the task had to run again, or 0.
+// missedObjective returns the first completion objective that a task's job can still meet, in seconds
+// after acceptance, if the job would miss it by running the task again; else 0.
 func (p *Planner) missedObjective(placement *core.Placement) float64 {
 	spec := placement.Job.Spec
 	elapsed := max(0, p.core.SecondsSinceAcceptance(placement.Job))
-	run := spec.Estimate * core.RuntimeSafetyFactor
-	rest := max(0, spec.Estimate-p.secondsSincePlaced(placement))
+	rerun := spec.Estimate * core.RuntimeSafetyFactor
+	remaining := max(0, spec.Estimate-p.secondsSincePlaced(placement))
 	for _, objective := range p.core.CompletionObjectives(spec) {
-		if elapsed+rest > objective {
+		if elapsed+remaining > objective {
 			continue
 		}
-		if elapsed+run > objective {
+		if elapsed+rerun > objective {
 			return objective
 		}
 		return 0
@@ -113,7 +112,7 @@
 	return p.core.Now.Sub(placement.OwnerState.PlacedAt).Seconds()
 }
 
-// ExecutePreemption stops the victims of a plan for a job.
+// ExecutePreemption stops the tasks that a plan preempts for a job.
 func (p *Planner) ExecutePreemption(plan core.PreemptionPlan, id api.JobID) {
 	for _, victim := range plan.Victims {
 		p.core.Metrics.PreemptedTasks++
--- a/controller/preemption/planner.go
+++ b/controller/preemption/planner.go
@@ -1,8 +1,8 @@
-// Package preemption decides which tasks are preempted for which job, and reserves their machines
-// for it until it has started: the work that was preempted would win them back before.
+// Package preemption decides which tasks are preempted for a job, and reserves their machines until
+// the job has started, so that preempted tasks do not start there again.
 //
-// It keeps no state of its own. Reservations are in core.Machine; when tasks were last preempted
-// for a job is in core.JobTracking.
+// It owns no state. Reservations are in core.Machine, and the state of preemption for a job is in
+// core.JobTracking.
 package preemption
 
 import (
@@ -17,7 +17,7 @@
 	siblings Siblings
 }
 
-// Siblings are the other components that the planner asks.
+// Siblings are the other components that the planner depends on.
 type Siblings struct {
 	Agents     Agents
 	Health     Health
@@ -25,29 +25,28 @@
 	Scheduler  Scheduler
 }
 
-// Agents is what the planner needs of the component that commands machines.
+// Agents is the interface to the agent manager.
 type Agents interface {
 	MachinesOf(p api.PartitionID) []*core.Machine
 }
 
-// Health is what the planner needs of the component that watches zones. While one is lost, classes
-// and teams have floors of CPUs that preemption does not go below.
+// Health is the interface to the zone health monitor. While a zone is lost, classes and teams have
+// minimum numbers of CPUs, their floors, which preemption must keep.
 type Health interface {
 	// IsPreemptible reports whether a task's class and team stay above their floors without it.
 	IsPreemptible(placement *core.Placement) bool
-	// AdjustFloors notes that a job's class and team have so many CPUs more, or less.
+	// AdjustFloors records that the CPUs of a job's class and team change by cpus.
 	AdjustFloors(spec *api.JobSpec, cpus float64)
 }
 
-// Priorities is what the planner needs of the component that applies the operators' priority
-// rules.
+// Priorities is the interface to the operators' priority rules.
 type Priorities interface {
-	// EffectivePriority is a job's priority with the rules' boost.
+	// EffectivePriority returns a job's priority rank with the rules' boost.
 	EffectivePriority(spec *api.JobSpec) float64
 	PriorityBoost(spec *api.JobSpec) float64
 }
 
-// Scheduler is what the planner needs of the component that runs rounds.
+// Scheduler is the interface to the scheduler of rounds.
 type Scheduler interface {
 	IsSchedulable(m *core.Machine, owned *core.OwnedPartition) bool
 	FreeCapacityOn(m *core.Machine, owned *core.OwnedPartition) api.Resources
@@ -55,14 +54,13 @@
 	StopTask(placement *core.Placement)
 }
 
-// New returns a planner; Connect must be called before any other method.
+// New returns a planner. Connect must be called before any other method.
 func New(shared *core.Core) *Planner { return &Planner{core: shared} }
 
-// Connect sets the other components that the planner asks.
+// Connect sets the components that the planner depends on.
 func (p *Planner) Connect(siblings Siblings) { p.siblings = siblings }
 
-// RunsLowerPriority reports whether a partition runs tasks of lower rank, which could be
-// preempted.
+// RunsLowerPriority reports whether a partition has placed tasks of a lower priority rank.
 func (p *Planner) RunsLowerPriority(partition api.PartitionID, rank int) bool {
 	for _, count := range p.core.State.Partitions[partition].CountByRank[:rank] {
 		if count > 0 {
@@ -72,8 +70,8 @@
 	return false
 }
 
-// ReservedFor is the job that a machine is reserved for, or "". A reservation whose job is over
-// or has all of its tasks placed is removed.
+// ReservedFor returns the job that a machine is reserved for, or "". It removes a reservation whose job
+// is finished or has all tasks placed.
 func (p *Planner) ReservedFor(m *core.Machine) api.JobID {
 	if m.ReservedFor == "" || p.core.Now >= m.ReservedUntil {
 		return ""
@@ -84,8 +82,7 @@
 	return m.ReservedFor
 }
 
-// ReserveExclusively reserves a machine for a job for which tasks were preempted on it, or for
-// which it was lent.
+// ReserveExclusively reserves a machine for a job for which it was lent or tasks are preempted on it.
 func (p *Planner) ReserveExclusively(m *core.Machine, id api.JobID) {
 	m.ReservedFor, m.SoftReservation, m.ReservedUntil, m.Consolidated = id, false, p.core.Now.Add(core.ReservationTTL), false
 }
--- a/controller/preemption/select.go
+++ b/controller/preemption/select.go
@@ -13,19 +13,18 @@
 )
 
 const (
-	// fetchSlowdownFactor is how many times longer than usual an image fetch may take: rates
-	// differ by a third.
+	// fetchSlowdownFactor is the ratio of the longest to the usual time of an image fetch.
 	fetchSlowdownFactor = 4.0 / 3
-	// lateFetchCostSeconds is what a fetch that takes the time in which a task should start adds
-	// to the cost of a plan, in seconds of the task's CPUs.
+	// lateFetchCostSeconds is the cost of an image fetch as long as the start objective, in seconds
+	// of the task's CPUs.
 	lateFetchCostSeconds = 60
 )
 
-// PreemptFor frees capacity for need tasks of a job of higher priority by preempting others, where
-// that costs least: a machine for each task or, for a gang, as many as all of it needs, in one
-// zone if its tasks must be together. The machines are reserved for the job, or the work that was
-// preempted would win them back before the rest is free. With maxFetch above 0 only machines count
-// that fetch the job's image within so many seconds. It returns how many machines were chosen.
+// PreemptFor preempts tasks at the lowest cost to free capacity for need tasks of a job: one machine
+// per task or, for a gang, machines for all tasks, in one zone if these must be together. It reserves
+// the machines for the job, so that preempted tasks do not start there again. With maxFetch above 0
+// only machines count that fetch the job's image within maxFetch seconds. It returns the number of
+// chosen machines.
 func (p *Planner) PreemptFor(owned *core.OwnedPartition, request *sched.Job, j *core.Job, need int, maxFetch float64) int {
 	byZone := p.plansByZone(owned, request, j, need, maxFetch)
 	var chosen []core.PreemptionPlan
@@ -41,8 +40,8 @@
 	return len(chosen)
 }
 
-// plansByZone plans a preemption for each machine that a job's tasks could run on, by zone. Zones
-// that make no difference to the job are taken as one, "".
+// plansByZone plans a preemption for each machine that a job's tasks could run on, by zone. For a job
+// without zone constraints all plans are under the zone "".
 func (p *Planner) plansByZone(owned *core.OwnedPartition, request *sched.Job, j *core.Job, need int, maxFetch float64) map[api.Zone][]core.PreemptionPlan {
 	isGang, tasksPerMachine := j.Spec.Kind == api.Gang, 1
 	if isGang {
@@ -60,7 +59,7 @@
 		}
 		plan := p.PlanPreemption(m, owned, j.Spec, tasksPerMachine, maxFetch > 0)
 		if plan.Tasks == 0 || !isGang && len(plan.Victims) == 0 && len(p.core.Settings.Priority) > 0 {
-			continue // what comes free by itself is for who goes first by the rules
+			continue // without preemption, the rules decide which job gets the freed capacity
 		}
 		if startObjective > 0 {
 			plan.Cost += lateFetchCostSeconds * j.Demand.CPU.Float() * min(1, fetch/startObjective)
@@ -74,7 +73,7 @@
 	return byZone
 }
 
-// isUsable reports whether a job's tasks could run on a machine once there is free capacity.
+// isUsable reports whether a job's tasks could run on a machine if it had free capacity.
 func (p *Planner) isUsable(m *core.Machine, owned *core.OwnedPartition, request *sched.Job, j *core.Job) bool {
 	if reservedJob := p.ReservedFor(m); reservedJob != "" && reservedJob != j.ID {
 		return false
@@ -84,7 +83,7 @@
 		sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.Zone)
 }
 
-// fetchSeconds is how long a machine may take to fetch a job's image.
+// fetchSeconds returns the longest expected time in which a machine fetches a job's image.
 func (p *Planner) fetchSeconds(m *core.Machine, j *core.Job) float64 {
 	machine := &sched.Machine{
 		CachedImages:   m.CachedImages,
@@ -94,13 +93,13 @@
 	return fetchSlowdownFactor * machine.FetchTime(j.Spec)
 }
 
-// compareCost orders plans by their cost for each task that they make room for.
+// compareCost orders plans by their cost per task that they free capacity for.
 func compareCost(a, b core.PreemptionPlan) int {
 	return cmp.Compare(a.Cost/float64(a.Tasks), b.Cost/float64(b.Tasks))
 }
 
-// cheapestZone chooses the plans that make room for a whole gang in one zone at the least cost, or
-// none if no zone has room for it.
+// cheapestZone chooses the plans that free capacity for a whole gang in one zone at the lowest cost, or
+// none if no zone suffices.
 func cheapestZone(byZone map[api.Zone][]core.PreemptionPlan, need int) []core.PreemptionPlan {
 	var best []core.PreemptionPlan
 	bestCost := 0.0
@@ -122,8 +121,8 @@
 	return best
 }
 
-// cheapestMachines chooses at most need plans of the least cost, of each zone no more than a job
-// may have there whose tasks are spread.
+// cheapestMachines chooses up to need plans of the lowest cost; for a job whose tasks are spread, at
+// most spreadLimit in each zone.
 func cheapestMachines(byZone map[api.Zone][]core.PreemptionPlan, request *sched.Job, need int) []core.PreemptionPlan {
 	var plans []core.PreemptionPlan
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
@@ -138,8 +137,8 @@
 	return plans[:min(len(plans), need)]
 }
 
-// spreadLimit is how many more tasks a job whose tasks are spread may have in a zone: half of
-// them, rounded up.
+// spreadLimit returns the number of further tasks that a spread job may have in a zone, which holds at
+// most half of its tasks, rounded up.
 func spreadLimit(request *sched.Job, zone api.Zone) int {
 	return (request.Spec.Tasks+1)/2 - request.PlacedByZone[zone]
 }
