--- a/fragmentation/fragmentation.go
+++ b/fragmentation/fragmentation.go
@@ -1,7 +1,7 @@
-// Package fragmentation owns the fragmentation of accelerators: how much of the free capacity of a
-// machine typical work can't use, and how a placement changes that. The measure is that of
-// fragmentation gradient descent (Weng et al., USENIX ATC 2023): free accelerators count as lost to
-// a demand that does not fit, in proportion to how common that demand is. It is pure.
+// Package fragmentation measures the fragmentation of accelerators: the free accelerators of a machine
+// that typical demands can't use, and how a placement changes their number. It uses the measure of
+// fragmentation gradient descent (Weng et al., USENIX ATC 2023): if a demand does not fit a machine,
+// the machine's free accelerators count as unusable in proportion to the share of that demand.
 package fragmentation
 
 import (
@@ -11,17 +11,17 @@
 	"basaltwall/api"
 )
 
-// Demand is what tasks request, with its share of all accelerators that are requested.
+// Demand is the resources that a kind of task requests, with its share of all requested accelerators.
 type Demand struct {
 	Resources api.Resources
 	Share     float64 // between 0 and 1
 }
 
-// maxDemands bounds the typical demands: the rarest are left out.
+// maxDemands is the maximum number of typical demands.
 const maxDemands = 8
 
-// TypicalDemands are the most common demands for accelerators, by their share of the accelerators
-// requested. demandCounts is the number of tasks by what they request.
+// TypicalDemands returns the most common demands for accelerators, ordered by their share of the
+// requested accelerators. demandCounts is the number of tasks by requested resources.
 func TypicalDemands(demandCounts map[api.Resources]int) []Demand {
 	var out []Demand
 	sum := 0.0
@@ -47,7 +47,8 @@
 	return out
 }
 
-// Measure is how many of the free accelerators of a machine a typical demand can't use.
+// Measure returns the number of unusable accelerators on a machine, given its free capacity: the free
+// accelerators weighted by the share of typical demands that do not fit.
 func Measure(free api.Resources, typical []Demand) float64 {
 	if free.GPU <= 0 {
 		return 0
@@ -61,14 +62,14 @@
 	return unusable
 }
 
-// Increase is how many more accelerators become unusable when a task is placed on a machine with that
-// free capacity; below 0 it uses up fragments.
+// Increase returns the change in the number of unusable accelerators when a task is placed on a machine
+// with that free capacity. It is negative if the task uses fragments.
 func Increase(free, task api.Resources, typical []Demand) float64 {
 	return Measure(free.Minus(task), typical) - Measure(free, typical)
 }
 
-// MayStrand reports whether smaller typical demands may leave a demand without a machine although there
-// is enough free capacity in fragments.
+// MayStrand reports whether tasks with smaller typical demands may fragment the free capacity so that a
+// demand fits no machine. That requires a typical demand of at most half as many accelerators.
 func MayStrand(demand api.Resources, typical []Demand) bool {
 	return slices.ContainsFunc(typical, func(d Demand) bool { return 2*d.Resources.GPU <= demand.GPU })
 }
--- a/fragmentation/fragmentation_test.go
+++ b/fragmentation/fragmentation_test.go
@@ -13,32 +13,32 @@
 	return api.Resources{CPU: api.ToQuantity(4 * n), GPU: api.ToQuantity(n), Mem: api.ToQuantity(40 * n)}
 }
 
-// Small tasks go where others are before they take an empty machine that a large one could have, and
-// fill the fullest; without large work nothing is fragmented and it does not matter.
+// Small tasks cause less fragmentation on partly used machines than on an empty machine, which a large
+// task could use. Without large demands there is no fragmentation.
 func TestSmallDemandsFillUsedMachines(t *testing.T) {
 	typical := TypicalDemands(map[api.Resources]int{gpus(1): 30, gpus(2): 10, gpus(8): 5, {CPU: 4e6}: 100})
 	if len(typical) != 3 {
-		t.Fatalf("%+v", typical)
+		t.Fatalf("typical demands are %+v, expected the 3 with accelerators", typical)
 	}
-	whole, begun, last := Increase(gpus(8), gpus(1), typical), Increase(gpus(5), gpus(1), typical), Increase(gpus(2), gpus(1), typical)
-	if !(begun < 0 && begun < whole && whole > 2 && last < whole) {
-		t.Errorf("whole %v, begun %v, the last of two %v", whole, begun, last)
+	empty, partlyUsed, nearlyFull := Increase(gpus(8), gpus(1), typical), Increase(gpus(5), gpus(1), typical), Increase(gpus(2), gpus(1), typical)
+	if !(partlyUsed < 0 && partlyUsed < empty && empty > 2 && nearlyFull < empty) {
+		t.Errorf("increase by a task with 1 GPU on a machine with 8 free GPUs: %v, 5 free: %v, 2 free: %v", empty, partlyUsed, nearlyFull)
 	}
 	if Measure(gpus(8), typical) != 0 || Measure(gpus(0), typical) != 0 || Measure(gpus(1), typical) <= Measure(gpus(1), typical[:1]) {
-		t.Error("what is lost")
+		t.Error("Measure is wrong for an empty machine, a full machine or a single free GPU")
 	}
 	small := TypicalDemands(map[api.Resources]int{gpus(1): 3})
 	if Increase(gpus(8), gpus(1), small) != 0 || MayStrand(gpus(1), small) || !MayStrand(gpus(8), typical) {
-		t.Error("pieces where there is one size")
+		t.Error("Increase or MayStrand is wrong for a single typical demand, or MayStrand for the largest of several")
 	}
-	// Work without accelerators fragments where it takes what tasks with accelerators need beside them.
+	// Tasks without accelerators increase fragmentation if they use CPUs that tasks with accelerators need.
 	if cpu := (api.Resources{CPU: api.ToQuantity(2)}); Increase(gpus(8), cpu, typical) <= 0 || Increase(gpus(8).Plus(cpu), cpu, typical) != 0 {
-		t.Error("CPU work")
+		t.Error("a CPU-only task must increase fragmentation only where it uses CPUs that GPU tasks need")
 	}
 }
 
-// For any demands: what is lost lies between nothing and all that is free, and of the placements of a
-// task the one with the least increase leaves no more fragmented than any other.
+// For any demands, the unusable accelerators are between 0 and all free ones, and no placement of a task
+// leaves less fragmentation than the one with the least increase.
 func TestLeastIncreaseLeavesLeastFragmentation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demandCounts := map[api.Resources]int{}
@@ -57,11 +57,11 @@
 				if i == on {
 					f = f.Minus(task)
 				}
-				l := Measure(f, typical)
-				if l < 0 || l > f.GPU.Float()+1e-9 {
-					t.Fatalf("%v of %v is lost", l, f.GPU.Float())
+				unusable := Measure(f, typical)
+				if unusable < 0 || unusable > f.GPU.Float()+1e-9 {
+					t.Fatalf("%v of %v free accelerators are unusable", unusable, f.GPU.Float())
 				}
-				sum += l
+				sum += unusable
 			}
 			return sum
 		}
@@ -73,7 +73,7 @@
 		}
 		for i, f := range free {
 			if task.Fits(f) && total(i) < total(best)-1e-9 {
-				t.Fatalf("%v left in pieces, %v by another place", total(best), total(i))
+				t.Fatalf("%v accelerators are unusable after the placement of least increase, %v after another", total(best), total(i))
 			}
 		}
 	})
--- a/priority/errors.go
+++ b/priority/errors.go
@@ -1,24 +1,24 @@
-// Errors of tables of rules.
+// This file holds the validation errors of rules.
 
 package priority
 
 import "fmt"
 
-// RuleError is why a table of rules is not valid.
+// RuleError is the validation error of a table of rules.
 type RuleError struct {
-	Field  string // the field at fault, such as precedence[0].work
+	Field  string // the invalid field, such as precedence[0].work
 	Reason string
 }
 
 func (e *RuleError) Error() string { return e.Field + ": " + e.Reason }
 
-// tableField is the name of the table among the settings.
+// tableField is the name of the table in the settings.
 const tableField = "precedence"
 
-// ruleField names the rule with an index.
+// ruleField returns the field name of a rule.
 func ruleField(i int) string { return fmt.Sprintf("%s[%d]", tableField, i) }
 
-// invalid is the error of a field that is not acceptable.
+// invalid returns the error for an invalid field.
 func invalid(field, format string, args ...any) error {
 	return &RuleError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
--- a/priority/model_test.go
+++ b/priority/model_test.go
@@ -8,89 +8,94 @@
 	"basaltwall/internal/modelcheck"
 )
 
-// The model: one machine type, whose shortage is written by two controllers, the owner of partition 0 and
-// a previous owner that need not know. Each reads the record and composes the next one
-// by Next from what it observes at that moment; its write lands then or much later. Meanwhile
-// demand becomes met or unmet, and the ownership changes.
+// The model has one machine type and two controllers that write its shortage: the owner of partition 0
+// and a former owner that may not know that it was deposed. Each reads the record and composes the next
+// one by ShortageTracker.Next; its write is applied at once or late. Demand becomes met or unmet and the
+// ownership changes at any time.
 //
-// What must hold: a record follows the one that it was composed from, and is of the current
-// owner. So all controllers see the same sequence, and none begins or ends a shortage by
-// observations from before another's record.
+// The invariant: a write is applied only if the record has not changed since it was read, and only by
+// the present owner.
 
-type shortRead struct{ short, fresh, leads bool }
+// shortageRead is the record as a controller has read it. It is fresh if the record has not changed
+// since; owns is whether the controller still owns partition 0.
+type shortageRead struct{ short, fresh, owns bool }
 
-type shortWrite struct{ sent, to, fresh, leads bool }
+// shortageWrite is a controller's write in flight; fresh and owns are those of its read.
+type shortageWrite struct{ sent, newShort, fresh, owns bool }
 
-type shortWorld struct {
+type shortageState struct {
 	short, demandUnmet bool
-	reads              [2]shortRead
-	writes             [2]shortWrite
+	reads              [2]shortageRead
+	writes             [2]shortageWrite
 }
 
-type shortRules struct{ checksVersion, checksTerm bool }
+// shortageGuards are the conditions of the write of a shortage record.
+type shortageGuards struct{ checksVersion, checksTerm bool }
 
-func (w shortWorld) next(r shortRules, visit func(shortWorld)) (wrong bool) {
+func (w shortageState) next(g shortageGuards, visit func(shortageState)) (violated bool) {
 	n := w
 	n.demandUnmet = !w.demandUnmet
 	visit(n)
-	n = w // the ownership is taken, by the other or by the same in a new term
+	n = w // a failover, to the other controller or to the same one in a new term
 	for i := range n.reads {
-		n.reads[i].leads, n.writes[i].leads = false, false
+		n.reads[i].owns, n.writes[i].owns = false, false
 	}
 	visit(n)
 	for i := range w.reads {
 		n := w
-		n.reads[i] = shortRead{w.short, true, true}
+		n.reads[i] = shortageRead{w.short, true, true}
 		visit(n)
-		if v := w.reads[i]; v.leads && !w.writes[i].sent {
-			old := Shortage{}
-			if v.short {
-				old.Types = []api.MachineTypeName{"g8"}
+		if read := w.reads[i]; read.owns && !w.writes[i].sent {
+			previous := Shortage{}
+			if read.short {
+				previous.Types = []api.MachineTypeName{"g8"}
 			}
-			var watch ShortageTracker // it has observed for long enough
-			lacked := map[api.MachineTypeName]bool{}
+			var tracker ShortageTracker // it observes for longer than ShortageHold
+			unmet := map[api.MachineTypeName]bool{}
 			if w.demandUnmet {
-				lacked["g8"] = true
+				unmet["g8"] = true
 			}
-			watch.Observe(lacked, api.Time(time.Second))
+			tracker.Observe(unmet, api.Time(time.Second))
 			now := api.Time(time.Second + ShortageHold + 1)
-			watch.Observe(lacked, now)
-			if next := watch.Next(old, now, api.Time(time.Second)-1, 1); !next.Equal(old) {
+			tracker.Observe(unmet, now)
+			if next := tracker.Next(previous, now, api.Time(time.Second)-1, 1); !next.Equal(previous) {
 				n := w
-				n.writes[i] = shortWrite{true, next.Includes("g8"), v.fresh, v.leads}
+				n.writes[i] = shortageWrite{true, next.Includes("g8"), read.fresh, read.owns}
 				visit(n)
 			}
 		}
-		x := w.writes[i]
-		if !x.sent {
+		write := w.writes[i]
+		if !write.sent {
 			continue
 		}
 		n = w
-		n.writes[i] = shortWrite{}
-		if (x.fresh || !r.checksVersion) && (x.leads || !r.checksTerm) {
-			wrong = wrong || !x.fresh || !x.leads
-			n.short = x.to
+		n.writes[i] = shortageWrite{}
+		if (write.fresh || !g.checksVersion) && (write.owns || !g.checksTerm) {
+			violated = violated || !write.fresh || !write.owns
+			n.short = write.newShort
 			for k := range n.reads {
 				n.reads[k].fresh, n.writes[k].fresh = false, false
 			}
 		}
 		visit(n)
 	}
-	return wrong
+	return violated
 }
 
+// Shortage records are written in sequence by the present owner in all interleavings, and without either
+// guard they are not.
 func TestShortageRecordsAreSequential(t *testing.T) {
-	check := func(r shortRules) (states int, wrong bool) {
-		return modelcheck.Explore(shortWorld{}, 0, func(w shortWorld, do func(shortWorld)) bool { return w.next(r, do) })
+	check := func(g shortageGuards) (states int, violated bool) {
+		return modelcheck.Explore(shortageState{}, 0, func(w shortageState, visit func(shortageState)) bool { return w.next(g, visit) })
 	}
-	states, wrong := check(shortRules{true, true})
-	t.Logf("%d states, all there are", states)
-	if wrong || states < 300 {
-		t.Errorf("wrong %v, %d states", wrong, states)
+	states, violated := check(shortageGuards{true, true})
+	t.Logf("%d reachable states", states)
+	if violated || states < 300 {
+		t.Errorf("invariant violated: %v, reachable states: %d, expected at least 300", violated, states)
 	}
-	for what, r := range map[string]shortRules{"the record's version": {false, true}, "the duty's term": {true, false}} {
-		if _, wrong := check(r); !wrong {
-			t.Errorf("without %s nothing goes wrong: the model does not see it", what)
+	for guard, g := range map[string]shortageGuards{"the record's version": {false, true}, "the owner's term": {true, false}} {
+		if _, violated := check(g); !violated {
+			t.Errorf("the model finds no violation without the condition on %s", guard)
 		}
 	}
 }
--- a/priority/ordering.go
+++ b/priority/ordering.go
@@ -1,4 +1,4 @@
-// The ordering of workloads that follows from the rules.
+// This file computes the order of workloads from the rules.
 
 package priority
 
@@ -10,32 +10,32 @@
 	"basaltwall/api"
 )
 
-// Workload is the attributes of jobs that rules depend on. Jobs with equal attributes are ordered
-// alike.
+// Workload holds the attributes of jobs that rules depend on. Jobs with equal attributes have the same
+// level.
 type Workload struct {
 	Class         api.Class
 	Team          api.Team
 	Form          api.Kind
 	Priority      api.Priority
-	CapacityShort bool // no machine type that they may use has free capacity
+	CapacityShort bool // no machine type that the jobs may use has free capacity
 }
 
-// ActiveConditions are the conditions of the whole cluster that hold now.
+// ActiveConditions are the cluster-wide conditions that hold at present.
 type ActiveConditions struct {
 	ControllerDown bool
 	ZoneFailed     bool
 }
 
-// Ordering is the order of workloads by level: the higher goes first.
+// Ordering is the order of workloads by level, the highest first.
 type Ordering struct {
 	levels      map[Workload]float64
-	outrankedBy map[Workload]string // the rule by which another workload goes before it
+	outrankedBy map[Workload]string // the rule by which another workload takes precedence
 	floors      map[Workload]float64
 }
 
-// Resolve orders workloads. Without a rule that applies, the level of a workload is the rank of its
-// priority. Otherwise it is its position among all levels, so that one is as far from the next as
-// one priority from the next.
+// Resolve computes the order of workloads. If no rule raises a workload, each level is the rank of the
+// workload's priority. Otherwise it is the workload's position among the distinct levels, so that
+// adjacent levels differ by as much as adjacent priorities.
 func (t Rules) Resolve(workloads []Workload, c ActiveConditions) Ordering {
 	r := resolver{rules: t, workloads: workloads, conditions: c,
 		ordering: Ordering{levels: map[Workload]float64{}, outrankedBy: map[Workload]string{}, floors: map[Workload]float64{}}}
@@ -60,14 +60,15 @@
 	workloads  []Workload
 	conditions ActiveConditions
 	ordering   Ordering
-	boosted    bool // some level differs from the rank of its priority
+	boosted    bool // some level differs from the rank of the workload's priority
 }
 
-// beforeStep is how far a rule raises a workload above another: too small for all rules together
-// to reach the next priority.
+// beforeStep is the difference by which a rule raises a workload above another. All rules together add
+// up to less than the difference of two priorities.
 const beforeStep = 1.0 / (2 * maxRules)
 
-// level computes the level of a workload, and first those of the workloads that rules put it before.
+// level computes the level of a workload, after the levels of the workloads that it takes precedence
+// over by rules.
 func (r *resolver) level(k Workload, depth int) float64 {
 	if l, known := r.ordering.levels[k]; known {
 		return l
@@ -90,7 +91,7 @@
 	return l
 }
 
-// raiseAboveBefore is a level as raised above those of all workloads that the rule goes before.
+// raiseAboveBefore returns a level raised above the levels of all workloads that rule.Before selects.
 func (r *resolver) raiseAboveBefore(rule *Rule, l float64, depth int) float64 {
 	for _, other := range r.workloads {
 		if !rule.Before.selects(&other) {
@@ -109,7 +110,8 @@
 	return l
 }
 
-// Level is the level of a workload; the rank of its priority if it was not among those resolved.
+// Level returns the level of a workload. For a workload that was not passed to Resolve it is the rank
+// of its priority.
 func (o Ordering) Level(k Workload) float64 {
 	if l, known := o.levels[k]; known {
 		return l
@@ -117,15 +119,15 @@
 	return float64(k.Priority.Rank())
 }
 
-// OutrankedBy names the rule by which other work goes before a workload, empty if none does.
+// OutrankedBy returns the name of a rule by which other workloads take precedence over a workload, or "".
 func (o Ordering) OutrankedBy(k Workload) string { return o.outrankedBy[k] }
 
-// Floor is the share of its fair share that a rule leaves to a workload which others go before; ok is
-// false if no rule says.
+// Floor returns the fraction of its fair share that rules guarantee to an outranked workload; ok is
+// false if no rule sets one.
 func (o Ordering) Floor(k Workload) (share float64, ok bool) {
 	share, ok = o.floors[k]
 	return share, ok
 }
 
-// Compare orders workloads so that the one that goes first is first.
+// Compare orders workloads by level, the highest first.
 func (o Ordering) Compare(a, b Workload) int { return cmp.Compare(o.Level(b), o.Level(a)) }
--- a/priority/rules.go
+++ b/priority/rules.go
@@ -1,6 +1,6 @@
-// Package priority owns which work goes before which when capacity is short: the users' rules,
-// whether capacity is short, and one number for each workload, its level, by which everything
-// that orders work orders it. It is pure: it stores nothing and reads no clock.
+// Package priority defines the operators' rules for the precedence of workloads. It computes a level
+// for each workload, by which the scheduler orders jobs, and tracks shortages of capacity, on which
+// rules may depend. It does no input or output and reads no clock.
 package priority
 
 import (
@@ -14,28 +14,28 @@
 // maxRules bounds a table, which is stored in one record with other settings.
 const maxRules = 32
 
-// Condition says when a rule applies.
+// Condition is the condition under which a rule applies.
 type Condition string
 
-// The conditions.
+// Conditions of rules.
 const (
 	Always         Condition = "always"
-	CapacityShort  Condition = "short"          // while no machine type that the work may use has free capacity
+	CapacityShort  Condition = "short"          // while no machine type that the workload may use has free capacity
 	ControllerDown Condition = "controller-out" // while a controller is down
 	ZoneFailed     Condition = "zone-lost"      // while a zone has failed or is recovering
 )
 
-// Rule orders work before other work, or gives it the rank of a priority.
+// Rule gives workloads precedence over other workloads, or raises them to the rank of a priority.
 type Rule struct {
 	Name      string    `json:"name"`
 	Selector  Selector  `json:"work"`
-	Before    *Selector `json:"before,omitempty"`
-	Rank      string    `json:"rank,omitempty"`  // a priority; either this or Before is set
-	Condition Condition `json:"when,omitempty"`  // empty: always
-	Floor     *float64  `json:"floor,omitempty"` // share of its fair share that the work of Before keeps in a shortage
+	Before    *Selector `json:"before,omitempty"` // the workloads that Selector takes precedence over
+	Rank      string    `json:"rank,omitempty"`   // a priority; exactly one of Rank and Before is set
+	Condition Condition `json:"when,omitempty"`   // empty: always
+	Floor     *float64  `json:"floor,omitempty"`  // fraction of its fair share that Before keeps in a shortage
 }
 
-// Validate checks a table. The error is a *RuleError.
+// Validate checks a table of rules. The error is a *RuleError.
 func (t Rules) Validate() error {
 	if len(t) > maxRules {
 		return invalid(tableField, "more than %d rules", maxRules)
@@ -45,10 +45,10 @@
 	for i := range t {
 		r, field := &t[i], ruleField(i)
 		if r.Name == "" || len(r.Name) > maxPatternLength {
-			return invalid(field+".name", "must be given, and %d bytes at most", maxPatternLength)
+			return invalid(field+".name", "is required and may have at most %d bytes", maxPatternLength)
 		}
-		if k, twice := names[r.Name]; twice {
-			return invalid(field+".name", "is that of rule %d too", k)
+		if k, duplicate := names[r.Name]; duplicate {
+			return invalid(field+".name", "is also the name of rule %d", k)
 		}
 		names[r.Name] = i
 		if err := r.validate(field); err != nil {
@@ -59,35 +59,35 @@
 		}
 		for k := range i {
 			if r.duplicates(&t[k]) {
-				return invalid(field+".work", "is named by rule %d already", k)
+				return invalid(field+".work", "is already selected by rule %d", k)
 			}
 		}
 	}
 	if floors > 1 {
-		return invalid(tableField, "floors of %.2f in all are more than there is", floors)
+		return invalid(tableField, "the floors of all rules add up to %.2f, the maximum is 1", floors)
 	}
 	for i := range t {
 		if cycle := t.findCycle(i, i, map[int]bool{}); cycle != nil {
-			return invalid(ruleField(i)+".before", "goes round in a circle by way of %s", strings.Join(cycle, ", "))
+			return invalid(ruleField(i)+".before", "is part of a cycle through the rules %s", strings.Join(cycle, ", "))
 		}
 	}
 	return nil
 }
 
-// validate checks a rule by itself, but for its name.
+// validate checks a single rule except its name.
 func (r *Rule) validate(field string) error {
 	if err := r.Selector.validate(field + ".work"); err != nil {
 		return err
 	}
 	switch {
 	case (r.Before == nil) == (r.Rank == ""):
-		return invalid(field+".before", "either other work or a rank must be named")
+		return invalid(field+".before", "exactly one of before and rank must be set")
 	case r.Rank != "" && !slices.Contains(priorities, r.Rank):
-		return invalid(field+".rank", "%q is none of %s", r.Rank, strings.Join(priorities, ", "))
+		return invalid(field+".rank", "%q is not one of %s", r.Rank, strings.Join(priorities, ", "))
 	case !slices.Contains([]Condition{"", Always, CapacityShort, ControllerDown, ZoneFailed}, r.Condition):
-		return invalid(field+".when", "%q is none of always, short, controller-out, zone-lost", r.Condition)
+		return invalid(field+".when", "%q is not one of always, short, controller-out, zone-lost", r.Condition)
 	case r.Floor != nil && (r.Before == nil || *r.Floor < 0 || *r.Floor > 1):
-		return invalid(field+".floor", "must be between 0 and 1, of the work that it goes before")
+		return invalid(field+".floor", "must be between 0 and 1 and is allowed only together with before")
 	}
 	if r.Before == nil {
 		return nil
@@ -96,12 +96,13 @@
 		return err
 	}
 	if r.Selector.overlaps(r.Before) {
-		return invalid(field+".before", "some work would go before itself")
+		return invalid(field+".before", "overlaps with work: some jobs would take precedence over themselves")
 	}
 	return nil
 }
 
-// duplicates reports whether another rule says the same of the same work.
+// duplicates reports whether another rule has the same selector and also sets a rank, or has the same
+// Before.
 func (r *Rule) duplicates(other *Rule) bool {
 	if r.Selector != other.Selector {
 		return false
@@ -109,8 +110,9 @@
 	return other.Rank != "" && r.Rank != "" || other.Before != nil && r.Before != nil && *other.Before == *r.Before
 }
 
-// findCycle finds a path of rules from one to another: the work that a rule goes before may have a
-// rule of its own. It returns the names of the rules on the path, nil if there is none.
+// findCycle finds a path of rules from one rule to another, in which the work selected by the Before of
+// each rule overlaps with the selector of the next. It returns the names of the rules on the path, or
+// nil if there is none.
 func (t Rules) findCycle(at, to int, seen map[int]bool) []string {
 	if t[at].Before == nil || seen[at] {
 		return nil
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// applies reports whether the condition of a rule holds for a workload.
+// applies reports whether a rule's condition holds for a workload.
 func (r *Rule) applies(k *Workload, c ActiveConditions) bool {
 	switch r.Condition {
 	case CapacityShort:
--- a/priority/selector.go
+++ b/priority/selector.go
@@ -1,4 +1,4 @@
-// Selectors: which work a rule is about.
+// This file holds the selectors of workloads in rules.
 
 package priority
 
@@ -9,7 +9,7 @@
 	"basaltwall/api"
 )
 
-// Selector selects work by attributes of its jobs. An empty field matches any value; one that ends
+// Selector selects workloads by their attributes. An empty field matches any value; a field that ends
 // with an asterisk matches all values with that prefix.
 type Selector struct {
 	Class    string `json:"class,omitempty"`
@@ -18,13 +18,13 @@
 	Priority string `json:"priority,omitempty"`
 }
 
-// maxPatternLength bounds the names of rules and the fields of selectors, in bytes.
+// maxPatternLength is the maximum length of rule names and of selector fields, in bytes.
 const maxPatternLength = 60
 
-// selectorField is a field of a selector with its name in the record.
+// selectorField is a field of a selector with its JSON name.
 type selectorField struct{ name, pattern string }
 
-// fields are the fields of a selector, in order.
+// fields returns the fields of a selector in order.
 func (w *Selector) fields() [4]selectorField {
 	return [4]selectorField{{"class", w.Class}, {"team", w.Team}, {"form", w.Form}, {"priority", w.Priority}}
 }
@@ -34,17 +34,17 @@
 	priorities = []string{string(api.Low), string(api.Normal), string(api.High), string(api.Production)}
 )
 
-// validate checks a selector; field is its name in the record.
+// validate checks a selector; field is its name in errors.
 func (w *Selector) validate(field string) error {
 	if *w == (Selector{}) {
-		return invalid(field, "names no work")
+		return invalid(field, "at least one of class, team, form and priority must be set")
 	}
 	for _, f := range w.fields() {
 		if i := strings.IndexByte(f.pattern, wildcard[0]); i >= 0 && i != len(f.pattern)-1 {
-			return invalid(field+"."+f.name, "an asterisk may stand at the end alone")
+			return invalid(field+"."+f.name, "an asterisk is allowed only at the end")
 		}
 		if len(f.pattern) > maxPatternLength {
-			return invalid(field+"."+f.name, "more than %d bytes", maxPatternLength)
+			return invalid(field+"."+f.name, "has more than %d bytes", maxPatternLength)
 		}
 	}
 	for pattern, known := range map[string][]string{w.Form: forms, w.Priority: priorities} {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// wildcard ends a pattern that matches all values with the prefix before it.
+// wildcard at the end of a pattern matches any suffix.
 const wildcard = "*"
 
 // matches reports whether a pattern matches a value.
@@ -83,7 +83,7 @@
 	return a == b
 }
 
-// overlaps reports whether some work may be selected by both selectors.
+// overlaps reports whether both selectors may select the same workload.
 func (w *Selector) overlaps(o *Selector) bool {
 	a, b := w.fields(), o.fields()
 	for i := range a {
--- a/priority/shortage.go
+++ b/priority/shortage.go
@@ -1,4 +1,4 @@
-// Shortages: which machine types have no free capacity, for rules that apply only then.
+// This file tracks the machine types without free capacity, for rules that depend on a shortage.
 
 package priority
 
@@ -10,33 +10,34 @@
 	"basaltwall/api"
 )
 
-// Shortage is the machine types without free capacity, in one record that all controllers follow.
+// Shortage is the record of machine types without free capacity, shared by all controllers.
 type Shortage struct {
 	Types []api.MachineTypeName `json:"types"` // sorted
-	Since api.WallTime          `json:"since"` // of the latest change of Types
+	Since api.WallTime          `json:"since"` // time of the latest change of Types
 }
 
 // Includes reports whether a type is short of capacity.
 func (s Shortage) Includes(t api.MachineTypeName) bool { return slices.Contains(s.Types, t) }
 
-// Equal reports whether two name the same types, whatever their times.
+// Equal reports whether two shortages have the same types, regardless of Since.
 func (s Shortage) Equal(o Shortage) bool { return slices.Equal(s.Types, o.Types) }
 
-// Times of a shortage. It begins once the owner of a partition has had unmet demand for
-// ShortageOnset, long enough to tell it from tasks that are about to be placed, and ends once none
-// has had any for ShortageHold, so that an intermittent shortage counts as one.
+// Hysteresis of a shortage. It begins when some partition has had unmet demand for ShortageOnset,
+// longer than tasks wait for the next round, and ends when no partition has had unmet demand for
+// ShortageHold.
 const (
 	ShortageOnset = time.Second
 	ShortageHold  = 20 * time.Second
 )
 
-// ShortageTracker is what the writer of the record has observed. The zero value is ready to use.
+// ShortageTracker holds the observations of the writer of the shortage record. The zero value is ready
+// to use.
 type ShortageTracker struct {
-	shortSince map[api.MachineTypeName]api.Time // when the current unmet demand began
-	lastShort  map[api.MachineTypeName]api.Time // when demand was last unmet
+	shortSince map[api.MachineTypeName]api.Time // start of the present unmet demand
+	lastShort  map[api.MachineTypeName]api.Time // time of the latest unmet demand
 }
 
-// Observe notes the machine types for which some partition has unmet demand now.
+// Observe records the machine types for which some partition has unmet demand now.
 func (w *ShortageTracker) Observe(unmet map[api.MachineTypeName]bool, now api.Time) {
 	if w.shortSince == nil {
 		w.shortSince, w.lastShort = map[api.MachineTypeName]api.Time{}, map[api.MachineTypeName]api.Time{}
@@ -54,8 +55,8 @@
 	}
 }
 
-// Next is the record that should replace the previous one, or the previous one if nothing changes.
-// startedAt is when this tracker began to observe: it can't know of earlier unmet demand.
+// Next returns the record that replaces the previous one, or the previous one if nothing changes.
+// startedAt is the time of the tracker's first observation: earlier unmet demand is unknown to it.
 func (w *ShortageTracker) Next(previous Shortage, now, startedAt api.Time, wallTime api.WallTime) Shortage {
 	next := Shortage{Since: wallTime}
 	short := map[api.MachineTypeName]bool{}
