--- a/controller/autoscale/capacitytarget.go
+++ b/controller/autoscale/capacitytarget.go
@@ -110,8 +110,8 @@
 }
 
 // updateCapacityTargets computes the capacity targets of all types with accelerators and marks
-// surplus machines. Without targets, jobs that move between machines would keep more of these
-// expensive machines from being idle than they need.
+// surplus machines. Otherwise short tasks that start on changing machines would keep all of these
+// expensive machines from becoming idle.
 func (as *Manager) updateCapacityTargets() {
 	as.NextDemandSample = as.core.Now.Add(core.DemandSampleInterval)
 	as.recordSpotUptime()
@@ -165,8 +165,8 @@
 	return target
 }
 
-// IsLatencySensitive reports whether a job's start objective is shorter than the time in which
-// a new machine for it boots.
+// IsLatencySensitive reports whether a job's start objective is shorter than the longest usual
+// boot time of a new machine for it.
 func (as *Manager) IsLatencySensitive(s *api.JobSpec) bool {
 	within, typ := as.core.StartObjective(s.Class), as.CheapestType(s)
 	return within > 0 && typ != nil && within < slowBootFactor*typ.BootSeconds
--- a/controller/balance/transfer.go
+++ b/controller/balance/transfer.go
@@ -2,9 +2,9 @@
 
 // This file lends machines together with their tasks, for jobs that have been pending for long and
 // whose tasks must be in one partition, when no machine is empty. One transaction writes the loan, the
-// tasks and the quota that they use, on condition that none of their jobs has changed. So no job with
-// an unacknowledged cancellation gets placements in a further partition. See clusterstate/transfer.go
-// and docs/safety.md.
+// tasks and the quota that they use, on condition that none of their jobs has changed. Therefore none
+// of these jobs is cancelled, and no placement is added to a partition that has not acknowledged a
+// cancellation. See clusterstate/transfer.go and docs/safety.md.
 
 import (
 	"cmp"
--- a/controller/message/commands.go
+++ b/controller/message/commands.go
@@ -57,8 +57,8 @@
 	AdminRequest struct {
 		Req   ReqID
 		What  AdminOperation
-		ID    string
-		Team  string // for jobs: only jobs of this team
+		ID    string // name of the object of the operation, such as a machine, job, tenant, pool or depot
+		Team  string // for AdminJobs: only jobs of this team
 		Limit int    // maximum number of entries of a page
 		Body  []byte
 
--- a/controller/message/peer.go
+++ b/controller/message/peer.go
@@ -52,12 +52,12 @@
 // it.
 type Gossip struct {
 	From    api.ControllerID
-	Born    int64  // the sender's incarnation
-	Number  uint64 // sequence number within the incarnation
-	StateOK bool   // the sender reaches the state service
-	Parts   []PartitionStatus
-	Rented  []RecentScaleOut
-	Passed  []*Gossip // recent gossip of other controllers, forwarded by a relay
+	Born    int64             // the sender's incarnation
+	Number  uint64            // sequence number within the incarnation
+	StateOK bool              // the sender reaches the state service
+	Parts   []PartitionStatus // the partitions that the sender owns
+	Rented  []RecentScaleOut  // machines that the cloud's list may not show yet
+	Passed  []*Gossip         // recent gossip of other controllers, forwarded by a relay
 }
 
 // RecentScaleOut lists recently created machines, so that the next scale-out counts them before the
@@ -72,19 +72,19 @@
 // PartitionStatus describes a partition to the controllers that do not own it.
 type PartitionStatus struct {
 	Part        api.PartitionID
-	Kinds       []MachineClass // classes that Rooms refers to by index
-	Rooms       []FreeCapacity
-	Accelerated map[AcceleratorKind]AcceleratorCount
-	Zones       map[api.Zone]zonehealth.MachineCount
-	Silent      []api.MachineID            // machines without heartbeats to their owner
-	Fresh       []api.MachineID            // machines that have booted recently
-	Want        map[api.Team]api.Resources // quota that pending jobs could use
-	Due         map[api.Team]api.Resources // of Want: quota for aged jobs, which must start
-	Starved     map[api.Team]api.Resources // of Want: quota for jobs that have free capacity but quota for no task
-	Short       []api.MachineTypeName      // types without free capacity for pending tasks
-	Spare       map[api.Team]api.Resources // unused quota
-	Waiting     int                        // tasks without free capacity
-	Lack        []UnmetDemand              // jobs that do not fit in this partition as a whole
+	Kinds       []MachineClass                       // classes that Rooms refers to by index
+	Rooms       []FreeCapacity                       // free capacity by groups of equal machines
+	Accelerated map[AcceleratorKind]AcceleratorCount // machines with accelerators
+	Zones       map[api.Zone]zonehealth.MachineCount // machines and those without a recent heartbeat, by zone
+	Silent      []api.MachineID                      // machines without heartbeats to their owner
+	Fresh       []api.MachineID                      // machines that have booted recently
+	Want        map[api.Team]api.Resources           // quota that pending jobs could use
+	Due         map[api.Team]api.Resources           // of Want: quota for aged jobs, which must start
+	Starved     map[api.Team]api.Resources           // of Want: quota for jobs that have free capacity but quota for no task
+	Short       []api.MachineTypeName                // types without free capacity for pending tasks
+	Spare       map[api.Team]api.Resources           // unused quota
+	Waiting     int                                  // tasks without free capacity
+	Lack        []UnmetDemand                        // jobs that do not fit in this partition as a whole
 }
 
 // MaxSilentMachines is the maximum number of machines in PartitionStatus.Silent.
@@ -114,8 +114,8 @@
 	Zones map[api.Zone]int // number of placed tasks by zone
 	Zone  api.Zone         // the zone for a job whose tasks must be in one zone
 	Stage sched.AgingStage // NotAged, or how far it takes precedence over other jobs
-	// Lenders are partitions with free capacity for a job that has been pending for long. They may lend
-	// it machines together with the tasks that run there.
+	// Lenders are partitions with free capacity for the job, set once it has been pending for long. They
+	// may lend machines together with the tasks that run there.
 	Lenders []api.PartitionID
 }
 
--- a/controller/message/responses.go
+++ b/controller/message/responses.go
@@ -34,7 +34,7 @@
 		Hosts    api.InstanceList
 		Machines []api.MachineID
 
-		NoCapacity bool // the cloud has no machines of the requested type, zone and price class
+		NoCapacity bool // the cloud has no capacity for the requested machines
 	}
 	// PeerResponse is the response to a PeerCall.
 	PeerResponse struct {
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -84,7 +84,7 @@
 			t.Errorf("%s: the tasks count as unmet demand for machines", what)
 		}
 		if why := n.pools.PendingReasonPool(j, 0); !strings.Contains(why, "routing") {
-			t.Errorf("%s: the reason for pending is %q, which does not name the pool", what, why)
+			t.Errorf("%s: the pending reason is %q, expected the pool in it", what, why)
 		}
 	}
 }
