--- a/controller/intervals_test.go
+++ b/controller/intervals_test.go
@@ -80,7 +80,7 @@
 			t.Errorf("partitions are handed over after %v, before a lease of %v expires", intervals.HandoverDelay, intervals.MemberLeaseTTL)
 		}
 		if cancel := api.Seconds(d.Workers.Cancel); intervals.CancellationTimeout >= cancel || intervals.CancellationTimeout < cancel/2 || cancel > 30*time.Second && intervals.CancellationTimeout+2*core.CloudTimeout >= cancel {
-			t.Errorf("cancelled tasks must end within %v, but their machine is deleted only after %v", cancel, intervals.CancellationTimeout)
+			t.Errorf("cancelled tasks must end within %v, their machine is deleted after %v", cancel, intervals.CancellationTimeout)
 		}
 		heartbeat := api.Seconds(d.Workers.Report)
 		if latest := heartbeat * 5 / 4; intervals.HeartbeatTimeout <= latest || intervals.LivenessTimeout <= intervals.HeartbeatTimeout || intervals.RedirectTTL < latest {
--- a/controller/starvation_test.go
+++ b/controller/starvation_test.go
@@ -18,7 +18,7 @@
 	n, _, _, j := newTestOwner(t, testSpec(4))
 	n.core.Teams["red"] = config.Team{Name: "red", CPUsMax: 4 * j.Spec.CPUs}
 	if !n.backfiller.FitsAttainableQuota(j, 4) || n.backfiller.FitsAttainableQuota(j, 5) {
-		t.Error("a job fits the quota exactly up to the team's limit")
+		t.Error("the attainable quota is not exactly the team's limit")
 	}
 	s := *j.Spec
 	s.Ref, s.Kind = "run-50", api.Service
