--- a/controller/jobs/admission.go
+++ b/controller/jobs/admission.go
@@ -6,10 +6,11 @@
 	"basaltwall/sched"
 )
 
-// This file decides which jobs are admitted: those that can ever run, at the rate that the
-// state service can write.
+// This file decides whether a job is admitted: the job must be feasible, and the rate of
+// submissions must stay within the write limit of the state service.
 
-// InfeasibleReason is why a job can never run, with the field at fault; empty if it can.
+// InfeasibleReason returns the invalid field and the reason why a job can never run; it is empty
+// if the job is feasible.
 func (s *Service) InfeasibleReason(spec *api.JobSpec) string {
 	team, ok := s.core.Teams[spec.Team]
 	if !ok {
@@ -20,7 +21,7 @@
 		return "cores: a task fits no allowed machine type"
 	}
 	if spec.Kind == api.Gang && spec.Spread && spec.Tasks > 1 && (spec.OneZone || len(zones) == 1) {
-		return "scatter: at most half of the gang may be in the only zone that all of it may be in"
+		return "scatter: a spread gang needs at least two zones, but can use only one"
 	}
 	demand := spec.Demand()
 	if spec.Kind != api.Array {
@@ -28,12 +29,12 @@
 	}
 	demand.Mem = 0
 	if !demand.Fits(core.QuotaLimit(team)) {
-		return "bottega: more than the team's limit"
+		return "bottega: demand exceeds the team's limit"
 	}
 	return ""
 }
 
-// feasibleZones are the zones in which an allowed machine type can hold one of a job's tasks.
+// feasibleZones returns the zones in which one of a job's tasks fits an allowed machine type.
 func (s *Service) feasibleZones(spec *api.JobSpec) map[api.Zone]bool {
 	demand := spec.Demand()
 	feasible := map[api.Zone]bool{}
@@ -54,9 +55,8 @@
 	return feasible
 }
 
-// allowSubmission takes one of the writes that submissions may use from a token bucket, and
-// reports whether there was one. Each live controller fills its bucket with an equal share of
-// the rate.
+// allowSubmission takes a write from the token bucket of submissions, and reports whether one was
+// available. Each live controller gets an equal share of the rate.
 func (s *Service) allowSubmission() bool {
 	share := core.SubmissionWriteShare
 	if s.siblings.Reservations.RecentlyWrote() {
--- a/controller/jobs/cancel.go
+++ b/controller/jobs/cancel.go
@@ -11,19 +11,19 @@
 	"basaltwall/controller/message"
 )
 
-// This file cancels jobs. A cancellation has two steps. It is written to the job's key, after
-// which no start of the job can be recorded. Then each owner of a partition whose machines
-// hold tasks of the job records in a round that it has read the cancellation (see
-// acknowledge.go), and only when all of them have is the user told: by the cluster state
-// alone, so that all controllers answer the same. From then on each such machine either hears
-// from an owner that stops the task, or from none, and its lease ends; neither needs the state
-// service. docs/cancellations.md compares this with other ways.
+// This file cancels jobs, in two steps. First the cancellation is written to the job's key, so
+// that no further start can be recorded. Then each owner of a partition with tasks of the job
+// acknowledges the cancellation in a round (see acknowledge.go). The user is answered once the
+// cluster state holds all acknowledgements, so that all controllers give the same answer. After
+// that, either an owner stops the task or the lease of its machine expires, without the state
+// service. docs/cancellations.md compares this with the alternatives.
 
-// cancelTries is how often a cancellation is written anew, as the job's record changes under it.
+// cancelTries is the maximum number of attempts to write a cancellation: a concurrent change of
+// the job's record makes one fail.
 const cancelTries = 5
 
-// How long a request for a cancellation waits here to be acknowledged: users wait 5 s for an
-// answer, peers that have forwarded a request less.
+// Maximum time that a request waits for its cancellation to be acknowledged. It is below the
+// timeouts of users (5 s) and of peers that forward requests.
 const (
 	cancellationWait          = 2 * time.Second
 	cancellationWaitForwarded = core.PeerForwardTimeout * 3 / 4
@@ -59,9 +59,9 @@
 	s.RecordCancellation(id, cancelTries, s.RespondWhenAcknowledged(c.Forwarded, respond, retryLater), notFound, forward)
 }
 
-// RecordCancellation records the cancellation in the job's key and then reads back what became
-// of the job: a completion recorded before counts. The state that it responds with may be that
-// of before the cancellation, see RespondWhenAcknowledged.
+// RecordCancellation writes the cancellation to the job's key and then reads the job's state back:
+// a completion that was recorded earlier takes precedence. It may respond with a state that is
+// not final yet, see RespondWhenAcknowledged.
 func (s *Service) RecordCancellation(id api.JobID, tries int, respond func(api.JobStatus), notFound, fail func()) {
 	if tries == 0 {
 		fail()
@@ -99,7 +99,7 @@
 	})
 }
 
-// pendingCancellation is a request whose cancellation is recorded and not yet acknowledged.
+// pendingCancellation is a request whose cancellation is recorded but not acknowledged yet.
 type pendingCancellation struct {
 	jobID      api.JobID
 	deadline   api.Time
@@ -107,9 +107,8 @@
 	retryLater func()
 }
 
-// RespondWhenAcknowledged returns what RecordCancellation is to respond to: it responds with a
-// final state, at once or when the cluster state comes to one. If that takes too long, the
-// user is to retry later.
+// RespondWhenAcknowledged returns the callback for RecordCancellation. The callback responds once
+// the job's state is final, and calls retryLater if that takes too long.
 func (s *Service) RespondWhenAcknowledged(forwarded bool, respond func(api.JobStatus), retryLater func()) func(api.JobStatus) {
 	wait := cancellationWait
 	if forwarded {
@@ -139,11 +138,12 @@
 	}
 }
 
-// PendingCancellations is how many requests wait here for a cancellation's acknowledgement.
+// PendingCancellations returns the number of requests at this controller whose cancellation is not
+// acknowledged yet.
 func (s *Service) PendingCancellations() int { return len(s.pendingCancellations) }
 
-// AnswerCancellations answers the requests whose cancellation is acknowledged by now, and
-// those that have waited for too long.
+// AnswerCancellations answers the requests whose cancellation has been acknowledged or whose
+// deadline has passed.
 func (s *Service) AnswerCancellations() {
 	if len(s.pendingCancellations) == 0 {
 		return
@@ -164,7 +164,8 @@
 	}
 }
 
-// logPendingCancellation logs whose acknowledgement a cancellation waits for.
+// logPendingCancellation logs the partitions, with their owners, that have not acknowledged a
+// cancellation.
 func (s *Service) logPendingCancellation(id api.JobID) {
 	j := s.core.State.Jobs[id]
 	if j == nil {
--- a/controller/jobs/cancel_model_test.go
+++ b/controller/jobs/cancel_model_test.go
@@ -6,21 +6,20 @@
 	"basaltwall/internal/modelcheck"
 )
 
-// The model: two controllers, one partition, one machine, one task, one cancellation. A step of
-// a controller may always be left out, so that a refusal, a network partition, a pause or an
-// outage is nothing but steps that do not come; messages are delayed, duplicated or lost; a
-// controller may restart, and the partition be taken over. What a machine does is the
-// protocol's.
+// The model has two controllers, one partition, one machine, one task and one cancellation. Any
+// step of a controller may be omitted, which models refusals, network partitions, pauses and
+// outages. Messages are delayed, duplicated or lost; a controller may restart, and the partition
+// may be taken over. The machine follows the protocol.
 
-// guards are what the answer to a cancellation rests on.
+// guards are the conditions that make the answer to a cancellation safe.
 type guards struct {
 	version               bool // a start is conditional on the job's version
-	readCancellation      bool // an owner acknowledges only when it has read the cancellation
-	tokenSeen             bool // the machine has shown its token
-	reported              bool // no launch of the task is in flight
-	awaitsAcknowledgement bool // users are answered only after it
-	started               bool // the task has started, so that it can't do so any more
-	settled               bool // an attempt is forgotten only when no launch of it is in flight
+	readCancellation      bool // an owner acknowledges only after it has read the cancellation
+	tokenSeen             bool // an owner acknowledges only after the machine has reported the owner's token
+	reported              bool // an owner acknowledges only after the machine has reported the attempt
+	awaitsAcknowledgement bool // users are answered only after the acknowledgement
+	started               bool // an owner acknowledges only after the task has started
+	settled               bool // an attempt is deleted only when no launch of it is in flight
 }
 
 const modelTerms = 3
@@ -28,33 +27,33 @@
 type modelMachine struct {
 	token        int8
 	holdsAttempt bool // the attempt, live or exited
-	running      bool // it is live
-	started      bool // it has its image: a live one that has not starts by itself
+	running      bool // the attempt is live
+	started      bool // the attempt has started; a live one that has not will start by itself
 }
 
 type modelOwner struct {
-	term             int8 // under which it commands; 0: not an owner, as it thinks
-	readCancellation bool // it has read the cancellation
+	term             int8 // term of its commands; 0 if it does not take itself for the owner
+	readCancellation bool
 	starting         bool // a round with the start is in flight
-	sent             bool // it has launched the task, and has not been answered
-	tokenSeen        int8 // the token that the machine has shown it
+	sent             bool // a launch was sent and is not answered yet
+	tokenSeen        int8 // the last token that the machine reported
 	holdsAttempt     bool // the attempt is in the machine's last heartbeat
 	exited           bool
 	started          bool
 }
 
 type cancelWorld struct {
-	owner, term                                        int8
-	everStarted, placed, over, cancelled, acknowledged bool
-	answered                                           bool
-	machine                                            modelMachine
-	delayedHeartbeat                                   modelMachine // a heartbeat of which a copy may come
-	owners                                             [2]modelOwner
-	launchesInFlight                                   [modelTerms + 1]bool // by token
-	violated                                           bool
+	owner, term                                         int8
+	everStarted, placed, ended, cancelled, acknowledged bool
+	answered                                            bool
+	machine                                             modelMachine
+	delayedHeartbeat                                    modelMachine // a copy of an earlier heartbeat that may still arrive
+	owners                                              [2]modelOwner
+	launchesInFlight                                    [modelTerms + 1]bool // by token
+	violated                                            bool
 }
 
-// applyHeartbeat is what an owner makes of a heartbeat.
+// applyHeartbeat updates what an owner knows by a heartbeat.
 func (o *modelOwner) applyHeartbeat(m modelMachine) {
 	o.tokenSeen, o.holdsAttempt, o.exited, o.started = m.token, m.holdsAttempt, m.holdsAttempt && !m.running, m.started
 	if m.holdsAttempt {
@@ -62,7 +61,7 @@
 	}
 }
 
-// transition visits the worlds that follow one world, with some guards in place.
+// transition visits the successors of a world under some guards.
 type transition struct {
 	from   cancelWorld
 	guards guards
@@ -86,14 +85,14 @@
 	return false
 }
 
-// step visits the world in which something more has happened.
+// step visits the successor that differs by one change.
 func (t transition) step(change func(n *cancelWorld)) {
 	n := t.from
 	change(&n)
 	t.visit(n)
 }
 
-// userSteps: a user cancels and is answered.
+// userSteps are the steps of a user: to cancel, and to be answered.
 func (t transition) userSteps() {
 	w := t.from
 	if !w.cancelled {
@@ -104,7 +103,8 @@
 	}
 }
 
-// controllerSteps: a controller reads the record, restarts, or takes the partition over.
+// controllerSteps are the steps of a controller: to read the record, to restart, and to take the
+// partition over.
 func (t transition) controllerSteps(i int) {
 	w, o := t.from, t.from.owners[i]
 	t.step(func(n *cancelWorld) {
@@ -114,7 +114,8 @@
 		}
 	})
 	t.step(func(n *cancelWorld) { n.owners[i] = modelOwner{} })
-	// Another's partition or its own of a former life; it reads up to there.
+	// The partition is the other controller's, or its own from before a restart. A takeover
+	// includes a read of the record.
 	if w.term < modelTerms && (w.owner != int8(i) || o.term == 0) {
 		t.step(func(n *cancelWorld) {
 			n.owner, n.term = int8(i), n.term+1
@@ -123,12 +124,12 @@
 	}
 }
 
-// ownerSteps: a controller that takes itself for the owner starts the task, hears from the
-// machine, and records the end or its acknowledgement.
+// ownerSteps are the steps of a controller that takes itself for the owner: to start the task, to
+// receive heartbeats, and to record the end of the task or the acknowledgement.
 func (t transition) ownerSteps(i int) {
 	w, g, o := t.from, t.guards, t.from.owners[i]
 	isOwner := w.owner == int8(i) && w.term == o.term
-	// A round with the start is composed, and is written at some moment.
+	// A round with the start is composed, and is written at some later time.
 	if !w.everStarted && !o.readCancellation {
 		t.step(func(n *cancelWorld) { n.owners[i].starting = true })
 	}
@@ -140,45 +141,45 @@
 		t.step(func(n *cancelWorld) { n.launchesInFlight[o.term], n.owners[i].sent = true, true })
 	}
 	t.heartbeatArrives(i)
-	// It records the end, by evidence.
+	// It records the end of the task, by the machine's heartbeat.
 	absent := !o.holdsAttempt && o.tokenSeen >= o.term && !o.sent && !w.launchesInFlight[o.term]
 	if w.placed && isOwner && (o.exited || absent && o.readCancellation) {
-		t.step(func(n *cancelWorld) { n.placed, n.over = false, true })
+		t.step(func(n *cancelWorld) { n.placed, n.ended = false, true })
 	}
-	// It acknowledges. Whether the partition is still its own does not matter: whoever took it
-	// over since has read the record up to there, and with it the cancellation.
+	// It acknowledges, even if it no longer owns the partition: a later owner has read the
+	// cancellation with the takeover.
 	if w.cancelled && w.placed && !w.acknowledged && (o.readCancellation || !g.readCancellation) &&
 		(o.tokenSeen >= o.term || !g.tokenSeen) && (o.holdsAttempt || !g.reported) && (o.started || o.exited || !o.holdsAttempt || !g.started) {
 		t.step(func(n *cancelWorld) { n.acknowledged = true })
 	}
 }
 
-// heartbeatArrives: the machine's heartbeat reaches an owner and is answered, or a copy of an
-// old one does.
+// heartbeatArrives are the steps in which an owner receives and answers the machine's heartbeat, or
+// receives a delayed copy of an earlier one.
 func (t transition) heartbeatArrives(i int) {
 	o := t.from.owners[i]
 	t.step(func(n *cancelWorld) {
 		if n.machine.token > o.term {
-			return // it says so and does not answer
+			return // the machine rejects the older token
 		}
 		n.owners[i].applyHeartbeat(n.machine)
 		n.machine.token = o.term
 		switch {
-		case n.owners[i].readCancellation || n.over:
+		case n.owners[i].readCancellation || n.ended:
 			n.machine.running = false
-			if n.over && n.machine.holdsAttempt && !n.machine.running && (!t.guards.settled || !n.launchesInFlight[o.term]) {
-				n.machine.holdsAttempt, n.machine.started = false, false // forgotten
+			if n.ended && n.machine.holdsAttempt && !n.machine.running && (!t.guards.settled || !n.launchesInFlight[o.term]) {
+				n.machine.holdsAttempt, n.machine.started = false, false // the attempt is deleted
 			}
 		case n.answered && n.machine.running:
 			n.violated = true // its lease is renewed by an owner that has not read the cancellation
 		}
 	})
-	if o.tokenSeen == 0 { // else it is older than what is known
+	if o.tokenSeen == 0 { // otherwise the copy is older than the last heartbeat
 		t.step(func(n *cancelWorld) { n.owners[i].applyHeartbeat(n.delayedHeartbeat) })
 	}
 }
 
-// launchArrives: a launch in flight reaches the machine, for the last time or not.
+// launchArrives are the steps in which a launch in flight reaches the machine; it may be duplicated.
 func (t transition) launchArrives() {
 	for token, sent := range t.from.launchesInFlight {
 		if !sent {
@@ -200,26 +201,26 @@
 	}
 }
 
-// machineSteps: the task starts, a heartbeat is delayed, or the machine's lease ends.
+// machineSteps are the steps of the machine: the task starts, a heartbeat is delayed, or the lease
+// expires.
 func (t transition) machineSteps() {
-	if t.from.machine.running && !t.from.machine.started { // its image is there, or its gang complete
+	if t.from.machine.running && !t.from.machine.started { // the image is fetched, or the gang is complete
 		t.step(func(n *cancelWorld) { n.machine.started, n.violated = true, n.answered })
 	}
 	t.step(func(n *cancelWorld) { n.delayedHeartbeat = n.machine })
-	// The lease ends: everything on it is gone, and what is in flight names another epoch.
+	// The lease expires: all attempts are stopped, and messages in flight name an earlier epoch.
 	t.step(func(n *cancelWorld) {
 		n.machine, n.delayedHeartbeat = modelMachine{token: n.machine.token}, modelMachine{token: n.delayedHeartbeat.token}
 		n.launchesInFlight = [modelTerms + 1]bool{}
 		if n.placed {
-			n.placed, n.over = false, true
+			n.placed, n.ended = false, true
 		}
 	})
 }
 
-// However reads, writes, takeovers, restarts, heartbeats and late launches follow one another:
-// once the user is answered, no machine's lease is renewed with the task by a controller that
-// has not read the cancellation, and no machine accepts the task's launch or starts it. Without
-// any one of the guards one of these happens.
+// Once the user is answered, no controller that has not read the cancellation renews the lease of
+// a machine with the task, and no machine accepts the task's launch or starts it, in any order of
+// the steps. Each guard is necessary.
 func TestCancellationInterleavings(t *testing.T) {
 	all := guards{version: true, readCancellation: true, tokenSeen: true, reported: true, awaitsAcknowledgement: true, started: true, settled: true}
 	first := cancelWorld{owner: 0, term: 1}
@@ -233,21 +234,21 @@
 		t.Error("a task outlives its cancellation")
 	}
 	if states < 50_000 {
-		t.Errorf("%d states: the model does not move", states)
+		t.Errorf("only %d states explored", states)
 	}
 	for what, without := range map[string]func(*guards){
-		"the job's version in a start":       func(g *guards) { g.version = false },
-		"the owner's reading":                func(g *guards) { g.readCancellation = false },
-		"the machine's token":                func(g *guards) { g.tokenSeen = false },
-		"the launch that has arrived":        func(g *guards) { g.reported = false },
-		"the task's start":                   func(g *guards) { g.started = false },
-		"waiting for the acknowledgement":    func(g *guards) { g.awaitsAcknowledgement = false },
-		"forgetting only what can't be sent": func(g *guards) { g.settled = false },
+		"the job's version in a start":    func(g *guards) { g.version = false },
+		"the owner's read":                func(g *guards) { g.readCancellation = false },
+		"the machine's token":             func(g *guards) { g.tokenSeen = false },
+		"the reported attempt":            func(g *guards) { g.reported = false },
+		"the task's start":                func(g *guards) { g.started = false },
+		"waiting for the acknowledgement": func(g *guards) { g.awaitsAcknowledgement = false },
+		"deletion only without a launch":  func(g *guards) { g.settled = false },
 	} {
 		g := all
 		without(&g)
 		if _, violated := search(g); !violated {
-			t.Errorf("without %s nothing goes wrong: the model does not see it", what)
+			t.Errorf("without %s the search finds no violation", what)
 		}
 	}
 }
--- a/controller/jobs/forward.go
+++ b/controller/jobs/forward.go
@@ -8,21 +8,21 @@
 	"basaltwall/controller/message"
 )
 
-// This file forwards requests to peers that reach the state service while this controller
-// does not.
+// This file forwards requests to peers that reach the state service when this controller does
+// not.
 
-// Kinds of forwarded requests, as they are on the wire.
+// Kinds of forwarded requests on the wire.
 const (
 	forwardSubmit = "submit"
 	forwardPoll   = "poll"
 	forwardCancel = "cancel"
 )
 
-// maxForwardAttempts is how many peers a request is forwarded to, one after another.
+// maxForwardAttempts is the maximum number of peers that are tried for a request, in sequence.
 const maxForwardAttempts = 2
 
-// ForwardTargets are the peers that reach the state service, each time beginning with another
-// one: a peer that is slow must not get the same user's request each time.
+// ForwardTargets returns the peers that reach the state service. It rotates them, so that a retry
+// of a request does not go to the same slow peer again.
 func (s *Service) ForwardTargets() []api.ControllerID {
 	peers := s.siblings.Gossip.PeersThatReachStore()
 	if len(peers) == 0 {
@@ -32,8 +32,8 @@
 	return slices.Concat(peers[first:], peers[:first])
 }
 
-// Forward forwards a request to a peer that reaches the state service, and to another if that
-// does not answer. A request that was forwarded here is refused instead.
+// Forward forwards a request to a peer that reaches the state service, and to a second peer if the
+// first one does not answer. A request that was already forwarded is refused.
 func (s *Service) Forward(req message.ReqID, f message.Forward, forwarded bool) {
 	targets := s.ForwardTargets()
 	if forwarded || len(targets) == 0 {
@@ -56,7 +56,7 @@
 		case len(targets) > 1:
 			s.forwardTo(req, f, targets[1:])
 		default:
-			s.refuseWithoutRead(req, "no peer answers")
+			s.refuseWithoutRead(req, "state service not reachable, and no peer answered")
 		}
 	})
 }
@@ -67,7 +67,7 @@
 	s.core.ReplyError(req, api.StatusServiceUnavailable, reason)
 }
 
-// ShouldForward reports whether a request is better forwarded to a peer at once.
+// ShouldForward reports whether to forward a request to a peer without an attempt to serve it here.
 func (s *Service) ShouldForward(forwarded bool) bool {
 	return !s.core.Loaded || s.core.StoreUnreachable() && !forwarded && len(s.ForwardTargets()) > 0
 }
--- a/controller/jobs/jobadmin.go
+++ b/controller/jobs/jobadmin.go
@@ -1,4 +1,4 @@
-// Answers to what operators ask of jobs.
+// Operators' requests about jobs.
 
 package jobs
 
@@ -23,11 +23,11 @@
 	s.core.Reply(c.Req, 200, s.ViewJobs(team, c.Limit), 0)
 }
 
-// replyJob shows a job that is not over.
+// replyJob answers with an unfinished job.
 func (s *Service) replyJob(c message.AdminRequest) {
 	j := s.core.State.Jobs[api.JobID(c.ID)]
 	if j == nil {
-		s.core.ReplyError(c.Req, 404, "no such job, or it is over")
+		s.core.ReplyError(c.Req, 404, "no such job, or it has ended")
 		return
 	}
 	s.core.Reply(c.Req, 200, s.ViewJob(j, s.siblings.Capacity.FreeCapacityGroups()), 0)
--- a/controller/jobs/listing.go
+++ b/controller/jobs/listing.go
@@ -10,19 +10,19 @@
 
 // This file lists jobs for operators.
 
-// Listing is the jobs that are not over, late ones first, and how many there are.
+// Listing is a list of unfinished jobs, the latest first, with counts of all of them.
 type Listing struct {
 	OpenCount int    `json:"open"`
 	LateCount int    `json:"late"`
 	Jobs      []View `json:"jobs"`
 }
 
-// View is a job as operators see it. It is late when it is not complete by its first objective
-// (a service: not started by it), or can't be any more by its user's estimate.
+// View is a job as shown to operators. A job is late when it has missed its first completion
+// objective (a service or a gang: its start objective), or will miss it by the user's estimate.
 type View struct {
 	JobID      api.JobID         `json:"job"`
 	Team       api.Team          `json:"team"`
-	Tardiness  float64           `json:"late_s,omitempty"` // as it is expected to be in the end
+	Tardiness  float64           `json:"late_s,omitempty"` // expected, in seconds
 	Reasons    []string          `json:"why,omitempty"`
 	Class      api.Class         `json:"class"`
 	State      api.JobState      `json:"state"`
@@ -33,9 +33,8 @@
 	Elapsed    float64           `json:"elapsed_s"`
 }
 
-// ViewJobs lists up to limit jobs, of one team or of all. There may be very many: each is
-// looked at once to sort them, and only those that are listed are looked into, with the
-// machines counted once for all of them.
+// ViewJobs lists up to limit unfinished jobs of one team or, if team is empty, of all teams. The
+// costly details, such as the pending reasons, are computed for the listed jobs only.
 func (s *Service) ViewJobs(team api.Team, limit int) Listing {
 	type entry struct {
 		job       *core.Job
@@ -64,17 +63,17 @@
 	return listing
 }
 
-// secondsSinceAccepted is a job's age, negative if the clocks of controllers differ by more.
+// secondsSinceAccepted returns a job's age; clock skew between controllers can make it negative.
 func (s *Service) secondsSinceAccepted(j *core.Job) float64 {
 	return float64(s.core.WallClock-j.AcceptedAt) / 1000
 }
 
-// tardiness is by how much a job is or will be later than it should, in seconds; 0 if it can
-// still be in time.
+// tardiness returns the actual or expected delay of a job beyond its objective, in seconds; 0 if
+// the job can still meet it.
 func (s *Service) tardiness(j *core.Job) float64 {
 	elapsed := max(0, s.secondsSinceAccepted(j))
 	hasPending := j.CompletedCount+len(j.Placements)-j.FinishingCount < j.Spec.Tasks
-	if j.Spec.Kind != api.Array { // what counts is when all of it runs
+	if j.Spec.Kind != api.Array { // the objective is about the start of the last task
 		if startObjective := s.core.StartObjective(j.Spec.Class); startObjective > 0 && hasPending {
 			return max(0, elapsed-startObjective)
 		}
@@ -82,7 +81,7 @@
 			return 0
 		}
 	}
-	remaining := 0.0 // a task that has not started needs all of its time
+	remaining := 0.0 // a pending task needs the whole estimate
 	if hasPending {
 		remaining = j.Spec.Estimate
 	}
@@ -92,8 +91,8 @@
 	return 0
 }
 
-// ViewJob describes a job and, if it is not over, what keeps its tasks from starting or has
-// slowed them down.
+// ViewJob describes a job and, if it is unfinished, the reasons why its tasks are pending or were
+// delayed.
 func (s *Service) ViewJob(j *core.Job, capacityGroups []core.FreeCapacityGroup) View {
 	view := View{
 		JobID:      j.ID,
--- a/controller/jobs/listing_test.go
+++ b/controller/jobs/listing_test.go
@@ -11,8 +11,8 @@
 	"basaltwall/config"
 )
 
-// newServiceWithJobs is a Service with pending jobs of two teams: count, each accepted a second
-// before the previous one and with a deadline of 100 s, and one more without.
+// newServiceWithJobs returns a Service with pending jobs of two teams: count jobs with a deadline
+// of 100 s, each accepted 1 s before the previous one, and one job without a deadline.
 func newServiceWithJobs(t *testing.T, count int) *Service {
 	t.Helper()
 	s := newTestService(t)
@@ -31,7 +31,7 @@
 	return s
 }
 
-// putJob has the cluster state hold a job as if its record had been read.
+// putJob puts a job's record into the cluster state.
 func putJob(t *testing.T, s *Service, spec *api.JobSpec, acceptedAt api.WallTime) {
 	t.Helper()
 	data, err := json.Marshal(clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}, AcceptedAt: acceptedAt})
@@ -43,8 +43,7 @@
 	}
 }
 
-// Operators ask which jobs are late while something is wrong: the latest come first, with their
-// team, by how much, and why.
+// The listing shows the latest jobs first, with team, tardiness and reasons.
 func TestLateJobsFirst(t *testing.T) {
 	s := newServiceWithJobs(t, 200)
 	v := s.ViewJobs("", 5)
@@ -52,20 +51,20 @@
 		t.Fatalf("%d open, %d late, %d shown", v.OpenCount, v.LateCount, len(v.Jobs))
 	}
 	if j := v.Jobs[0]; j.JobID != "run-100199" || j.Team != "blue" || j.Tardiness != 109 || len(j.Reasons) == 0 {
-		t.Errorf("first comes %+v", j)
+		t.Errorf("first job: %+v", j)
 	}
 	if !slices.IsSortedFunc(v.Jobs, func(a, b View) int { return int(b.Tardiness - a.Tardiness) }) {
-		t.Errorf("not by lateness: %+v", v.Jobs)
+		t.Errorf("not sorted by tardiness: %+v", v.Jobs)
 	}
 	for _, j := range s.ViewJobs("blue", 1000).Jobs {
 		if j.Team != "blue" {
-			t.Errorf("blue is shown %s of %s", j.JobID, j.Team)
+			t.Errorf("the listing of team blue has %s of team %s", j.JobID, j.Team)
 		}
 	}
 }
 
-// Asking must not hold up decisions: what is done for each job that is not listed is next to
-// nothing, however many there are.
+// A listing of very many jobs must not delay scheduling: the cost of a job that is not listed is
+// negligible.
 func TestListingJobsAllocatesLittle(t *testing.T) {
 	allocations := func(jobs int) float64 {
 		s := newServiceWithJobs(t, jobs)
@@ -73,6 +72,6 @@
 	}
 	few, many := allocations(500), allocations(10_000)
 	if perJob := (many - few) / 9500; perJob > 3 {
-		t.Errorf("%.1f allocations for each job more", perJob)
+		t.Errorf("%.1f allocations for each job that is not listed", perJob)
 	}
 }
--- a/controller/jobs/longpending.go
+++ b/controller/jobs/longpending.go
@@ -1,4 +1,4 @@
-// The count of jobs that wait for long, for the metrics.
+// Metric of the jobs that have been pending for long.
 
 package jobs
 
@@ -10,14 +10,14 @@
 )
 
 const (
-	// longPendingThreshold is from when on a job that waits is counted by its reason.
+	// longPendingThreshold is the pending time from which a job is counted.
 	longPendingThreshold = time.Minute
-	// maxLongPendingJobs bounds the jobs that are looked into, each in each partition.
+	// maxLongPendingJobs bounds the pairs of job and partition whose reason is computed.
 	maxLongPendingJobs = 200
 )
 
-// LongPendingJobs counts the jobs of the owned partitions that have waited for long without a task there, by the
-// reason's category.
+// LongPendingJobs counts, by category of the pending reason, the jobs that have been pending in an owned partition
+// for at least longPendingThreshold without a placement there.
 func (s *Service) LongPendingJobs() map[string]int {
 	counts, capacityGroups, budget := map[string]int{}, s.siblings.Capacity.FreeCapacityGroups(), maxLongPendingJobs
 	for _, ref := range slices.Sorted(maps.Keys(s.core.State.PendingJobs)) {
@@ -36,17 +36,17 @@
 	return counts
 }
 
-// pendingReasonCategories are the metrics' names of reasons, by how the reasons begin.
+// pendingReasonCategories are the metric labels of the pending reasons, by the prefix of the reason.
 var pendingReasonCategories = []struct{ prefix, category string }{
-	{"limit:", "limit"},
-	{"no room:", "no room"},
+	{"quota:", "limit"},
+	{"no free capacity:", "no room"},
 	{"pool ", "pool"},
-	{"backs off", "backs off after failures"},
-	{"room is gathered", "room is gathered"},
-	{"the gang's last attempt", "the gang's last attempt ends"},
+	{"retry backoff", "backs off after failures"},
+	{"machines are reserved", "room is gathered"},
+	{"the gang's previous attempt", "the gang's last attempt ends"},
 }
 
-// pendingReasonCategory is a reason for waiting without its figures.
+// pendingReasonCategory returns the metric label of a pending reason.
 func pendingReasonCategory(reason string) string {
 	for _, c := range pendingReasonCategories {
 		if strings.HasPrefix(reason, c.prefix) {
--- a/controller/jobs/pendingreason.go
+++ b/controller/jobs/pendingreason.go
@@ -8,23 +8,23 @@
 	"basaltwall/sched"
 )
 
-// This file says why a job's tasks wait, in words for operators.
+// This file explains to operators why a job's tasks are pending.
 
-// pendingReasons says why tasks of a job are pending: by the priority rules and by partition.
+// pendingReasons explains why a job's tasks are pending: by priority rule and by partition.
 func (s *Service) pendingReasons(j *core.Job, partitions []api.PartitionID, capacityGroups []core.FreeCapacityGroup) []string {
 	var reasons []string
 	if rule := s.siblings.Priorities.PendingReasonPriority(j.Spec); rule != "" && j.HasPendingTasks() {
-		reasons = append(reasons, fmt.Sprintf("rule %q puts other work before it", rule))
+		reasons = append(reasons, fmt.Sprintf("priority rule %q ranks other jobs first", rule))
 	}
 	for _, p := range partitions {
 		if pending := j.PendingTasks(p); pending > 0 {
-			reasons = append(reasons, fmt.Sprintf("part %d: %d tasks wait: %s", p, pending, s.PendingReason(j, p, capacityGroups)))
+			reasons = append(reasons, fmt.Sprintf("partition %d: %d tasks pending: %s", p, pending, s.PendingReason(j, p, capacityGroups)))
 		}
 	}
 	return reasons
 }
 
-// delayReasons says what has slowed down tasks of a job that were started.
+// delayReasons explains what has delayed the tasks of a job that were started.
 func delayReasons(j *core.Job) []string {
 	fetching := 0
 	for _, p := range j.Placements {
@@ -39,9 +39,9 @@
 		format string
 	}{
 		{fetching, "image being fetched for %d tasks"},
-		{lost, "machine lost under %d tasks"},
-		{preempted, "%d tasks made way for more urgent work"},
-		{j.RetryCount - lost - preempted, "%d more starts did not end with a result"},
+		{lost, "%d tasks lost with their machine"},
+		{preempted, "%d tasks preempted by more urgent work"},
+		{j.RetryCount - lost - preempted, "%d other attempts ended without a result"},
 	} {
 		if delay.count > 0 {
 			reasons = append(reasons, fmt.Sprintf(delay.format, delay.count))
@@ -50,15 +50,15 @@
 	return reasons
 }
 
-// PendingReason says what keeps a job's tasks from starting in a partition.
+// PendingReason explains why a job's tasks are pending in a partition.
 func (s *Service) PendingReason(j *core.Job, p api.PartitionID, capacityGroups []core.FreeCapacityGroup) string {
 	switch {
 	case !s.core.IsLive(s.core.State.Partitions[p].Owner):
-		return "the part has no living owner"
+		return "the partition has no live owner"
 	case j.OwnerState.BackoffUntil > s.core.Now:
-		return fmt.Sprintf("backs off for another %.0f s after failures", j.OwnerState.BackoffUntil.Sub(s.core.Now).Seconds())
+		return fmt.Sprintf("retry backoff after task failures, %.0f s left", j.OwnerState.BackoffUntil.Sub(s.core.Now).Seconds())
 	case j.Spec.Kind == api.Gang && len(j.Placements) > 0:
-		return "the gang's last attempt has not ended everywhere"
+		return "the gang's previous attempt has not ended on all machines"
 	}
 	if reason := s.quotaReason(j, p); reason != "" {
 		return reason
@@ -67,13 +67,13 @@
 		return reason
 	}
 	if owned := s.core.Partitions[p]; owned != nil && s.siblings.Balancer.HasReservationFor(owned, j.ID) {
-		return "room is gathered for it on machines that are kept"
+		return "machines are reserved for the job and do not have enough free capacity yet"
 	}
 	return s.capacityReason(j, p, capacityGroups)
 }
 
-// quotaReason says what is left of the team's limit in a partition, if that is too little for
-// a task, or for all of a gang; else it is empty.
+// quotaReason states the team's remaining quota in a partition if a task, or a whole gang, does
+// not fit into it; otherwise it is empty.
 func (s *Service) quotaReason(j *core.Job, p api.PartitionID) string {
 	demand := j.Demand
 	if j.Spec.Kind == api.Gang {
@@ -84,11 +84,11 @@
 	if demand.Fits(quotaLeft) {
 		return ""
 	}
-	return fmt.Sprintf("limit: team %s has %.1f CPUs and %.1f GPUs left here", j.Spec.Team, quotaLeft.CPU.Float(), quotaLeft.GPU.Float())
+	return fmt.Sprintf("quota: team %s has %.1f CPUs and %.1f GPUs left in this partition", j.Spec.Team, quotaLeft.CPU.Float(), quotaLeft.GPU.Float())
 }
 
-// capacityReason counts the machines of a partition that a job may use, and their free
-// capacity for its tasks.
+// capacityReason states the number of machines in a partition that a job may use, and the number
+// of its tasks that they have free capacity for.
 func (s *Service) capacityReason(j *core.Job, p api.PartitionID, capacityGroups []core.FreeCapacityGroup) string {
 	allowed, usable, free := 0, 0, 0
 	for _, group := range capacityGroups {
@@ -103,9 +103,9 @@
 			free += group.Count * j.Demand.Slots(group.Free)
 		}
 	}
-	reason := fmt.Sprintf("%d machines are allowed, %d usable, with room for %d tasks", allowed, usable, free)
+	reason := fmt.Sprintf("%d machines allowed by the job, %d of them usable, with free capacity for %d tasks", allowed, usable, free)
 	if free == 0 {
-		return "no room: " + reason
+		return "no free capacity: " + reason
 	}
 	return reason
 }
--- a/controller/jobs/query.go
+++ b/controller/jobs/query.go
@@ -7,12 +7,12 @@
 	"basaltwall/fairqueue"
 )
 
-// This file answers what has become of a job: from the cluster state if a state that it holds
-// can't change any more, else by a read that is current as of the request.
+// This file answers queries for a job's status: from the cluster state if the state is final,
+// otherwise by a linearizable read.
 
 const reasonNoSuchJob = "no such job"
 
-// JobStatus describes a job that the cluster state holds.
+// JobStatus returns the status of a job that the cluster state holds.
 func (s *Service) JobStatus(id api.JobID) (api.JobStatus, bool) {
 	if j := s.core.State.Jobs[id]; j != nil {
 		status := api.JobStatus{JobID: id, State: j.State()}
@@ -29,18 +29,18 @@
 	return api.JobStatus{}, false
 }
 
-// finalStatus is a job's status if it is final, so that no later read can change it.
+// finalStatus returns a job's status if it is final.
 func (s *Service) finalStatus(id api.JobID) (api.JobStatus, bool) {
 	status, ok := s.JobStatus(id)
 	return status, ok && status.Terminal()
 }
 
-// LookupJob finds a job by a read that is current as of the call.
+// LookupJob finds a job by a linearizable read.
 func (s *Service) LookupJob(id api.JobID, found func(api.JobStatus), notFound, fail func()) {
 	s.siblings.Log.LinearizableRead(func() { s.FindJob(id, found, notFound, fail) }, fail)
 }
 
-// FindJob finds a job in the cluster state, which must be current, or else by its stored result.
+// FindJob finds a job in the cluster state, which must be current, or by its stored result.
 func (s *Service) FindJob(id api.JobID, found func(api.JobStatus), notFound, fail func()) {
 	if status, ok := s.JobStatus(id); ok {
 		found(status)
@@ -77,7 +77,8 @@
 	s.LookupJob(id, reply, notFound, forward)
 }
 
-// deferPoll has a query retried later, if in an overload it is other jobs' turn.
+// deferPoll refuses a query under overload, with a time to retry, unless the job is in the current
+// slice of jobs.
 func (s *Service) deferPoll(req message.ReqID, id api.JobID) bool {
 	sliceCount := fairqueue.SliceCount(s.core.Metrics.Usage.QueuedRequests, core.OverloadQueueLength)
 	eligible, retryIn := fairqueue.Admit(id, s.core.WallClock, sliceCount)
@@ -85,6 +86,6 @@
 		return false
 	}
 	s.core.Metrics.PollsDeferred++
-	s.core.Reply(req, api.StatusServiceUnavailable, api.ErrorBody{Error: "overloaded: other jobs have their turn"}, int(retryIn.Seconds())+1)
+	s.core.Reply(req, api.StatusServiceUnavailable, api.ErrorBody{Error: "overloaded: queries for this job are deferred"}, int(retryIn.Seconds())+1)
 	return true
 }
--- a/controller/jobs/resultlookup.go
+++ b/controller/jobs/resultlookup.go
@@ -13,10 +13,10 @@
 	"basaltwall/jobresult"
 )
 
-// This file looks up the final states of jobs that the cluster state no longer holds, one
-// request to the state service at a time.
+// This file looks up the final states of jobs that the cluster state no longer holds, with at most
+// one request to the state service in flight.
 
-// resultLookups are the queries for final states that this process does not hold.
+// resultLookups are the lookups of final job states in the state service.
 type resultLookups struct {
 	queue    jobresult.Queue
 	waiters  map[api.JobID][]resultWaiter
@@ -24,10 +24,10 @@
 	nextAt   api.Time
 }
 
-// resultWaiter is a request that waits for a job's final state.
+// resultWaiter is a request that needs a job's final state.
 type resultWaiter struct {
 	since    api.Time
-	sequence uint64 // of its query
+	sequence uint64 // of the lookup in the queue
 	found    func(api.JobStatus)
 	notFound func()
 	fail     func()
@@ -42,14 +42,11 @@
 	l.waiters[id] = append(l.waiters[id], w)
 }
 
-// maxPendingLookups bounds the queries that stay queued though no request waits for them any
-// more.
+// maxPendingLookups is the queue length above which lookups without a waiting request are removed.
 const maxPendingLookups = 10_000
 
-// SendResultLookup sends the next request for final states. A user's request that has waited
-// for as long as users do fails; its query stays queued, so that the state is known when the
-// user retries. So each query is answered within one cycle of the queue, whatever else is
-// asked.
+// SendResultLookup sends the next request for final states. A user's request that times out fails,
+// but its lookup stays queued, so that the state is known when the user retries.
 func (s *Service) SendResultLookup() {
 	s.expireResultWaiters()
 	lookups := &s.lookups
@@ -72,19 +69,19 @@
 	})
 }
 
-// expireResultWaiters fails the requests that have waited for too long, in the order of their
-// jobs, so that the effects do not depend on the order of a map.
+// expireResultWaiters fails the requests that have timed out, in the order of job ids, so that the
+// effects are deterministic.
 func (s *Service) expireResultWaiters() {
 	lookups := &s.lookups
 	expired := func(w resultWaiter) bool { return s.core.Now.Sub(w.since) > core.StoreTimeout }
-	var late []api.JobID
+	var expiredJobs []api.JobID
 	for id, waiters := range lookups.waiters {
 		if expired(waiters[0]) {
-			late = append(late, id)
+			expiredJobs = append(expiredJobs, id)
 		}
 	}
-	slices.Sort(late)
-	for _, id := range late {
+	slices.Sort(expiredJobs)
+	for _, id := range expiredJobs {
 		waiters := lookups.waiters[id]
 		count := 0
 		for ; count < len(waiters) && expired(waiters[count]); count++ {
@@ -101,7 +98,7 @@
 	}
 }
 
-// resultQuery is the read of one job's final state, or of a page of them.
+// resultQuery returns the read of one job's final state, or of a page of final states.
 func resultQuery(query jobresult.Request) message.StoreCall {
 	if query.JobID != "" {
 		return message.StoreCall{Get: clusterstate.KeyJobResult + string(query.JobID)}
@@ -137,9 +134,9 @@
 	}
 }
 
-// deliverResult answers the requests that wait for a job's final state. That there is none is
-// an answer only for those that came before it was read: a later one may come after the job's
-// end, of which another controller has told the user.
+// deliverResult answers the requests that wait for a job's final state. An absent state is an
+// answer only for requests that arrived before the read: the job may have ended since, and another
+// controller may already have reported its end to the user.
 func (s *Service) deliverResult(result jobresult.Result) {
 	waiters := s.lookups.waiters[result.JobID]
 	delete(s.lookups.waiters, result.JobID)
--- a/controller/jobs/service.go
+++ b/controller/jobs/service.go
@@ -1,10 +1,9 @@
-// Package jobs answers users and operators about jobs: it accepts submissions, answers queries
-// and cancellations, and lists jobs with what keeps them from starting.
+// Package jobs serves requests about jobs: it accepts submissions, answers queries and
+// cancellations, and lists jobs with the reasons why they are pending.
 //
-// Its state is what concerns requests under way: the lookups of final states, the
-// cancellations that wait until they are acknowledged, and the budget for submissions. The
-// jobs themselves are in the core's cluster state, and their starts and ends are decided by
-// the owners of partitions.
+// It owns the state of requests in progress: the lookups of final states, the cancellations that
+// are not acknowledged yet, and the write budget of submissions. The jobs themselves are in the
+// core's cluster state; the owners of partitions decide on their starts and ends.
 package jobs
 
 import (
@@ -14,19 +13,19 @@
 	"basaltwall/tenant"
 )
 
-// Service is the component that answers requests about jobs.
+// Service serves requests about jobs.
 type Service struct {
 	core     *core.Core
 	siblings Siblings
 
 	lookups              resultLookups
 	pendingCancellations []pendingCancellation
-	forwardedRequests    int // so that peers take turns
+	forwardedRequests    int // rotates the peers that requests are forwarded to
 	submitTokens         float64
 	submitTokensAt       api.Time
 }
 
-// Siblings are the other components that the Service asks.
+// Siblings are the other components that the Service calls.
 type Siblings struct {
 	Agents       Agents
 	Balancer     Balancer
@@ -50,7 +49,7 @@
 	HasReservationFor(owned *core.OwnedPartition, id api.JobID) bool
 }
 
-// Capacity is what the Service needs of the counts of capacity.
+// Capacity is what the Service needs of the capacity counts.
 type Capacity interface {
 	FreeSlotsByPartition(spec *api.JobSpec) []int
 	TotalSlotsByPartition(spec *api.JobSpec) []int
@@ -84,8 +83,8 @@
 	RecentlyWrote() bool
 }
 
-// Tenants is what the Service needs of the tenant service, which takes users' requests where
-// the service is hosted.
+// Tenants is what the Service needs of the tenant service, which serves users' requests if the
+// service is hosted.
 type Tenants interface {
 	Enabled() bool
 	SubmitHosted(c message.Submit, tries int)
@@ -93,17 +92,17 @@
 	CancelHosted(c message.Cancel)
 }
 
-// New returns a Service, to be connected before it is asked.
+// New returns a Service; Connect must be called before any other method.
 func New(shared *core.Core) *Service {
 	return &Service{core: shared, lookups: newResultLookups()}
 }
 
-// Connect gives the Service the components that it asks.
+// Connect sets the components that the Service calls.
 func (s *Service) Connect(siblings Siblings) { s.siblings = siblings }
 
-// Ready answers a readiness probe. Once the state has been read this controller can serve, if
-// need be through a peer: if all controllers called themselves unready in an outage of the
-// state service, the load balancer would have none left.
+// Ready answers a readiness probe. A controller that has loaded the state stays ready while the
+// state service is unreachable: it can forward requests to a peer, and an outage must not leave the
+// load balancer without controllers.
 func (s *Service) Ready(c message.ReadinessProbe) {
 	if s.core.Loaded && len(s.core.MachineTypes) > 0 {
 		s.core.Reply(c.Req, api.StatusOK, struct{}{}, 0)
--- a/controller/jobs/service_test.go
+++ b/controller/jobs/service_test.go
@@ -10,8 +10,8 @@
 	"basaltwall/controller/core"
 )
 
-// The components that a Service under test asks. A method that a test does not expect to be
-// called is that of the nil interface, and panics.
+// Fakes of the components that a Service calls. A method that a test does not expect panics, as
+// its embedded interface is nil.
 type (
 	noCapacity      struct{ Capacity }
 	noPools         struct{ Pools }
@@ -24,7 +24,7 @@
 func (noPriorityRules) PendingReasonPriority(spec *api.JobSpec) string { return "" }
 func (idleLedger) RecentlyWrote() bool                                 { return false }
 
-// newTestService is the Service of a controller alone in a cluster of one partition, with a
+// newTestService returns the Service of the only controller of a cluster with one partition, a
 // machine type of 8 CPUs and a team "red".
 func newTestService(t testing.TB) *Service {
 	t.Helper()
--- a/controller/jobs/split.go
+++ b/controller/jobs/split.go
@@ -7,12 +7,13 @@
 
 // This file divides a new job's tasks among the partitions.
 
-// minPartitionWeight is the weight of a partition that has no capacity to spare: it may get a
-// few of a large job's tasks all the same.
+// minPartitionWeight is the weight of a partition without free capacity, so that it can still get
+// a few of a large job's tasks.
 const minPartitionWeight = 0.01
 
-// SplitAcrossPartitions divides a new job's tasks among the partitions by the capacity that is
-// free there and not waited for already. All tasks go to one partition where the job needs that.
+// SplitAcrossPartitions divides a new job's tasks among the partitions in proportion to their free
+// capacity, less that needed by pending tasks. All tasks go to one partition if the job requires
+// it.
 func (s *Service) SplitAcrossPartitions(spec *api.JobSpec) []clusterstate.TaskRange {
 	freeSlots := s.siblings.Capacity.FreeSlotsByPartition(spec)
 	weights := make([]float64, len(s.core.State.Partitions))
@@ -28,15 +29,15 @@
 	return splitByWeight(weights, spec.Tasks)
 }
 
-// partitionFor is the partition for a job whose tasks must be in one: with capacity for all of
-// them if there is one, or else with capacity once others are preempted.
+// partitionFor selects the partition of a job that needs a single one: preferably with free
+// capacity for all tasks, otherwise with capacity after preemptions.
 func (s *Service) partitionFor(spec *api.JobSpec, weights []float64, freeSlots []int) api.PartitionID {
 	fitting, afterPreemption := s.siblings.Balancer.PartitionsWithCapacity(spec)
 	if len(fitting) == 0 {
 		fitting = afterPreemption
 	}
 	if len(fitting) == 0 {
-		// It has to wait, or to preempt lower work, where there are machines for it at all.
+		// The job has to wait or to preempt: prefer partitions with suitable machines.
 		for i, total := range s.siblings.Capacity.TotalSlotsByPartition(spec) {
 			weights[i] += float64(total) - float64(freeSlots[i])
 		}
@@ -44,7 +45,7 @@
 	return heaviest(weights, fitting)
 }
 
-// heaviest is the partition of the highest weight, of the preferred ones if there are any.
+// heaviest returns the partition with the highest weight, among the preferred ones if there are any.
 func heaviest(weights []float64, preferred map[api.PartitionID]bool) api.PartitionID {
 	best := 0
 	for i := range weights {
--- a/controller/jobs/submit.go
+++ b/controller/jobs/submit.go
@@ -11,15 +11,14 @@
 	"basaltwall/controller/message"
 )
 
-// This file accepts jobs: a submission is checked, admitted and written to the state service.
+// This file handles submissions: a job is validated, admitted and written to the state service.
 
-// hostedSubmitTries is how often a hosted service decides anew, by a current read, what it
-// would refuse.
+// hostedSubmitTries is the number of times that a hosted service repeats a refused decision after
+// a linearizable read.
 const hostedSubmitTries = 2
 
-// Submit accepts or refuses a job. It is idempotent: a job accepted earlier must not be
-// refused now, by anything but the request's own bytes, since machine types, limits, and how
-// its tasks would be split, which its record holds, change.
+// Submit accepts or refuses a job. It is idempotent: a job that was accepted earlier is refused
+// only for a malformed request, even if machine types or limits have changed since.
 func (s *Service) Submit(c message.Submit) {
 	if s.siblings.Tenants.Enabled() {
 		s.siblings.Tenants.SubmitHosted(c, hostedSubmitTries)
@@ -48,13 +47,13 @@
 		return
 	}
 	if !s.allowSubmission() {
-		s.core.ReplyError(c.Req, api.StatusServiceUnavailable, "more submissions at once than the state service can take")
+		s.core.ReplyError(c.Req, api.StatusServiceUnavailable, "submission rate exceeds the write limit of the state service")
 		return
 	}
 	sub.write()
 }
 
-// submission is a job that a user submits.
+// submission is a user's request to run a job.
 type submission struct {
 	service *Service
 	request message.Submit
@@ -71,13 +70,13 @@
 	sub.service.core.Reply(sub.request.Req, api.StatusOK, api.JobStatus{JobID: status.JobID, State: status.State}, 0)
 }
 
-// refuse refuses the job unless a current read shows that it was accepted earlier.
+// refuse refuses the job unless a linearizable read shows that it was accepted earlier.
 func (sub *submission) refuse(status int, reason string) {
 	notFound := func() { sub.service.core.ReplyError(sub.request.Req, status, reason) }
 	sub.service.LookupJob(sub.spec.Ref, sub.replyKnown, notFound, sub.forward)
 }
 
-// write writes the job's record, on the condition that no job of that id was ever accepted.
+// write writes the job's record on the condition that no job with this id exists or has ended.
 func (sub *submission) write() {
 	s := sub.service
 	value, err := json.Marshal(clusterstate.JobValue{Spec: sub.spec, Split: s.SplitAcrossPartitions(sub.spec), AcceptedAt: s.core.WallClock})
@@ -90,8 +89,8 @@
 		If:     []api.Condition{{Key: jobKey}, {Key: resultKey}},
 		Writes: []api.Write{{Put: jobKey, Value: value}},
 	}
-	// With a peer that can help, an answer that does not come soon is not waited for: the
-	// peer may write the same job, and one of the two counts.
+	// The timeout is short if a peer can take over: both may write the same job, and the
+	// condition lets only one of the writes succeed.
 	timeout := core.StoreTimeout
 	if !sub.request.Forwarded && len(s.ForwardTargets()) > 0 {
 		timeout = core.StoreSlowAfter
@@ -105,11 +104,11 @@
 	case api.StatusOK:
 		s.core.Reply(sub.request.Req, api.StatusCreated, api.JobStatus{JobID: id, State: api.JobPending}, 0)
 		slog.Info(core.LogJobAccepted, "job", id, core.SpecAttr(sub.spec))
-		s.siblings.Log.LinearizableRead(func() {}, func() {}) // so that its first round comes soon
+		s.siblings.Log.LinearizableRead(func() {}, func() {}) // reads the job's record, so that its first round comes soon
 	case api.StatusConflict:
 		s.LookupJob(id, sub.replyKnown, sub.forward, sub.forward)
-	case api.StatusTooManyRequests: // a peer would be refused too
-		s.core.ReplyError(sub.request.Req, api.StatusServiceUnavailable, "the state service is at its limit")
+	case api.StatusTooManyRequests: // the state service would refuse a peer too
+		s.core.ReplyError(sub.request.Req, api.StatusServiceUnavailable, "the state service refused the write: rate limit reached")
 	default:
 		sub.forward()
 	}
