--- a/controller/tenancy/admission.go
+++ b/controller/tenancy/admission.go
@@ -1,7 +1,7 @@
 package tenancy
 
-// This file limits tenants' submissions: by the number of their open jobs, by their rate, and by
-// what this controller may write.
+// This file limits tenants' submissions by the number of open jobs, by rate, and by the write budget
+// of this controller.
 
 import (
 	"time"
@@ -11,19 +11,19 @@
 	"basaltwall/tenant"
 )
 
-// openJobLimitTTL is for how long a tenant that was at its limit of open jobs is taken to be
-// there without counting again.
+// openJobLimitTTL is the time for which the result that a tenant is at its limit of open jobs is
+// cached.
 const openJobLimitTTL = 250 * time.Millisecond
 
-// openJobLimitRetryAfter is when a tenant at that limit is to try again.
+// openJobLimitRetryAfter is the delay before a tenant at that limit should retry.
 const openJobLimitRetryAfter = 2 * time.Second
 
-// admission is the state by which a controller limits submissions.
+// admission is the state of the limits on submissions at this controller.
 type admission struct {
 	rateBuckets           map[tenant.Name]*tenant.TokenBucket
 	fairLimiter           tenant.FairLimiter
-	pending               map[tenant.Name]map[api.JobID]bool // jobs that this controller is writing
-	openJobLimitReachedAt map[tenant.Name]api.Time           // when as many were open as may be
+	pending               map[tenant.Name]map[api.JobID]bool // jobs whose write is in flight at this controller
+	openJobLimitReachedAt map[tenant.Name]api.Time           // when the tenant was last found at its limit
 }
 
 func newAdmission() admission {
@@ -34,35 +34,35 @@
 	}
 }
 
-// limit is why a submission is not admitted for now.
-type limit struct {
-	field      string // which limit it is
+// exceededLimit is a limit that refuses a submission for now.
+type exceededLimit struct {
+	field      string // name of the limit
 	reason     string
 	retryAfter time.Duration
 }
 
-// admit decides whether one more submission of a tenant is taken, and returns nil or the limit
-// that it exceeds: the number of the tenant's jobs, its rate, or what this controller may write.
-func (ts *Service) admit(entry *tenant.Entry) *limit {
+// admit returns nil if a tenant may submit another job, otherwise the limit that the submission
+// exceeds: the tenant's open jobs, its rate, or the write budget of this controller.
+func (ts *Service) admit(entry *tenant.Entry) *exceededLimit {
 	if ts.atOpenJobLimit(entry) {
-		return &limit{field: "open_jobs", reason: "as many of your jobs are not over as may be", retryAfter: openJobLimitRetryAfter}
+		return &exceededLimit{field: "open_jobs", reason: "maximum number of unfinished jobs reached", retryAfter: openJobLimitRetryAfter}
 	}
 	members := len(ts.core.State.Members)
 	if entry.Rate > 0 {
 		bucket := ts.rateBucket(entry.Name)
 		rate, burst := tenant.RateShare(entry.Rate, entry.Burst, members)
 		if ok, wait := bucket.Take(ts.core.Now, rate, burst); !ok {
-			return &limit{field: "rate", reason: "more submissions than agreed", retryAfter: wait}
+			return &exceededLimit{field: "rate", reason: "submission rate exceeds the tenant's limit", retryAfter: wait}
 		}
 	}
 	writeRate := core.SubmissionWriteShare * ts.core.Config.Deployment.State.WriteRPS / float64(max(1, members))
 	if ok, wait := ts.hosted.admission.fairLimiter.Take(ts.core.Now, entry.Name, writeRate); !ok {
-		return &limit{field: "writes", reason: "more submissions at once than can be written", retryAfter: wait}
+		return &exceededLimit{field: "writes", reason: "submission rate exceeds the write limit of the state service", retryAfter: wait}
 	}
 	return nil
 }
 
-// rateBucket is the token bucket of a tenant's submissions at this controller.
+// rateBucket returns the token bucket of a tenant's submissions at this controller.
 func (ts *Service) rateBucket(name tenant.Name) *tenant.TokenBucket {
 	buckets := ts.hosted.admission.rateBuckets
 	if buckets[name] == nil {
@@ -71,8 +71,8 @@
 	return buckets[name]
 }
 
-// tenantCounts is what there is of a tenant: jobs whose keys are there, those of them that are not
-// over, and tasks on machines.
+// tenantCounts counts a tenant's jobs in the cluster state, the unfinished jobs among them, and the
+// tasks that are placed on machines.
 type tenantCounts struct{ jobs, open, tasks int }
 
 func (ts *Service) countTenant(name tenant.Name) tenantCounts {
@@ -87,12 +87,11 @@
 	return counts
 }
 
-// atOpenJobLimit is whether as many of a tenant's jobs are not over as may be: by the cluster
-// state, and by what this controller is writing. The others may be writing as many, so each of
-// them takes no more than its share of what the cluster state leaves: if all have the same state,
-// they exceed the limit by less than their number together, and otherwise by the jobs that are
-// not read yet. For a while a tenant that was at its limit is taken to be: it may ask often, and
-// have very many jobs.
+// atOpenJobLimit reports whether a tenant has reached its limit of open jobs. It counts the jobs in
+// the cluster state, and each pending submission of this controller once for every controller, as
+// the others may be writing as many. The limit can still be exceeded by less than the number of
+// controllers, and by jobs that are written but not read yet. A positive result is cached, because
+// the count of a tenant with very many jobs is costly.
 func (ts *Service) atOpenJobLimit(entry *tenant.Entry) bool {
 	admission, jobs := &ts.hosted.admission, ts.core.State.JobsByTenant[string(entry.Name)]
 	members := max(1, len(ts.core.State.Members))
@@ -115,7 +114,7 @@
 	return true
 }
 
-// addPendingSubmission adds a job that is being written.
+// addPendingSubmission adds a job whose write is in flight.
 func (ts *Service) addPendingSubmission(name tenant.Name, id api.JobID) {
 	pending := ts.hosted.admission.pending
 	if pending[name] == nil {
@@ -124,7 +123,7 @@
 	pending[name][id] = true
 }
 
-// removePendingSubmission removes a job that was not written, or that the cluster state has.
+// removePendingSubmission removes a job that was not written, or that the cluster state now holds.
 func (ts *Service) removePendingSubmission(name tenant.Name, id api.JobID) {
 	pending := ts.hosted.admission.pending
 	if jobs := pending[name]; jobs != nil {
--- a/controller/tenancy/audit.go
+++ b/controller/tenancy/audit.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file keeps the audit of operators' changes.
+// This file records and lists the audit log of operators' changes.
 
 import (
 	"encoding/json"
@@ -13,34 +13,34 @@
 	"basaltwall/tenant"
 )
 
-// KeyAudit holds operators' changes: TIME-CONTROLLER-NUMBER. It lies outside the root, so that
-// what a restart reads does not grow with it.
+// KeyAudit is the prefix of the audit log; a key ends in TIME-CONTROLLER-NUMBER. The prefix is outside
+// the root, so that a controller does not read it at startup.
 const KeyAudit = "audit/"
 
-// auditRetention is for how long operators' changes are kept.
+// auditRetention is the retention period of the audit log.
 const auditRetention = 90 * 24 * time.Hour
 
 type (
-	// AuditEntry is an operator's change.
+	// AuditEntry is the record of one change by an operator.
 	AuditEntry struct {
 		Time    api.WallTime    `json:"at"` // in milliseconds since 1970
 		Key     tenant.KeyID    `json:"key"`
 		From    string          `json:"from,omitempty"`
 		Action  string          `json:"what"`
-		KeyName string          `json:"sub,omitempty"` // the key it is about
+		KeyName string          `json:"sub,omitempty"` // the access key that was added or revoked
 		Subject string          `json:"about"`         // "tenant NAME", "team NAME", "operators", "settings"
 		Before  json.RawMessage `json:"before,omitempty"`
 		After   json.RawMessage `json:"after"`
 	}
-	// AuditView is a page of the operators' changes, the oldest first.
+	// AuditView is a page of the audit log, the oldest entry first.
 	AuditView struct {
 		Entries []AuditEntry `json:"changes"`
 		After   string       `json:"after,omitempty"`
 	}
 )
 
-// AuditWrite is the record of an operator's change, written with it: what was and is, as
-// it may be shown.
+// AuditWrite returns the write of an audit entry, for the transaction of the change. before and
+// after must not contain secrets.
 func (ts *Service) AuditWrite(c message.AdminRequest, subject string, before, after any) api.Write {
 	entry := AuditEntry{Time: ts.core.WallClock, Key: c.KeyID, Action: string(c.What), KeyName: c.Sub, Subject: subject}
 	if from := ts.clientAddr(c.Caller); from.IsValid() {
@@ -55,7 +55,7 @@
 	return api.Write{Put: fmt.Sprintf("%s%s-%s-%d", KeyAudit, core.TimeKey(ts.core.WallClock), ts.core.Config.Label, ts.hosted.auditSequence), Value: value}
 }
 
-// ListAudit answers an operator with a page of the changes.
+// ListAudit answers an operator with a page of the audit log.
 func (ts *Service) ListAudit(c message.AdminRequest) {
 	core.ReadPage(ts.core, KeyAudit, c.After, c.Limit, func(entries []AuditEntry, next string) {
 		ts.core.Reply(c.Req, 200, AuditView{Entries: entries, After: next}, 0)
--- a/controller/tenancy/authentication.go
+++ b/controller/tenancy/authentication.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file authenticates tenants and operators by the keys that their requests bring.
+// This file authenticates tenants and operators by the keys in their requests.
 
 import (
 	"net/netip"
@@ -10,28 +10,28 @@
 	"basaltwall/tenant"
 )
 
-// errInvalidKey says as little of a key that opens nothing as of one that is not there.
-var errInvalidKey = &tenant.Error{Status: 401, Reason: "not a key that opens anything"}
+// errInvalidKey refuses unknown, revoked and expired keys alike, so that it reveals nothing about
+// them.
+var errInvalidKey = &tenant.Error{Status: 401, Reason: "invalid key"}
 
-// errAddressNotAllowed refuses a good key from outside the networks that it is bound to.
-var errAddressNotAllowed = &tenant.Error{Status: 403, Reason: "not from this address"}
+// errAddressNotAllowed refuses a valid key from outside the allowed networks.
+var errAddressNotAllowed = &tenant.Error{Status: 403, Reason: "client address is not allowed"}
 
-// errReadOnlyKey refuses a change by an operators' key that may only read.
+// errReadOnlyKey refuses a change with an operator key of a read-only role.
 var errReadOnlyKey = &tenant.Error{Status: 403, Reason: "this key may not change anything"}
 
-// OperatorKeyCacheTTL is for how long an operators' key that was good when the state was last
-// read is believed without it, for questions about the controller alone. Whoever looks at
-// a service in trouble needs answers from the controllers that are cut off.
+// OperatorKeyCacheTTL is the time since the last read of the log for which operator keys stay valid
+// without a new read, for queries about the controller itself. Operators need these answers also
+// from a controller that is cut off from the state service.
 const OperatorKeyCacheTTL = time.Minute
 
-// clientAddr is where a request comes from: what a proxy says is believed from those only that
-// the operators have named.
+// clientAddr returns the client's address. A forwarded address is trusted only from the proxies in
+// the operators' record.
 func (ts *Service) clientAddr(c message.Caller) netip.Addr {
 	return tenant.ClientAddr(c.From, c.Forwarded, ts.hosted.operators.Proxies)
 }
 
-// authenticateTenant finds the tenant whose key a caller brings, as far as the cluster state has
-// been read.
+// authenticateTenant returns the tenant of a caller's key, by the cluster state of the last read.
 func (ts *Service) authenticateTenant(c message.Caller) (*tenant.Entry, error) {
 	secret, err := c.BearerSecret()
 	if err != nil {
@@ -48,9 +48,8 @@
 	return entry, nil
 }
 
-// withTenant does something for the tenant whose key a caller brings, by what is current
-// now: a revoked key opens nothing on any controller that answers, and one that can't know
-// passes the request on or says so.
+// withTenant authenticates a caller after a linearizable read, so that no controller accepts a
+// revoked key, and calls callback with the tenant. If the read fails, it calls forward.
 func (ts *Service) withTenant(req message.ReqID, c message.Caller, callback func(*tenant.Entry), forward func()) {
 	ts.siblings.Follower.LinearizableRead(func() {
 		entry, err := ts.authenticateTenant(c)
@@ -62,8 +61,8 @@
 	}, forward)
 }
 
-// authenticateOperator finds what an operator may do by the key that a request brings, as far as
-// the cluster state has been read.
+// authenticateOperator returns the id and the role of an operator's key, by the cluster state of the
+// last read.
 func (ts *Service) authenticateOperator(c message.Caller) (tenant.KeyID, tenant.Role, error) {
 	secret, err := c.BearerSecret()
 	if err != nil {
@@ -79,10 +78,9 @@
 	return secret.ID, role, nil
 }
 
-// WithOperator does what an operator of a hosted service asks if the key that comes with it
-// may: by what is current. A controller that can't know what is answers questions about
-// itself alone, for a while, by what it knew last; the file's key lies beside it and needs
-// no state.
+// WithOperator authorizes an operator's request to a hosted service after a linearizable read, and
+// calls callback. If the read fails, it serves only queries about this controller: with the admin
+// key of the configuration always, with other keys up to OperatorKeyCacheTTL after the last read.
 func (ts *Service) WithOperator(c message.AdminRequest, callback func(message.AdminRequest)) {
 	aboutController := asksAboutController(c)
 	readOnly := aboutController || asksAboutRecords(c)
@@ -108,7 +106,7 @@
 	})
 }
 
-// asksAboutController reports whether a request asks only for what the controller that answers knows.
+// asksAboutController reports whether a request is a query about the controller that answers.
 func asksAboutController(c message.AdminRequest) bool {
 	switch c.What {
 	case "metrics", "members", "parts", "machines", "teams", "jobs", "job", "settings":
@@ -117,7 +115,7 @@
 	return false
 }
 
-// asksAboutRecords reports whether a request asks for records without changing any.
+// asksAboutRecords reports whether a request only reads records.
 func asksAboutRecords(c message.AdminRequest) bool {
 	switch c.What {
 	case "tenants", "tenant", "usage", "operators", "pools", "pool", "audit", "skips":
@@ -126,8 +124,8 @@
 	return false
 }
 
-// trustsWithoutRead reports whether an operators' key may be judged by what was read before: for
-// a while, and the file's key always.
+// trustsWithoutRead reports whether a caller's key may be verified without a new read: the admin key
+// of the configuration always, other keys up to OperatorKeyCacheTTL after the last read.
 func (ts *Service) trustsWithoutRead(c message.Caller) bool {
 	if lastReadAt := ts.siblings.Follower.LastReadAt(); lastReadAt != 0 && ts.core.Now.Sub(lastReadAt) <= OperatorKeyCacheTTL {
 		return true
--- a/controller/tenancy/changes.go
+++ b/controller/tenancy/changes.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file has what all changes by operators share: new keys, the commit and its answer.
+// This file holds the common steps of operators' changes: new keys, the commit and the answer.
 
 import (
 	"log/slog"
@@ -10,10 +10,10 @@
 	"basaltwall/tenant"
 )
 
-// errNoRandom refuses to make a key for a request that came without random bytes.
+// errNoRandom refuses to create a key for a request without random bytes.
 var errNoRandom = &tenant.Error{Status: 503, Reason: "no random bytes"}
 
-// newKey makes a key of the random bytes that a request was given.
+// newKey creates a key from the random bytes of a request.
 func (ts *Service) newKey(c message.AdminRequest, name string, expires api.WallTime) (tenant.Key, *NewKeyView, error) {
 	if c.Random == nil {
 		return tenant.Key{}, nil, errNoRandom
@@ -25,7 +25,8 @@
 	return k, &NewKeyView{KeyView: viewKey(k), Secret: secret.String()}, nil
 }
 
-// CommitChange writes an operators' change and answers with what view shows of it then.
+// CommitChange writes an operator's change and answers with view of the new revision; what names the
+// record in refusals.
 func (ts *Service) CommitChange(c message.AdminRequest, txn api.Txn, what string, view func(api.Revision) any) {
 	ts.core.CallStoreTxn(txn, func(response message.StoreResponse) {
 		if response.Status == 200 {
@@ -35,8 +36,8 @@
 	})
 }
 
-// ReplyChange answers an operators' change by how its write ended: what names the record that was
-// to change, and view is what is shown once it has.
+// ReplyChange answers an operator's change by the status of its write: with view of the new revision
+// after a success, otherwise with an error in which what names the record.
 func (ts *Service) ReplyChange(req message.ReqID, status int, revision api.Revision, what string, view func(api.Revision) any) {
 	switch status {
 	case 200:
--- a/controller/tenancy/forward.go
+++ b/controller/tenancy/forward.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file passes tenants' requests on to other controllers, which ask for the key again.
+// This file forwards tenants' requests to other controllers, which authenticate them again.
 
 import (
 	"bytes"
@@ -9,18 +9,18 @@
 	"basaltwall/controller/message"
 )
 
-// ForwardKind is the kind of a message.Forward that holds a request of a hosted service.
+// ForwardKind is the kind of a message.Forward with a request to a hosted service.
 const ForwardKind = "hosted"
 
-// Kinds of requests that are passed on.
+// Kinds of forwarded requests on the wire.
 const (
 	forwardSubmit = "submit"
 	forwardPoll   = "poll"
 	forwardCancel = "cancel"
 )
 
-// hostedForward is a request as it is passed on to a peer. Its name and those of its fields are
-// on the wire, by encoding/gob.
+// hostedForward is a request that is forwarded to a peer. The names of the type and its fields are
+// on the wire (encoding/gob) and must not change.
 type hostedForward struct {
 	Kind, Ref string
 	Body      []byte
@@ -33,8 +33,8 @@
 	return message.Forward{Kind: ForwardKind, Body: buf.Bytes()}, err
 }
 
-// DecodeForward is the request within a message.Forward of kind ForwardKind, nil if it makes no
-// sense.
+// DecodeForward decodes the request in a message.Forward of kind ForwardKind. It returns nil if the
+// request is invalid.
 func DecodeForward(body []byte, req message.ReqID) message.Command {
 	var f hostedForward
 	if gob.NewDecoder(bytes.NewReader(body)).Decode(&f) != nil {
@@ -51,11 +51,11 @@
 	return nil
 }
 
-// forwardHosted passes a request on; forwarded is whether it was passed on to us already.
+// forwardHosted forwards a request; forwarded reports whether it was already forwarded once.
 func (ts *Service) forwardHosted(req message.ReqID, f hostedForward, forwarded bool) {
 	wrapped, err := encodeHostedForward(f)
 	if err != nil {
-		ts.core.ReplyError(req, 503, "not passed on")
+		ts.core.ReplyError(req, 503, "request could not be forwarded")
 		return
 	}
 	ts.siblings.Jobs.Forward(req, wrapped, forwarded)
--- a/controller/tenancy/golden_test.go
+++ b/controller/tenancy/golden_test.go
@@ -10,8 +10,8 @@
 	"basaltwall/internal/golden"
 )
 
-// oldHostedForward is hostedForward with the names that encoding/gob put into messages between
-// controllers when this was written; see package peer's test.
+// oldHostedForward has the field names of hostedForward in messages of earlier versions
+// (encoding/gob); see the golden test of package peer.
 type oldHostedForward struct {
 	Kind, Ref string
 	Body      []byte
@@ -22,7 +22,7 @@
 	}
 }
 
-// Requests of a hosted service as earlier versions passed them on.
+// Requests that earlier versions forwarded can be decoded, and the other way round.
 func TestGoldenHostedForward(t *testing.T) {
 	f := golden.Open(t)
 	golden.Gob[hostedForward, oldHostedForward](f, "forward", golden.Filled[hostedForward](t))
@@ -45,6 +45,6 @@
 		if err := gob.NewDecoder(bytes.NewReader(w.Body)).Decode(&old); err != nil {
 			t.Errorf("%s: %v", x.kind, err)
 		}
-		golden.Same(t, x.kind+" by the type that was", old, hostedForward{x.kind, "run-1", []byte("{}"), caller})
+		golden.Same(t, x.kind+" decoded by the old type", old, hostedForward{x.kind, "run-1", []byte("{}"), caller})
 	}
 }
--- a/controller/tenancy/history.go
+++ b/controller/tenancy/history.go
@@ -1,6 +1,7 @@
 package tenancy
 
-// This file keeps the history of tenants' finished jobs, and deletes it and the audit in time.
+// This file records and lists the history of tenants' finished jobs, and deletes expired history and
+// audit entries.
 
 import (
 	"encoding/json"
@@ -12,15 +13,15 @@
 	"basaltwall/tenant"
 )
 
-// KeyHistory holds a tenant's finished jobs: TENANT/TIME-REF. It lies outside the root, so that
-// what a restart reads does not grow with it.
+// KeyHistory is the prefix of tenants' finished jobs; a key ends in TENANT/TIME-REF. The prefix is
+// outside the root, so that a controller does not read it at startup.
 const KeyHistory = "history/"
 
-// reasonStoreUnreachable is why a request is refused that needs the state service.
+// reasonStoreUnreachable refuses a request that needs the state service.
 const reasonStoreUnreachable = "state service not reachable"
 
 type (
-	// FinishedJob is a job of a tenant's history.
+	// FinishedJob is a job in a tenant's history.
 	FinishedJob struct {
 		JobID      api.JobID    `json:"ref"`
 		State      api.JobState `json:"stato"`
@@ -28,20 +29,20 @@
 		Team       api.Team     `json:"bottega"`
 		Tasks      int          `json:"pezzi"`
 		AcceptedAt api.WallTime `json:"accepted"` // in milliseconds since 1970
-		EndedAt    api.WallTime `json:"ended"`    // archived, some seconds after its last task
+		EndedAt    api.WallTime `json:"ended"`    // time of archiving, some seconds after the end of the last task
 	}
-	// HistoryView is a page of a tenant's history, the oldest first. After is what to ask
-	// for next, empty at the end.
+	// HistoryView is a page of a tenant's history, the oldest job first. After is the cursor of
+	// the next page, empty on the last one.
 	HistoryView struct {
 		Jobs  []FinishedJob `json:"jobs"`
 		After string        `json:"after,omitempty"`
 	}
 )
 
-// historyPrefix is what the keys of a tenant's history begin with.
+// historyPrefix returns the key prefix of a tenant's history.
 func historyPrefix(name tenant.Name) string { return KeyHistory + string(name) + "/" }
 
-// HistoryWrite is the record of a tenant's job that is archived.
+// HistoryWrite returns the write of a tenant's archived job to its history.
 func (ts *Service) HistoryWrite(j *core.Job) api.Write {
 	value, _ := json.Marshal(FinishedJob{JobID: j.TenantJobID, State: j.State(), Class: j.Spec.Class, Team: j.Spec.Team, Tasks: j.Spec.Tasks, AcceptedAt: j.AcceptedAt, EndedAt: ts.core.WallClock})
 	return api.Write{Put: historyPrefix(tenant.Name(j.Tenant)) + core.TimeKey(ts.core.WallClock) + "-" + string(j.TenantJobID), Value: value}
@@ -57,32 +58,32 @@
 	}, fail)
 }
 
-// historySweepInterval is how often one prefix is looked through for what is old: the audit and
-// the tenants' histories by turns.
+// historySweepInterval is the interval between sweeps, each of one prefix: the audit log and the
+// tenants' histories in rotation.
 const historySweepInterval = 10 * time.Second
 
-// historySweep is how far the deletion of old history has come.
+// historySweep is the progress of the deletion of expired history.
 type historySweep struct {
-	nextTenant int // whose history is looked through next
+	nextTenant int // index of the tenant whose history is swept next
 	startedAt  api.Time
 	inProgress bool
 }
 
-// sweepHistory deletes what has been kept for long enough, the oldest first, a transaction
-// at a time. The owner of partition 0 does.
+// sweepHistory deletes history and audit entries whose retention has expired, the oldest first. Only
+// the owner of partition 0 does so.
 func (ts *Service) sweepHistory() {
-	service, owned := ts.hosted, ts.core.Partitions[0]
-	if service == nil || owned == nil || service.sweep.inProgress || ts.core.Now.Sub(service.sweep.startedAt) < historySweepInterval || ts.core.Overloaded() {
+	hostedState, owned := ts.hosted, ts.core.Partitions[0]
+	if hostedState == nil || owned == nil || hostedState.sweep.inProgress || ts.core.Now.Sub(hostedState.sweep.startedAt) < historySweepInterval || ts.core.Overloaded() {
 		return
 	}
-	service.sweep.startedAt, service.sweep.inProgress = ts.core.Now, true
+	hostedState.sweep.startedAt, hostedState.sweep.inProgress = ts.core.Now, true
 	prefix, retention := KeyAudit, auditRetention
-	if names := service.tenants.Names(); service.sweep.nextTenant < len(names) {
-		entry := service.tenants.Get(names[service.sweep.nextTenant])
+	if names := hostedState.tenants.Names(); hostedState.sweep.nextTenant < len(names) {
+		entry := hostedState.tenants.Get(names[hostedState.sweep.nextTenant])
 		prefix, retention = historyPrefix(entry.Name), api.Seconds(entry.Retention)
-		service.sweep.nextTenant++
+		hostedState.sweep.nextTenant++
 	} else {
-		service.sweep.nextTenant = 0
+		hostedState.sweep.nextTenant = 0
 	}
-	ts.core.SweepPrefix(owned, prefix, retention, func() { service.sweep.inProgress = false })
+	ts.core.SweepPrefix(owned, prefix, retention, func() { hostedState.sweep.inProgress = false })
 }
--- a/controller/tenancy/jobrequests.go
+++ b/controller/tenancy/jobrequests.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file answers a tenant's question about one of its jobs, and cancels them.
+// This file answers tenants' status queries and cancellations of jobs.
 
 import (
 	"basaltwall/api"
@@ -9,8 +9,8 @@
 	"basaltwall/tenant"
 )
 
-// withTenantJob does something with the job that a tenant's request names: callback is given the
-// id under which it is kept, and forward for when this controller can't answer.
+// withTenantJob authenticates a tenant's request about a job and calls callback with the job's
+// internal id, and with functions that answer that there is no such job or forward the request.
 func (ts *Service) withTenantJob(req message.ReqID, f hostedForward, forwarded bool, callback func(id api.JobID, notFound, forward func())) {
 	forward := func() { ts.forwardHosted(req, f, forwarded) }
 	if ts.siblings.Jobs.ShouldForward(forwarded) {
@@ -38,7 +38,7 @@
 	})
 }
 
-// cancelTries is how often the record of a tenant's cancellation is tried to be written.
+// cancelTries is the maximum number of attempts to write a tenant's cancellation.
 const cancelTries = 5
 
 // CancelHosted cancels a tenant's job.
--- a/controller/tenancy/keyuse.go
+++ b/controller/tenancy/keyuse.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file keeps when keys were last used.
+// This file records when keys were last used.
 
 import (
 	"encoding/json"
@@ -14,36 +14,35 @@
 	"basaltwall/tenant"
 )
 
-// KeyLastUse holds when keys were last used: HOLDER/KEY. It lies outside the root.
+// KeyLastUse is the prefix of the times of last use; a key ends in HOLDER/KEY. The prefix is outside the
+// root.
 const KeyLastUse = "used/"
 
-// OperatorsHolder stands for the operators where else a tenant's name does; no tenant's name
-// begins so.
+// OperatorsHolder is the holder of the operators' keys; it is not a valid tenant name.
 const OperatorsHolder = tenant.Name("-")
 
 const (
-	// lastUseGranularity is how coarse the last use of a key is recorded.
+	// lastUseGranularity is the precision of the recorded time of last use.
 	lastUseGranularity = time.Hour
-	// lastUseWriteInterval is how often a transaction of them is written at most.
+	// lastUseWriteInterval is the minimum interval between writes of times of last use.
 	lastUseWriteInterval = 10 * time.Second
 )
 
-// keyUse is a key that was used, and whose it is.
+// keyUse is a key and its holder.
 type keyUse struct {
 	holder tenant.Name
 	key    tenant.KeyID
 }
 
-// keyUses is what a controller records of the use of keys. What it has not written yet is lost
-// with its process: an hour at most, or longer if more keys are used than it may write.
+// keyUses are the uses of keys at this controller. Unwritten uses are lost when the process ends.
 type keyUses struct {
-	lastUsed      map[keyUse]api.WallTime // the hour of the last use, written or waiting to be
-	pending       []keyUse                // to be written, the oldest first
+	lastUsed      map[keyUse]api.WallTime // start of the hour of the last use, written or pending
+	pending       []keyUse                // not written yet, the oldest first
 	nextWrite     api.Time
 	writeInFlight bool
 }
 
-// recordKeyUse records that a key was used; the admin key of the configuration is left out.
+// recordKeyUse records the use of a key, except for the admin key of the configuration.
 func (ts *Service) recordKeyUse(holder tenant.Name, key tenant.KeyID) {
 	use := keyUse{holder: holder, key: key}
 	at := ts.core.WallClock - ts.core.WallClock%api.WallTime(lastUseGranularity.Milliseconds())
@@ -60,7 +59,7 @@
 	}
 }
 
-// flushKeyUses writes the uses that were recorded, a transaction at a time.
+// flushKeyUses writes pending uses, in one transaction per lastUseWriteInterval.
 func (ts *Service) flushKeyUses() {
 	uses := &ts.hosted.keyUses
 	if uses.writeInFlight || len(uses.pending) == 0 || ts.core.Now < uses.nextWrite || ts.core.Overloaded() || ts.core.StoreUnreachable() {
@@ -82,7 +81,7 @@
 	})
 }
 
-// readKeyUses reads when a holder's keys were last used, as far as it has been written.
+// readKeyUses reads the recorded times of last use of a holder's keys.
 func (ts *Service) readKeyUses(c message.AdminRequest, holder tenant.Name, callback func(map[tenant.KeyID]api.WallTime)) {
 	prefix := KeyLastUse + string(holder) + "/"
 	ts.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: prefix}}, func(response message.StoreResponse) {
--- a/controller/tenancy/operators.go
+++ b/controller/tenancy/operators.go
@@ -1,7 +1,7 @@
 package tenancy
 
-// This file answers operators' requests about their own record: their keys, the networks they may
-// come from, the proxies that are believed, and what is set aside for teams.
+// This file answers requests about the operators' record: their keys, allowed networks, trusted
+// proxies, and the capacity budget for teams that operators define.
 
 import (
 	"encoding/json"
@@ -14,9 +14,9 @@
 )
 
 type (
-	// OperatorsView is the operators' record as it is shown.
+	// OperatorsView is the operators' record as shown to operators.
 	OperatorsView struct {
-		AdminKey        tenant.KeyID           `json:"first"` // of the file that this controller was started with
+		AdminKey        tenant.KeyID           `json:"first"` // from the configuration of this controller
 		AdminKeyRetired bool                   `json:"first_retired"`
 		Keys            []OperatorKeyView      `json:"keys"`
 		Networks        tenant.Networks        `json:"networks"`
@@ -26,13 +26,13 @@
 		Guaranteed      tenant.GuaranteedTotal `json:"given"`
 		Revision        api.Revision           `json:"revision"`
 	}
-	// OperatorKeyView is an operators' key as it is shown.
+	// OperatorKeyView is an operator key without its secret.
 	OperatorKeyView struct {
 		KeyView
 		Role tenant.Role `json:"role"`
 	}
-	// OperatorsRequest is the body of a request that changes the operators' record; which fields
-	// count depends on the change.
+	// OperatorsRequest is the body of a request that changes the operators' record; the operation
+	// determines which fields are used.
 	OperatorsRequest struct {
 		Revision *api.Revision   `json:"revision"`
 		Networks tenant.Networks `json:"networks"`
@@ -63,8 +63,8 @@
 	return v
 }
 
-// HandleOperatorsRequest answers an operator's question about the operators' record or change of
-// it. A returned error is the refusal, which the caller answers with.
+// HandleOperatorsRequest serves a query about the operators' record or a change of it. The caller
+// must answer a returned error as a refusal.
 func (ts *Service) HandleOperatorsRequest(c message.AdminRequest) error {
 	old, revision := ts.hosted.operators, ts.core.State.Version(KeyOperators)
 	if c.What == "operators" {
@@ -80,7 +80,7 @@
 		return err
 	}
 	if secret == nil && core.EqualJSON(old, updated) {
-		ts.core.Reply(c.Req, 200, ts.viewOperators(old, revision), 0) // nothing changes: a retry, perhaps
+		ts.core.Reply(c.Req, 200, ts.viewOperators(old, revision), 0) // no change, for instance a retry
 		return nil
 	}
 	if err := core.CheckRevision(request.Revision, revision, "the operators' record"); err != nil {
@@ -89,7 +89,7 @@
 	if err := ts.hosted.guaranteed.CheckBudget(updated); err != nil {
 		return err
 	}
-	// By the proxies as they will be: the next request is judged by them.
+	// The check uses the new proxies, as the next request will.
 	if err := updated.CheckAccessFrom(tenant.ClientAddr(c.Caller.From, c.Caller.Forwarded, updated.Proxies)); err != nil {
 		return err
 	}
@@ -122,7 +122,7 @@
 	})
 }
 
-// applyOperatorsChange is the operators' record after a change, and the key that it makes.
+// applyOperatorsChange returns the operators' record after a change, and the key if one is created.
 func (ts *Service) applyOperatorsChange(c message.AdminRequest, record tenant.Operators, request OperatorsRequest) (tenant.Operators, *NewKeyView, error) {
 	switch c.What {
 	case "operators-put":
@@ -144,7 +144,8 @@
 }
 
 type (
-	// auditedOperators is the operators' record as the audit shows it: networks counted.
+	// auditedOperators is the operators' record in the audit log, with counts of networks and
+	// proxies.
 	auditedOperators struct {
 		CPUs             float64              `json:"cpus"`
 		GPUs             float64              `json:"gpus"`
@@ -153,7 +154,7 @@
 		Proxies          int                  `json:"proxies"`
 		RetiredAdminKeys []tenant.KeyID       `json:"retired"`
 	}
-	// auditedOperatorKey is what is public of an operators' key.
+	// auditedOperatorKey is an operator key in the audit log.
 	auditedOperatorKey struct {
 		ID      tenant.KeyID `json:"id"`
 		Name    string       `json:"name"`
--- a/controller/tenancy/queue.go
+++ b/controller/tenancy/queue.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file lists a tenant's jobs that are not over, and says why they wait.
+// This file lists a tenant's unfinished jobs with the reasons why they are pending.
 
 import (
 	"maps"
@@ -13,7 +13,7 @@
 )
 
 type (
-	// UnfinishedJob is a job of a tenant that is not over.
+	// UnfinishedJob is an unfinished job as shown to its tenant.
 	UnfinishedJob struct {
 		Ref      api.JobID    `json:"ref"`
 		State    api.JobState `json:"stato"`
@@ -25,8 +25,8 @@
 		Accepted api.WallTime `json:"accepted"` // in milliseconds since 1970
 		Reason   string       `json:"why,omitempty"`
 	}
-	// QueueView is a page of a tenant's jobs that are not over, the oldest first. After is
-	// what to ask for next, empty at the end.
+	// QueueView is a page of a tenant's unfinished jobs, the oldest first. After is the cursor of
+	// the next page, empty on the last one.
 	QueueView struct {
 		Open  int             `json:"open"`
 		Jobs  []UnfinishedJob `json:"jobs"`
@@ -34,12 +34,12 @@
 	}
 )
 
-// queuePosition is a job's position in its tenant's list.
+// queuePosition returns the sort key of a job in its tenant's list.
 func queuePosition(j *core.Job) string {
 	return core.TimeKey(j.AcceptedAt) + "-" + string(j.TenantJobID)
 }
 
-// viewQueue is a page of a tenant's jobs that are not over, after a position in the list.
+// viewQueue returns a page of a tenant's unfinished jobs, from the first one after a position.
 func (ts *Service) viewQueue(entry *tenant.Entry, after string, limit int) QueueView {
 	v := QueueView{Jobs: []UnfinishedJob{}}
 	jobs := slices.DeleteFunc(slices.Collect(maps.Values(ts.core.State.JobsByTenant[string(entry.Name)])), (*core.Job).Terminal)
@@ -62,8 +62,8 @@
 	return v
 }
 
-// pendingReason is why a job of a tenant waits, as far as it lies with the tenant itself: what
-// else there is on the machines is nobody's business. It is empty for other reasons.
+// pendingReason explains why a tenant's job is pending. It is empty if the reason is not the
+// tenant's own, as it must not reveal the use of machines by others.
 func (ts *Service) pendingReason(entry *tenant.Entry, j *core.Job, usage map[api.Team]api.Resources) string {
 	need := j.Demand
 	need.Mem = 0
@@ -73,13 +73,13 @@
 	case !entry.MayStartTasks():
 		return "suspended: " + entry.SuspendReason
 	case j.OwnerState.BackoffUntil > ts.core.Now:
-		return "its tasks failed: it is tried again later"
+		return "retry backoff after task failures"
 	case !need.Fits(core.QuotaLimit(ts.core.Teams[j.Spec.Team]).Minus(usage[j.Spec.Team])):
-		return "the limit of team " + string(j.Spec.Team)
+		return "quota limit of team " + string(j.Spec.Team)
 	}
 	for p := range ts.core.State.Partitions {
 		if j.PendingTasks(api.PartitionID(p)) > 0 && ts.siblings.Pools.PendingReasonPool(j, api.PartitionID(p)) != "" {
-			return "units of a pool"
+			return "pool units not available"
 		}
 	}
 	return ""
--- a/controller/tenancy/reconcile.go
+++ b/controller/tenancy/reconcile.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file goes on with what suspensions and removals of tenants have begun.
+// This file continues suspensions and removals of tenants in the background.
 
 import (
 	"cmp"
@@ -15,31 +15,31 @@
 	"basaltwall/tenant"
 )
 
-// Draining and cancelling are bounded, for each reconciliation.
+// Bounds of one reconciliation.
 const (
-	maxDrainedTasks         = 32 // of a tenant
-	maxCancelledJobs        = 2  // of a partition that this controller owns
+	maxDrainedTasks         = 32 // per tenant
+	maxCancelledJobs        = 2  // per owned partition
 	tenantReconcileInterval = time.Second
 )
 
-// ReconcileTenants goes on with what suspensions and removals have begun, writes uses of keys,
-// moves pools' shares and deletes old history, each as often as it is due.
+// ReconcileTenants continues suspensions and removals, records uses of keys, rebalances pool shares
+// and deletes expired history. Each has an interval of its own.
 func (ts *Service) ReconcileTenants() {
-	service := ts.hosted
-	if service == nil || !ts.core.Loaded || ts.core.Now.Sub(service.reconciledAt) < tenantReconcileInterval {
+	hostedState := ts.hosted
+	if hostedState == nil || !ts.core.Loaded || ts.core.Now.Sub(hostedState.reconciledAt) < tenantReconcileInterval {
 		return
 	}
 	ts.flushKeyUses()
 	if len(ts.core.Partitions) == 0 {
 		return
 	}
-	service.reconciledAt = ts.core.Now
+	hostedState.reconciledAt = ts.core.Now
 	ts.siblings.Pools.ReconcilePools()
 	ts.sweepHistory()
-	draining := map[tenant.Name][]*core.Placement{} // services whose time is up
+	draining := map[tenant.Name][]*core.Placement{} // of tenants whose drain period has passed
 	var removing []*tenant.Entry
-	for _, name := range service.tenants.Names() {
-		entry := service.tenants.Get(name)
+	for _, name := range hostedState.tenants.Names() {
+		entry := hostedState.tenants.Get(name)
 		if entry.State != tenant.Suspended && entry.State != tenant.Removing {
 			continue
 		}
@@ -56,8 +56,8 @@
 	}
 }
 
-// drainServices stops services of tenants, of each the least urgent and youngest first.
-// Whatever else runs of them ends by itself.
+// drainServices stops service tasks of tenants, the least urgent and youngest first. Tasks of other
+// kinds run to completion.
 func (ts *Service) drainServices(byTenant map[tenant.Name][]*core.Placement) {
 	if len(byTenant) == 0 {
 		return
@@ -79,19 +79,19 @@
 	}
 }
 
-// isDrainable reports whether a placement is a service's that runs on unless it is stopped.
+// isDrainable reports whether a placement is a service task that is not stopped yet.
 func isDrainable(placement *core.Placement) bool {
 	return placement.Job.Spec.Kind == api.Service && !placement.Finishing && !placement.OwnerState.StopRequested && !placement.Job.Terminal()
 }
 
-// compareDrainOrder orders services as they are stopped.
+// compareDrainOrder orders service tasks, the first to be stopped first.
 func compareDrainOrder(a, b *core.Placement) int {
 	return cmp.Or(a.Job.Spec.Priority.Rank()-b.Job.Spec.Priority.Rank(), cmp.Compare(b.Job.AcceptedAt, a.Job.AcceptedAt),
 		cmp.Compare(a.Job.ID, b.Job.ID), b.Task.Index-a.Task.Index)
 }
 
-// continueRemoval cancels jobs of a tenant that is being removed, each by the owner of its
-// first task, and ends the removal when none is left.
+// continueRemoval cancels jobs of a tenant that is being removed, and completes the removal when no
+// job is left. The owner of a job's first task cancels it.
 func (ts *Service) continueRemoval(entry *tenant.Entry) {
 	var open []*core.Job
 	remaining := 0
@@ -113,7 +113,7 @@
 	ts.finishRemoval(entry.Name, entry.Revision)
 }
 
-// finishRemoval writes that a tenant without jobs is removed, if its record still has the revision.
+// finishRemoval marks a tenant without jobs as removed if its record still has the revision.
 func (ts *Service) finishRemoval(name tenant.Name, revision api.Revision) {
 	ts.hosted.finishingRemoval = true
 	release := func() { ts.hosted.finishingRemoval = false }
--- a/controller/tenancy/rounds.go
+++ b/controller/tenancy/rounds.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file says which tenants' jobs a partition's round looks at.
+// This file selects the tenants' jobs that a partition's round considers.
 
 import (
 	"cmp"
@@ -11,19 +11,18 @@
 	"basaltwall/tenant"
 )
 
-// MaxJobsPerRound is how many of a tenant's jobs a partition's round looks at, so that nobody's
-// queue makes the rounds of the others longer.
+// MaxJobsPerRound is the maximum number of a tenant's jobs in a partition's round, so that the queue
+// of one tenant does not slow down the rounds for others.
 const MaxJobsPerRound = 200
 
-// tenantPartition is a tenant's queue in a partition.
+// tenantPartition identifies a tenant's queue in a partition.
 type tenantPartition struct {
 	tenant    string
 	partition api.PartitionID
 }
 
-// LimitTenantJobs leaves out of a round what is more than MaxJobsPerRound jobs of one tenant: half
-// of those that stay are its most urgent ones, the others take turns. The order of the rest
-// is kept.
+// LimitTenantJobs limits a round to MaxJobsPerRound jobs of each tenant: half of them are the most
+// urgent ones, the others rotate. The order of jobs is preserved.
 func (ts *Service) LimitTenantJobs(owned *core.OwnedPartition, jobs []*core.Job) []*core.Job {
 	owned.UnexaminedJobs = 0
 	if ts.hosted == nil || len(jobs) <= MaxJobsPerRound {
@@ -57,13 +56,13 @@
 	return cmp.Or(b.Spec.Priority.Rank()-a.Spec.Priority.Rank(), cmp.Compare(a.AcceptedAt, b.AcceptedAt), cmp.Compare(a.ID, b.ID))
 }
 
-// RoundTurns is how often a tenant's jobs took turns in a partition's rounds. The service must be
-// hosted.
+// RoundTurns returns the number of rotations of a tenant's jobs in a partition's rounds. The service
+// must be hosted.
 func (ts *Service) RoundTurns(name tenant.Name, p api.PartitionID) int {
 	return ts.hosted.roundTurns[tenantPartition{tenant: string(name), partition: p}]
 }
 
-// StartsBlocked reports whether what waits of a job may not be started.
+// StartsBlocked reports whether a job's pending tasks must not start because of its tenant's state.
 func (ts *Service) StartsBlocked(j *core.Job) bool {
 	return ts.hosted != nil && j.Tenant != "" && !ts.hosted.tenants.MayStartTasks(tenant.Name(j.Tenant))
 }
--- a/controller/tenancy/service.go
+++ b/controller/tenancy/service.go
@@ -1,8 +1,7 @@
-// Package tenancy serves a hosted cluster: its tenants, whose keys, limits and teams it keeps, and
-// its operators, who change them. A Service owns the tenants', teams' and operators' records, as
-// far as this controller has read them, the admission state of submissions, the uses of keys that
-// are not written yet, and the progress of suspensions, removals and history sweeps. A controller
-// that is not hosted has a Service too, which serves nobody; see docs/tenants.md.
+// Package tenancy serves the tenants and operators of a hosted service. A Service owns the replicas
+// of the tenants', teams' and operators' records, the admission state of submissions, the unwritten
+// uses of keys, and the progress of suspensions, removals and history sweeps. If the service is not
+// hosted, a Service has no tenants; see docs/tenants.md.
 package tenancy
 
 import (
@@ -12,48 +11,50 @@
 	"basaltwall/tenant"
 )
 
-// Keys of a hosted service's records.
+// Keys of the records of a hosted service.
 const (
-	// KeyTenant holds a tenant's record.
+	// KeyTenant is the prefix of tenants' records.
 	KeyTenant = clusterstate.Root + "tenant/"
-	// KeyTeamOf claims a team for one tenant.
+	// KeyTeamOf is the prefix of claims, each of a team for one tenant.
 	KeyTeamOf = clusterstate.Root + "teamof/"
-	// KeyOperators holds what the operators decide for all tenants, and their keys.
+	// KeyOperators is the key of the operators' record.
 	KeyOperators = clusterstate.Root + "operators"
-	// KeyTeam holds a team that operators made, beside the platform's.
+	// KeyTeam is the prefix of teams that operators defined in addition to those of the settings
+	// file.
 	KeyTeam = clusterstate.Root + "team/"
-	// KeyGuaranteedTotal is what those teams are guaranteed together. It is written with each change
-	// of one and with what is set aside for them, so that their sum stays within that.
+	// KeyGuaranteedTotal is the key of the sum of the guarantees of operator-defined teams. Each
+	// change of a team writes it, so that the sum stays within the operators' budget.
 	KeyGuaranteedTotal = clusterstate.Root + "given"
 )
 
-// Service serves the tenants and operators of a hosted cluster.
+// Service serves the tenants and operators of a hosted service.
 type Service struct {
 	core     *core.Core
 	siblings Siblings
-	hosted   *hostedService // nil: one operator's own service
+	hosted   *hostedService // nil if the service is not hosted
 }
 
-// hostedService is what a controller of a hosted service keeps of its tenants.
+// hostedService is the state of a controller of a hosted service.
 type hostedService struct {
 	adminKey   tenant.Key
 	tenants    *tenant.Table
 	operators  tenant.Operators
-	teams      map[api.Team]core.TeamRecord // that operators made
+	teams      map[api.Team]core.TeamRecord // defined by operators
 	guaranteed tenant.GuaranteedTotal
 
 	admission   admission
 	keyUses     keyUses
 	submissions map[tenant.Name]*SubmissionCounts
-	roundTurns  map[tenantPartition]int // how often a tenant's jobs took turns in a partition's rounds
+	roundTurns  map[tenantPartition]int // rotations of a tenant's jobs in a partition's rounds
 
 	reconciledAt     api.Time
-	finishingRemoval bool // the end of a removal is being written
-	auditSequence    int  // of operators' changes, by this process
+	finishingRemoval bool // the write that completes a removal is in flight
+	auditSequence    int  // number of audit entries of this process
 	sweep            historySweep
 }
 
-// New returns the service of a controller, hosted if its configuration says so; Connect completes it.
+// New returns a Service, hosted if the configuration says so; Connect must be called before it serves
+// requests.
 func New(k *core.Core) *Service {
 	ts := &Service{core: k}
 	ts.ResetPlatformTeams()
@@ -61,10 +62,10 @@
 	return ts
 }
 
-// Connect names the components that the service asks.
+// Connect sets the components that the Service calls.
 func (ts *Service) Connect(siblings Siblings) { ts.siblings = siblings }
 
-// InitHosted begins to serve tenants if the configuration has the service hosted.
+// InitHosted initializes the state of a hosted service if the configuration has one.
 func (ts *Service) InitHosted() {
 	hosted := ts.core.Config.Hosted
 	if hosted == nil {
@@ -78,40 +79,39 @@
 	}
 }
 
-// RecordKinds are the kinds of records that a hosted service keeps beside the others. It forgets
-// all of them, as they are read anew.
+// RecordKinds returns the kinds of records of a hosted service, and resets the replicas of these
+// records for a new load.
 func (ts *Service) RecordKinds() []clusterstate.RecordKind {
 	if ts.hosted == nil {
 		return nil
 	}
-	tenants, service := tenant.NewTable(), ts.hosted
-	service.tenants, service.operators, service.teams, service.guaranteed = tenants, tenant.Operators{}, map[api.Team]core.TeamRecord{}, tenant.GuaranteedTotal{}
+	tenants, hostedState := tenant.NewTable(), ts.hosted
+	hostedState.tenants, hostedState.operators, hostedState.teams, hostedState.guaranteed = tenants, tenant.Operators{}, map[api.Team]core.TeamRecord{}, tenant.GuaranteedTotal{}
 	ts.ResetPlatformTeams()
 	return []clusterstate.RecordKind{
 		{Prefix: KeyTenant, Put: tenants.Put, Delete: tenants.Drop},
 		{Prefix: KeyTeam, Put: ts.applyTeam},
-		clusterstate.SingleKey(KeyOperators, &service.operators),
-		clusterstate.SingleKey(KeyGuaranteedTotal, &service.guaranteed),
+		clusterstate.SingleKey(KeyOperators, &hostedState.operators),
+		clusterstate.SingleKey(KeyGuaranteedTotal, &hostedState.guaranteed),
 	}
 }
 
-// Enabled reports whether the service is hosted: it has tenants.
+// Enabled reports whether the service is hosted.
 func (ts *Service) Enabled() bool { return ts.hosted != nil }
 
-// Tenants are the tenants' records. The service must be hosted.
+// Tenants returns the tenants' records. The service must be hosted.
 func (ts *Service) Tenants() *tenant.Table { return ts.hosted.tenants }
 
 // HasTenant reports whether there is a record of a tenant. The service must be hosted.
 func (ts *Service) HasTenant(name tenant.Name) bool { return ts.hosted.tenants.Get(name) != nil }
 
-// Operators is the operators' record as it was last read. The service must be hosted.
+// Operators returns the operators' record. The service must be hosted.
 func (ts *Service) Operators() *tenant.Operators { return &ts.hosted.operators }
 
-// Guaranteed is what the teams that operators made are guaranteed together. The service must be
-// hosted.
+// Guaranteed returns the sum of the guarantees of operator-defined teams. The service must be hosted.
 func (ts *Service) Guaranteed() tenant.GuaranteedTotal { return ts.hosted.guaranteed }
 
-// TeamRecord is a team that operators made, if it is one. The service must be hosted.
+// TeamRecord returns the record of an operator-defined team. The service must be hosted.
 func (ts *Service) TeamRecord(name api.Team) (core.TeamRecord, bool) {
 	record, ok := ts.hosted.teams[name]
 	return record, ok
--- a/controller/tenancy/service_test.go
+++ b/controller/tenancy/service_test.go
@@ -17,8 +17,8 @@
 	"basaltwall/tenant"
 )
 
-// newTestService is the service of a controller that owns partition 0, with tenant kipper of team
-// red, and kipper's key.
+// newTestService returns the Service of a controller that owns partition 0, and the key of its
+// tenant kipper of team red.
 func newTestService(t testing.TB) (*Service, tenant.Secret) {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
@@ -61,7 +61,7 @@
 	}
 }
 
-// storeCalls are the calls to the state service that were wanted since the last time.
+// storeCalls returns the calls to the state service since it was last called.
 func storeCalls(ts *Service) []message.StoreCall {
 	var calls []message.StoreCall
 	for _, effect := range ts.core.Effects {
@@ -78,7 +78,7 @@
 	t.Helper()
 	callback := ts.core.PendingCalls[response.ID]
 	if callback == nil {
-		t.Fatalf("no call %d is under way", response.ID)
+		t.Fatalf("no call %d is in flight", response.ID)
 	}
 	delete(ts.core.PendingCalls, response.ID)
 	callback(response)
@@ -123,7 +123,7 @@
 	}
 }
 
-// What is older than it is to be kept goes, and nothing else, under the term of partition 0.
+// A sweep deletes exactly the entries past their retention, on the condition of the term of partition 0.
 func TestHistorySweep(t *testing.T) {
 	ts, _ := newTestService(t)
 	ts.core.WallClock = 1_000_000
--- a/controller/tenancy/siblings.go
+++ b/controller/tenancy/siblings.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file declares what the service needs of the other components of a controller.
+// This file declares the interfaces of the other components that the service needs.
 
 import (
 	"basaltwall/api"
@@ -10,7 +10,7 @@
 	"basaltwall/tenant"
 )
 
-// Siblings are the other components that a Service asks.
+// Siblings are the other components that a Service calls.
 type Siblings struct {
 	Follower  Follower
 	Jobs      Jobs
@@ -18,14 +18,14 @@
 	Scheduler Scheduler
 }
 
-// Follower is what a Service needs of the log's follower.
+// Follower is what a Service needs of the log follower.
 type Follower interface {
 	LinearizableRead(onRead, onFailure func())
-	// LastReadAt is when the log was last read, 0 before.
+	// LastReadAt returns the time of the last read of the log, 0 before the first one.
 	LastReadAt() api.Time
 }
 
-// Jobs is what a Service needs to serve tenants' requests about jobs.
+// Jobs is what a Service needs of the service for jobs.
 type Jobs interface {
 	FindJob(id api.JobID, found func(api.JobStatus), notFound, fail func())
 	LookupJob(id api.JobID, found func(api.JobStatus), notFound, fail func())
@@ -38,14 +38,14 @@
 	RespondWhenAcknowledged(forwarded bool, respond func(api.JobStatus), retryLater func()) func(api.JobStatus)
 }
 
-// Pools is what a Service needs to know of the pools that tenants' jobs use.
+// Pools is what a Service needs of the pool manager.
 type Pools interface {
 	CheckPoolNeeds(s *api.JobSpec, name tenant.Name) string
 	PendingReasonPool(j *core.Job, p api.PartitionID) string
 	ReconcilePools()
 }
 
-// Scheduler is what a Service needs to drain tenants.
+// Scheduler is what a Service needs of the scheduler to drain tenants.
 type Scheduler interface {
 	StopTask(*core.Placement)
 }
--- a/controller/tenancy/submission.go
+++ b/controller/tenancy/submission.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file takes tenants' submissions of jobs.
+// This file handles tenants' submissions of jobs.
 
 import (
 	"encoding/json"
@@ -16,19 +16,18 @@
 	"basaltwall/tenant"
 )
 
-// submission is a tenant's submission while it is decided on.
+// submission is a tenant's submission in progress.
 type submission struct {
 	service *Service
 	command message.Submit
-	tries   int           // how often it may be decided on again, by what is current
-	entry   *tenant.Entry // whose it is
-	spec    *api.JobSpec  // under the id by which it is kept
+	tries   int           // remaining decisions after a linearizable read
+	entry   *tenant.Entry // the tenant that submits
+	spec    *api.JobSpec  // with the internal id
 	ref     api.JobID     // the id that the tenant chose
 }
 
-// SubmitHosted takes a tenant's submission. It is written on the condition that the
-// tenant's record is as it was read: whatever is decided here by an older one, a
-// suspension or a revoked key that this controller has not read yet, is not written.
+// SubmitHosted handles a tenant's submission. The write is conditional on the version of the tenant's
+// record, so that it fails after a suspension or a revoked key that this controller has not read yet.
 func (ts *Service) SubmitHosted(c message.Submit, tries int) {
 	s := &submission{service: ts, command: c, tries: tries}
 	if ts.siblings.Jobs.ShouldForward(c.Forwarded) || len(ts.core.MachineTypes) == 0 {
@@ -51,19 +50,19 @@
 		s.replyIfKnown(s.forward)
 		return
 	}
-	if s.refused() {
+	if s.refuseIfNotAdmitted() {
 		return
 	}
 	s.write()
 }
 
-// forward passes the submission on to another controller.
+// forward forwards the submission to another controller.
 func (s *submission) forward() {
 	s.service.forwardHosted(s.command.Req, hostedForward{Kind: forwardSubmit, Body: s.command.Body, Caller: s.command.Caller}, s.command.Forwarded)
 }
 
-// retry decides on the submission again by what is current, or refuses it if that has been done:
-// what is refused must be refused by what is current.
+// retry repeats the decision after a linearizable read, or refuses the submission if no tries are
+// left: a refusal must not rest on outdated records.
 func (s *submission) retry(refuse func()) {
 	if s.tries == 0 {
 		refuse()
@@ -72,23 +71,25 @@
 	s.service.siblings.Follower.LinearizableRead(func() { s.service.SubmitHosted(s.command, s.tries-1) }, s.forward)
 }
 
-// replyIfKnown answers with the state of the job if it was accepted before.
+// replyIfKnown answers with the state of the job if it was accepted earlier, and otherwise calls
+// unknown.
 func (s *submission) replyIfKnown(unknown func()) {
 	s.service.siblings.Jobs.LookupJob(s.spec.Ref, func(status api.JobStatus) {
 		s.service.core.Reply(s.command.Req, 200, api.JobStatus{JobID: s.ref, State: status.State}, 0)
 	}, unknown, s.forward)
 }
 
-// refuse refuses the submission, unless it was accepted before: a job that was accepted is never
-// refused, whatever holds by now.
+// refuse refuses the submission unless the job was accepted earlier. The submission is idempotent:
+// an accepted job is never refused.
 func (s *submission) refuse(status int, reason string, wait time.Duration) {
 	s.replyIfKnown(func() {
 		s.service.core.Reply(s.command.Req, status, api.ErrorBody{Error: reason}, int(math.Ceil(wait.Seconds())))
 	})
 }
 
-// refused refuses the submission if its tenant, its demands or the tenant's limits forbid it.
-func (s *submission) refused() bool {
+// refuseIfNotAdmitted refuses the submission if the tenant's state, the job's demands or the tenant's
+// limits forbid it, and reports whether it did.
+func (s *submission) refuseIfNotAdmitted() bool {
 	ts, entry, spec := s.service, s.entry, s.spec
 	switch {
 	case entry.State != tenant.Active:
@@ -117,15 +118,15 @@
 	return false
 }
 
-// transaction accepts the job if neither it nor a result of it is there, and the tenant's record
-// and those of the pools that the job needs are as they were read.
+// transaction returns the write of the job. It is conditional on the absence of the job and of its
+// result, and on the versions of the records of the tenant and of the required pools.
 func (s *submission) transaction(data []byte) api.Txn {
 	state, jobKey := s.service.core.State, clusterstate.KeyJob+string(s.spec.Ref)
 	txn := api.Txn{
 		If:     []api.Condition{{Key: jobKey}, {Key: clusterstate.KeyJobResult + string(s.spec.Ref)}, state.VersionCondition(KeyTenant + string(s.entry.Name))},
 		Writes: []api.Write{{Put: jobKey, Value: data}},
 	}
-	for _, need := range s.spec.Needs { // or it would wait for a pool that was removed meanwhile
+	for _, need := range s.spec.Needs { // otherwise the job could wait for a pool that was removed concurrently
 		txn.If = append(txn.If, state.VersionCondition(core.KeyPool+string(need.Pool)))
 	}
 	return txn
@@ -150,7 +151,7 @@
 		case 409:
 			s.retry(func() { s.replyIfKnown(s.forward) })
 		case 429:
-			ts.core.ReplyError(s.command.Req, 503, "the state service is at its limit")
+			ts.core.ReplyError(s.command.Req, 503, "the state service refused the write: rate limit reached")
 		default:
 			s.forward()
 		}
@@ -158,7 +159,8 @@
 	})
 }
 
-// accepted answers that the job is written. Until the cluster state has it, it counts as pending.
+// accepted answers that the job is written. The job counts as a pending submission until the cluster
+// state holds it.
 func (s *submission) accepted() {
 	ts, name, id := s.service, s.entry.Name, s.spec.Ref
 	ts.CountSubmission(name, "")
--- a/controller/tenancy/teams.go
+++ b/controller/tenancy/teams.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file keeps the teams that operators make beside those of the platform's file.
+// This file manages the teams that operators define in addition to those of the settings file.
 
 import (
 	"encoding/json"
@@ -12,7 +12,8 @@
 	"basaltwall/tenant"
 )
 
-// TeamRequest is the body of a request that makes, changes or removes a team. A limit of 0 is none.
+// TeamRequest is the body of a request that creates, changes or removes a team. A limit of 0 means no
+// limit.
 type TeamRequest struct {
 	Revision *api.Revision `json:"revision"`
 	CPUs     float64       `json:"cpus"`
@@ -21,7 +22,7 @@
 	GPUsMax  float64       `json:"gpus_max"`
 }
 
-// applyTeam takes in the record of a team that operators made. A removed one is no team any more.
+// applyTeam applies the record of an operator-defined team. A removed team is deleted from the teams.
 func (ts *Service) applyTeam(name string, value json.RawMessage, version api.Revision) error {
 	var team tenant.Team
 	if err := json.Unmarshal(value, &team); err != nil {
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// ResetPlatformTeams forgets the teams that operators made.
+// ResetPlatformTeams resets the teams to those of the settings file.
 func (ts *Service) ResetPlatformTeams() {
 	ts.core.Teams = map[api.Team]config.Team{}
 	for _, t := range ts.core.Config.Deployment.Teams {
@@ -46,7 +47,7 @@
 	}
 }
 
-// TeamOwners are the tenants that the teams of a hosted service belong to.
+// TeamOwners returns the tenants that own the teams of a hosted service.
 func (ts *Service) TeamOwners() map[api.Team]tenant.Name {
 	byTeam := map[api.Team]tenant.Name{}
 	if ts.hosted == nil {
@@ -79,8 +80,8 @@
 	return false
 }
 
-// HandleTeamRequest makes, changes or removes a team beside the platform's. A returned error is
-// the refusal, which the caller answers with.
+// HandleTeamRequest creates, changes or removes an operator-defined team. The caller must answer a
+// returned error as a refusal.
 func (ts *Service) HandleTeamRequest(c message.AdminRequest) error {
 	var request TeamRequest
 	if err := core.DecodeRequest(c.Body, &request); err != nil {
@@ -88,7 +89,7 @@
 	}
 	name := api.Team(c.ID)
 	if ts.isPlatformTeam(name) {
-		return &tenant.Error{Status: 409, Field: "name", Reason: c.ID + " is a team of the platform's file"}
+		return &tenant.Error{Status: 409, Field: "name", Reason: c.ID + " is defined in the platform's settings file and can't be changed here"}
 	}
 	old, known := ts.hosted.teams[name]
 	if !known && c.What == "team-remove" {
@@ -99,7 +100,7 @@
 		return err
 	}
 	if known && updated == old.Team {
-		ts.core.Reply(c.Req, 200, core.TeamRecord{Team: updated, Tenant: ts.TeamOwners()[name], Revision: old.Revision}, 0) // nothing changes: a retry, perhaps
+		ts.core.Reply(c.Req, 200, core.TeamRecord{Team: updated, Tenant: ts.TeamOwners()[name], Revision: old.Revision}, 0) // no change, for instance a retry
 		return nil
 	}
 	if err := core.CheckRevision(request.Revision, old.Revision, "the team"); err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// applyTeamChange is a team after a change.
+// applyTeamChange returns a team after a change.
 func (ts *Service) applyTeamChange(c message.AdminRequest, team tenant.Team, request TeamRequest) (tenant.Team, error) {
 	name := api.Team(c.ID)
 	if c.What == "team-remove" {
@@ -122,9 +123,9 @@
 	return team.Change(tenant.Team{Name: name, CPUs: request.CPUs, GPUs: request.GPUs, CPUsMax: request.CPUsMax, GPUsMax: request.GPUsMax})
 }
 
-// commitTeamChange writes a team with what all teams are guaranteed then, and answers. The
-// transaction is conditional on the operators' record, so that what is set aside for teams is
-// what was read; a removal also on that no tenant has claimed the team.
+// commitTeamChange writes a team together with the sum of all guarantees, and answers. The transaction
+// is conditional on the operators' record, which holds the budget for teams; a removal is also
+// conditional on the absence of a tenant's claim.
 func (ts *Service) commitTeamChange(c message.AdminRequest, updated tenant.Team, old core.TeamRecord, guaranteed tenant.GuaranteedTotal) {
 	teamValue, _ := json.Marshal(updated)
 	guaranteedValue, _ := json.Marshal(guaranteed)
@@ -143,7 +144,7 @@
 	if c.What == "team-remove" {
 		txn.If = append(txn.If, api.Condition{Key: KeyTeamOf + c.ID})
 	}
-	ts.CommitChange(c, txn, "the team, or what is set aside for teams,", func(revision api.Revision) any {
+	ts.CommitChange(c, txn, "the team or the budget for teams", func(revision api.Revision) any {
 		return core.TeamRecord{Team: updated, Tenant: ts.TeamOwners()[api.Team(c.ID)], Revision: revision}
 	})
 }
--- a/controller/tenancy/tenantrecord.go
+++ b/controller/tenancy/tenantrecord.go
@@ -14,15 +14,15 @@
 	"basaltwall/tenant"
 )
 
-// Statuses that writeTenant reports beside those of the state service.
+// Statuses that writeTenant reports in addition to those of the state service.
 const (
-	statusRecordTooLarge = 400 // the record exceeds a value
-	statusTooManyWrites  = 413 // the teams exceed a transaction
+	statusRecordTooLarge = 400 // the record exceeds the maximum size of a value
+	statusTooManyWrites  = 413 // the claims of teams exceed the maximum size of a transaction
 	statusTeamTaken      = 422 // a team belongs to another tenant
 )
 
-// commitTenantChange writes a change and answers. With a suspension the gate is written, so that
-// no round that was composed before starts work of the tenant after.
+// commitTenantChange writes a change of a tenant and answers. A suspension also writes core.KeyGate, so
+// that rounds composed before the suspension fail instead of starting tasks of the tenant.
 func (ts *Service) commitTenantChange(c message.AdminRequest, updated tenant.Tenant, old *tenant.Entry, secret *NewKeyView) {
 	var previous tenant.Tenant
 	if old != nil {
@@ -41,10 +41,10 @@
 			ts.core.ReplyError(c.Req, 400, "networks: the record is too large")
 			return
 		case statusTooManyWrites:
-			ts.core.ReplyError(c.Req, 400, "teams: too many at once for one transaction")
+			ts.core.ReplyError(c.Req, 400, "teams: too many changes for one transaction")
 			return
 		case statusTeamTaken:
-			ts.core.ReplyError(c.Req, 422, "teams: one belongs to another tenant")
+			ts.core.ReplyError(c.Req, 422, "teams: a team belongs to another tenant")
 			return
 		}
 		ts.ReplyChange(c.Req, status, revision, "the tenant has", func(revision api.Revision) any {
@@ -57,8 +57,8 @@
 	})
 }
 
-// writeTenant writes a tenant's record in place of what was read of it, nil if it is new, together
-// with extraWrites. It claims the teams that the tenant gets and releases those that it loses.
+// writeTenant writes a tenant's record together with extraWrites, on the condition that the record is
+// still old; old is nil for a new tenant. It claims added teams and releases removed ones.
 func (ts *Service) writeTenant(t tenant.Tenant, old *tenant.Entry, extraWrites []api.Write, respond func(status int, revision api.Revision)) {
 	key := KeyTenant + string(t.Name)
 	data, err := json.Marshal(t)
@@ -87,9 +87,8 @@
 	})
 }
 
-// claimTeams adds to a transaction the claims of teams that a tenant gets, and the releases of
-// those that it had and loses. A claim is conditional on the team's record, as the team may be
-// removed meanwhile.
+// claimTeams adds to a transaction the claims of added teams and the releases of removed ones. A claim
+// is conditional on the team's record, as the team may be removed concurrently.
 func (ts *Service) claimTeams(txn *api.Txn, t tenant.Tenant, had []api.Team) {
 	for _, team := range t.Teams {
 		if !slices.Contains(had, team) {
@@ -105,7 +104,8 @@
 	}
 }
 
-// tenantAuditView is a record as the audit shows it: networks counted, keys by their names.
+// tenantAuditView returns a tenant's record for the audit log, with the number of networks and the names
+// of keys.
 func tenantAuditView(t tenant.Tenant) any {
 	if t.Name == "" {
 		return nil
--- a/controller/tenancy/tenants.go
+++ b/controller/tenancy/tenants.go
@@ -13,31 +13,31 @@
 )
 
 type (
-	// TenantView is a tenant as it is shown, with the revision that a change must name. Of
-	// its keys only what is public is shown.
+	// TenantView is a tenant as shown to operators, without the secrets of its keys. A change must
+	// name the revision.
 	TenantView struct {
 		tenant.Tenant
 		Keys     []KeyView    `json:"keys"`
-		Jobs     int          `json:"jobs"` // that are not over
+		Jobs     int          `json:"jobs"` // unfinished
 		Tasks    int          `json:"tasks"`
 		Revision api.Revision `json:"revision"`
 	}
-	// KeyView is a key as it is shown.
+	// KeyView is a key without its secret.
 	KeyView struct {
 		ID       tenant.KeyID `json:"id"`
 		Name     string       `json:"name"`
 		Created  api.WallTime `json:"created"`
 		Expires  api.WallTime `json:"expires,omitempty"`
-		LastUsed api.WallTime `json:"used,omitempty"` // last, to the hour
+		LastUsed api.WallTime `json:"used,omitempty"` // rounded down to the hour
 	}
-	// NewKeyView is a key when it is made: the only time that its secret is shown.
+	// NewKeyView is a new key with its secret, which is not shown again.
 	NewKeyView struct {
 		KeyView
 		Secret   string       `json:"secret"`
 		Revision api.Revision `json:"revision"`
 	}
-	// TenantRequest is the body of a request that changes a tenant; which fields count depends
-	// on the change.
+	// TenantRequest is the body of a request that changes a tenant; the operation determines which
+	// fields are used.
 	TenantRequest struct {
 		Revision  *api.Revision   `json:"revision"`
 		Display   string          `json:"display"`
@@ -68,8 +68,8 @@
 	return v
 }
 
-// HandleTenantRequest answers an operator's question about tenants or change of one. A returned
-// error is the refusal, which the caller answers with.
+// HandleTenantRequest serves an operator's query about tenants or a change of one. The caller must
+// answer a returned error as a refusal.
 func (ts *Service) HandleTenantRequest(c message.AdminRequest) error {
 	if c.What == "tenants" {
 		ts.listTenants(c)
@@ -113,7 +113,7 @@
 	})
 }
 
-// changeTenant makes or changes a tenant; entry is nil for a new one.
+// changeTenant creates or changes a tenant; entry is nil for a new one.
 func (ts *Service) changeTenant(c message.AdminRequest, entry *tenant.Entry) error {
 	var request TenantRequest
 	if err := core.DecodeRequest(c.Body, &request); err != nil {
@@ -130,7 +130,7 @@
 		return err
 	}
 	if entry != nil && reflect.DeepEqual(updated, old) {
-		ts.core.Reply(c.Req, 200, viewTenant(entry, ts.countTenant(name)), 0) // nothing changes: a retry, perhaps
+		ts.core.Reply(c.Req, 200, viewTenant(entry, ts.countTenant(name)), 0) // no change, for instance a retry
 		return nil
 	}
 	if err := core.CheckRevision(request.Revision, revision, "the tenant"); err != nil {
@@ -148,7 +148,8 @@
 	return nil
 }
 
-// applyTenantChange is a tenant, which has so many jobs, after a change, and the key that it makes.
+// applyTenantChange returns a tenant after a change, and the key if one is created; jobs is the number
+// of the tenant's jobs.
 func (ts *Service) applyTenantChange(c message.AdminRequest, t tenant.Tenant, request TenantRequest, jobs int) (tenant.Tenant, *NewKeyView, error) {
 	var err error
 	switch c.What {
@@ -178,7 +179,7 @@
 	return t, nil, err
 }
 
-// addTenantKey is a tenant with one more key, and that key.
+// addTenantKey returns a tenant with an additional key, and that key.
 func (ts *Service) addTenantKey(c message.AdminRequest, t tenant.Tenant, request TenantRequest) (tenant.Tenant, *NewKeyView, error) {
 	if slices.ContainsFunc(t.Keys, func(k tenant.Key) bool { return k.Name == request.Name }) {
 		return t, nil, &tenant.Error{Status: 409, Field: "name", Reason: "there is a key of that name; its secret is not shown again"}
--- a/controller/tenancy/usage.go
+++ b/controller/tenancy/usage.go
@@ -1,6 +1,6 @@
 package tenancy
 
-// This file shows what a tenant uses, and counts its submissions.
+// This file shows tenants' usage and counts their submissions.
 
 import (
 	"basaltwall/api"
@@ -9,21 +9,21 @@
 )
 
 type (
-	// UsageView is what there is of a tenant in the whole service, now.
+	// UsageView is a tenant's current usage in the whole service.
 	UsageView struct {
-		Open         int         `json:"open"` // jobs that are not over
+		Open         int         `json:"open"` // unfinished jobs
 		OpenJobs     int         `json:"open_jobs"`
-		PendingTasks int         `json:"waiting"` // tasks
-		RunningTasks int         `json:"running"` // tasks on machines
+		PendingTasks int         `json:"waiting"`
+		RunningTasks int         `json:"running"` // placed on machines
 		Teams        []TeamUsage `json:"teams"`
-		// Units of pools that its jobs hold; what others hold is theirs alone to know.
+		// Units of pools that the tenant's jobs hold; usage by others is confidential.
 		Pools map[api.PoolName]int `json:"pools,omitempty"`
-		// For operators: what became of submissions at the controller that answers, since
-		// its process began.
+		// For operators: outcomes of submissions at the controller that answers, since the start
+		// of its process.
 		Controller  api.ControllerID  `json:"controller,omitempty"`
 		Submissions *SubmissionCounts `json:"submissions,omitempty"`
 	}
-	// TeamUsage is what a team holds and may hold; a limit of 0 is none.
+	// TeamUsage is the usage, the guarantee and the limit of a team; a limit of 0 means no limit.
 	TeamUsage struct {
 		Team           api.Team `json:"team"`
 		UsedCPUs       float64  `json:"cpus_used"`
@@ -33,14 +33,14 @@
 		MaxCPUs        float64  `json:"cpus_max"`
 		MaxGPUs        float64  `json:"gpus_max"`
 	}
-	// SubmissionCounts counts what became of a tenant's submissions at this controller.
+	// SubmissionCounts counts the outcomes of a tenant's submissions at this controller.
 	SubmissionCounts struct {
 		Accepted uint64            `json:"accepted"`
-		Rejected map[string]uint64 `json:"refused,omitempty"` // by what was at fault
+		Rejected map[string]uint64 `json:"refused,omitempty"` // by the limit or state that refused them
 	}
 )
 
-// CountSubmission counts a submission of a tenant: accepted if refused is empty, otherwise refused
+// CountSubmission counts a tenant's submission as accepted if refused is empty, otherwise as refused
 // for that reason. The service must be hosted.
 func (ts *Service) CountSubmission(name tenant.Name, refused string) {
 	counts := ts.hosted.submissions[name]
@@ -84,7 +84,7 @@
 	return v
 }
 
-// HandleTenantQuery answers a tenant with its usage or a page of its jobs that are not over.
+// HandleTenantQuery answers a tenant with its usage or a page of its unfinished jobs.
 func (ts *Service) HandleTenantQuery(c message.TenantQuery) {
 	fail := func() { ts.core.ReplyError(c.Req, 503, reasonStoreUnreachable) }
 	ts.withTenant(c.Req, c.Caller, func(entry *tenant.Entry) {
