--- a/controller/pools/admin.go
+++ b/controller/pools/admin.go
@@ -15,7 +15,7 @@
 	"basaltwall/tenant"
 )
 
-// ChangeRequest is the body of a request that makes or changes a pool.
+// ChangeRequest is the body of a request that creates or changes a pool.
 type ChangeRequest struct {
 	Revision *api.Revision `json:"revision"`
 	Unit     string        `json:"unit"`
@@ -29,8 +29,8 @@
 	Guaranteed map[api.Team]int `json:"guaranteed"`
 }
 
-// HandlePoolRequest answers an operator's question about pools or change of one. A returned
-// error is the refusal, which the caller answers with.
+// HandlePoolRequest serves an operator's query about pools or a change of one. The caller must
+// answer a returned error as a refusal.
 func (pm *Manager) HandlePoolRequest(c message.AdminRequest) error {
 	if c.What == "pools" {
 		views := []View{}
@@ -59,7 +59,7 @@
 	return pm.changePool(c, entry, request)
 }
 
-// changePool makes, changes or removes a pool; entry is nil for a new one.
+// changePool creates, changes or removes a pool; entry is nil for a new one.
 func (pm *Manager) changePool(c message.AdminRequest, entry *pool.Entry, request ChangeRequest) error {
 	name := api.PoolName(c.ID)
 	var previous pool.Pool
@@ -68,8 +68,8 @@
 		previous, revision = entry.Pool, entry.Revision
 	}
 	next := applyChange(c, previous, request)
-	// What is held is known of the same moment as the record, or of a later one: nobody
-	// hands out a unit under the old record after this is written.
+	// The held units are as of the read of the record or later. Once the new record is written,
+	// no partition can allocate units under the old one.
 	if next.Size != previous.Size || len(next.Shares) == 0 {
 		next.Shares = pool.AllocateShares(next.Size, pm.heldByPartition(name), pm.preferPlaceable(pm.requests(name)))
 	}
@@ -77,7 +77,7 @@
 		return err
 	}
 	if entry != nil && core.EqualJSON(previous, next) {
-		pm.core.Reply(c.Req, 200, pm.view(next, revision), 0) // nothing changes: a retry, perhaps
+		pm.core.Reply(c.Req, 200, pm.view(next, revision), 0) // no change, for instance a retry
 		return nil
 	}
 	if err := core.CheckRevision(request.Revision, revision, "the pool"); err != nil {
@@ -85,7 +85,7 @@
 	}
 	if c.What == "pool-remove" {
 		if held, waiting := pm.PoolHeldTotal(name), len(pm.requests(name)); held > 0 || waiting > 0 {
-			return &tenant.Error{Status: 409, Field: "name", Reason: fmt.Sprintf("%d units of %s are held, and %d jobs wait for it: freeze it, or cancel them", held, name, waiting)}
+			return &tenant.Error{Status: 409, Field: "name", Reason: fmt.Sprintf("%d units of %s are held and %d jobs wait for the pool: freeze the pool or cancel the jobs", held, name, waiting)}
 		}
 	}
 	data, err := json.Marshal(next)
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// applyChange is a pool after a request, with its shares as they were.
+// applyChange returns a pool after a request, with unchanged shares.
 func applyChange(c message.AdminRequest, p pool.Pool, request ChangeRequest) pool.Pool {
 	if c.What == "pool-remove" {
 		p.State = pool.Removed
@@ -117,7 +117,7 @@
 	return p
 }
 
-// checkPool refuses a pool that is not valid, or names teams or tenants that do not exist.
+// checkPool returns an error if a pool is invalid or names teams or tenants that do not exist.
 func (pm *Manager) checkPool(p pool.Pool) error {
 	if err := p.Validate(len(pm.core.State.Partitions)); err != nil {
 		return err
--- a/controller/pools/allocation.go
+++ b/controller/pools/allocation.go
@@ -1,7 +1,7 @@
 package pools
 
-// This file decides what a round may hand out, and says why a job may not ask for units or waits
-// for them.
+// This file decides how many units a round may allocate, and explains why a job may not request units
+// or has to wait for them.
 
 import (
 	"fmt"
@@ -13,9 +13,9 @@
 	"basaltwall/tenant"
 )
 
-// AllocatePoolUnits is what a partition may hand out of the pools that jobs need, and the jobs
-// that may ask for it: those that come after one that reserves what it lacks are left out. Of
-// more pools than a round may name some are looked at by turns.
+// AllocatePoolUnits returns the number of units of each required pool that a partition may allocate,
+// and the jobs that may request them. Jobs that come after one that reserves units are excluded. If
+// the jobs need more than core.MaxRoundPools pools, the round considers some of them in rotation.
 func (pm *Manager) AllocatePoolUnits(owned *core.OwnedPartition, jobs []*core.Job) (map[api.PoolName]int, []*core.Job) {
 	names := roundPools(owned, jobs)
 	if len(names) == 0 {
@@ -33,7 +33,7 @@
 	return available, slices.DeleteFunc(jobs, func(j *core.Job) bool { return blocked[j] })
 }
 
-// roundPools are the pools that jobs need, as many as a round may name, by turns.
+// roundPools returns the pools that jobs need, at most core.MaxRoundPools of them in rotation.
 func roundPools(owned *core.OwnedPartition, jobs []*core.Job) []api.PoolName {
 	var names []api.PoolName
 	for _, j := range jobs {
@@ -52,8 +52,8 @@
 	return names
 }
 
-// blockBehindReservation adds to blocked the jobs that come after the first one that reserves
-// units of a pool and has the free capacity to use them.
+// blockBehindReservation adds to blocked the jobs that come after the first one that reserves units
+// of a pool and has free capacity to start.
 func (pm *Manager) blockBehindReservation(name api.PoolName, blocked map[*core.Job]bool) {
 	var reserving *core.Job
 	checksLeft := maxCapacityChecks
@@ -70,7 +70,7 @@
 	}
 }
 
-// CheckPoolNeeds says why a job may not ask for what it needs of pools, or nothing.
+// CheckPoolNeeds returns the reason why a job may not request its units of pools; it is empty if it may.
 func (pm *Manager) CheckPoolNeeds(s *api.JobSpec, name tenant.Name) string {
 	for _, need := range s.Needs {
 		entry, units := pm.entry(need.Pool), need.Units(s.GangSize(), false)
@@ -78,13 +78,13 @@
 		case entry == nil || entry.State == pool.Removed || !entry.Allows(s.Team, name):
 			return fmt.Sprintf("gettoni.nome: no pool %q", need.Pool)
 		case units > entry.Largest:
-			return fmt.Sprintf("gettoni: %d units of %s at once, of which there are never more than %d", units, need.Pool, entry.Largest)
+			return fmt.Sprintf("gettoni: %d units of %s are needed at once, but the pool never has more than %d", units, need.Pool, entry.Largest)
 		}
 	}
 	return ""
 }
 
-// FreePoolUnits is what may still be handed out of the pools in all partitions together.
+// FreePoolUnits returns the number of free units of each active pool in all partitions together.
 func (pm *Manager) FreePoolUnits() map[api.PoolName]int {
 	if pm.Count() == 0 {
 		return nil
@@ -98,23 +98,24 @@
 	return free
 }
 
-// PendingReasonPool says which pool keeps a job from starting in a partition, or nothing.
+// PendingReasonPool names the pool that keeps a job from starting in a partition; it is empty if none
+// does.
 func (pm *Manager) PendingReasonPool(j *core.Job, p api.PartitionID) string {
 	for _, need := range j.Spec.Needs {
 		entry := pm.entry(need.Pool)
 		if entry == nil {
-			return fmt.Sprintf("pool %s: there is none", need.Pool)
+			return fmt.Sprintf("pool %s does not exist", need.Pool)
 		}
 		units, held := need.Units(j.Spec.GangSize(), j.LiveCount() > 0), pm.heldByPartition(need.Pool)
 		switch {
 		case !pm.isCurrent(entry):
-			return fmt.Sprintf("pool %s: its record is not understood", need.Pool)
+			return fmt.Sprintf("pool %s: the latest record could not be decoded", need.Pool)
 		case entry.State != pool.Active:
 			return fmt.Sprintf("pool %s is %s", need.Pool, entry.State)
 		case units > entry.Size:
-			return fmt.Sprintf("pool %s has %d units, fewer than the %d that are needed at once", need.Pool, entry.Size, units)
+			return fmt.Sprintf("pool %s has %d units, but %d are needed at once", need.Pool, entry.Size, units)
 		case units > entry.Available(p, held):
-			return fmt.Sprintf("pool %s: %d of %d units are held, %d are needed, %d are to be had here", need.Pool, pm.PoolHeldTotal(need.Pool), entry.Size, units, entry.Available(p, held))
+			return fmt.Sprintf("pool %s: %d of %d units are held, %d are needed, %d are available in this partition", need.Pool, pm.PoolHeldTotal(need.Pool), entry.Size, units, entry.Available(p, held))
 		}
 	}
 	return ""
--- a/controller/pools/manager.go
+++ b/controller/pools/manager.go
@@ -1,7 +1,7 @@
-// Package pools manages pools of counted resources, such as licences, of which the partitions of
-// a hosted service hold shares. A Manager owns the table of the pools' records, as far as this
-// controller has read them, and which share moves it is writing. What is held of a pool is
-// part of the cluster state and of the rounds that start tasks; see docs/pools.md.
+// Package pools manages pools of counted resources, such as licences, that are divided into shares by
+// partition. A Manager owns the replica of the pools' records and the set of share changes in flight.
+// The held units are part of the cluster state, and rounds change them when they start tasks; see
+// docs/pools.md.
 package pools
 
 import (
@@ -16,21 +16,21 @@
 	"basaltwall/tenant"
 )
 
-// reconcileInterval is how often the pools' shares are looked at.
+// reconcileInterval is the minimum interval between reconciliations of pool shares.
 const reconcileInterval = time.Second
 
-// Manager shares counted resources among partitions.
+// Manager divides counted resources among partitions.
 type Manager struct {
 	core     *core.Core
 	siblings Siblings
 
-	table        *pool.Table // nil where the service is not hosted
+	table        *pool.Table // nil if the service is not hosted
 	reconciledAt api.Time
-	shareWrites  map[api.PoolName]bool // pools whose shares are being written
+	shareWrites  map[api.PoolName]bool // pools with a write of shares in flight
 	shareMoves   uint64
 }
 
-// Siblings are the other components that a Manager asks.
+// Siblings are the other components that a Manager calls.
 type Siblings struct {
 	Backfiller Backfiller
 	Capacity   Capacity
@@ -40,34 +40,34 @@
 	Tenancy    Tenancy
 }
 
-// Backfiller is what a Manager needs to know of jobs that have waited for long.
+// Backfiller is what a Manager needs of the backfiller.
 type Backfiller interface {
 	WaitStage(*core.Job, api.PartitionID) sched.AgingStage
 }
 
-// Capacity is what a Manager needs to know of the machines' free capacity.
+// Capacity is what a Manager needs of the capacity counts.
 type Capacity interface {
-	// FreeSlotsByPartition is how many tasks of a job each partition's machines could start.
+	// FreeSlotsByPartition returns the number of a job's tasks that each partition has free
+	// capacity for.
 	FreeSlotsByPartition(*api.JobSpec) []int
 }
 
-// Follower is what a Manager needs of the log's follower.
+// Follower is what a Manager needs of the log follower.
 type Follower interface {
 	LinearizableRead(onRead, onFailure func())
 }
 
-// Priorities is what a Manager needs to know of the order among jobs.
+// Priorities is what a Manager needs of the priority rules.
 type Priorities interface {
 	EffectivePriority(*api.JobSpec) float64
 }
 
-// Scheduler is what a Manager needs to preempt tasks.
+// Scheduler is what a Manager needs of the scheduler to preempt tasks.
 type Scheduler interface {
 	StopTask(*core.Placement)
 }
 
-// Tenancy is what a Manager needs of the tenants whose work uses pools, and of the operators who
-// change them.
+// Tenancy is what a Manager needs of the tenant service.
 type Tenancy interface {
 	StartsBlocked(*core.Job) bool
 	HasTenant(tenant.Name) bool
@@ -75,14 +75,14 @@
 	CommitChange(c message.AdminRequest, txn api.Txn, what string, view func(api.Revision) any)
 }
 
-// New returns a Manager that knows no pool; Connect completes it.
+// New returns a Manager without pools; Connect must be called before any other method.
 func New(k *core.Core) *Manager { return &Manager{core: k} }
 
-// Connect names the components that the Manager asks.
+// Connect sets the components that the Manager calls.
 func (pm *Manager) Connect(siblings Siblings) { pm.siblings = siblings }
 
-// RecordKinds are the kinds of records that the Manager keeps: the pools', if the service is
-// hosted. It forgets all pools, as the records are read anew.
+// RecordKinds returns the kinds of records that the Manager replicates: pools, if the service is
+// hosted. It resets the replica for a new load.
 func (pm *Manager) RecordKinds() []clusterstate.RecordKind {
 	if pm.core.Config.Hosted == nil {
 		return nil
@@ -91,10 +91,10 @@
 	return []clusterstate.RecordKind{{Prefix: core.KeyPool, Put: pm.table.Put}}
 }
 
-// Table is the pools' records, nil where the service is not hosted.
+// Table returns the pools' records, nil if the service is not hosted.
 func (pm *Manager) Table() *pool.Table { return pm.table }
 
-// Count is how many pools there are.
+// Count returns the number of pools.
 func (pm *Manager) Count() int {
 	if pm.table == nil {
 		return 0
@@ -102,16 +102,16 @@
 	return pm.table.Len()
 }
 
-// Names are the pools' names, in order. The service must be hosted.
+// Names returns the names of the pools in order. The service must be hosted.
 func (pm *Manager) Names() []api.PoolName { return pm.table.Names() }
 
-// Size is how many units a pool has, which must exist.
+// Size returns the number of units of a pool, which must exist.
 func (pm *Manager) Size(name api.PoolName) int { return pm.table.Get(name).Size }
 
-// ShareMoves is how often this process has moved shares of pools between partitions.
+// ShareMoves returns the number of changes of pool shares that this process has written.
 func (pm *Manager) ShareMoves() uint64 { return pm.shareMoves }
 
-// entry is a pool's record, nil if there is none.
+// entry returns a pool's record, nil if there is none.
 func (pm *Manager) entry(name api.PoolName) *pool.Entry {
 	if pm.table == nil {
 		return nil
@@ -119,13 +119,13 @@
 	return pm.table.Get(name)
 }
 
-// isCurrent reports whether what is known of a pool is its latest record. Where that could
-// not be read the one before is kept, under which nothing may be handed out any more.
+// isCurrent reports whether the replica has the latest record of a pool. If the latest record could
+// not be decoded, the replica keeps the previous one, and no units may be allocated.
 func (pm *Manager) isCurrent(entry *pool.Entry) bool {
 	return entry.Revision == pm.core.State.Version(core.KeyPool+string(entry.Name))
 }
 
-// heldByPartition is what each partition holds of a pool by the cluster state.
+// heldByPartition returns the units of a pool that each partition holds in the cluster state.
 func (pm *Manager) heldByPartition(name api.PoolName) []int {
 	held := make([]int, len(pm.core.State.Partitions))
 	for i := range pm.core.State.Partitions {
@@ -134,7 +134,7 @@
 	return held
 }
 
-// heldByTeam is what each team holds of a pool that guarantees units to some, nil of others.
+// heldByTeam returns the units of a pool that each team holds, nil if the pool has no guarantees.
 func (pm *Manager) heldByTeam(entry *pool.Entry) map[api.Team]int {
 	if entry == nil || len(entry.Guaranteed) == 0 {
 		return nil
@@ -148,7 +148,7 @@
 	return held
 }
 
-// PoolHeldTotal is what all partitions together hold of a pool by the cluster state.
+// PoolHeldTotal returns the units of a pool that all partitions together hold in the cluster state.
 func (pm *Manager) PoolHeldTotal(name api.PoolName) int {
 	sum := 0
 	for i := range pm.core.State.Partitions {
--- a/controller/pools/manager_test.go
+++ b/controller/pools/manager_test.go
@@ -14,8 +14,8 @@
 	"basaltwall/tenant"
 )
 
-// newTestManager is the manager of a controller that owns partition 0, with pool routing of so
-// many units, and a job whose tasks need a unit of it each.
+// newTestManager returns the Manager of a controller that owns partition 0, with a pool "routing" of
+// the given size and a job that needs one unit of it for each task.
 func newTestManager(t testing.TB, size int) (*Manager, *core.OwnedPartition, *core.Job) {
 	t.Helper()
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
@@ -50,7 +50,7 @@
 	}
 }
 
-// Jobs that need no pool cost a round nothing for there being some.
+// Pools add no cost to a round of jobs that need none.
 func TestJobsWithoutPoolsAllocateNothing(t *testing.T) {
 	pm, owned, j := newTestManager(t, 3)
 	j.Spec.Needs = nil
@@ -60,8 +60,7 @@
 	}
 }
 
-// Who may not use a pool learns nothing of it: the answer is that of a pool which is not
-// there.
+// A tenant that may not use a pool gets the same answer as for a pool that does not exist.
 func TestPoolAccess(t *testing.T) {
 	pm, _, j := newTestManager(t, 3)
 	entry := pm.Table().Get("routing")
@@ -70,14 +69,14 @@
 	other := *j.Spec
 	other.Needs = []api.PoolRequest{{Pool: "nothing", Task: 1}}
 	if strings.ReplaceAll(pm.CheckPoolNeeds(&other, "kipper"), "nothing", "routing") != refusal || refusal == "" {
-		t.Errorf("%q, and of a pool that is not there %q", refusal, pm.CheckPoolNeeds(&other, "kipper"))
+		t.Errorf("%q, but %q for a pool that does not exist", refusal, pm.CheckPoolNeeds(&other, "kipper"))
 	}
 	if reason := pm.CheckPoolNeeds(j.Spec, "lopresti"); reason != "" {
-		t.Errorf("who may use it is refused: %s", reason)
+		t.Errorf("an allowed tenant is refused: %s", reason)
 	}
 	tooMany := *j.Spec
 	tooMany.Needs = []api.PoolRequest{{Pool: "routing", Task: 4}}
-	if reason := pm.CheckPoolNeeds(&tooMany, "lopresti"); !strings.Contains(reason, "never more than 3") {
+	if reason := pm.CheckPoolNeeds(&tooMany, "lopresti"); !strings.Contains(reason, "never has more than 3") {
 		t.Errorf("4 of 3 units: %q", reason)
 	}
 }
--- a/controller/pools/preemption.go
+++ b/controller/pools/preemption.go
@@ -13,23 +13,23 @@
 	"basaltwall/sched"
 )
 
-// holding is what gives back units of a pool together: a task, or all tasks of a gang or of a job
-// that holds units for itself.
+// holding is the smallest set of tasks that releases units of a pool when it is preempted: one task,
+// or all tasks of a gang or of a job that holds units as a whole.
 type holding struct {
 	job        *core.Job
 	placements []*core.Placement
 	units      int
 }
 
-// isGang reports whether a holding is a gang's, whose tasks all lose their work together.
+// isGang reports whether a holding is a gang.
 func (h *holding) isGang() bool { return h.job.Spec.Kind == api.Gang }
 
-// holdings lists what holds units of a pool in the order in which it is preempted: the least
-// urgent first, of those gangs last, since they lose all their tasks' work, and then the
-// newest. Each owner finds the same by its cluster state.
+// holdings lists the holdings of a pool in the order of preemption: the least urgent first, among
+// equally urgent ones gangs last, as all of their tasks lose their work, and then the newest first.
+// Owners with the same cluster state get the same list.
 func (pm *Manager) holdings(name api.PoolName) []holding {
 	var all []holding
-	indexOf := map[*core.Job]int{} // of holdings of several tasks
+	indexOf := map[*core.Job]int{} // index in all of holdings with several tasks
 	for p := range pm.core.State.Partitions {
 		for placement := range pm.core.State.PlacementsByPartition[p] {
 			j := placement.Job
@@ -54,7 +54,7 @@
 	return all
 }
 
-// compareHoldings orders holdings as they are preempted.
+// compareHoldings orders holdings, the first to be preempted first.
 func (pm *Manager) compareHoldings(a, b holding) int {
 	return cmp.Or(sched.Descending(pm.siblings.Priorities.EffectivePriority(b.job.Spec), pm.siblings.Priorities.EffectivePriority(a.job.Spec)),
 		core.BoolToInt(a.isGang())-core.BoolToInt(b.isGang()),
@@ -63,11 +63,10 @@
 		b.placements[0].Task.Index-a.placements[0].Task.Index)
 }
 
-// preemptHolders stops work that holds units of a pool. Of a pool of which more is held than there
-// is it stops what is too much, if its operators say so. For urgent work that lacks units
-// only it stops less urgent work, gangs aside, as for want of machines. Each owner stops
-// what is its own; what has been asked to stop counts as held until it has ended, so no more
-// is stopped than it takes.
+// preemptHolders preempts tasks that hold units of a pool, in two cases. If more units are held than
+// the pool has, and the pool is set to reclaim them, it preempts the excess. If an urgent job lacks
+// only units, it preempts less urgent tasks, except gangs. Each owner stops the tasks in its own
+// partitions. Tasks that are stopping still count as held, so that no more than needed are preempted.
 func (pm *Manager) preemptHolders(entry *pool.Entry, requests []request) {
 	if !pm.isCurrent(entry) || entry.State == pool.Removed {
 		return
@@ -98,7 +97,7 @@
 	}
 }
 
-// preempt stops the tasks of a holding that this controller owns.
+// preempt stops the tasks of a holding in partitions that this controller owns.
 func (pm *Manager) preempt(name api.PoolName, h holding) {
 	for _, placement := range h.placements {
 		if pm.core.Partitions[placement.Partition] != nil && !placement.OwnerState.StopRequested {
@@ -109,8 +108,8 @@
 	}
 }
 
-// urgentRequest is the first urgent work that waits for a pool and has free capacity to start, nil
-// if there is none.
+// urgentRequest returns the first request of an urgent job that has free capacity to start, nil if
+// there is none.
 func (pm *Manager) urgentRequest(entry *pool.Entry, requests []request) *request {
 	if entry.State != pool.Active {
 		return nil
--- a/controller/pools/requests.go
+++ b/controller/pools/requests.go
@@ -1,6 +1,6 @@
 package pools
 
-// This file lists the jobs that wait for units, in the order in which they are served.
+// This file lists the jobs that wait for units of pools, in the order of allocation.
 
 import (
 	"cmp"
@@ -17,14 +17,14 @@
 type request struct {
 	job       *core.Job
 	partition api.PartitionID
-	entitled  bool // within what its team is guaranteed
+	entitled  bool // within the guarantee of its team
 	demand    pool.Demand
 }
 
-// requests lists who waits for a pool, in the order in which they are served: by priority,
-// then who is within its team's guarantee, then by age. Work that may not start anyway is
-// not among them. Who is urgent or entitled reserves what comes free, and others do by
-// turns if they need several units at once.
+// requests lists the requests for a pool in the order of allocation: by priority, then those within
+// their team's guarantee, then by age. It excludes jobs that may not start for another reason.
+// Urgent, entitled and aged requests reserve released units; a request for several units at once
+// reserves them in alternate intervals.
 func (pm *Manager) requests(name api.PoolName) []request {
 	var out []request
 	entry := pm.entry(name)
@@ -35,8 +35,8 @@
 			continue
 		}
 		for p := range pm.core.State.Partitions {
-			if waiting := j.PendingTasks(api.PartitionID(p)); waiting > 0 {
-				out = append(out, pm.newRequest(entry, held, j, need, api.PartitionID(p), waiting))
+			if pendingTasks := j.PendingTasks(api.PartitionID(p)); pendingTasks > 0 {
+				out = append(out, pm.newRequest(entry, held, j, need, api.PartitionID(p), pendingTasks))
 			}
 		}
 	}
@@ -44,10 +44,10 @@
 	return out
 }
 
-// newRequest is the request of a job of which so many tasks wait in a partition; held is what
-// each team holds of the pool, nil if it guarantees nothing.
-func (pm *Manager) newRequest(entry *pool.Entry, held map[api.Team]int, j *core.Job, need api.PoolRequest, partition api.PartitionID, waiting int) request {
-	demand := pool.Demand{Partition: partition, Units: need.Units(1, j.LiveCount() > 0), Starts: waiting}
+// newRequest returns the request of a job with a number of pending tasks in a partition. held is the
+// number of units by team, nil if the pool has no guarantees.
+func (pm *Manager) newRequest(entry *pool.Entry, held map[api.Team]int, j *core.Job, need api.PoolRequest, partition api.PartitionID, pendingTasks int) request {
+	demand := pool.Demand{Partition: partition, Units: need.Units(1, j.LiveCount() > 0), Starts: pendingTasks}
 	if j.Spec.Kind == api.Gang {
 		demand.Units, demand.Starts = need.Units(j.Spec.Tasks, false), 1
 	}
@@ -60,7 +60,7 @@
 	return request{job: j, partition: partition, entitled: entitled, demand: demand}
 }
 
-// compareRequests orders requests as they are served.
+// compareRequests orders requests, the first to be served first.
 func (pm *Manager) compareRequests(a, b request) int {
 	return cmp.Or(core.BoolToInt(pm.isAgedAboveAll(b))-core.BoolToInt(pm.isAgedAboveAll(a)),
 		sched.Descending(pm.siblings.Priorities.EffectivePriority(a.job.Spec), pm.siblings.Priorities.EffectivePriority(b.job.Spec)),
@@ -70,19 +70,20 @@
 		int(a.partition-b.partition))
 }
 
-// isAgedAboveAll reports whether a request has waited for so long that it goes before all others.
+// isAgedAboveAll reports whether a request has aged so far that it precedes all others.
 func (pm *Manager) isAgedAboveAll(r request) bool {
 	return pm.siblings.Backfiller.WaitStage(r.job, r.partition) == sched.AgedAboveAll
 }
 
-// hasCapacityFor reports whether work that asks for units could start in its partition. Work that
-// moves whole, or preempts others, needs its units first.
+// hasCapacityFor reports whether a requesting job has free capacity in its partition. It is always
+// true for jobs that need a single partition: they need their units before they can be moved or
+// preempt others.
 func (pm *Manager) hasCapacityFor(r request) bool {
 	return r.job.Spec.NeedsSinglePartition() || pm.siblings.Capacity.FreeSlotsByPartition(r.job.Spec)[r.partition] > 0
 }
 
-// PoolBacklog is how many units of a pool are waited for, and for how many seconds the oldest
-// of who waits has been there.
+// PoolBacklog returns the number of requested units of a pool, and the age in seconds of the oldest
+// job that requests them.
 func (pm *Manager) PoolBacklog(name api.PoolName) (units int, oldest float64) {
 	for _, r := range pm.requests(name) {
 		units += r.demand.Units * r.demand.Starts
--- a/controller/pools/shares.go
+++ b/controller/pools/shares.go
@@ -12,8 +12,9 @@
 	"basaltwall/pool"
 )
 
-// ReconcilePools moves shares of pools to where they are asked for. Of each pool the owner of
-// one partition does; whoever does, nothing goes wrong.
+// ReconcilePools preempts holders of units where needed, and moves shares of pools to the partitions
+// that request units. For each pool, the owner of one partition moves the shares; a concurrent write
+// by another controller is safe.
 func (pm *Manager) ReconcilePools() {
 	if pm.table.Len() == 0 || pm.core.Now.Sub(pm.reconciledAt) < reconcileInterval || pm.core.Overloaded() {
 		return
@@ -30,7 +31,7 @@
 	}
 }
 
-// moveShares writes a pool's shares anew where that satisfies more of the demand for its units.
+// moveShares reallocates a pool's shares if that satisfies more of the demand.
 func (pm *Manager) moveShares(owned *core.OwnedPartition, entry *pool.Entry, requests []request) {
 	demands := pm.preferPlaceable(requests)
 	if len(demands) == 0 {
@@ -44,7 +45,7 @@
 	}
 	data, err := json.Marshal(next)
 	if err != nil {
-		slog.Error("pool shares not encoded", "pool", name, "err", err)
+		slog.Error("pool shares could not be encoded", "pool", name, "err", err)
 		return
 	}
 	pm.shareWrites[name] = true
@@ -59,13 +60,13 @@
 	})
 }
 
-// maxCapacityChecks bounds the jobs whose free capacity is looked for when a pool's units are
-// handed out or its shares moved.
+// maxCapacityChecks bounds the jobs whose free capacity is computed when units of a pool are allocated
+// or its shares are moved.
 const maxCapacityChecks = 64
 
-// preferPlaceable puts the demands of jobs whose tasks find free capacity before the others: units
-// in a partition without machines help nobody, while the same work waits elsewhere beside free
-// machines. Work that moves whole, or preempts others, needs its units first.
+// preferPlaceable returns the demands with those of tasks that have free capacity first, as units are
+// useless in a partition without free capacity. Jobs that need a single partition count as placeable:
+// they need their units before they can be moved or preempt others.
 func (pm *Manager) preferPlaceable(requests []request) []pool.Demand {
 	var placeable, rest []pool.Demand
 	freeSlots := map[*core.Job][]int{}
--- a/controller/pools/views.go
+++ b/controller/pools/views.go
@@ -11,11 +11,11 @@
 )
 
 type (
-	// View is a pool and what is held of it.
+	// View is a pool with its held and free units.
 	View struct {
 		pool.Pool
 		Held         []int        `json:"held"` // by partition
-		Free         []int        `json:"free"` // that each partition may hand out
+		Free         []int        `json:"free"` // available for allocation, by partition
 		WaitingUnits int          `json:"waiting_units"`
 		OldestWait   float64      `json:"oldest_wait_s"`
 		Revision     api.Revision `json:"revision"`
@@ -25,17 +25,17 @@
 	HolderView struct {
 		Job    api.JobID `json:"job"`
 		Tenant string    `json:"tenant,omitempty"`
-		Ref    api.JobID `json:"ref,omitempty"` // as the tenant chose it
+		Ref    api.JobID `json:"ref,omitempty"` // the id that the tenant chose
 		Team   api.Team  `json:"team"`
 		Units  int       `json:"units"`
 		Tasks  int       `json:"tasks"`
 	}
 )
 
-// maxHolders bounds the jobs that a pool's view names.
+// maxHolders bounds the number of holders in a pool's view.
 const maxHolders = 200
 
-// view is a pool under a revision, without the jobs that hold its units.
+// view returns the view of a pool at a revision, without its holders.
 func (pm *Manager) view(p pool.Pool, revision api.Revision) View {
 	v := View{Pool: p, Held: pm.heldByPartition(p.Name), Revision: revision}
 	for partition := range v.Held {
@@ -45,7 +45,7 @@
 	return v
 }
 
-// holders lists the jobs that hold units of a pool, those that hold most first.
+// holders lists the jobs that hold units of a pool, the largest holders first.
 func (pm *Manager) holders(name api.PoolName) []HolderView {
 	out := []HolderView{}
 	for _, j := range pm.core.State.Jobs {
--- a/server/hosted_test.go
+++ b/server/hosted_test.go
@@ -181,7 +181,7 @@
 // useAndRemovePool has kipper run a job that takes units of a pool, and removes the pool.
 func (h *hostedService) useAndRemovePool(t *testing.T) {
 	t.Helper()
-	h.expect("more units than there may be", 422, "never more than 2")(h.call(0, h.keys["kipper"], "POST", api.PathJobs, licensedJob("run-8", 3)))
+	h.expect("more units than there may be", 422, "never has more than 2")(h.call(0, h.keys["kipper"], "POST", api.PathJobs, licensedJob("run-8", 3)))
 	h.expect("units of no pool of its", 422, "no pool")(h.call(0, h.keys["lopresti"], "POST", api.PathJobs, strings.Replace(licensedJob("run-8", 1), `"red"`, `"blue"`, 1)))
 	h.expect("half a unit", 400, "gettoni")(h.call(0, h.keys["kipper"], "POST", api.PathJobs, strings.Replace(licensedJob("run-8", 1), `"a_pezzo":1`, `"a_pezzo":0.5`, 1)))
 	eventually(t, "a job that takes units accepted", func() bool {
