--- a/controller/reservations/load.go
+++ b/controller/reservations/load.go
@@ -1,6 +1,6 @@
 package reservations
 
-// This file reads the whole ledger into a new replica.
+// This file loads the whole ledger into a new replica.
 
 import (
 	"fmt"
@@ -15,15 +15,15 @@
 	"basaltwall/reservation"
 )
 
-// loadFailurePause is how long after records that make no ledger they are read again.
+// loadFailurePause is the delay before a new load if the records could not be decoded.
 const loadFailurePause = time.Second
 
-// valueReserveBytes is what of a value's size the ledger leaves, for what a record has besides its blocks.
+// valueReserveBytes is the part of the maximum value size that is reserved for a record's data other than blocks.
 const valueReserveBytes = 512
 
-// load goes on with reading the ledger, or begins with it.
+// load resumes or starts the load of the ledger.
 func (s *Service) load() {
-	s.busy = true
+	s.readInFlight = true
 	if s.resumeLoad != nil {
 		s.resumeLoad()
 		return
@@ -32,13 +32,13 @@
 	s.loadPage("", 0)
 }
 
-// resumeAfter has the reading go on after a pause; without next from the beginning.
+// resumeAfter schedules the next step of the load after a pause; the load restarts if next is nil.
 func (s *Service) resumeAfter(pause time.Duration, next func()) {
-	s.busy, s.resumeLoad, s.nextReadAt = false, next, s.core.Now.Add(pause)
+	s.readInFlight, s.resumeLoad, s.nextReadAt = false, next, s.core.Now.Add(pause)
 }
 
-// loadPage reads all of the ledger, page by page, then what changed since the first page's revision, from: pages
-// are of different revisions.
+// loadPage reads a page of the ledger and the following ones, then the changes since revision from, that of the
+// first page, because the pages are of different revisions.
 func (s *Service) loadPage(start string, from api.Revision) {
 	s.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: reservation.Root, After: start}}, func(a message.StoreResponse) {
 		if a.Status != 200 {
@@ -57,10 +57,10 @@
 	})
 }
 
-// finishLoad reads what changed while the pages were read, and installs the replica.
+// finishLoad reads the changes since the first page, and installs the replica.
 func (s *Service) finishLoad(from api.Revision) {
 	s.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: from, Prefix: reservation.Root}}, func(a message.StoreResponse) {
-		if a.Status == 410 { // the pages took too long
+		if a.Status == 410 { // the log no longer holds the revision of the first page
 			s.resumeAfter(core.RetryDelay, nil)
 			return
 		}
@@ -81,7 +81,7 @@
 	})
 }
 
-// latestPairs are the pairs as the changes leave them, in the order of their keys.
+// latestPairs returns the loaded pairs with the changes applied, sorted by key.
 func latestPairs(loaded []api.KeyValue, changes []api.Change) []api.KeyValue {
 	latest := map[string]api.KeyValue{}
 	for _, pair := range loaded {
@@ -99,7 +99,7 @@
 	return pairs
 }
 
-// newReplica is an empty ledger for this incarnation of the controller.
+// newReplica returns an empty ledger for this incarnation of the controller.
 func (s *Service) newReplica() *reservation.Ledger {
 	limits := s.core.Config.Deployment.State
 	writer := fmt.Sprintf("%s-%d", s.core.Config.Label, s.core.Incarnation)
--- a/controller/reservations/parse.go
+++ b/controller/reservations/parse.go
@@ -1,6 +1,6 @@
 package reservations
 
-// This file reads changes of reservations from the bodies of requests.
+// This file parses and validates requests that change reservations.
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	"basaltwall/tenant"
 )
 
-// Bounds of what may be asked.
+// Bounds of requests.
 const (
 	maxTextBytes        = 40
 	maxBookingDays      = 400
@@ -23,7 +23,7 @@
 	maxOfferSeconds     = 3600.0
 )
 
-// operationTypes are the changes by the last word of their path.
+// operationTypes maps the last element of a request's path to the type of operation.
 var operationTypes = map[string]reservation.OpType{
 	"offer":   reservation.OpOffer,
 	"promise": reservation.OpPromise,
@@ -35,7 +35,7 @@
 	"import":  reservation.OpAdd,
 }
 
-// RequestBody is what a change brings; its JSON names are the wire.
+// RequestBody is the body of a request that changes a reservation. Its JSON names are the wire format.
 type RequestBody struct {
 	Name   reservation.IdempotencyKey `json:"name"`
 	Skip   reservation.SkipID         `json:"skip"`
@@ -48,21 +48,21 @@
 	Skips  []importedSkip             `json:"skips"`
 }
 
-// importedSkip is a skip that is added to a depot.
+// importedSkip is a skip to add to a depot.
 type importedSkip struct {
 	Skip reservation.SkipID `json:"skip"`
 	Kind reservation.Kind   `json:"kind"`
 }
 
-// invalidField refuses a request for what one of its fields holds.
+// invalidField returns the refusal of a request with an invalid field.
 func invalidField(field, reason string) error {
 	return &tenant.Error{Status: 400, Field: field, Reason: reason}
 }
 
-// checkText refuses a text that is empty, too long or not printable.
+// checkText returns an error if a text is empty, too long or not printable.
 func checkText(field, text string) error {
 	if text == "" || len(text) > maxTextBytes || !utf8.ValidString(text) {
-		return invalidField(field, fmt.Sprintf("must be given, and %d bytes at most", maxTextBytes))
+		return invalidField(field, fmt.Sprintf("must be valid UTF-8 text of 1 to %d bytes", maxTextBytes))
 	}
 	for _, r := range text {
 		if !unicode.IsPrint(r) {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// parseRequest reads a change; the error is a *tenant.Error that names the field.
+// parseRequest parses a request; the error is a *tenant.Error that names the field.
 func parseRequest(c message.AdminRequest) (*reservation.Request, error) {
 	var body RequestBody
 	if err := core.DecodeRequest(c.Body, &body); err != nil {
@@ -89,7 +89,7 @@
 	return request, nil
 }
 
-// parseOperation checks what a change of the request's type needs, and completes the request.
+// parseOperation validates the fields that the type of operation requires, and completes the request.
 func parseOperation(request *reservation.Request, body *RequestBody) error {
 	switch request.Type {
 	case reservation.OpAdd:
@@ -99,7 +99,7 @@
 			return err
 		}
 		if body.Site != "" || body.Number != 0 {
-			return invalidField("site", "an offer is for no site and of no number yet")
+			return invalidField("site", "an offer must not name a site or a number")
 		}
 		return parseBooking(request, body)
 	case reservation.OpPromise:
@@ -112,7 +112,7 @@
 		if body.Number == 0 {
 			return parseBooking(request, body)
 		}
-		return checkText("skip", string(body.Skip)) // it was offered
+		return checkText("skip", string(body.Skip)) // promises an existing offer
 	case reservation.OpOutOfService, reservation.OpInService:
 		return checkText("skip", string(body.Skip))
 	default:
@@ -120,10 +120,10 @@
 	}
 }
 
-// parseImport reads the skips that are added to a depot.
+// parseImport parses the skips to add to a depot.
 func parseImport(request *reservation.Request, skips []importedSkip) error {
 	if len(skips) == 0 || len(skips) > maxSkipsPerImport {
-		return invalidField("skips", fmt.Sprintf("1 to %d at a time", maxSkipsPerImport))
+		return invalidField("skips", fmt.Sprintf("must list 1 to %d skips", maxSkipsPerImport))
 	}
 	for i, s := range skips {
 		if err := checkText(fmt.Sprintf("skips[%d].skip", i), string(s.Skip)); err != nil {
@@ -137,18 +137,18 @@
 	return nil
 }
 
-// checkBookingChange checks a change of an offer or a promise that exists.
+// checkBookingChange validates a change of an existing offer or promise.
 func checkBookingChange(body *RequestBody) error {
 	if err := checkText("skip", string(body.Skip)); err != nil {
 		return err
 	}
 	if body.Number == 0 {
-		return invalidField("number", "must name the offer or promise that is changed")
+		return invalidField("number", "must name the offer or promise to change")
 	}
 	return nil
 }
 
-// parseBooking reads a new offer or promise: of a skip or of any of a kind, for some days.
+// parseBooking parses a new offer or promise of a given skip, or of any skip of a kind, for a range of days.
 func parseBooking(request *reservation.Request, body *RequestBody) error {
 	if (body.Skip == "") == (body.Kind == "") {
 		return invalidField("kind", "either a kind or a skip must be given")
@@ -164,7 +164,7 @@
 		return invalidField("to", err.Error())
 	}
 	if request.To <= request.From || request.To > request.From+maxBookingDays {
-		return invalidField("to", fmt.Sprintf("must be after from, by %d days at most", maxBookingDays))
+		return invalidField("to", fmt.Sprintf("must be 1 to %d days after from", maxBookingDays))
 	}
 	seconds := defaultOfferSeconds
 	if body.For != nil {
--- a/controller/reservations/parse_test.go
+++ b/controller/reservations/parse_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// A request that is refused names the field that is wrong, the first one where there are several.
+// The refusal of a request names the first invalid field.
 func TestParseRequestNamesTheField(t *testing.T) {
 	for _, test := range []struct{ operation, body, field string }{
 		{"offer", `{}`, "name"},
--- a/controller/reservations/request.go
+++ b/controller/reservations/request.go
@@ -1,6 +1,6 @@
 package reservations
 
-// This file answers requests, or passes them on to the controller that answers them best.
+// This file serves requests, or forwards them to a more suitable controller.
 
 import (
 	"encoding/json"
@@ -28,20 +28,20 @@
 		s.replyCounts(c)
 		return
 	}
-	s.whereReachable(c, func() { s.replySkips(c) })
+	s.serveOrForward(c, func() { s.replySkips(c) })
 }
 
-// handleChange has a change written. One controller writes for a depot in usual times, so that what is asked at
-// once shares a write. It may be any: the ledger's rules rest on the writes' conditions.
+// handleChange enqueues a change at the controller that preferably writes for the depot, so that concurrent
+// requests share a write. Any controller may write: the conditions of the writes enforce the ledger's rules.
 func (s *Service) handleChange(c message.AdminRequest, request *reservation.Request) {
-	s.whereReachable(c, func() {
-		s.forward(c, s.writerOf(request.Depot), func() { s.enqueue(c, request) })
+	s.serveOrForward(c, func() {
+		s.forward(c, s.preferredWriter(request.Depot), func() { s.enqueue(c, request) })
 	})
 }
 
-// whereReachable goes on here if the state service is reachable from here, and otherwise has another controller
-// answer.
-func (s *Service) whereReachable(c message.AdminRequest, proceed func()) {
+// serveOrForward calls proceed if this controller reaches the state service, and otherwise forwards the request to
+// a controller that does.
+func (s *Service) serveOrForward(c message.AdminRequest, proceed func()) {
 	if !s.core.StoreUnreachable() {
 		proceed()
 		return
@@ -53,9 +53,9 @@
 	s.core.ReplyError(c.Req, 503, "state service not reachable")
 }
 
-// writerOf is the controller that writes for a depot: the owner of its shard's partition, if that is another and
-// seems to live.
-func (s *Service) writerOf(depot reservation.Depot) []api.ControllerID {
+// preferredWriter returns the owner of the partition of a depot's shard, or none if the owner is this controller or
+// seems unreachable.
+func (s *Service) preferredWriter(depot reservation.Depot) []api.ControllerID {
 	owner := s.core.State.Partitions[s.shardOf(depot)].Owner
 	if owner == s.core.Config.Label || !s.core.IsLive(owner) || !s.siblings.Gossip.HeardRecently(owner) {
 		return nil
@@ -63,8 +63,8 @@
 	return []api.ControllerID{owner}
 }
 
-// forward has the first of some controllers answer a request. If there is none, if the request was passed on
-// already or if that controller has no answer, it goes on otherwise.
+// forward forwards a request to the first of the given controllers. It calls otherwise if there is none, if the
+// request was already forwarded, or if that controller does not answer.
 func (s *Service) forward(c message.AdminRequest, to []api.ControllerID, otherwise func()) {
 	body, err := json.Marshal(message.AdminRequest{What: c.What, ID: c.ID, Sub: c.Sub, After: c.After, Limit: c.Limit, Body: c.Body})
 	if c.Forwarded || len(to) == 0 || err != nil {
@@ -81,7 +81,7 @@
 	})
 }
 
-// enqueue has a change wait for the next write, or for the replica.
+// enqueue adds a change to the replica's pending requests, or to those that wait for the replica.
 func (s *Service) enqueue(c message.AdminRequest, request *reservation.Request) {
 	pending := &reservation.PendingRequest{
 		Request:   request,
@@ -95,7 +95,7 @@
 	s.replica.Enqueue(pending)
 }
 
-// ReplyResult answers a change with what became of it.
+// ReplyResult answers a change with its result.
 func (s *Service) ReplyResult(req message.ReqID, request *reservation.Request, result reservation.Result) {
 	switch result.Reason {
 	case "":
@@ -120,7 +120,7 @@
 	}
 }
 
-// replyCounts counts skips by what was last read.
+// replyCounts answers with the counts of skips in the replica, without a new read.
 func (s *Service) replyCounts(c message.AdminRequest) {
 	if s.replica == nil {
 		s.core.ReplyError(c.Req, 503, "the ledger of skips is being read")
@@ -133,7 +133,7 @@
 	s.core.Reply(c.Req, 200, v, 0)
 }
 
-// replySkips shows a page of a depot's skips, by a read that begins after the question came.
+// replySkips answers with a page of a depot's skips after a linearizable read.
 func (s *Service) replySkips(c message.AdminRequest) {
 	s.pendingReads = append(s.pendingReads, ReadWaiter{
 		OnRead: func() {
@@ -143,7 +143,7 @@
 	})
 }
 
-// viewSkips is a page of at most limit skips of a depot that come after one.
+// viewSkips returns a page of at most limit skips of a depot, from the first one after a skip.
 func (s *Service) viewSkips(depot reservation.Depot, after reservation.SkipID, limit int) SkipsView {
 	list, more := s.replica.Shard(s.shardOf(depot)).List(depot, after, limit)
 	v := SkipsView{Skips: []SkipView{}}
--- a/controller/reservations/service.go
+++ b/controller/reservations/service.go
@@ -1,7 +1,6 @@
-// Package reservations answers what is asked of the reservation ledger: which skip is offered or promised to
-// which site, for which days. It owns this controller's replica of the ledger (reservation.Ledger, which has the
-// rules), the requests that wait for it, and the budget of writes that it may use. Nothing is read before
-// somebody asks for a reservation. docs/skips.md gives the reasons.
+// Package reservations serves the reservation ledger: offers and promises of skips to sites for ranges of days. It
+// owns this controller's replica of the ledger (reservation.Ledger, which implements the rules), the pending
+// requests, and the write budget of the ledger. The ledger is not loaded before the first request. See docs/skips.md.
 package reservations
 
 import (
@@ -12,60 +11,61 @@
 	"basaltwall/reservation"
 )
 
-// What the ledger may use, so that scheduling never waits for it: core.LedgerWriteShare of the writes, which
-// submissions leave while it is used, and a read each Intervals.LookupInterval, a sixth of the requests.
+// Limits of the ledger's use of the state service, so that it does not delay scheduling: core.LedgerWriteShare of the
+// writes, and a read per Intervals.LookupInterval.
 const (
-	// activeWindow is how long after a write the ledger keeps its share of the writes.
+	// activeWindow is the time after a write for which the ledger retains its share of the writes.
 	activeWindow = 10 * time.Second
-	// requestTimeout is how long a request waits for its outcome: less than who asks does.
+	// requestTimeout bounds the wait of a request for its result; it is shorter than the client's timeout.
 	requestTimeout = 4 * time.Second
-	// maxReadAge is how old a read may be that an answer rests on: a controller that stood still since
-	// then has to read again.
+	// maxReadAge is the maximum duration of a read: a controller that was paused during a read has to
+	// repeat it.
 	maxReadAge = 2 * time.Second
-	// readInterval keeps a ledger that nobody asks for within what the log reaches back.
+	// readInterval is the maximum interval between reads, so that the log still holds the changes since
+	// the last one.
 	readInterval = 20 * time.Second
-	// cleanupInterval is how often the shards of owned partitions are looked at for what has expired.
+	// cleanupInterval is the interval between checks of the shards of owned partitions for expired entries.
 	cleanupInterval = 5 * time.Second
-	// sweepInterval is how often the archive is looked at for what has been kept for long enough.
+	// sweepInterval is the interval between sweeps of the archive for entries past their retention.
 	sweepInterval = 10 * time.Minute
 )
 
-// Service keeps the replica of the ledger and answers requests by it.
+// Service maintains the replica of the ledger and serves requests from it.
 type Service struct {
 	core     *core.Core
 	siblings Siblings
 
-	replica         *reservation.Ledger // nil: not read
-	requested       bool                // somebody asked for a reservation
-	loadedPairs     []api.KeyValue      // while it is being read
-	resumeLoad      func()              // goes on with that; nil: from the beginning
-	busy            bool                // a read is under way
-	nextReadAt      api.Time            // no read before
+	replica         *reservation.Ledger // nil if not loaded
+	requested       bool                // there was a request; the ledger is not loaded before
+	loadedPairs     []api.KeyValue      // pairs read by the load in progress
+	resumeLoad      func()              // next step of the load; nil to start it
+	readInFlight    bool
+	nextReadAt      api.Time // earliest time of the next read
 	readAt          api.Time
-	cleanupAt       api.Time // when the shards were last looked at for what has expired
+	cleanupAt       api.Time // time of the last check for expired entries
 	wroteAt         api.Time
-	writeTokens     float64 // writes
+	writeTokens     float64 // available writes
 	writeTokensAt   api.Time
-	pendingRequests []*reservation.PendingRequest // until it is read
+	pendingRequests []*reservation.PendingRequest // waiting for the replica
 	pendingReads    []ReadWaiter
-	staleShards     []bool // by shard: its record's condition failed, and the log has to be read
+	staleShards     []bool // by shard: the condition of a write failed, and the changes must be read
 	sweptAt         api.Time
 	sweeping        bool
 }
 
-// ReadWaiter is a question that waits for a current read of the ledger.
+// ReadWaiter is a query that waits for a linearizable read of the ledger.
 type ReadWaiter struct{ OnRead, OnFailure func() }
 
-// Siblings are the other components that this one asks.
+// Siblings are the other components that the service calls.
 type Siblings struct {
 	Jobs   Jobs
 	Gossip Gossip
 	Log    Log
 }
 
-// Jobs is what the service needs of the jobs' service.
+// Jobs is what the service needs of the service for jobs.
 type Jobs interface {
-	// ForwardTargets are controllers that reach the state service, the best first.
+	// ForwardTargets returns the controllers that reach the state service, in the order to try them.
 	ForwardTargets() []api.ControllerID
 }
 
@@ -74,19 +74,19 @@
 	HeardRecently(api.ControllerID) bool
 }
 
-// Log is what the service needs of the follower of the state service's log.
+// Log is what the service needs of the log follower.
 type Log interface {
-	// PageReadInterval is the pause between pages, by which the controllers share the state service's requests.
+	// PageReadInterval returns the pause between pages, which limits the rate of requests to the state service.
 	PageReadInterval() time.Duration
 }
 
-// New returns a service without a replica; Connect is to be called before it is asked.
+// New returns a service without a replica; Connect must be called before any other method.
 func New(k *core.Core) *Service { return &Service{core: k} }
 
-// Connect names the components that the service asks.
+// Connect sets the components that the service calls.
 func (s *Service) Connect(siblings Siblings) { s.siblings = siblings }
 
-// Install makes a ledger that was read the replica, and queues the requests that waited for it.
+// Install sets the replica to a loaded ledger, and enqueues the requests that waited for it.
 func (s *Service) Install(replica *reservation.Ledger) {
 	s.replica, s.loadedPairs, s.staleShards = replica, nil, make([]bool, len(s.core.State.Partitions))
 	for _, request := range s.pendingRequests {
@@ -95,23 +95,23 @@
 	s.pendingRequests = nil
 }
 
-// PendingReads are the questions that wait for a current read, in their order.
+// PendingReads returns the queries that wait for a read, in order of arrival.
 func (s *Service) PendingReads() []ReadWaiter { return s.pendingReads }
 
-// RecentlyWrote reports whether the ledger was written of late, so that it has a share of the writes.
+// RecentlyWrote reports whether this controller wrote to the ledger within activeWindow, so that the ledger retains
+// its share of the writes.
 func (s *Service) RecentlyWrote() bool {
 	return s.wroteAt != 0 && s.core.Now.Sub(s.wroteAt) < activeWindow
 }
 
-// shardOf is the shard of a depot, of which there are as many as partitions.
+// shardOf returns the shard of a depot; there is one shard per partition.
 func (s *Service) shardOf(d reservation.Depot) int {
 	return reservation.ShardOf(d, len(s.core.State.Partitions))
 }
 
-// millisecondsPerDay turns a wall-clock time into a day.
 const millisecondsPerDay = 86_400_000
 
-// today is the day by this controller's clock; only counts that say that they are approximate rest on it.
+// today returns the day by this controller's clock. Only counts that are shown as approximate depend on it.
 func (s *Service) today() reservation.Day {
 	return reservation.Day(s.core.WallClock / millisecondsPerDay)
 }
--- a/controller/reservations/sync.go
+++ b/controller/reservations/sync.go
@@ -1,6 +1,6 @@
 package reservations
 
-// This file keeps the replica current and writes what was asked of it.
+// This file updates the replica and writes the pending requests.
 
 import (
 	"log/slog"
@@ -12,15 +12,15 @@
 	"basaltwall/reservation"
 )
 
-// SyncLedger does what is due: it reads the ledger once somebody asked for it, answers requests that waited for
-// too long, and reads and writes what was asked.
+// SyncLedger advances the ledger once there was a request: it refuses requests that have timed out, sweeps the
+// archive, loads the replica, and reads and writes changes when they are due.
 func (s *Service) SyncLedger() {
 	if !s.requested {
 		return
 	}
 	s.expireRequests()
 	s.sweepArchive()
-	if s.busy || s.core.Now < s.nextReadAt {
+	if s.readInFlight || s.core.Now < s.nextReadAt {
 		return
 	}
 	if s.replica == nil {
@@ -32,7 +32,7 @@
 	}
 }
 
-// expireRequests refuses requests that have waited for too long.
+// expireRequests refuses requests that have timed out.
 func (s *Service) expireRequests() {
 	deadline := s.core.Now.Add(-requestTimeout)
 	var expired []*reservation.PendingRequest
@@ -47,8 +47,7 @@
 	}
 }
 
-// sweepArchive deletes what has been kept in the archive for long enough, the oldest first. The
-// owner of partition 0 does.
+// sweepArchive deletes archive entries past their retention, the oldest first. Only the owner of partition 0 does so.
 func (s *Service) sweepArchive() {
 	owned := s.core.Partitions[0]
 	if owned == nil || s.sweeping || s.core.Now.Sub(s.sweptAt) < sweepInterval || s.core.Overloaded() {
@@ -58,8 +57,8 @@
 	s.core.SweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { s.sweeping = false })
 }
 
-// readDue reports whether something waits for a current read: a question, a change, a conflict or a cleanup; or
-// whether the last read is long ago.
+// readDue reports whether the changes must be read: for a pending query or change, after a conflict, for a cleanup,
+// or because the last read is older than readInterval.
 func (s *Service) readDue() bool {
 	due := len(s.pendingReads) > 0 || s.core.Now.Sub(s.readAt) > readInterval
 	for i := range s.core.State.Partitions {
@@ -75,14 +74,15 @@
 	return due
 }
 
-// readChanges reads what others wrote, answers the questions that waited for it, and writes.
+// readChanges reads the changes by other controllers, answers the queries that wait for the read, and writes
+// pending requests.
 func (s *Service) readChanges() {
-	s.busy, s.nextReadAt = true, s.core.Now.Add(s.core.LookupInterval)
+	s.readInFlight, s.nextReadAt = true, s.core.Now.Add(s.core.LookupInterval)
 	startedAt, waiting := s.core.Now, s.pendingReads
 	s.pendingReads = nil
 	changes := &message.ChangesRequest{Since: s.replica.Revision(), Prefix: reservation.Root}
 	s.core.CallStore(message.StoreCall{Changes: changes}, func(a message.StoreResponse) {
-		s.busy = false
+		s.readInFlight = false
 		current := s.applyChanges(a) && s.core.Now.Sub(startedAt) < maxReadAge
 		for _, w := range waiting {
 			if current {
@@ -98,13 +98,13 @@
 	})
 }
 
-// applyChanges brings the replica up to date, or reports that it could not. A replica that the log does not
-// reach back to, or does not fit, is read anew.
+// applyChanges updates the replica and reports whether it succeeded. The ledger is loaded again if the log no longer
+// holds the changes since the last read, or if they cannot be applied.
 func (s *Service) applyChanges(a message.StoreResponse) bool {
 	switch a.Status {
 	case 200:
 		if err := s.replica.ApplyChanges(a.Changes); err != nil {
-			slog.Error("reservation ledger reload", "err", err)
+			slog.Error("reservation ledger changes could not be applied; loading the ledger again", "err", err)
 			s.reset()
 			return false
 		}
@@ -115,13 +115,13 @@
 	return false
 }
 
-// reset has the ledger read anew; what waits stays.
+// reset drops the replica, so that the ledger is loaded again, and retains the pending requests.
 func (s *Service) reset() {
 	s.pendingRequests = append(s.pendingRequests, s.replica.RemoveTimedOut(math.MaxInt64)...)
 	s.replica, s.resumeLoad = nil, nil
 }
 
-// writeShards writes the next records by a read that began at readAt.
+// writeShards writes the next record of each shard, on the basis of a read that began at readAt.
 func (s *Service) writeShards(readAt api.Time) {
 	for i := range s.core.State.Partitions {
 		if s.staleShards[i] {
@@ -132,7 +132,7 @@
 	}
 }
 
-// writeShard writes a shard's next record, if there is one and the writes for it.
+// writeShard writes a shard's next record, if there is one and the write budget allows it.
 func (s *Service) writeShard(shard int, readAt api.Time) {
 	s.refillWriteTokens()
 	if s.writeTokens < 1 || !s.replica.Idle(shard) {
@@ -147,8 +147,7 @@
 	s.sendWrite(s.replica, shard, *tx)
 }
 
-// refillWriteTokens adds the writes that the ledger may use since it was last called: this controller's part of
-// the ledger's share.
+// refillWriteTokens refills the token bucket of writes at the rate of this controller's part of the ledger's share.
 func (s *Service) refillWriteTokens() {
 	limits := s.core.Config.Deployment.State
 	rate := core.LedgerWriteShare * limits.WriteRPS / float64(max(1, len(s.core.State.Members)))
@@ -156,11 +155,11 @@
 	s.writeTokensAt = s.core.Now
 }
 
-// sendWrite sends a record again and again until its outcome is known.
+// sendWrite writes a record, and retries until the outcome is known.
 func (s *Service) sendWrite(replica *reservation.Ledger, shard int, tx api.Txn) {
 	s.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		if s.replica != replica {
-			return // read anew meanwhile: the requests' keys tell what became of it
+			return // the ledger was loaded again; idempotency keys show whether the requests were applied
 		}
 		switch replica.HandleOutcome(shard, a.Status, a.Txn.Revision) {
 		case reservation.StepRead:
--- a/controller/reservations/views.go
+++ b/controller/reservations/views.go
@@ -1,6 +1,6 @@
 package reservations
 
-// This file holds what is shown of reservations; the fields' JSON names are the wire.
+// This file holds the views of reservations. The JSON names of the fields are the wire format.
 
 import (
 	"maps"
@@ -12,7 +12,7 @@
 )
 
 type (
-	// SkipView is a skip with what holds it.
+	// SkipView is a skip with its bookings.
 	SkipView struct {
 		Depot        reservation.Depot  `json:"depot"`
 		Skip         reservation.SkipID `json:"skip"`
@@ -30,19 +30,18 @@
 		To        string                     `json:"to"`
 		ExpiresAt api.WallTime               `json:"until,omitempty"` // of an offer, in milliseconds since 1970
 	}
-	// ChangeView is what became of a change: the skip and, if it is about one, the offer or
-	// promise.
+	// ChangeView is the result of a change: the skip and, if the change concerns one, the booking.
 	ChangeView struct {
 		Depot reservation.Depot  `json:"depot"`
 		Skip  reservation.SkipID `json:"skip,omitempty"`
 		*BookingView
 	}
-	// SkipsView is a page of a depot's skips. After is what to ask for next, empty at the end.
+	// SkipsView is a page of a depot's skips. After is the cursor of the next page, empty on the last one.
 	SkipsView struct {
 		Skips []SkipView         `json:"skips"`
 		After reservation.SkipID `json:"after,omitempty"`
 	}
-	// CountsView counts skips by depot and kind, for today, as they were AgeSeconds ago.
+	// CountsView counts today's skips by depot and kind, as of a read AgeSeconds ago.
 	CountsView struct {
 		Kinds      []reservation.Counts `json:"kinds"`
 		AgeSeconds float64              `json:"about_s_old"`
@@ -53,7 +52,7 @@
 	return BookingView{Number: b.ID, Name: b.Key, Stage: b.Stage, Site: b.Site, From: b.From.String(), To: b.To.String(), ExpiresAt: b.ExpiresAt}
 }
 
-// ViewMetrics sums up the replica; nil before there is one.
+// ViewMetrics returns metrics of the replica, nil if the ledger is not loaded.
 func (s *Service) ViewMetrics() *core.ReservationMetrics {
 	if s.replica == nil {
 		return nil
@@ -75,7 +74,7 @@
 	return v
 }
 
-// addCounts adds the counts of a depot's skips of a kind to those of all depots.
+// addCounts adds the counts of one depot to a sum over depots.
 func addCounts(sum, c reservation.Counts) reservation.Counts {
 	return reservation.Counts{
 		Kind:         c.Kind,
