--- a/controller/metrics/reporter.go
+++ b/controller/metrics/reporter.go
@@ -1,6 +1,6 @@
 package metrics
 
-// This file composes the view.
+// This file composes the metrics view.
 
 import (
 	"basaltwall/api"
@@ -15,7 +15,7 @@
 	siblings Siblings
 }
 
-// Siblings are the other components that this one asks.
+// Siblings are the other components that the reporter calls.
 type Siblings struct {
 	Log          Log
 	Agents       Agents
@@ -26,7 +26,7 @@
 	Pools        Pools
 }
 
-// Log is what the reporter needs of the follower of the state service's log.
+// Log is what the reporter needs of the log follower.
 type Log interface {
 	// IsRelay reports whether this controller reads the log for others.
 	IsRelay() bool
@@ -37,7 +37,7 @@
 	MachinesOf(api.PartitionID) []*core.Machine
 }
 
-// Health is what the reporter needs of the zones' health.
+// Health is what the reporter needs of the zone health monitor.
 type Health interface {
 	ZoneState(api.Zone) zonehealth.State
 	Observation(api.Zone) zonehealth.Assessment
@@ -46,15 +46,15 @@
 	ExpiredLeaseTasks(api.Zone) int
 }
 
-// Jobs is what the reporter needs of the jobs' service.
+// Jobs is what the reporter needs of the service for jobs.
 type Jobs interface {
-	// LongPendingJobs counts jobs that have waited for long, by reason.
+	// LongPendingJobs counts long-pending jobs by reason.
 	LongPendingJobs() map[string]int
 }
 
-// Reservations is what the reporter needs of the reservations' service.
+// Reservations is what the reporter needs of the reservation service.
 type Reservations interface {
-	// ViewMetrics is nil before somebody asked for a reservation.
+	// ViewMetrics returns nil if the ledger is not loaded.
 	ViewMetrics() *core.ReservationMetrics
 }
 
@@ -63,7 +63,7 @@
 	FragmentedCapacity() []core.FragmentationView
 }
 
-// Pools is what the reporter needs of the pools of a hosted service.
+// Pools is what the reporter needs of the pool manager.
 type Pools interface {
 	Count() int
 	Names() []api.PoolName // in order
@@ -73,13 +73,13 @@
 	ShareMoves() uint64
 }
 
-// New returns a reporter; Connect is to be called before it is asked.
+// New returns a reporter; Connect must be called before any other method.
 func New(k *core.Core) *Reporter { return &Reporter{core: k} }
 
-// Connect names the components that the reporter asks.
+// Connect sets the components that the reporter calls.
 func (r *Reporter) Connect(s Siblings) { r.siblings = s }
 
-// MaxPools bounds the pools that the metrics name.
+// MaxPools bounds the number of pools in the metrics.
 const MaxPools = 200
 
 // HandleRequest answers a message.AdminMetrics.
@@ -87,7 +87,7 @@
 	r.core.Reply(c.Req, 200, r.View(), 0)
 }
 
-// View composes the metrics as they are now.
+// View composes the current metrics.
 func (r *Reporter) View() View {
 	v := r.viewCounters()
 	v.UpSeconds = r.core.Now.Sub(r.core.StartedAt).Seconds()
@@ -105,7 +105,7 @@
 	return v
 }
 
-// viewCounters is what the core counts, beside the limits that some of it must keep to.
+// viewCounters returns a view of the core's counters and the request rate limits.
 func (r *Reporter) viewCounters() View {
 	m, limits := &r.core.Metrics, &r.core.Config.Deployment
 	return View{
@@ -145,7 +145,7 @@
 	}
 }
 
-// addUsage adds the time that work took and the commands that wait.
+// addUsage adds the time spent by kind of work, the processor time of the process and the length of the command queue.
 func (r *Reporter) addUsage(v *View) {
 	usage := &r.core.Metrics.Usage
 	v.ProcessSeconds, v.QueueLength = usage.ProcessTime.Seconds(), usage.QueueLength
@@ -155,7 +155,7 @@
 	}
 }
 
-// addPendingWork counts the tasks and the cancellations of all partitions that wait.
+// addPendingWork adds the pending tasks and cancellations of all partitions.
 func (r *Reporter) addPendingWork(v *View) {
 	for _, j := range r.core.State.PendingJobs {
 		for p := range r.core.State.Partitions {
@@ -170,7 +170,8 @@
 	}
 }
 
-// machinesNotResumed counts the machines of owned partitions whose agents do not know the partition's term yet.
+// machinesNotResumed counts the machines of owned partitions whose agents have not reported the partition's current
+// fencing token.
 func (r *Reporter) machinesNotResumed() int {
 	count := 0
 	for p, owned := range r.core.Partitions {
@@ -183,7 +184,7 @@
 	return count
 }
 
-// viewZones shows the zones that are not healthy; nil if all are.
+// viewZones returns the zones that are not healthy, nil if all are.
 func (r *Reporter) viewZones() map[api.Zone]ZoneView {
 	var zones map[api.Zone]ZoneView
 	health := r.siblings.Health
@@ -223,7 +224,7 @@
 	}
 }
 
-// viewLatencies sums up how long things took.
+// viewLatencies returns summaries of the latency histograms, in milliseconds.
 func (r *Reporter) viewLatencies() map[string]core.LatencySummary {
 	summaries := map[string]core.LatencySummary{}
 	for what, h := range r.core.Metrics.Latencies {
--- a/controller/operations/service.go
+++ b/controller/operations/service.go
@@ -1,9 +1,9 @@
-// Package operations answers operators: it shows the controllers, partitions, machines and teams, changes the
-// settings, and passes on what other components answer. It owns no state: settings lie in the core, as the log
-// has them.
+// Package operations serves operators' requests: it shows the controllers, partitions, machines and teams, changes
+// the settings, and dispatches all other requests to their components. It owns no state: the settings are in the
+// core.
 package operations
 
-// This file has the service, and which component answers which operation.
+// This file dispatches operations to the components that serve them.
 
 import (
 	"basaltwall/api"
@@ -12,13 +12,13 @@
 	"basaltwall/tenant"
 )
 
-// Service answers operators' requests.
+// Service serves operators' requests.
 type Service struct {
 	core     *core.Core
 	siblings Siblings
 }
 
-// Siblings are the other components that this one asks.
+// Siblings are the other components that the service calls.
 type Siblings struct {
 	Tenants      Tenants
 	Pools        Pools
@@ -29,11 +29,11 @@
 	Eligibility  Eligibility
 }
 
-// Tenants is what the service needs of the tenants' service.
+// Tenants is what the service needs of the tenant service.
 type Tenants interface {
-	// Enabled reports whether this is a hosted service.
+	// Enabled reports whether the service is hosted.
 	Enabled() bool
-	// WithOperator goes on with a request once its key is found to allow it, or refuses it.
+	// WithOperator calls back with a request if its key authorizes it, and refuses it otherwise.
 	WithOperator(message.AdminRequest, func(message.AdminRequest))
 
 	HandleTenantRequest(message.AdminRequest) error
@@ -41,7 +41,7 @@
 	HandleTeamRequest(message.AdminRequest) error
 	ListAudit(message.AdminRequest)
 
-	// AuditWrite is the record of a change, to be written with it.
+	// AuditWrite returns the write of an audit entry, for the transaction of the change.
 	AuditWrite(c message.AdminRequest, subject string, before, after any) api.Write
 	// ReplyChange answers a change by the status of its transaction.
 	ReplyChange(req message.ReqID, status int, revision api.Revision, what string, view func(api.Revision) any)
@@ -50,22 +50,22 @@
 	TeamRecord(api.Team) (core.TeamRecord, bool)
 }
 
-// Pools is what the service needs of the pools of a hosted service.
+// Pools is what the service needs of the pool manager.
 type Pools interface {
 	HandlePoolRequest(message.AdminRequest) error
 }
 
-// Reservations is what the service needs of the reservations' service.
+// Reservations is what the service needs of the reservation service.
 type Reservations interface {
 	HandleRequest(message.AdminRequest)
 }
 
-// Metrics is what the service needs of the metrics' reporter.
+// Metrics is what the service needs of the metrics reporter.
 type Metrics interface {
 	HandleRequest(message.AdminRequest)
 }
 
-// Jobs is what the service needs of the jobs' service.
+// Jobs is what the service needs of the service for jobs.
 type Jobs interface {
 	HandleAdminRequest(message.AdminRequest)
 }
@@ -75,19 +75,19 @@
 	MachinesOf(api.PartitionID) []*core.Machine
 }
 
-// Eligibility is what the service needs of the check whether machines get tasks.
+// Eligibility is what the service needs of the eligibility checker.
 type Eligibility interface {
 	UnschedulableReason(*core.Machine, *core.OwnedPartition) core.UnschedulableReason
 }
 
-// New returns a service; Connect is to be called before it is asked.
+// New returns a service; Connect must be called before any other method.
 func New(k *core.Core) *Service { return &Service{core: k} }
 
-// Connect names the components that the service asks.
+// Connect sets the components that the service calls.
 func (s *Service) Connect(siblings Siblings) { s.siblings = siblings }
 
-// HandleAdmin answers an operator; of a hosted service, only one whose key allows it. A forwarded request's key
-// was looked at by the controller that forwards it.
+// HandleAdmin serves an operator's request. A hosted service first authorizes the request by its key, except for a
+// forwarded request, which the forwarding controller has authorized.
 func (s *Service) HandleAdmin(c message.AdminRequest) {
 	if !s.core.Loaded {
 		s.core.ReplyError(c.Req, 503, "starting")
@@ -100,7 +100,7 @@
 	s.handleCommon(c)
 }
 
-// HandleAuthorized answers an operator of a hosted service whose key allows the request.
+// HandleAuthorized serves an authorized request to a hosted service.
 func (s *Service) HandleAuthorized(c message.AdminRequest) {
 	var err error
 	switch c.What {
@@ -123,7 +123,7 @@
 	}
 }
 
-// handleCommon answers an operator of any service.
+// handleCommon serves the requests that do not require a hosted service.
 func (s *Service) handleCommon(c message.AdminRequest) {
 	switch c.What {
 	case message.AdminMetrics:
--- a/controller/operations/settings.go
+++ b/controller/operations/settings.go
@@ -27,7 +27,7 @@
 	maxMachineIDBytes     = 30
 )
 
-// ParseSettings reads settings for a change; the error names the field.
+// ParseSettings parses and validates settings; the error names the field.
 func ParseSettings(body []byte) (VersionedSettings, error) {
 	var s VersionedSettings
 	d := json.NewDecoder(strings.NewReader(string(body)))
@@ -42,7 +42,7 @@
 	return s, validate(&s.Settings)
 }
 
-// validate refuses settings that are out of their bounds; the error names the field.
+// validate returns an error that names the first field that is out of bounds.
 func validate(s *core.Settings) error {
 	if s.IdleTimeout < 0 || s.IdleTimeout > maxIdleTimeoutSeconds {
 		return fmt.Errorf("idle_hold_s: must be between 0 and %d", maxIdleTimeoutSeconds)
@@ -61,12 +61,12 @@
 	return nil
 }
 
-// currentSettings are the settings as the log has them.
+// currentSettings returns the settings of the last read of the log.
 func (s *Service) currentSettings() VersionedSettings {
 	return VersionedSettings{Settings: s.core.Settings, Revision: s.core.State.Version(core.SettingsKey)}
 }
 
-// replaceSettings writes the settings that a request brings.
+// replaceSettings replaces the settings by those of a request.
 func (s *Service) replaceSettings(c message.AdminRequest) {
 	settings, err := ParseSettings(c.Body)
 	if err != nil {
@@ -76,7 +76,7 @@
 	s.writeSettings(c, settings)
 }
 
-// changeDrained writes the settings with a machine more or less drained.
+// changeDrained adds or removes a machine in the drained machines of the settings.
 func (s *Service) changeDrained(c message.AdminRequest) {
 	settings := s.currentSettings()
 	id := api.MachineID(c.ID)
@@ -87,11 +87,11 @@
 	s.writeSettings(c, settings)
 }
 
-// writeSettings writes settings, which must name the revision that they replace.
+// writeSettings writes settings on the condition of the revision that they name.
 func (s *Service) writeSettings(c message.AdminRequest, settings VersionedSettings) {
 	v, err := json.Marshal(settings.Settings)
 	if err != nil || s.core.ExceedsValueSize(v) {
-		s.core.ReplyError(c.Req, 400, "drained, precedence: more than a record holds")
+		s.core.ReplyError(c.Req, 400, "drained, precedence: the record is too large")
 		return
 	}
 	tx := api.Txn{
--- a/controller/operations/views.go
+++ b/controller/operations/views.go
@@ -1,6 +1,7 @@
 package operations
 
-// This file shows controllers, partitions, machines and teams; the fields' JSON names are the wire.
+// This file holds the views of controllers, partitions, machines and teams. The JSON names of the fields are the wire
+// format.
 
 import (
 	"maps"
@@ -11,16 +12,16 @@
 	"basaltwall/controller/core"
 )
 
-// What an operator is shown.
+// Views that are shown to operators.
 type (
 	// MemberView is a controller.
 	MemberView struct {
 		Label      api.ControllerID  `json:"label"`
 		Live       bool              `json:"live"`
-		Partitions []api.PartitionID `json:"parts"` // that it owns
+		Partitions []api.PartitionID `json:"parts"` // owned
 		Self       bool              `json:"self"`
 	}
-	// PartitionView is a partition of the machines.
+	// PartitionView is a partition.
 	PartitionView struct {
 		Partition    api.PartitionID  `json:"part"`
 		Owner        api.ControllerID `json:"owner"`
@@ -48,11 +49,11 @@
 		GuaranteedGPUs float64  `json:"gpus_guaranteed"`
 		MaxCPUs        float64  `json:"cpus_max"`
 		MaxGPUs        float64  `json:"gpus_max"`
-		// Of a team that operators of a hosted service made; and whose it is.
+		// Only for a hosted service: whether operators defined the team, and its owner.
 		OperatorDefined bool         `json:"made,omitempty"`
 		Tenant          string       `json:"tenant,omitempty"`
 		Revision        api.Revision `json:"revision,omitempty"`
-		// By partition, of a team with a limit.
+		// Shares of the limit by partition, if the team has one.
 		Shares []QuotaShareView `json:"shares,omitempty"`
 	}
 	// QuotaShareView is a partition's share of a team's limit.
@@ -141,7 +142,7 @@
 	return views
 }
 
-// viewShares shows the partitions' shares of a team's limit; nil if it has none.
+// viewShares returns the partitions' shares of a team's limit, nil if the team has none.
 func (s *Service) viewShares(name api.Team, team config.Team) []QuotaShareView {
 	if team.CPUsMax <= 0 && team.GPUsMax <= 0 {
 		return nil
