--- a/controller/jobs/submit.go
+++ b/controller/jobs/submit.go
@@ -47,7 +47,7 @@
 		return
 	}
 	if !s.allowSubmission() {
-		s.core.ReplyError(c.Req, api.StatusServiceUnavailable, "submission rate exceeds the write limit of the state service")
+		s.core.ReplyError(c.Req, api.StatusServiceUnavailable, "submission rate exceeds this controller's share of the state service's write limit")
 		return
 	}
 	sub.write()
--- a/controller/pools/manager.go
+++ b/controller/pools/manager.go
@@ -75,7 +75,7 @@
 	CommitChange(c message.AdminRequest, txn api.Txn, what string, view func(api.Revision) any)
 }
 
-// New returns a Manager without pools; Connect must be called before any other method.
+// New returns a Manager without pools; Connect must be called before it serves requests.
 func New(k *core.Core) *Manager { return &Manager{core: k} }
 
 // Connect sets the components that the Manager calls.
--- a/controller/tenancy/admission.go
+++ b/controller/tenancy/admission.go
@@ -57,7 +57,7 @@
 	}
 	writeRate := core.SubmissionWriteShare * ts.core.Config.Deployment.State.WriteRPS / float64(max(1, members))
 	if ok, wait := ts.hosted.admission.fairLimiter.Take(ts.core.Now, entry.Name, writeRate); !ok {
-		return &exceededLimit{field: "writes", reason: "submission rate exceeds the write limit of the state service", retryAfter: wait}
+		return &exceededLimit{field: "writes", reason: "submission rate exceeds this controller's share of the state service's write limit", retryAfter: wait}
 	}
 	return nil
 }
--- a/controller/tenancy/service_test.go
+++ b/controller/tenancy/service_test.go
@@ -131,7 +131,7 @@
 	ts.sweepHistory()
 	calls := storeCalls(ts)
 	if len(calls) != 1 || calls[0].Page == nil || calls[0].Page.Prefix != "history/kipper/" {
-		t.Fatalf("asked for %+v", calls)
+		t.Fatalf("calls to the state service: %+v", calls)
 	}
 	key := func(at api.WallTime, ref int) string {
 		return fmt.Sprintf("history/kipper/%s-run-%d", core.TimeKey(at), ref)
@@ -140,11 +140,11 @@
 	respond(t, ts, message.StoreResponse{ID: calls[0].ID, Status: 200, Page: page})
 	calls = storeCalls(ts)
 	if len(calls) != 1 || calls[0].Txn == nil {
-		t.Fatalf("wrote %+v", calls)
+		t.Fatalf("calls to the state service after the page: %+v", calls)
 	}
 	want := []api.Write{{Drop: key(899_000, 1)}, {Drop: key(899_999, 2)}}
 	if got := calls[0].Txn; !slices.EqualFunc(got.Writes, want, func(a, b api.Write) bool { return a.Drop == b.Drop && a.Put == "" }) ||
 		!slices.Contains(got.If, api.Condition{Key: clusterstate.KeyPartition + "0", Version: 7}) {
-		t.Errorf("wrote %+v", got)
+		t.Errorf("transaction: %+v", got)
 	}
 }
