--- a/httpx/client.go
+++ b/httpx/client.go
@@ -1,6 +1,6 @@
 package httpx
 
-// This file holds the client.
+// This file holds the HTTP client.
 
 import (
 	"context"
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// Client sends requests and keeps idle connections for the next ones. Every request has a deadline.
+// Client sends requests and pools idle connections. Every request has a timeout.
 type Client struct {
-	Auth string // sent with each request as the Authorization header, if any; set before the first
+	Auth string // value of the Authorization header, if any; must be set before the first request
 
 	maxBody, maxIdlePerHost, maxIdleTotal int
 	dialer                                net.Dialer
 
-	mu        sync.Mutex            // guards what follows
-	idle      map[string][]idleConn // by address, the most recently used last
-	idleCount int                   // in all
+	mu        sync.Mutex            // guards the fields below
+	idle      map[string][]idleConn // by address; the most recently used connection is last
+	idleCount int                   // connections to all addresses
 }
 
 type idleConn struct {
@@ -28,19 +28,19 @@
 	idleSince time.Time
 }
 
-// idleTimeout is for how long an idle connection is kept.
+// idleTimeout is the maximum idle time of a pooled connection.
 const idleTimeout = 20 * time.Second
 
-// initialBuffer is the size of the buffer for a response at first, in bytes; it doubles as needed.
-const initialBuffer = 4096
+// initialBufferSize is the initial size of a response buffer, in bytes; the buffer doubles when it is full.
+const initialBufferSize = 4096
 
-// NewClient returns a client that accepts bodies up to maxBody bytes and keeps up to maxIdlePerHost
-// idle connections to each address and maxIdleTotal in all.
+// NewClient returns a client that accepts response bodies of up to maxBody bytes and pools up to
+// maxIdlePerHost idle connections per address and maxIdleTotal in total.
 func NewClient(maxBody, maxIdlePerHost, maxIdleTotal int) *Client {
 	return &Client{maxBody: maxBody, maxIdlePerHost: maxIdlePerHost, maxIdleTotal: maxIdleTotal, idle: map[string][]idleConn{}}
 }
 
-// getIdle takes an idle connection to an address from the pool, or returns nil.
+// getIdle removes an idle connection to an address from the pool and returns it, or nil if there is none.
 func (c *Client) getIdle(addr string) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// putIdle gives a connection to the pool, or closes it if the pool is full.
+// putIdle returns a connection to the pool, or closes it if the pool is full.
 func (c *Client) putIdle(addr string, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +72,7 @@
 	c.idle[addr] = append(c.idle[addr], idleConn{conn, time.Now()})
 }
 
-// Sweep closes connections that have been idle for too long. It is to be called now and then.
+// Sweep closes the connections whose idle time exceeds the idle timeout. The caller runs it periodically.
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,12 +94,12 @@
 	}
 }
 
-// errStale says that the other side closed an idle connection before it answered anything.
-var errStale = errors.New("kept connection was closed")
+// errStale reports that the server closed an idle connection before it sent any byte of a response.
+var errStale = errors.New("server closed the idle connection")
 
-// Do sends a request and waits for its response until the timeout. When an idle connection turns out
-// to be closed before the first byte of a response, a new one is tried once: every request of this
-// program is idempotent. The context bounds connecting only.
+// Do sends a request and waits for its response until the timeout. If the server closed an idle connection
+// before the first byte of the response, Do retries once on a new connection, which is safe because every
+// request of this program is idempotent. The context applies only to connecting.
 func (c *Client) Do(ctx context.Context, addr, method, target string, body []byte, timeout time.Duration) (Response, error) {
 	deadline := time.Now().Add(timeout)
 	if conn := c.getIdle(addr); conn != nil {
@@ -117,8 +117,8 @@
 	return c.exchange(conn, addr, method, target, body, deadline)
 }
 
-// exchange sends a request on a connection and reads the response. It closes the connection or gives it
-// to the pool.
+// exchange sends a request on a connection and reads the response. It closes the connection or returns
+// it to the pool.
 func (c *Client) exchange(conn net.Conn, addr, method, target string, body []byte, deadline time.Time) (Response, error) {
 	fail := func(err error) (Response, error) {
 		_ = conn.Close()
@@ -130,7 +130,7 @@
 	if _, err := conn.Write(AppendRequest(nil, method, addr, target, c.Auth, body)); err != nil {
 		return fail(errors.Join(errStale, err))
 	}
-	buf := make([]byte, 0, initialBuffer)
+	buf := make([]byte, 0, initialBufferSize)
 	for {
 		if len(buf) == cap(buf) {
 			buf = append(buf, make([]byte, cap(buf))...)[:len(buf)]
--- a/httpx/encode.go
+++ b/httpx/encode.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// statusText holds the reason phrases of the statuses that this program answers with.
+// statusText holds the HTTP reason phrases, by status.
 var statusText = map[int]string{
 	api.StatusOK:                    "OK",
 	api.StatusCreated:               "Created",
@@ -27,8 +27,8 @@
 	api.StatusGatewayTimeout:        "Gateway Timeout",
 }
 
-// AppendResponse appends a response with a body in JSON. A retryAfter above 0 adds the Retry-After
-// header, in seconds; closing adds Connection: close.
+// AppendResponse appends a response with a JSON body to out. A retryAfter above 0 adds the Retry-After
+// header, in seconds; closing adds the header Connection: close.
 func AppendResponse(out []byte, status int, body []byte, retryAfter int, closing bool) []byte {
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
@@ -43,7 +43,8 @@
 	return appendTail(out, body, closing)
 }
 
-// AppendRequest appends a request with a body in JSON; auth is the Authorization header, if any.
+// AppendRequest appends a request with a JSON body to out. A non-empty auth is sent as the Authorization
+// header.
 func AppendRequest(out []byte, method, host, target, auth string, body []byte) []byte {
 	out = append(out, method...)
 	out = append(out, ' ')
@@ -59,7 +60,7 @@
 	return appendTail(out, body, false)
 }
 
-// appendTail appends the last headers and the body.
+// appendTail appends the Connection and Content-Length headers and the body.
 func appendTail(out, body []byte, closing bool) []byte {
 	if closing {
 		out = append(out, "Connection: close\r\n"...)
--- a/httpx/parse.go
+++ b/httpx/parse.go
@@ -1,8 +1,8 @@
-// Package httpx implements as much of HTTP/1.1 as the program needs: an incremental parser, a server on
-// one event loop whose handlers may answer later, and a client with a pool of connections. It knows
-// nothing of what the messages mean.
+// Package httpx implements the subset of HTTP/1.1 that the program needs: an incremental parser, a server
+// on one event loop with asynchronous responses, and a client with a connection pool. It is independent of
+// the content of the messages.
 //
-// Server and Client may be used from several goroutines.
+// Server and Client are safe for concurrent use.
 package httpx
 
 // This file parses requests and responses.
@@ -17,13 +17,13 @@
 	"strings"
 )
 
-// Limits on what is accepted from the other side, in bytes.
+// Size limits of received messages, in bytes.
 const (
 	maxHead        = 16 << 10 // start line and headers, or the trailer
 	maxChunkHeader = 1024
 )
 
-// Errors of the parser. The server answers ErrTooLarge with 413 and ErrMalformed with 400.
+// Errors of the parser. The server responds to ErrTooLarge with status 413 and to ErrMalformed with 400.
 var (
 	ErrMalformed = errors.New("malformed HTTP message")
 	ErrTooLarge  = errors.New("HTTP message too large")
@@ -33,11 +33,11 @@
 type Request struct {
 	Method, Path, Query string
 	Body                []byte
-	Close               bool       // the connection closes after the response
+	Close               bool       // the connection is closed after the response
 	Expect              bool       // the client waits for 100 Continue
 	Auth                string     // the Authorization header
-	Forwarded           string     // X-Forwarded-For: not to be trusted, whoever sends it may claim anything
-	From                netip.Addr // the connection's other end; set by the server
+	Forwarded           string     // the X-Forwarded-For header, which is set by the client and must not be trusted
+	From                netip.Addr // the client's address; set by the server
 }
 
 // Response is a parsed response. Body does not alias the connection's buffer.
@@ -45,10 +45,11 @@
 	Status     int
 	Body       []byte
 	Close      bool
-	RetryAfter int // in seconds; 0 if absent, or given as a date
+	RetryAfter int // in seconds; 0 if the header is absent or contains a date
 }
 
-// head is a start line and what the headers say of it. contentLength is -1 if absent.
+// head is a start line with the parsed headers. contentLength is -1 if the header is absent, and
+// headLength is 0 if the head is incomplete.
 type head struct {
 	line          string
 	contentLength int
@@ -62,7 +63,7 @@
 	retryAfter      int
 }
 
-// parseHead reads the start line and the headers; size 0 means more is needed.
+// parseHead parses the start line and the headers. It returns a zero head if more bytes are needed.
 func parseHead(buf []byte, maxBody int) (head, error) {
 	end := bytes.Index(buf, []byte("\r\n\r\n"))
 	if end < 0 {
@@ -97,7 +98,7 @@
 	return h, nil
 }
 
-// setHeader notes a header; those that the program does not need are ignored.
+// setHeader stores the value of a header and ignores headers that the program does not use.
 func (h *head) setHeader(name, value string) error {
 	switch {
 	case strings.EqualFold(name, "Content-Length"):
@@ -119,7 +120,7 @@
 		}
 	case strings.EqualFold(name, "Authorization"):
 		if h.auth != "" {
-			value = h.auth + "," + value // with two keys, neither is accepted
+			value = h.auth + "," + value // a combined value is invalid, so that two keys are both refused
 		}
 		h.auth = value
 	case strings.EqualFold(name, "X-Forwarded-For"):
@@ -137,7 +138,8 @@
 	return nil
 }
 
-// parseBody reads what follows the head; n 0 means more is needed.
+// parseBody parses the body after the head. It returns the number of bytes of head and body, or 0 if more
+// bytes are needed.
 func parseBody(buf []byte, h head, maxBody int) (body []byte, n int, err error) {
 	if !h.chunked {
 		need := h.headLength + max(h.contentLength, 0)
@@ -179,7 +181,8 @@
 	}
 }
 
-// skipTrailer skips the lines that may follow the last chunk.
+// skipTrailer skips the trailer fields after the last chunk. It returns the body and the number of bytes of
+// the message, or 0 if more bytes are needed.
 func skipTrailer(buf []byte, at int, body []byte) ([]byte, int, error) {
 	start := at
 	for {
@@ -196,7 +199,7 @@
 	}
 }
 
-// validTarget reports whether a request target is a path, with a query or without.
+// validTarget reports whether a request target is an absolute path with an optional query.
 func validTarget(s string) bool {
 	if s == "" || s[0] != '/' {
 		return false
@@ -209,9 +212,9 @@
 	return true
 }
 
-// ParseRequest parses one request at the start of buf. It returns the number of bytes it used, or 0
-// when more are needed. With more needed and Expect set, the client waits for an interim response
-// before it sends the body.
+// ParseRequest parses one request at the start of buf. It returns the number of bytes consumed, or 0 if
+// more bytes are needed. If more are needed and Expect is set, the client waits for 100 Continue before it
+// sends the body.
 func ParseRequest(buf []byte, maxBody int) (Request, int, error) {
 	h, err := parseHead(buf, maxBody)
 	if err != nil || h.headLength == 0 {
@@ -238,9 +241,9 @@
 	return r, n, nil
 }
 
-// ParseResponse parses one response at the start of buf and skips interim ones before it. It returns
-// the number of bytes it used, or 0 when more are needed. eof says that the other side has closed the
-// connection, which ends a body without a length.
+// ParseResponse parses one response at the start of buf and skips interim responses before it. It returns
+// the number of bytes consumed, or 0 if more bytes are needed. eof means that the server has closed the
+// connection, which terminates a body without a length.
 func ParseResponse(buf []byte, maxBody int, eof bool) (Response, int, error) {
 	skipped := 0
 	for {
@@ -255,10 +258,10 @@
 	}
 }
 
-// isInterim reports whether another response follows one with this status.
+// isInterim reports whether a status is interim (1xx), so that another response follows.
 func isInterim(status int) bool { return status < api.StatusOK }
 
-// parseSingleResponse parses a response, which may be an interim one.
+// parseSingleResponse parses one response, interim or final.
 func parseSingleResponse(buf []byte, maxBody int, eof bool) (Response, int, error) {
 	h, err := parseHead(buf, maxBody)
 	if err != nil || h.headLength == 0 {
@@ -273,7 +276,7 @@
 		return Response{}, 0, ErrMalformed
 	}
 	r := Response{Status: status, RetryAfter: h.retryAfter, Close: h.close || (version == "HTTP/1.0" && !h.keepAlive)}
-	if isInterim(status) || status == api.StatusNoContent || status == api.StatusNotModified { // without a body
+	if isInterim(status) || status == api.StatusNoContent || status == api.StatusNotModified { // responses without a body
 		return r, h.headLength, nil
 	}
 	if h.contentLength < 0 && !h.chunked {
--- a/httpx/server.go
+++ b/httpx/server.go
@@ -1,6 +1,6 @@
 package httpx
 
-// This file holds the server.
+// This file holds the HTTP server.
 
 import (
 	"basaltwall/api"
@@ -19,57 +19,58 @@
 // ConnID identifies a connection of the server.
 type ConnID uint64
 
-// Handler receives each request, on the server's event loop; listener is the index of the address at
-// which it arrived. It must not block. The request is answered by Server.Answer, then or later.
+// Handler is called for each request on the server's event loop and must not block. listener is the index
+// of the address on which the request arrived. The response is sent by Server.Answer, during the call or
+// later.
 type Handler func(id ConnID, listener int, r Request)
 
-// serverConn is an open connection. Only the event loop touches the fields above mu.
+// serverConn is an open connection. The fields above mu are used only by the event loop.
 type serverConn struct {
 	id           ConnID
 	evio         evio.Conn
 	inbuf        []byte
-	busy         bool // a request waits for its answer; the next one stays in inbuf
-	closing      bool // close after the answer
+	busy         bool // a request awaits its response; the next one stays in inbuf
+	closing      bool // the connection is closed after the response
 	continueSent bool // 100 Continue was sent for the current request
-	refused      bool // answered for the last time; what still arrives is discarded
-	discarded    int  // bytes, since it was refused
+	refused      bool // the final response was sent; further input is discarded
+	discarded    int  // bytes received after the refusal
 
 	mu            sync.Mutex
-	outbuf        []byte // written by Answer, taken by the event loop
-	responseReady bool   // the response in outbuf is complete
-	lingerExpired bool   // refused long enough ago to be closed
+	outbuf        []byte // set by Answer, sent by the event loop
+	responseReady bool   // outbuf holds a response to send
+	lingerExpired bool   // lingerTime has passed since the refusal
 }
 
-// A connection whose request was refused before it was read stays open for a while: closed on a client
-// that still sends, it would be reset and the client would lose the response.
+// Limits of the time and input after which a refused connection is closed. Closing it at once, while the
+// client still sends, would reset the connection and lose the response.
 const (
 	lingerTime  = 2 * time.Second
 	lingerBytes = 1 << 20
 )
 
-// Server is an HTTP server on one event loop of evio. Serve runs the loop; requests are answered from
-// any goroutine.
+// Server is an HTTP server on one event loop of evio. Serve runs the loop; Answer sends responses and may
+// be called from any goroutine.
 type Server struct {
 	maxBody  []int // bytes, by listener
 	maxConns int
 	handler  Handler
-	ctx      context.Context // of Serve: evio's callbacks take none
+	ctx      context.Context // passed to Serve; evio's callbacks have no context parameter
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	conns    map[ConnID]*serverConn
 	lastID   ConnID
 	refusals refusalCounter
 }
 
-// refusalCounter counts refused connections, so that they are logged once a second: there are thousands
-// when all clients of other controllers turn to this one.
+// refusalCounter counts refused connections and limits their logging to once a second. There may be
+// thousands of refusals when the clients of other controllers fail over to this one.
 type refusalCounter struct {
 	count    int
 	loggedAt time.Time
 }
 
-// record counts a refusal. Once a second it reports that refusals are to be logged, and how many there
-// were since the last time.
+// record counts a refusal. At most once a second it returns shouldLog and the number of refusals since the
+// last log message.
 func (r *refusalCounter) record(now time.Time) (count int, shouldLog bool) {
 	r.count++
 	if now.Sub(r.loggedAt) < time.Second {
@@ -79,15 +80,15 @@
 	return count, true
 }
 
-// NewServer returns a server that passes its requests to handler. maxBody bounds their bodies, in bytes,
-// for each of the addresses that it will listen on; maxConns bounds the open connections.
+// NewServer returns a server that passes its requests to handler. maxBody holds the maximum size of request
+// bodies, in bytes, for each listening address; maxConns limits the open connections.
 func NewServer(maxBody []int, maxConns int, handler Handler) *Server {
 	return &Server{maxBody: maxBody, maxConns: maxConns, handler: handler, conns: map[ConnID]*serverConn{}}
 }
 
-// Serve listens on the addresses and runs the event loop. After the context has ended it returns with
-// the next event of a connection. It returns nil when evio ends the loop because a connection could not
-// be accepted; the caller may then serve again.
+// Serve listens on the addresses and runs the event loop. After the context is cancelled it returns at the
+// next event of a connection. It returns nil if evio ends the loop because accepting a connection failed;
+// the caller may then call Serve again.
 func (s *Server) Serve(ctx context.Context, addrs ...string) error {
 	s.ctx = ctx
 	var ev evio.Events
@@ -105,13 +106,13 @@
 	return nil
 }
 
-// opened accepts a connection, or refuses it if there are too many.
+// opened registers a new connection, or closes it if maxConns connections are open.
 func (s *Server) opened(c evio.Conn) (out []byte, opts evio.Options, action evio.Action) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) >= s.maxConns {
 		if count, shouldLog := s.refusals.record(time.Now()); shouldLog {
-			slog.Error("connections refused: too many", "open", len(s.conns), "refused", count)
+			slog.Error("connection limit reached; refusing new connections", "open", len(s.conns), "refused", count)
 		}
 		return nil, opts, evio.Close
 	}
@@ -122,7 +123,7 @@
 	return nil, opts, evio.None
 }
 
-// closed forgets a connection.
+// closed removes a closed connection.
 func (s *Server) closed(c evio.Conn, _ error) evio.Action {
 	if sc, ok := c.Context().(*serverConn); ok {
 		s.mu.Lock()
@@ -135,7 +136,8 @@
 	return evio.None
 }
 
-// data receives new bytes, and none after a Wake, which says that a response is ready.
+// data handles received bytes. It is also called without bytes after a Wake, which signals that a response
+// is ready or that the linger time has expired.
 func (s *Server) data(c evio.Conn, in []byte) (out []byte, action evio.Action) {
 	if s.ctx.Err() != nil {
 		return nil, evio.Shutdown
@@ -160,7 +162,7 @@
 	sc.mu.Unlock()
 	sc.inbuf = append(sc.inbuf, in...)
 	if sc.busy {
-		// Requests are never pipelined; a client that floods is cut off.
+		// Pipelined requests are not processed ahead; a client that exceeds the buffer is disconnected.
 		if len(sc.inbuf) > maxHead+s.maxBody[c.AddrIndex()] {
 			return nil, evio.Close
 		}
@@ -173,8 +175,8 @@
 	return s.nextRequest(c, sc)
 }
 
-// sendResponse returns the response that is ready and keeps what has arrived meanwhile. It is called with
-// mu held, and releases it.
+// sendResponse returns the response in outbuf and appends received bytes to inbuf. It must be called with
+// mu held, and releases mu.
 func (sc *serverConn) sendResponse(c evio.Conn, in []byte) (out []byte, action evio.Action) {
 	out, sc.outbuf, sc.responseReady = sc.outbuf, nil, false
 	sc.busy, sc.continueSent = false, false
@@ -183,8 +185,8 @@
 	if closing {
 		return out, evio.Close
 	}
-	// evio replaces output that it has not written yet by that of a later wake, so a request that has
-	// already arrived is parsed in the next iteration of the loop.
+	// evio discards unwritten output if another call returns output, so a buffered request is parsed in
+	// the next iteration of the loop.
 	if sc.inbuf = append(sc.inbuf, in...); len(sc.inbuf) > 0 {
 		c.Wake()
 	} else {
@@ -193,7 +195,7 @@
 	return out, evio.None
 }
 
-// nextRequest parses what has arrived and passes a complete request to the handler.
+// nextRequest parses the input buffer and passes a complete request to the handler.
 func (s *Server) nextRequest(c evio.Conn, sc *serverConn) (out []byte, action evio.Action) {
 	r, n, err := ParseRequest(sc.inbuf, s.maxBody[c.AddrIndex()])
 	if err != nil {
@@ -221,7 +223,7 @@
 	return out, evio.None
 }
 
-// startLinger has the connection closed after lingerTime.
+// startLinger starts a timer that closes the connection after lingerTime.
 func (sc *serverConn) startLinger() {
 	time.AfterFunc(lingerTime, func() {
 		sc.mu.Lock()
@@ -231,8 +233,8 @@
 	})
 }
 
-// Answer sends the response to the request in progress on a connection; if the connection has closed
-// meanwhile, the response is dropped. It may be called from any goroutine.
+// Answer sends the response to the current request of a connection. The response is dropped if the
+// connection is closed. Answer may be called from any goroutine.
 func (s *Server) Answer(id ConnID, status int, body []byte, retryAfter int) {
 	s.mu.Lock()
 	sc := s.conns[id]
--- a/httpx/server_test.go
+++ b/httpx/server_test.go
@@ -12,8 +12,7 @@
 	"basaltwall/internal/testport"
 )
 
-// startServer starts a server that answers, from another goroutine, with what the
-// request carried.
+// startServer starts a server that echoes the method, path and body of each request from another goroutine.
 func startServer(t *testing.T, maxConns int) string {
 	t.Helper()
 	addr, release, err := testport.Reserve()
@@ -39,11 +38,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("server does not come up")
+	t.Fatal("server does not accept connections")
 	return ""
 }
 
-func TestManyCallsAtOnce(t *testing.T) {
+func TestConcurrentRequests(t *testing.T) {
 	addr := startServer(t, 100)
 	c := NewClient(10_000, 4, 100)
 	var wg sync.WaitGroup
@@ -61,8 +60,8 @@
 	wg.Wait()
 }
 
-// exchangeRaw sends pieces of text one after the other, and returns all that the server sends until it
-// closes the connection.
+// exchangeRaw sends pieces of text with a short delay between them, and returns the bytes received until
+// the server closes the connection.
 func exchangeRaw(t *testing.T, addr string, pieces ...string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -90,7 +89,7 @@
 	}
 }
 
-func TestServerOnTheWire(t *testing.T) {
+func TestServerRawRequests(t *testing.T) {
 	addr := startServer(t, 100)
 	const closing = "POST /b HTTP/1.1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi"
 	cases := []struct {
@@ -98,12 +97,12 @@
 		pieces []string
 		want   []string
 	}{
-		{"split anywhere", []string{"POST /a HT", "TP/1.1\r\nContent-Le", "ngth: 4\r\n\r\nab", "cd", closing}, []string{"POST /a abcd", "POST /b hi"}},
-		{"two at once", []string{"GET /a HTTP/1.1\r\n\r\n" + closing}, []string{"GET /a", "POST /b hi"}},
+		{"request in several pieces", []string{"POST /a HT", "TP/1.1\r\nContent-Le", "ngth: 4\r\n\r\nab", "cd", closing}, []string{"POST /a abcd", "POST /b hi"}},
+		{"two requests in one piece", []string{"GET /a HTTP/1.1\r\n\r\n" + closing}, []string{"GET /a", "POST /b hi"}},
 		{"malformed", []string{"nonsense\r\n\r\n"}, []string{"HTTP/1.1 400"}},
-		{"too large", []string{"POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n"}, []string{"HTTP/1.1 413"}},
-		{"too large and still sending", []string{"POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n", strings.Repeat("x", 2500), strings.Repeat("x", 2500)}, []string{"HTTP/1.1 413"}},
-		{"asks before it sends", []string{"POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n", "x", closing}, []string{"100 Continue", "POST /a x"}},
+		{"body too large", []string{"POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n"}, []string{"HTTP/1.1 413"}},
+		{"body too large and client still sending", []string{"POST / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n", strings.Repeat("x", 2500), strings.Repeat("x", 2500)}, []string{"HTTP/1.1 413"}},
+		{"Expect: 100-continue", []string{"POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n", "x", closing}, []string{"100 Continue", "POST /a x"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -117,12 +116,12 @@
 	}
 }
 
-// Refused connections are logged once a second, with their count.
-func TestRefusalsAreCounted(t *testing.T) {
+// TestRefusalCounter checks that refused connections are logged at most once a second, with their count.
+func TestRefusalCounter(t *testing.T) {
 	var r refusalCounter
 	at := time.Unix(1000, 0)
 	if count, shouldLog := r.record(at); !shouldLog || count != 1 {
-		t.Errorf("the first: %d, %v", count, shouldLog)
+		t.Errorf("first refusal: count %d, logged %v", count, shouldLog)
 	}
 	for i := range 500 {
 		if _, shouldLog := r.record(at.Add(time.Duration(i) * time.Millisecond)); shouldLog {
@@ -130,6 +129,6 @@
 		}
 	}
 	if count, shouldLog := r.record(at.Add(time.Second)); !shouldLog || count != 501 {
-		t.Errorf("a second later: %d, %v", count, shouldLog)
+		t.Errorf("refusal after a second: count %d, logged %v", count, shouldLog)
 	}
 }
--- a/server/effects.go
+++ b/server/effects.go
@@ -1,7 +1,7 @@
 package server
 
-// This file carries out the controller's effects: replies to requests, and calls to the key-value
-// store, workers, the cloud and other controllers.
+// This file executes the controller's effects: replies to requests, and calls to the key-value store,
+// workers, the cloud and other controllers.
 
 import (
 	"context"
@@ -18,7 +18,8 @@
 	"basaltwall/worker"
 )
 
-// execute carries out an effect. Each call gets a goroutine of its own and comes back as one command.
+// execute executes an effect. Each outgoing call runs in its own goroutine, and its outcome is queued as
+// one command.
 func (s *Server) execute(ctx context.Context, effect message.Effect) {
 	switch e := effect.(type) {
 	case message.Reply:
@@ -48,7 +49,7 @@
 	}
 }
 
-// peerAddress returns the address of another controller, or "" if the settings do not name it.
+// peerAddress returns the address of another controller, or "" if it is not in the settings.
 func (s *Server) peerAddress(label api.ControllerID) string {
 	address := ""
 	for _, p := range s.config.Peers {
@@ -59,8 +60,8 @@
 	return address
 }
 
-// call sends a request and queues the command that its outcome stands for. A request that could not
-// be encoded, which err says, is not sent and fails like one that got no response.
+// call sends a request and queues its outcome as a command. A non-nil err means that the request could
+// not be encoded: it is not sent and has the outcome of a request without a response.
 func (s *Server) call(ctx context.Context, address, method, target string, body []byte, err error, timeout time.Duration,
 	toCommand func(httpx.Response, error) message.Command) {
 	var response httpx.Response
@@ -68,7 +69,7 @@
 		response, err = s.httpClient.Do(ctx, address, method, target, body, timeout)
 	}
 	if err != nil {
-		slog.Debug("call failed", "to", address, "err", err)
+		slog.Debug("outgoing call failed", "to", address, "err", err)
 	}
 	select {
 	case s.commands <- toCommand(response, err):
@@ -76,8 +77,8 @@
 	}
 }
 
-// reply answers a request that waits; a second reply to one is dropped. It may be called from any
-// goroutine.
+// reply sends the response to a pending request; a second reply to the same request is dropped. It may be
+// called from any goroutine.
 func (s *Server) reply(response message.Reply) {
 	origin, ok := s.takePendingRequest(response.Req)
 	if !ok {
@@ -95,7 +96,7 @@
 	s.httpServer.Answer(origin.conn, api.StatusOK, body, 0)
 }
 
-// addPendingRequest notes that a request waits for its reply, and returns the identifier for it.
+// addPendingRequest registers a request that awaits its reply and returns the identifier assigned to it.
 func (s *Server) addPendingRequest(origin requestOrigin) message.ReqID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,8 +105,8 @@
 	return s.lastReqID
 }
 
-// takePendingRequest returns where the reply to a request goes, and forgets the request. It reports
-// false if none waits.
+// takePendingRequest removes a pending request and returns its origin. It reports false if no such
+// request is pending.
 func (s *Server) takePendingRequest(id message.ReqID) (requestOrigin, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/server/openapi_test.go
+++ b/server/openapi_test.go
@@ -12,7 +12,7 @@
 	"basaltwall/httpx"
 )
 
-// document is what docs/openapi.yaml says of the hosted service.
+// document is the OpenAPI description of the hosted service, docs/openapi.yaml.
 type document struct{ doc *openapi3.T }
 
 func readDocument(t *testing.T) document {
@@ -27,7 +27,7 @@
 	return document{doc}
 }
 
-// find is what the document says of a path.
+// find returns the document's entry for a path, or nil.
 func (d document) find(path string) *openapi3.PathItem {
 	path, _, _ = strings.Cut(path, "?")
 	parts := strings.Split(path, "/")
@@ -39,16 +39,16 @@
 	return nil
 }
 
-// check holds an answer against the document.
+// check checks that a response matches the document.
 func (d document) check(t *testing.T, method, path string, code int, body string) {
 	t.Helper()
 	item := d.find(path)
 	if item == nil || item.GetOperation(method) == nil {
-		return // not of the hosted service's document
+		return // the document describes only the hosted service
 	}
 	res := item.GetOperation(method).Responses.Status(code)
 	if res == nil {
-		t.Errorf("%s %s: %d %s, which the document does not name", method, path, code, body)
+		t.Errorf("%s %s: %d %s: status is missing in the document", method, path, code, body)
 		return
 	}
 	var v any
@@ -61,7 +61,8 @@
 	}
 }
 
-// Every request that the document names is understood, and no other of its paths.
+// TestRequestsMatchOpenAPI checks that the router accepts every method and path of the document, and
+// refuses other methods and paths.
 func TestRequestsMatchOpenAPI(t *testing.T) {
 	d := readDocument(t)
 	s := &Server{config: &config.Config{Hosted: &config.Hosted{}}}
@@ -69,9 +70,9 @@
 		path := strings.NewReplacer("{ref}", "run-1", "{name}", "kipper", "{key}", "first", "{team}", "dispo", "{depot}", "hof-nord").Replace(template)
 		for _, method := range []string{"GET", "PUT", "POST", "DELETE", "PATCH"} {
 			c, status := s.route(1, httpx.Request{Method: method, Path: path, Body: []byte("{}")})
-			if named := item.GetOperation(method) != nil; named != (c != nil) {
-				t.Errorf("%s %s: named %v, answered %v (%d)", method, path, named, c != nil, status)
-			} else if !named && status != 405 {
+			if documented := item.GetOperation(method) != nil; documented != (c != nil) {
+				t.Errorf("%s %s: documented %v, accepted %v (%d)", method, path, documented, c != nil, status)
+			} else if !documented && status != 405 {
 				t.Errorf("%s %s: %d, expected 405", method, path, status)
 			}
 		}
@@ -84,7 +85,8 @@
 	}
 }
 
-// A service without tenants answers the paths of a hosted one as any that it does not know.
+// TestTenantPathsAbsentWithoutHosting checks that a service without tenants answers the hosted service's
+// paths with status 404.
 func TestTenantPathsAbsentWithoutHosting(t *testing.T) {
 	s := &Server{config: &config.Config{}}
 	for _, method := range []string{"GET", "PUT", "POST"} {
--- a/server/requests.go
+++ b/server/requests.go
@@ -1,6 +1,6 @@
 package server
 
-// This file turns incoming requests into commands.
+// This file converts incoming requests to commands for the controller.
 
 import (
 	"crypto/rand"
@@ -15,16 +15,16 @@
 	"basaltwall/worker"
 )
 
-// What a tenant may ask by message.TenantQuery.
+// Values of message.TenantQuery.What.
 const (
 	tenantJobs  = "jobs"
 	tenantUsage = "usage"
 )
 
-// overloadedRetryAfter is when a client that found the queue full should come back, in seconds.
+// overloadedRetryAfter is the Retry-After value, in seconds, for requests refused because the queue is full.
 const overloadedRetryAfter = 2
 
-// refusalReasons are the reasons that a refusal by the router gives, by HTTP status.
+// refusalReasons holds the error texts of requests that the router refuses, by HTTP status.
 var refusalReasons = map[int]string{
 	api.StatusBadRequest:         "malformed",
 	api.StatusNotFound:           "no such path",
@@ -32,7 +32,7 @@
 	api.StatusServiceUnavailable: "no random bytes",
 }
 
-// handleRequest queues the command that a request stands for, or refuses the request. It runs on the
+// handleRequest converts a request to a command and queues it, or refuses the request. It runs on the
 // event loop of the HTTP server and must not block.
 func (s *Server) handleRequest(conn httpx.ConnID, listener int, r httpx.Request) {
 	id := s.addPendingRequest(requestOrigin{conn: conn, listener: listener})
@@ -66,7 +66,7 @@
 	s.reply(message.Reply{Req: id, Status: status, Body: []byte(`{"error":"` + reason + `"}`), RetryAfter: retryAfter})
 }
 
-// peerCommand returns the command for a message of another controller.
+// peerCommand returns the command for a message from another controller.
 func peerCommand(id message.ReqID, r httpx.Request) message.Command {
 	if m, err := peer.ParseMessage(r.Body); err == nil {
 		command := peer.Command(m, id, func(body []byte) message.Command { return heartbeatCommand(id, body, true) })
@@ -86,8 +86,8 @@
 	return message.WorkerHeartbeat{Req: id, Heartbeat: heartbeat, Body: body, Forwarded: forwarded}
 }
 
-// route returns the command for a request of a user, a worker, an operator or the load balancer, or
-// nil and the HTTP status that refuses it.
+// route returns the command for a request from a user, a worker, an operator or the load balancer. For a
+// refused request it returns nil and the HTTP status of the refusal.
 func (s *Server) route(id message.ReqID, r httpx.Request) (message.Command, int) {
 	var caller message.Caller
 	if s.config.Hosted != nil {
@@ -110,8 +110,8 @@
 	return routeJob(id, r, caller)
 }
 
-// requireMethod returns a command if the request has its method. The command is nil if the request is
-// malformed.
+// requireMethod returns the command if the request uses the given method, else nil and the HTTP status of
+// the refusal. A nil command means that the request is malformed.
 func requireMethod(r httpx.Request, method string, command message.Command) (message.Command, int) {
 	if r.Method != method {
 		return nil, api.StatusMethodNotAllowed
@@ -122,8 +122,9 @@
 	return command, 0
 }
 
-// routeTenant returns the command for a request that only tenants of a hosted service may send, or nil
-// and the HTTP status that refuses it. It reports false for any other request.
+// routeTenant returns the command for a request that only tenants of a hosted service may send. For a
+// refused request it returns nil and the HTTP status of the refusal. It reports false for requests that
+// are not specific to tenants.
 func routeTenant(id message.ReqID, r httpx.Request, caller message.Caller) (command message.Command, status int, ok bool) {
 	switch {
 	case r.Path == api.PathJobs && r.Method == api.MethodGet:
@@ -144,7 +145,7 @@
 	return command, status, true
 }
 
-// tenantQuery returns the command by which a tenant asks for its unfinished jobs or its usage.
+// tenantQuery returns the command that queries a tenant's unfinished jobs or its usage.
 func tenantQuery(id message.ReqID, what string, r httpx.Request, caller message.Caller) (message.Command, int) {
 	after, limit, ok := admin.ParsePage(r)
 	if !ok {
@@ -169,8 +170,8 @@
 	return nil, api.StatusNotFound
 }
 
-// routeAdmin returns the command for an operator's request. Random bytes for a new key are drawn
-// here, because the controller is deterministic and reads no randomness itself.
+// routeAdmin returns the command for an operator's request. It adds random bytes to a request for a new
+// key, because the controller is deterministic and does not read a random source.
 func (s *Server) routeAdmin(id message.ReqID, r httpx.Request, caller message.Caller) (message.Command, int) {
 	if s.config.Hosted == nil && admin.IsHostedPath(r.Path) {
 		return nil, api.StatusNotFound
--- a/server/server.go
+++ b/server/server.go
@@ -1,25 +1,24 @@
-// Package server runs a controller: it connects the HTTP server and the client pool to
-// controller.Controller, which makes all decisions and does no input or output itself. The package
-// decides nothing but the order in which commands are handed over.
+// Package server runs a controller. It connects the HTTP server and the HTTP client to
+// controller.Controller, which makes all scheduling decisions and does no input or output itself. The
+// package only decides the order in which commands are passed to the controller.
 //
 // # Goroutines
 //
-// Run's goroutine is the only one that touches the Controller and the peer encoder. It takes commands
+// Run's goroutine is the only one that uses the Controller and the peer encoder. It receives commands
 // from two channels, passes them to Controller.Step in batches, and starts the effects that Step
-// returns. A second goroutine runs the HTTP server's event loop, which calls handleRequest; that must
-// not block, so a request that finds its channel full is refused at once. Each outgoing call has a
-// goroutine of its own, which lasts until the response or the call's deadline, and then until its
-// outcome is queued as a command. Incoming requests wait for their reply in pendingRequests, which mu
-// guards.
+// returns. A second goroutine runs the HTTP server's event loop, which calls handleRequest; the handler
+// must not block, so a request is refused at once if its channel is full. Each outgoing call has its own
+// goroutine, which ends once the response or the timeout has been queued as a command. Incoming requests
+// stay in pendingRequests, guarded by mu, until their reply is sent.
 //
 // # Shutdown
 //
-// The context given to Run ends everything: Run returns, calls under way are not waited for, and the
-// event loop ends with the next event of a connection, which also closes the listeners. The channels
-// are never closed, so a late sender needs no care; it gives up when the context has ended.
+// Cancelling the context passed to Run stops the server: Run returns without waiting for outgoing calls,
+// and the event loop ends with the next event of a connection, which also closes the listeners. The
+// channels are never closed; goroutines that still send to them return when the context is cancelled.
 package server
 
-// This file holds the server itself and the loop that drives the controller.
+// This file holds the server and the main loop, which runs the controller's steps.
 
 import (
 	"context"
@@ -34,51 +33,51 @@
 	"basaltwall/peer"
 )
 
-// Bounds on the bodies of messages, in bytes.
+// Maximum body sizes, in bytes.
 const (
 	maxRequest     = 64 << 10
-	maxPeerMessage = 4 << 20  // gossip about a partition with very many machines
-	maxResponse    = 64 << 20 // the key-value store states no limit for the changes in one response
+	maxPeerMessage = 4 << 20  // gossip about a partition with many machines
+	maxResponse    = 64 << 20 // the key-value store does not limit the changes in one response
 )
 
-// Indices of the listeners, in the order in which httpx.Server.Serve gets their addresses.
+// Indices of the listeners, in the order of the addresses passed to httpx.Server.Serve.
 const (
 	listenAPI  = 0
 	listenPeer = 1
 )
 
 const (
-	queueLength         = 4096 // commands that wait, in each channel
-	maxBatch            = 64   // commands in one step
-	defaultFDLimit      = 1024 // file descriptors, where the deployment names no limit
+	queueLength         = 4096 // capacity of each command channel
+	maxBatch            = 64   // commands in one controller step
+	defaultFDLimit      = 1024 // file descriptors, if the settings give no limit
 	idleConnsPerAddress = 4
-	sweepInterval       = 5 * time.Second // of unused connections
+	sweepInterval       = 5 * time.Second // between closings of expired idle connections
 )
 
 // Server is a running controller.
 type Server struct {
 	config     *config.Config
-	controller *controller.Controller // used by Run's goroutine alone
+	controller *controller.Controller // used only by Run's goroutine
 	commands   chan message.Command
-	heartbeats chan message.Command // of workers, apart so that they can't hold up the rest
+	heartbeats chan message.Command // from workers; a separate channel, so that they cannot delay other commands
 
 	httpServer  *httpx.Server
 	httpClient  *httpx.Client
-	peerEncoder peer.Encoder // used by Run's goroutine alone
+	peerEncoder peer.Encoder // used only by Run's goroutine
 	startedAt   time.Time
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	pendingRequests map[message.ReqID]requestOrigin
 	lastReqID       message.ReqID
 }
 
-// requestOrigin is where the reply to a request goes.
+// requestOrigin identifies the connection and the listener of a pending request.
 type requestOrigin struct {
 	conn     httpx.ConnID
 	listener int
 }
 
-// New returns a controller that is not yet running.
+// New returns a Server for the controller described by cfg. Run starts it.
 func New(cfg *config.Config) *Server {
 	s := &Server{
 		config:          cfg,
@@ -92,15 +91,15 @@
 	if fdLimit == 0 {
 		fdLimit = defaultFDLimit
 	}
-	// Most descriptors are for workers and users: a single controller may have to serve all of them.
-	// An eighth is kept for idle connections of outgoing calls.
+	// Most file descriptors are reserved for workers and users, because a single controller may have to
+	// serve all of them. An eighth is reserved for idle connections of outgoing calls.
 	s.httpServer = httpx.NewServer([]int{listenAPI: maxRequest, listenPeer: maxPeerMessage}, fdLimit*3/4, s.handleRequest)
 	s.httpClient = httpx.NewClient(maxResponse, idleConnsPerAddress, fdLimit/8)
 	return s
 }
 
-// Run serves until the context ends, and then returns nil. It returns an error if the addresses can't
-// be listened on. It may be called once.
+// Run serves until the context is cancelled, and then returns nil. It returns an error if it cannot listen
+// on the addresses. It may be called only once.
 func (s *Server) Run(ctx context.Context) error {
 	serveErr := make(chan error, 1)
 	go s.serveHTTP(ctx, serveErr)
@@ -125,8 +124,8 @@
 	}
 }
 
-// serveHTTP runs the event loop of the HTTP server. The loop also ends when a connection can't be
-// accepted, for want of file descriptors say; it is started again then.
+// serveHTTP runs the event loop of the HTTP server. The loop also ends when accepting a connection fails,
+// for example for lack of file descriptors; serveHTTP then restarts it.
 func (s *Server) serveHTTP(ctx context.Context, failed chan<- error) {
 	for ctx.Err() == nil {
 		if err := s.httpServer.Serve(ctx, s.config.APIAddr, s.config.PeerListen); err != nil {
@@ -136,19 +135,19 @@
 	}
 }
 
-// fillBatch adds waiting commands to a batch and leaves room for one more. Requests and outcomes of
-// calls go first, but a quarter of the batch is kept for heartbeats.
+// fillBatch appends queued commands to a batch and leaves capacity for one more command. Requests and call
+// outcomes have precedence, but a quarter of the batch is reserved for heartbeats.
 func (s *Server) fillBatch(batch []message.Command) []message.Command {
-	batch = appendWaiting(batch, s.commands, cap(batch)*3/4)
-	batch = appendWaiting(batch, s.heartbeats, cap(batch)-1)
-	return appendWaiting(batch, s.commands, cap(batch)-1)
+	batch = appendQueued(batch, s.commands, cap(batch)*3/4)
+	batch = appendQueued(batch, s.heartbeats, cap(batch)-1)
+	return appendQueued(batch, s.commands, cap(batch)-1)
 }
 
-// appendWaiting appends commands that wait in a channel, up to a length of the batch.
-func appendWaiting(batch []message.Command, waiting <-chan message.Command, limit int) []message.Command {
+// appendQueued appends queued commands to a batch until its length reaches limit or the queue is empty.
+func appendQueued(batch []message.Command, queue <-chan message.Command, limit int) []message.Command {
 	for len(batch) < limit {
 		select {
-		case command := <-waiting:
+		case command := <-queue:
 			batch = append(batch, command)
 		default:
 			return batch
@@ -157,11 +156,11 @@
 	return batch
 }
 
-// stepper makes the controller's steps and accounts for the time that they take. It belongs to Run's
+// stepper runs the controller's steps and measures their processing time. It is used only by Run's
 // goroutine.
 type stepper struct {
 	server  *Server
-	usage   message.ResourceUsage // as of the last step; the next one reports it
+	usage   message.ResourceUsage // as of the last step; passed to the next step
 	work    workMeter
 	sweptAt time.Time
 }
@@ -172,7 +171,7 @@
 	return st
 }
 
-// step passes a batch to the controller, followed by the usage of resources, and starts the effects.
+// step passes a batch to the controller, followed by the resource usage, and starts the returned effects.
 func (st *stepper) step(ctx context.Context, batch []message.Command) {
 	s := st.server
 	st.usage.QueuedRequests = len(s.commands)
@@ -180,7 +179,7 @@
 	batch = append(batch, st.usage)
 	now := time.Now()
 	st.work.since = now
-	// The controller's clock starts at 1: a time of 0 stands for none.
+	// The controller's clock starts at 1, because the zero Time means that no time is set.
 	effects := s.controller.Step(api.Time(now.Sub(s.startedAt)+1), api.WallTime(now.UnixMilli()), batch)
 	st.work.switchTo(st.work.current)
 	for _, effect := range effects {
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -11,8 +11,8 @@
 	"basaltwall/internal/emulator"
 )
 
-// Real controllers on real sockets: jobs are accepted, run, polled, cancelled,
-// and survive a controller's end.
+// TestControllersOnLoopback runs three controllers on real sockets. Jobs are accepted, run, polled and
+// cancelled, also after one controller stops.
 func TestControllersOnLoopback(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -34,25 +34,25 @@
 	start(1)
 	start(2)
 	base := "http://" + l.LoadBalancerAddr + api.PathJobs
-	eventually(t, "an array accepted", func() bool {
+	eventually(t, "job array accepted", func() bool {
 		code, _ := doRequest(t, "POST", base, fmt.Appendf(nil, jobTemplate, "run-1", "sweep", 6, 1))
 		return code == 201 || code == 200
 	})
-	eventually(t, "a service accepted", func() bool {
+	eventually(t, "service accepted", func() bool {
 		code, _ := doRequest(t, "POST", base, fmt.Appendf(nil, jobTemplate, "run-2", "daemon", 2, 0))
 		return code == 201 || code == 200
 	})
-	eventually(t, "the array done", func() bool {
+	eventually(t, "job array done", func() bool {
 		_, s := doRequest(t, "GET", base+"/run-1", nil)
 		return s.State == api.JobDone
 	})
 	stop()
-	eventually(t, "a gang done without the first controller", func() bool {
+	eventually(t, "gang done after the first controller stopped", func() bool {
 		doRequest(t, "POST", base, fmt.Appendf(nil, jobTemplate, "run-3", "ensemble", 2, 1))
 		_, s := doRequest(t, "GET", base+"/run-3", nil)
 		return s.State == api.JobDone
 	})
-	eventually(t, "the service cancelled", func() bool {
+	eventually(t, "service cancelled", func() bool {
 		code, s := doRequest(t, "POST", base+"/run-2/"+api.PathSuffixCancel, nil)
 		return code == 200 && s.State == api.JobCancelled
 	})
@@ -62,10 +62,10 @@
 		}
 	}
 	if code, _ := doRequest(t, "POST", base, []byte(`{"ref":"run-9"}`)); code != 400 {
-		t.Errorf("a malformed job gets %d", code)
+		t.Errorf("malformed job: status %d, expected 400", code)
 	}
 	if code, _ := doRequest(t, "POST", base, bytes.Repeat([]byte(" "), 70_000)); code != 413 {
-		t.Errorf("an over-long body gets %d", code)
+		t.Errorf("body above the limit: status %d, expected 413", code)
 	}
 	exerciseAdminAPI(t, "http://"+l.Configs[1].APIAddr+"/admin/v1/", "http://"+l.Configs[2].APIAddr+"/admin/v1/")
 	for _, b := range l.Violations() {
--- a/server/support_test.go
+++ b/server/support_test.go
@@ -1,6 +1,6 @@
 package server
 
-// This file holds what the tests on real sockets share.
+// This file holds the helpers of the tests on real sockets.
 
 import (
 	"bytes"
@@ -45,8 +45,8 @@
 	return res.StatusCode, s
 }
 
-// eventually tries until it works; the bound only ends a test that hangs.
-func eventually(t *testing.T, what string, ok func() bool) {
+// eventually polls a condition until it holds, and fails the test after a minute.
+func eventually(t *testing.T, description string, ok func() bool) {
 	t.Helper()
 	for range 1200 {
 		if ok() {
@@ -54,14 +54,14 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("%s: never", what)
+	t.Fatalf("condition never held: %s", description)
 }
 
 const jobTemplate = `{"ref":"%s","mestiere":"try","bottega":"red","forma":"%s","urgenza":"normal","pezzi":%d,"cores":1,"gpus":0,
 "ram_gb":1,"stampo":"img","image_gb":1,"together":false,"scatter":false,"avanzi":false,"stima_s":%d,"tappa_s":0,"salvo_s":0}`
 
-// startControllers starts controllers with an emulated environment and ends them with the test. The
-// service is hosted unless hosted is nil.
+// startControllers starts controllers with an emulated environment and stops them at the end of the test.
+// The service is hosted unless hosted is nil.
 func startControllers(t *testing.T, count, machines int, hosted *config.Hosted) *emulator.Live {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -88,7 +88,7 @@
 	return live
 }
 
-// sendRequest sends a request, with a key unless that is "". It reports false if there is no answer.
+// sendRequest sends a request, with a key unless it is "". It reports false if there is no response.
 func sendRequest(t *testing.T, method, url, key, body string) (code int, answer string, ok bool) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -110,20 +110,20 @@
 	return res.StatusCode, string(data), true
 }
 
-// callFunc sends a request to a controller, with a key unless that is "", and returns the status and the
-// body of the answer.
+// callFunc sends a request to a controller, with a key unless it is "", and returns the status and the
+// body of the response.
 type callFunc func(node int, key, method, path, body string) (int, string)
 
-// expectFunc returns the check of an answer's status and of a part of its body.
-type expectFunc func(what string, code int, part string) func(int, string) string
+// expectFunc returns a function that checks the status of a response and a substring of its body.
+type expectFunc func(description string, status int, substring string) func(int, string) string
 
-// newExpect makes the check of an answer: its status, and what its body holds.
+// newExpect returns an expectFunc that reports mismatches as test errors.
 func newExpect(t *testing.T) expectFunc {
-	return func(what string, code int, part string) func(int, string) string {
+	return func(description string, status int, substring string) func(int, string) string {
 		return func(got int, body string) string {
 			t.Helper()
-			if got != code || !strings.Contains(body, part) {
-				t.Errorf("%s: %d %s, expected %d with %q", what, got, body, code, part)
+			if got != status || !strings.Contains(body, substring) {
+				t.Errorf("%s: %d %s, expected %d with %q", description, got, body, status, substring)
 			}
 			return body
 		}
--- a/server/usage.go
+++ b/server/usage.go
@@ -1,6 +1,6 @@
 package server
 
-// This file measures the processor time that the controller and the process use.
+// This file measures the processing time of the controller and the CPU time of the process.
 
 import (
 	"syscall"
@@ -9,22 +9,21 @@
 	"basaltwall/controller/message"
 )
 
-// workMeter adds up the controller's time by kind of work.
+// workMeter accumulates the controller's processing time by kind of work.
 type workMeter struct {
-	since   time.Time // when the current work began
+	since   time.Time // start of the current work
 	current message.WorkKind
 	spent   [message.WorkKinds]time.Duration
 }
 
-// switchTo ends the current kind of work and begins another.
+// switchTo adds the elapsed time to the current kind of work and makes next the current kind.
 func (m *workMeter) switchTo(next message.WorkKind) {
 	now := time.Now()
 	m.spent[m.current] += now.Sub(m.since)
 	m.since, m.current = now, next
 }
 
-// processCPUTime returns the processor time that the process has used, or 0 where the system does not
-// report it.
+// processCPUTime returns the user and system CPU time of the process, or 0 if it is not available.
 func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
