--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,5 +1,5 @@
 // Package cloud encodes the controller's calls to the cloud provider as HTTP requests, and decodes the
-// responses. It keeps no state.
+// responses. Its functions are stateless.
 package cloud
 
 import (
@@ -12,13 +12,13 @@
 	"basaltwall/httpx"
 )
 
-// pageSize is the most machines that one page of a list may hold.
+// pageSize is the number of machines requested per page of a list.
 const pageSize = 500
 
-// ErrEmptyCall is returned for a call that asks for nothing.
-var ErrEmptyCall = errors.New("asks for nothing")
+// ErrEmptyCall is returned for a call in which no operation is set.
+var ErrEmptyCall = errors.New("no operation is set")
 
-// Request returns the HTTP request for a call. A call that asks for nothing is an ErrEmptyCall.
+// Request returns the HTTP request for a call. The error wraps ErrEmptyCall if no operation is set.
 func Request(c message.CloudCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Types:
@@ -36,11 +36,11 @@
 		body, err = json.Marshal(api.MachineIDList{Machines: c.Delete})
 		return api.MethodPost, api.PathDeleteInstances, body, err
 	}
-	return "", "", nil, fmt.Errorf("cloud call %d %w", c.ID, ErrEmptyCall)
+	return "", "", nil, fmt.Errorf("cloud call %d: %w", c.ID, ErrEmptyCall)
 }
 
-// ParseResponse returns the command for the outcome of a call. Its status is 0 if the call failed,
-// which callErr says, or if the body is malformed.
+// ParseResponse returns the command for the outcome of a call. Its status is 0 if callErr is not nil or the
+// body is malformed.
 func ParseResponse(c message.CloudCall, r httpx.Response, callErr error) message.CloudResponse {
 	response := message.CloudResponse{ID: c.ID}
 	if callErr != nil {
--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -10,7 +10,7 @@
 	"basaltwall/internal/golden"
 )
 
-// Requests to the cloud as earlier versions wrote them, and its answers as they read them.
+// TestGolden checks that requests to the cloud and its responses keep the encoding of earlier versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	create := golden.Filled[api.ScaleOutRequest](t)
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -13,16 +13,15 @@
 	"basaltwall/internal/golden"
 )
 
-// Copies of the types that controllers send each other, with the names that encoding/gob put
-// into the messages when these tests were written. They stay as they are: controllers of
-// versions that read and write these names run beside those of this one during an upgrade.
+// Copies of the message types of earlier versions. Encoding/gob transmits the field names, which must not
+// change: controllers of different versions run together during an upgrade.
 type (
 	oldMessage struct {
 		Gossip  *oldGossip
 		Forward *oldForward
-		ReadLog *oldLogAsk
+		ReadLog *oldReadLogRequest
 	}
-	oldLogAsk struct {
+	oldReadLogRequest struct {
 		Since uint64
 		Wait  bool
 	}
@@ -52,21 +51,21 @@
 		Born    int64
 		Number  uint64
 		StateOK bool
-		Parts   []oldPartNews
-		Rented  []oldRented
+		Parts   []oldPartitionStatus
+		Rented  []oldScaleOut
 		Passed  []*oldGossip
 	}
-	oldRented struct {
+	oldScaleOut struct {
 		Type     string
 		Zone     string
 		Spot     bool
 		Machines []string
 	}
-	oldPartNews struct {
+	oldPartitionStatus struct {
 		Part        int
 		Kinds       []oldKind
-		Rooms       []oldRoom
-		Accelerated map[oldSupply]oldCount
+		Rooms       []oldFreeCapacity
+		Accelerated map[oldAcceleratorKind]oldCount
 		Zones       map[string]oldZoneCount
 		Silent      []string
 		Fresh       []string
@@ -76,9 +75,9 @@
 		Short       []string
 		Spare       map[string]oldResources
 		Waiting     int
-		Lack        []oldLack
+		Lack        []oldUnmetDemand
 	}
-	oldSupply struct {
+	oldAcceleratorKind struct {
 		Type string
 		Spot bool
 	}
@@ -95,13 +94,13 @@
 		Usable bool
 		Closed bool
 	}
-	oldRoom struct {
+	oldFreeCapacity struct {
 		Kind  int
 		Free  oldResources
 		Could oldResources
 		Count int
 	}
-	oldLack struct {
+	oldUnmetDemand struct {
 		Spec    *oldSpec
 		Zones   map[string]int
 		Zone    string
@@ -129,16 +128,17 @@
 		Checkpoint float64
 		Save       float64
 		Deadline   *float64
-		Needs      []oldNeed
+		Needs      []oldPoolRequest
 	}
-	oldNeed struct {
+	oldPoolRequest struct {
 		Pool string
 		Task int
 		Job  int
 	}
 )
 
-// Messages between controllers as earlier versions wrote them, and as they would read today's.
+// TestGolden checks that messages between controllers keep the encoding of earlier versions, and that
+// earlier versions can decode current messages.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	all := golden.Filled[message.PeerMessage](t)
@@ -161,7 +161,7 @@
 		if read, err = ParseMessage(body); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		golden.Same(t, name+" of today", read, m)
+		golden.Same(t, name+" encoded by Request", read, m)
 	}
 	reply := golden.Filled[message.PeerReply](t)
 	data := golden.Gob[message.PeerReply, oldReply](f, "reply", reply)
@@ -173,7 +173,7 @@
 	f.Text("path", method+" "+target)
 }
 
-// The commands of messages, by the kinds that earlier versions wrote.
+// TestGoldenCommands checks the command for each kind of message of earlier versions.
 func TestGoldenCommands(t *testing.T) {
 	parseHeartbeat := func(body []byte) message.Command { return string(body) }
 	forward := func(kind, ref, body string) message.PeerMessage {
@@ -195,8 +195,8 @@
 	}
 }
 
-// A request about skips that is forwarded to another controller lies in its message as JSON, by the
-// names of Go's fields.
+// TestGoldenSkips checks that a forwarded request about skips keeps its encoding: JSON with the names of the
+// Go fields.
 func TestGoldenSkips(t *testing.T) {
 	random := [40]byte{}
 	for i := range random {
@@ -210,12 +210,12 @@
 	want.Req = 9
 	got := Command(message.PeerMessage{Forward: &message.Forward{Kind: "skips", Body: data}}, 9, nil)
 	golden.Same(t, "skips", got, any(want))
-	short := golden.JSON(f, "skips ask as it is sent", message.AdminRequest{What: "skips-do", ID: "hof-nord", Sub: "offer", After: "six-1", Limit: 2, Body: []byte(`{"name":"first"}`)})
-	golden.Same(t, "skips as it is sent", Command(message.PeerMessage{Forward: &message.Forward{Kind: "skips", Body: short}}, 9, nil),
+	sparse := golden.JSON(f, "skips ask as it is sent", message.AdminRequest{What: "skips-do", ID: "hof-nord", Sub: "offer", After: "six-1", Limit: 2, Body: []byte(`{"name":"first"}`)})
+	golden.Same(t, "skips as it is sent", Command(message.PeerMessage{Forward: &message.Forward{Kind: "skips", Body: sparse}}, 9, nil),
 		any(message.AdminRequest{Req: 9, What: "skips-do", ID: "hof-nord", Sub: "offer", After: "six-1", Limit: 2, Body: json.RawMessage(`{"name":"first"}`), Forwarded: true}))
 }
 
-// Gossip with few of its fields set, among them an unmet demand.
+// TestGoldenSparseGossip checks the encoding of gossip in which most fields are unset.
 func TestGoldenSparseGossip(t *testing.T) {
 	deadline := 7.5
 	want := message.Gossip{From: "stone-1", Born: 5, Number: 6, StateOK: true, Parts: []message.PartitionStatus{{Part: 2,
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer encodes the messages between controllers, in encoding/gob inside HTTP bodies. Field
-// names of the messages are the wire: controllers of several versions run side by side in an upgrade.
+// Package peer encodes the messages between controllers with encoding/gob in HTTP bodies. Gob transmits the
+// field names, so they must not change: controllers of different versions run together during an upgrade.
 package peer
 
 import (
@@ -15,10 +15,10 @@
 	"basaltwall/httpx"
 )
 
-// Path is the path at which controllers accept messages of each other.
+// Path is the HTTP path for messages between controllers.
 const Path = "/peer/v1"
 
-// Encode encodes a message or a reply.
+// Encode encodes a message.PeerMessage or a message.PeerReply.
 func Encode(v any) ([]byte, error) {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
@@ -27,7 +27,7 @@
 	return b.Bytes(), nil
 }
 
-// ParseMessage decodes a message.
+// ParseMessage decodes a message from another controller.
 func ParseMessage(body []byte) (message.PeerMessage, error) {
 	var m message.PeerMessage
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&m); err != nil {
@@ -42,9 +42,9 @@
 	return api.MethodPost, Path, body, err
 }
 
-// Encoder encodes calls. Gossip that goes to several controllers is encoded once: consecutive calls
-// with the same *message.Gossip share a body. The zero value is ready to use; an Encoder is not safe
-// for concurrent use.
+// Encoder encodes calls. It encodes gossip for several controllers only once: consecutive calls with the
+// same *message.Gossip share a body. The zero value is ready to use. An Encoder is not safe for concurrent
+// use.
 type Encoder struct {
 	lastGossip *message.Gossip
 	lastBody   []byte
@@ -65,8 +65,8 @@
 	return api.MethodPost, Path, e.lastBody, nil
 }
 
-// ParseReply returns the command for the outcome of a call. It is not OK if the call failed, which
-// callErr says, or if the body is malformed.
+// ParseReply returns the command for the outcome of a call. Its OK is false if callErr is not nil, the
+// status is not 200, or the body is malformed.
 func ParseReply(c message.PeerCall, r httpx.Response, callErr error) message.PeerResponse {
 	response := message.PeerResponse{ID: c.ID}
 	if callErr != nil || r.Status != api.StatusOK {
@@ -79,8 +79,8 @@
 	return response
 }
 
-// Command returns the command for a message, as request id req, or nil for a message that is
-// malformed or of a kind that this version does not know. Heartbeats are decoded by parseHeartbeat.
+// Command returns the command for a message received as request req, or nil if the message is malformed or
+// its kind is unknown to this version. Heartbeats are decoded by parseHeartbeat.
 func Command(m message.PeerMessage, req message.ReqID, parseHeartbeat func([]byte) message.Command) message.Command {
 	switch {
 	case m.Gossip != nil:
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// forwardedCommand returns the command for a request that another controller forwards, or nil.
+// forwardedCommand returns the command for a request that another controller forwarded, or nil if the
+// request is malformed or of an unknown kind.
 func forwardedCommand(f *message.Forward, req message.ReqID, parseHeartbeat func([]byte) message.Command) message.Command {
 	switch f.Kind {
 	case message.ForwardSubmit:
--- a/state/golden_test.go
+++ b/state/golden_test.go
@@ -11,8 +11,8 @@
 	"basaltwall/internal/golden"
 )
 
-// Requests to the key-value store as earlier versions wrote them, and its answers as they read
-// them.
+// TestGolden checks that requests to the key-value store and its responses keep the encoding of earlier
+// versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	txn := golden.Filled[api.Txn](t)
--- a/state/state.go
+++ b/state/state.go
@@ -1,5 +1,5 @@
-// Package state encodes the controller's calls to the key-value store as HTTP requests, and decodes
-// the responses. It keeps no state.
+// Package state encodes the controller's calls to the key-value store as HTTP requests, and decodes the
+// responses. Its functions are stateless.
 package state
 
 import (
@@ -15,21 +15,21 @@
 )
 
 const (
-	// watchedPrefix is the prefix of the keys whose changes controllers follow.
+	// watchedPrefix is the prefix of the keys that controllers watch.
 	watchedPrefix = "b/"
-	// maxPageSize is the most keys that one page may hold.
+	// maxPageSize is the maximum number of keys in a page.
 	maxPageSize = 500
 )
 
-// ErrEmptyCall is returned for a call that asks for nothing.
-var ErrEmptyCall = errors.New("asks for nothing")
+// ErrEmptyCall is returned for a call in which no operation is set.
+var ErrEmptyCall = errors.New("no operation is set")
 
-// Request returns the HTTP request for a call. A call that asks for nothing is an ErrEmptyCall.
+// Request returns the HTTP request for a call. The error wraps ErrEmptyCall if no operation is set.
 func Request(c message.StoreCall) (method, target string, body []byte, err error) {
 	switch {
 	case c.Txn != nil:
 		txn := *c.Txn
-		if txn.If == nil { // encoded as an empty list rather than null
+		if txn.If == nil { // encodes an empty list instead of null
 			txn.If = []api.Condition{}
 		}
 		if txn.Writes == nil {
@@ -64,10 +64,10 @@
 	case c.RenewLease != 0:
 		return api.MethodPost, fmt.Sprintf("%s/%d/%s", api.PathLeases, c.RenewLease, api.PathSuffixRenew), nil, nil
 	}
-	return "", "", nil, fmt.Errorf("state call %d %w", c.ID, ErrEmptyCall)
+	return "", "", nil, fmt.Errorf("key-value store call %d: %w", c.ID, ErrEmptyCall)
 }
 
-// query encodes parameters but leaves slashes unescaped, as they stand in keys.
+// query encodes query parameters without escaping, so that slashes in keys stay as they are.
 func query(v url.Values) string {
 	s, err := url.PathUnescape(v.Encode())
 	if err != nil {
@@ -76,8 +76,8 @@
 	return s
 }
 
-// ParseResponse returns the command for the outcome of a call. Its status is 0 if the call failed,
-// which callErr says, or if the body is malformed.
+// ParseResponse returns the command for the outcome of a call. Its status is 0 if callErr is not nil or the
+// body is malformed.
 func ParseResponse(c message.StoreCall, r httpx.Response, callErr error) message.StoreResponse {
 	response := message.StoreResponse{ID: c.ID}
 	if callErr != nil {
--- a/worker/golden_test.go
+++ b/worker/golden_test.go
@@ -12,7 +12,7 @@
 	"basaltwall/internal/golden"
 )
 
-// Messages to and from workers as earlier versions wrote them.
+// TestGolden checks that messages to and from workers keep the encoding of earlier versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	call := message.WorkerCall{ID: 5, Address: "10.0.0.1:9000", Commands: golden.Filled[api.CommandBatch](t), Timeout: time.Second}
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,5 +1,5 @@
 // Package worker encodes the controller's calls to workers as HTTP requests, and decodes workers'
-// heartbeats and responses. It keeps no state.
+// heartbeats and responses. Its functions are stateless.
 package worker
 
 import (
@@ -12,12 +12,12 @@
 	"basaltwall/httpx"
 )
 
-// ErrIncompleteHeartbeat is returned for a heartbeat that does not say which worker sent it. The names
-// are those of the fields in JSON.
-var ErrIncompleteHeartbeat = errors.New("tornio or turno is missing")
+// ErrIncompleteHeartbeat is returned for a heartbeat without the JSON field tornio or turno, which identify
+// the machine and its epoch.
+var ErrIncompleteHeartbeat = errors.New("machine (tornio) or epoch (turno) is missing")
 
-// ParseHeartbeat decodes a heartbeat and checks that it names its machine and its epoch, which the
-// controller relies on.
+// ParseHeartbeat decodes a heartbeat. The error wraps ErrIncompleteHeartbeat if the machine or the epoch is
+// missing.
 func ParseHeartbeat(body []byte) (*api.Heartbeat, error) {
 	heartbeat := &api.Heartbeat{}
 	if err := json.Unmarshal(body, heartbeat); err != nil {
@@ -35,8 +35,8 @@
 	return api.MethodPost, api.PathCommands, body, err
 }
 
-// ParseResponse returns the command for the outcome of a call. A worker answers with a heartbeat, also
-// when it refuses the call (409); without one the status is 0.
+// ParseResponse returns the command for the outcome of a call. A worker responds with a heartbeat, even if
+// it refuses the call with status 409; without a valid heartbeat the command's status is 0.
 func ParseResponse(c message.WorkerCall, r httpx.Response, callErr error) message.WorkerResponse {
 	response := message.WorkerResponse{ID: c.ID}
 	if callErr != nil || r.Status != api.StatusOK && r.Status != api.StatusConflict {
