--- a/api/cloud.go
+++ b/api/cloud.go
@@ -1,5 +1,4 @@
-// Messages between controllers and the cloud: machine types and instances. Themed protocol names
-// live only in the tags and constants here.
+// This file holds the messages between controllers and the cloud: machine types and instances.
 
 package api
 
@@ -10,7 +9,7 @@
 	PathDeleteInstances = "/hosts/delete"
 )
 
-// MachineState is an instance's state as the cloud sees it.
+// MachineState is the state of an instance as reported by the cloud.
 type MachineState string
 
 // The states of an instance.
@@ -20,7 +19,7 @@
 	MachineFailed  MachineState = "failed"
 )
 
-// NoCapacity is the cloud's error text when it has no machine of the requested type.
+// NoCapacity is the cloud's error text if no machine of the requested type is available.
 const NoCapacity = "no capacity"
 
 // MachineType is the cloud's description of a machine type.
@@ -33,11 +32,11 @@
 	FetchRate   float64         `json:"fetch_gb_per_s"`
 	Price       float64         `json:"price"`
 	SpotPrice   float64         `json:"spot_price"`
-	BootSeconds float64         `json:"ready_s"` // from the request until the worker runs
+	BootSeconds float64         `json:"ready_s"` // from the scale-out request until the worker runs
 	Zones       []Zone          `json:"cortili"`
 }
 
-// Capacity is what a machine of the type offers.
+// Capacity returns the resources of a machine of the type.
 func (t *MachineType) Capacity() Resources {
 	return Resources{CPU: ToQuantity(t.CPUs), GPU: ToQuantity(t.GPUs), Mem: ToQuantity(t.MemGB)}
 }
@@ -47,7 +46,7 @@
 	Types []MachineType `json:"banchi"`
 }
 
-// ScaleOutRequest asks for new machines. Its name makes a retry idempotent.
+// ScaleOutRequest requests new machines. Its name is an idempotency key.
 type ScaleOutRequest struct {
 	Name  string          `json:"noleggio"`
 	Type  MachineTypeName `json:"banco"`
@@ -56,7 +55,7 @@
 	Count int             `json:"number"`
 }
 
-// MachineIDList is the answer to a scale-out request, and the request of a deletion.
+// MachineIDList is the response to a scale-out request, and the body of a deletion request.
 type MachineIDList struct {
 	Machines []MachineID `json:"torni"`
 }
--- a/api/golden_test.go
+++ b/api/golden_test.go
@@ -8,8 +8,8 @@
 	"basaltwall/internal/golden"
 )
 
-// Messages of users, workers, the cloud and the key-value store, as earlier
-// versions wrote them.
+// TestGolden checks that the messages of users, workers, the cloud and the key-value store keep the JSON
+// encoding of earlier versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	golden.JSON(f, "job", golden.Filled[JobSpec](t))
@@ -30,7 +30,7 @@
 	golden.JSON(f, "changes", golden.Filled[Changes](t))
 	golden.JSON(f, "lease ask", golden.Filled[LeaseRequest](t))
 	golden.JSON(f, "lease", golden.Filled[LeaseResponse](t))
-	// Without the optional fields.
+	// Messages without their optional fields.
 	golden.JSON(f, "empty job", JobSpec{})
 	golden.JSON(f, "empty job status", JobStatus{})
 	golden.JSON(f, "empty orders", CommandBatch{})
@@ -50,7 +50,7 @@
 	f.Text("values", strings.Join(values, "\n"))
 }
 
-// A submission as users write it, with every field.
+// TestGoldenSubmission checks that a submission with every field is decoded.
 func TestGoldenSubmission(t *testing.T) {
 	const submission = `{"ref":"run-7","mestiere":"render","bottega":"red","forma":"ensemble","urgenza":"critical","pezzi":3,"cores":1.5,"gpus":2,` +
 		`"ram_gb":4.25,"stampo":"img/x","image_gb":5.5,"banchi":["c8","g8"],"cortile":"b","together":true,"scatter":true,"avanzi":true,` +
--- a/api/identifiers.go
+++ b/api/identifiers.go
@@ -1,6 +1,6 @@
-// Package api owns the small types shared by every other package and the messages of the four
-// protocols: with users, workers, the cloud and the key-value store. The protocols' themed names
-// live only in the tags, constants and paths of this package; nothing outside spells one.
+// Package api defines the basic types shared by all packages, and the messages of the four protocols: with
+// users, workers, the cloud and the key-value store. The protocols fix the names on the wire; other packages
+// use them only through the tags, constants and paths of this package.
 package api
 
 import (
@@ -10,29 +10,29 @@
 	"strings"
 )
 
-// Each identifier and counter has its own type, so that one cannot be passed for another.
+// Types of identifiers and counters. Separate types prevent mixing them up.
 type (
-	// JobID is a job's id as its user chose it.
+	// JobID is a job's id, chosen by the user.
 	JobID string
-	// MachineID is a machine's name at the cloud.
+	// MachineID is the cloud's id of a machine.
 	MachineID string
 	// MachineTypeName names a machine type of the cloud.
 	MachineTypeName string
 	// Zone names a failure domain of the cloud.
 	Zone string
-	// Team names the team that a job counts for.
+	// Team names the team whose quota a job uses.
 	Team string
-	// Class names a kind of work, for priority rules and statistics.
+	// Class names a class of jobs, for priority rules, objectives and statistics.
 	Class string
 	// Image names a container image.
 	Image string
-	// ControllerID names a controller node.
+	// ControllerID names a controller.
 	ControllerID string
 	// Attempt numbers the starts of a task.
 	Attempt uint64
-	// FencingToken entitles its holder to command a machine; a worker ignores a lower one.
+	// FencingToken authorizes a controller to command a machine; a worker refuses commands with a lower one.
 	FencingToken uint64
-	// Revision numbers the changes of the key-value store.
+	// Revision numbers the changes to the key-value store.
 	Revision uint64
 	// Epoch numbers the incarnations of a worker.
 	Epoch uint64
@@ -40,31 +40,31 @@
 	Seq uint64
 	// LeaseID names a lease of the key-value store.
 	LeaseID uint64
-	// PartitionID numbers the partitions of the fleet, from 0.
+	// PartitionID numbers the partitions of the machines, from 0.
 	PartitionID int
 )
 
-// ErrInvalidTaskID is the error of a text that does not have the form of a task id.
-var ErrInvalidTaskID = errors.New("has no index")
+// ErrInvalidTaskID is returned for a text that is not a valid task id.
+var ErrInvalidTaskID = errors.New("not of the form job/index")
 
-// TaskID names a task of a job.
+// TaskID identifies a task of a job.
 type TaskID struct {
 	Job   JobID
 	Index int // from 0
 }
 
-// String gives the protocol's spelling, job/index.
+// String returns the task id in the form job/index.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads the protocol's spelling. The error wraps ErrInvalidTaskID.
+// ParseTaskID parses a task id of the form job/index. The error wraps ErrInvalidTaskID.
 func ParseTaskID(s string) (TaskID, error) {
 	i := strings.LastIndexByte(s, '/')
 	if i <= 0 {
-		return TaskID{}, fmt.Errorf("task id %q %w", s, ErrInvalidTaskID)
+		return TaskID{}, fmt.Errorf("task id %q: %w", s, ErrInvalidTaskID)
 	}
 	n, err := strconv.Atoi(s[i+1:])
 	if err != nil || n < 0 {
-		return TaskID{}, fmt.Errorf("task id %q %w", s, ErrInvalidTaskID)
+		return TaskID{}, fmt.Errorf("task id %q: %w", s, ErrInvalidTaskID)
 	}
 	return TaskID{Job: JobID(s[:i]), Index: n}, nil
 }
@@ -74,7 +74,7 @@
 	maxJobIDDigits = 40
 )
 
-// ValidJobID reports whether a job id has the users' form: run- followed by digits.
+// ValidJobID reports whether a job id consists of run- followed by digits.
 func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, jobIDPrefix)
 	if !ok || digits == "" || len(digits) > maxJobIDDigits {
--- a/api/kv.go
+++ b/api/kv.go
@@ -1,5 +1,5 @@
-// Messages between controllers and the key-value store: pages of keys, transactions, changes and
-// leases. Themed protocol names live only in the tags and constants here.
+// This file holds the messages between controllers and the key-value store: pages of keys, transactions,
+// changes and leases.
 
 package api
 
@@ -14,27 +14,28 @@
 	PathSuffixRenew = "extend"
 )
 
-// KeyValue is a key with its value and version, the revision of its latest change.
+// KeyValue is a key with its value and its version, which is the revision of its latest change.
 type KeyValue struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"data"`
 	Version Revision        `json:"ritocco"`
 }
 
-// KeyPage is a page of keys, as of a revision.
+// KeyPage is a page of keys at a revision.
 type KeyPage struct {
 	Pairs    []KeyValue `json:"pairs"`
 	More     bool       `json:"more"`
 	Revision Revision   `json:"registro"`
 }
 
-// Condition is a compare-and-swap condition: it requires a key's version; 0 requires its absence.
+// Condition is a compare-and-swap condition on the version of a key. Version 0 requires that the key does
+// not exist.
 type Condition struct {
 	Key     string   `json:"k"`
 	Version Revision `json:"ritocco"`
 }
 
-// Write is a put or, with Drop set, a delete.
+// Write is a put, or a delete of key Drop if that is set.
 type Write struct {
 	Put   string          `json:"write,omitempty"`
 	Value json.RawMessage `json:"data,omitempty"`
@@ -42,19 +43,19 @@
 	Drop  string          `json:"drop,omitempty"`
 }
 
-// Txn is a transaction: its writes are made together if every condition holds, else none is.
+// Txn is a transaction: all its writes are applied if every condition holds, else none.
 type Txn struct {
 	If     []Condition `json:"if"`
 	Writes []Write     `json:"writes"`
 }
 
-// TxnResponse is the outcome of a Txn: the keys whose condition failed, and the revision.
+// TxnResponse is the result of a Txn: the keys whose conditions failed, and the revision.
 type TxnResponse struct {
 	Failed   []string `json:"failed,omitempty"`
 	Revision Revision `json:"registro"`
 }
 
-// Change is one change of a key.
+// Change is a put, or a delete of key Drop if that is set, in the change log.
 type Change struct {
 	Put     string          `json:"write,omitempty"`
 	Value   json.RawMessage `json:"data,omitempty"`
@@ -62,18 +63,18 @@
 	Version Revision        `json:"ritocco"`
 }
 
-// Changes answers a watch: the changes after a revision, and the revision up to which they reach.
+// Changes is the response to a watch: the changes after the requested revision, up to Revision.
 type Changes struct {
 	Revision Revision `json:"registro"`
 	Log      []Change `json:"log"`
 }
 
-// LeaseRequest requests a lease; its time to live is in milliseconds.
+// LeaseRequest requests a lease with a time to live.
 type LeaseRequest struct {
-	TTL int64 `json:"life_ms"`
+	TTL int64 `json:"life_ms"` // milliseconds
 }
 
-// LeaseResponse names the lease that was granted.
+// LeaseResponse contains the id of the granted lease.
 type LeaseResponse struct {
 	Lease LeaseID `json:"affitto"`
 }
--- a/api/status.go
+++ b/api/status.go
@@ -1,7 +1,7 @@
 package api
 
-// Status codes of HTTP, as every peer of the protocol uses them. They are declared here so that the
-// service, which has an HTTP parser of its own, does not link package net/http for its constants.
+// HTTP status codes. They are declared here so that the program, which has its own HTTP parser, does not
+// link package net/http only for its constants.
 const (
 	StatusOK                    = 200
 	StatusCreated               = 201
@@ -23,7 +23,7 @@
 	StatusGatewayTimeout        = 504
 )
 
-// Methods of HTTP.
+// HTTP methods.
 const (
 	MethodGet  = "GET"
 	MethodPost = "POST"
--- a/api/submission.go
+++ b/api/submission.go
@@ -1,5 +1,4 @@
-// Submissions: parsing and validation of the jobs that users send. Errors name the field at fault
-// by its protocol name.
+// This file parses and validates submitted jobs. Errors give the JSON name of the invalid field.
 
 package api
 
@@ -11,10 +10,10 @@
 	"slices"
 )
 
-// Bounds on what a submission may hold; lengths are in bytes.
+// Limits of a submission; lengths are in bytes.
 const (
 	maxTasks          = 100_000
-	maxNumber         = 1e9 // of any amount or duration
+	maxNumber         = 1e9 // limit of amounts and durations
 	maxNameLength     = 200 // of a class, team, zone or machine type
 	maxImageLength    = 500
 	maxTypes          = 64
@@ -23,10 +22,9 @@
 	maxUnits          = 1_000_000
 )
 
-// errNotJSONObject is the error of a submission whose body is not a JSON object.
 var errNotJSONObject = errors.New("body is not a JSON object")
 
-// rawSpec is a submission as decoded: a nil field is missing.
+// rawSpec is a submission before validation. A nil field is missing in the JSON object.
 type rawSpec struct {
 	JobID      *string            `json:"ref"`
 	Class      *Class             `json:"mestiere"`
@@ -51,7 +49,7 @@
 	Needs      []PoolRequest      `json:"gettoni"`
 }
 
-// ParseJob reads a submission; the error names the first field at fault.
+// ParseJob decodes and validates a submission. The error names the first invalid field.
 func ParseJob(body []byte) (*JobSpec, error) {
 	var r rawSpec
 	if err := json.Unmarshal(body, &r); err != nil {
@@ -73,7 +71,7 @@
 	return s, nil
 }
 
-// validator keeps the first field of a submission that failed a check.
+// validator records the first invalid field of a submission.
 type validator struct{ invalidField string }
 
 func (v *validator) require(ok bool, field string) {
@@ -82,19 +80,19 @@
 	}
 }
 
-// number requires a number between 0 and maxNumber.
+// number requires a number from 0 to maxNumber and returns it.
 func (v *validator) number(f *float64, field string) float64 {
 	v.require(f != nil && *f >= 0 && *f <= maxNumber && !math.IsNaN(*f), field)
 	return valueOrZero(f)
 }
 
-// flag requires a boolean.
+// flag requires a boolean and returns it.
 func (v *validator) flag(b *bool, field string) bool {
 	v.require(b != nil, field)
 	return valueOrZero(b)
 }
 
-// validName reports whether a name is given and not too long.
+// validName reports whether a name is present, not empty and at most maxLength bytes long.
 func validName[T ~string](name *T, maxLength int) bool {
 	return name != nil && *name != "" && len(*name) <= maxLength
 }
@@ -107,7 +105,7 @@
 	return *p
 }
 
-// readIdentity reads what the job is: its id, owner, kind, urgency, size and image.
+// readIdentity reads the job's id, class, team, kind, priority, number of tasks and image.
 func (r *rawSpec) readIdentity(v *validator, s *JobSpec) {
 	v.require(r.JobID != nil && ValidJobID(*r.JobID), "ref")
 	v.require(validName(r.Class, maxNameLength), "mestiere")
@@ -121,7 +119,7 @@
 	s.Image = valueOrZero(r.Image)
 }
 
-// readRequirements reads what each task requests and the job's times.
+// readRequirements reads the resources of a task, the zone and spot options, and the durations.
 func (r *rawSpec) readRequirements(v *validator, s *JobSpec) {
 	s.CPUs = v.number(r.CPUs, "cores")
 	s.GPUs = v.number(r.GPUs, "gpus")
@@ -139,8 +137,8 @@
 	s.Deadline = r.Deadline
 }
 
-// readPlacementRules reads which machine types and zone the job may use, and requires that its
-// tasks request some resource.
+// readPlacementRules reads the allowed machine types and zone, and requires that a task requests at least
+// one resource.
 func (r *rawSpec) readPlacementRules(v *validator, s *JobSpec) {
 	if r.Types != nil {
 		v.require(len(*r.Types) > 0 && len(*r.Types) <= maxTypes, "banchi")
@@ -156,7 +154,7 @@
 	v.require(s.CPUs > 0 || s.GPUs > 0 || s.MemGB > 0, "cores")
 }
 
-// readPoolRequests reads what the job requests of pools, each at most once.
+// readPoolRequests reads the requested pool units and requires that each pool occurs at most once.
 func (r *rawSpec) readPoolRequests(v *validator, s *JobSpec) {
 	v.require(len(r.Needs) <= maxPoolRequests, "gettoni")
 	for i, n := range r.Needs {
--- a/api/time.go
+++ b/api/time.go
@@ -1,4 +1,4 @@
-// Time: the steady clock, the time of day and the protocol's durations.
+// This file holds monotonic time, wall-clock time and the protocols' durations.
 
 package api
 
@@ -14,9 +14,9 @@
 // Sub returns the duration from u to t.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// WallTime is the time of day in milliseconds since 1970. It is only compared
-// with a tolerance: the clocks of different nodes differ.
+// WallTime is wall-clock time in milliseconds since 1970. The clocks of nodes differ, so comparisons allow
+// for clock error.
 type WallTime int64
 
-// Seconds converts a protocol duration, in seconds, into a Go duration.
+// Seconds converts a duration in seconds to a time.Duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/api/users.go
+++ b/api/users.go
@@ -1,5 +1,4 @@
-// Messages of users: submissions, polls, cancellations. Themed protocol names live only in the
-// tags and constants here.
+// This file holds the messages of users: submissions, polls and cancellations.
 
 package api
 
@@ -8,26 +7,26 @@
 // Paths of the users' protocol.
 const (
 	PathJobs         = "/v1/jobs"
-	PathHistory      = "/v1/history" // of a hosted service only
-	PathUsage        = "/v1/usage"   // the same
+	PathHistory      = "/v1/history" // only in a hosted service
+	PathUsage        = "/v1/usage"   // only in a hosted service
 	PathReady        = "/ready"
 	PathSuffixCancel = "withdraw"
 )
 
-// Kind says how a job's tasks belong together.
+// Kind is the kind of a job: job array, gang or service.
 type Kind string
 
 // The kinds of jobs.
 const (
 	Array   Kind = "sweep"    // independent tasks
-	Gang    Kind = "ensemble" // tasks that start together or not at all
+	Gang    Kind = "ensemble" // tasks that are gang scheduled: all start, or none
 	Service Kind = "daemon"   // replicas that run until the job is cancelled
 )
 
-// Priority is the class of urgency that a job's user chose.
+// Priority is a job's priority, chosen by the user.
 type Priority string
 
-// The priorities, most urgent first.
+// The priorities, highest first.
 const (
 	Production Priority = "critical"
 	High       Priority = "high"
@@ -35,12 +34,12 @@
 	Low        Priority = "idle"
 )
 
-// Rank orders priorities: from 0, the higher is served first; -1 for an unknown priority.
+// Rank returns the rank of a priority, from 0 for the lowest, or -1 for an unknown priority.
 func (p Priority) Rank() int {
 	return slices.Index([]Priority{Low, Normal, High, Production}, p)
 }
 
-// JobState is a job's state as its user sees it.
+// JobState is the state of a job as reported to its user.
 type JobState string
 
 // The states of a job.
@@ -71,7 +70,7 @@
 	Spot       bool              `json:"avanzi,omitempty"`     // may use spot machines
 	Estimate   float64           `json:"stima_s"`              // expected run time of a task
 	Checkpoint float64           `json:"tappa_s,omitempty"`    // interval between a task's checkpoints
-	Save       float64           `json:"salvo_s,omitempty"`    // how long writing a checkpoint takes
+	Save       float64           `json:"salvo_s,omitempty"`    // duration of writing a checkpoint
 	Deadline   *float64          `json:"consegna_s,omitempty"` // from acceptance to completion; nil: none
 	Needs      []PoolRequest     `json:"gettoni,omitempty"`    // units of pools, in a hosted service
 }
@@ -79,15 +78,15 @@
 // PoolName names a pool of counted resources.
 type PoolName string
 
-// PoolRequest is what a job holds of a pool.
+// PoolRequest is a job's request for units of a pool.
 type PoolRequest struct {
 	Pool PoolName `json:"nome"`
-	Task int      `json:"a_pezzo,omitempty"`  // units of each task, from its start to its end
-	Job  int      `json:"a_lavoro,omitempty"` // units of the job, while any of its tasks is on a machine
+	Task int      `json:"a_pezzo,omitempty"`  // units of each task, held from its start to its end
+	Job  int      `json:"a_lavoro,omitempty"` // units of the job, held while any of its tasks is on a machine
 }
 
-// Units counts the units that a number of tasks take together, including the job's own units
-// unless they are held already.
+// Units returns the units needed by a number of tasks, including the job's own units unless held is true,
+// which means that the job holds them already.
 func (n PoolRequest) Units(tasks int, held bool) int {
 	u := n.Task * tasks
 	if !held && tasks > 0 {
@@ -96,7 +95,7 @@
 	return u
 }
 
-// PoolRequest finds what the job requests of a pool; false if it requests nothing.
+// PoolRequest returns the job's request for units of a pool, or false if there is none.
 func (s *JobSpec) PoolRequest(pool PoolName) (PoolRequest, bool) {
 	i := slices.IndexFunc(s.Needs, func(n PoolRequest) bool { return n.Pool == pool })
 	if i < 0 {
@@ -105,7 +104,7 @@
 	return s.Needs[i], true
 }
 
-// GangSize is how many of the job's tasks must start together: all of a gang, else one.
+// GangSize returns the number of tasks that must start together: all tasks of a gang, else one.
 func (s *JobSpec) GangSize() int {
 	if s.Kind == Gang {
 		return s.Tasks
@@ -113,12 +112,12 @@
 	return 1
 }
 
-// HasJobUnits reports whether the job requests pool units for itself beside those of its tasks.
+// HasJobUnits reports whether the job requests pool units for the job as a whole.
 func (s *JobSpec) HasJobUnits() bool {
 	return slices.ContainsFunc(s.Needs, func(n PoolRequest) bool { return n.Job > 0 })
 }
 
-// Demand is what one task requests.
+// Demand returns the resources that one task requests.
 func (s *JobSpec) Demand() Resources {
 	return Resources{CPU: ToQuantity(s.CPUs), GPU: ToQuantity(s.GPUs), Mem: ToQuantity(s.MemGB)}
 }
@@ -129,7 +128,7 @@
 	return s.Kind != Array || s.OneZone || s.Spread || s.HasJobUnits()
 }
 
-// JobStatus answers a poll, a submission or a cancellation.
+// JobStatus is the response to a poll, a submission or a cancellation.
 type JobStatus struct {
 	JobID   JobID    `json:"ref"`
 	State   JobState `json:"stato"`
@@ -137,10 +136,10 @@
 	Running *int     `json:"running,omitempty"`
 }
 
-// Terminal reports whether the state can no longer change.
+// Terminal reports whether the job is done or cancelled.
 func (s JobStatus) Terminal() bool { return s.State == JobDone || s.State == JobCancelled }
 
-// ErrorBody is the body of every refusal, to all peers.
+// ErrorBody is the body of an error response.
 type ErrorBody struct {
 	Error string `json:"error"`
 }
--- a/api/workers.go
+++ b/api/workers.go
@@ -1,5 +1,4 @@
-// Messages between controllers and workers: heartbeats and commands. Themed protocol names live
-// only in the tags and constants here.
+// This file holds the messages between controllers and workers: heartbeats and commands.
 
 package api
 
@@ -9,7 +8,7 @@
 	PathCommands  = "/commands"
 )
 
-// TaskState is a task's state as its worker sees it.
+// TaskState is the state of a task as reported by its worker.
 type TaskState string
 
 // The states of a task.
@@ -21,18 +20,18 @@
 	TaskExited        TaskState = "ended"
 )
 
-// Reason is why a task ended.
+// Reason is the reason why a task ended.
 type Reason string
 
-// The reasons.
+// The reasons why a task ended.
 const (
 	ReasonDone           Reason = "done"
 	ReasonStopped        Reason = "halted"
 	ReasonGangPeersLost  Reason = "mates_gone" // other tasks of the gang ended
 	ReasonGangIncomplete Reason = "incomplete" // not all tasks of the gang started
 	ReasonError          Reason = "error"
-	ReasonNoCapacity     Reason = "full"    // the machine has no free capacity for it
-	ReasonBusy           Reason = "in_use"  // an earlier attempt is still on the machine
+	ReasonNoCapacity     Reason = "full"    // the machine has too little free capacity for the task
+	ReasonBusy           Reason = "in_use"  // an earlier attempt of the task is still on the machine
 	ReasonUnknown        Reason = "no_such" // the worker does not know the task
 )
 
@@ -43,10 +42,10 @@
 const (
 	OpStart Op = "launch"
 	OpStop  Op = "halt"
-	OpReap  Op = "reap" // forget an exited task
+	OpReap  Op = "reap" // remove an exited task from the heartbeats
 )
 
-// TaskStatus is one task in a worker's heartbeat.
+// TaskStatus is the status of one task in a worker's heartbeat.
 type TaskStatus struct {
 	Task         string    `json:"pezzo"`
 	Attempt      Attempt   `json:"tentativo"`
@@ -65,11 +64,11 @@
 	Epoch            Epoch           `json:"turno"`
 	Seq              Seq             `json:"conta"`
 	Token            FencingToken    `json:"sigillo"`
-	PreemptionNotice *float64        `json:"preavviso_s"` // seconds until the cloud takes a spot machine; nil: none
+	PreemptionNotice *float64        `json:"preavviso_s"` // seconds until the cloud reclaims a spot machine; nil: no notice
 	Tasks            []TaskStatus    `json:"pezzi"`
 }
 
-// Command is one command to a worker. The grace period is in seconds.
+// Command is a command to a worker. The grace period is in seconds.
 type Command struct {
 	Op          Op      `json:"gesto"`
 	Task        string  `json:"pezzo"`
@@ -77,14 +76,14 @@
 	GracePeriod float64 `json:"tregua_s,omitempty"`
 }
 
-// CommandBatch is the answer to a heartbeat or, with an epoch, a message of its own.
+// CommandBatch is the response to a heartbeat or, with an epoch, a direct call to a worker.
 type CommandBatch struct {
 	Token    FencingToken `json:"sigillo"`
 	Epoch    Epoch        `json:"turno,omitempty"`
 	Commands []Command    `json:"ordini"`
 }
 
-// Redirect names the controller that a worker should send its heartbeats to.
+// Redirect names the controller to which a worker must send its heartbeats.
 type Redirect struct {
 	Owner ControllerID `json:"capobottega,omitempty"`
 }
--- a/config/check.go
+++ b/config/check.go
@@ -1,6 +1,6 @@
 package config
 
-// This file holds the checks of the settings.
+// This file validates the settings.
 
 import (
 	"errors"
@@ -8,8 +8,7 @@
 	"net/netip"
 )
 
-// Least values with which the controller can work: with less, jobs could be accepted but no scheduling
-// round could start a task.
+// Minimum values: with lower ones, jobs could be accepted but no scheduling round could start a task.
 const (
 	minValueKB = 1
 	minTxnOps  = 2
@@ -20,25 +19,25 @@
 	errNotPositive = errors.New("must be above 0")
 )
 
-// FieldError is a setting with an invalid value.
+// FieldError reports a setting with an invalid value.
 type FieldError struct {
-	Field string // the path of the field in JSON, as deployment.state.rps
+	Field string // JSON path of the field, for example deployment.state.rps
 	Err   error
 }
 
-// Error returns the field and what is wrong with it.
+// Error returns the path of the field and the reason.
 func (e *FieldError) Error() string { return fmt.Sprintf("settings: %s: %v", e.Field, e.Err) }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the reason without the path of the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// checkAddresses checks the peers' labels and all addresses.
+// checkAddresses validates the peers' labels and all addresses.
 func (c *Config) checkAddresses() error {
 	addresses := map[string]string{"api_addr": c.APIAddr, "peer_listen": c.PeerListen,
 		"external.cloud": c.External.Cloud, "external.state": c.External.State}
 	for _, p := range c.Peers {
 		if p.Label == "" || p.Label == c.Label {
-			return &FieldError{Field: "peers", Err: fmt.Errorf("label %q is missing or our own", p.Label)}
+			return &FieldError{Field: "peers", Err: fmt.Errorf("label %q is missing or the label of this controller", p.Label)}
 		}
 		addresses["peers."+string(p.Label)] = p.Addr
 	}
@@ -50,7 +49,7 @@
 	return nil
 }
 
-// check checks what all controllers have in common.
+// check validates the settings shared by all controllers.
 func (d *Deployment) check() error {
 	for _, setting := range []struct {
 		value float64
@@ -79,7 +78,7 @@
 	return d.checkTeams()
 }
 
-// checkTeams checks that there is a team, and that each has a name and valid amounts.
+// checkTeams requires at least one team, and a name and valid amounts for each.
 func (d *Deployment) checkTeams() error {
 	const field = "deployment.teams"
 	if len(d.Teams) == 0 {
--- a/config/check_test.go
+++ b/config/check_test.go
@@ -10,7 +10,8 @@
 "peers":[{"label":"b","peer_addr":"127.0.0.1:5"}],
 "deployment":{"teams":[{"name":"red"}],"workers":{"report_s":1,"lease_s":1,"cancel_s":1},"state":{"rps":1,"write_rps":1,"value_kb":1,"txn_ops":2},"cloud":{"rps":1}}}`
 
-// Each invalid setting is refused by the path of its field.
+// TestParse checks that valid settings are accepted, and that the error for an invalid setting names its
+// field.
 func TestParse(t *testing.T) {
 	cfg, err := Parse([]byte(validSettings))
 	if err != nil {
@@ -25,15 +26,15 @@
 		want   string
 	}{
 		{"no label", func(c *Config) { c.Label = "" }, "settings: label: missing"},
-		{"a peer with our label", func(c *Config) { c.Peers[0].Label = "a" }, `settings: peers: label "a" is missing or our own`},
-		{"a peer without an address", func(c *Config) { c.Peers[0].Addr = "" }, "settings: peers.b: not an ip:port"},
-		{"a bad address", func(c *Config) { c.APIAddr = "x" }, "settings: api_addr: not an ip:port"},
+		{"peer with the label of this controller", func(c *Config) { c.Peers[0].Label = "a" }, `settings: peers: label "a" is missing or the label of this controller`},
+		{"peer without an address", func(c *Config) { c.Peers[0].Addr = "" }, "settings: peers.b: not an ip:port"},
+		{"invalid address", func(c *Config) { c.APIAddr = "x" }, "settings: api_addr: not an ip:port"},
 		{"no heartbeat interval", func(c *Config) { c.Deployment.Workers.Report = 0 }, "settings: deployment.workers.report_s: must be above 0"},
-		{"a negative rate", func(c *Config) { c.Deployment.Cloud.RPS = -1 }, "settings: deployment.cloud.rps: must be above 0"},
-		{"values too small", func(c *Config) { c.Deployment.State.ValueKB = 0.5 }, "settings: deployment.state.value_kb: 0.5 is less than 1"},
+		{"negative rate", func(c *Config) { c.Deployment.Cloud.RPS = -1 }, "settings: deployment.cloud.rps: must be above 0"},
+		{"value size too small", func(c *Config) { c.Deployment.State.ValueKB = 0.5 }, "settings: deployment.state.value_kb: 0.5 is less than 1"},
 		{"transactions too small", func(c *Config) { c.Deployment.State.TxnOps = 1 }, "settings: deployment.state.txn_ops: 1 is less than 2"},
 		{"no teams", func(c *Config) { c.Deployment.Teams = nil }, "settings: deployment.teams: missing"},
-		{"a negative limit", func(c *Config) { c.Deployment.Teams[0].GPUsMax = -1 }, `settings: deployment.teams: "red" has an invalid amount or no name`},
+		{"negative limit", func(c *Config) { c.Deployment.Teams[0].GPUsMax = -1 }, `settings: deployment.teams: "red" has an invalid amount or no name`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			changed := &Config{}
--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config defines the settings file that the platform gives to each controller, and checks it.
-// A Config is not changed once the controller runs.
+// Package config defines and validates the settings file of a controller, which the platform provides. A
+// Config must not be changed while the controller runs.
 package config
 
 import (
@@ -12,14 +12,14 @@
 	"basaltwall/tenant"
 )
 
-// Peer is another controller and the address at which it listens for its peers.
+// Peer is another controller and its address for messages between controllers.
 type Peer struct {
 	Label api.ControllerID `json:"label"`
 	Zone  api.Zone         `json:"domain"`
 	Addr  string           `json:"peer_addr"`
 }
 
-// Team is a team's guarantee and limit, in CPUs and accelerators; a limit of 0 means none.
+// Team is a team's guaranteed and maximum CPUs and accelerators; a maximum of 0 means no limit.
 type Team struct {
 	Name    api.Team `json:"name"`
 	CPUs    float64  `json:"cpus"`
@@ -37,19 +37,19 @@
 	Times  float64   `json:"times"`
 }
 
-// Hosted is what a hosted service starts with. Everything else its operators set through the
+// Hosted holds the initial settings of a hosted service. Operators change all others through the
 // administration API.
 type Hosted struct {
 	AdminKey tenant.Key // the first operators' key
 }
 
-// MinHostedTxnOps is how many writes a transaction of a hosted service must be able to hold: a tenant's
-// record, the gate, an operators' change, and a team.
+// MinHostedTxnOps is the minimum number of writes per transaction in a hosted service: the records of the
+// tenant, the suspension gate, the audit log and a team.
 const MinHostedTxnOps = 4
 
-// Config is the settings of one controller.
+// Config holds the settings of one controller.
 type Config struct {
-	Hosted *Hosted `json:"-"` // the service has tenants; not of the platform's file
+	Hosted *Hosted `json:"-"` // set for a hosted service; not part of the settings file
 
 	Label      api.ControllerID `json:"label"`
 	Zone       api.Zone         `json:"domain"`
@@ -63,7 +63,7 @@
 	Deployment Deployment `json:"deployment"`
 }
 
-// Deployment is what all controllers have in common. Fields whose name in JSON ends in _s are in
+// Deployment holds the settings shared by all controllers. Fields with a JSON name ending in _s are in
 // seconds.
 type Deployment struct {
 	InitialSize int         `json:"initial_size"`
@@ -95,7 +95,7 @@
 	ClockErrorMS float64 `json:"clock_error_ms"`
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return Parse(data)
 }
 
-// Parse decodes and checks settings. An invalid value is a *FieldError.
+// Parse decodes and validates settings. The error for an invalid value is a *FieldError.
 func Parse(data []byte) (*Config, error) {
 	cfg := &Config{}
 	if err := json.Unmarshal(data, cfg); err != nil {
@@ -125,8 +125,8 @@
 	return cfg, nil
 }
 
-// HeartbeatInterval returns the interval of workers' heartbeats.
+// HeartbeatInterval returns the interval between a worker's heartbeats.
 func (c *Config) HeartbeatInterval() time.Duration { return api.Seconds(c.Deployment.Workers.Report) }
 
-// WorkerLease returns for how long a worker goes on without hearing from its controller.
+// WorkerLease returns the duration after which a worker without contact to its controller stops its tasks.
 func (c *Config) WorkerLease() time.Duration { return api.Seconds(c.Deployment.Workers.Lease) }
