--- a/admin/client.go
+++ b/admin/client.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	maxAnswer      = 16 << 20 // bytes
+	maxAnswer      = 16 << 20 // size of a response body in bytes
 	requestTimeout = 10 * time.Second
 )
 
-// request sends a request to the administration API and returns the body of its answer.
+// request sends a request to the administration API and returns the body of the response.
 func (c *Cmd) request(method, path string, body []byte) ([]byte, error) {
 	return doRequest(c.Addr, c.KeyFile, method, Prefix+path, body)
 }
 
-// requestJSON is request with a body that is encoded in JSON.
+// requestJSON sends a request with a JSON body to the administration API and returns the body of the
+// response.
 func (c *Cmd) requestJSON(method, path string, body any) ([]byte, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return c.request(method, path, data)
 }
 
-// callAndPrint sends a request and prints its answer.
+// callAndPrint sends a request and prints the response as JSON.
 func (c *Cmd) callAndPrint(method, path string, body []byte) error {
 	answer, err := c.request(method, path, body)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return printJSON(answer)
 }
 
-// send sends a request with a body in JSON and prints its answer.
+// send sends a request with a JSON body and prints the response as JSON.
 func (c *Cmd) send(method, path string, body any) error {
 	answer, err := c.requestJSON(method, path, body)
 	if err != nil {
@@ -53,8 +54,8 @@
 	return printJSON(answer)
 }
 
-// sendWithRevision asks for a change of the resource at a path. The request names the revision that
-// is read there just before, so that a change made meanwhile is not overwritten.
+// sendWithRevision requests a change of the resource at a path. The request contains the resource's current
+// revision, which is read first, so that a concurrent change is not overwritten.
 func (c *Cmd) sendWithRevision(path, change string, body revisioned) error {
 	current, err := fetch[revision](c, path)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return value, nil
 }
 
-// printTable prints the resource at a path as a table, or as JSON if that was asked for.
+// printTable prints the resource at a path as a table, or as JSON if the --json flag is set.
 func printTable[T any](c *Cmd, path string, table func(io.Writer, T)) error {
 	body, err := c.request(api.MethodGet, path, nil)
 	if err != nil {
@@ -86,8 +87,8 @@
 	return printAnswer(body, c.JSON, table)
 }
 
-// doRequest sends a request and returns the body of its answer. An answer other than 200 and 201, or
-// none, is a *RequestError.
+// doRequest sends a request and returns the body of the response. The error is a *RequestError if there is
+// no response or its status is not 200 or 201.
 func doRequest(addr, keyFile, method, path string, body []byte) ([]byte, error) {
 	client := httpx.NewClient(maxAnswer, 1, 1)
 	if keyFile != "" {
@@ -111,34 +112,33 @@
 	return r.Body, nil
 }
 
-// RequestError is a request that was refused or got no answer.
+// RequestError reports a request that was refused or got no response.
 type RequestError struct {
 	Path       string
-	Status     int    // HTTP status; 0 without an answer
-	Reason     string // as the answer gives it, or why there is none
-	RetryAfter int    // seconds; 0 if the answer does not say
+	Status     int    // HTTP status; 0 without a response
+	Reason     string // error text of the response, or the error that prevented a response
+	RetryAfter int    // seconds; 0 if the response has no Retry-After header
 }
 
-// Error returns the path, the status and the reason.
+// Error returns the path, the status, the reason and the delay before a retry.
 func (r *RequestError) Error() string {
 	s := fmt.Sprintf("%s: %s", r.Path, r.Reason)
 	if r.Status != 0 {
 		s = fmt.Sprintf("%s: %d: %s", r.Path, r.Status, r.Reason)
 	}
 	if r.RetryAfter > 0 {
-		s += fmt.Sprintf(" (again in %d s)", r.RetryAfter)
+		s += fmt.Sprintf(" (retry after %d s)", r.RetryAfter)
 	}
 	return s
 }
 
-// Exit codes of a subcommand that failed. Kong has its own for a command line that it does not
-// understand.
+// Exit codes of a failed subcommand. Kong has its own for an invalid command line.
 const (
 	exitRefused = 1
 	exitRetry   = 75 // EX_TEMPFAIL of sysexits.h: the same request may succeed later
 )
 
-// ExitCode returns the exit code of the process, which tells programs whether to retry.
+// ExitCode returns the exit code of the process, which shows scripts whether to retry.
 func (r *RequestError) ExitCode() int {
 	if r.Status == 0 || r.Status == api.StatusTooManyRequests || r.Status == api.StatusServiceUnavailable {
 		return exitRetry
--- a/admin/command.go
+++ b/admin/command.go
@@ -1,6 +1,6 @@
 package admin
 
-// This file holds the operators' command line and its simple subcommands.
+// This file holds the operators' command line and the subcommands without a file of their own.
 
 import (
 	"basaltwall/api"
@@ -13,55 +13,55 @@
 	"strings"
 )
 
-// errUnknownCommand is returned for a subcommand that Do does not know.
-var errUnknownCommand = errors.New("no such command")
+// errUnknownCommand is returned by Do for an unknown subcommand.
+var errUnknownCommand = errors.New("unknown subcommand")
 
-// Cmd is the command line of an operator. Kong reads it by reflection: fields and tags are the flags
-// and subcommands.
+// Cmd is the operators' command line. Kong reads it by reflection: the fields and their tags define the
+// flags and subcommands.
 type Cmd struct {
-	Addr    string `required:"" placeholder:"IP:PORT" help:"A controller's api_addr."`
-	KeyFile string `type:"existingfile" env:"BASALTWALL_KEY_FILE" placeholder:"FILE" help:"A file with an operators' key, for a hosted service."`
-
-	Members  showCmd   `cmd:"" help:"Show the controllers and their parts."`
-	Parts    showCmd   `cmd:"" help:"Show the parts, their owners and terms."`
-	Machines showCmd   `cmd:"" help:"Show the machines, their tasks, and why one is avoided."`
-	Teams    showCmd   `cmd:"" help:"Show the teams, their guarantees and shares."`
-	Jobs     jobsCmd   `cmd:"" help:"Show the jobs that are not over, late ones first: whose, how late, and why."`
-	Metrics  showCmd   `cmd:"" help:"Show what a controller has done and how long it took."`
+	Addr    string `required:"" placeholder:"IP:PORT" help:"The api_addr of a controller."`
+	KeyFile string `type:"existingfile" env:"BASALTWALL_KEY_FILE" placeholder:"FILE" help:"A file with an operator's key, for a hosted service."`
+
+	Members  showCmd   `cmd:"" help:"Show the controllers and their partitions."`
+	Parts    showCmd   `cmd:"" help:"Show the partitions, their owners and terms."`
+	Machines showCmd   `cmd:"" help:"Show the machines, their tasks, and the reasons why machines get no new tasks."`
+	Teams    showCmd   `cmd:"" help:"Show the teams, their guarantees and fair shares."`
+	Jobs     jobsCmd   `cmd:"" help:"Show the unfinished jobs with team, lateness and its reason, late jobs first."`
+	Metrics  showCmd   `cmd:"" help:"Show the metrics of a controller."`
 	Job      jobCmd    `cmd:"" help:"Show one job."`
 	Drain    drainCmd  `cmd:"" help:"Start no more tasks on a machine."`
-	Undrain  drainCmd  `cmd:"" help:"Use a machine again."`
+	Undrain  drainCmd  `cmd:"" help:"Allow new tasks on a drained machine."`
 	Settings showCmd   `cmd:"" help:"Show the operators' settings."`
 	Set      changeCmd `cmd:"" help:"Replace the operators' settings."`
-	Audit    pageCmd   `cmd:"" help:"Show the operators' changes in a hosted service."`
+	Audit    pageCmd   `cmd:"" help:"Show the audit log of a hosted service."`
 	Tenant   tenantCmd `cmd:"" help:"Show and change the tenants of a hosted service."`
 
-	JSON bool `help:"Print JSON, for programs, where there is a table."`
+	JSON bool `help:"Print JSON instead of tables."`
 
-	Operators operatorsCmd `cmd:"" help:"Show and change who operates a hosted service, and from where."`
-	Pool      poolCmd      `cmd:"" help:"Show, make, resize, freeze and remove pools of counted resources."`
+	Operators operatorsCmd `cmd:"" help:"Show and change the operators' keys, networks and proxies in a hosted service."`
+	Pool      poolCmd      `cmd:"" help:"Show, create, resize, freeze and remove pools of counted resources."`
 	Skips     skipsCmd     `cmd:"" help:"Show, offer, promise, release, deliver and return skips."`
-	Team      teamCmd      `cmd:"" help:"Make, change and remove teams of a hosted service, beside the platform's."`
+	Team      teamCmd      `cmd:"" help:"Create, change and remove teams of a hosted service, in addition to those of the settings file."`
 }
 
 type showCmd struct{}
 
 type pageCmd struct {
-	After string `help:"What was given as after with the page before."`
-	Limit int    `default:"100" help:"So many at most (1 to 500)."`
+	After string `help:"Cursor of the page: the --after value shown below the previous page."`
+	Limit int    `default:"100" help:"Maximum number of entries (1 to 500)."`
 }
 
-// query returns the parameters that ask for the page.
+// query returns the query parameters that select the page.
 func (c pageCmd) query() string {
 	return url.Values{"after": {c.After}, "limit": {strconv.Itoa(c.Limit)}}.Encode()
 }
 
 type jobsCmd struct {
-	Team  string `placeholder:"TEAM" help:"Only this team's."`
-	Limit int    `default:"100" help:"So many at most (1 to 1000)."`
+	Team  string `placeholder:"TEAM" help:"Show only the jobs of this team."`
+	Limit int    `default:"100" help:"Maximum number of jobs (1 to 1000)."`
 }
 
-// query returns the parameters that select the jobs.
+// query returns the query parameters that select the jobs.
 func (c jobsCmd) query() string {
 	query := url.Values{"limit": {strconv.Itoa(c.Limit)}}
 	if c.Team != "" {
@@ -79,10 +79,10 @@
 }
 
 type changeCmd struct {
-	File string `arg:"" help:"A file with the settings as the settings command shows them, the revision included."`
+	File string `arg:"" help:"A file with the settings in the format of the settings command, including the revision."`
 }
 
-// Do runs a subcommand; command is its path as kong names it, as "job <ref>".
+// Do runs a subcommand. command is its path in kong's notation, for example "job <ref>".
 func (c *Cmd) Do(command string) error {
 	group, rest, _ := strings.Cut(command, " ")
 	switch group {
@@ -114,7 +114,7 @@
 	return c.callAndPrint(api.MethodGet, command, nil)
 }
 
-// replaceSettings sends the operators' settings that a file holds.
+// replaceSettings replaces the operators' settings by the content of a file.
 func (c *Cmd) replaceSettings(file string) error {
 	body, err := os.ReadFile(file)
 	if err != nil {
--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -10,7 +10,7 @@
 	"basaltwall/internal/golden"
 )
 
-// The command that each path of the administration API stands for, as in earlier versions.
+// TestGolden checks that the paths of the administration API keep the operations of earlier versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
 	var lines []string
--- a/admin/hosted.go
+++ b/admin/hosted.go
@@ -1,6 +1,6 @@
 package admin
 
-// This file holds the paths that only a hosted service has.
+// This file holds the paths that exist only in a hosted service.
 
 import (
 	"basaltwall/api"
@@ -14,11 +14,11 @@
 
 // Placeholders in the path of a route.
 const (
-	placeholderID  = "ID"  // what is asked about
-	placeholderSub = "SUB" // the name of one of its keys
+	placeholderID  = "ID"  // name of the tenant, team or pool
+	placeholderSub = "SUB" // name of a key
 )
 
-// hostedRoutes are the requests that only a hosted service answers.
+// hostedRoutes are the requests that only a hosted service supports.
 var hostedRoutes = []struct {
 	method, path string
 	operation    message.AdminOperation
@@ -45,7 +45,8 @@
 	{api.MethodPost, "pools/ID/remove", message.AdminRemovePool},
 }
 
-// matchPath reports whether a path matches a route's, and returns what stands at its placeholders.
+// matchPath reports whether a path matches the pattern of a route, and returns the values of the
+// placeholders.
 func matchPath(parts []string, pattern string) (id, sub string, ok bool) {
 	ok = slices.EqualFunc(parts, strings.Split(pattern, "/"), func(part, want string) bool {
 		switch want {
@@ -61,18 +62,19 @@
 	return id, sub, ok
 }
 
-// hostedCollections are the first words of paths that only a hosted service has.
+// hostedCollections are the first elements of the paths that exist only in a hosted service.
 var hostedCollections = []message.AdminOperation{message.AdminTenants, message.AdminOperators, message.AdminAudit, message.AdminPools}
 
-// IsHostedPath reports whether only a hosted service has a path. The list of teams any service has.
+// IsHostedPath reports whether a path exists only in a hosted service. The list of teams exists in every
+// service.
 func IsHostedPath(path string) bool {
 	first, rest, _ := strings.Cut(strings.TrimPrefix(path, Prefix), "/")
 	collection := message.AdminOperation(first)
 	return slices.Contains(hostedCollections, collection) || collection == message.AdminTeams && rest != ""
 }
 
-// hostedCommand returns the command of a request that only a hosted service answers, or nil and the
-// HTTP status that refuses it.
+// hostedCommand returns the command for a request that only a hosted service supports. For a refused
+// request it returns nil and the HTTP status of the refusal.
 func hostedCommand(request message.AdminRequest, parts []string, r httpx.Request) (message.Command, int) {
 	if request.What == message.AdminAudit {
 		var ok bool
--- a/admin/job.go
+++ b/admin/job.go
@@ -10,24 +10,24 @@
 	"basaltwall/api"
 )
 
-// JobCmd is the command line of a hosted service's tenants. Kong reads it by reflection, as Cmd.
+// JobCmd is the command line of a hosted service's tenants. Like Cmd, it is read by Kong by reflection.
 type JobCmd struct {
-	Addr    string `required:"" placeholder:"IP:PORT" help:"A controller's api_addr, or a balancer's."`
+	Addr    string `required:"" placeholder:"IP:PORT" help:"The api_addr of a controller, or the address of a load balancer."`
 	KeyFile string `required:"" type:"existingfile" env:"BASALTWALL_KEY_FILE" placeholder:"FILE" help:"A file with your key."`
 
 	Submit struct {
 		File string `arg:"" type:"existingfile" help:"A file with the job in JSON."`
 	} `cmd:"" help:"Submit a job."`
 	Show    jobCmd  `cmd:"" help:"Show a job's state."`
-	List    pageCmd `cmd:"" help:"List your jobs that are not over, the oldest first."`
-	Usage   showCmd `cmd:"" help:"Show what you have open, waiting and running, and what your teams may hold."`
-	History pageCmd `cmd:"" help:"List your jobs that are over, the oldest first."`
+	List    pageCmd `cmd:"" help:"List your unfinished jobs, oldest first."`
+	Usage   showCmd `cmd:"" help:"Show your unfinished jobs, pending and running tasks, and the usage, guarantees and limits of your teams."`
+	History pageCmd `cmd:"" help:"List your finished jobs, oldest first."`
 	Cancel  jobCmd  `cmd:"" help:"Cancel a job."`
 
-	JSON bool `help:"Print JSON, for programs, where there is a table."`
+	JSON bool `help:"Print JSON instead of tables."`
 }
 
-// Do runs a subcommand; command is its path as kong names it, as "cancel <ref>".
+// Do runs a subcommand. command is its path in kong's notation, for example "cancel <ref>".
 func (c *JobCmd) Do(command string) error {
 	method, path := api.MethodGet, api.PathJobs+"/"+url.PathEscape(c.Show.Ref)
 	var body []byte
--- a/admin/operators.go
+++ b/admin/operators.go
@@ -1,6 +1,6 @@
 package admin
 
-// This file holds the subcommands on operators and on the teams that they make.
+// This file holds the subcommands for operators and for the teams that operators create.
 
 import (
 	"fmt"
@@ -13,31 +13,31 @@
 )
 
 type operatorsCmd struct {
-	Show   struct{}        `cmd:"" help:"Show the operators' keys, networks, proxies and what is set aside for teams."`
-	Change operatorsPutCmd `cmd:"" help:"Replace networks, proxies and what is set aside; what is not named stays."`
+	Show   struct{}        `cmd:"" help:"Show the operators' keys, networks and proxies, and the resources reserved for teams."`
+	Change operatorsPutCmd `cmd:"" help:"Change networks, proxies and the resources reserved for teams. Omitted values stay unchanged."`
 	Key    struct {
-		Add    operatorKeyCmd `cmd:"" help:"Make a key; its secret is shown this once."`
+		Add    operatorKeyCmd `cmd:"" help:"Create a key. Its secret is shown only once."`
 		Revoke struct {
-			Key string `arg:"" help:"The key's name; first is the one of the file."`
-		} `cmd:"" help:"Make a key open nothing any more."`
-	} `cmd:"" help:"Make and revoke operators' keys."`
+			Key string `arg:"" help:"The key's name; first is the key of --admin-key-file."`
+		} `cmd:"" help:"Revoke a key."`
+	} `cmd:"" help:"Create and revoke operators' keys."`
 }
 
 type operatorsPutCmd struct {
-	Network []string `help:"A network from which operators may come, as 192.0.2.0/24; may be repeated. An empty one stands for anywhere."`
-	Proxy   []string `help:"A network of proxies whose X-Forwarded-For is believed; may be repeated. An empty one stands for none."`
-	CPUs    *float64 `name:"cpus" help:"What teams made here may be guaranteed together."`
-	GPUs    *float64 `name:"gpus" help:"The same of accelerators."`
+	Network []string `help:"A network from which operators may connect, for example 192.0.2.0/24; may be repeated. An empty value allows all networks."`
+	Proxy   []string `help:"A network of proxies whose X-Forwarded-For header is trusted; may be repeated. An empty value means no proxies."`
+	CPUs    *float64 `name:"cpus" help:"Total CPUs that may be guaranteed to teams created by operators."`
+	GPUs    *float64 `name:"gpus" help:"Total accelerators that may be guaranteed to teams created by operators."`
 }
 
 type operatorKeyCmd struct {
 	Key     string        `arg:"" help:"The key's name."`
-	Role    string        `required:"" enum:"read,change" help:"What it opens: read or change."`
-	Expires time.Duration `help:"After how long it opens nothing any more (0: never)."`
+	Role    string        `required:"" enum:"read,change" help:"The key's role: read or change."`
+	Expires time.Duration `help:"Lifetime of the key (0: unlimited)."`
 }
 
 type teamCmd struct {
-	Put    teamPutCmd `cmd:"" help:"Make a team, or change one that was made so."`
+	Put    teamPutCmd `cmd:"" help:"Create a team, or change a team created by operators."`
 	Remove struct {
 		Name string `arg:"" help:"The team's name."`
 	} `cmd:"" help:"Remove a team that belongs to no tenant and has no jobs."`
@@ -45,13 +45,13 @@
 
 type teamPutCmd struct {
 	Name    string  `arg:"" help:"The team's name: a to z, 0 to 9 and -."`
-	CPUs    float64 `name:"cpus" help:"Guaranteed."`
+	CPUs    float64 `name:"cpus" help:"Guaranteed CPUs."`
 	GPUs    float64 `name:"gpus" help:"Guaranteed accelerators."`
-	CPUsMax float64 `name:"cpus-max" help:"Limit (0: none); it can't be lowered later."`
-	GPUsMax float64 `name:"gpus-max" help:"Limit of accelerators (0: none)."`
+	CPUsMax float64 `name:"cpus-max" help:"Maximum CPUs (0: no limit); cannot be lowered later."`
+	GPUsMax float64 `name:"gpus-max" help:"Maximum accelerators (0: no limit); cannot be lowered later."`
 }
 
-// operators runs a subcommand on the operators' record.
+// operators runs a subcommand for the operators' record.
 func (c *Cmd) operators(command string) error {
 	o := &c.Operators
 	switch command {
@@ -68,24 +68,24 @@
 	return fmt.Errorf("operators %s: %w", command, errUnknownCommand)
 }
 
-// putOperators changes what is named of the operators' record.
-func (c *Cmd) putOperators(named operatorsPutCmd) error {
+// putOperators changes the fields of the operators' record whose flags are set.
+func (c *Cmd) putOperators(flags operatorsPutCmd) error {
 	current, err := fetch[tenancy.OperatorsView](c, "operators")
 	if err != nil {
 		return err
 	}
-	override(&current.CPUs, named.CPUs)
-	override(&current.GPUs, named.GPUs)
+	override(&current.CPUs, flags.CPUs)
+	override(&current.GPUs, flags.GPUs)
 	return c.send(api.MethodPut, "operators", operatorsRequest{
 		CPUs:     current.CPUs,
 		GPUs:     current.GPUs,
-		Networks: overrideList(named.Network, prefixStrings(current.Networks)),
-		Proxies:  overrideList(named.Proxy, prefixStrings(current.Proxies)),
+		Networks: overrideList(flags.Network, prefixStrings(current.Networks)),
+		Proxies:  overrideList(flags.Proxy, prefixStrings(current.Proxies)),
 		revision: revision{current.Revision},
 	})
 }
 
-// team runs a subcommand on teams that operators make.
+// team runs a subcommand for teams created by operators.
 func (c *Cmd) team(command string) error {
 	if command == "put <name>" {
 		return c.putTeam(c.Team.Put)
@@ -93,7 +93,7 @@
 	return c.removeTeam(c.Team.Remove.Name)
 }
 
-// putTeam makes a team, or replaces its guarantee and limit.
+// putTeam creates a team, or replaces its guarantee and limit.
 func (c *Cmd) putTeam(p teamPutCmd) error {
 	current, err := c.teamRevision(p.Name)
 	if err != nil {
@@ -102,7 +102,6 @@
 	return c.send(api.MethodPut, teamPath(p.Name), teamRequest{CPUs: p.CPUs, CPUsMax: p.CPUsMax, GPUs: p.GPUs, GPUsMax: p.GPUsMax, revision: revision{current}})
 }
 
-// removeTeam removes a team.
 func (c *Cmd) removeTeam(name string) error {
 	current, err := c.teamRevision(name)
 	if err != nil {
@@ -111,10 +110,9 @@
 	return c.send(api.MethodPost, teamPath(name)+"/remove", revision{current})
 }
 
-// teamPath returns the path of a team.
 func teamPath(name string) string { return "teams/" + url.PathEscape(name) }
 
-// teamRevision returns the revision of a team, or 0 if there is none of that name.
+// teamRevision returns the revision of a team, or 0 if the team does not exist.
 func (c *Cmd) teamRevision(name string) (api.Revision, error) {
 	teams, err := fetch[[]operations.TeamView](c, "teams")
 	if err != nil {
--- a/admin/pools.go
+++ b/admin/pools.go
@@ -1,6 +1,6 @@
 package admin
 
-// This file holds the subcommands on pools of counted resources.
+// This file holds the subcommands for pools of counted resources.
 
 import (
 	"basaltwall/api"
@@ -17,10 +17,10 @@
 )
 
 type poolCmd struct {
-	List   struct{}    `cmd:"" help:"List the pools: size, what is held, who waits."`
-	Show   poolNameCmd `cmd:"" help:"Show a pool with its shares and holders."`
-	Put    poolPutCmd  `cmd:"" help:"Make a pool, or change one; what is not named stays."`
-	Remove poolNameCmd `cmd:"" help:"Remove a pool that nobody holds or waits for."`
+	List   struct{}    `cmd:"" help:"List the pools with size, held units and waiting requests."`
+	Show   poolNameCmd `cmd:"" help:"Show a pool with its share per partition and its holders."`
+	Put    poolPutCmd  `cmd:"" help:"Create or change a pool. Omitted values stay unchanged."`
+	Remove poolNameCmd `cmd:"" help:"Remove a pool without held units and waiting requests."`
 }
 
 type poolNameCmd struct {
@@ -29,20 +29,19 @@
 
 type poolPutCmd struct {
 	Name      string         `arg:"" help:"The pool's name: a to z, 0 to 9 and -."`
-	Size      *int           `help:"How many units there are. Below what is held, nothing more is handed out until so many have ended."`
-	Largest   *int           `help:"How many there may ever be: jobs that ask for more at once are refused (by itself: the size)."`
-	Unit      *string        `help:"What is counted, in words."`
-	Team      []string       `help:"A team that may use it; may be repeated. An empty one stands for none."`
-	Tenant    []string       `help:"A tenant that may use it; may be repeated. Without teams and tenants everybody may."`
-	Guarantee map[string]int `placeholder:"TEAM=UNITS" help:"What a team's work may have before other work of the same priority; may be repeated. Replaces what there is."`
-	Frozen    *bool          `negatable:"" help:"Hand out nothing more."`
-	Reclaim   *bool          `negatable:"" help:"Let holders make way when more is held than there is, the least urgent and newest first."`
+	Size      *int           `help:"Number of units. If it is below the held units, no units are granted until enough are released."`
+	Largest   *int           `help:"Maximum size: jobs that need more units at once are refused (default: the size)."`
+	Unit      *string        `help:"Description of the counted unit."`
+	Team      []string       `help:"A team that may use the pool; may be repeated. An empty value means no teams."`
+	Tenant    []string       `help:"A tenant that may use the pool; may be repeated. Without teams and tenants, all may use it."`
+	Guarantee map[string]int `placeholder:"TEAM=UNITS" help:"Units that a team's jobs get before other jobs of the same priority; may be repeated. Replaces all guarantees."`
+	Frozen    *bool          `negatable:"" help:"Grant no more units."`
+	Reclaim   *bool          `negatable:"" help:"Preempt holders if more units are held than the size, lowest priority and newest first."`
 }
 
-// poolPath returns the path of a pool.
 func poolPath(name string) string { return "pools/" + url.PathEscape(name) }
 
-// pool runs a subcommand on pools.
+// pool runs a subcommand for pools.
 func (c *Cmd) pool(command string) error {
 	switch command {
 	case "list":
@@ -57,20 +56,20 @@
 	return fmt.Errorf("pool %s: %w", command, errUnknownCommand)
 }
 
-// putPool makes a pool, or changes what is named of the one that exists.
-func (c *Cmd) putPool(named poolPutCmd) error {
-	path := poolPath(named.Name)
+// putPool creates a pool, or changes the fields of an existing pool whose flags are set.
+func (c *Cmd) putPool(flags poolPutCmd) error {
+	path := poolPath(flags.Name)
 	current, err := fetch[pools.View](c, path)
 	if err != nil && !isNotFound(err) {
 		return err
 	}
 	frozen := current.State == pool.Frozen
-	override(&current.Size, named.Size)
-	override(&current.Largest, named.Largest)
-	override(&current.Unit, named.Unit)
-	override(&frozen, named.Frozen)
-	override(&current.Reclaim, named.Reclaim)
-	guaranteed := named.Guarantee
+	override(&current.Size, flags.Size)
+	override(&current.Largest, flags.Largest)
+	override(&current.Unit, flags.Unit)
+	override(&frozen, flags.Frozen)
+	override(&current.Reclaim, flags.Reclaim)
+	guaranteed := flags.Guarantee
 	if guaranteed == nil {
 		guaranteed = map[string]int{}
 		for team, units := range current.Guaranteed {
@@ -84,13 +83,13 @@
 		Reclaim:    current.Reclaim,
 		revision:   revision{current.Revision},
 		Size:       current.Size,
-		Teams:      overrideList(named.Team, toStrings(current.Teams)),
-		Tenants:    overrideList(named.Tenant, toStrings(current.Tenants)),
+		Teams:      overrideList(flags.Team, toStrings(current.Teams)),
+		Tenants:    overrideList(flags.Tenant, toStrings(current.Tenants)),
 		Unit:       current.Unit,
 	})
 }
 
-// isNotFound reports whether a request was refused because nothing lies at its path.
+// isNotFound reports whether a request was refused with status 404.
 func isNotFound(err error) bool {
 	var refused *RequestError
 	return errors.As(err, &refused) && refused.Status == api.StatusNotFound
@@ -117,7 +116,7 @@
 	writeRow(w, "size", p.Size, fmt.Sprintf("largest %d", p.Largest))
 	writeRow(w, "held", sum(p.Held))
 	writeRow(w, "reclaims", p.Reclaim)
-	writeRow(w, "waiting", p.WaitingUnits, fmt.Sprintf("the oldest for %.0f s", p.OldestWait))
+	writeRow(w, "waiting", p.WaitingUnits, fmt.Sprintf("oldest wait %.0f s", p.OldestWait))
 	writeRow(w, "teams", joinNames(p.Teams))
 	writeRow(w, "tenants", joinNames(p.Tenants))
 	for _, team := range slices.Sorted(maps.Keys(p.Guaranteed)) {
@@ -125,7 +124,7 @@
 	}
 	writeRow(w, "revision", p.Revision)
 	writeRow(w)
-	writeRow(w, "PART", "SHARE", "HELD", "FREE")
+	writeRow(w, "PARTITION", "SHARE", "HELD", "FREE")
 	for partition := range p.Shares {
 		writeRow(w, partition, p.Shares[partition], p.Held[partition], p.Free[partition])
 	}
--- a/admin/requests.go
+++ b/admin/requests.go
@@ -1,7 +1,7 @@
 package admin
 
-// This file holds the bodies of the requests that subcommands send. Fields are in the order of their
-// names in JSON, which is the order on the wire.
+// This file holds the bodies of the subcommands' requests. Fields are sorted by JSON name, which is their
+// order on the wire.
 
 import (
 	"time"
@@ -9,18 +9,18 @@
 	"basaltwall/api"
 )
 
-// revisioned is a request that names the revision it changes.
+// revisioned is a request that contains the revision of the resource to change.
 type revisioned interface{ setRevision(api.Revision) }
 
-// revision is the part of a resource, and of a request that changes it, that says which revision is
-// meant. Alone it is the body of a change that needs nothing more.
+// revision is the revision of a resource. It is embedded in requests, and is itself the body of requests
+// without other fields.
 type revision struct {
 	Revision api.Revision `json:"revision"`
 }
 
 func (r *revision) setRevision(current api.Revision) { r.Revision = current }
 
-// tenantRequest sets what is agreed with a tenant.
+// tenantRequest sets the attributes of a tenant.
 type tenantRequest struct {
 	Burst            float64  `json:"burst"`
 	Display          string   `json:"display"`
@@ -32,27 +32,25 @@
 	Teams []string `json:"teams"`
 }
 
-// suspendRequest suspends a tenant.
 type suspendRequest struct {
 	DrainSeconds float64 `json:"drain_s"`
 	revision
 	Reason string `json:"why"`
 }
 
-// removeTenantRequest removes a tenant.
 type removeTenantRequest struct {
 	CancelJobs bool `json:"cancel"`
 	revision
 }
 
-// keyRequest makes a key.
+// keyRequest creates a key.
 type keyRequest struct {
 	Expires int64  `json:"expires,omitempty"` // Unix milliseconds; 0 for never
 	Name    string `json:"name"`
 	revision
 }
 
-// newKeyRequest returns the request for a key that expires after a lifetime, or never if that is 0.
+// newKeyRequest returns a request for a key with a lifetime; 0 means unlimited.
 func newKeyRequest(name string, lifetime time.Duration) keyRequest {
 	request := keyRequest{Name: name}
 	if lifetime > 0 {
@@ -61,13 +59,13 @@
 	return request
 }
 
-// operatorKeyRequest makes a key of an operator.
+// operatorKeyRequest creates an operator's key.
 type operatorKeyRequest struct {
 	keyRequest
 	Role string `json:"role"`
 }
 
-// operatorsRequest sets what holds for all operators.
+// operatorsRequest sets the operators' networks and proxies, and the resources reserved for teams.
 type operatorsRequest struct {
 	CPUs     float64  `json:"cpus"`
 	GPUs     float64  `json:"gpus"`
@@ -98,26 +96,26 @@
 	Unit    string   `json:"unit"`
 }
 
-// reserveRequest offers or promises a skip: the one that was offered under a number, or a free one
-// for a time. What is nil does not belong to the request.
+// reserveRequest offers or promises a skip: either a free one for a period, or the skip of an earlier offer,
+// given by its number. Nil fields are omitted.
 type reserveRequest struct {
-	HoldSeconds *float64 `json:"for_s,omitempty"` // of an offer
+	HoldSeconds *float64 `json:"for_s,omitempty"` // only in an offer
 	From        *string  `json:"from,omitempty"`
 	Kind        *string  `json:"kind,omitempty"`
 	Name        string   `json:"name"`
 	Number      uint64   `json:"number,omitempty"`
-	Site        *string  `json:"site,omitempty"` // of a promise
+	Site        *string  `json:"site,omitempty"` // only in a promise
 	Skip        string   `json:"skip"`
 	To          *string  `json:"to,omitempty"`
 }
 
-// reservationRequest changes the offer or promise of a skip that has a number.
+// reservationRequest changes the offer or promise with a number.
 type reservationRequest struct {
 	Number uint64 `json:"number"`
 	Skip   string `json:"skip"`
 }
 
-// skipRequest takes a skip out of service or puts it into service.
+// skipRequest takes a skip out of service or returns it to service.
 type skipRequest struct {
 	Skip string `json:"skip"`
 }
@@ -127,7 +125,6 @@
 	Skips []importedSkip `json:"skips"`
 }
 
-// importedSkip is a skip that is added.
 type importedSkip struct {
 	Skip string `json:"skip"`
 	Kind string `json:"kind"`
--- a/admin/requests_golden_test.go
+++ b/admin/requests_golden_test.go
@@ -13,8 +13,8 @@
 	"basaltwall/internal/golden"
 )
 
-// recordRequests starts a server that answers each path with what the subcommands read before they
-// change anything, and returns its address and the requests it received, with their bodies.
+// recordRequests starts a server that returns sample resources, and returns its address and the recorded
+// requests with their bodies.
 func recordRequests(t *testing.T) (addr string, received *[]string) {
 	t.Helper()
 	received = &[]string{}
@@ -40,7 +40,7 @@
 	return strings.TrimPrefix(s.URL, "http://"), received
 }
 
-// The requests of subcommands that change something, byte by byte, as earlier versions sent them.
+// TestGoldenRequests checks that subcommands that make changes send the same bytes as earlier versions.
 func TestGoldenRequests(t *testing.T) {
 	f := golden.Open(t)
 	addr, received := recordRequests(t)
--- a/admin/routes.go
+++ b/admin/routes.go
@@ -1,10 +1,9 @@
-// Package admin is the administration API: which operation of the controller each of its paths
-// asks for, and the command-line subcommands that are its client. The API lies under a versioned
-// prefix, apart from the paths of users and workers. The package keeps no state and decides
-// nothing: what is answered and changed is the controller's business.
+// Package admin implements the routes of the administration API and its client, the command-line
+// subcommands. The API has a versioned path prefix, separate from the paths of users and workers. The
+// routes only map requests to commands; the controller executes them.
 package admin
 
-// This file holds the server's side: the operation that a request asks for.
+// This file holds the server's side, which maps requests to commands.
 
 import (
 	"basaltwall/api"
@@ -18,26 +17,27 @@
 	"basaltwall/httpx"
 )
 
-// Prefix is the path below which the API lies.
+// Prefix is the path prefix of the API.
 const Prefix = "/admin/v1/"
 
-// Bounds on how many items of a list are shown: without a limit in the request, and at most.
+// Limits of the items in a list: the default, and the maximum for jobs and for pages.
 const (
 	defaultLimit = 100
 	maxJobs      = 1000
 	maxPage      = 500
 )
 
-// maxCursorLength bounds the cursor of a page, in bytes.
+// maxCursorLength is the maximum length of a page cursor, in bytes.
 const maxCursorLength = 100
 
-// listOperations are the operations whose path is their name and which take no parameters.
+// listOperations are the operations without parameters. Their path is their name.
 var listOperations = []message.AdminOperation{message.AdminMembers, message.AdminPartitions, message.AdminMachines, message.AdminTeams, message.AdminMetrics}
 
-// reservationChanges are the last words of the paths that change a depot's reservations.
+// reservationChanges are the last elements of the paths that change a depot's reservations.
 var reservationChanges = []string{"offer", "promise", "release", "deliver", "return", "out", "in", "import"}
 
-// Command returns the command that a request stands for, or nil and the HTTP status that refuses it.
+// Command returns the command for a request. For a refused request it returns nil and the HTTP status of the
+// refusal.
 func Command(id message.ReqID, r httpx.Request) (message.Command, int) {
 	parts := strings.Split(strings.TrimPrefix(r.Path, Prefix), "/")
 	operation := message.AdminOperation(parts[0])
@@ -85,8 +85,8 @@
 	return operation == message.AdminDrain || operation == message.AdminUndrain
 }
 
-// reservationCommand returns the command of a request about skips: GET skips counts them, GET
-// skips/DEPOT lists a depot's, POST skips/DEPOT/CHANGE changes one.
+// reservationCommand returns the command for a request about skips: GET skips counts skips, GET skips/DEPOT
+// lists a depot's skips, and POST skips/DEPOT/CHANGE changes one.
 func reservationCommand(request message.AdminRequest, parts []string, r httpx.Request) (message.Command, int) {
 	method := api.MethodGet
 	switch {
@@ -114,7 +114,7 @@
 	return request, 0
 }
 
-// parseLimit reads how many items are asked for, from 1 to maxItems.
+// parseLimit parses the limit parameter, from 1 to maxItems. Without it the limit is defaultLimit.
 func parseLimit(query url.Values, maxItems int) (int, bool) {
 	text := query.Get("limit")
 	if text == "" {
@@ -124,8 +124,8 @@
 	return n, err == nil && n >= 1 && n <= maxItems
 }
 
-// ParsePage reads which page of a list a request asks for: the cursor that it comes after, and how
-// many items it may hold. It reports false for a malformed query.
+// ParsePage parses the query of a request for a page of a list: the cursor after which the page starts, and
+// the maximum number of items. It reports false for a malformed query.
 func ParsePage(r httpx.Request) (after string, maxItems int, ok bool) {
 	query, err := url.ParseQuery(r.Query)
 	if err != nil {
@@ -136,8 +136,8 @@
 	return after, maxItems, ok && isCursor(after)
 }
 
-// isCursor reports whether a text may be a cursor, which becomes part of a key of the key-value
-// store: printable ASCII without spaces and slashes.
+// isCursor reports whether a text is a valid cursor: printable ASCII without spaces and slashes. A cursor
+// becomes part of a key of the key-value store.
 func isCursor(text string) bool {
 	return len(text) <= maxCursorLength && !strings.ContainsFunc(text, func(c rune) bool { return c <= ' ' || c > '~' || c == '/' })
 }
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -1,6 +1,6 @@
 package admin
 
-// This file holds the subcommands on skips and their reservations.
+// This file holds the subcommands for skips and their reservations.
 
 import (
 	"basaltwall/api"
@@ -17,16 +17,16 @@
 )
 
 type skipsCmd struct {
-	List    struct{}     `cmd:"" help:"Count the skips by depot and kind: about how many are free today."`
-	Show    skipsShowCmd `cmd:"" help:"Show a depot's skips with what holds them."`
-	Offer   skipsAskCmd  `cmd:"" help:"Hold a free skip for an enquiry, for a time."`
-	Promise skipsAskCmd  `cmd:"" help:"Promise a skip to a building site, a free one or one that was offered."`
+	List    struct{}     `cmd:"" help:"Count the skips by depot and kind, with the approximate number free today."`
+	Show    skipsShowCmd `cmd:"" help:"Show a depot's skips with their reservations."`
+	Offer   skipsAskCmd  `cmd:"" help:"Reserve a free skip for an enquiry for a limited time."`
+	Promise skipsAskCmd  `cmd:"" help:"Promise a free or an offered skip to a building site."`
 	Release skipsNumCmd  `cmd:"" help:"Release an offer or a promise."`
-	Deliver skipsNumCmd  `cmd:"" help:"Note that a promised skip was delivered."`
-	Return  skipsNumCmd  `cmd:"" help:"Note that a delivered skip is back."`
-	Out     skipsOneCmd  `cmd:"" help:"Take a skip out of service: nothing new is promised of it."`
-	In      skipsOneCmd  `cmd:"" help:"Put a skip into service again."`
-	Import  skipsFileCmd `cmd:"" help:"Add skips from a file with lines DEPOT,SKIP,KIND; those that are there already stay."`
+	Deliver skipsNumCmd  `cmd:"" help:"Record the delivery of a promised skip."`
+	Return  skipsNumCmd  `cmd:"" help:"Record the return of a delivered skip."`
+	Out     skipsOneCmd  `cmd:"" help:"Take a skip out of service, so that it gets no new reservations."`
+	In      skipsOneCmd  `cmd:"" help:"Return a skip to service."`
+	Import  skipsFileCmd `cmd:"" help:"Add skips from a file with lines DEPOT,SKIP,KIND. Existing skips are not changed."`
 }
 
 type skipsShowCmd struct {
@@ -36,14 +36,14 @@
 
 type skipsAskCmd struct {
 	Depot  string        `arg:"" help:"The depot."`
-	Name   string        `required:"" help:"A name of yours for the request; to repeat it with the same gets the same answer."`
+	Name   string        `required:"" help:"Idempotency key of the request: a repeated request with the same name gets the same answer."`
 	Kind   string        `help:"Any free skip of this kind."`
 	Skip   string        `help:"This skip."`
 	From   string        `placeholder:"2026-12-01" help:"The first day."`
 	To     string        `placeholder:"2026-12-05" help:"The day after the last."`
 	Site   string        `help:"The building site, for a promise."`
-	Number uint64        `help:"The number of the offer that is taken, for a promise."`
-	For    time.Duration `default:"5m" help:"For how long an offer is held (1s to 1h)."`
+	Number uint64        `help:"The number of the offer to promise."`
+	For    time.Duration `default:"5m" help:"Duration of an offer (1s to 1h)."`
 }
 
 type skipsNumCmd struct {
@@ -58,13 +58,12 @@
 }
 
 type skipsFileCmd struct {
-	File string `arg:"" help:"The file."`
+	File string `arg:"" help:"The CSV file."`
 }
 
-// skipsPath returns the path of a depot's skips.
 func skipsPath(depot string) string { return "skips/" + url.PathEscape(depot) }
 
-// skips runs a subcommand on skips.
+// skips runs a subcommand for skips.
 func (c *Cmd) skips(command string) error {
 	action, _, _ := strings.Cut(command, " ")
 	change := func(depot string, body any) error {
@@ -101,8 +100,8 @@
 	return fmt.Errorf("skips %s: %w", action, errUnknownCommand)
 }
 
-// newReserveRequest returns what an offer and a promise have in common. One that names a number is
-// about the days and the kind of that offer, and names none itself.
+// newReserveRequest returns a request with the fields shared by offers and promises. With the number of an
+// offer, kind and days are omitted, because the offer defines them.
 func newReserveRequest(c *skipsAskCmd) reserveRequest {
 	request := reserveRequest{Name: c.Name, Skip: c.Skip, Number: c.Number}
 	if c.Number == 0 {
@@ -116,7 +115,7 @@
 }
 
 func skipCountsTable(w io.Writer, v reservations.CountsView) {
-	writeRow(w, "DEPOT", "KIND", "SKIPS", "FREE TODAY, ABOUT", "OFFERED", "PROMISED", "OUT")
+	writeRow(w, "DEPOT", "KIND", "SKIPS", "FREE TODAY (APPROX.)", "OFFERED", "PROMISED", "OUT OF SERVICE")
 	for _, k := range v.Kinds {
 		writeRow(w, k.Depot, k.Kind, k.Skips, k.Free, k.Offered, k.Promised, k.OutOfService)
 	}
--- a/admin/tenants.go
+++ b/admin/tenants.go
@@ -1,6 +1,6 @@
 package admin
 
-// This file holds the subcommands on tenants.
+// This file holds the subcommands for tenants.
 
 import (
 	"basaltwall/api"
@@ -18,51 +18,51 @@
 	List    struct{}      `cmd:"" help:"List the tenants."`
 	Show    tenantNameCmd `cmd:"" help:"Show a tenant with its keys."`
 	Add     tenantPutCmd  `cmd:"" help:"Add a tenant."`
-	Change  tenantPutCmd  `cmd:"" help:"Change what is agreed with a tenant; what is not named stays."`
-	Suspend suspendCmd    `cmd:"" help:"Start nothing more of a tenant and let drain what runs."`
-	Resume  tenantNameCmd `cmd:"" help:"Let a suspended tenant go on."`
+	Change  tenantPutCmd  `cmd:"" help:"Change a tenant. Omitted values stay unchanged."`
+	Suspend suspendCmd    `cmd:"" help:"Suspend a tenant: start no more of its tasks, and let running tasks drain."`
+	Resume  tenantNameCmd `cmd:"" help:"Resume a suspended tenant."`
 	Remove  removeCmd     `cmd:"" help:"Remove a suspended tenant."`
-	Usage   tenantNameCmd `cmd:"" help:"Show what a tenant has open, waiting and running, and what became of its submissions."`
-	Key     keyCmd        `cmd:"" help:"Make and revoke a tenant's keys."`
+	Usage   tenantNameCmd `cmd:"" help:"Show a tenant's unfinished jobs, pending and running tasks, and counts of accepted and refused submissions."`
+	Key     keyCmd        `cmd:"" help:"Create and revoke a tenant's keys."`
 }
 
 type tenantNameCmd struct {
 	Name string `arg:"" help:"The tenant's name."`
 }
 
-// tenantPutCmd names what is agreed with a tenant. What is nil is not named; a list with only an empty
-// text is an empty list.
+// tenantPutCmd holds the flags that set a tenant's attributes. A nil flag leaves the attribute unchanged; a
+// list with only an empty string clears it.
 type tenantPutCmd struct {
 	Name      string         `arg:"" help:"The tenant's name: a to z, 0 to 9 and -."`
-	Display   *string        `help:"How it is called."`
-	Team      []string       `help:"A team that belongs to it; may be repeated."`
-	Rate      *float64       `help:"Submissions a second, of the whole service (0: no bound)."`
-	Burst     *float64       `help:"Submissions at once, where there is a rate."`
-	OpenJobs  *int           `help:"Jobs that are not over, at most (0: 2000)."`
-	Network   []string       `help:"A network from which it may come, as 192.0.2.0/24; may be repeated. An empty one stands for anywhere."`
-	Retention *time.Duration `help:"For how long its history is kept (a new tenant's: 2160h)."`
+	Display   *string        `help:"The tenant's display name."`
+	Team      []string       `help:"A team that belongs to the tenant; may be repeated."`
+	Rate      *float64       `help:"Maximum submissions per second in the whole service (0: no limit)."`
+	Burst     *float64       `help:"Maximum burst of submissions, if there is a rate."`
+	OpenJobs  *int           `help:"Maximum unfinished jobs (0: 2000)."`
+	Network   []string       `help:"A network from which the tenant may connect, for example 192.0.2.0/24; may be repeated. An empty value allows all networks."`
+	Retention *time.Duration `help:"Retention of the tenant's history (default for a new tenant: 2160h)."`
 }
 
 type suspendCmd struct {
 	Name  string        `arg:"" help:"The tenant's name."`
-	Why   string        `required:"" help:"What its users are told."`
-	Drain time.Duration `default:"10m" help:"For how long its services go on."`
+	Why   string        `required:"" help:"The reason, shown to the tenant's users."`
+	Drain time.Duration `default:"10m" help:"Time until the tenant's running services are stopped."`
 }
 
 type removeCmd struct {
 	Name   string `arg:"" help:"The tenant's name."`
-	Cancel bool   `help:"Cancel its jobs; without, there must be none."`
+	Cancel bool   `help:"Cancel the tenant's unfinished jobs. Without this flag there must be none."`
 }
 
 type keyCmd struct {
-	Add    keyAddCmd    `cmd:"" help:"Make a key; its secret is shown this once."`
-	Revoke keyRevokeCmd `cmd:"" help:"Make a key open nothing any more."`
+	Add    keyAddCmd    `cmd:"" help:"Create a key. Its secret is shown only once."`
+	Revoke keyRevokeCmd `cmd:"" help:"Revoke a key."`
 }
 
 type keyAddCmd struct {
 	Tenant  string        `arg:"" help:"The tenant's name."`
 	Key     string        `arg:"" help:"The key's name."`
-	Expires time.Duration `help:"After how long it opens nothing any more (0: never)."`
+	Expires time.Duration `help:"Lifetime of the key (0: unlimited)."`
 }
 
 type keyRevokeCmd struct {
@@ -70,13 +70,12 @@
 	Key    string `arg:"" help:"The key's name."`
 }
 
-// newTenantRetention is how long the history of a new tenant is kept where nothing else is named.
+// newTenantRetention is the default history retention of a new tenant.
 const newTenantRetention = 90 * 24 * time.Hour
 
-// tenantPath returns the path of a tenant.
 func tenantPath(name string) string { return "tenants/" + url.PathEscape(name) }
 
-// tenant runs a subcommand on tenants.
+// tenant runs a subcommand for tenants.
 func (c *Cmd) tenant(command string) error {
 	t := &c.Tenant
 	switch command {
@@ -109,41 +108,41 @@
 	return fmt.Errorf("tenant %s: %w", command, errUnknownCommand)
 }
 
-// revokeKey revokes a key of the tenant, or of the operators, at a path.
+// revokeKey revokes a key of the tenant or of the operators, given by their path.
 func (c *Cmd) revokeKey(path, key string) error {
 	return c.sendWithRevision(path, "keys/"+url.PathEscape(key)+"/revoke", &revision{})
 }
 
-// putTenant sends what is agreed with a tenant: as it is currently, except for what is named.
-func (c *Cmd) putTenant(named tenantPutCmd, current tenancy.TenantView) error {
+// putTenant sends a tenant's current attributes, with those replaced whose flags are set.
+func (c *Cmd) putTenant(flags tenantPutCmd, current tenancy.TenantView) error {
 	t := current.Tenant
-	override(&t.Display, named.Display)
-	override(&t.Rate, named.Rate)
-	override(&t.Burst, named.Burst)
-	override(&t.OpenJobs, named.OpenJobs)
-	if named.Retention != nil {
-		t.Retention = named.Retention.Seconds()
+	override(&t.Display, flags.Display)
+	override(&t.Rate, flags.Rate)
+	override(&t.Burst, flags.Burst)
+	override(&t.OpenJobs, flags.OpenJobs)
+	if flags.Retention != nil {
+		t.Retention = flags.Retention.Seconds()
 	}
-	return c.send(api.MethodPut, tenantPath(named.Name), tenantRequest{
+	return c.send(api.MethodPut, tenantPath(flags.Name), tenantRequest{
 		Burst:            t.Burst,
 		Display:          t.Display,
-		Networks:         overrideList(named.Network, prefixStrings(t.Networks)),
+		Networks:         overrideList(flags.Network, prefixStrings(t.Networks)),
 		OpenJobs:         t.OpenJobs,
 		Rate:             t.Rate,
 		RetentionSeconds: t.Retention,
 		revision:         revision{current.Revision},
-		Teams:            overrideList(named.Team, toStrings(t.Teams)),
+		Teams:            overrideList(flags.Team, toStrings(t.Teams)),
 	})
 }
 
-// override sets a field to a value, unless that is nil.
+// override sets a field to a value, unless the value is nil.
 func override[T any](field, value *T) {
 	if value != nil {
 		*field = *value
 	}
 }
 
-// overrideList returns the values without empty texts, or the current list if values is nil.
+// overrideList returns the non-empty values, or the current list if values is nil.
 func overrideList(values, current []string) []string {
 	if values == nil {
 		return current
@@ -151,7 +150,6 @@
 	return slices.DeleteFunc(slices.Clone(values), func(s string) bool { return s == "" })
 }
 
-// toStrings converts names to strings.
 func toStrings[T ~string](list []T) []string {
 	out := make([]string, len(list))
 	for i, s := range list {
