--- a/admin/client.go
+++ b/admin/client.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	maxAnswer      = 16 << 20 // size of a response body in bytes
+	maxResponse    = 16 << 20 // size of a response body in bytes
 	requestTimeout = 10 * time.Second
 )
 
@@ -84,13 +84,13 @@
 	if err != nil {
 		return err
 	}
-	return printAnswer(body, c.JSON, table)
+	return printResponse(body, c.JSON, table)
 }
 
 // doRequest sends a request and returns the body of the response. The error is a *RequestError if there is
 // no response or its status is not 200 or 201.
 func doRequest(addr, keyFile, method, path string, body []byte) ([]byte, error) {
-	client := httpx.NewClient(maxAnswer, 1, 1)
+	client := httpx.NewClient(maxResponse, 1, 1)
 	if keyFile != "" {
 		key, err := os.ReadFile(keyFile)
 		if err != nil {
--- a/admin/command.go
+++ b/admin/command.go
@@ -22,19 +22,19 @@
 	Addr    string `required:"" placeholder:"IP:PORT" help:"The api_addr of a controller."`
 	KeyFile string `type:"existingfile" env:"BASALTWALL_KEY_FILE" placeholder:"FILE" help:"A file with an operator's key, for a hosted service."`
 
-	Members  showCmd   `cmd:"" help:"Show the controllers and their partitions."`
-	Parts    showCmd   `cmd:"" help:"Show the partitions, their owners and terms."`
-	Machines showCmd   `cmd:"" help:"Show the machines, their tasks, and the reasons why machines get no new tasks."`
-	Teams    showCmd   `cmd:"" help:"Show the teams, their guarantees and fair shares."`
-	Jobs     jobsCmd   `cmd:"" help:"Show the unfinished jobs with team, lateness and its reason, late jobs first."`
-	Metrics  showCmd   `cmd:"" help:"Show the metrics of a controller."`
-	Job      jobCmd    `cmd:"" help:"Show one job."`
-	Drain    drainCmd  `cmd:"" help:"Start no more tasks on a machine."`
-	Undrain  drainCmd  `cmd:"" help:"Allow new tasks on a drained machine."`
-	Settings showCmd   `cmd:"" help:"Show the operators' settings."`
-	Set      changeCmd `cmd:"" help:"Replace the operators' settings."`
-	Audit    pageCmd   `cmd:"" help:"Show the audit log of a hosted service."`
-	Tenant   tenantCmd `cmd:"" help:"Show and change the tenants of a hosted service."`
+	Members  showCmd            `cmd:"" help:"Show the controllers and their partitions."`
+	Parts    showCmd            `cmd:"" help:"Show the partitions, their owners and terms."`
+	Machines showCmd            `cmd:"" help:"Show the machines, their tasks, and the reasons why machines get no new tasks."`
+	Teams    showCmd            `cmd:"" help:"Show the teams, their guarantees and fair shares."`
+	Jobs     jobsCmd            `cmd:"" help:"Show the unfinished jobs with team, lateness and its reason, late jobs first."`
+	Metrics  showCmd            `cmd:"" help:"Show the metrics of a controller."`
+	Job      jobCmd             `cmd:"" help:"Show one job."`
+	Drain    drainCmd           `cmd:"" help:"Start no more tasks on a machine."`
+	Undrain  drainCmd           `cmd:"" help:"Allow new tasks on a drained machine."`
+	Settings showCmd            `cmd:"" help:"Show the operators' settings."`
+	Set      replaceSettingsCmd `cmd:"" help:"Replace the operators' settings."`
+	Audit    pageCmd            `cmd:"" help:"Show the audit log of a hosted service."`
+	Tenant   tenantCmd          `cmd:"" help:"Show and change the tenants of a hosted service."`
 
 	JSON bool `help:"Print JSON instead of tables."`
 
@@ -78,7 +78,7 @@
 	Machine string `arg:"" help:"The machine's name."`
 }
 
-type changeCmd struct {
+type replaceSettingsCmd struct {
 	File string `arg:"" help:"A file with the settings in the format of the settings command, including the revision."`
 }
 
--- a/admin/import.go
+++ b/admin/import.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	importPage       = 40 // skips in one request
-	importTries      = 60 // attempts per request; imports share the limited write rate of the key-value store
+	importPageSize   = 40 // skips in one request
+	importAttempts   = 60 // attempts per request; imports share the limited write rate of the key-value store
 	importRetryDelay = time.Second
 )
 
@@ -63,7 +63,7 @@
 		i.depots = append(i.depots, depot)
 	}
 	i.pages[depot] = append(i.pages[depot], skip)
-	if len(i.pages[depot]) < importPage {
+	if len(i.pages[depot]) < importPageSize {
 		return nil
 	}
 	return i.send(depot)
@@ -91,7 +91,7 @@
 			i.pages[depot] = nil
 			return nil
 		}
-		if !isUnavailable(err) || try == importTries {
+		if !isUnavailable(err) || try == importAttempts {
 			return fmt.Errorf("depot %s, after %d imported skips: %w", depot, i.sent, err)
 		}
 		time.Sleep(importRetryDelay)
--- a/admin/job.go
+++ b/admin/job.go
@@ -53,11 +53,11 @@
 	}
 	switch command {
 	case "list":
-		return printAnswer(answer, c.JSON, queueTable)
+		return printResponse(answer, c.JSON, queueTable)
 	case "usage":
-		return printAnswer(answer, c.JSON, usageTable)
+		return printResponse(answer, c.JSON, usageTable)
 	case "history":
-		return printAnswer(answer, c.JSON, historyTable)
+		return printResponse(answer, c.JSON, historyTable)
 	}
 	return printJSON(answer)
 }
--- a/admin/requests_golden_test.go
+++ b/admin/requests_golden_test.go
@@ -47,7 +47,7 @@
 	key := writeKeyFile(t)
 	skips := filepath.Join(t.TempDir(), "skips.csv")
 	var lines strings.Builder
-	for i := range importPage + 2 {
+	for i := range importPageSize + 2 {
 		fmt.Fprintf(&lines, "hof-nord,six-%d,six\n", i)
 	}
 	lines.WriteString("hof süd,ten-1,ten\n")
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -17,16 +17,16 @@
 )
 
 type skipsCmd struct {
-	List    struct{}     `cmd:"" help:"Count the skips by depot and kind, with the approximate number free today."`
-	Show    skipsShowCmd `cmd:"" help:"Show a depot's skips with their reservations."`
-	Offer   skipsAskCmd  `cmd:"" help:"Reserve a free skip for an enquiry for a limited time."`
-	Promise skipsAskCmd  `cmd:"" help:"Promise a free or an offered skip to a building site."`
-	Release skipsNumCmd  `cmd:"" help:"Release an offer or a promise."`
-	Deliver skipsNumCmd  `cmd:"" help:"Record the delivery of a promised skip."`
-	Return  skipsNumCmd  `cmd:"" help:"Record the return of a delivered skip."`
-	Out     skipsOneCmd  `cmd:"" help:"Take a skip out of service, so that it gets no new reservations."`
-	In      skipsOneCmd  `cmd:"" help:"Return a skip to service."`
-	Import  skipsFileCmd `cmd:"" help:"Add skips from a file with lines DEPOT,SKIP,KIND. Existing skips are not changed."`
+	List    struct{}            `cmd:"" help:"Count the skips by depot and kind, with the approximate number free today."`
+	Show    skipsShowCmd        `cmd:"" help:"Show a depot's skips with their reservations."`
+	Offer   skipsReserveCmd     `cmd:"" help:"Reserve a free skip for an enquiry for a limited time."`
+	Promise skipsReserveCmd     `cmd:"" help:"Promise a free or an offered skip to a building site."`
+	Release skipsReservationCmd `cmd:"" help:"Release an offer or a promise."`
+	Deliver skipsReservationCmd `cmd:"" help:"Record the delivery of a promised skip."`
+	Return  skipsReservationCmd `cmd:"" help:"Record the return of a delivered skip."`
+	Out     skipsServiceCmd     `cmd:"" help:"Take a skip out of service, so that it gets no new reservations."`
+	In      skipsServiceCmd     `cmd:"" help:"Return a skip to service."`
+	Import  skipsImportCmd      `cmd:"" help:"Add skips from a file with lines DEPOT,SKIP,KIND. Existing skips are not changed."`
 }
 
 type skipsShowCmd struct {
@@ -34,7 +34,7 @@
 	pageCmd `embed:""`
 }
 
-type skipsAskCmd struct {
+type skipsReserveCmd struct {
 	Depot  string        `arg:"" help:"The depot."`
 	Name   string        `required:"" help:"Idempotency key of the request: a repeated request with the same name gets the same answer."`
 	Kind   string        `help:"Any free skip of this kind."`
@@ -46,18 +46,18 @@
 	For    time.Duration `default:"5m" help:"Duration of an offer (1s to 1h)."`
 }
 
-type skipsNumCmd struct {
+type skipsReservationCmd struct {
 	Depot  string `arg:"" help:"The depot."`
 	Skip   string `arg:"" help:"The skip."`
 	Number uint64 `arg:"" help:"The number of the offer or promise."`
 }
 
-type skipsOneCmd struct {
+type skipsServiceCmd struct {
 	Depot string `arg:"" help:"The depot."`
 	Skip  string `arg:"" help:"The skip."`
 }
 
-type skipsFileCmd struct {
+type skipsImportCmd struct {
 	File string `arg:"" help:"The CSV file."`
 }
 
@@ -102,7 +102,7 @@
 
 // newReserveRequest returns a request with the fields shared by offers and promises. With the number of an
 // offer, kind and days are omitted, because the offer defines them.
-func newReserveRequest(c *skipsAskCmd) reserveRequest {
+func newReserveRequest(c *skipsReserveCmd) reserveRequest {
 	request := reserveRequest{Name: c.Name, Skip: c.Skip, Number: c.Number}
 	if c.Number == 0 {
 		request.Kind, request.From, request.To = &c.Kind, &c.From, &c.To
@@ -110,7 +110,7 @@
 	return request
 }
 
-func (c skipsNumCmd) request() reservationRequest {
+func (c skipsReservationCmd) request() reservationRequest {
 	return reservationRequest{Number: c.Number, Skip: c.Skip}
 }
 
@@ -127,14 +127,14 @@
 		if s.OutOfService {
 			writeRow(w, s.Skip, s.Kind, "out of service", "", "", "", "")
 		}
-		held := false
+		reserved := false
 		for _, item := range s.Items {
 			if item.Stage == reservation.Offered || item.Stage == reservation.Promised || item.Stage == reservation.Delivered {
-				held = true
+				reserved = true
 				writeRow(w, s.Skip, s.Kind, item.Stage, strconv.FormatUint(uint64(item.Number), 10), item.From, item.To, item.Site)
 			}
 		}
-		if !held && !s.OutOfService {
+		if !reserved && !s.OutOfService {
 			writeRow(w, s.Skip, s.Kind, "-", "", "", "", "")
 		}
 	}
--- a/admin/tables.go
+++ b/admin/tables.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// printAnswer prints a response as a table, or as JSON.
-func printAnswer[T any](body []byte, asJSON bool, table func(w io.Writer, v T)) error {
+// printResponse prints a response as a table, or as JSON.
+func printResponse[T any](body []byte, asJSON bool, table func(w io.Writer, v T)) error {
 	if asJSON {
 		return printJSON(body)
 	}
--- a/admin/tenants.go
+++ b/admin/tenants.go
@@ -19,7 +19,7 @@
 	Show    tenantNameCmd `cmd:"" help:"Show a tenant with its keys."`
 	Add     tenantPutCmd  `cmd:"" help:"Add a tenant."`
 	Change  tenantPutCmd  `cmd:"" help:"Change a tenant. Omitted values stay unchanged."`
-	Suspend suspendCmd    `cmd:"" help:"Suspend a tenant: start no more of its tasks, and let running tasks drain."`
+	Suspend suspendCmd    `cmd:"" help:"Suspend a tenant: start no more of its tasks, and stop its running services after the drain time."`
 	Resume  tenantNameCmd `cmd:"" help:"Resume a suspended tenant."`
 	Remove  removeCmd     `cmd:"" help:"Remove a suspended tenant."`
 	Usage   tenantNameCmd `cmd:"" help:"Show a tenant's unfinished jobs, pending and running tasks, and counts of accepted and refused submissions."`
@@ -46,7 +46,7 @@
 type suspendCmd struct {
 	Name  string        `arg:"" help:"The tenant's name."`
 	Why   string        `required:"" help:"The reason, shown to the tenant's users."`
-	Drain time.Duration `default:"10m" help:"Time until the tenant's running services are stopped."`
+	Drain time.Duration `default:"10m" help:"Drain time: delay before the running services of the tenant are stopped."`
 }
 
 type removeCmd struct {
--- a/server/effects.go
+++ b/server/effects.go
@@ -1,6 +1,6 @@
 package server
 
-// This file executes the controller's effects: replies to requests, and calls to the key-value store,
+// This file performs the controller's effects: replies to requests, and calls to the key-value store,
 // workers, the cloud and other controllers.
 
 import (
@@ -18,7 +18,7 @@
 	"basaltwall/worker"
 )
 
-// execute executes an effect. Each outgoing call runs in its own goroutine, and its outcome is queued as
+// execute performs an effect. Each outgoing call runs in its own goroutine, and its outcome is queued as
 // one command.
 func (s *Server) execute(ctx context.Context, effect message.Effect) {
 	switch e := effect.(type) {
--- a/server/hosted_test.go
+++ b/server/hosted_test.go
@@ -47,7 +47,7 @@
 		return code == 200 && other == 200
 	})
 	h.checkRefusals(t)
-	h.makeTenants(t)
+	h.createTenants(t)
 	h.runJob(t)
 	h.readHistory(t)
 	h.readQueueAndUsage(t)
@@ -101,8 +101,8 @@
 	h.expect("request body too large", 413, "")(h.call(0, h.root, "PUT", "/admin/v1/tenants/kipper", strings.Repeat(" ", 70_000)))
 }
 
-// makeTenants creates two tenants, each with a team and a key.
-func (h *hostedService) makeTenants(t *testing.T) {
+// createTenants creates two tenants, each with a team and a key.
+func (h *hostedService) createTenants(t *testing.T) {
 	t.Helper()
 	for name, team := range map[string]string{"kipper": "red", "lopresti": "blue"} {
 		put := `{"revision":0,"teams":["` + team + `"],"retention_s":60}`
--- a/server/hostedadmin_test.go
+++ b/server/hostedadmin_test.go
@@ -91,6 +91,6 @@
 	expect("retire the first key", 200, `"first_retired":true`)(call(1, next, "POST", "/admin/v1/operators/keys/first/revoke", at()+`}`))
 	expect("retired key", 401, "")(call(0, root, "GET", "/admin/v1/tenants", ""))
 	expect("second key after retirement of the first", 200, "")(call(0, next, "GET", "/admin/v1/tenants", ""))
-	root = next // at reads the revision with it
+	root = next // used by at to read the revision
 	expect("revocation of the new last key with role change", 409, "must be left")(call(1, next, "POST", "/admin/v1/operators/keys/next/revoke", at()+`}`))
 }
--- a/server/server.go
+++ b/server/server.go
@@ -51,7 +51,7 @@
 	maxBatch            = 64   // commands in one controller step
 	defaultFDLimit      = 1024 // file descriptors, if the settings give no limit
 	idleConnsPerAddress = 4
-	sweepInterval       = 5 * time.Second // between closings of expired idle connections
+	sweepInterval       = 5 * time.Second // interval for closing expired idle connections
 )
 
 // Server is a running controller.
