--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -1,6 +1,6 @@
-// Package invariant has an independent checker of the scheduler's rules: what may never happen,
-// whatever faults there are. It is told what really happens on machines and what users are told,
-// by emulators or tests, and records every violation with the rule's name and the time.
+// Package invariant checks the scheduler's safety and liveness rules, which hold under all injected
+// faults. Emulators and tests report to it which tasks run on which machines and which responses users
+// receive; it records every violation with the rule's name and the time.
 //
 // The package shares no code with the controllers' decisions. A Checker belongs to one run and is
 // not safe for concurrent use.
@@ -18,47 +18,47 @@
 	"basaltwall/config"
 )
 
-// Checker observes what runs on machines and what users are told, and finds
-// violations of the rules. Times are those of the run, from its start.
+// Checker compares the tasks on machines and the responses to users with the rules. All times are
+// relative to the start of the run.
 type Checker struct {
-	Violations []string // by rule, with the time, in the order in which they were found
+	Violations []string // in order of detection; each begins with the rule and the time
 	StartCount int      // task starts so far
 
 	config               *config.Config
 	placements           map[api.TaskID]map[api.MachineID]placement
-	tasksByJob           map[api.JobID]map[api.TaskID]bool // that are on some machine
-	teamUsage            map[api.Team]api.Resources        // of all that is on machines
+	tasksByJob           map[api.JobID]map[api.TaskID]bool // tasks that are on a machine
+	teamUsage            map[api.Team]api.Resources        // resources of all tasks on machines
 	completedTasks       map[api.TaskID]bool
-	reportedStates       map[api.JobID]api.JobState // of the highest rank so far
+	reportedStates       map[api.JobID]api.JobState // state of the highest rank reported to users
 	cancelAcknowledgedAt map[api.JobID]time.Duration
-	cancelRequests       map[api.JobID]bool // cancellation asked by its user
+	cancelRequests       map[api.JobID]bool // jobs whose cancellation was requested
 	specs                map[api.JobID]*api.JobSpec
 	submitted            map[api.JobID]bool
 	jobTracker           jobTracker
-	queries              map[api.JobID]*queryStatus    // accepted jobs whose users poll
-	faultsEndAt          time.Duration                 // when the last fault is over
-	stoppedReplicas      map[api.TaskID]stoppedReplica // replicas that were stopped
-	pendingCancels       map[api.JobID]time.Duration   // cancellations that users wait for, and since when
-	feasibleSince        feasibleTimes                 // feasible placements of jobs that wait
-	starvationReported   map[api.JobID]bool            // those that were reported as left waiting
-
-	// OnStart, if set, is called for each task that starts on a machine, with the time at which
-	// its job was first submitted.
+	queries              map[api.JobID]*queryStatus    // by accepted job
+	faultsEndAt          time.Duration                 // end of the last fault
+	stoppedReplicas      map[api.TaskID]stoppedReplica // replicas that have not restarted
+	pendingCancels       map[api.JobID]time.Duration   // request times of unacknowledged cancellations
+	feasibleSince        feasibleTimes                 // feasible placements of pending jobs
+	starvationReported   map[api.JobID]bool            // jobs with a recorded left_waiting violation
+
+	// OnStart, if set, is called for each task that starts on a machine. submitted is the time of
+	// the job's first submission.
 	OnStart func(at, submitted time.Duration, id api.TaskID, s *api.JobSpec)
 
-	// MaxCancelWait is the longest that a user has waited for a cancellation.
+	// MaxCancelWait is the longest time from a cancellation request to its acknowledgement.
 	MaxCancelWait time.Duration
 }
 
-// TaskStopped notes that a running task was told to stop.
+// TaskStopped records that a worker stopped a running task by command.
 func (c *Checker) TaskStopped(at time.Duration, id api.TaskID, s *api.JobSpec, m api.MachineID) {
 	if s.Kind == api.Service && s.Priority == api.High && !c.cancelRequests[id.Job] {
 		c.stoppedReplicas[id] = stoppedReplica{at, m}
 	}
 }
 
-// forgetPreempted forgets the replicas, all of high priority, that were stopped on a machine where work of higher
-// priority starts: they were preempted, not moved. A machine that is vacated for work of the same priority is a move.
+// forgetPreempted stops tracking replicas that were preempted: they were stopped on a machine on which a task
+// of a priority above high starts. A start of the same priority does not count as preemption.
 func (c *Checker) forgetPreempted(m api.MachineID, s *api.JobSpec) {
 	for id, x := range c.stoppedReplicas {
 		if x.machine == m && s.Priority.Rank() > api.High.Rank() {
@@ -67,10 +67,11 @@
 	}
 }
 
-// FaultUntil notes that a fault lasts until then: requests may go unanswered meanwhile.
+// FaultUntil records that a fault lasts until the given time. Response and restart timeouts count from the
+// end of the last fault.
 func (c *Checker) FaultUntil(until time.Duration) { c.faultsEndAt = max(c.faultsEndAt, until) }
 
-// QuerySent notes that a user has asked about a job.
+// QuerySent records that a user polled for a job.
 func (c *Checker) QuerySent(at time.Duration, ref api.JobID) {
 	if a := c.queries[ref]; a != nil {
 		a.lastSent = at
@@ -82,7 +83,7 @@
 	spec *api.JobSpec
 }
 
-// NewChecker returns a checker for a deployment.
+// NewChecker returns a Checker that takes limits and timeouts from cfg.
 func NewChecker(cfg *config.Config) *Checker {
 	return &Checker{
 		config:               cfg,
@@ -104,17 +105,17 @@
 	}
 }
 
-// RecordViolation records that a rule is broken.
+// RecordViolation records a violation of a rule.
 func (c *Checker) RecordViolation(at time.Duration, rule Rule, format string, args ...any) {
 	c.Violations = append(c.Violations, fmt.Sprintf("%s at %.2f s: %s", rule, at.Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// TaskStarted notes that a task is on a machine.
+// TaskStarted records that a task occupies a machine, and checks the rules for it.
 func (c *Checker) TaskStarted(at time.Duration, id api.TaskID, s *api.JobSpec, m api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool) {
 	c.StartCount++
 	for other := range c.placements[id] {
 		if other != m {
-			c.RecordViolation(at, RuleRanTwice, "%s starts on %s while on %s", id, m, other)
+			c.RecordViolation(at, RuleRanTwice, "%s starts on %s while it is on %s", id, m, other)
 		}
 	}
 	c.checkPlace(at, id, s, m, typ, zone, spot)
@@ -143,7 +144,7 @@
 	}
 }
 
-// checkPlace checks that a job allows a machine for its task.
+// checkPlace checks a machine against the job's constraints on type, zone, spot machines and spreading.
 func (c *Checker) checkPlace(at time.Duration, id api.TaskID, s *api.JobSpec, m api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool) {
 	if len(s.Types) > 0 && !slices.Contains(s.Types, typ) || s.Zone != "" && s.Zone != zone || spot && !s.Spot {
 		c.RecordViolation(at, RuleWrongPlace, "%s on %s, a %s in %s", id, m, typ, zone)
@@ -157,10 +158,11 @@
 	}
 }
 
-// RunningTasks is how many tasks are on machines.
+// RunningTasks returns the number of tasks on machines.
 func (c *Checker) RunningTasks() int { return len(c.placements) }
 
-// countSameZone counts the other tasks of a job in a zone, and finds those that must not be elsewhere.
+// countSameZone counts the other tasks of a job in a zone. For a job limited to one zone it records a
+// violation for each task in another zone.
 func (c *Checker) countSameZone(at time.Duration, id api.TaskID, s *api.JobSpec, zone api.Zone) int {
 	same := 0
 	for other := range c.tasksByJob[id.Job] {
@@ -179,8 +181,8 @@
 	return same
 }
 
-// TaskStarting notes that a machine carries out the launch of a task, or that the task has its image or
-// its gang and begins. None may once its user has got the acknowledgement that the job is cancelled.
+// TaskStarting records a step of a task's start: its launch command, its start after the image is fetched
+// or the start of its gang. No step is allowed after the job's cancellation was acknowledged.
 func (c *Checker) TaskStarting(at time.Duration, id api.TaskID, what string) {
 	end, ok := c.cancelAcknowledgedAt[id.Job]
 	switch {
@@ -188,11 +190,11 @@
 	case at > end+api.Seconds(c.config.Deployment.Workers.Cancel):
 		c.RecordViolation(at, RuleRanCancelled, "%s %s after its cancellation", id, what)
 	default:
-		c.RecordViolation(at, RuleBeganCancelled, "%s %s %.2f s after its cancellation was told", id, what, (at - end).Seconds())
+		c.RecordViolation(at, RuleBeganCancelled, "%s %s %.2f s after its cancellation was acknowledged", id, what, (at - end).Seconds())
 	}
 }
 
-// TaskEnded notes that a task has left a machine.
+// TaskEnded records that a task no longer occupies a machine.
 func (c *Checker) TaskEnded(at time.Duration, id api.TaskID, m api.MachineID, done bool) {
 	if p, there := c.placements[id][m]; there {
 		c.teamUsage[p.spec.Team] = c.teamUsage[p.spec.Team].Minus(p.spec.Demand())
@@ -211,14 +213,14 @@
 	}
 }
 
-// FaultsOver reports whether no fault is in force any more.
+// FaultsOver reports whether all faults have ended.
 func (c *Checker) FaultsOver(at time.Duration) bool { return at > c.faultsEndAt }
 
-// RunningTaskIDs are the tasks that are on machines, in no order.
+// RunningTaskIDs returns the tasks on machines, in no order.
 func (c *Checker) RunningTaskIDs() iter.Seq[api.TaskID] { return maps.Keys(c.placements) }
 
-// CompletedTasks is how many of a job's tasks are done.
+// CompletedTasks returns the number of a job's tasks that are done.
 func (c *Checker) CompletedTasks(ref api.JobID) int { return c.jobTracker.completedCount[ref] }
 
-// MaxTasksPerZone is how many tasks of a job that is to be spread may be in one zone.
+// MaxTasksPerZone returns the largest number of tasks that a spread job may have in one zone.
 func MaxTasksPerZone(tasks int) int { return int(math.Ceil(float64(tasks) / 2)) }
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -9,7 +9,7 @@
 	"basaltwall/config"
 )
 
-// Each rule is broken on purpose: a checker that could not fail would prove
+// TestCheckerFindsEveryBrokenRule violates each rule on purpose: a checker that cannot fail proves
 // nothing in the scenarios.
 func TestCheckerFindsEveryBrokenRule(t *testing.T) {
 	cfg := &config.Config{}
@@ -28,8 +28,8 @@
 	}
 	spot := func(s *api.JobSpec) { s.Spot = true }
 	cases := []struct {
-		rule Rule
-		bad  func(*Checker)
+		rule    Rule
+		violate func(*Checker)
 	}{
 		{RuleRanTwice, func(c *Checker) { s := job(spot); start(c, s, 0, "i-1", "a"); start(c, s, 0, "i-2", "a") }},
 		{RuleQuota, func(c *Checker) {
@@ -122,26 +122,26 @@
 	}
 	for _, tc := range cases {
 		c := NewChecker(cfg)
-		tc.bad(c)
+		tc.violate(c)
 		if len(c.Violations) == 0 || !strings.HasPrefix(c.Violations[0], string(tc.rule)) {
 			t.Errorf("%s: found %q", tc.rule, c.Violations)
 		}
 	}
 }
 
-// A job of which no question is answered for long after the last fault is forgotten; one whose
-// user has cancelled it, or that nobody asks about, is not.
+// A job whose queries get no response for too long after the last fault violates a rule; a job that
+// nobody queries does not.
 func TestCheckerFindsUnknownJobs(t *testing.T) {
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
-	countViolations := func(quiet, asked bool) int {
+	countViolations := func(unanswered, queried bool) int {
 		c := NewChecker(&config.Config{})
 		c.JobSubmitted(0, &api.JobSpec{Ref: "run-1", Tasks: 1}, 0)
 		c.ResponseReceived(at(1), "run-1", 201, api.JobPending, "")
 		c.FaultUntil(at(50))
 		for s := 2; s < 200; s++ {
-			if asked && s%5 == 0 {
+			if queried && s%5 == 0 {
 				c.QuerySent(at(s), "run-1")
-				if !quiet && s%60 == 0 {
+				if !unanswered && s%60 == 0 {
 					c.ResponseReceived(at(s), "run-1", 200, api.JobPending, api.JobPending)
 				}
 			}
@@ -150,12 +150,12 @@
 		return len(c.Violations)
 	}
 	if countViolations(true, true) != 1 || countViolations(false, true) != 0 || countViolations(true, false) != 0 {
-		t.Errorf("%d for one that is not answered, %d for one that is, %d for one that nobody asks about", countViolations(true, true), countViolations(false, true), countViolations(true, false))
+		t.Errorf("%d violations without responses, %d with responses, %d without queries", countViolations(true, true), countViolations(false, true), countViolations(true, false))
 	}
 }
 
-// A replica that was stopped and is not up again is missed; one that is, whose job was cancelled
-// or while there is a fault is not.
+// A replica that was stopped and does not restart violates a rule, unless it was preempted, its job was
+// cancelled or a fault lasts.
 func TestCheckerFindsReplicasLostByMove(t *testing.T) {
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	countViolations := func(then func(*Checker)) int {
@@ -171,26 +171,26 @@
 		}
 		return len(c.Violations)
 	}
-	again := func(c *Checker) {
+	restart := func(c *Checker) {
 		c.TaskStarted(at(60), api.TaskID{Job: "run-1"}, &api.JobSpec{Ref: "run-1", Kind: api.Service, Tasks: 1}, "i-2", "c8", "a", false)
 	}
-	takes := func(p api.Priority, m api.MachineID) func(*Checker) {
+	startOther := func(p api.Priority, m api.MachineID) func(*Checker) {
 		return func(c *Checker) {
 			c.TaskStarted(at(52), api.TaskID{Job: "run-2"}, &api.JobSpec{Ref: "run-2", Kind: api.Array, Priority: p, Tasks: 1}, m, "c8", "a", false)
 		}
 	}
-	if countViolations(takes(api.Production, "i-1")) != 0 || countViolations(takes(api.High, "i-1")) != 1 || countViolations(takes(api.Production, "i-2")) != 1 {
-		t.Error("what made way for more urgent work is not told from what was moved")
+	if countViolations(startOther(api.Production, "i-1")) != 0 || countViolations(startOther(api.High, "i-1")) != 1 || countViolations(startOther(api.Production, "i-2")) != 1 {
+		t.Error("preempted and moved replicas are not distinguished")
 	}
-	if countViolations(func(*Checker) {}) != 1 || countViolations(again) != 0 || countViolations(func(c *Checker) { c.CancelRequested(at(55), "run-1") }) != 0 || countViolations(func(c *Checker) { c.FaultUntil(at(100)) }) != 0 {
-		t.Error("what is missing by a move is not told from what is not")
+	if countViolations(func(*Checker) {}) != 1 || countViolations(restart) != 0 || countViolations(func(c *Checker) { c.CancelRequested(at(55), "run-1") }) != 0 || countViolations(func(c *Checker) { c.FaultUntil(at(100)) }) != 0 {
+		t.Error("replicas lost by a move are not distinguished from others")
 	}
 }
 
-// What is refused as it should be is no news, and what is not answered is asked again.
+// A correct refusal of an invalid job is no violation, and a submission without a response is repeated.
 func TestInvalidJobsRejected(t *testing.T) {
 	c := NewChecker(&config.Config{})
-	if !c.InvalidJobResponse(0, "run-9", "no cores", 400, "cores", "cores: missing or invalid") || !c.InvalidJobResponse(0, "run-9", "fits nothing", 422, "", "cores: a task fits no allowed machine type") ||
+	if !c.InvalidJobResponse(0, "run-9", "no cores", 400, "cores", "cores: missing or invalid") || !c.InvalidJobResponse(0, "run-9", "too large", 422, "", "cores: a task fits no allowed machine type") ||
 		c.InvalidJobResponse(0, "run-9", "no cores", 503, "cores", "") || c.InvalidJobResponse(0, "run-9", "no cores", 0, "cores", "") || len(c.Violations) > 0 {
 		t.Errorf("found %q", c.Violations)
 	}
--- a/internal/invariant/responses.go
+++ b/internal/invariant/responses.go
@@ -8,9 +8,9 @@
 	"basaltwall/api"
 )
 
-// This file has the rules about what users are told.
+// This file checks the responses to users.
 
-// Rank orders job states: an answer of a higher rank supersedes one of a lower.
+// Rank orders job states: a state of a higher rank supersedes one of a lower rank.
 type Rank int
 
 // The ranks of job states.
@@ -20,7 +20,7 @@
 	RankFinal
 )
 
-// StateRank is the rank of a job's state.
+// StateRank returns the rank of a job's state.
 func StateRank(s api.JobState) Rank {
 	switch s {
 	case api.JobDone, api.JobCancelled:
@@ -31,44 +31,44 @@
 	return RankUnknown
 }
 
-// JobSubmitted notes that a user has tried to submit a job, whose tasks run for so long.
+// JobSubmitted records that a user sent a job's submission. run is the run time of its tasks.
 func (c *Checker) JobSubmitted(at time.Duration, s *api.JobSpec, run time.Duration) {
 	c.submitted[s.Ref] = true
 	c.specs[s.Ref] = s
 	c.jobTracker.submitted(at, s, run)
 }
 
-// CancelRequested notes a user's wish to cancel.
+// CancelRequested records that a job's cancellation was requested.
 func (c *Checker) CancelRequested(at time.Duration, ref api.JobID) {
 	c.cancelRequests[ref] = true
 	c.jobTracker.cancelled(at, ref)
 }
 
-// AwaitCancelAck notes that a user asks for a cancellation, and repeats that until it is acknowledged.
+// AwaitCancelAck records that a user repeats a cancellation request until it is acknowledged.
 func (c *Checker) AwaitCancelAck(at time.Duration, ref api.JobID) {
 	if _, since := c.pendingCancels[ref]; !since && StateRank(c.reportedStates[ref]) < RankFinal {
 		c.pendingCancels[ref] = at
 	}
 }
 
-// ResponseReceived notes an answer about a job; previous is the state that its user knew when the request
-// was sent, empty if the job was not accepted yet.
+// ResponseReceived records and checks a response about a job. previous is the state that the user knew when
+// the request was sent, empty if the job was not accepted yet.
 func (c *Checker) ResponseReceived(at time.Duration, ref api.JobID, status int, s api.JobState, previous api.JobState) {
 	switch status {
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if previous != "" {
-			c.RecordViolation(at, RuleForgotten, "%s, accepted before, gets %d", ref, status)
+			c.RecordViolation(at, RuleForgotten, "%s was accepted before, but the response is %d", ref, status)
 		}
 		return
 	case http.StatusUnauthorized:
-		delete(c.queries, ref) // its tenant was removed: nobody can ask any more
+		delete(c.queries, ref) // its tenant was removed, so later queries fail too
 		return
 	case http.StatusOK, http.StatusCreated:
 	default:
 		return
 	}
 	if !c.submitted[ref] {
-		c.RecordViolation(at, RuleInvented, "%s gets %d", ref, status)
+		c.RecordViolation(at, RuleInvented, "%s was never submitted, but the response is %d", ref, status)
 		return
 	}
 	c.checkState(at, ref, s, previous)
@@ -90,33 +90,33 @@
 	}
 }
 
-// checkState checks a state that a user was told.
+// checkState checks a job state in a response.
 func (c *Checker) checkState(at time.Duration, ref api.JobID, s, previous api.JobState) {
 	if StateRank(previous) == RankFinal && s != previous {
-		c.RecordViolation(at, RuleWentBack, "%s was %s, is called %s", ref, previous, s)
+		c.RecordViolation(at, RuleWentBack, "%s was reported %s, now %s", ref, previous, s)
 	}
 	if s == api.JobCancelled && !c.cancelRequests[ref] {
-		c.RecordViolation(at, RuleWentBack, "%s is called cancelled, which nobody asked", ref)
+		c.RecordViolation(at, RuleWentBack, "%s is reported cancelled without a cancellation request", ref)
 	}
 	if s == api.JobDone {
 		for i := range c.specs[ref].Tasks {
 			if !c.completedTasks[api.TaskID{Job: ref, Index: i}] {
-				c.RecordViolation(at, RuleNotDone, "%s is called done, task %d is not", ref, i)
+				c.RecordViolation(at, RuleNotDone, "%s is reported done, but task %d is not done", ref, i)
 				break
 			}
 		}
 	}
 }
 
-// InvalidJobResponse notes the answer to the submission of an invalid job, and reports whether it is final:
-// the job must be refused, naming the field where one is at fault.
+// InvalidJobResponse checks the response to the submission of an invalid job: the job must be refused, and the
+// reason must begin with field. It reports whether the response is final; if not, the submission is repeated.
 func (c *Checker) InvalidJobResponse(at time.Duration, ref api.JobID, problem string, status int, field, reason string) bool {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
 		c.RecordViolation(at, RuleAcceptedInvalid, "%s (%s) is accepted", ref, problem)
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if !strings.HasPrefix(reason, field) {
-			c.RecordViolation(at, RuleAcceptedInvalid, "%s (%s) is refused by %q, which does not name %s", ref, problem, reason, field)
+			c.RecordViolation(at, RuleAcceptedInvalid, "%s (%s) is refused with %q, which does not name %s", ref, problem, reason, field)
 		}
 	default:
 		return false
@@ -124,11 +124,11 @@
 	return true
 }
 
-// ReportedState is the state of the highest rank that was told so far for a job.
+// ReportedState returns the state of the highest rank that users have received for a job.
 func (c *Checker) ReportedState(ref api.JobID) api.JobState { return c.reportedStates[ref] }
 
-// Spec is a job's description, nil if nobody has submitted it.
+// Spec returns a job's specification, nil if it was not submitted.
 func (c *Checker) Spec(ref api.JobID) *api.JobSpec { return c.specs[ref] }
 
-// CancelWasRequested reports whether a job's user has asked for its cancellation.
+// CancelWasRequested reports whether a job's cancellation was requested.
 func (c *Checker) CancelWasRequested(ref api.JobID) bool { return c.cancelRequests[ref] }
--- a/internal/invariant/service_levels.go
+++ b/internal/invariant/service_levels.go
@@ -11,16 +11,15 @@
 	"basaltwall/api"
 )
 
-// ServiceLevel is the share of a class's or a team's work that was served: for a service the share of
-// the replica time due, for an array or gang 1 once it is done and 0 before. Jobs that were submitted
-// too late to be done, and those that their users cancelled, are not counted; nor is the time that a
-// service may take to start.
+// ServiceLevel sums up how well the jobs of a class or team were served: a service by its uptime relative
+// to the expected uptime, an array or gang by 1 if it is done and 0 if not. Cancelled arrays and gangs, and
+// those that were submitted too late to finish, are not counted.
 type ServiceLevel struct {
 	Jobs       int
 	TotalShare float64
 }
 
-// Share is the mean over the jobs, 1 where there were none.
+// Share returns the mean share over the jobs, or 1 without jobs.
 func (s ServiceLevel) Share() float64 {
 	if s.Jobs == 0 {
 		return 1
@@ -28,36 +27,34 @@
 	return s.TotalShare / float64(s.Jobs)
 }
 
-// startGrace is how long a service may take to start before its replicas are due, and
-// completionGrace what an array or gang may take beyond twice its run time.
 const (
-	startGrace      = 30 * time.Second
-	completionGrace = 60 * time.Second
+	startGrace      = 30 * time.Second // from the submission of a service until its uptime counts
+	completionGrace = 60 * time.Second // for an array or gang, in addition to twice its run time
 )
 
-// jobTracker is what the checker keeps of how jobs are served.
+// jobTracker records when jobs and their tasks ran, to compute service levels.
 type jobTracker struct {
 	jobs           map[api.JobID]*TrackedJob
-	runningSince   map[api.TaskID]time.Duration // tasks of services that are on machines
-	uptime         map[api.JobID]time.Duration  // replica time, after the grace
+	runningSince   map[api.TaskID]time.Duration // start times of services' tasks on machines
+	uptime         map[api.JobID]time.Duration  // total run time of replicas that ended, after startGrace
 	completedCount map[api.JobID]int
 }
 
-// TrackedJob is a job that users have submitted.
+// TrackedJob is a job that users have submitted, and its progress.
 type TrackedJob struct {
 	Spec        *api.JobSpec
 	SubmittedAt time.Duration
 	RunTime     time.Duration
-	CancelledAt time.Duration // cancelled by its user; 0: not
-	StartedAt   time.Duration // when it began: a task was on a machine, or all of a gang; 0: not yet
-	ActiveTasks int
+	CancelledAt time.Duration // time of the cancellation request; 0: none
+	StartedAt   time.Duration // first time with a task, or a whole gang, on machines; 0: not started
+	ActiveTasks int           // tasks on machines
 }
 
 func newJobTracker() jobTracker {
 	return jobTracker{jobs: map[api.JobID]*TrackedJob{}, runningSince: map[api.TaskID]time.Duration{}, uptime: map[api.JobID]time.Duration{}, completedCount: map[api.JobID]int{}}
 }
 
-// submitted notes a job's first submission; it is repeated until it is answered.
+// submitted records a job's first submission and ignores repeated ones.
 func (s *jobTracker) submitted(at time.Duration, spec *api.JobSpec, run time.Duration) {
 	if s.jobs[spec.Ref] == nil {
 		s.jobs[spec.Ref] = &TrackedJob{Spec: spec, SubmittedAt: at, RunTime: run}
@@ -70,7 +67,7 @@
 	}
 }
 
-// taskStarted notes that a task is on some machine from now on.
+// taskStarted records that a task, on no machine before, is on a machine.
 func (s *jobTracker) taskStarted(at time.Duration, id api.TaskID, spec *api.JobSpec) {
 	if spec.Kind == api.Service {
 		s.runningSince[id] = at
@@ -82,7 +79,7 @@
 	}
 }
 
-// taskStopped notes that a task is on no machine any more.
+// taskStopped records that a task is no longer on any machine.
 func (s *jobTracker) taskStopped(at time.Duration, id api.TaskID) {
 	if j := s.jobs[id.Job]; j != nil {
 		j.ActiveTasks--
@@ -93,7 +90,7 @@
 	}
 }
 
-// expectedUptime is how much of an interval a service's replicas were due.
+// expectedUptime returns the part of an interval in which a service's replicas are expected to run.
 func (s *jobTracker) expectedUptime(ref api.JobID, from, to time.Duration) time.Duration {
 	j := s.jobs[ref]
 	if j == nil {
@@ -106,20 +103,20 @@
 	return max(0, to-from)
 }
 
-// ServiceLevels returns, as of now, how each class and each team was served.
+// ServiceLevels returns the service levels by class and by team.
 func (c *Checker) ServiceLevels(now time.Duration) (classes map[api.Class]ServiceLevel, teams map[api.Team]ServiceLevel) {
 	classes, teams = map[api.Class]ServiceLevel{}, map[api.Team]ServiceLevel{}
-	for j, got := range c.jobTracker.servedShares(now) {
+	for j, share := range c.jobTracker.servedShares(now) {
 		k, t := classes[j.Spec.Class], teams[j.Spec.Team]
-		classes[j.Spec.Class] = ServiceLevel{k.Jobs + 1, k.TotalShare + got}
-		teams[j.Spec.Team] = ServiceLevel{t.Jobs + 1, t.TotalShare + got}
+		classes[j.Spec.Class] = ServiceLevel{k.Jobs + 1, k.TotalShare + share}
+		teams[j.Spec.Team] = ServiceLevel{t.Jobs + 1, t.TotalShare + share}
 	}
 	return classes, teams
 }
 
-// LargestJobs returns how the largest tenth of each class's jobs was served, one at least, and
-// which of them waited longer than maxWait. Jobs are compared by what all their tasks take together:
-// first by accelerators, then by CPUs, then by memory.
+// LargestJobs returns the service levels of the largest tenth of each class's jobs, at least one job, and
+// a message for each of these jobs that was pending for longer than maxWait. Jobs are ordered by the total
+// demand of their tasks: by accelerators, then CPUs, then memory.
 func (c *Checker) LargestJobs(now, maxWait time.Duration) (classes map[api.Class]ServiceLevel, late []string) {
 	byClass := map[api.Class][]*TrackedJob{}
 	for _, j := range c.jobTracker.jobs {
@@ -135,11 +132,11 @@
 		})
 		last := (len(jobs) + 9) / 10
 		for last < len(jobs) && size(jobs[last]) == size(jobs[last-1]) {
-			last++ // as large
+			last++ // includes jobs of equal size
 		}
 		for _, j := range jobs[:last] {
-			if got, counted := shares[j]; counted {
-				classes[class] = ServiceLevel{classes[class].Jobs + 1, classes[class].TotalShare + got}
+			if share, counted := shares[j]; counted {
+				classes[class] = ServiceLevel{classes[class].Jobs + 1, classes[class].TotalShare + share}
 			}
 			until := now
 			if j.CancelledAt != 0 {
@@ -149,7 +146,7 @@
 				until = min(until, j.StartedAt)
 			}
 			if maxWait > 0 && until-j.SubmittedAt > maxWait {
-				late = append(late, fmt.Sprintf("%s, of the largest of class %s, waited %.0f s to begin", j.Spec.Ref, class, (until-j.SubmittedAt).Seconds()))
+				late = append(late, fmt.Sprintf("%s, one of the largest jobs of class %s, was pending for %.0f s", j.Spec.Ref, class, (until-j.SubmittedAt).Seconds()))
 			}
 		}
 	}
@@ -157,7 +154,7 @@
 	return classes, late
 }
 
-// servedShares is how much of each job that counts was served.
+// servedShares returns the served share of each job that counts towards a service level.
 func (s *jobTracker) servedShares(now time.Duration) map[*TrackedJob]float64 {
 	up := map[api.JobID]time.Duration{}
 	for ref, d := range s.uptime {
@@ -181,7 +178,7 @@
 	return out
 }
 
-// ReplicaCounts counts the replicas of services that are up and those that are due, now.
+// ReplicaCounts returns the numbers of running and of expected replicas of services.
 func (c *Checker) ReplicaCounts(now time.Duration) (up, due int) {
 	for _, j := range c.jobTracker.jobs {
 		if j.Spec.Kind == api.Service && now > j.SubmittedAt+startGrace && (j.CancelledAt == 0 || now < j.CancelledAt) {
@@ -196,11 +193,11 @@
 	return up, due
 }
 
-// Jobs are the jobs that users have submitted, in no order. They must not be changed.
+// Jobs returns the submitted jobs, in no order. The caller must not change them.
 func (c *Checker) Jobs() iter.Seq2[api.JobID, *TrackedJob] { return maps.All(c.jobTracker.jobs) }
 
-// Job is a job that users have submitted; nil if it is not known.
+// Job returns a submitted job, or nil.
 func (c *Checker) Job(ref api.JobID) *TrackedJob { return c.jobTracker.jobs[ref] }
 
-// JobIDs are the ids of the jobs that users have submitted, in order.
+// JobIDs returns the sorted ids of the submitted jobs.
 func (c *Checker) JobIDs() []api.JobID { return slices.Sorted(maps.Keys(c.jobTracker.jobs)) }
--- a/internal/invariant/starvation.go
+++ b/internal/invariant/starvation.go
@@ -9,27 +9,26 @@
 	"basaltwall/api"
 )
 
-// This file has the rule left_waiting: no job waits while there is free capacity for it.
+// This file checks the rule left_waiting.
 
-// A job is left waiting when, all faults over, one machine has had free capacity for a task of it
-// for starvationTimeout, at each check, and its team was under its limit all that time: by what is on
-// machines alone, whatever controllers reserve capacity or quota for. A gang is when there has been
-// free capacity for all of it.
+// starvationTimeout is the time after which a pending job violates the rule: without faults, at each check,
+// the same machine had free capacity for one of its tasks (for a gang: the cluster for all its tasks) and the
+// team was within its limit. Capacity and quota that controllers reserve count as free.
 const starvationTimeout = 90 * time.Second
 
-// StarvationCheckInterval is how often feasible placements are to be recorded.
+// StarvationCheckInterval is the interval between calls of RecordFeasible.
 const StarvationCheckInterval = 3 * time.Second
 
-// FeasiblePlacement is a job and a machine that has had free capacity for it; of a gang no single machine.
+// FeasiblePlacement is a pending job and a machine with free capacity for it. Machine is empty for a gang.
 type FeasiblePlacement struct {
 	Job     api.JobID
 	Machine api.MachineID
 }
 
-// feasibleTimes is since when a placement has been feasible.
+// feasibleTimes holds the time since which each placement has been feasible.
 type feasibleTimes map[FeasiblePlacement]time.Duration
 
-// WithinLimit reports whether a team that uses so much is within its limit.
+// WithinLimit reports whether a usage is within the team's limit.
 func (c *Checker) WithinLimit(team api.Team, usage api.Resources) bool {
 	for _, t := range c.config.Deployment.Teams {
 		if t.Name == team && (t.CPUsMax > 0 && usage.CPU > api.ToQuantity(t.CPUsMax) || t.GPUsMax > 0 && usage.GPU > api.ToQuantity(t.GPUsMax)) {
@@ -39,7 +38,8 @@
 	return true
 }
 
-// RecordFeasible notes which placements are feasible now, and the jobs for which one has been for too long.
+// RecordFeasible records the placements that are feasible now, and a violation for each job with a placement
+// that has been feasible for starvationTimeout.
 func (c *Checker) RecordFeasible(at time.Duration, feasible map[FeasiblePlacement]bool) {
 	for placement := range c.feasibleSince {
 		if !feasible[placement] {
@@ -49,20 +49,20 @@
 	inOrder := func(a, b FeasiblePlacement) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Machine, b.Machine))
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(feasible), inOrder) { // so that the same is named each time
+	for _, k := range slices.SortedFunc(maps.Keys(feasible), inOrder) { // sorted, so that a run is reproducible
 		since, ok := c.feasibleSince[k]
 		if !ok {
 			c.feasibleSince[k] = at
 		} else if at >= since+starvationTimeout && !c.starvationReported[k.Job] {
 			c.starvationReported[k.Job] = true
-			where := "machines that fit it whole have"
+			where := "machines for all its tasks have"
 			if k.Machine != "" {
 				where = string(k.Machine) + " has"
 			}
-			c.RecordViolation(at, RuleLeftWaiting, "%s waits though %s had room since %.1f s", k.Job, where, since.Seconds())
+			c.RecordViolation(at, RuleLeftWaiting, "%s is pending though %s had free capacity since %.1f s", k.Job, where, since.Seconds())
 		}
 	}
 }
 
-// ResetFeasible forgets the feasible placements, as while there is a fault.
+// ResetFeasible discards the recorded placements. It is called during faults.
 func (c *Checker) ResetFeasible() { clear(c.feasibleSince) }
--- a/internal/invariant/timeouts.go
+++ b/internal/invariant/timeouts.go
@@ -8,38 +8,38 @@
 	"basaltwall/api"
 )
 
-// This file has the rules about what must happen in time.
+// This file checks the rules that have a timeout.
 
-// replicaRestartTimeout is how long a replica of an urgent service may be missing after it was stopped by
-// command: only preemption by work of higher priority (see forgetPreempted) and a move may stop it, and a move
-// has free capacity for it elsewhere, so it is the time to fetch the image and to start.
+// replicaRestartTimeout limits the downtime of a high-priority service's replica that was stopped by command
+// and not preempted (see forgetPreempted). A move has free capacity on another machine, so that the replica only
+// has to fetch its image and start.
 const replicaRestartTimeout = time.Minute
 
-// stoppedReplica is when and where a replica was stopped by command.
+// stoppedReplica is the time and machine of a replica's stop by command.
 type stoppedReplica struct {
 	at      time.Duration
 	machine api.MachineID
 }
 
-// queryStatus is how queries about a job were answered.
+// queryStatus tracks the queries about a job.
 type queryStatus struct {
-	lastAnswered time.Duration // when one was last answered with 200
-	lastSent     time.Duration // when one was last sent
+	lastAnswered time.Duration // time of the last successful response
+	lastSent     time.Duration // time of the last query
 	reported     bool          // a violation was recorded
 }
 
-// unansweredTimeout is how long queries about an accepted job may go unanswered, once all
-// faults are over.
+// unansweredTimeout limits the time without a successful response to queries about an accepted job, or to its
+// cancellation, after the end of all faults.
 const unansweredTimeout = 75 * time.Second
 
-// CheckTimeouts checks what may go wrong by time alone.
+// CheckTimeouts checks the rules that have a timeout. The emulators call it periodically.
 func (c *Checker) CheckTimeouts(at time.Duration) {
 	for job, tasks := range c.tasksByJob {
 		if end, ok := c.cancelAcknowledgedAt[job]; !ok || at <= end+api.Seconds(c.config.Deployment.Workers.Cancel) {
 			continue
 		}
 		for id := range tasks {
-			c.RecordViolation(at, RuleRanCancelled, "%s is still on a machine", id)
+			c.RecordViolation(at, RuleRanCancelled, "%s is still on a machine after its cancellation", id)
 		}
 	}
 	for id, x := range c.stoppedReplicas {
@@ -47,20 +47,20 @@
 			delete(c.stoppedReplicas, id)
 		} else if since := max(x.at, c.faultsEndAt); at > since+replicaRestartTimeout {
 			delete(c.stoppedReplicas, id)
-			c.RecordViolation(at, RuleMoved, "%s was stopped at %.1f s and is missing since", id, x.at.Seconds())
+			c.RecordViolation(at, RuleMoved, "%s was stopped at %.1f s and has not restarted", id, x.at.Seconds())
 		}
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.pendingCancels)) {
 		if since := max(c.pendingCancels[ref], c.faultsEndAt); at > since+unansweredTimeout {
 			delete(c.pendingCancels, ref)
-			c.RecordViolation(at, RuleUnacknowledged, "the cancellation of %s is not told since %.1f s", ref, since.Seconds())
+			c.RecordViolation(at, RuleUnacknowledged, "the cancellation of %s has not been acknowledged since %.1f s", ref, since.Seconds())
 		}
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.queries)) {
 		a := c.queries[ref]
 		if since := max(a.lastAnswered, c.faultsEndAt); !a.reported && !c.cancelRequests[ref] && a.lastSent > since && at > since+unansweredTimeout {
 			a.reported = true
-			c.RecordViolation(at, RuleUnanswered, "%s, accepted before, has had no answer since %.1f s", ref, since.Seconds())
+			c.RecordViolation(at, RuleUnanswered, "%s was accepted before, but queries have had no response since %.1f s", ref, since.Seconds())
 		}
 	}
 }
