--- a/internal/emulator/admin_model_test.go
+++ b/internal/emulator/admin_model_test.go
@@ -20,23 +20,22 @@
 	"basaltwall/tenant"
 )
 
-// recordedRequest is what an operator or a user has asked of some controller, and what came of it.
+// recordedRequest is a request of an operator or user to a controller, and the response.
 type recordedRequest struct {
-	operation, name, sub string // name: of the tenant or team that it is about
+	operation, name, sub string // name is the tenant or team, sub a key's name
 	revision             api.Revision
-	keyName              string // that came with it: a name in plain.secrets
-	createdKeyID         string // the id of the key that it would make
+	keyName              string // the caller's key, by its name in requestHistory.secrets
+	createdKeyID         string // id of the key that the request creates
 	teams                []string
 	cancel               bool
 	job                  api.JobID
 	sentAt, answeredAt   time.Duration
 	status               int
 	body                 []byte
-	onSuccess            func() // once it is answered with 200
+	onSuccess            func() // called after a response with status 200
 }
 
-// tenantModel is what the service should hold, kept apart from its own code: what each revision
-// made of a tenant.
+// tenantModel is the expected state of a tenant after a revision, computed without the service's code.
 type tenantModel struct {
 	state      string
 	teams      []string
@@ -46,7 +45,7 @@
 	changedAt  time.Duration
 }
 
-// apply is what an act makes of a tenant of whom so many jobs are there, and whether it may.
+// apply returns the tenant after a request, given the number of its jobs, and whether the request is allowed.
 func (p tenantModel) apply(a *recordedRequest, jobs int) (tenantModel, bool) {
 	p.keys = maps.Clone(p.keys)
 	switch {
@@ -79,7 +78,7 @@
 	return p.state == o.state && p.cancelJobs == o.cancelJobs && slices.Equal(p.teams, o.teams) && maps.Equal(p.keys, o.keys)
 }
 
-// parseTenantModel reads a tenant's record.
+// parseTenantModel parses a tenant's stored record.
 func parseTenantModel(value json.RawMessage) (tenantModel, error) {
 	var v struct {
 		State  string   `json:"state"`
@@ -98,14 +97,14 @@
 	return p, err
 }
 
-// requestHistory is what was asked, and what the key-value store's log made of it.
+// requestHistory holds the requests and the resulting tenant states in the key-value store's log.
 type requestHistory struct {
 	sim        *Simulation
 	requests   []*recordedRequest
 	secrets    map[string]string        // by name
-	keyIDs     map[string]string        // the public parts of the same
-	keyExpiry  map[string]time.Duration // when one expires, by its public part
-	versions   map[string][]tenantModel
+	keyIDs     map[string]string        // public ids of the keys in secrets, by name
+	keyExpiry  map[string]time.Duration // by public id
+	versions   map[string][]tenantModel // of each tenant, in order of revision
 	violations []string
 }
 
@@ -113,7 +112,7 @@
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// send sends something to one controller; its answer is noted.
+// send sends a request to a controller and records the response.
 func (h *requestHistory) send(controllerName string, a *recordedRequest, command func(message.ReqID, message.Caller) message.Command) {
 	a.sentAt, a.answeredAt = h.sim.Now, -1
 	h.requests = append(h.requests, a)
@@ -138,30 +137,29 @@
 	})
 }
 
-// keyValid tells whether a key opened something of a tenant at some moment between two, and
-// whether it did at every one.
-func (h *requestHistory) keyValid(name, id string, from, to time.Duration) (some, all bool) {
-	all = true
+// keyValid reports whether a key of a tenant was valid at any time and at all times of an interval.
+func (h *requestHistory) keyValid(name, id string, from, to time.Duration) (anytime, always bool) {
+	always = true
 	before := tenantModel{}
 	for _, p := range append(slices.Clone(h.versions[name]), tenantModel{changedAt: to + 1}) {
-		if before.changedAt <= to && p.changedAt >= from { // before held at some moment of it
+		if before.changedAt <= to && p.changedAt >= from { // before was in force during a part of the interval
 			_, there := before.keys[id]
-			some, all = some || there, all && there
+			anytime, always = anytime || there, always && there
 		}
 		before = p
 	}
 	if end, ends := h.keyExpiry[id]; ends {
-		// Controllers refuse it by twice their clocks' error too soon at most, and none
-		// takes it too late.
-		some, all = some && from < end, all && to < end-2*maxClockError
+		// Controllers refuse a key at most twice the clock error before its expiry, and none accepts
+		// it after its expiry.
+		anytime, always = anytime && from < end, always && to < end-2*maxClockError
 	}
-	return some, all
+	return anytime, always
 }
 
-// maxClockError is by how much controllers' clocks are off at most.
+// maxClockError is the largest offset of controllers' clocks.
 const maxClockError = 500 * time.Millisecond
 
-// checkLog reads the log as it was written and holds each change against what was asked.
+// checkLog checks that each change in the key-value store's log was requested and is allowed by the model.
 func (h *requestHistory) checkLog() {
 	teamOwners := map[string]string{}
 	jobs := map[api.JobID]string{}
@@ -177,40 +175,40 @@
 	for i := 0; i < len(s.changes); {
 		rev, at := s.changes[i].Version, s.changeTimes[i]
 		var names []string // tenants changed by this revision
-		gate, suspends, audits, acts, cpus := false, false, 0, 0, false
+		gateWritten, suspends, auditRecords, adminChanges, guaranteesChanged := false, false, 0, 0, false
 		for ; i < len(s.changes) && s.changes[i].Version == rev; i++ {
 			c := s.changes[i]
 			key := c.Put + c.Drop
 			switch {
 			case strings.HasPrefix(key, "b/tenant/"):
 				name := key[len("b/tenant/"):]
-				is, err := parseTenantModel(c.Value)
+				after, err := parseTenantModel(c.Value)
 				h.sim.must(err)
-				was, of := current(name), 0
+				before, jobCount := current(name), 0
 				for _, n := range jobs {
 					if n == name {
-						of++
+						jobCount++
 					}
 				}
-				is.revision, is.changedAt = rev, at
-				fits := was.state == "removing" && is.state == "removed" && of == 0 && len(is.teams)+len(is.keys) == 0
-				if !fits {
-					acts++
-					fits = slices.ContainsFunc(h.requests, func(a *recordedRequest) bool {
-						next, may := was.apply(a, of)
-						return a.name == name && a.sentAt <= at && may && next.equal(is)
+				after.revision, after.changedAt = rev, at
+				allowed := before.state == "removing" && after.state == "removed" && jobCount == 0 && len(after.teams)+len(after.keys) == 0
+				if !allowed {
+					adminChanges++
+					allowed = slices.ContainsFunc(h.requests, func(a *recordedRequest) bool {
+						next, may := before.apply(a, jobCount)
+						return a.name == name && a.sentAt <= at && may && next.equal(after)
 					})
 				}
-				if !fits {
-					h.recordViolation("revision %d: %s becomes %+v from %+v with %d jobs, which nobody asked for or nobody may", rev, name, is, was, of)
+				if !allowed {
+					h.recordViolation("revision %d: tenant %s becomes %+v from %+v with %d jobs, which was not requested or is not allowed", rev, name, after, before, jobCount)
 				}
-				h.versions[name] = append(h.versions[name], is)
+				h.versions[name] = append(h.versions[name], after)
 				names = append(names, name)
-				suspends = suspends || is.state == "suspended" && was.state == "active"
+				suspends = suspends || after.state == "suspended" && before.state == "active"
 			case key == "b/gate":
-				gate = true
+				gateWritten = true
 			case strings.HasPrefix(key, "audit/"):
-				audits++
+				auditRecords++
 			case strings.HasPrefix(key, "b/teamof/"):
 				team := key[len("b/teamof/"):]
 				if c.Drop != "" {
@@ -229,8 +227,8 @@
 			case strings.HasPrefix(key, "b/team/"):
 				var t tenant.Team
 				h.sim.must(json.Unmarshal(c.Value, &t))
-				teams[key[len("b/team/"):]], cpus = t.CPUs, true
-				acts++
+				teams[key[len("b/team/"):]], guaranteesChanged = t.CPUs, true
+				adminChanges++
 				removedTeams[string(t.Name)] = t.Removed
 				if t.Removed && teamOwners[string(t.Name)] != "" {
 					h.recordViolation("revision %d: team %s of %s is removed", rev, t.Name, teamOwners[string(t.Name)])
@@ -238,12 +236,12 @@
 			case key == "b/given":
 				var g tenant.GuaranteedTotal
 				h.sim.must(json.Unmarshal(c.Value, &g))
-				guaranteed, cpus = g.CPUs, true
+				guaranteed, guaranteesChanged = g.CPUs, true
 			case key == "b/operators":
 				var o tenant.Operators
 				h.sim.must(json.Unmarshal(c.Value, &o))
-				reserved, cpus = o.CPUs, true
-				acts++
+				reserved, guaranteesChanged = o.CPUs, true
+				adminChanges++
 			case strings.HasPrefix(key, "b/job/"):
 				h.checkJobChange(c, rev, jobs, current)
 			case strings.HasPrefix(key, "b/round/") && c.Put != "":
@@ -256,37 +254,37 @@
 				h.sim.must(json.Unmarshal(c.Value, &r))
 				for _, j := range r.Jobs {
 					if name := jobs[j.Job]; len(j.Starts) > 0 && current(name).state != "active" {
-						h.recordViolation("revision %d: tasks of %s start, who is %s", rev, name, current(name).state)
+						h.recordViolation("revision %d: tasks of tenant %s start, whose state is %s", rev, name, current(name).state)
 					}
 				}
 			}
 		}
-		if suspends && !gate {
-			h.recordViolation("revision %d: a tenant is suspended without the gate", rev)
+		if suspends && !gateWritten {
+			h.recordViolation("revision %d: a tenant is suspended without a write of b/gate", rev)
 		}
-		if audits != acts {
-			h.recordViolation("revision %d: %d changes by operators, %d in the audit", rev, acts, audits)
+		if auditRecords != adminChanges {
+			h.recordViolation("revision %d: %d changes by operators, but %d audit records", rev, adminChanges, auditRecords)
 		}
 		for _, name := range names {
 			for _, team := range current(name).teams {
 				if teamOwners[team] != name {
-					h.recordViolation("revision %d: %s has team %s, which %q has claimed", rev, name, team, teamOwners[team])
+					h.recordViolation("revision %d: tenant %s has team %s, which is claimed by %q", rev, name, team, teamOwners[team])
 				}
 			}
 		}
-		if cpus {
+		if guaranteesChanged {
 			sum := 0.0
 			for _, c := range teams {
 				sum += c
 			}
 			if sum != guaranteed || guaranteed > reserved {
-				h.recordViolation("revision %d: teams are guaranteed %v, kept is %v, set aside %v", rev, sum, guaranteed, reserved)
+				h.recordViolation("revision %d: teams' guarantees sum up to %v CPUs, recorded sum %v, reserved %v", rev, sum, guaranteed, reserved)
 			}
 		}
 	}
 }
 
-// checkJobChange holds a change of a job's key against who may submit.
+// checkJobChange checks that a new job was submitted by a tenant that may submit it.
 func (h *requestHistory) checkJobChange(c api.Change, rev api.Revision, jobs map[api.JobID]string, current func(string) tenantModel) {
 	if c.Drop != "" {
 		delete(jobs, api.JobID(c.Drop[len("b/job/"):]))
@@ -296,31 +294,31 @@
 	if jobs[id] != "" {
 		return
 	}
-	fits := slices.ContainsFunc(h.requests, func(a *recordedRequest) bool {
+	allowed := slices.ContainsFunc(h.requests, func(a *recordedRequest) bool {
 		p := current(a.name)
-		_, opens := p.keys[h.keyIDs[a.keyName]]
-		return a.operation == "submit" && a.job == id && opens && p.state == "active" && slices.Contains(p.teams, a.teams[0])
+		_, hasKey := p.keys[h.keyIDs[a.keyName]]
+		return a.operation == "submit" && a.job == id && hasKey && p.state == "active" && slices.Contains(p.teams, a.teams[0])
 	})
 	o := h.sim.Tenants.jobs[id]
-	if !fits {
-		h.recordViolation("revision %d: %s/%s is accepted of %+v, from nobody who may submit it", rev, o.name, o.ref, current(string(o.name)))
+	if !allowed {
+		h.recordViolation("revision %d: job %s/%s is accepted, though no request of the tenant %+v was allowed to submit it", rev, o.name, o.ref, current(string(o.name)))
 	}
 	jobs[id] = string(o.name)
 }
 
-// checkResponses holds what was told against what was so at the time.
+// checkResponses checks that each response was correct at some time between request and response.
 func (h *requestHistory) checkResponses() {
 	for _, a := range h.requests {
 		if a.answeredAt < 0 || a.status == 0 {
 			continue
 		}
 		if a.operation == "poll" || a.operation == "submit" {
-			some, all := h.keyValid(a.name, h.keyIDs[a.keyName], a.sentAt, a.answeredAt)
-			if a.status == 401 && all {
-				h.recordViolation("%s by %s at %.2f s: 401, though the key was good all the time", a.operation, a.keyName, a.sentAt.Seconds())
+			anytime, always := h.keyValid(a.name, h.keyIDs[a.keyName], a.sentAt, a.answeredAt)
+			if a.status == 401 && always {
+				h.recordViolation("%s with key %s at %.2f s: 401, though the key was valid all the time", a.operation, a.keyName, a.sentAt.Seconds())
 			}
-			if (a.status == 200 || a.status == 201 || a.status == 404) && !some {
-				h.recordViolation("%s by %s at %.2f s: %d, though the key was good at no time", a.operation, a.keyName, a.sentAt.Seconds(), a.status)
+			if (a.status == 200 || a.status == 201 || a.status == 404) && !anytime {
+				h.recordViolation("%s with key %s at %.2f s: %d, though the key was never valid", a.operation, a.keyName, a.sentAt.Seconds(), a.status)
 			}
 			continue
 		}
@@ -336,23 +334,22 @@
 		all := h.versions[a.name]
 		i := slices.IndexFunc(all, func(p tenantModel) bool { return p.revision == v.Revision })
 		if i < 0 {
-			h.recordViolation("%s of %s: 200 with revision %d, which never was", a.operation, a.name, v.Revision)
+			h.recordViolation("%s of tenant %s: 200 with revision %d, which never existed", a.operation, a.name, v.Revision)
 			continue
 		}
 		if all[i].changedAt > a.answeredAt || i+1 < len(all) && all[i+1].changedAt < a.sentAt {
-			h.recordViolation("%s of %s at %.2f to %.2f s: 200 with revision %d, which was so at another time", a.operation, a.name, a.sentAt.Seconds(), a.answeredAt.Seconds(), v.Revision)
+			h.recordViolation("%s of tenant %s at %.2f to %.2f s: 200 with revision %d, which was current at another time", a.operation, a.name, a.sentAt.Seconds(), a.answeredAt.Seconds(), v.Revision)
 		}
 		if v.State != "" && (v.State != all[i].state || !slices.Equal(v.Teams, all[i].teams)) {
-			h.recordViolation("%s of %s: told %s %v, is %+v", a.operation, a.name, v.State, v.Teams, all[i])
+			h.recordViolation("%s of tenant %s: response %s %v, expected %+v", a.operation, a.name, v.State, v.Teams, all[i])
 		}
 	}
 }
 
-// Whatever operators and users ask of several controllers at once, while those end, stand
-// still and are cut off, and writes take effect late or unanswered: each change of the
-// record is one that somebody asked for and a plain model allows, in the order of the
-// revisions that were named; nothing is accepted or started for whom the record forbids it;
-// and every answer was true at some moment between question and answer.
+// Operators and users send concurrent requests to controllers that crash, freeze and lose their links,
+// and transactions take effect late or without a response. Each change in the log must be requested and
+// allowed by the model, no job may be accepted or started against its tenant's state, and every response
+// must be correct at some time between request and response.
 func TestAdminActionsAgainstReferenceModel(t *testing.T) {
 	if err := flag.Set("rapid.checks", "40"); err != nil {
 		t.Fatal(err)
@@ -383,9 +380,9 @@
 		at := func(name string) time.Duration {
 			return time.Duration(rapid.IntRange(4000, int(faultsEnd/time.Millisecond)).Draw(t, name)) * time.Millisecond
 		}
-		node := func() string { return rapid.SampledFrom(sim.controllerNames).Draw(t, "node") }
+		drawController := func() string { return rapid.SampledFrom(sim.controllerNames).Draw(t, "controller") }
 		for range rapid.IntRange(0, 5).Draw(t, "faults") {
-			n, length := node(), time.Duration(rapid.IntRange(1, 10).Draw(t, "length"))*time.Second
+			n, length := drawController(), time.Duration(rapid.IntRange(1, 10).Draw(t, "length"))*time.Second
 			switch rapid.IntRange(0, 4).Draw(t, "fault injected") {
 			case 0:
 				sim.After(at("crash"), func() { sim.CrashController(n, length/2) })
@@ -398,7 +395,7 @@
 				sim.After(at("outage"), func() { sim.Store.Outage(length) })
 			case 4:
 				lose, delay := rapid.Float64Range(0, 0.3).Draw(t, "lose"), rapid.Float64Range(0, 0.3).Draw(t, "delay")
-				sim.After(at("trouble"), func() { sim.ReplyLossRate, sim.TransactionDelayRate = lose, delay })
+				sim.After(at("transaction faults"), func() { sim.ReplyLossRate, sim.TransactionDelayRate = lose, delay })
 			}
 		}
 		sim.After(faultsEnd, func() { sim.ReplyLossRate, sim.TransactionDelayRate = 0, 0 })
@@ -422,7 +419,7 @@
 			})
 		}
 		names := []string{"kipper", "lopresti"}
-		// Each begins with a tenant that has a key, or most acts would come to nothing.
+		// Creates tenants with keys first, because most other requests would fail without them.
 		for i, name := range names {
 			team := []string{"red", "blue"}[i]
 			sim.After(time.Duration(1500+500*i)*time.Millisecond, func() {
@@ -438,8 +435,8 @@
 		sim.After(3500*time.Millisecond, func() {
 			operator("stone-2", &recordedRequest{operation: "team-put", name: "dispo"}, map[string]any{"revision": api.Revision(0), "cpus": 1})
 		})
-		for range rapid.IntRange(15, 50).Draw(t, "acts") {
-			n, name := node(), rapid.SampledFrom(names).Draw(t, "tenant")
+		for range rapid.IntRange(15, 50).Draw(t, "requests") {
+			n, name := drawController(), rapid.SampledFrom(names).Draw(t, "tenant")
 			what := rapid.SampledFrom([]string{"tenant", "tenant-put", "suspend", "resume", "resume", "remove", "key-add", "key-revoke",
 				"team-put", "team-remove", "operators-put", "submit", "submit", "submit", "submit", "poll", "poll"}).Draw(t, "what")
 			stale := rapid.IntRange(0, 5).Draw(t, "stale") == 0
@@ -447,7 +444,7 @@
 			team := rapid.SampledFrom([]string{"red", "blue", "red", "blue", "green", "dispo"}).Draw(t, "team")
 			a := &recordedRequest{operation: what, name: name}
 			other := rapid.SampledFrom(sim.controllerNames).Draw(t, "other")
-			sim.After(at("act"), func() {
+			sim.After(at("request"), func() {
 				rev := version("b/tenant/" + name)
 				if stale {
 					rev--
@@ -455,12 +452,12 @@
 				body := map[string]any{"revision": rev}
 				switch what {
 				case "submit", "poll":
-					own := slices.Sorted(maps.Keys(h.secrets))
-					own = slices.DeleteFunc(own, func(k string) bool { return !strings.HasPrefix(k, name+"/") })
-					if len(own) == 0 {
+					ownKeys := slices.Sorted(maps.Keys(h.secrets))
+					ownKeys = slices.DeleteFunc(ownKeys, func(k string) bool { return !strings.HasPrefix(k, name+"/") })
+					if len(ownKeys) == 0 {
 						return
 					}
-					a.keyName = own[pick%len(own)]
+					a.keyName = ownKeys[pick%len(ownKeys)]
 					ref := api.JobID(fmt.Sprintf("run-%d", pick))
 					a.job, a.teams = sim.Tenants.RegisterJob(tenant.Name(name), ref), []string{team}
 					if what == "poll" {
@@ -479,7 +476,7 @@
 				case "tenant-put":
 					a.teams = []string{team}
 					body["teams"], body["retention_s"] = a.teams, 60
-				case "suspend", "resume": // and somebody looks at once, elsewhere
+				case "suspend", "resume": // and another controller is queried at once
 					if what == "suspend" {
 						body["why"] = "unpaid"
 					}
@@ -490,7 +487,7 @@
 				case "key-add":
 					a.sub = fmt.Sprintf("k%d", pick)
 					body["name"] = a.sub
-					if pick%2 == 0 { // and whoever has it tries when it ends
+					if pick%2 == 0 { // and the key is used around its expiry
 						end := sim.Now + time.Duration(2+pick)*time.Second
 						body["expires"] = sim.WallTime() + api.WallTime((end - sim.Now).Milliseconds())
 						a.onSuccess = func() {
@@ -500,26 +497,26 @@
 							}
 						}
 					}
-				case "key-revoke": // and whoever has it tries at once, elsewhere
+				case "key-revoke": // and the key is used at once at another controller
 					a.sub = fmt.Sprintf("k%d", pick%2)
 					for _, key := range slices.Sorted(maps.Keys(h.secrets)) {
 						if strings.HasPrefix(key, name+"/"+a.sub+"/") {
 							a.onSuccess = func() { poll(other, name, key) }
 						}
 					}
-				case "operators-put": // and a team takes of what is set aside at the same time
+				case "operators-put": // and a team claims reserved CPUs concurrently
 					body["revision"], body["cpus"] = version("b/operators"), pick
 					operator(other, &recordedRequest{operation: "team-put", name: "dispo"}, map[string]any{"revision": version("b/team/dispo"), "cpus": pick + 1})
 				case "team-put", "team-remove":
 					a.name = []string{"dispo", "green"}[pick%2]
 					body["revision"] = version("b/team/" + a.name)
-					if what == "team-put" { // and the other team at the same time
+					if what == "team-put" { // and the other team is changed concurrently
 						body["cpus"] = pick
 						second := []string{"green", "dispo"}[pick%2]
 						operator(other, &recordedRequest{operation: "team-put", name: second}, map[string]any{"revision": version("b/team/" + second), "cpus": pick/2 + 1})
 						break
 					}
-					// Somebody gives it to a tenant at the same time.
+					// The team is assigned to a tenant concurrently.
 					teams := []string{a.name}
 					operator(other, &recordedRequest{operation: "tenant-put", name: name, teams: teams},
 						map[string]any{"revision": version("b/tenant/" + name), "teams": teams, "retention_s": 60})
@@ -545,6 +542,6 @@
 		}
 	})
 	if accepted < 20 || revoked < 5 || refused < 20 {
-		t.Errorf("%d jobs accepted, %d keys revoked, %d acts refused: too little happened to tell", accepted, revoked, refused)
+		t.Errorf("%d jobs accepted, %d keys revoked, %d changes refused: too few for a meaningful check", accepted, revoked, refused)
 	}
 }
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -17,26 +17,26 @@
 type instance struct {
 	api.Instance
 	createdAt time.Duration
-	listedAt  time.Duration // from when the list shows it
+	listedAt  time.Duration // when the list of machines begins to include it
 }
 
-// Cloud emulates the cloud: its machine types, the machines that were launched, and the faults of its API.
+// Cloud emulates the cloud's API: machine types, launched machines and faults.
 type Cloud struct {
 	sim   *Simulation
 	Types []api.MachineType
-	// Capacity is how many machines there may be in all.
+	// Capacity is the maximum number of machines.
 	Capacity int
-	// ZoneCapacity is how many there may be in a zone; a zone that is not named has no bound.
+	// ZoneCapacity is the maximum number of machines by zone; a zone without an entry is unlimited.
 	ZoneCapacity     map[api.Zone]int
 	instances        map[api.MachineID]*instance
 	launchesByName   map[string][]api.MachineID
 	lastNumber       int
 	Down             bool
-	Calls            int // requests so far
+	Calls            int // requests received
 	DeletedMachines  int
 	LaunchCalls      int // requests that launched machines
-	LaunchedMachines int // machines they launched
-	// ListLag is how long it takes until the list shows a new machine.
+	LaunchedMachines int // machines launched by requests
+	// ListLag is the delay until the list of machines includes a new machine.
 	ListLag time.Duration
 }
 
@@ -44,7 +44,7 @@
 	return &Cloud{sim: sim, instances: map[api.MachineID]*instance{}, launchesByName: map[string][]api.MachineID{}, Capacity: 8, ListLag: 5 * time.Second}
 }
 
-// Launch brings up a machine after its boot time.
+// Launch creates a machine, whose worker starts after bootTime.
 func (c *Cloud) Launch(typ api.MachineTypeName, zone api.Zone, spot bool, bootTime time.Duration) api.MachineID {
 	id := api.MachineID(fmt.Sprintf("i-%06d", c.lastNumber))
 	c.lastNumber++
@@ -60,10 +60,10 @@
 	return id
 }
 
-// hasZoneCapacity reports whether a zone may have one more machine.
+// hasZoneCapacity reports whether a zone has capacity for another machine.
 func (c *Cloud) hasZoneCapacity(zone api.Zone) bool {
-	remaining, bound := c.ZoneCapacity[zone]
-	if !bound {
+	remaining, limited := c.ZoneCapacity[zone]
+	if !limited {
 		return true
 	}
 	for _, h := range c.instances {
@@ -74,7 +74,7 @@
 	return remaining > 0
 }
 
-// SpotMachines lists the spot machines that are up, in order.
+// SpotMachines returns the running spot machines, sorted.
 func (c *Cloud) SpotMachines() []api.MachineID {
 	var out []api.MachineID
 	for id, h := range c.instances {
@@ -86,14 +86,14 @@
 	return out
 }
 
-// The cloud's limits on a request.
+// The cloud's limits per request.
 const (
 	maxInstancePage  = 500
 	maxLaunchCount   = 50
 	maxDeletionCount = 100
 )
 
-// defaultBootTime is that of machines of a type the cloud doesn't list.
+// defaultBootTime applies to machine types that the cloud does not list.
 const defaultBootTime = 20 * time.Second
 
 var (
@@ -101,7 +101,7 @@
 	errNoCapacity      = errors.New("no capacity")
 )
 
-// Serve answers a request.
+// Serve returns the status and body of the response to a request.
 func (c *Cloud) Serve(method, target string, body []byte) (int, []byte) {
 	c.Calls++
 	if c.Down {
@@ -119,7 +119,7 @@
 	return http.StatusOK, b
 }
 
-// handle carries out a request and returns what its answer holds.
+// handle executes a request and returns the value to encode in the response.
 func (c *Cloud) handle(method, target string, body []byte) (any, error) {
 	u, err := url.Parse(target)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return nil, errBadCloudRequest
 }
 
-// listInstances answers with a page of the machines that the list shows by now.
+// listInstances returns a page of the machines whose ListLag has passed.
 func (c *Cloud) listInstances(query url.Values) (any, error) {
 	list := api.InstanceList{Machines: []api.Instance{}}
 	for _, h := range c.instances {
@@ -159,8 +159,8 @@
 	return list, nil
 }
 
-// scaleOut launches machines, as many as there is capacity for. A repeated request, known by its
-// name, gets the machines of the first.
+// scaleOut launches up to the requested number of machines, limited by capacity. A repeated request,
+// identified by its name, returns the machines of the first one.
 func (c *Cloud) scaleOut(body []byte) (any, error) {
 	var request api.ScaleOutRequest
 	if json.Unmarshal(body, &request) != nil || request.Count < 1 || request.Count > maxLaunchCount {
@@ -192,7 +192,7 @@
 	return bootTime
 }
 
-// deleteInstances deletes machines; those that are gone already are no error.
+// deleteInstances deletes machines and ignores unknown ids.
 func (c *Cloud) deleteInstances(body []byte) (any, error) {
 	var request api.MachineIDList
 	if json.Unmarshal(body, &request) != nil || len(request.Machines) > maxDeletionCount {
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -14,7 +14,7 @@
 	"basaltwall/worker"
 )
 
-// This file runs the controllers: it steps them and carries out their effects through the real adapters.
+// This file steps the controllers and executes their effects through the real adapters.
 
 type controllerHost struct {
 	name           string
@@ -26,17 +26,17 @@
 	stepScheduled  bool
 	startedAt      time.Duration
 
-	frozenUntil time.Duration // the process is paused until then
+	frozenUntil time.Duration // when the pause of the process ends
 }
 
-// StartControllers starts the controllers.
+// StartControllers starts all controllers of the deployment.
 func (sim *Simulation) StartControllers() {
 	for _, name := range sim.controllerNames {
 		sim.StartController(name)
 	}
 }
 
-// StartController starts a controller with empty memory.
+// StartController starts a controller as a new process, without in-memory state.
 func (sim *Simulation) StartController(name string) {
 	incarnation := 1
 	if old := sim.controllers[name]; old != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// FreezeController pauses a controller's process while its clocks run on: what reaches it waits.
+// FreezeController pauses a controller's process. Its clocks advance, and incoming commands are queued.
 func (sim *Simulation) FreezeController(name string, length time.Duration) {
 	h := sim.controllers[name]
 	if h == nil || h.controller == nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// performEffect carries out an effect through the real adapters.
+// performEffect executes an effect through the real adapters.
 func (sim *Simulation) performEffect(h *controllerHost, e message.Effect) {
 	switch e := e.(type) {
 	case message.Reply:
@@ -151,11 +151,11 @@
 	case message.PeerCall:
 		sim.callPeer(h, e)
 	default:
-		panic(fmt.Sprintf("emulator: effect %T", e))
+		panic(fmt.Sprintf("emulator: unknown effect type %T", e))
 	}
 }
 
-// callPeer carries a message to another controller and its reply back.
+// callPeer sends a message to another controller and returns its reply to the sender.
 func (sim *Simulation) callPeer(h *controllerHost, e message.PeerCall) {
 	_, _, body, err := peer.Request(e)
 	sim.must(err)
@@ -180,7 +180,7 @@
 	}, func(r httpx.Response, err error) message.Command { return peer.ParseReply(e, r, err) })
 }
 
-// callController passes a request to a controller, and its answer on.
+// callController sends a command to a controller and calls answer with the status and body of its reply.
 func (sim *Simulation) callController(h *controllerHost, command func(message.ReqID) message.Command, answer func(int, []byte)) {
 	sim.callControllerReply(h, command, func(e message.Reply) { answer(e.Status, e.Body) })
 }
--- a/internal/emulator/event_queue.go
+++ b/internal/emulator/event_queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// This file has the simulation's events, in the order of their virtual time.
+// This file implements the simulation's event queue, ordered by virtual time.
 
 type event struct {
 	at       time.Duration
@@ -32,13 +32,13 @@
 	return x
 }
 
-// After schedules an event.
+// After schedules callback after the duration d of virtual time.
 func (sim *Simulation) After(d time.Duration, callback func()) {
 	sim.seq++
 	heap.Push(&sim.queue, event{sim.Now + d, sim.seq, callback})
 }
 
-// Run plays until the given time.
+// Run processes the events up to the given virtual time.
 func (sim *Simulation) Run(until time.Duration) {
 	for len(sim.queue) > 0 && sim.queue[0].at <= until {
 		e := heap.Pop(&sim.queue).(event)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -15,47 +15,47 @@
 // FleetConfig describes a large deployment whose controllers are real processes.
 type FleetConfig struct {
 	Controllers []FleetController
-	// Deployment is the part of the settings file that all controllers share.
+	// Deployment is the section of the settings file that all controllers share.
 	Deployment map[string]any
 	Types      []api.MachineType
-	// Machines are up at the start, of the first type, spread round-robin over the zones.
+	// Machines is the number of machines at the start. They are of the first type, spread round-robin over
+	// its zones.
 	Machines int
 	Regions  *Regions
 	Seed     uint64
-	// ClockInterval is how often the simulation's clock is advanced to real time; 0: every millisecond.
+	// ClockInterval is the interval at which the simulation's clock is advanced to real time; 0 means 1 ms.
 	ClockInterval time.Duration
 }
 
-// FleetController is a controller and the zone it is in.
+// FleetController is the label and zone of a controller.
 type FleetController struct {
 	Label string
 	Zone  api.Zone
 }
 
-// Fleet runs the emulators of a large deployment in real time on loopback: thousands of emulated
-// workers, each at an address of its own, users, key-value store and cloud, and relays
-// between the controllers. All that passes between controllers and anything else goes through
-// it, so that it can be delayed, cut and counted.
+// Fleet runs the emulators of a large deployment in real time on loopback: thousands of workers, each
+// with its own address, users, the key-value store, the cloud and relays between the controllers. All
+// messages to and from controllers pass through it, so that they can be delayed, dropped and counted.
 //
-// A worker listens at one port for each controller, and each controller is told its own port:
-// that is how the sender of a direct command is known.
+// Each controller reaches the workers at a port of its own, which identifies the sender of a direct
+// command.
 type Fleet struct {
 	*Live
 	Traffic *Traffic
 
 	config        FleetConfig
-	workerPorts   map[string]string // by controller, where it reaches the workers
-	peerAddrs     map[string]string // by controller, where it listens for others
+	workerPorts   map[string]string // port for direct commands to workers, by controller
+	peerAddrs     map[string]string // listen address for messages between controllers, by controller
 	workerClients map[api.MachineID]*http.Client
 	userClient    *http.Client
 	relayClient   *http.Client
 }
 
-// workerPort is the placeholder for the port in a worker's address; each controller gets its own, see
-// rewriteWorkerPorts.
+// workerPort is the placeholder for the port in a worker's address. rewriteWorkerPorts replaces it with the
+// port for a controller.
 const workerPort = "9000"
 
-// StartFleet starts the emulators of a plan.
+// StartFleet starts the emulators of a large deployment.
 func StartFleet(ctx context.Context, fleetConfig FleetConfig) (*Fleet, error) {
 	f := &Fleet{Live: &Live{ctx: ctx, clockInterval: cmp.Or(fleetConfig.ClockInterval, time.Millisecond)}, Traffic: newTraffic(), config: fleetConfig, workerPorts: map[string]string{},
 		peerAddrs: map[string]string{}, workerClients: map[api.MachineID]*http.Client{}}
@@ -78,20 +78,20 @@
 	return f, nil
 }
 
-// Do calls inspect with the simulation locked, to read or to change it.
-func (f *Fleet) Do(inspect func(sim *Simulation)) {
+// Do calls callback with the simulation locked. callback may read and change it.
+func (f *Fleet) Do(callback func(sim *Simulation)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	inspect(f.sim)
+	callback(f.sim)
 }
 
-// zone is where the i-th machine is.
+// zone returns the zone of the i-th machine.
 func (f *Fleet) zone(i int) api.Zone {
 	zones := f.config.Types[0].Zones
 	return zones[i%len(zones)]
 }
 
-// newSimulation builds the simulation for the settings files that were made.
+// newSimulation creates the simulation from the controllers' settings files.
 func (f *Fleet) newSimulation() {
 	sim := NewSimulation(f.config.Seed, f.Configs)
 	f.sim = sim
@@ -106,8 +106,8 @@
 	}
 }
 
-// openListeners opens the listeners that each controller needs to reach, and makes the settings files. The
-// functions it returns start to serve on them.
+// openListeners opens the listeners for the controllers' requests and creates the settings files. The returned
+// functions start serving on the listeners.
 func (f *Fleet) openListeners() ([]func(), error) {
 	var starters []func()
 	type endpointAddrs struct{ api, peer, state, cloud string }
@@ -166,10 +166,10 @@
 	return starters, nil
 }
 
-// APIAddr is where a controller is reached.
+// APIAddr returns the API address of the i-th controller.
 func (f *Fleet) APIAddr(i int) string { return f.Configs[i].APIAddr }
 
-// StoredByKind is how many keys the key-value store holds, and how many bytes, by kind of key.
+// StoredByKind returns the number and total size of the entries in the key-value store, by kind of key.
 func (f *Fleet) StoredByKind() map[string]StoredSize {
 	out := map[string]StoredSize{}
 	f.Do(func(sim *Simulation) {
@@ -182,18 +182,18 @@
 	return out
 }
 
-// StoredSize is what the key-value store holds of a kind.
+// StoredSize is the number of keys of a kind and the total size of the keys and values.
 type StoredSize struct {
 	Keys  int `json:"keys"`
 	Bytes int `json:"bytes"`
 }
 
-// StoreCounts are the key-value store's own counts.
+// StoreCounts counts requests to the key-value store. Over counts the requests refused by its rate limits.
 type StoreCounts struct {
 	Requests, Writes, Over int
 }
 
-// StoreCounts tells how much was asked of the key-value store, and refused for its limits.
+// StoreCounts returns the counts of requests to the key-value store.
 func (f *Fleet) StoreCounts() (c StoreCounts) {
 	f.Do(func(sim *Simulation) {
 		c = StoreCounts{sim.Store.Requests, sim.Store.Writes, sim.Store.ThrottledRequests}
--- a/internal/emulator/fleet_network.go
+++ b/internal/emulator/fleet_network.go
@@ -14,15 +14,15 @@
 	"basaltwall/controller/message"
 )
 
-// This file carries messages between a fleet's controllers and the emulators.
+// This file transports messages between a fleet's controllers and the emulators.
 
-// Connections that are kept open: to a controller by all users, and by a relay.
+// Maximum numbers of idle connections to one controller.
 const (
-	userIdleConns  = 64
-	relayIdleConns = 8
+	userIdleConns  = 64 // from all users
+	relayIdleConns = 8  // from the relays
 )
 
-// listenAllLoopback listens at one port of all addresses of the loopback interface, and of no other.
+// listenAllLoopback listens on one port of all addresses of the loopback interface, and of no other interface.
 func listenAllLoopback() (net.Listener, error) {
 	c := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
@@ -38,7 +38,7 @@
 	return ln, nil
 }
 
-// meteredClient is a client whose connections count what passes.
+// meteredClient returns a client that counts the bytes of its connections.
 func (f *Fleet) meteredClient(flow FlowName, idle int) *http.Client {
 	d := net.Dialer{Timeout: 4 * time.Second}
 	return &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: idle, DisableCompression: true,
@@ -52,27 +52,28 @@
 		}}}
 }
 
-// maxIdleConns is how many idle connections a client keeps to all controllers together: a worker one.
-func maxIdleConns(each int) int {
-	if each == 1 {
+// maxIdleConns returns the limit on a client's idle connections to all controllers: one for a worker, unlimited
+// for other clients.
+func maxIdleConns(perController int) int {
+	if perController == 1 {
 		return 1
 	}
-	return 0 // as many as each may have
+	return 0 // unlimited
 }
 
-// deliver carries a user's request to a controller.
+// deliver sends a user's request to a controller.
 func (f *Fleet) deliver(name, method, path string, _ message.Caller, body []byte, answer func(int, []byte)) {
 	addr := f.sim.configs[name].APIAddr
 	f.Traffic.countMessage(FlowUsers)
 	go f.forward(f.userClient, method, addr, path, body, answer)
 }
 
-// sendHeartbeat carries a worker's heartbeat, over a connection of its own.
+// sendHeartbeat sends a worker's heartbeat over the worker's own connection.
 func (f *Fleet) sendHeartbeat(wk *Worker, name string, body []byte, answer func(int, []byte)) {
 	addr := f.sim.configs[name].APIAddr
 	client := f.workerClients[wk.id]
 	if client == nil {
-		client = f.meteredClient(FlowHeartbeats, 1) // it closes the connection to a controller that redirects it
+		client = f.meteredClient(FlowHeartbeats, 1) // one idle connection, so that a redirect closes the previous one
 		f.workerClients[wk.id] = client
 	}
 	f.Traffic.countMessage(FlowHeartbeats)
@@ -80,13 +81,13 @@
 	go f.forward(client, "POST", addr, api.PathHeartbeat, body, answer)
 }
 
-// rewriteWorkerPorts gives a controller the workers' addresses that it is to use.
+// rewriteWorkerPorts replaces the placeholder port in workers' addresses with the port for a controller.
 func (f *Fleet) rewriteWorkerPorts(body []byte, name string) []byte {
 	return bytes.ReplaceAll(body, []byte(":"+workerPort+`"`), []byte(":"+f.workerPorts[name]+`"`))
 }
 
-// serveController serves requests of one controller: each passes the emulated network, is handled in the simulation,
-// and its answer passes the network back.
+// serveController serves one controller's requests to an endpoint. Requests and responses pass through the emulated
+// network, and handle runs in the simulation.
 func (f *Fleet) serveController(ln net.Listener, flow FlowName, name string, endpoint Endpoint, handle func(r *http.Request, body []byte, answer func(int, []byte))) {
 	f.serveHTTP(&meteredListener{ln, f.Traffic, flow}, func(rw http.ResponseWriter, r *http.Request, body []byte) {
 		done := make(chan response, 1)
@@ -119,7 +120,8 @@
 	})
 }
 
-// serveWorkers takes a controller's direct commands to all workers.
+// serveWorkers serves one controller's direct commands to all workers. The local address of a connection identifies
+// the worker.
 func (f *Fleet) serveWorkers(ln net.Listener, name string) {
 	f.serveHTTP(&meteredListener{ln, f.Traffic, FlowCommands}, func(rw http.ResponseWriter, r *http.Request, body []byte) {
 		at, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
@@ -135,7 +137,7 @@
 	})
 }
 
-// deliverCommand takes a direct command over the network to its worker.
+// deliverCommand sends a direct command over the emulated network to the worker at addr.
 func (f *Fleet) deliverCommand(name, addr string, body []byte, done chan response) {
 	sim := f.sim
 	f.Traffic.countMessage(FlowCommands)
@@ -155,7 +157,7 @@
 	})
 }
 
-// serveRelay passes one controller's messages on to another.
+// serveRelay forwards messages from one controller to another over the emulated network.
 func (f *Fleet) serveRelay(ln net.Listener, from, to FleetController) {
 	f.serveHTTP(ln, func(rw http.ResponseWriter, r *http.Request, body []byte) {
 		done := make(chan response, 1)
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -19,25 +19,25 @@
 )
 
 // Live runs the emulators in real time on loopback, for controllers that are
-// real processes. Its load balancer passes users' requests to the controllers and
-// remembers the jobs that they submit, for the workers.
+// real processes. Its load balancer forwards users' requests to the controllers and
+// registers the submitted jobs with the workers and the checker.
 type Live struct {
 	Configs          []*config.Config
-	SettingsFiles    [][]byte // the controllers' settings files
-	LoadBalancerAddr string   // where users' requests go
+	SettingsFiles    [][]byte // contents of the controllers' settings files
+	LoadBalancerAddr string   // address for users' requests
 
 	mu            sync.Mutex
 	sim           *Simulation
 	client        http.Client
 	roundRobin    int
-	clockInterval time.Duration // at which the clock is advanced
+	clockInterval time.Duration // between updates of the simulation's clock
 	ctx           context.Context
 }
 
-// clockInterval is how often the simulation's clock is advanced to real time.
+// clockInterval is the interval at which StartLive's clock is advanced to real time.
 const clockInterval = 5 * time.Millisecond
 
-// listenLocal finds a free port on loopback.
+// listenLocal listens on a free port on loopback.
 func listenLocal() (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,26 +46,26 @@
 	return l, nil
 }
 
-// smallMachineTypes is a cloud with one small type of machines.
+// smallMachineTypes returns a list with one small machine type.
 func smallMachineTypes() []api.MachineType {
 	return []api.MachineType{{Name: "small", CPUs: 4, MemGB: 16, CacheGB: 20, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootSeconds: 5, Zones: []api.Zone{"a", "b"}}}
 }
 
-// StartLive starts the emulators with a few machines of a small type.
+// StartLive starts the emulators with machines of one small type.
 func StartLive(ctx context.Context, controllers, machines int) (*Live, error) {
 	l := &Live{ctx: ctx, clockInterval: clockInterval, client: http.Client{Timeout: 4 * time.Second}}
-	var open []net.Listener
+	var listeners []net.Listener
 	for range 3 {
 		ln, err := listenLocal()
 		if err != nil {
 			return nil, err
 		}
-		open = append(open, ln)
+		listeners = append(listeners, ln)
 	}
-	if err := l.writeSettings(controllers, open[0].Addr().String(), open[1].Addr().String()); err != nil {
+	if err := l.writeSettings(controllers, listeners[0].Addr().String(), listeners[1].Addr().String()); err != nil {
 		return nil, err
 	}
-	l.LoadBalancerAddr = open[2].Addr().String()
+	l.LoadBalancerAddr = listeners[2].Addr().String()
 	sim := NewSimulation(1, l.Configs)
 	l.sim = sim
 	sim.Cloud.Types = smallMachineTypes()
@@ -75,7 +75,7 @@
 	sim.Address = func(number int) string {
 		ln, err := listenLocal()
 		if err != nil {
-			return "127.0.0.1:1" // it will seem unreachable
+			return "127.0.0.1:1" // nothing listens there, so the machine is unreachable
 		}
 		workers[number] = ln
 		return ln.Addr().String()
@@ -91,16 +91,16 @@
 	for i := range machines {
 		sim.Cloud.Launch("small", api.Zone([]string{"a", "b"}[i%2]), false, time.Second)
 	}
-	l.serve(open[0], sim.Store.Serve)
-	l.serve(open[1], func(_, method, target string, body []byte, answer func(int, []byte)) {
+	l.serve(listeners[0], sim.Store.Serve)
+	l.serve(listeners[1], func(_, method, target string, body []byte, answer func(int, []byte)) {
 		answer(sim.Cloud.Serve(method, target, body))
 	})
-	l.serveLoadBalancer(open[2])
+	l.serveLoadBalancer(listeners[2])
 	go l.followClock()
 	return l, nil
 }
 
-// reserveAddr keeps an address until the emulators end.
+// reserveAddr reserves a loopback address until the emulators end.
 func (l *Live) reserveAddr() (string, error) {
 	addr, release, err := testport.Reserve()
 	if err != nil {
@@ -110,7 +110,7 @@
 	return addr, nil
 }
 
-// addSettings adds a controller's settings file.
+// addSettings encodes a controller's settings file and adds it to Configs and SettingsFiles.
 func (l *Live) addSettings(file map[string]any) error {
 	data, err := json.MarshalIndent(file, "", "  ")
 	if err != nil {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// followClock lets the simulation's clock follow the real one.
+// followClock advances the simulation's clock to real time until the emulators end.
 func (l *Live) followClock() {
 	start := time.Now()
 	tick := time.NewTicker(l.clockInterval)
@@ -179,7 +179,7 @@
 	}
 }
 
-// Violations lists the broken rules that the checker has seen.
+// Violations returns the rule violations that the checker has recorded.
 func (l *Live) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,7 +191,7 @@
 	body   []byte
 }
 
-// serve answers requests on a listener with a handler that runs in the simulation.
+// serve serves requests on a listener with a handler that runs in the simulation.
 func (l *Live) serve(ln net.Listener, handle func(controllerName, method, target string, body []byte, answer func(int, []byte))) {
 	l.serveHTTP(ln, func(rw http.ResponseWriter, r *http.Request, body []byte) {
 		c := make(chan response, 1)
@@ -202,7 +202,7 @@
 	})
 }
 
-// writeResponse answers a request once there is an answer, unless its sender or the emulators end first.
+// writeResponse waits for a response and writes it, unless the request or the emulators are cancelled first.
 func (l *Live) writeResponse(rw http.ResponseWriter, r *http.Request, answer <-chan response) {
 	select {
 	case a := <-answer:
@@ -230,7 +230,7 @@
 	go l.forward(&l.client, method, l.sim.configs[name].APIAddr, path, body, answer)
 }
 
-// forward sends a request and passes its answer, if there is one, to the simulation.
+// forward sends a request and passes the response, if any, to the simulation.
 func (l *Live) forward(client *http.Client, method, addr, path string, body []byte, answer func(int, []byte)) {
 	status, b := l.send(client, method, addr, path, "", body)
 	if status == 0 {
@@ -241,7 +241,7 @@
 	answer(status, b)
 }
 
-// send sends a request; the status is 0 when no answer came.
+// send sends a request. The status is 0 if there is no response.
 func (l *Live) send(client *http.Client, method, addr, path, auth string, body []byte) (int, []byte) {
 	req, err := http.NewRequestWithContext(l.ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -262,7 +262,8 @@
 	return res.StatusCode, b
 }
 
-// serveLoadBalancer passes users' requests to the controllers round-robin.
+// serveLoadBalancer forwards users' requests to the controllers round-robin, and to the next one if there is no
+// response. It registers submitted jobs that carry no credentials.
 func (l *Live) serveLoadBalancer(ln net.Listener) {
 	l.serveHTTP(ln, func(rw http.ResponseWriter, r *http.Request, body []byte) {
 		l.mu.Lock()
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -8,12 +8,12 @@
 	"basaltwall/httpx"
 )
 
-// This file has the network between controllers, machines and services: latency, round trips and partitions.
+// This file emulates the network between controllers, machines and services: latency, round trips and partitions.
 
-// Endpoint is what a controller communicates with over a link.
+// Endpoint is the remote side of a controller's network link.
 type Endpoint string
 
-// The endpoints that a controller may be partitioned from.
+// The endpoints that a controller can be cut off from.
 const (
 	EndpointStore   Endpoint = "state"
 	EndpointWorkers Endpoint = "workers"
@@ -32,25 +32,25 @@
 	heldPackets []func()
 }
 
-// NetworkFaults are the faults of the network that are in force.
+// NetworkFaults holds the active network faults.
 type NetworkFaults struct {
 	linkCuts map[linkKey]*networkCut
-	zoneCuts map[api.Zone]*networkCut // zones that are partitioned off
+	zoneCuts map[api.Zone]*networkCut // by partitioned zone
 
-	// ReplyLossRate is the share of the key-value store's answers to transactions that are lost
-	// after the transaction was carried out; TransactionDelayRate the share of transactions that
-	// arrive seconds late, possibly after their sender's timeout.
+	// ReplyLossRate is the share of transactions whose response is lost after the key-value store has
+	// processed them. TransactionDelayRate is the share of transactions that reach the store seconds late,
+	// possibly after the sender's timeout.
 	ReplyLossRate, TransactionDelayRate float64
 
-	// StaleHeartbeatRate is the share of heartbeats of which a copy arrives again later.
+	// StaleHeartbeatRate is the share of heartbeats of which a duplicate is delivered late.
 	StaleHeartbeatRate float64
 
-	// HeldHeartbeatRate is the share of heartbeats of which a copy is held until the owner of any
-	// partition changes: then it reaches all controllers.
+	// HeldHeartbeatRate is the share of heartbeats of which a duplicate is held until the owner of any
+	// partition changes, and then delivered to all controllers.
 	HeldHeartbeatRate float64
 	heldHeartbeats    [][]byte
 
-	// ExtraLatency is the mean of a random latency that is added to each passage over the network.
+	// ExtraLatency is the mean of a random delay that is added to the latency of each packet.
 	ExtraLatency time.Duration
 }
 
@@ -68,11 +68,11 @@
 
 type timeoutError struct{}
 
-func (timeoutError) Error() string { return "no answer" }
+func (timeoutError) Error() string { return "request timed out" }
 
-// roundTrip carries a request from a controller across the network and its answer
-// back; the controller gets exactly one command, an answer or a timeout. A cut may hold packets and deliver them
-// when it heals, though the sender has timed out.
+// roundTrip sends a request from a controller over the network and its response back. The controller receives
+// exactly one command, with the response or a timeout. A cut that holds packets delivers the request when it heals,
+// even after the timeout.
 func (sim *Simulation) roundTrip(h *controllerHost, endpoint Endpoint, extraDelay, timeout time.Duration, serve func(answer func(int, []byte)),
 	answer func(httpx.Response, error) message.Command) {
 	settled := false
@@ -91,19 +91,18 @@
 	sim.After(extraDelay, func() { sim.transmit(h.name, endpoint, deliver) })
 }
 
-// transmit calls back one network latency later, unless the link is cut. Key-value store,
-// cloud and users belong to no zone: a controller whose zone is partitioned off reaches
-// none of them.
+// transmit calls callback after the network latency unless the link is cut. The key-value store,
+// the cloud and users belong to no zone, so a controller in a partitioned zone cannot reach them.
 func (sim *Simulation) transmit(controllerName string, endpoint Endpoint, callback func()) {
-	outside := endpoint != EndpointWorkers && endpoint != EndpointPeers // what belongs to no zone
+	zoneless := endpoint != EndpointWorkers && endpoint != EndpointPeers // the endpoint belongs to no zone
 	zone := sim.configs[controllerName].Zone
 	delay := sim.latency()
-	if outside {
+	if zoneless {
 		delay += sim.regions.extraLatency(zone, "")
 	}
 	sim.After(delay, func() {
 		c := sim.linkCuts[linkKey{controllerName, endpoint}]
-		if c == nil && outside {
+		if c == nil && zoneless {
 			if c = sim.zoneCuts[zone]; c == nil {
 				c = sim.regions.cutBetween(zone, "")
 			}
@@ -112,7 +111,7 @@
 	})
 }
 
-// deliver calls back; where there is a cut, it holds or drops the packet.
+// deliver calls callback if c is nil; otherwise the cut holds or drops the packet.
 func (c *networkCut) deliver(callback func()) {
 	switch {
 	case c == nil:
@@ -122,8 +121,8 @@
 	}
 }
 
-// cutBetween is the cut between two zones, nil if there is none. Inside a zone that is
-// partitioned off the network works.
+// cutBetween returns the cut between two zones, nil if there is none. Packets within a zone
+// are never cut.
 func (sim *Simulation) cutBetween(a, b api.Zone) *networkCut {
 	if a == b {
 		return nil
@@ -137,7 +136,7 @@
 	return sim.regions.cutBetween(a, b)
 }
 
-// transmitToZone passes a packet between a controller and a machine in a zone.
+// transmitToZone delivers a packet, in either direction, between a controller and a machine in a zone.
 func (sim *Simulation) transmitToZone(controllerName string, zone api.Zone, callback func()) {
 	pass := func() { sim.cutBetween(sim.configs[controllerName].Zone, zone).deliver(callback) }
 	if d := sim.regions.extraLatency(sim.configs[controllerName].Zone, zone); d > 0 {
@@ -147,8 +146,8 @@
 	pass()
 }
 
-// CutZone partitions a zone off for a while, its machines and the controllers in it; with
-// hold, packets are delivered when the partition heals.
+// CutZone cuts off a zone, with its machines and controllers, for the given time. With hold,
+// packets are delivered when the partition heals; otherwise they are dropped.
 func (sim *Simulation) CutZone(zone api.Zone, length time.Duration, hold bool) {
 	if sim.zoneCuts[zone] != nil {
 		return
@@ -156,7 +155,7 @@
 	sim.zoneCuts[zone] = sim.startCut(length, hold, func() { delete(sim.zoneCuts, zone) })
 }
 
-// startCut makes a cut that heals after a while: then the packets it holds are delivered.
+// startCut returns a cut that heals after the given time: then restore is called and held packets are delivered.
 func (sim *Simulation) startCut(length time.Duration, hold bool, restore func()) *networkCut {
 	c := &networkCut{holdPackets: hold}
 	sim.Checker.FaultUntil(sim.Now + length)
@@ -169,8 +168,8 @@
 	return c
 }
 
-// CutLink partitions a controller from an endpoint for a while; with hold, packets are
-// delivered when the partition heals.
+// CutLink cuts a controller off from an endpoint for the given time. With hold, packets are
+// delivered when the partition heals; otherwise they are dropped.
 func (sim *Simulation) CutLink(controllerName string, endpoint Endpoint, length time.Duration, hold bool) {
 	k := linkKey{controllerName, endpoint}
 	if sim.linkCuts[k] != nil {
--- a/internal/emulator/pools.go
+++ b/internal/emulator/pools.go
@@ -10,24 +10,22 @@
 	"basaltwall/tenant"
 )
 
-// poolLedger is what is held of pools: by starts that were recorded, until their task has left
-// the machine or can't come to be on it any more, and by tasks on machines. It shares no
-// code with the controllers' counts. Rule pool: a start that takes units is recorded only
-// while all that is held, it included, is within the size in force. Who held units before
-// a pool was made smaller may keep them.
+// poolLedger tracks recorded starts, whose tasks hold units of pools until they end. It shares no code
+// with the controllers' counts. Rule pool: when a start that takes units is written, all held units,
+// including its own, must be within the pool's size. Units that are held when a pool shrinks stay held.
 type poolLedger struct {
-	starts  map[api.TaskID]api.MachineID // recorded, and neither their end nor the task's
+	starts  map[api.TaskID]api.MachineID // recorded starts whose tasks have not ended
 	MaxHeld map[api.PoolName]int
 }
 
-// taskEnded notes that a task has left a machine.
+// taskEnded removes the start of a task that has ended on a machine.
 func (t *Tenants) taskEnded(id api.TaskID, m api.MachineID) {
 	if t != nil && t.poolLedger.starts[id] == m {
 		delete(t.poolLedger.starts, id)
 	}
 }
 
-// countHeldUnits counts what is held of a pool by the record or in truth.
+// countHeldUnits returns the units of a pool that are held by recorded starts or by tasks on machines.
 func (t *Tenants) countHeldUnits(name api.PoolName) int {
 	tasks := map[api.TaskID]bool{}
 	for id, m := range t.poolLedger.starts {
@@ -58,8 +56,8 @@
 	return sum
 }
 
-// holdsUnits reports whether a task of a job holds units, and with it the job what it takes for
-// itself.
+// holdsUnits reports whether a job has a recorded start or a task on a machine, and so holds its units
+// per job.
 func (t *Tenants) holdsUnits(job api.JobID) bool {
 	for id, m := range t.poolLedger.starts {
 		if id.Job == job && t.sim.workers[m] != nil {
@@ -74,15 +72,14 @@
 	return false
 }
 
-// checkPoolSizes compares the starts of a round that was just written with the sizes in force. started has the
-// jobs with starts, and whether the job held nothing before. A further task of a job that takes
-// units for itself alone takes none.
+// checkPoolSizes checks the pools of the jobs with starts in a round that is being written. started maps
+// each of these jobs to whether it held no units before; only then does it take its units per job.
 func (t *Tenants) checkPoolSizes(started map[api.JobID]bool) {
 	pools := map[api.PoolName]bool{}
-	for job, first := range started {
+	for job, newHolder := range started {
 		if s := t.sim.Users.specs[job]; s != nil {
 			for _, need := range s.Needs {
-				if need.Task > 0 || first {
+				if need.Task > 0 || newHolder {
 					pools[need.Pool] = true
 				}
 			}
@@ -100,13 +97,13 @@
 		held := t.countHeldUnits(name)
 		t.poolLedger.MaxHeld[name] = max(t.poolLedger.MaxHeld[name], held)
 		if held > p.Size || p.State != "active" {
-			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RulePool, "%d units of %s are held as more are handed out, which is %q with %d", held, name, p.State, p.Size)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RulePool, "%d units of pool %s are held after a start, but its state is %q and its size %d", held, name, p.State, p.Size)
 		}
 	}
 }
 
-// UpdatePool makes a pool or changes it as change says of what it is, until that is answered
-// with 200.
+// UpdatePool creates a pool or applies change to its current settings, and retries until the response
+// is 200.
 func (t *Tenants) UpdatePool(name api.PoolName, change func(*pools.View)) {
 	t.enqueueChange(tenant.Name("pool "+name), func(done func()) { t.tryUpdatePool(name, change, done) })
 }
@@ -135,8 +132,8 @@
 	})
 }
 
-// Utilization measures the share of a pool's size that is held on average between two times, sampled
-// each second; what it returns is known once they have passed.
+// Utilization samples the held share of a pool's size each second between two times. The returned
+// function gives the mean of the samples so far.
 func (t *Tenants) Utilization(name api.PoolName, from, to time.Duration) func() float64 {
 	sum, samples := 0.0, 0
 	var sample func()
@@ -154,7 +151,7 @@
 	return func() float64 { return sum / float64(max(1, samples)) }
 }
 
-// HeldUnits is what is held of a pool, and the most that ever was.
-func (t *Tenants) HeldUnits(name api.PoolName) (now, most int) {
+// HeldUnits returns the number of units of a pool that are held now, and the peak after any start.
+func (t *Tenants) HeldUnits(name api.PoolName) (now, peak int) {
 	return t.countHeldUnits(name), t.poolLedger.MaxHeld[name]
 }
--- a/internal/emulator/regions.go
+++ b/internal/emulator/regions.go
@@ -6,19 +6,19 @@
 	"basaltwall/api"
 )
 
-// Regions are groups of zones with latency between them. Key-value store, cloud and users are in
-// the home region.
+// Regions groups zones into regions with additional latency between them. The key-value store, the cloud
+// and users are in the home region.
 type Regions struct {
-	// ByZone is the region of each zone, Home that of what belongs to no zone.
+	// ByZone maps zones to regions. Home is the region of the key-value store, the cloud and users.
 	ByZone map[api.Zone]string
 	Home   string
 	// Latency is the additional latency from one region to another.
 	Latency time.Duration
 
-	cuts map[string]*networkCut // regions whose links to the others are cut
+	cuts map[string]*networkCut // by region that is cut off from the others
 }
 
-// regionOf is a zone's region; a zone without a name stands for what belongs to none.
+// regionOf returns a zone's region, or the home region for an empty zone.
 func (r *Regions) regionOf(z api.Zone) string {
 	if z == "" {
 		return r.Home
@@ -26,7 +26,7 @@
 	return r.ByZone[z]
 }
 
-// extraLatency is the additional latency between two zones because of their regions.
+// extraLatency returns the additional latency between the regions of two zones.
 func (r *Regions) extraLatency(a, b api.Zone) time.Duration {
 	if r == nil || r.regionOf(a) == r.regionOf(b) {
 		return 0
@@ -34,7 +34,7 @@
 	return r.Latency
 }
 
-// cutBetween is the cut between the regions of two zones, nil if there is none.
+// cutBetween returns the cut between the regions of two zones, nil if there is none.
 func (r *Regions) cutBetween(a, b api.Zone) *networkCut {
 	if r == nil || r.regionOf(a) == r.regionOf(b) {
 		return nil
@@ -45,14 +45,14 @@
 	return r.cuts[r.regionOf(b)]
 }
 
-// SetRegions groups the zones.
+// SetRegions assigns the zones to regions.
 func (sim *Simulation) SetRegions(r *Regions) {
 	r.cuts = map[string]*networkCut{}
 	sim.regions = r
 }
 
-// CutRegion cuts a region's links to the others for a while; with hold, packets are delivered when
-// it ends.
+// CutRegion cuts a region off from the others for the given time. With hold, packets are delivered when
+// the partition heals; otherwise they are dropped.
 func (sim *Simulation) CutRegion(region string, length time.Duration, hold bool) {
 	if sim.regions == nil || sim.regions.cuts[region] != nil {
 		return
--- a/internal/emulator/reservations.go
+++ b/internal/emulator/reservations.go
@@ -11,35 +11,35 @@
 	"basaltwall/internal/invariant"
 )
 
-// ReservationClients emulate the clients that reserve skips for building sites, by phone and in the portal.
-// They check the answers against the rule promised: a skip that is reserved for a site is never
-// granted to another for the same days. Dates are days since 1 January 1970 here.
+// ReservationClients emulates clients that reserve skips (waste containers) for building sites, by phone and
+// in the portal, and checks the rule promised: a skip that is reserved for a site is never granted to another
+// site for the same days. Days are counted from 1 January 1970.
 type ReservationClients struct {
 	sim           *Simulation
 	grants        []*grant
-	numbersByName map[string]uint64 // the grant's number by the request's name
-	enquiryCount  int
+	numbersByName map[string]uint64 // reservation numbers by the request's name
+	requestCount  int
 	Granted       int
 	Refused       int
-	Unanswered    int           // requests that were not answered at once
-	MaxLatency    time.Duration // of answers
+	Unanswered    int           // requests without a final response, which are repeated
+	MaxLatency    time.Duration // of final responses
 	totalLatency  time.Duration
 	Responses     int
 }
 
-// MeanLatency is how long an answer took.
+// MeanLatency returns the mean latency of final responses.
 func (o *ReservationClients) MeanLatency() time.Duration {
 	return o.totalLatency / time.Duration(max(1, o.Responses))
 }
 
-// grant is an offer or promise as its client was told.
+// grant is an offer or promise in a response to a client.
 type grant struct {
 	depot, skip, name, site string
 	number                  uint64
 	from, to                int
 	grantedAt               time.Duration
-	expiresAt               time.Duration // of an offer; 0: it is a promise
-	released                bool          // its holder has asked for its end, or took it
+	expiresAt               time.Duration // of an offer; 0 for a promise
+	released                bool          // the client requested its end, or accepted the offer
 }
 
 type reservationResponse struct {
@@ -61,8 +61,8 @@
 	o.sim.Checker.RecordViolation(o.sim.Now, invariant.RulePromised, format, args...)
 }
 
-// sendRequest sends a request to any controller and repeats it until there is a final answer, which handle
-// gets.
+// sendRequest sends a request to any controller and repeats it until the response is final. handle receives the
+// final response.
 func (o *ReservationClients) sendRequest(depot, operation string, body map[string]any, handle func(status int, a reservationResponse)) {
 	o.sendRequestTo(o.sim.Users.anyController(), depot, operation, body, handle)
 }
@@ -105,21 +105,21 @@
 		}
 		o.sendRequest(depot, "import", map[string]any{"skips": list}, func(status int, _ reservationResponse) {
 			if status != 200 {
-				o.recordViolation("an import into %s gets %d", depot, status)
+				o.recordViolation("import into depot %s failed with status %d", depot, status)
 			}
 		})
 	}
 }
 
-// RequestReservation is one client's request: by phone it is promised at once, in the portal offered first;
-// then it is released, or delivered and returned, or stays.
+// RequestReservation emulates one client. By phone it requests a promise, in the portal an offer, which it may
+// turn into a promise. It releases the promised skip, has it delivered and returned, or keeps it reserved.
 func (o *ReservationClients) RequestReservation(depot, kind string, days int) {
-	o.enquiryCount++
+	o.requestCount++
 	r := o.sim.rand
-	name, site := fmt.Sprintf("ask-%d", o.enquiryCount), fmt.Sprintf("site-%d", o.enquiryCount)
+	name, site := fmt.Sprintf("ask-%d", o.requestCount), fmt.Sprintf("site-%d", o.requestCount)
 	from := 20_000 + r.IntN(days)
 	body := map[string]any{"name": name, "kind": kind, "from": formatDay(from), "to": formatDay(from + 1 + r.IntN(3))}
-	next := func(g *grant) {
+	scheduleEnd := func(g *grant) {
 		if g == nil {
 			return
 		}
@@ -130,8 +130,8 @@
 		case 2:
 			o.sim.After(delay, func() {
 				o.sendRequest(depot, "deliver", map[string]any{"skip": g.skip, "number": g.number}, func(status int, a reservationResponse) {
-					if status != 200 && status != 409 { // it may be out of service
-						o.recordViolation("%s of %s, promised to %s as %d, can't be delivered: %d", g.skip, depot, g.site, g.number, status)
+					if status != 200 && status != 409 { // 409: the skip may be out of service
+						o.recordViolation("skip %s of depot %s, promised to %s as number %d, cannot be delivered: status %d", g.skip, depot, g.site, g.number, status)
 					}
 					if status != 200 {
 						return
@@ -141,10 +141,10 @@
 			})
 		}
 	}
-	if r.IntN(2) == 0 { // by phone, and perhaps repeated
+	if r.IntN(2) == 0 { // by phone, sometimes with a duplicate request
 		body["site"] = site
-		told := func(status int, a reservationResponse) { next(o.recordResponse(name, status, a)) }
-		o.sendRequest(depot, "promise", body, told)
+		handlePromise := func(status int, a reservationResponse) { scheduleEnd(o.recordResponse(name, status, a)) }
+		o.sendRequest(depot, "promise", body, handlePromise)
 		if r.IntN(4) == 0 {
 			o.sendRequest(depot, "promise", body, func(status int, a reservationResponse) { o.recordResponse(name, status, a) })
 		}
@@ -154,55 +154,56 @@
 	o.sendRequest(depot, "offer", body, func(status int, a reservationResponse) {
 		g := o.recordResponse(name, status, a)
 		if g == nil || r.IntN(4) == 0 {
-			return // the offer is left to expire
+			return // without acceptance the offer expires
 		}
 		o.sim.After(time.Duration(1+r.IntN(12))*time.Second, func() {
-			take := map[string]any{"name": name + "-take", "skip": g.skip, "number": g.number, "site": site}
-			o.sendRequest(depot, "promise", take, func(status int, a reservationResponse) {
+			acceptance := map[string]any{"name": name + "-take", "skip": g.skip, "number": g.number, "site": site}
+			o.sendRequest(depot, "promise", acceptance, func(status int, a reservationResponse) {
 				if status == 200 {
 					g.released = true
-					next(o.recordResponse(name+"-take", status, a))
+					scheduleEnd(o.recordResponse(name+"-take", status, a))
 				}
 			})
 		})
 	})
 }
 
-// ChangeAvailability takes a skip out of service or puts it into service again.
+// ChangeAvailability takes a skip out of service or returns it to service.
 func (o *ReservationClients) ChangeAvailability(depot, operation, skip string) {
 	o.sendRequest(depot, operation, map[string]any{"skip": skip}, func(status int, _ reservationResponse) {
 		if status != 200 {
-			o.recordViolation("%s of %s can't be put %s: %d", skip, depot, operation, status)
+			o.recordViolation("skip %s of depot %s: operation %s failed with status %d", skip, depot, operation, status)
 		}
 	})
 }
 
-// endGrant releases a promise. From then on its holder claims nothing.
+// endGrant ends a promise by release or return. From the request on, the client no longer relies on it.
 func (o *ReservationClients) endGrant(g *grant, operation string) {
 	g.released = true
 	body := map[string]any{"skip": g.skip, "number": g.number}
 	o.sendRequest(g.depot, operation, body, func(status int, a reservationResponse) {
 		if status != 200 {
-			o.recordViolation("%s of %s, promised to %s as %d: its %s gets %d", g.skip, g.depot, g.site, g.number, operation, status)
+			o.recordViolation("skip %s of depot %s, promised to %s as number %d: %s failed with status %d", g.skip, g.depot, g.site, g.number, operation, status)
 		}
-		// A late duplicate: by then the skip may be reserved for another, which must stay so.
+		// Sends a late duplicate, which must not end another reservation of the skip.
 		o.sim.After(time.Duration(o.sim.rand.IntN(30))*time.Second, func() { o.sendRequest(g.depot, operation, body, func(int, reservationResponse) {}) })
 	})
 }
 
-// recordResponse notes an answer and checks it against all grants that others were told.
+// recordResponse records a response and checks it against all other grants. It returns the grant if it is new,
+// otherwise nil.
 func (o *ReservationClients) recordResponse(name string, status int, a reservationResponse) *grant {
 	if status != 200 {
 		o.Refused++
 		return nil
 	}
 	if before, ok := o.numbersByName[name]; ok && before != a.Number {
-		o.recordViolation("%s was told number %d and then %d", name, before, a.Number)
+		o.recordViolation("request %s got reservation number %d and then %d", name, before, a.Number)
 	}
-	_, again := o.numbersByName[name]
+	_, repeated := o.numbersByName[name]
 	o.numbersByName[name] = a.Number
-	if again || a.State != "offered" && a.State != "promised" && a.State != "delivered" {
-		return nil // it was told before, or has been ended since
+	if repeated || a.State != "offered" && a.State != "promised" && a.State != "delivered" {
+		return nil // a repeated response, or the reservation has ended
 	}
 	o.Granted++
 	day := func(s string) int {
@@ -216,25 +217,25 @@
 	}
 	for _, h := range o.grants {
 		if h.depot == g.depot && h.skip == g.skip && h.number != g.number && h.from < g.to && g.from < h.to && o.inForce(h) && o.inForce(g) {
-			o.recordViolation("%s of %s is %s's (%d) and was told to be %s's (%d) for the same days", g.skip, g.depot, h.name, h.number, g.name, g.number)
+			o.recordViolation("skip %s of depot %s is granted to %s (number %d) and to %s (number %d) for the same days", g.skip, g.depot, h.name, h.number, g.name, g.number)
 		}
 	}
 	o.grants = append(o.grants, g)
 	return g
 }
 
-// inForce reports whether the grant's holder may rely on it now.
+// inForce reports whether a grant is neither ended nor expired.
 func (o *ReservationClients) inForce(g *grant) bool {
 	return !g.released && (g.expiresAt == 0 || o.sim.Now < g.expiresAt)
 }
 
-// CheckListed lists a depot's skips at any controller and requires that every promise is there.
+// CheckListed lists a depot's skips at any controller and checks that every promise is in the list.
 func (o *ReservationClients) CheckListed(depot string) {
 	sentAt := o.sim.Now
 	o.listPage(depot, "", map[uint64]string{}, func(listed map[uint64]string) {
 		for _, g := range o.grants {
 			if g.depot == depot && g.expiresAt == 0 && !g.released && g.grantedAt < sentAt && listed[g.number] != g.skip+"/"+g.site {
-				o.recordViolation("%s of %s, promised to %s as %d, is not in the list", g.skip, depot, g.site, g.number)
+				o.recordViolation("skip %s of depot %s, promised to %s as number %d, is missing from the list", g.skip, depot, g.site, g.number)
 			}
 		}
 	})
@@ -276,15 +277,15 @@
 	})
 }
 
-// CheckLog replays the ledger's records as they were written to the key-value store:
-// no skip is reserved twice for the same day, and every grant that a client was told is there.
+// CheckLog replays the ledger's records in the key-value store's log and checks that no skip is reserved
+// twice for the same day and that every grant is recorded.
 func (o *ReservationClients) CheckLog() {
-	type held struct {
+	type reservation struct {
 		depot, skip string
 		from, to    int
 		site        string
 	}
-	active, ever := map[string]held{}, map[string]bool{}
+	active, recorded := map[string]reservation{}, map[string]bool{}
 	for _, c := range o.sim.Store.changes {
 		shard, ok := strings.CutPrefix(c.Put, "s/r/")
 		if !ok {
@@ -311,19 +312,19 @@
 				num := r.Seq*256 + uint64(i+1)
 				for other, h := range active {
 					if h.depot == op.Depot && h.skip == op.Skip && h.from < op.To && op.From < h.to {
-						o.recordViolation("in the log %s of %s is held as %s and as %d for the same days", op.Skip, op.Depot, other, num)
+						o.recordViolation("in the log, skip %s of depot %s is reserved as %s and as %d for the same days", op.Skip, op.Depot, other, num)
 					}
 				}
-				active[fmt.Sprintf("%s/%d", shard, num)] = held{op.Depot, op.Skip, op.From, op.To, op.Site}
-				ever[fmt.Sprintf("%s/%s/%d", op.Depot, op.Skip, num)] = true
+				active[fmt.Sprintf("%s/%d", shard, num)] = reservation{op.Depot, op.Skip, op.From, op.To, op.Site}
+				recorded[fmt.Sprintf("%s/%s/%d", op.Depot, op.Skip, num)] = true
 			case slices.Contains([]string{"release", "return", "expire"}, op.Do):
 				delete(active, key)
 			}
 		}
 	}
 	for _, g := range o.grants {
-		if !ever[fmt.Sprintf("%s/%s/%d", g.depot, g.skip, g.number)] {
-			o.recordViolation("%s was told number %d of %s, which is in no record", g.name, g.number, g.skip)
+		if !recorded[fmt.Sprintf("%s/%s/%d", g.depot, g.skip, g.number)] {
+			o.recordViolation("request %s was granted number %d of skip %s, which is not in the log", g.name, g.number, g.skip)
 		}
 	}
 }
--- a/internal/emulator/reservations_test.go
+++ b/internal/emulator/reservations_test.go
@@ -8,8 +8,8 @@
 	"basaltwall/config"
 )
 
-// The rule promised is broken on purpose: two told of one skip, a name told two numbers, a
-// promise that is in no record and one that the log holds beside another.
+// The rule promised is violated on purpose: two grants of one skip, two numbers for one request, a promise
+// that is not in the log, and two promises of one skip in the log.
 func TestCheckerFindsDoubleReservations(t *testing.T) {
 	record := func(o *ReservationClients, name, state string, number uint64, until int64) *grant {
 		return o.recordResponse(name, 200, reservationResponse{Depot: "d", Skip: "s", Number: number, State: state, Site: name, From: formatDay(5), To: formatDay(8), Until: until})
@@ -22,34 +22,34 @@
 			record(sim.ReservationClients, "a", "promised", 1, 0)
 			record(sim.ReservationClients, "b", "promised", 2, 0)
 		}, 1},
-		"one that was released": {func(sim *Simulation) {
+		"a released promise": {func(sim *Simulation) {
 			record(sim.ReservationClients, "a", "promised", 1, 0).released = true
 			record(sim.ReservationClients, "b", "promised", 2, 0)
 		}, 0},
-		"an offer beside a promise": {func(sim *Simulation) {
+		"a promise and an offer": {func(sim *Simulation) {
 			record(sim.ReservationClients, "a", "promised", 1, 0)
 			record(sim.ReservationClients, "b", "offered", 2, int64(sim.WallTime())+9000)
 		}, 1},
-		"after an offer's time": {func(sim *Simulation) {
+		"an expired offer": {func(sim *Simulation) {
 			record(sim.ReservationClients, "a", "offered", 1, int64(sim.WallTime())-1)
 			record(sim.ReservationClients, "b", "promised", 2, 0)
 		}, 0},
-		"a name told two numbers": {func(sim *Simulation) {
+		"two numbers for one request": {func(sim *Simulation) {
 			record(sim.ReservationClients, "a", "promised", 1, 0)
 			record(sim.ReservationClients, "a", "promised", 2, 0)
 		}, 1},
-		"in no record": {func(sim *Simulation) {
+		"not in the log": {func(sim *Simulation) {
 			record(sim.ReservationClients, "a", "promised", 1, 0)
 			sim.ReservationClients.CheckLog()
 		}, 1},
-		"two in the log": {func(sim *Simulation) {
+		"two promises in the log": {func(sim *Simulation) {
 			for i, name := range []string{"a", "b"} {
 				sim.Store.appendChange(api.Change{Put: fmt.Sprintf("s/r/0/%d", i+1), Version: api.Revision(i + 1),
 					Value: fmt.Appendf(nil, `{"q":%d,"ops":[{"o":"promise","d":"d","i":"s","w":%q,"s":"x","f":5,"t":8}]}`, i+1, name)}, 0)
 			}
 			sim.ReservationClients.CheckLog()
 		}, 1},
-		"released in the log": {func(sim *Simulation) {
+		"a released promise in the log": {func(sim *Simulation) {
 			for i, op := range []string{`{"o":"promise","d":"d","i":"s","f":5,"t":8}`, `{"o":"release","d":"d","i":"s","n":257}`, `{"o":"promise","d":"d","i":"s","f":5,"t":8}`} {
 				sim.Store.appendChange(api.Change{Put: fmt.Sprintf("s/r/0/%d", i+1), Version: api.Revision(i + 1), Value: fmt.Appendf(nil, `{"q":%d,"ops":[%s]}`, i+1, op)}, 0)
 			}
@@ -66,7 +66,7 @@
 	for what, tc := range cases {
 		sim := NewSimulation(1, []*config.Config{cfg})
 		if tc.do(sim); len(sim.Checker.Violations) != tc.want {
-			t.Errorf("%s: found %q", what, sim.Checker.Violations)
+			t.Errorf("%s: violations %q", what, sim.Checker.Violations)
 		}
 	}
 }
--- a/internal/emulator/restart_test.go
+++ b/internal/emulator/restart_test.go
@@ -12,8 +12,8 @@
 	"basaltwall/tenant"
 )
 
-// newLargeSimulation is a hosted service with many tenants and keys and so many finished jobs; each of
-// the first ten tenants has a key whose secret is known.
+// newLargeSimulation returns a hosted service with the given numbers of tenants, keys and finished jobs.
+// Tenants.secrets has the secret of one key of each tenant.
 func newLargeSimulation(t *testing.T, tenants, keys, finished int) *Simulation {
 	t.Helper()
 	l := &Live{ctx: t.Context()}
@@ -50,13 +50,12 @@
 		put("final/"+string(tenant.JobID(name, ref)), api.JobDone)
 		put(fmt.Sprintf("history/%s/%013d-%s", name, 900_000+i, ref), tenancy.FinishedJob{JobID: ref, State: api.JobDone, Class: "try", Team: "red", Tasks: 3, AcceptedAt: 800_000, EndedAt: 900_000})
 	}
-	sim.Store.changes, sim.Store.changeTimes = nil, nil // nobody reads that far back
+	sim.Store.changes, sim.Store.changeTimes = nil, nil // no controller reads changes this old
 	return sim
 }
 
-// What a restart of all controllers reads grows with the tenants and what is open, not with
-// what is over: 2,000 tenants with 5,000 keys are read by each in four pages, and 100,000
-// finished jobs add nothing.
+// When all controllers restart, the amount of data that they read depends on the tenants and open jobs, not
+// on the finished jobs.
 func TestRestartReadsNoFinishedJobs(t *testing.T) {
 	read := func(finished int) (pages, bytes, answered int) {
 		sim := newLargeSimulation(t, 2000, 5000, finished)
@@ -82,17 +81,16 @@
 	}
 	more, moreBytes, _ := read(100_000)
 	if more != pages || moreBytes != bytes {
-		t.Errorf("%d pages with %d bytes, and with 100,000 finished jobs %d with %d", pages, bytes, more, moreBytes)
+		t.Errorf("%d pages with %d bytes without finished jobs, %d pages with %d bytes with 100,000", pages, bytes, more, moreBytes)
 	}
-	t.Logf("%d pages with %d bytes by three controllers", pages, bytes)
+	t.Logf("three controllers read %d pages with %d bytes", pages, bytes)
 	if pages > 3*4 || bytes > 3*1_700_000 {
-		t.Errorf("%d pages with %d bytes", pages, bytes)
+		t.Errorf("three controllers read %d pages with %d bytes, more than allowed", pages, bytes)
 	}
 }
 
-// An ordinary minute of 2,000 tenants, of whom sixty submit a job and look at it: by what a
-// hosted service writes more than one without. A finished job is one write more, and so is
-// each hour in which a key is used; nothing else is written for those who do nothing.
+// A hosted service writes one history record per finished job, a usage record for each used key, and nothing
+// for idle tenants.
 func TestStoreWritesPerMinute(t *testing.T) {
 	sim := newLargeSimulation(t, 2000, 5000, 0)
 	sim.Cloud.Capacity = 6
@@ -118,29 +116,28 @@
 		}
 	}
 	if kinds["final/"] != jobs || kinds["history/"] != jobs {
-		t.Errorf("of %d jobs %d are over, %d in the history", jobs, kinds["final/"], kinds["history/"])
+		t.Errorf("of %d jobs %d are final, %d in the history", jobs, kinds["final/"], kinds["history/"])
 	}
-	// Each key may be noted by each of three controllers.
+	// Each of the three controllers may record the use of a key.
 	if kinds["used/"] < jobs || kinds["used/"] > 3*jobs {
-		t.Errorf("%d uses of keys are written", kinds["used/"])
+		t.Errorf("%d usage records of keys are written", kinds["used/"])
 	}
 	if n := kinds["b/tenant/"] + kinds["b/gate"] + kinds["audit/"]; n != 0 {
-		t.Errorf("%d records of tenants are written though none changed", n)
+		t.Errorf("%d tenant, gate and audit records are written though no tenant changed", n)
 	}
 	for _, x := range sim.Checker.Violations {
 		t.Error(x)
 	}
 }
 
-// A bound on open jobs holds against a burst that comes to all controllers at once: each
-// takes its part of what is left. Where every one counted for itself, all three took as
-// many as there might be together.
+// The limit on a tenant's open jobs holds against a burst at all controllers at once: they share the
+// remaining limit instead of each applying all of it.
 func TestOpenJobLimit(t *testing.T) {
 	sim := newLargeSimulation(t, 1, 1, 0)
-	const bound = 20
+	const limit = 20
 	var x tenant.Tenant
 	sim.must(json.Unmarshal(sim.Store.entries["b/tenant/tenant-0000"].value, &x))
-	x.OpenJobs, x.Rate, x.Burst = bound, 0, 0
+	x.OpenJobs, x.Rate, x.Burst = limit, 0, 0
 	data, err := json.Marshal(x)
 	sim.must(err)
 	sim.Store.revision++
@@ -167,8 +164,8 @@
 	sim.After(3*time.Second, func() { send(0) })
 	sim.After(5*time.Second, func() { send(100) })
 	sim.Run(10 * time.Second)
-	if accepted < bound || accepted >= bound+len(sim.controllerNames) || accepted+refused != 200 {
-		t.Errorf("%d accepted and %d refused of 200, of a bound of %d", accepted, refused, bound)
+	if accepted < limit || accepted >= limit+len(sim.controllerNames) || accepted+refused != 200 {
+		t.Errorf("%d accepted and %d refused of 200, with a limit of %d", accepted, refused, limit)
 	}
 	before := accepted
 	sim.Cloud.Capacity = 3
@@ -177,7 +174,7 @@
 	}
 	sim.After(30*time.Second, func() { send(200) })
 	sim.Run(50 * time.Second)
-	if accepted < before+bound {
-		t.Errorf("%d more accepted once the first were over", accepted-before)
+	if accepted < before+limit {
+		t.Errorf("only %d more accepted after the first jobs ended", accepted-before)
 	}
 }
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -1,11 +1,11 @@
 // Package emulator emulates the environment of the controllers (key-value store,
 // cloud, workers, users and the network between them) on one virtual clock, injects
-// faults, and has an independent checker of the rules. The controllers in it are the
-// real ones behind the real message adapters.
+// faults, and checks the rules of package invariant. The controllers are the real ones,
+// with the real message adapters.
 //
-// A Simulation owns all state of the emulators and runs them by an event queue, so
-// that a seed always gives the same run. Live and Fleet run a simulation in real time
-// on loopback, for controllers that are real processes.
+// A Simulation owns all state of the emulators and runs them from one event queue, so
+// that runs with the same seed are identical. Live and Fleet run a simulation in real
+// time on loopback, for controllers that are real processes.
 package emulator
 
 import (
@@ -19,7 +19,7 @@
 	"basaltwall/internal/invariant"
 )
 
-// Simulation is a deployment on a virtual clock.
+// Simulation is a deployment with emulated surroundings on a virtual clock.
 type Simulation struct {
 	Now     time.Duration
 	Checker *invariant.Checker
@@ -30,7 +30,7 @@
 	configs         map[string]*config.Config
 	controllerNames []string
 	controllers     map[string]*controllerHost
-	// regions are those of the zones; nil where all zones are in one.
+	// regions is nil if all zones are in one region.
 	regions *Regions
 
 	Store              *Store
@@ -41,41 +41,41 @@
 	ReservationClients *ReservationClients
 	Tenants            *Tenants // nil unless the service is hosted
 
-	// ClockSkew is by how much a controller's wall clock is ahead.
+	// ClockSkew is how far each controller's wall clock is ahead.
 	ClockSkew map[string]time.Duration
 
 	NetworkFaults
 
-	// DirectCommands counts direct commands that reached a worker.
+	// DirectCommands counts direct commands to workers that were not lost on the controller's link.
 	DirectCommands int
 
-	// Deliver carries a user's request, or the copy of a heartbeat, to a controller; SendHeartbeat
-	// carries a heartbeat whose answer counts. Address returns a new machine's address, and
-	// OnWorker is called when its worker is up.
+	// Deliver sends a user's request, or a duplicate of a heartbeat, to a controller. SendHeartbeat sends
+	// a heartbeat and passes the response to its worker. Address returns a new machine's address. OnWorker
+	// is called when a machine's worker has started.
 	Deliver       func(name, method, path string, caller message.Caller, body []byte, answer func(int, []byte))
 	SendHeartbeat func(wk *Worker, name string, body []byte, answer func(int, []byte))
 	Address       func(number int) string
 	OnWorker      func(*Worker)
 
-	// Stepped, if set, is called with the effects that each Step of a controller returned, before they
-	// are carried out.
+	// Stepped, if set, is called after each Step of a controller with the returned effects, before they
+	// are executed.
 	Stepped func(name string, effects []message.Effect)
 
-	gangs         map[gangKey]*gang
-	savedProgress map[api.JobID]time.Duration
+	gangs              map[gangKey]*gang
+	checkpointProgress map[api.JobID]time.Duration
 }
 
-// WallTime is the true wall-clock time; a controller's is off by its ClockSkew.
+// WallTime returns the true wall-clock time. A controller's clock is ahead of it by its ClockSkew.
 func (sim *Simulation) WallTime() api.WallTime {
 	return api.WallTime(1_000_000 + sim.Now.Milliseconds())
 }
 
-// NewSimulation builds a deployment; StartControllers starts its controllers.
+// NewSimulation returns a deployment whose controllers are not started yet.
 func NewSimulation(seed uint64, configs []*config.Config) *Simulation {
 	sim := &Simulation{
 		rand: rand.New(rand.NewPCG(seed, 7)), configs: map[string]*config.Config{}, controllers: map[string]*controllerHost{},
 		NetworkFaults: newNetworkFaults(), workers: map[api.MachineID]*Worker{}, workersByAddr: map[string]*Worker{}, gangs: map[gangKey]*gang{},
-		savedProgress: map[api.JobID]time.Duration{},
+		checkpointProgress: map[api.JobID]time.Duration{},
 	}
 	sim.Checker = invariant.NewChecker(configs[0])
 	sim.Store = newStore(sim)
@@ -101,8 +101,8 @@
 	}
 }
 
-// deliverHeldHeartbeats has the held heartbeats reach all controllers, at the moment at which a
-// partition's new owner gets its answer.
+// deliverHeldHeartbeats delivers the held heartbeats to all controllers while a partition's new owner receives
+// the response to its write.
 func (sim *Simulation) deliverHeldHeartbeats() {
 	for i, body := range sim.heldHeartbeats {
 		for _, name := range sim.controllerNames {
@@ -114,12 +114,12 @@
 	sim.heldHeartbeats = nil
 }
 
-// MachinesAboveToken counts the machines that are up, and those that have seen a fencing token above the
-// given one; highest is the highest that any has seen.
-func (sim *Simulation) MachinesAboveToken(since api.FencingToken) (above, total int, highest api.FencingToken) {
+// MachinesAboveToken counts the running machines and those with a fencing token above the given one. highest is
+// the highest token of any machine.
+func (sim *Simulation) MachinesAboveToken(token api.FencingToken) (above, total int, highest api.FencingToken) {
 	for _, wk := range sim.workers {
 		total++
-		if wk.fencingToken > since {
+		if wk.fencingToken > token {
 			above++
 		}
 		highest = max(highest, wk.fencingToken)
--- a/internal/emulator/starvation.go
+++ b/internal/emulator/starvation.go
@@ -9,18 +9,18 @@
 	"basaltwall/internal/invariant"
 )
 
-// This file finds the placements that are feasible for jobs that wait (rule left_waiting).
+// This file finds the feasible placements of pending jobs, for the rule left_waiting.
 
-// clusterUsage is what is on machines at a moment.
+// clusterUsage is a snapshot of the tasks and free capacity on machines.
 type clusterUsage struct {
-	workers     []*Worker // in order
+	workers     []*Worker // sorted by machine id
 	free        map[api.MachineID]api.Resources
 	byTeam      map[api.Team]api.Resources
 	placedTasks map[api.JobID]int
 	tasksByZone map[api.JobID]map[api.Zone]int
 }
 
-// checkStarvation finds the jobs that wait though a placement for them is feasible.
+// checkStarvation periodically reports the feasible placements of pending jobs to the checker.
 func (sim *Simulation) checkStarvation() {
 	sim.After(invariant.StarvationCheckInterval, sim.checkStarvation)
 	c := sim.Checker
@@ -31,14 +31,14 @@
 	usage := sim.clusterUsage()
 	feasible := map[invariant.FeasiblePlacement]bool{}
 	for _, ref := range slices.Sorted(maps.Keys(sim.Users.AcceptedAt)) {
-		if sim.mayStart(ref, usage) {
+		if sim.waitsOnlyForCapacity(ref, usage) {
 			usage.addFeasible(sim.Now, ref, c.Spec(ref), feasible)
 		}
 	}
 	c.RecordFeasible(sim.Now, feasible)
 }
 
-// clusterUsage adds up what is on machines now.
+// clusterUsage returns the current usage of all machines.
 func (sim *Simulation) clusterUsage() *clusterUsage {
 	u := &clusterUsage{
 		free:        map[api.MachineID]api.Resources{},
@@ -70,9 +70,9 @@
 	u.tasksByZone[t.id.Job][wk.zone]++
 }
 
-// mayStart reports whether a job has tasks that wait for capacity alone. Jobs that need units of a
-// pool, and those of tenants, may wait for other reasons.
-func (sim *Simulation) mayStart(ref api.JobID, usage *clusterUsage) bool {
+// waitsOnlyForCapacity reports whether a job has pending tasks that lack nothing but free capacity. Jobs that need
+// units of a pool, and jobs of tenants, are left out because they may wait for other reasons.
+func (sim *Simulation) waitsOnlyForCapacity(ref api.JobID, usage *clusterUsage) bool {
 	c := sim.Checker
 	s := c.Spec(ref)
 	if s == nil || c.CancelWasRequested(ref) || invariant.StateRank(c.ReportedState(ref)) == invariant.RankFinal {
@@ -92,7 +92,7 @@
 	return c.WithinLimit(s.Team, usage.byTeam[s.Team].Plus(demand))
 }
 
-// addFeasible adds the placements that are feasible for a job now.
+// addFeasible adds the feasible placements of a job.
 func (u *clusterUsage) addFeasible(now time.Duration, ref api.JobID, s *api.JobSpec, feasible map[invariant.FeasiblePlacement]bool) {
 	slots := map[api.Zone]int{}
 	for _, wk := range u.workers {
@@ -109,7 +109,7 @@
 	}
 }
 
-// zoneAllowed reports whether one more task of a job may be in a zone, by where its others are.
+// zoneAllowed reports whether a job may have another task in a zone, given the zones of its tasks.
 func (u *clusterUsage) zoneAllowed(ref api.JobID, s *api.JobSpec, zone api.Zone) bool {
 	zones := u.tasksByZone[ref]
 	if s.Spread && zones[zone] >= invariant.MaxTasksPerZone(s.Tasks) {
@@ -118,7 +118,7 @@
 	return !s.OneZone || len(zones) == 0 || zones[zone] > 0
 }
 
-// accepts reports whether a worker is of a kind that a job allows, and healthy.
+// accepts reports whether a worker is healthy and a job allows its type, zone and spot status.
 func (wk *Worker) accepts(s *api.JobSpec, now time.Duration) bool {
 	if len(s.Types) > 0 && !slices.Contains(s.Types, wk.machineType) || s.Zone != "" && s.Zone != wk.zone || wk.spot && !s.Spot {
 		return false
@@ -127,7 +127,7 @@
 	return faultUntil <= now
 }
 
-// gangFits reports whether there is free capacity for a gang, by how many of its tasks fit into each zone.
+// gangFits reports whether a gang fits, given the number of its tasks that fit into each zone.
 func gangFits(s *api.JobSpec, slots map[api.Zone]int) bool {
 	sum := 0
 	for _, n := range slots {
--- a/internal/emulator/starvation_test.go
+++ b/internal/emulator/starvation_test.go
@@ -8,9 +8,9 @@
 	"basaltwall/config"
 )
 
-// On a machine that is empty a job that waits is left waiting after 90 s, whatever keeps the
-// controllers from starting it; not one for which there is no capacity, that is not allowed there,
-// whose team is at its limit, that was cancelled, or while there is a fault.
+// A pending job that fits an empty machine violates the rule left_waiting after the timeout. A job that does
+// not fit, is not allowed on the machine, exceeds its team's limit or is cancelled does not, nor any job
+// during a fault.
 func TestStarvationDetection(t *testing.T) {
 	cfg, err := config.Parse([]byte(`{"label":"n","api_addr":"10.0.0.1:1","peer_listen":"10.0.0.1:2",
 "external":{"cloud":"10.0.0.2:1","state":"10.0.0.3:1"},"deployment":{"initial_size":1,"zones":["a","b"],
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	countViolations := func(then func(*Simulation, *api.JobSpec)) int {
+	countViolations := func(prepare func(*Simulation, *api.JobSpec)) int {
 		sim := NewSimulation(1, []*config.Config{cfg}) // no controller runs
 		sim.Cloud.Types = []api.MachineType{{Name: "c8", CPUs: 8, MemGB: 32, Zones: []api.Zone{"a", "b"}}}
 		sim.Cloud.Launch("c8", "a", false, 0)
@@ -27,30 +27,30 @@
 		sim.Checker.JobSubmitted(0, s, time.Minute)
 		sim.Checker.ResponseReceived(0, s.Ref, 201, api.JobPending, "")
 		sim.Users.AcceptedAt[s.Ref] = 0
-		then(sim, s)
+		prepare(sim, s)
 		sim.Run(130 * time.Second)
 		return len(sim.Checker.Violations)
 	}
 	for what, tc := range map[string]struct {
-		then func(*Simulation, *api.JobSpec)
-		want int
+		prepare func(*Simulation, *api.JobSpec)
+		want    int
 	}{
-		"it waits":             {func(*Simulation, *api.JobSpec) {}, 1},
-		"a gang waits":         {func(_ *Simulation, s *api.JobSpec) { s.Kind = api.Gang }, 1},
-		"too large":            {func(_ *Simulation, s *api.JobSpec) { s.CPUs = 9 }, 0},
-		"the limit":            {func(_ *Simulation, s *api.JobSpec) { s.CPUs = 7 }, 0},
-		"a gang's limit":       {func(_ *Simulation, s *api.JobSpec) { s.Kind, s.CPUs = api.Gang, 4 }, 0},
-		"a gang and two zones": {func(_ *Simulation, s *api.JobSpec) { s.Kind, s.Spread = api.Gang, true }, 0},
-		"another zone":         {func(_ *Simulation, s *api.JobSpec) { s.Zone = "b" }, 0},
-		"another type":         {func(_ *Simulation, s *api.JobSpec) { s.Types = []api.MachineTypeName{"g8"} }, 0},
-		"cancelled":            {func(sim *Simulation, s *api.JobSpec) { sim.Checker.CancelRequested(0, s.Ref) }, 0},
-		"a fault":              {func(sim *Simulation, _ *api.JobSpec) { sim.Checker.FaultUntil(50 * time.Second) }, 0},
-		"it hangs for a while": {func(sim *Simulation, _ *api.JobSpec) {
+		"a pending job":           {func(*Simulation, *api.JobSpec) {}, 1},
+		"a pending gang":          {func(_ *Simulation, s *api.JobSpec) { s.Kind = api.Gang }, 1},
+		"too large":               {func(_ *Simulation, s *api.JobSpec) { s.CPUs = 9 }, 0},
+		"above the limit":         {func(_ *Simulation, s *api.JobSpec) { s.CPUs = 7 }, 0},
+		"a gang above the limit":  {func(_ *Simulation, s *api.JobSpec) { s.Kind, s.CPUs = api.Gang, 4 }, 0},
+		"a spread gang, one zone": {func(_ *Simulation, s *api.JobSpec) { s.Kind, s.Spread = api.Gang, true }, 0},
+		"another zone":            {func(_ *Simulation, s *api.JobSpec) { s.Zone = "b" }, 0},
+		"another type":            {func(_ *Simulation, s *api.JobSpec) { s.Types = []api.MachineTypeName{"g8"} }, 0},
+		"cancelled":               {func(sim *Simulation, s *api.JobSpec) { sim.Checker.CancelRequested(0, s.Ref) }, 0},
+		"during a fault":          {func(sim *Simulation, _ *api.JobSpec) { sim.Checker.FaultUntil(50 * time.Second) }, 0},
+		"the machine hangs": {func(sim *Simulation, _ *api.JobSpec) {
 			sim.After(60*time.Second, func() { sim.Hang("i-000000", time.Second) })
 		}, 0},
 	} {
-		if got := countViolations(tc.then); got != tc.want {
-			t.Errorf("%s: %d found, expected %d", what, got, tc.want)
+		if got := countViolations(tc.prepare); got != tc.want {
+			t.Errorf("%s: %d violations, expected %d", what, got, tc.want)
 		}
 	}
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -27,30 +27,30 @@
 	closed         bool
 }
 
-// Store emulates the key-value store: compare-and-swap transactions, leases, watches and page reads.
+// Store emulates the key-value store: compare-and-swap transactions, leases, watches and paged reads.
 type Store struct {
 	sim               *Simulation
 	revision          api.Revision
 	entries           map[string]storeEntry
 	changes           []api.Change
-	changeTimes       []time.Duration               // when each was made
-	compactedRevision api.Revision                  // changes up to it are no longer retained
-	leaseExpiry       map[api.LeaseID]time.Duration // when they end
+	changeTimes       []time.Duration // time of each change
+	compactedRevision api.Revision    // changes up to this revision are not retained
+	leaseExpiry       map[api.LeaseID]time.Duration
 	leaseTTL          map[api.LeaseID]time.Duration
 	lastLease         api.LeaseID
 	watches           []*storeWatch
-	unavailable       bool // an outage: no request is served
-	// RetainedChanges is how many changes are retained for watches; 0: all.
+	unavailable       bool // outage: all requests are refused
+	// RetainedChanges is the minimum number of changes retained for watches; 0 retains all.
 	RetainedChanges int
-	// Requests and Writes count what was requested, LargestValue is the size of the largest value,
-	// PagesRead and PageBytesRead count what was read page by page.
+	// Requests and Writes count requests and the writes in transactions. LargestValue is the size of the
+	// largest value in bytes. PagesRead and PageBytesRead count paged reads.
 	Requests, Writes, LargestValue, PagesRead, PageBytesRead int
-	refusedControllers                                       map[string]bool // these controllers are not served
-	OwnershipChanges                                         int             // changes of a partition's owner or term
+	refusedControllers                                       map[string]bool // controllers whose requests are refused
+	OwnershipChanges                                         int             // writes of a partition's owner or term
 	ShortageWrites                                           int             // writes of unmet demand
 
-	// RateLimited makes it enforce its limits on requests and writes; ThrottledRequests counts what
-	// it refused because of them.
+	// RateLimited enables the limits on requests and writes per second. ThrottledRequests counts the
+	// requests refused by them.
 	RateLimited                bool
 	ThrottledRequests          int
 	requestTokens, writeTokens float64
@@ -69,14 +69,14 @@
 	if s.unavailable {
 		return
 	}
-	var ended []api.LeaseID
+	var expired []api.LeaseID
 	for id, end := range s.leaseExpiry {
 		if end <= s.sim.Now {
-			ended = append(ended, id)
+			expired = append(expired, id)
 		}
 	}
-	sort.Slice(ended, func(i, j int) bool { return ended[i] < ended[j] })
-	for _, id := range ended {
+	sort.Slice(expired, func(i, j int) bool { return expired[i] < expired[j] })
+	for _, id := range expired {
 		delete(s.leaseExpiry, id)
 		var expiredKeys []string
 		for k, e := range s.entries {
@@ -93,7 +93,7 @@
 	s.notifyWatches()
 }
 
-// Outage makes the store unavailable for a while; afterwards leases have their full time to live.
+// Outage makes the store unavailable for the given time. At its end all leases are renewed.
 func (s *Store) Outage(length time.Duration) {
 	s.unavailable = true
 	s.sim.Checker.FaultUntil(s.sim.Now + length)
@@ -105,7 +105,7 @@
 	})
 }
 
-// RefuseController refuses one controller's requests for a while.
+// RefuseController refuses one controller's requests for the given time.
 func (s *Store) RefuseController(controllerName string, length time.Duration) {
 	s.refusedControllers[controllerName] = true
 	s.sim.Checker.FaultUntil(s.sim.Now + length)
@@ -149,13 +149,13 @@
 }
 
 func (s *Store) notifyWatches() {
-	var open []*storeWatch
+	var remaining []*storeWatch
 	for _, w := range s.watches {
 		if w.closed {
 			continue
 		}
-		if s.refusedControllers[w.controllerName] { // its open watches wait
-			open = append(open, w)
+		if s.refusedControllers[w.controllerName] { // its watches stay open
+			remaining = append(remaining, w)
 			continue
 		}
 		if log := s.changesSince(w.prefix, w.sinceRevision); len(log) > 0 {
@@ -163,12 +163,12 @@
 			writeJSON(w.answer, 200, api.Changes{Revision: s.revision, Log: log})
 			continue
 		}
-		open = append(open, w)
+		remaining = append(remaining, w)
 	}
-	s.watches = open
+	s.watches = remaining
 }
 
-// exceedsRateLimit takes a request's tokens, and reports whether it exceeds the limits.
+// exceedsRateLimit reports whether a request exceeds the rate limits, and takes its tokens if it does not.
 func (s *Store) exceedsRateLimit(method, target string, body []byte) bool {
 	if !s.RateLimited {
 		return false
@@ -192,7 +192,7 @@
 	return false
 }
 
-// Serve answers a request, a watch possibly later.
+// Serve handles a request and calls answer with the response, for a watch possibly later.
 func (s *Store) Serve(controllerName, method, target string, body []byte, answer func(int, []byte)) {
 	s.Requests++
 	if s.unavailable || s.refusedControllers[controllerName] {
@@ -241,7 +241,7 @@
 	}
 }
 
-// grantLease grants a lease; its time to live is 100 ms at least.
+// grantLease grants a lease. It refuses a time to live under 100 ms.
 func (s *Store) grantLease(body []byte, answer func(int, []byte)) {
 	var request api.LeaseRequest
 	if json.Unmarshal(body, &request) != nil || request.TTL < 100 {
@@ -254,7 +254,8 @@
 	writeJSON(answer, 200, api.LeaseResponse{Lease: s.lastLease})
 }
 
-// watch answers with the changes since a revision, at once or when there are some.
+// watch returns the changes since a revision: at once if there are any or the wait is 0, otherwise when there are
+// any or the wait ends.
 func (s *Store) watch(controllerName string, q url.Values, answer func(int, []byte)) {
 	since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
@@ -355,7 +356,7 @@
 	writeJSON(answer, 200, out)
 }
 
-// BytesUnder is the size of all keys and values with a prefix.
+// BytesUnder returns the total size of the keys and values with a prefix.
 func (s *Store) BytesUnder(prefix string) int {
 	sum := 0
 	for k, e := range s.entries {
--- a/internal/emulator/tenants.go
+++ b/internal/emulator/tenants.go
@@ -15,18 +15,18 @@
 	"basaltwall/tenant"
 )
 
-// Tenants emulate the operator of a hosted service and the tenants: the operator repeats each request
-// until it is answered, and reads the tenant's revision again before each try.
+// Tenants emulates the operator and the tenants of a hosted service. The operator repeats each request
+// until it succeeds, and reads the tenant's revision again before each attempt.
 type Tenants struct {
 	sim            *Simulation
 	adminSecret    string
 	secrets        map[tenant.Name]string
 	keyCount       int
-	jobs           map[api.JobID]tenantJob             // tenants' jobs by the id that workers know
-	suspended      map[tenant.Name]bool                // acknowledged as suspended, with no request to resume since
-	pendingChanges map[tenant.Name][]func(done func()) // that wait until the one before is answered
+	jobs           map[api.JobID]tenantJob             // tenants' jobs by their id within the cluster
+	suspended      map[tenant.Name]bool                // suspension acknowledged, and no resumption requested since
+	pendingChanges map[tenant.Name][]func(done func()) // queued changes, the first one in progress
 
-	acceptedAt map[tenant.Name][]time.Duration // when jobs were written
+	acceptedAt map[tenant.Name][]time.Duration // acceptance times of the tenants' jobs
 	poolLedger poolLedger
 }
 
@@ -35,7 +35,7 @@
 	ref  api.JobID
 }
 
-// EnableHosting makes the deployment a hosted service. It is to be called before anything starts.
+// EnableHosting makes the deployment a hosted service. It must be called before the controllers start.
 func (sim *Simulation) EnableHosting() {
 	_, secret, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
 	sim.must(err)
@@ -47,14 +47,14 @@
 		acceptedAt:     map[tenant.Name][]time.Duration{}, poolLedger: poolLedger{map[api.TaskID]api.MachineID{}, map[api.PoolName]int{}}}
 }
 
-// RegisterJob notes a tenant's job and returns the id under which it is known to workers.
+// RegisterJob records a tenant's job and returns its id within the cluster.
 func (t *Tenants) RegisterJob(name tenant.Name, ref api.JobID) api.JobID {
 	id := tenant.JobID(name, ref)
 	t.jobs[id] = tenantJob{name, ref}
 	return id
 }
 
-// callerOf is what the user of a job brings with a request, and the reference it uses.
+// callerOf returns the credentials and the reference that a job's user sends in requests.
 func (sim *Simulation) callerOf(id api.JobID) (message.Caller, api.JobID) {
 	if sim.Tenants == nil {
 		return message.Caller{}, id
@@ -63,7 +63,7 @@
 	return message.Caller{Auth: "Bearer " + sim.Tenants.secrets[o.name], From: netip.MustParseAddr("192.0.2.1")}, o.ref
 }
 
-// adminRequest sends an operator's request to any controller; status 0 is no answer.
+// adminRequest sends an operator's request to any controller. The status is 0 if there is no response.
 func (t *Tenants) adminRequest(operation message.AdminOperation, name tenant.Name, body any, answer func(int, []byte)) {
 	data, err := json.Marshal(body)
 	t.sim.must(err)
@@ -79,7 +79,7 @@
 	}, answer)
 }
 
-// applyChange reads a tenant and requests the change that make returns, until it is answered with 200.
+// applyChange reads a tenant's revision and requests a change with it, and retries both until the response is 200.
 func (t *Tenants) applyChange(name tenant.Name, operation message.AdminOperation, body func(revision api.Revision) any, done func([]byte)) {
 	retry := func() { t.sim.After(time.Second, func() { t.applyChange(name, operation, body, done) }) }
 	t.adminRequest("tenant", name, nil, func(status int, b []byte) {
@@ -102,8 +102,8 @@
 	})
 }
 
-// enqueueChange makes changes to a tenant one after the other: a request that was not answered may
-// still be carried out, so the next one waits until it was answered.
+// enqueueChange applies changes to a tenant one after the other: a request without a response may still be
+// executed later, so the next change waits until the previous one has succeeded.
 func (t *Tenants) enqueueChange(name tenant.Name, change func(done func())) {
 	t.pendingChanges[name] = append(t.pendingChanges[name], change)
 	if len(t.pendingChanges[name]) == 1 {
@@ -119,7 +119,7 @@
 	})
 }
 
-// Add makes a tenant and a key for it.
+// Add creates a tenant and a key for it.
 func (t *Tenants) Add(name tenant.Name, teams []string, rate, burst float64) {
 	t.applyChange(name, "tenant-put", func(r api.Revision) any {
 		return map[string]any{"revision": r, "teams": teams, "rate": rate, "burst": burst, "retention_s": 3600}
@@ -134,7 +134,7 @@
 	})
 }
 
-// Suspend suspends a tenant. From the answer on no start of its tasks may be recorded.
+// Suspend suspends a tenant. After the response no start of its tasks may be recorded.
 func (t *Tenants) Suspend(name tenant.Name, drain float64) {
 	t.enqueueChange(name, func(done func()) {
 		t.applyChange(name, "suspend", func(r api.Revision) any {
@@ -146,7 +146,7 @@
 	})
 }
 
-// Resume ends a suspension.
+// Resume ends a tenant's suspension.
 func (t *Tenants) Resume(name tenant.Name) {
 	t.enqueueChange(name, func(done func()) {
 		t.suspended[name] = false
@@ -154,29 +154,29 @@
 	})
 }
 
-// Remove removes a tenant, and cancels its jobs if cancel says so.
+// Remove removes a tenant. If cancel is set, its jobs are cancelled.
 func (t *Tenants) Remove(name tenant.Name, cancel bool) {
 	t.enqueueChange(name, func(done func()) {
 		for id, o := range t.jobs {
 			if o.name == name && cancel {
-				t.sim.Checker.CancelRequested(t.sim.Now, id) // by the operator, in its place
+				t.sim.Checker.CancelRequested(t.sim.Now, id) // by the operator instead of the tenant
 			}
 		}
 		t.applyChange(name, "remove", func(r api.Revision) any { return map[string]any{"revision": r, "cancel": cancel} }, func([]byte) { done() })
 	})
 }
 
-// CheckDrained requires that no task of a tenant is on a machine.
+// CheckDrained records a violation for each task of a tenant that is on a machine.
 func (t *Tenants) CheckDrained(name tenant.Name) {
 	for id := range t.sim.Checker.RunningTaskIDs() {
 		if o := t.jobs[id.Job]; o.name == name {
-			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "%s/%d of %s has not drained", o.ref, id.Index, name)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "task %s/%d of tenant %s has not drained", o.ref, id.Index, name)
 		}
 	}
 }
 
-// RateExcess is by how many jobs the accepted ones of a tenant exceeded its rate, over the interval for
-// which that is most.
+// RateExcess returns the number of accepted jobs of a tenant above its rate, for the interval in which it is
+// largest.
 func (t *Tenants) RateExcess(name tenant.Name, rate float64) float64 {
 	excess := 0.0
 	for i, from := range t.acceptedAt[name] {
@@ -187,7 +187,7 @@
 	return excess
 }
 
-// State is a tenant's state by its record.
+// State returns the state in a tenant's stored record.
 func (t *Tenants) State(name string) tenant.State {
 	var v tenant.Tenant
 	if e, ok := t.sim.Store.entries["b/tenant/"+name]; ok {
@@ -196,7 +196,7 @@
 	return v.State
 }
 
-// observeWrite is called for each key before it is written, and checks the rules held and pool.
+// observeWrite checks the rules held and pool. It is called before each key is written.
 func (t *Tenants) observeWrite(key string, value json.RawMessage) {
 	if t == nil {
 		return
@@ -207,7 +207,7 @@
 			return
 		}
 		if t.suspended[o.name] {
-			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "%s is accepted, whose tenant %s was told suspended", o.ref, o.name)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "job %s is accepted though the suspension of tenant %s was acknowledged", o.ref, o.name)
 		}
 		t.acceptedAt[o.name] = append(t.acceptedAt[o.name], t.sim.Now)
 		return
@@ -230,7 +230,7 @@
 	started := map[api.JobID]bool{}
 	for _, j := range r.Jobs {
 		if o := t.jobs[j.Job]; len(j.Starts) > 0 && t.suspended[o.name] {
-			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "%d tasks of %s start, whose tenant %s was told suspended", len(j.Starts), o.ref, o.name)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "%d tasks of job %s start though the suspension of tenant %s was acknowledged", len(j.Starts), o.ref, o.name)
 		}
 		for _, i := range append(j.Done, j.Lost...) {
 			delete(t.poolLedger.starts, api.TaskID{Job: j.Job, Index: i})
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -7,20 +7,20 @@
 	"sync/atomic"
 )
 
-// FlowName names the traffic between two kinds of processes.
+// FlowName is the name of the traffic between two kinds of processes.
 type FlowName string
 
-// The flows that are counted.
+// The counted flows.
 const (
-	FlowHeartbeats FlowName = "reports" // heartbeats and their answers
+	FlowHeartbeats FlowName = "reports" // heartbeats and their responses
 	FlowCommands   FlowName = "direct"  // direct commands to workers
 	FlowStore      FlowName = "state"
 	FlowCloud      FlowName = "cloud"
 	FlowUsers      FlowName = "users"
 )
 
-// Flow counts what passed. Bytes are those of the connections, HTTP's headers included and TCP's
-// not; of messages between controllers and of kinds of requests those of the bodies.
+// Flow counts messages and bytes. The bytes of a named flow include HTTP headers but not TCP headers; those of
+// messages between controllers and of kinds of requests are bodies only.
 type Flow struct {
 	Messages int64 `json:"messages"`
 	Sent     int64 `json:"bytes_sent"`     // by the client
@@ -34,9 +34,9 @@
 	mu                sync.Mutex
 	flows             map[FlowName]Flow
 	peers             map[string]Flow
-	storeByKind       map[string]Flow // requests to the key-value store by kind
-	storeByController map[string]Flow // and by controller
-	storeStatuses     map[int]int64   // and by answer
+	storeByKind       map[string]Flow // key-value store requests by kind
+	storeByController map[string]Flow // key-value store requests by controller
+	storeStatuses     map[int]int64   // key-value store requests by status of the response
 }
 
 type connCount struct{ sent, received atomic.Int64 }
@@ -50,7 +50,6 @@
 	return t
 }
 
-// countMessage counts a message of a flow.
 func (t *Traffic) countMessage(flow FlowName) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,7 +77,7 @@
 	t.storeStatuses[status]++
 }
 
-// TrafficSnapshot is all that was counted up to a moment.
+// TrafficSnapshot is a copy of the counts at some time.
 type TrafficSnapshot struct {
 	Flows             map[FlowName]Flow `json:"flows"`
 	Peers             map[string]Flow   `json:"peers"`
@@ -87,7 +86,7 @@
 	StoreStatuses     map[int]int64     `json:"state_answers"`
 }
 
-// Snapshot returns what was counted so far.
+// Snapshot returns the current counts.
 func (t *Traffic) Snapshot() TrafficSnapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,13 +99,13 @@
 	return c
 }
 
-// Since is what was counted after an earlier moment.
+// Since returns the counts since an earlier snapshot.
 func (c TrafficSnapshot) Since(before TrafficSnapshot) TrafficSnapshot {
-	codes := map[int]int64{}
+	statuses := map[int]int64{}
 	for k, n := range c.StoreStatuses {
-		codes[k] = n - before.StoreStatuses[k]
+		statuses[k] = n - before.StoreStatuses[k]
 	}
-	return TrafficSnapshot{subtractFlows(c.Flows, before.Flows), subtractFlows(c.Peers, before.Peers), subtractFlows(c.StoreByKind, before.StoreByKind), subtractFlows(c.StoreByController, before.StoreByController), codes}
+	return TrafficSnapshot{subtractFlows(c.Flows, before.Flows), subtractFlows(c.Peers, before.Peers), subtractFlows(c.StoreByKind, before.StoreByKind), subtractFlows(c.StoreByController, before.StoreByController), statuses}
 }
 
 func subtractFlows[K comparable](a, b map[K]Flow) map[K]Flow {
@@ -118,13 +117,13 @@
 	return out
 }
 
-// meter counts what passes over a connection that was dialled.
+// meter wraps a dialled connection and counts its bytes.
 func (t *Traffic) meter(c net.Conn, flow FlowName) net.Conn {
 	n := t.connCounts[flow]
 	return &meteredConn{c, &n.sent, &n.received}
 }
 
-// meteredConn counts what is written and read.
+// meteredConn counts the bytes written and read.
 type meteredConn struct {
 	net.Conn
 	written, read *atomic.Int64
@@ -142,8 +141,8 @@
 	return n, err
 }
 
-// meteredListener counts what passes over the connections that it accepts: what they read was
-// sent by the client.
+// meteredListener counts the bytes of accepted connections. The bytes that they read count as sent by
+// the client.
 type meteredListener struct {
 	net.Listener
 	traffic *Traffic
--- a/internal/emulator/traffic_kinds.go
+++ b/internal/emulator/traffic_kinds.go
@@ -8,9 +8,9 @@
 	"basaltwall/peer"
 )
 
-// This file tells kinds of messages apart, for the counts of traffic.
+// This file classifies messages and requests for the traffic counts.
 
-// peerMessageKind is the kind of a message between controllers, as results name it.
+// peerMessageKind returns the kind of a message between controllers. The kinds are keys of the traffic counts.
 func peerMessageKind(body []byte) string {
 	m, err := peer.ParseMessage(body)
 	switch {
@@ -26,8 +26,8 @@
 	return "other"
 }
 
-// storeRequestKind is the kind of a request to the key-value store; that of a transaction is by the key that
-// it writes first.
+// storeRequestKind returns the kind of a request to the key-value store. The kind of a transaction depends on the
+// first key that it writes.
 func storeRequestKind(method, target string, body []byte) string {
 	path, query, _ := strings.Cut(target, "?")
 	switch {
--- a/internal/emulator/user_behavior.go
+++ b/internal/emulator/user_behavior.go
@@ -12,26 +12,26 @@
 	"basaltwall/internal/invariant"
 )
 
-// UserBehavior is what users do beyond submitting, polling now and then and cancelling.
+// UserBehavior emulates requests of users beyond submissions, periodic polls and single cancellations.
 type UserBehavior struct {
 	sim *Simulation
-	// CancelAtEndShare is the share of the jobs that are cancelled at the moment of their end.
+	// CancelAtEndShare is the share of jobs that are cancelled at the moment of their completion.
 	CancelAtEndShare float64
-	// PollOnChange makes users poll at all controllers within milliseconds after a job's state changed, and
-	// repeat its submission there; CancelNewShare is the share of new jobs that they also cancel at once.
+	// PollOnChange makes users poll all controllers within milliseconds after a job's state changed, and
+	// repeat its submission there. CancelNewShare is the share of new jobs that are then cancelled at once.
 	PollOnChange   bool
 	CancelNewShare float64
 
-	irregularUntil time.Duration // users send irregular requests until then
-	irregularCount int           // irregular requests so far
+	irregularUntil time.Duration // end of the irregular requests
+	irregularCount int           // irregular requests sent
 	invalidJobs    map[api.JobID]string
 }
 
 // irregularInterval is the time between irregular requests.
 const irregularInterval = 200 * time.Millisecond
 
-// CancelRunning has users cancel so many running jobs, those with the longest remaining time, within a
-// fifth of a second; up to eight of their machines hang for a while.
+// CancelRunning cancels the given number of running jobs, those with the longest remaining run time, within
+// 200 ms. Up to eight of their machines hang for hangTime, unless it is 0.
 func (h *UserBehavior) CancelRunning(count int, hangTime time.Duration) {
 	sim := h.sim
 	var refs []api.JobID
@@ -62,7 +62,7 @@
 	}
 }
 
-// taskCompleted is called for each task that completed.
+// taskCompleted is called when a task completes. It may cancel a job at its completion.
 func (h *UserBehavior) taskCompleted(ref api.JobID) {
 	c := h.sim.Checker
 	if s := c.Spec(ref); s == nil || c.CompletedTasks(ref) < s.Tasks || c.CancelWasRequested(ref) || h.CancelAtEndShare == 0 || h.sim.rand.Float64() >= h.CancelAtEndShare {
@@ -71,7 +71,7 @@
 	h.sim.After(time.Duration(h.sim.rand.Int64N(int64(20*time.Millisecond))), func() { h.sim.Users.Cancel(ref, "") })
 }
 
-// jobStateChanged is called for each answer with a later state than the ones before.
+// jobStateChanged is called when a response raises the rank of a job's reported state.
 func (h *UserBehavior) jobStateChanged(ref api.JobID) {
 	if !h.PollOnChange {
 		return
@@ -91,8 +91,8 @@
 	}
 }
 
-// SendIrregularRequests has users send irregular requests for a while: repeated submissions of open jobs,
-// cancellations of jobs that are done, and invalid jobs.
+// SendIrregularRequests sends irregular requests for the given time: repeated submissions of open jobs,
+// cancellations of finished jobs, and invalid jobs.
 func (h *UserBehavior) SendIrregularRequests(length time.Duration) {
 	h.irregularUntil = h.sim.Now + length
 	h.sendIrregularRequest()
@@ -128,28 +128,28 @@
 	}
 }
 
-// invalidJobCases are the ways in which a job can be invalid, each by a change to a valid one, with the
-// field that a refusal has to name, empty where it may name any.
+// invalidJobCases returns changes that make a valid job invalid. field is the field that the refusal must name,
+// empty if it may name any.
 func invalidJobCases() []struct {
 	what, field string
 	change      func(map[string]any)
 } {
-	type bad = struct {
+	type invalidJobCase = struct {
 		what, field string
 		change      func(map[string]any)
 	}
-	var out []bad
+	var out []invalidJobCase
 	for _, f := range []string{"mestiere", "bottega", "forma", "urgenza", "pezzi", "cores", "gpus", "ram_gb", "together", "scatter", "avanzi",
 		"stampo", "image_gb", "stima_s", "tappa_s", "salvo_s"} {
-		out = append(out, bad{f + " missing", f, func(m map[string]any) { delete(m, f) }},
-			bad{f + " null", f, func(m map[string]any) { m[f] = nil }},
-			bad{f + " of a wrong type", f, func(m map[string]any) { m[f] = []any{} }})
+		out = append(out, invalidJobCase{f + " missing", f, func(m map[string]any) { delete(m, f) }},
+			invalidJobCase{f + " null", f, func(m map[string]any) { m[f] = nil }},
+			invalidJobCase{f + " of a wrong type", f, func(m map[string]any) { m[f] = []any{} }})
 	}
 	for f, values := range map[string][]any{"forma": {"sweeps", ""}, "urgenza": {"urgent", ""}, "pezzi": {0, -1, 100_001, 1.5}, "cores": {-1.0},
 		"gpus": {-1.0}, "ram_gb": {-1.0}, "image_gb": {-0.5}, "stima_s": {-1.0}, "tappa_s": {-1.0}, "salvo_s": {-1.0}, "consegna_s": {-1.0, "soon"},
 		"banchi": {"c8", []any{}, []any{"c8", ""}}, "cortile": {"", 7}, "bottega": {"", 7}, "mestiere": {"", 7}, "stampo": {"", 7}} {
 		for _, v := range values {
-			out = append(out, bad{fmt.Sprintf("%s %v", f, v), f, func(m map[string]any) { m[f] = v }})
+			out = append(out, invalidJobCase{fmt.Sprintf("%s %v", f, v), f, func(m map[string]any) { m[f] = v }})
 		}
 	}
 	for what, change := range map[string]func(map[string]any){
@@ -158,21 +158,20 @@
 		"fits no allowed type": func(m map[string]any) { m["banchi"], m["gpus"] = []any{"c8"}, 1.0 },
 		"no such type":         func(m map[string]any) { m["banchi"] = []any{"none"} },
 		"no such zone":         func(m map[string]any) { m["cortile"] = "nowhere" },
-		"a gang that must be in one zone and may not": func(m map[string]any) {
+		"a gang with both together and scatter": func(m map[string]any) {
 			m["forma"], m["pezzi"], m["together"], m["scatter"] = "ensemble", 3, true, true
 		},
-		"a gang that may not be in its only zone": func(m map[string]any) {
+		"a gang spread over a single zone": func(m map[string]any) {
 			m["forma"], m["pezzi"], m["cortile"], m["scatter"] = "ensemble", 3, "a", true
 		},
 	} {
-		out = append(out, bad{what, "", change})
+		out = append(out, invalidJobCase{what, "", change})
 	}
-	slices.SortFunc(out, func(a, b bad) int { return slices.Compare([]byte(a.what), []byte(b.what)) })
+	slices.SortFunc(out, func(a, b invalidJobCase) int { return slices.Compare([]byte(a.what), []byte(b.what)) })
 	return out
 }
 
-// submitInvalidJob submits a job that must be refused, each case in turn, to any controller, until it is
-// answered.
+// submitInvalidJob submits the next invalid job to any controller and retries until the response is final.
 func (h *UserBehavior) submitInvalidJob() {
 	all := invalidJobCases()
 	b := all[len(h.invalidJobs)%len(all)]
@@ -198,16 +197,16 @@
 			sim.After(time.Second, func() { h.retryInvalidJob(ref, field, body) })
 			return
 		}
-		sim.Users.PollOnce(ref) // no controller may know it
+		sim.Users.PollOnce(ref) // checks that no controller knows the job
 	})
 }
 
-// resubmit repeats the submission of an accepted job, once, at one controller.
+// resubmit repeats the submission of an accepted job once, at the given controller.
 func (u *Users) resubmit(name string, spec *api.JobSpec) {
 	u.sendRequest(name, "POST", "", spec.Ref, u.submissionBody(spec), 5*time.Second, func(int, api.JobState) {})
 }
 
-// cancelOnce requests once the cancellation of a job that is done.
+// cancelOnce requests the cancellation of a finished job once.
 func (u *Users) cancelOnce(ref api.JobID) {
 	u.sendRequest(u.anyController(), "POST", "/"+api.PathSuffixCancel, ref, nil, 5*time.Second, func(int, api.JobState) {})
 }
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -12,8 +12,8 @@
 	"basaltwall/worker"
 )
 
-// Users emulate all users: they submit, poll and cancel through a controller drawn
-// at random, and retry after a failure.
+// Users emulates all users. They submit, poll and cancel jobs at random controllers and
+// retry after failures.
 type Users struct {
 	sim        *Simulation
 	specs      map[api.JobID]*api.JobSpec
@@ -21,10 +21,11 @@
 	AcceptedAt map[api.JobID]time.Duration
 	DoneAt     map[api.JobID]time.Duration
 	polling    map[api.JobID]bool
-	// PollsPerInterval is how many additional polls there are of each open job at each interval, beside the
-	// one whose answer counts.
+	// PollsPerInterval is the number of additional polls per job and poll interval. They are not retried and
+	// do not set DoneAt.
 	PollsPerInterval int
-	// OnResponse, if set, is called with each request's latency and the status of its answer, 0: none.
+	// OnResponse, if set, is called with the latency and response status of each request; the status is 0 after
+	// a timeout.
 	OnResponse func(what RequestKind, took time.Duration, status int)
 	UserBehavior
 }
@@ -39,7 +40,7 @@
 	RequestCancel RequestKind = "cancel"
 )
 
-// requestKindOf is the kind of a request by what follows the job's id, see sendRequest.
+// requestKindOf returns the kind of a request from the suffix of its path, see sendRequest.
 func requestKindOf(suffix string) RequestKind {
 	switch suffix {
 	case "":
@@ -64,7 +65,7 @@
 	u.sim.After(time.Second, u.checkPeriodically)
 }
 
-// deliverRequest hands a request to a controller as its server would.
+// deliverRequest passes a request to a controller as its HTTP server does.
 func (sim *Simulation) deliverRequest(name, method, path string, caller message.Caller, body []byte, answer func(int, []byte)) {
 	h := sim.controllers[name]
 	if h == nil || h.controller == nil {
@@ -85,14 +86,14 @@
 	}, answer)
 }
 
-// Request sends one request to a controller and passes on its answer, status 0 when
-// none comes.
+// Request sends one request to a controller and calls answer with the response. The status is 0
+// after a timeout.
 func (u *Users) Request(name, method, path string, caller message.Caller, body []byte, timeout time.Duration, answer func(int, []byte)) {
 	u.sim.externalRequest(name, timeout, func(answer func(int, []byte)) { u.sim.Deliver(name, method, path, caller, body, answer) }, answer)
 }
 
-// externalRequest sends a request to a controller from outside and passes its answer on, status 0
-// when none comes in time.
+// externalRequest sends a request to a controller from outside the cluster and calls answer with the response.
+// The status is 0 after a timeout.
 func (sim *Simulation) externalRequest(name string, timeout time.Duration, send func(answer func(int, []byte)), answer func(int, []byte)) {
 	settled := false
 	settle := func(status int, b []byte) {
@@ -113,7 +114,7 @@
 	return u.sim.controllerNames[u.sim.rand.IntN(len(u.sim.controllerNames))]
 }
 
-// recordResponse passes an answer to the checker.
+// recordResponse passes a response to the checker and returns the job state in it.
 func (u *Users) recordResponse(ref api.JobID, status int, body []byte, previous api.JobState) api.JobState {
 	var s api.JobStatus
 	if status == 200 || status == 201 {
@@ -127,13 +128,13 @@
 	return s.State
 }
 
-// AddSpec uploads a job's description, which workers fetch, without submitting it.
+// AddSpec adds a job's specification, which workers fetch, without submitting the job.
 func (u *Users) AddSpec(spec *api.JobSpec, run time.Duration) {
 	u.specs[spec.Ref], u.runTimes[spec.Ref] = spec, run
 }
 
-// Submit submits a job and retries until it is answered, at the given
-// controller or at any.
+// Submit submits a job, first at the given controller or at any, and retries until it is
+// accepted.
 func (u *Users) Submit(spec *api.JobSpec, run time.Duration, controllerName string) {
 	u.specs[spec.Ref], u.runTimes[spec.Ref] = spec, run
 	u.sim.Checker.JobSubmitted(u.sim.Now, spec, run)
@@ -157,9 +158,8 @@
 	})
 }
 
-// pollInterval and pollTimeout are how often users poll for a job, and how long they wait for an answer.
 const (
-	pollInterval = 5 * time.Second
+	pollInterval = 5 * time.Second // between polls of an open job
 	pollTimeout  = 2 * time.Second
 )
 
@@ -172,7 +172,7 @@
 		if _, ok := u.DoneAt[ref]; !ok && s == api.JobDone {
 			u.DoneAt[ref] = u.sim.Now
 		}
-		// Jobs in a final state are polled too, more seldom.
+		// Finished jobs are polled less often.
 		delay := pollInterval
 		if invariant.StateRank(s) == invariant.RankFinal {
 			delay = 20 * time.Second
@@ -181,7 +181,8 @@
 	})
 }
 
-// Cancel requests a job's cancellation until it is answered, first at the given controller or at any.
+// Cancel requests a job's cancellation, first at the given controller or at any, and retries until the response
+// is 200.
 func (u *Users) Cancel(ref api.JobID, controllerName string) {
 	if controllerName == "" {
 		controllerName = u.anyController()
@@ -195,14 +196,14 @@
 	})
 }
 
-// PollOnce polls for a job once, at any controller.
+// PollOnce polls a job once, at any controller.
 func (u *Users) PollOnce(ref api.JobID) { u.pollOnceAt(u.anyController(), ref) }
 
 func (u *Users) pollOnceAt(name string, ref api.JobID) {
 	u.sendRequest(name, "GET", "/", ref, nil, pollTimeout, func(int, api.JobState) {})
 }
 
-// submissionBody is a job's submission.
+// submissionBody returns the request body of a job's submission.
 func (u *Users) submissionBody(spec *api.JobSpec) []byte {
 	_, userRef := u.sim.callerOf(spec.Ref)
 	sent := *spec
@@ -212,9 +213,9 @@
 	return body
 }
 
-// sendRequest sends one request about a job to a controller, and has the answer checked against what users
-// knew when it was sent: suffix is empty for a submission, a slash for a poll, and else what
-// follows the job's id.
+// sendRequest sends one request about a job to a controller and checks the response against the state that users
+// knew when it was sent. suffix is empty for a submission, a slash for a poll, otherwise the part of the path
+// after the job's id.
 func (u *Users) sendRequest(name, method, suffix string, ref api.JobID, body []byte, timeout time.Duration, answer func(int, api.JobState)) {
 	previous := u.sim.Checker.ReportedState(ref)
 	caller, userRef := u.sim.callerOf(ref)
@@ -231,7 +232,7 @@
 	})
 }
 
-// submissionFields is a job as users write it, every field present.
+// submissionFields returns a job in the users' JSON format, with all fields present.
 func submissionFields(s *api.JobSpec) map[string]any {
 	return map[string]any{"ref": s.Ref, "mestiere": s.Class, "bottega": s.Team, "forma": s.Kind, "urgenza": s.Priority,
 		"pezzi": s.Tasks, "cores": s.CPUs, "gpus": s.GPUs, "ram_gb": s.MemGB, "stampo": s.Image, "image_gb": s.ImageGB,
@@ -246,8 +247,8 @@
 	return &z
 }
 
-// jobSpec is a job's description, which workers fetch themselves. For jobs whose users are
-// not emulated it is read from the key-value store, where jobs of tenants have other ids.
+// jobSpec returns a job's specification for a worker. For jobs of users that are not emulated,
+// it is read from the key-value store.
 func (sim *Simulation) jobSpec(id api.JobID) *api.JobSpec {
 	if s := sim.Users.specs[id]; s != nil {
 		return s
@@ -262,8 +263,8 @@
 	return v.Spec
 }
 
-// CompletedWithin is the share of a class's arrays and gangs that were done within a time of their first
-// submission, among those submitted long enough ago.
+// CompletedWithin returns the share of a class's arrays and gangs that were reported done within the given time
+// after their first submission. Cancelled jobs and later submissions are not counted.
 func (u *Users) CompletedWithin(class api.Class, within time.Duration) float64 {
 	done, all := 0, 0
 	for ref, j := range u.sim.Checker.Jobs() {
@@ -278,8 +279,8 @@
 	return float64(done) / float64(max(1, all))
 }
 
-// SetPriorityRules replaces the operators' rules, and retries until it is answered with 200: each
-// time from the settings as they are then, so that concurrent changes are all made, one by one.
+// SetPriorityRules replaces the operators' priority rules and retries until the response is 200. Each attempt
+// changes the current settings, so that concurrent changes are not lost.
 func (sim *Simulation) SetPriorityRules(rules []byte) {
 	controllerName := sim.Users.anyController()
 	request := func(what message.AdminOperation, body []byte, answer func(int, []byte)) {
@@ -293,17 +294,17 @@
 	}
 	retry := func() { sim.After(time.Second, func() { sim.SetPriorityRules(rules) }) }
 	request("settings", nil, func(status int, b []byte) {
-		var now map[string]json.RawMessage
-		if status != 200 || json.Unmarshal(b, &now) != nil {
+		var settings map[string]json.RawMessage
+		if status != 200 || json.Unmarshal(b, &settings) != nil {
 			retry()
 			return
 		}
-		now["precedence"] = rules
-		body, err := json.Marshal(now)
+		settings["precedence"] = rules
+		body, err := json.Marshal(settings)
 		sim.must(err)
 		request("set", body, func(status int, b []byte) {
 			if status == 400 {
-				sim.must(fmt.Errorf("rules: %s", b))
+				sim.must(fmt.Errorf("priority rules refused: %s", b))
 			}
 			if status != 200 {
 				retry()
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -24,17 +24,17 @@
 	tasks                map[string]map[api.Attempt]*workerTask
 	images               map[api.Image]bool
 	controllerIndex      int
-	leaseStart           time.Duration // when the last heartbeat that was answered was sent
+	leaseStart           time.Duration // when the last acknowledged heartbeat was sent
 	heartbeatPending     bool
 	nextHeartbeat        time.Duration
 	statusChanged        bool
 	dead                 bool
 	hungUntil            time.Duration
-	heldCalls            []func()
+	heldCalls            []func() // direct commands that are held while the machine hangs
 	delayedCommands      []func() // direct commands that are delayed, see DelayCommands
 	commandsDelayedUntil time.Duration
-	inboundCutUntil      time.Duration // answers and direct commands are lost until then
-	outboundCutUntil     time.Duration // it reaches no controller until then
+	inboundCutUntil      time.Duration // responses and direct commands to the machine are lost until then
+	outboundCutUntil     time.Duration // heartbeats are lost until then
 	tasksFailUntil       time.Duration
 }
 
@@ -53,7 +53,7 @@
 	wk.tick()
 }
 
-// killWorker ends a machine and all tasks on it.
+// killWorker removes a machine and ends all tasks on it.
 func (sim *Simulation) killWorker(id api.MachineID) {
 	wk := sim.workers[id]
 	if wk == nil {
@@ -67,7 +67,7 @@
 	delete(sim.workersByAddr, wk.addr)
 }
 
-// Machines lists the machines that are up, in order.
+// Machines returns the running machines, sorted.
 func (sim *Simulation) Machines() []api.MachineID { return slices.Sorted(maps.Keys(sim.workers)) }
 
 func (wk *Worker) allTasks() []*workerTask {
--- a/internal/emulator/worker_faults.go
+++ b/internal/emulator/worker_faults.go
@@ -8,7 +8,7 @@
 
 // This file injects faults into machines.
 
-// Kill makes a machine fail silently; the cloud's list shows it as running for a while.
+// Kill makes a machine fail. The cloud lists it as running for a while, and then as failed.
 func (sim *Simulation) Kill(id api.MachineID) {
 	if h := sim.Cloud.instances[id]; h != nil {
 		sim.After(30*time.Second, func() { h.State = api.MachineFailed })
@@ -16,7 +16,7 @@
 	sim.killWorker(id)
 }
 
-// Hang stops a machine for a while: nothing runs, packets wait.
+// Hang suspends a machine for the given time: its tasks make no progress, and direct commands to it are held.
 func (sim *Simulation) Hang(id api.MachineID, length time.Duration) {
 	wk := sim.workers[id]
 	if wk == nil {
@@ -39,8 +39,8 @@
 	})
 }
 
-// DelayCommands delays direct commands to a machine for a while, though its heartbeats
-// and their answers pass.
+// DelayCommands holds direct commands to a machine for the given time, while its heartbeats
+// and their responses are delivered.
 func (sim *Simulation) DelayCommands(id api.MachineID, length time.Duration) {
 	wk := sim.workers[id]
 	if wk == nil {
@@ -49,16 +49,16 @@
 	wk.commandsDelayedUntil = sim.Now + length
 	sim.Checker.FaultUntil(wk.commandsDelayedUntil)
 	sim.After(length, func() {
-		late := wk.delayedCommands
+		delayed := wk.delayedCommands
 		wk.delayedCommands = nil
-		for _, callback := range late {
+		for _, callback := range delayed {
 			callback()
 		}
 	})
 }
 
-// CutInbound cuts off what a machine receives: its heartbeats arrive, answers and direct commands to it
-// are lost.
+// CutInbound drops packets to a machine for the given time: its heartbeats arrive, but their responses and direct
+// commands are lost.
 func (sim *Simulation) CutInbound(id api.MachineID, length time.Duration) {
 	if wk := sim.workers[id]; wk != nil {
 		wk.inboundCutUntil = sim.Now + length
@@ -66,7 +66,7 @@
 	}
 }
 
-// CutOutbound cuts off what a machine sends: it reaches no controller, while direct commands reach it.
+// CutOutbound drops a machine's heartbeats for the given time, while direct commands still reach it.
 func (sim *Simulation) CutOutbound(id api.MachineID, length time.Duration) {
 	if wk := sim.workers[id]; wk != nil {
 		wk.outboundCutUntil = sim.Now + length
@@ -74,7 +74,7 @@
 	}
 }
 
-// FailTasks makes every task fail that a machine starts in the given time.
+// FailTasks makes all tasks fail that a machine starts within the given time.
 func (sim *Simulation) FailTasks(id api.MachineID, length time.Duration) {
 	if wk := sim.workers[id]; wk != nil {
 		wk.tasksFailUntil = sim.Now + length
--- a/internal/emulator/worker_protocol.go
+++ b/internal/emulator/worker_protocol.go
@@ -8,19 +8,20 @@
 	"basaltwall/controller/message"
 )
 
-// This file has the worker's side of the protocol: heartbeats, their answers and direct commands.
+// This file implements the worker's side of the protocol: heartbeats, their responses and direct commands.
 
 func (wk *Worker) heartbeat() api.Heartbeat {
 	wk.sequence++
 	r := api.Heartbeat{Machine: wk.id, Address: wk.addr, Type: wk.machineType, Zone: wk.zone, Spot: wk.spot, Epoch: wk.incarnation,
 		Seq: wk.sequence, Token: wk.fencingToken, Tasks: []api.TaskStatus{}}
 	for _, t := range wk.allTasks() {
-		r.Tasks = append(r.Tasks, api.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Reason: t.reason, Checkpointed: t.saved})
+		r.Tasks = append(r.Tasks, api.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Reason: t.reason, Checkpointed: t.checkpointed})
 	}
 	return r
 }
 
-// sendHeartbeat sends a heartbeat to the worker's controller, and turns to the next one if there is no answer.
+// sendHeartbeat sends a heartbeat to the worker's controller, and switches to the next controller if there is no
+// usable response.
 func (wk *Worker) sendHeartbeat() {
 	sim := wk.sim
 	wk.heartbeatPending, wk.statusChanged = true, false
@@ -30,18 +31,18 @@
 	body, err := json.Marshal(wk.heartbeat())
 	sim.must(err)
 	settled := false
-	other := func() {
+	switchController := func() {
 		wk.controllerIndex = (wk.controllerIndex + 1) % len(sim.controllerNames)
 		sim.After(time.Second, func() { wk.heartbeatPending = false; wk.nextHeartbeat = 0 })
 	}
 	if wk.outboundCutUntil > sim.Now {
-		other()
+		switchController()
 		return
 	}
 	sim.After(4*time.Second, func() {
 		if !settled {
 			settled = true
-			other()
+			switchController()
 		}
 	})
 	if sim.HeldHeartbeatRate > 0 && sim.rand.Float64() < sim.HeldHeartbeatRate {
@@ -51,10 +52,10 @@
 		sim.transmitToZone(name, wk.zone, func() { sim.transmit(name, EndpointWorkers, callback) })
 	}
 	if sim.StaleHeartbeatRate > 0 && sim.rand.Float64() < sim.StaleHeartbeatRate {
-		// A copy comes again, from 2 s to well over a lease later, to whichever controller.
-		late := 2*time.Second + time.Duration(sim.rand.Int64N(int64(2*sim.configs[name].WorkerLease())))
+		// A random controller receives a duplicate, up to two leases late.
+		delay := 2*time.Second + time.Duration(sim.rand.Int64N(int64(2*sim.configs[name].WorkerLease())))
 		to := sim.controllerNames[sim.rand.IntN(len(sim.controllerNames))]
-		sim.After(late, func() { sim.Deliver(to, "POST", api.PathHeartbeat, message.Caller{}, body, func(int, []byte) {}) })
+		sim.After(delay, func() { sim.Deliver(to, "POST", api.PathHeartbeat, message.Caller{}, body, func(int, []byte) {}) })
 	}
 	transmit(func() {
 		sim.SendHeartbeat(wk, name, body, func(status int, answer []byte) {
@@ -71,14 +72,14 @@
 					wk.heartbeatPending = false
 					wk.applyHeartbeatReply(answer, sent, incarnation)
 				case status != 421 || !wk.followRedirect(answer):
-					other()
+					switchController()
 				}
 			})
 		})
 	})
 }
 
-// followRedirect turns to the controller that an answer names, and reports whether it is another.
+// followRedirect switches to the controller that a redirect names, and reports whether it is another one.
 func (wk *Worker) followRedirect(answer []byte) bool {
 	var r api.Redirect
 	wk.sim.must(json.Unmarshal(answer, &r))
@@ -91,7 +92,8 @@
 	return false
 }
 
-// applyHeartbeatReply carries out the commands in the answer to a heartbeat.
+// applyHeartbeatReply executes the commands in the response to a heartbeat, unless its epoch or fencing token is
+// stale.
 func (wk *Worker) applyHeartbeatReply(body []byte, sent time.Duration, incarnation api.Epoch) {
 	var o api.CommandBatch
 	wk.sim.must(json.Unmarshal(body, &o))
@@ -109,7 +111,7 @@
 	}
 }
 
-// handleCommands is the worker's direct interface.
+// handleCommands handles a request with direct commands to the worker.
 func (wk *Worker) handleCommands(body []byte, answer func(int, []byte)) {
 	if wk.dead || wk.inboundCutUntil > wk.sim.Now {
 		return
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -8,7 +8,7 @@
 	"basaltwall/api"
 )
 
-// This file runs tasks and gangs on the emulated workers.
+// This file emulates tasks and gangs on workers.
 
 type gangKey struct {
 	job     api.JobID
@@ -20,7 +20,7 @@
 	running bool
 }
 
-// sortedTasks are the gang's tasks in order.
+// sortedTasks returns the gang's tasks, sorted by index.
 func (g *gang) sortedTasks() []*workerTask {
 	out := slices.Collect(maps.Keys(g.tasks))
 	slices.SortFunc(out, func(a, b *workerTask) int { return a.id.Index - b.id.Index })
@@ -28,16 +28,16 @@
 }
 
 type workerTask struct {
-	worker    *Worker
-	id        api.TaskID
-	name      string // of the task, as on the wire
-	attempt   api.Attempt
-	spec      *api.JobSpec
-	state     api.TaskState
-	reason    api.Reason
-	saved     bool
-	active    bool // has its image and has not ended
-	startedAt time.Duration
+	worker       *Worker
+	id           api.TaskID
+	name         string // the task's name on the wire
+	attempt      api.Attempt
+	spec         *api.JobSpec
+	state        api.TaskState
+	reason       api.Reason
+	checkpointed bool
+	active       bool // its image is fetched and it has not ended
+	startedAt    time.Duration
 }
 
 func (wk *Worker) executeCommands(commands []api.Command) {
@@ -100,8 +100,8 @@
 	})
 }
 
-// completeGang completes a gang: all its tasks together, or none while one of them
-// is missing, writing its checkpoint or on a machine that hangs.
+// completeGang ends all tasks of a gang as done, unless one is missing or not running, for example
+// because it is being checkpointed. While a task's machine hangs, completeGang is retried.
 func (sim *Simulation) completeGang(g *gang, tasks int) {
 	members := g.sortedTasks()
 	if len(members) < tasks {
@@ -121,8 +121,8 @@
 	}
 }
 
-// scheduleInState calls back after a time if the task is still in the required state by then; a
-// machine that hangs makes no progress.
+// scheduleInState calls callback after the duration d if the task is then in requiredState. While the
+// machine hangs, the call is postponed.
 func (wk *Worker) scheduleInState(t *workerTask, d time.Duration, requiredState api.TaskState, callback func()) {
 	wk.sim.After(d, func() {
 		if wk.dead || t.state != requiredState || wk.tasks[t.name][t.attempt] != t {
@@ -162,7 +162,7 @@
 			wk.sim.Checker.TaskStarting(wk.sim.Now, x.id, "runs with its gang")
 			x.worker.runTask(x)
 		}
-		wk.sim.After(wk.sim.Users.runTimes[t.id.Job]-wk.sim.savedProgress[t.id.Job], func() { wk.sim.completeGang(g, t.spec.Tasks) })
+		wk.sim.After(wk.sim.Users.runTimes[t.id.Job]-wk.sim.checkpointProgress[t.id.Job], func() { wk.sim.completeGang(g, t.spec.Tasks) })
 		return
 	}
 	wk.scheduleInState(t, api.Seconds(wk.sim.configs[wk.sim.controllerNames[0]].Deployment.Workers.GangWait), api.TaskWaiting, func() { wk.exitTask(t, api.ReasonGangIncomplete) })
@@ -181,15 +181,15 @@
 }
 
 func (wk *Worker) stopTask(t *workerTask, grace time.Duration) {
-	save := api.Seconds(t.spec.Save)
+	saveTime := api.Seconds(t.spec.Save)
 	switch {
 	case t.state == api.TaskExited:
-	case t.state == api.TaskRunning && t.spec.Checkpoint > 0 && grace >= save:
+	case t.state == api.TaskRunning && t.spec.Checkpoint > 0 && grace >= saveTime:
 		t.state = api.TaskCheckpointing
 		wk.statusChanged = true
-		wk.scheduleInState(t, save, api.TaskCheckpointing, func() {
-			t.saved = true
-			wk.sim.savedProgress[t.id.Job] = max(wk.sim.savedProgress[t.id.Job], wk.sim.Now-t.startedAt-save)
+		wk.scheduleInState(t, saveTime, api.TaskCheckpointing, func() {
+			t.checkpointed = true
+			wk.sim.checkpointProgress[t.id.Job] = max(wk.sim.checkpointProgress[t.id.Job], wk.sim.Now-t.startedAt-saveTime)
 			wk.exitTask(t, api.ReasonStopped)
 		})
 	case t.state == api.TaskCheckpointing && grace > 0:
@@ -201,7 +201,7 @@
 	}
 }
 
-// exitTask ends a task; its gang fails unless the task is done.
+// exitTask ends a task. A running gang fails unless its task is done.
 func (wk *Worker) exitTask(t *workerTask, reason api.Reason) {
 	t.state, t.reason = api.TaskExited, reason
 	wk.statusChanged = true
@@ -231,15 +231,15 @@
 	}
 }
 
-// failGang ends the rest of a running gang once it notices that a task is gone or
-// its machine hangs.
+// failGang ends the remaining tasks of a gang after the timeout in which they detect the loss of
+// a peer.
 func (sim *Simulation) failGang(g *gang) {
 	for _, x := range g.sortedTasks() {
 		x.worker.scheduleInState(x, api.Seconds(sim.configs[sim.controllerNames[0]].Deployment.Workers.GangPeer), api.TaskRunning, func() { x.worker.exitTask(x, api.ReasonGangPeersLost) })
 	}
 }
 
-// forgetTask removes a task without an exit status, as the expiry of the worker's lease does.
+// forgetTask removes a task without an exit status, for example on the expiry of the worker's lease.
 func (wk *Worker) forgetTask(t *workerTask) {
 	if t.state != api.TaskExited {
 		t.state = api.TaskExited
--- a/internal/emulator/write_guards.go
+++ b/internal/emulator/write_guards.go
@@ -10,26 +10,26 @@
 	"basaltwall/clusterstate"
 )
 
-// writeGuard is what a write's transaction must be conditional on (compare-and-swap), so that a late
-// duplicate changes nothing that was written since. docs/meetings.md says for each why
-// that is enough.
+// writeGuard is the compare-and-swap condition that a transaction with a write must have, so that a late
+// duplicate overwrites no later change. docs/meetings.md explains for each kind of key why its guard
+// suffices.
 type writeGuard struct {
-	ownVersion    bool     // on the version of the key itself
-	anyOf         []string // on a key with one of these prefixes
-	exemptBecause string   // why it needs none
+	ownVersion           bool     // on the version of the written key
+	anyOf                []string // on a key with one of these prefixes
+	leaseSufficesBecause string   // instead of a condition, the key must be attached to a lease
 }
 
-// partitionPrefix is what every owner's write names: the term of its partition.
+// partitionPrefix is the prefix of the keys with a partition's owner and term, on which the owner's writes are
+// conditional.
 const partitionPrefix = "b/part/"
 
-// writeGuards names every kind of key that controllers write, by prefix, the longest first where one
-// begins with another. A write of a kind that is not named here is an error: how a late duplicate
-// of it is kept from doing harm has to be decided first.
+// writeGuards lists every kind of key that controllers write, by prefix; the first matching prefix applies.
+// A write to any other key is a violation, because nothing guards it against a late duplicate.
 var writeGuards = []struct {
 	prefix string
 	writeGuard
 }{
-	{"b/member/", writeGuard{exemptBecause: "tied to a lease; it only shows that its process was alive recently"}},
+	{"b/member/", writeGuard{leaseSufficesBecause: "it only shows that its process was alive recently"}},
 	{partitionPrefix, writeGuard{ownVersion: true}},
 	{"b/head/", writeGuard{ownVersion: true, anyOf: []string{partitionPrefix}}},
 	{"b/snap/", writeGuard{ownVersion: true, anyOf: []string{partitionPrefix}}},
@@ -44,19 +44,19 @@
 	{"b/settings", writeGuard{ownVersion: true}},
 	{"b/operators", writeGuard{ownVersion: true}},
 	{"b/given", writeGuard{ownVersion: true}},
-	{"b/gate", writeGuard{anyOf: []string{"b/tenant/"}}}, // what counts is that it changes with the tenant
+	{"b/gate", writeGuard{anyOf: []string{"b/tenant/"}}}, // it only has to change together with a tenant
 	{"b/teamof/", writeGuard{anyOf: []string{"b/tenant/"}}},
 	{"b/team/", writeGuard{ownVersion: true}},
 	{"b/tenant/", writeGuard{ownVersion: true}},
-	{"history/", writeGuard{anyOf: []string{"b/job/", partitionPrefix}}}, // written with a job's end, swept by partition 0's owner
-	{"audit/", writeGuard{anyOf: []string{"b/"}}},                        // written with the change it records, swept by partition 0's owner
-	{"used/", writeGuard{anyOf: []string{"b/member/"}}},                  // when a key was last used: an older time does no harm
+	{"history/", writeGuard{anyOf: []string{"b/job/", partitionPrefix}}}, // written when a job ends, deleted by partition 0's owner
+	{"audit/", writeGuard{anyOf: []string{"b/"}}},                        // written with the change it records, deleted by partition 0's owner
+	{"used/", writeGuard{anyOf: []string{"b/member/"}}},                  // a key's last use; an older time does no harm
 	{"s/r/", writeGuard{ownVersion: true}},
 	{"s/b/", writeGuard{anyOf: []string{"s/r/"}}}, // written with the record that changes it
 	{"skipold/", writeGuard{anyOf: []string{"s/r/"}}},
 }
 
-// missingGuard says what is missing in a transaction's conditions, or nothing.
+// missingGuard describes the first write that lacks a condition; the result is empty if there is none.
 func missingGuard(t *api.Txn) string {
 	has := func(prefix string) bool {
 		return slices.ContainsFunc(t.If, func(c api.Condition) bool { return strings.HasPrefix(c.Key, prefix) })
@@ -70,7 +70,7 @@
 			return strings.HasPrefix(key, g.prefix)
 		})
 		if i < 0 {
-			return fmt.Sprintf("%s: a kind of write that nobody has looked at", key)
+			return fmt.Sprintf("%s: no write guard is defined for this kind of key", key)
 		}
 		g := writeGuards[i].writeGuard
 		if g.ownVersion && !slices.ContainsFunc(t.If, func(c api.Condition) bool { return c.Key == key }) {
@@ -79,18 +79,18 @@
 		if len(g.anyOf) > 0 && !slices.ContainsFunc(g.anyOf, has) {
 			return fmt.Sprintf("%s: not conditional on any of %v", key, g.anyOf)
 		}
-		if g.exemptBecause != "" && w.Lease == 0 {
-			return fmt.Sprintf("%s: not tied to a lease", key)
+		if g.leaseSufficesBecause != "" && w.Lease == 0 {
+			return fmt.Sprintf("%s: not attached to a lease", key)
 		}
 		if job := missingJobGuard(t, w); job != "" {
-			return fmt.Sprintf("%s: carries tasks of %s and is not conditional on it", key, job)
+			return fmt.Sprintf("%s: transfers tasks of %s but is not conditional on the job", key, job)
 		}
 	}
 	return ""
 }
 
-// missingJobGuard is a job of which a machine's transfer carries tasks though the transaction is not
-// conditional on the job's version; "" if there is none.
+// missingJobGuard returns a job whose tasks a machine's transfer includes although the transaction is not
+// conditional on the job's version, or "" if there is none.
 func missingJobGuard(t *api.Txn, w api.Write) api.JobID {
 	var loan clusterstate.LoanValue
 	if !strings.HasPrefix(w.Put, clusterstate.KeyLoan) || json.Unmarshal(w.Value, &loan) != nil {
--- a/internal/emulator/write_guards_test.go
+++ b/internal/emulator/write_guards_test.go
@@ -7,7 +7,7 @@
 	"basaltwall/api"
 )
 
-// Writes that lack a condition, and kinds that nobody has looked at, are found.
+// Writes that lack a condition, and writes of unknown kinds of keys, are found.
 func TestUnguardedWritesAreFound(t *testing.T) {
 	on := func(keys ...string) (out []api.Condition) {
 		for _, k := range keys {
@@ -30,7 +30,7 @@
 		{api.Txn{Writes: put("b/member/stone-0")}, "lease"},
 		{api.Txn{If: on("b/lend/i-1", "b/part/1", "b/job/run-1"), Writes: transfer}, ""},
 		{api.Txn{If: on("b/lend/i-1", "b/part/1", "b/job/run-2"), Writes: transfer}, "tasks of run-1"},
-		{api.Txn{If: on("b/new/1", "b/part/1"), Writes: put("b/new/1")}, "looked at"},
+		{api.Txn{If: on("b/new/1", "b/part/1"), Writes: put("b/new/1")}, "no write guard"},
 	} {
 		if got := missingGuard(&tc.t); tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
 			t.Errorf("%v: %q, expected %q", tc.t, got, tc.want)
