--- a/internal/emulator/admin_model_test.go
+++ b/internal/emulator/admin_model_test.go
@@ -476,7 +476,7 @@
 				case "tenant-put":
 					a.teams = []string{team}
 					body["teams"], body["retention_s"] = a.teams, 60
-				case "suspend", "resume": // and another controller is queried at once
+				case "suspend", "resume": // afterwards another controller is queried
 					if what == "suspend" {
 						body["why"] = "unpaid"
 					}
@@ -487,7 +487,7 @@
 				case "key-add":
 					a.sub = fmt.Sprintf("k%d", pick)
 					body["name"] = a.sub
-					if pick%2 == 0 { // and the key is used around its expiry
+					if pick%2 == 0 { // the key is used around its expiry
 						end := sim.Now + time.Duration(2+pick)*time.Second
 						body["expires"] = sim.WallTime() + api.WallTime((end - sim.Now).Milliseconds())
 						a.onSuccess = func() {
@@ -497,20 +497,20 @@
 							}
 						}
 					}
-				case "key-revoke": // and the key is used at once at another controller
+				case "key-revoke": // afterwards the key is used at another controller
 					a.sub = fmt.Sprintf("k%d", pick%2)
 					for _, key := range slices.Sorted(maps.Keys(h.secrets)) {
 						if strings.HasPrefix(key, name+"/"+a.sub+"/") {
 							a.onSuccess = func() { poll(other, name, key) }
 						}
 					}
-				case "operators-put": // and a team claims reserved CPUs concurrently
+				case "operators-put": // a team claims reserved CPUs concurrently
 					body["revision"], body["cpus"] = version("b/operators"), pick
 					operator(other, &recordedRequest{operation: "team-put", name: "dispo"}, map[string]any{"revision": version("b/team/dispo"), "cpus": pick + 1})
 				case "team-put", "team-remove":
 					a.name = []string{"dispo", "green"}[pick%2]
 					body["revision"] = version("b/team/" + a.name)
-					if what == "team-put" { // and the other team is changed concurrently
+					if what == "team-put" { // the other team is changed concurrently
 						body["cpus"] = pick
 						second := []string{"green", "dispo"}[pick%2]
 						operator(other, &recordedRequest{operation: "team-put", name: second}, map[string]any{"revision": version("b/team/" + second), "cpus": pick/2 + 1})
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -37,7 +37,7 @@
 	jobTracker           jobTracker
 	queries              map[api.JobID]*queryStatus    // by accepted job
 	faultsEndAt          time.Duration                 // end of the last fault
-	stoppedReplicas      map[api.TaskID]stoppedReplica // replicas that have not restarted
+	stoppedReplicas      map[api.TaskID]stoppedReplica // stopped replicas that have not restarted
 	pendingCancels       map[api.JobID]time.Duration   // request times of unacknowledged cancellations
 	feasibleSince        feasibleTimes                 // feasible placements of pending jobs
 	starvationReported   map[api.JobID]bool            // jobs with a recorded left_waiting violation
@@ -115,7 +115,7 @@
 	c.StartCount++
 	for other := range c.placements[id] {
 		if other != m {
-			c.RecordViolation(at, RuleRanTwice, "%s starts on %s while it is on %s", id, m, other)
+			c.RecordViolation(at, RuleRanTwice, "task %s starts on %s while it is on %s", id, m, other)
 		}
 	}
 	c.checkPlace(at, id, s, m, typ, zone, spot)
@@ -140,21 +140,21 @@
 	delete(c.stoppedReplicas, id)
 	c.forgetPreempted(m, s)
 	if usage := c.teamUsage[s.Team]; !c.WithinLimit(s.Team, usage) {
-		c.RecordViolation(at, RuleQuota, "%s uses %.1f CPUs, %.1f GPUs", s.Team, usage.CPU.Float(), usage.GPU.Float())
+		c.RecordViolation(at, RuleQuota, "team %s uses %.1f CPUs and %.1f GPUs, above its limit", s.Team, usage.CPU.Float(), usage.GPU.Float())
 	}
 }
 
 // checkPlace checks a machine against the job's constraints on type, zone, spot machines and spreading.
 func (c *Checker) checkPlace(at time.Duration, id api.TaskID, s *api.JobSpec, m api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool) {
 	if len(s.Types) > 0 && !slices.Contains(s.Types, typ) || s.Zone != "" && s.Zone != zone || spot && !s.Spot {
-		c.RecordViolation(at, RuleWrongPlace, "%s on %s, a %s in %s", id, m, typ, zone)
+		c.RecordViolation(at, RuleWrongPlace, "task %s is on machine %s (type %s, zone %s), which its job does not allow", id, m, typ, zone)
 	}
 	same := 1
 	if s.OneZone || s.Spread {
 		same += c.countSameZone(at, id, s, zone)
 	}
 	if s.Spread && same > MaxTasksPerZone(s.Tasks) {
-		c.RecordViolation(at, RuleWrongPlace, "%d of %d tasks of %s in %s", same, s.Tasks, id.Job, zone)
+		c.RecordViolation(at, RuleWrongPlace, "%d of %d tasks of spread job %s are in zone %s", same, s.Tasks, id.Job, zone)
 	}
 }
 
@@ -171,7 +171,7 @@
 		}
 		for _, p := range c.placements[other] {
 			if s.OneZone && p.zone != zone {
-				c.RecordViolation(at, RuleWrongPlace, "%s in %s while %s is in %s", id, zone, other, p.zone)
+				c.RecordViolation(at, RuleWrongPlace, "task %s is in zone %s while task %s is in zone %s", id, zone, other, p.zone)
 			}
 			if p.zone == zone {
 				same++
@@ -188,9 +188,9 @@
 	switch {
 	case !ok:
 	case at > end+api.Seconds(c.config.Deployment.Workers.Cancel):
-		c.RecordViolation(at, RuleRanCancelled, "%s %s after its cancellation", id, what)
+		c.RecordViolation(at, RuleRanCancelled, "task %s %s after the timeout of its cancellation", id, what)
 	default:
-		c.RecordViolation(at, RuleBeganCancelled, "%s %s %.2f s after its cancellation was acknowledged", id, what, (at - end).Seconds())
+		c.RecordViolation(at, RuleBeganCancelled, "task %s %s %.2f s after its cancellation was acknowledged", id, what, (at - end).Seconds())
 	}
 }
 
--- a/internal/invariant/service_levels.go
+++ b/internal/invariant/service_levels.go
@@ -146,7 +146,7 @@
 				until = min(until, j.StartedAt)
 			}
 			if maxWait > 0 && until-j.SubmittedAt > maxWait {
-				late = append(late, fmt.Sprintf("%s, one of the largest jobs of class %s, was pending for %.0f s", j.Spec.Ref, class, (until-j.SubmittedAt).Seconds()))
+				late = append(late, fmt.Sprintf("job %s, one of the largest jobs of class %s, was pending for %.0f s", j.Spec.Ref, class, (until-j.SubmittedAt).Seconds()))
 			}
 		}
 	}
--- a/internal/invariant/timeouts.go
+++ b/internal/invariant/timeouts.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		for id := range tasks {
-			c.RecordViolation(at, RuleRanCancelled, "%s is still on a machine after its cancellation", id)
+			c.RecordViolation(at, RuleRanCancelled, "task %s is still on a machine after the timeout of its cancellation", id)
 		}
 	}
 	for id, x := range c.stoppedReplicas {
@@ -47,20 +47,20 @@
 			delete(c.stoppedReplicas, id)
 		} else if since := max(x.at, c.faultsEndAt); at > since+replicaRestartTimeout {
 			delete(c.stoppedReplicas, id)
-			c.RecordViolation(at, RuleMoved, "%s was stopped at %.1f s and has not restarted", id, x.at.Seconds())
+			c.RecordViolation(at, RuleMoved, "replica %s was stopped at %.1f s and has not restarted", id, x.at.Seconds())
 		}
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.pendingCancels)) {
 		if since := max(c.pendingCancels[ref], c.faultsEndAt); at > since+unansweredTimeout {
 			delete(c.pendingCancels, ref)
-			c.RecordViolation(at, RuleUnacknowledged, "the cancellation of %s has not been acknowledged since %.1f s", ref, since.Seconds())
+			c.RecordViolation(at, RuleUnacknowledged, "the cancellation of job %s has not been acknowledged since %.1f s", ref, since.Seconds())
 		}
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.queries)) {
 		a := c.queries[ref]
 		if since := max(a.lastAnswered, c.faultsEndAt); !a.reported && !c.cancelRequests[ref] && a.lastSent > since && at > since+unansweredTimeout {
 			a.reported = true
-			c.RecordViolation(at, RuleUnanswered, "%s was accepted before, but queries have had no response since %.1f s", ref, since.Seconds())
+			c.RecordViolation(at, RuleUnanswered, "job %s was accepted before, but queries have had no response since %.1f s", ref, since.Seconds())
 		}
 	}
 }
