--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -41,16 +41,16 @@
 	seconds := r.end.Seconds()
 	store, cloud := r.sim.Store, r.sim.Cloud
 	return map[string]float64{
-		"state-rps":    float64(store.Requests) / seconds,
-		"state-writes": float64(store.Writes) / seconds,
-		"cloud-rps":    float64(cloud.Calls) / seconds,
-		"value":        float64(store.LargestValue),
-		"direct-calls": float64(r.sim.DirectCommands) / float64(max(1, r.sim.Checker.StartCount)),
-		"shorts":       float64(store.ShortageWrites),
-		"cancel":       r.sim.Checker.MaxCancelWait.Seconds(),
-		"claims":       float64(store.OwnershipChanges),
-		"rentals":      float64(cloud.LaunchCalls),
-		"rented":       float64(cloud.LaunchedMachines),
+		"store-rps":              float64(store.Requests) / seconds,
+		"store-write-rps":        float64(store.Writes) / seconds,
+		"cloud-rps":              float64(cloud.Calls) / seconds,
+		"largest-value":          float64(store.LargestValue),
+		"direct-calls-per-start": float64(r.sim.DirectCommands) / float64(max(1, r.sim.Checker.StartCount)),
+		"shortage-writes":        float64(store.ShortageWrites),
+		"cancel-wait":            r.sim.Checker.MaxCancelWait.Seconds(),
+		"ownership-changes":      float64(store.OwnershipChanges),
+		"launch-calls":           float64(cloud.LaunchCalls),
+		"launched-machines":      float64(cloud.LaunchedMachines),
 	}
 }
 
@@ -60,7 +60,7 @@
 		most := r.expected.upperBounds[name]
 		got, ok := counts[name]
 		if !ok {
-			return fmt.Errorf("most %s: no such count", name)
+			return fmt.Errorf("max-count %s: no such count", name)
 		}
 		if got > most {
 			r.problemf("%s: %.2f, expected %.2f at most", name, got, most)
@@ -95,7 +95,7 @@
 
 func (r *runner) checkMinServed(what, name string, level invariant.ServiceLevel) {
 	if level.Share() < r.expected.minServed {
-		r.problemf("floor: of %s %s %.3f was served of %d jobs, expected %.3f at least", what, name, level.Share(), level.Jobs, r.expected.minServed)
+		r.problemf("min-served: of %s %s %.3f was served of %d jobs, expected %.3f at least", what, name, level.Share(), level.Jobs, r.expected.minServed)
 	}
 }
 
--- a/internal/scenario/fault_combinations_test.go
+++ b/internal/scenario/fault_combinations_test.go
@@ -19,7 +19,7 @@
 	line("machines %d spot", 1+r.IntN(4))
 	line("machines 2 g8")
 	line("capacity %d", machines+12)
-	line("limit red %d", 4*machines)
+	line("team-limit red %d", 4*machines)
 	last := 250.0
 	job := 1
 	for at := 1.0; at < last-30; at += 1 + 8*r.Float64() {
@@ -51,8 +51,8 @@
 			drawFault(r, pick, line, combinedFault{controllerName, machine, when, length, mode})
 		}
 	}
-	line("floor 0")
-	line("begin 0")
+	line("min-served 0")
+	line("max-start-wait 0")
 	line("end 420")
 	return b.String()
 }
@@ -68,10 +68,10 @@
 func drawFault(r *rand.Rand, pick func(...string) string, line func(string, ...any), f combinedFault) {
 	switch r.IntN(25) {
 	case 0, 1:
-		line("refuse %.2f %.2f %s", f.when, f.length, f.controller)
-		line("outage %.2f %.2f", f.when+f.length*r.Float64(), outageLength(r.IntN(3), f.length))
+		line("refuse-controller %.2f %.2f %s", f.when, f.length, f.controller)
+		line("store-outage %.2f %.2f", f.when+f.length*r.Float64(), outageLength(r.IntN(3), f.length))
 	case 2:
-		line("outage %.2f %.2f", f.when, outageLength(r.IntN(3), f.length))
+		line("store-outage %.2f %.2f", f.when, outageLength(r.IntN(3), f.length))
 	case 3:
 		line("cut %.2f %.2f %s state %s", f.when, f.length, f.controller, f.mode)
 		line("cut %.2f %.2f %s peers %s", f.when, f.length, f.controller, f.mode)
@@ -82,43 +82,43 @@
 	case 6:
 		line("crash %.2f all %s", f.when, pick("0.2", "3"))
 	case 7:
-		line("crashes %.2f %s 0.2 %.1f 6", f.when, pick(f.controller, "all"), 0.5+3*r.Float64())
+		line("crash-loop %.2f %s 0.2 %.1f 6", f.when, pick(f.controller, "all"), 0.5+3*r.Float64())
 	case 8:
 		line("freeze %.2f %.2f %s", f.when, f.length, f.controller)
 	case 9:
-		line("delay %.2f %.2f %.2f", f.when, f.length, 0.1+0.5*r.Float64())
+		line("delay-transactions %.2f %.2f %.2f", f.when, f.length, 0.1+0.5*r.Float64())
 	case 10:
-		line("lose %.2f %.2f %.2f", f.when, f.length, 0.1+0.5*r.Float64())
+		line("lose-replies %.2f %.2f %.2f", f.when, f.length, 0.1+0.5*r.Float64())
 	case 11:
-		line("stale %.2f %.2f %.2f", f.when, f.length, 0.1+0.5*r.Float64())
+		line("stale-heartbeats %.2f %.2f %.2f", f.when, f.length, 0.1+0.5*r.Float64())
 	case 12:
-		line("deaf %.2f %.2f %s", f.when, 2*f.length, pick(f.machine, f.machine, f.machine, "all"))
+		line("cut-inbound %.2f %.2f %s", f.when, 2*f.length, pick(f.machine, f.machine, f.machine, "all"))
 	case 13:
-		line("late %.2f %.2f %s", f.when, 3*f.length, f.machine)
+		line("delay-commands %.2f %.2f %s", f.when, 3*f.length, f.machine)
 	case 14:
 		line("hang %.2f %.2f %s", f.when, 2*f.length, f.machine)
 	case 15:
-		line("cutzone %.2f %.2f %s %s", f.when, 2*f.length, pick("a", "b", "c"), f.mode)
+		line("cut-zone %.2f %.2f %s %s", f.when, 2*f.length, pick("a", "b", "c"), f.mode)
 	case 16:
 		line("kill %.2f %s", f.when, f.machine)
 	case 17:
-		line("mute %.2f %.2f %s", f.when, 2*f.length, pick(f.machine, f.machine, f.machine, "all"))
+		line("cut-outbound %.2f %.2f %s", f.when, 2*f.length, pick(f.machine, f.machine, f.machine, "all"))
 	case 18:
-		line("keep %.2f %.2f %.2f", f.when, f.length+10, 0.3+0.6*r.Float64())
+		line("hold-heartbeats %.2f %.2f %.2f", f.when, f.length+10, 0.3+0.6*r.Float64())
 	case 19:
-		line("cancelnow %.2f %d %s", f.when, 1+r.IntN(6), pick("0", "20", "35"))
+		line("cancel-running %.2f %d %s", f.when, 1+r.IntN(6), pick("0", "20", "35"))
 	case 20:
-		line("cancelnow %.2f %d %s", f.when, 1+r.IntN(6), pick("0", "35"))
-		line("refuse %.2f %.2f %s", f.when, f.length, f.controller)
-		line("outage %.2f 70", f.when+1)
+		line("cancel-running %.2f %d %s", f.when, 1+r.IntN(6), pick("0", "35"))
+		line("refuse-controller %.2f %.2f %s", f.when, f.length, f.controller)
+		line("store-outage %.2f 70", f.when+1)
 	case 21:
-		line("cancelends %.2f %.2f %.2f", f.when, f.length, 0.3+0.6*r.Float64())
+		line("cancel-at-end %.2f %.2f %.2f", f.when, f.length, 0.3+0.6*r.Float64())
 	case 22:
-		line("looks %.2f %.2f %s", f.when, f.length, pick("0", "0.2"))
+		line("poll-on-change %.2f %.2f %s", f.when, f.length, pick("0", "0.2"))
 	case 23:
-		line("odd %.2f %.2f", f.when, f.length)
+		line("irregular-requests %.2f %.2f", f.when, f.length)
 	case 24:
-		line("slow %.2f %.2f %.2f", f.when, f.length, 0.02+0.2*r.Float64())
+		line("add-latency %.2f %.2f %.2f", f.when, f.length, 0.02+0.2*r.Float64())
 	}
 }
 
--- a/internal/scenario/fragmentation_test.go
+++ b/internal/scenario/fragmentation_test.go
@@ -15,7 +15,7 @@
 	line("-- script --")
 	line("controllers %s", strings.TrimSpace(strings.Repeat("region ", controllerCount)))
 	line("teams 2 60 200")
-	line("only g8")
+	line("only-type g8")
 	line("machines %d g8", machines)
 	line("capacity %d", machines+r.IntN(3))
 	small := machines + machines/4
@@ -31,7 +31,7 @@
 		at, controllerName, length := 95+r.IntN(60), fmt.Sprintf("stone-%d", r.IntN(controllerCount)), 2+r.IntN(25)
 		switch r.IntN(8) {
 		case 0:
-			line("crashes %d %s %.2f 1.5 %d", at, controllerName, 0.05+0.5*r.Float64(), 2+r.IntN(6))
+			line("crash-loop %d %s %.2f 1.5 %d", at, controllerName, 0.05+0.5*r.Float64(), 2+r.IntN(6))
 		case 1:
 			line("crash %d all %.1f", at, 0.1+3*r.Float64())
 		case 2:
@@ -39,18 +39,18 @@
 		case 3:
 			line("cut %d %d %s %s %s", at, length, controllerName, pick("state", "workers", "peers", "all"), pick("hold", "drop"))
 		case 4:
-			line("outage %d %d", at, 1+length/2)
+			line("store-outage %d %d", at, 1+length/2)
 		case 5:
 			line("kill %d i-%06d", at, r.IntN(machines))
 		case 6:
-			line("late %d %d i-%06d", at, 2*length, r.IntN(machines))
+			line("delay-commands %d %d i-%06d", at, 2*length, r.IntN(machines))
 		case 7:
 			line("crash %d %s 50", at, controllerName)
 		}
 	}
-	line("floor 0.5")
+	line("min-served 0.5")
 	line("end 420")
-	line("up 410 1")
+	line("replicas-up 410 1")
 	line("expect all done")
 	return b.String()
 }
--- a/internal/scenario/reservations_size_test.go
+++ b/internal/scenario/reservations_size_test.go
@@ -18,17 +18,17 @@
 	}
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	line("-- script --\nlimits\ncontrollers region region region\nmachines 300\ncapacity 300")
+	line("-- script --\nstore-limits\ncontrollers region region region\nmachines 300\ncapacity 300")
 	line("submit 2 run-1 service tasks=4 cpus=2 scatter priority=critical times=60 every=0.2")
 	line("submit 20 run-1000 array tasks=40 cpus=2 run=10 times=300 every=1")
 	for d := range 200 {
-		line("skips %.1f depot-%d six 100", 1+float64(d), d)
+		line("import-skips %.1f depot-%d six 100", 1+float64(d), d)
 	}
 	for d := range 200 {
-		line("office 240 300 depot-%d six 4 60", d)
+		line("request-skips 240 300 depot-%d six 4 60", d)
 	}
-	line("skips 1 hof-nord six 10\noffice 240 300 hof-nord six 0.02 30")
-	line("crash 330 all 0.2\nfloor 0\nend 400")
+	line("import-skips 1 hof-nord six 10\nrequest-skips 240 300 hof-nord six 0.02 30")
+	line("crash 330 all 0.2\nmin-served 0\nend 400")
 	var before, during [4]int
 	res, err := run([]byte(b.String()), func(sim *emulator.Simulation) {
 		sim.After(240e9, func() {
--- a/internal/scenario/reservations_test.go
+++ b/internal/scenario/reservations_test.go
@@ -15,17 +15,17 @@
 	line("controllers %s", strings.TrimSpace(strings.Repeat("region ", controllerCount)))
 	line("machines %d", controllerCount)
 	if r.IntN(2) == 0 {
-		line("limits")
+		line("store-limits")
 	}
-	line("skips 1 hof-nord six %d", 2+r.IntN(12))
-	line("skips 1 hof-sued six %d", 5+r.IntN(60))
-	line("office 6 100 hof-nord six 0.3 %d", 3+r.IntN(12))
-	line("office 6 100 hof-sued six 0.3 %d", 3+r.IntN(20))
+	line("import-skips 1 hof-nord six %d", 2+r.IntN(12))
+	line("import-skips 1 hof-sued six %d", 5+r.IntN(60))
+	line("request-skips 6 100 hof-nord six 0.3 %d", 3+r.IntN(12))
+	line("request-skips 6 100 hof-sued six 0.3 %d", 3+r.IntN(20))
 	for range 2 + r.IntN(4) {
 		at, controllerName, length := 8+r.IntN(85), fmt.Sprintf("stone-%d", r.IntN(controllerCount)), 2+r.IntN(30)
 		switch r.IntN(9) {
 		case 0:
-			line("crashes %d %s %.2f %.1f %d", at, controllerName, 0.05+0.5*r.Float64(), 0.5+3*r.Float64(), 2+r.IntN(8))
+			line("crash-loop %d %s %.2f %.1f %d", at, controllerName, 0.05+0.5*r.Float64(), 0.5+3*r.Float64(), 2+r.IntN(8))
 		case 1:
 			line("crash %d all %.1f", at, 0.1+3*r.Float64())
 		case 2:
@@ -33,18 +33,18 @@
 		case 3:
 			line("cut %d %d %s %s %s", at, length, controllerName, pick("state", "peers", "users", "all"), pick("hold", "drop"))
 		case 4:
-			line("outage %d %d", at, 1+length/3)
+			line("store-outage %d %d", at, 1+length/3)
 		case 5:
-			line("refuse %d %d %s", at, length, controllerName)
+			line("refuse-controller %d %d %s", at, length, controllerName)
 		case 6:
-			line("delay %d %d 0.4", at, length)
+			line("delay-transactions %d %d 0.4", at, length)
 		case 7:
-			line("lose %d %d 0.4", at, length)
+			line("lose-replies %d %d 0.4", at, length)
 		case 8:
-			line("skip %d hof-nord %s six-0000", at, pick("out", "in"))
+			line("skip-availability %d hof-nord %s six-0000", at, pick("out", "in"))
 		}
 	}
-	line("floor 0")
+	line("min-served 0")
 	line("end 220")
 	line("granted 40 900")
 	return b.String()
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -6,87 +6,101 @@
 // A scenario is a txtar archive. Its comment says what it is about; the file
 // "script" has a line for each step, blank lines and lines from # on aside:
 //
-//	limit TEAM CPUS                     a team's limit on CPUs
-//	teams N GPUS MAX                    team-0 to team-(N-1), with so many guaranteed and
-//	                                    at most, instead of the usual ones
-//	aim KIND CLASS SECONDS              one more service-level objective
-//	only TYPE                           the cloud has machines of this type alone, in zone a
-//	zones ZONE...                       the zones, instead of a, b and c
-//	controllers ZONE...                 as many controllers as zones are named, and where they
-//	                                    are; instead of three that are in none
-//	machines N [spot] [TYPE] [in=ZONE]  machines that are up at the start, in the zones by turns or in one
-//	capacity N [ZONE]                   machines the cloud has, in all or in a zone
-//	submit AT REF KIND key=value...     a job; see parseSubmission for the keys
-//	cancel AT REF [NODE]                a user cancels a job, at any or at one controller
-//	ask AT REF                          a poll for a job nobody submitted
-//	crash AT NODE|all BACK              a controller crashes and restarts after BACK seconds
-//	freeze AT FOR NODE|all              a controller's process pauses while its clocks run on
-//	crashes AT NODE|all BACK EVERY N    the same N times, so many seconds apart
-//	roll AT EVERY [BACK]                a rolling restart of all controllers, each down for 3 s or
-//	                                    as said
-//	cut AT FOR NODE SIDE hold|drop      SIDE: state, workers, peers, cloud, users or all
-//	cutzone AT FOR ZONE hold|drop       a zone is partitioned off, with the controllers in it
-//	outage AT FOR                       the key-value store is down
-//	refuse AT FOR NODE                  the key-value store refuses one node
-//	limits                              the key-value store keeps its limits: what is beyond gets 429
-//	polls AT FOR EACH                   users ask so many times as often about each open job
-//	lose AT FOR SHARE                   such a share of the key-value store's answers is lost
-//	delay AT FOR SHARE                  such a share of transactions arrives seconds late
-//	cloud AT FOR                        the cloud is down
-//	kill AT MACHINE                     a machine fails silently
-//	take AT SHARE                       such a share of the spot machines is reclaimed without notice
-//	hang AT FOR MACHINE                 a machine hangs: nothing runs, packets wait
-//	deaf AT FOR MACHINE|all             inbound cut: its heartbeats arrive, answers and direct commands to it are lost
-//	slow AT FOR SECONDS                 each passage over the network takes so much longer, on average
-//	boots SECONDS                       how long new machines take to be up, instead of 20 s
-//	mute AT FOR MACHINE|all             outbound cut: it reaches no controller, direct commands reach it
-//	keep AT FOR SHARE                   of such a share of heartbeats copies are held until a partition changes
-//	                                    its owner, and reach all controllers then
-//	cancelnow AT N HANG                 users cancel so many running jobs with long to go, within a
-//	                                    fifth of a second; up to eight of their machines hang, 0: none
-//	cancelends AT FOR SHARE             such a share of jobs is cancelled at the moment of their end
-//	looks AT FOR SHARE                  users ask at all nodes within milliseconds after news of a job,
-//	                                    and repeat its submission; they cancel such a share of new ones
-//	odd AT FOR                          users repeat submissions, cancel what is done, and send jobs
-//	                                    that can't run or lack a field
-//	stale AT FOR SHARE                  copies of such a share of heartbeats arrive again, up to two leases later
-//	late AT FOR MACHINE                 direct commands to it are held on their way
-//	sick AT FOR MACHINE                 every task fails that it starts
-//	random SEED FROM TO                 faults drawn by chance
-//	tenant AT NAME TEAMS RATE BURST     a tenant of a hosted service, with teams separated by commas;
-//	                                    with any, all jobs need tenant=NAME, and NAME/REF names one
-//	pool AT NAME SIZE                   a pool of counted resources is made, or gets another size
-//	reclaim AT NAME SIZE                the same, and holders are preempted if more is held
-//	guarantee AT NAME TEAM UNITS        a team's work comes before others' up to so many
-//	holds AT NAME UNITS                 so many are held then
-//	held NAME MOST                      the most units of it that were ever held
-//	use FROM TO NAME SHARE              such a share of it is held on average then, at least
+//	team-limit TEAM CPUS                Limits a team's CPUs.
+//	teams N GPUS MAX                    Replaces the default teams by team-0 to team-(N-1), each with GPUS
+//	                                    guaranteed and MAX at most.
+//	objective KIND CLASS SECONDS        Adds a service-level objective.
+//	only-type TYPE                      The cloud has machines of this type alone, in zone a.
+//	zones ZONE...                       Replaces the default zones a, b and c.
+//	controllers ZONE...                 One controller in each named zone; the default is three controllers
+//	                                    outside all zones.
+//	machines N [spot] [TYPE] [zone=ZONE]
+//	                                    Machines that are up at the start, distributed over the zones or in
+//	                                    one zone.
+//	capacity N [ZONE]                   Machines that the cloud has, in all zones or in one.
+//	boot-time SECONDS                   Boot time of new machines; the default is 20 s.
+//	store-limits                        The key-value store enforces its rate limits: excess requests get
+//	                                    429.
+//	submit AT REF KIND key=value...     A user submits a job; see parseSubmission for the keys.
+//	cancel AT REF [NODE]                A user cancels a job, at any or at one controller.
+//	poll AT REF                         A user polls a job once, also one that nobody submitted.
+//	extra-polls AT FOR N                Users send N additional polls per interval for each open job.
+//	cancel-running AT N HANG            Users cancel N long running jobs within a fifth of a second; up to
+//	                                    eight of their machines hang for HANG seconds, none if 0.
+//	cancel-at-end AT FOR SHARE          Users cancel this share of jobs at the moment of their end.
+//	poll-on-change AT FOR SHARE         Users poll all controllers within milliseconds of a job's change and
+//	                                    repeat its submission; they cancel this share of new jobs.
+//	irregular-requests AT FOR           Users repeat submissions, cancel finished jobs, and submit jobs that
+//	                                    can't run or lack a field.
+//	tenant AT NAME TEAMS RATE BURST     Creates a tenant of a hosted service with comma-separated teams.
+//	                                    With tenants, each job needs tenant=NAME, and NAME/REF names a job.
+//	pool AT NAME SIZE                   Creates a pool of counted resources or resizes it.
+//	reclaim AT NAME SIZE                Resizes a pool and preempts holders if more units are held.
+//	guarantee AT NAME TEAM UNITS        Guarantees units of a pool to a team.
 //	suspend AT NAME DRAIN, resume AT NAME, remove AT NAME [cancel]
-//	gone AT NAME                        no task of a tenant is on a machine then
-//	rules AT FILE                       an operator replaces the rules by a file of the archive
-//	served CLASS SHARE                  a class is served to that share, whatever floor says
-//	quick CLASS SECONDS SHARE           so many of its arrays and gangs are done within so long
-//	skips AT DEPOT KIND N               so many skips, the units that are reserved, are imported for a depot
-//	office FROM TO DEPOT KIND EVERY DAYS  reservation requests, so many seconds apart, for some of so many days
-//	granted MIN MAX                     offers and promises that clients received in all
-//	skip AT DEPOT out|in SKIP           a skip goes out of service, or into it again
-//	rate NAME RATE BURST                over no time more of its jobs are accepted
-//	finally NAME STATE                  a tenant's state at the end
-//	floor SHARE                         every class, every team and each class's largest jobs are
-//	                                    served to that share, see invariant.ServiceLevel; without it to half
-//	begin SECONDS                       how long the largest jobs of a class may wait to begin;
-//	                                    without it 240, 0: for ever
-//	end AT
+//	                                    Changes a tenant's state; remove can cancel its jobs.
+//	priority-rules AT FILE              An operator replaces the priority rules by a file of the archive.
+//	import-skips AT DEPOT KIND N        Imports N skips, the units that are reserved, for a depot.
+//	request-skips FROM TO DEPOT KIND EVERY DAYS
+//	                                    Clients request reservations that start within DAYS days, EVERY
+//	                                    seconds apart.
+//	skip-availability AT DEPOT out|in SKIP
+//	                                    Takes a skip out of service or back into service.
+//	crash AT NODE|all BACK              A controller crashes and restarts after BACK seconds.
+//	crash-loop AT NODE|all BACK EVERY N
+//	                                    N such crashes, EVERY seconds apart.
+//	rolling-restart AT EVERY [BACK]     Restarts all controllers in turn; each is down for BACK seconds, 3
+//	                                    by default.
+//	freeze AT FOR NODE|all              A controller's process pauses while its clocks run on.
+//	cut AT FOR NODE ENDPOINT hold|drop  Partitions a controller from an endpoint: state, workers, peers,
+//	                                    cloud, users or all.
+//	cut-zone AT FOR ZONE hold|drop      Partitions a zone, with the controllers in it.
+//	store-outage AT FOR                 The key-value store is down.
+//	refuse-controller AT FOR NODE       The key-value store refuses one controller.
+//	lose-replies AT FOR SHARE           This share of the key-value store's replies is lost.
+//	delay-transactions AT FOR SHARE     This share of transactions arrives seconds late.
+//	add-latency AT FOR SECONDS          Adds to the mean network latency.
+//	stale-heartbeats AT FOR SHARE       Copies of this share of heartbeats arrive again, up to two leases
+//	                                    later.
+//	hold-heartbeats AT FOR SHARE        Copies of this share of heartbeats are held until a partition
+//	                                    changes its owner, and then reach all controllers.
+//	cloud-outage AT FOR                 The cloud is down.
+//	kill AT MACHINE                     A machine fails without notice.
+//	preempt-spot AT SHARE               This share of the spot machines is preempted without notice.
+//	hang AT FOR MACHINE                 A machine hangs: nothing runs, packets wait.
+//	cut-inbound AT FOR MACHINE|all      A machine's heartbeats arrive; responses and direct commands to it
+//	                                    are lost.
+//	cut-outbound AT FOR MACHINE|all     A machine reaches no controller; direct commands reach it.
+//	delay-commands AT FOR MACHINE       Direct commands to a machine are delayed.
+//	fail-tasks AT FOR MACHINE           Each task that a machine starts fails.
+//	random-faults SEED FROM TO          Injects random faults.
+//	end AT                              Ends the scenario.
 //	expect REF done|aborted|pending|running [by AT]
-//	expect all done [by AT]             all arrays and gangs
-//	starts MIN MAX                      task starts in all
-//	deleted MIN MAX                     machines deleted by the controllers
-//	up AT SHARE                         of the replicas that are due so many are up then, at least
-//	sofar AT WHAT MIN MAX               the same by then: deleted, rented (machines launched), calls (to the
-//	                                    cloud) or starts
-//	most WHAT N                         cancel (seconds until a cancellation was acknowledged), state-rps,
-//	                                    state-writes, cloud-rps (a second, on average), value (bytes of the
-//	                                    largest), direct-calls (a task start), claims (changes of partitions'
-//	                                    owners), shorts (writes of unmet demand), rentals (scale-out calls) or
-//	                                    rented (machines launched), at most
+//	                                    A job's state at the end, or by a time.
+//	expect all done [by AT]             All arrays and gangs are done.
+//	min-served SHARE                    Each class, each team and each class's largest jobs are served to at
+//	                                    least this share (invariant.ServiceLevel); the default is 0.5.
+//	min-class-served CLASS SHARE        A class is served to at least this share, in addition to min-served.
+//	completed-within CLASS SECONDS SHARE
+//	                                    This share of a class's arrays and gangs completes within the time.
+//	max-start-wait SECONDS              Longest wait of a class's largest jobs until they start; the default
+//	                                    is 240, 0 means no limit.
+//	starts MIN MAX                      Number of task starts.
+//	deleted MIN MAX                     Number of machines that the controllers deleted.
+//	granted MIN MAX                     Number of offers and promises that clients received.
+//	max-count WHAT N                    Upper bound of cancel-wait (seconds until a cancellation was
+//	                                    acknowledged), store-rps, store-write-rps, cloud-rps (per second, on
+//	                                    average), largest-value (bytes), direct-calls-per-start,
+//	                                    ownership-changes (of partitions), shortage-writes (of unmet
+//	                                    demand), launch-calls or launched-machines.
+//	count-at AT WHAT MIN MAX            Number of deleted-machines, launched-machines, cloud-calls or starts
+//	                                    up to this time.
+//	replicas-up AT SHARE                At least this share of the replicas that are due is up at this time.
+//	held-units AT NAME UNITS            Number of a pool's units that are held at this time.
+//	max-held-units NAME UNITS           Most units of a pool that were ever held.
+//	min-utilization FROM TO NAME SHARE  At least this share of a pool's units is held between the times, on
+//	                                    average.
+//	max-rate NAME RATE BURST            Accepted submissions of a tenant never exceed this rate and burst.
+//	tenant-drained AT NAME              No task of the tenant is on a machine at this time.
+//	tenant-state NAME STATE             A tenant's state at the end.
 package scenario
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -62,7 +62,7 @@
 // the quiet in which all of it must come to its end.
 const randomScript = `
 -- script --
-limit red 40
+team-limit red 40
 machines 6
 machines 2 spot
 machines 2 g8
@@ -78,9 +78,9 @@
 cancel 75 run-7
 submit 90 run-9 array tasks=60 cpus=1 run=5 spot
 cancel 95 run-9
-random %d 5 130
-ask 60 run-99
-ask 140 run-98
+random-faults %d 5 130
+poll 60 run-99
+poll 140 run-98
 end 420
 expect run-1 done
 expect run-3 done
@@ -108,7 +108,7 @@
 submit 5 run-1 gang tasks=3 cpus=2 run=20 together checkpoint=5 save=1 priority=high team=blue tenant=lopresti
 submit 8 run-10 array tasks=2 cpus=1 run=3 times=40 every=2 team=blue tenant=lopresti
 submit 9 run-50 array tasks=2 cpus=1 run=3 times=40 every=2 tenant=kipper
-random %d 5 110
+random-faults %d 5 110
 suspend 15 kipper 10
 resume 40 kipper
 suspend 60 kipper 0
@@ -117,12 +117,12 @@
 resume 100 kipper
 suspend 130 kipper 5
 remove 140 kipper cancel
-floor 0  # what is suspended is not served
+min-served 0  # what is suspended is not served
 end 420
 expect lopresti/run-1 done
 expect lopresti/run-49 done
-finally kipper removed
-finally lopresti active
+tenant-state kipper removed
+tenant-state lopresti active
 `
 
 func TestRandomFaultsHosted(t *testing.T) {
@@ -147,7 +147,7 @@
 submit 9 run-50 array tasks=4 cpus=1 run=6 job-needs=routing:2 times=6 every=10 tenant=kipper
 submit 30 run-60 array tasks=6 cpus=1 run=300 needs=routing:1 tenant=kipper
 cancel 70 kipper/run-60
-random %d 5 110
+random-faults %d 5 110
 pool 20 routing 2
 pool 40 routing 6
 pool 45 pay 1
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -76,7 +76,7 @@
 		{Name: "g8", CPUs: 8, GPUs: 2, MemGB: 64, CacheGB: 20, FetchRate: 1, Price: 5, SpotPrice: 2, BootSeconds: 20, Zones: zones},
 	}
 	for _, l := range s.lines {
-		if l.name != "only" {
+		if l.name != "only-type" {
 			continue
 		}
 		types = slices.DeleteFunc(types, func(t api.MachineType) bool { return string(t.Name) != l.arguments[0] })
@@ -94,10 +94,10 @@
 }
 
 var settingSteps = map[string]settingStep{
-	"limit": {"sn", limitTeam},
-	"teams": {"nnn", replaceTeams},
-	"aim":   {"ssn", addObjective},
-	"only": {"s", func(deployment *config.Deployment, _ arguments) {
+	"team-limit": {"sn", limitTeam},
+	"teams":      {"nnn", replaceTeams},
+	"objective":  {"ssn", addObjective},
+	"only-type": {"s", func(deployment *config.Deployment, _ arguments) {
 		deployment.Zones = []api.Zone{"a"}
 	}},
 }
--- a/internal/scenario/steps_expectations.go
+++ b/internal/scenario/steps_expectations.go
@@ -86,16 +86,16 @@
 
 var expectationSteps = map[string]step{
 	"expect": {parse: (*runner).expectJob},
-	"served": {form: "sn", schedule: func(r *runner, a arguments) {
+	"min-class-served": {form: "sn", schedule: func(r *runner, a arguments) {
 		r.expected.minClassServed[api.Class(a.names[0])] = a.numbers[0]
 	}},
-	"quick": {form: "snn", schedule: func(r *runner, a arguments) {
+	"completed-within": {form: "snn", schedule: func(r *runner, a arguments) {
 		r.expected.completionTargets = append(r.expected.completionTargets,
 			completionTarget{class: api.Class(a.names[0]), within: api.Seconds(a.numbers[0]), share: a.numbers[1]})
 	}},
-	"floor": {form: "n", schedule: func(r *runner, a arguments) { r.expected.minServed = a.numbers[0] }},
-	"begin": {form: "d", schedule: func(r *runner, a arguments) { r.expected.maxStartWait = a.durations[0] }},
-	"most":  {form: "sn", schedule: func(r *runner, a arguments) { r.expected.upperBounds[a.names[0]] = a.numbers[0] }},
+	"min-served":     {form: "n", schedule: func(r *runner, a arguments) { r.expected.minServed = a.numbers[0] }},
+	"max-start-wait": {form: "d", schedule: func(r *runner, a arguments) { r.expected.maxStartWait = a.durations[0] }},
+	"max-count":      {form: "sn", schedule: func(r *runner, a arguments) { r.expected.upperBounds[a.names[0]] = a.numbers[0] }},
 	"granted": {form: "nn", schedule: func(r *runner, a arguments) {
 		r.expected.granted = countRange{int(a.numbers[0]), int(a.numbers[1])}
 	}},
@@ -105,30 +105,30 @@
 	"deleted": {form: "nn", schedule: func(r *runner, a arguments) {
 		r.expected.deleted = countRange{int(a.numbers[0]), int(a.numbers[1])}
 	}},
-	"rate": {form: "snn", schedule: func(r *runner, a arguments) {
+	"max-rate": {form: "snn", schedule: func(r *runner, a arguments) {
 		r.expected.rateBounds = append(r.expected.rateBounds,
 			rateBound{name: tenant.Name(a.names[0]), rate: a.numbers[0], burst: a.numbers[1]})
 	}},
-	"finally": {form: "ss", schedule: func(r *runner, a arguments) {
+	"tenant-state": {form: "ss", schedule: func(r *runner, a arguments) {
 		r.expected.tenantStates = append(r.expected.tenantStates, tenantState{name: a.names[0], state: a.names[1]})
 	}},
-	"held": {form: "sn", schedule: func(r *runner, a arguments) {
+	"max-held-units": {form: "sn", schedule: func(r *runner, a arguments) {
 		r.expected.maxHeldUnits[api.PoolName(a.names[0])] = int(a.numbers[0])
 	}},
-	"use": {form: "ddsn", schedule: func(r *runner, a arguments) {
+	"min-utilization": {form: "ddsn", schedule: func(r *runner, a arguments) {
 		measured := r.sim.Tenants.Utilization(api.PoolName(a.names[0]), a.durations[0], a.durations[1])
 		r.expected.poolUses = append(r.expected.poolUses, poolUse{name: a.names[0], min: a.numbers[0], measured: measured})
 	}},
-	"holds": {form: "dsn", schedule: func(r *runner, a arguments) {
+	"held-units": {form: "dsn", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.checkHeldUnits(api.PoolName(a.names[0]), int(a.numbers[0])) })
 	}},
-	"gone": {form: "ds", schedule: func(r *runner, a arguments) {
+	"tenant-drained": {form: "ds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Tenants.CheckDrained(tenant.Name(a.names[0])) })
 	}},
-	"up": {form: "dn", schedule: func(r *runner, a arguments) {
+	"replicas-up": {form: "dn", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.checkReplicas(a.durations[0], a.numbers[0]) })
 	}},
-	"sofar": {form: "dsnn", schedule: func(r *runner, a arguments) {
+	"count-at": {form: "dsnn", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.checkCountSoFar(a.durations[0], a.names[0], a.numbers[0], a.numbers[1]) })
 	}},
 }
@@ -169,10 +169,10 @@
 // checkCountSoFar runs during the scenario. A count of an unknown name is a problem too.
 func (r *runner) checkCountSoFar(at time.Duration, name string, least, most float64) {
 	counts := map[string]int{
-		"calls":   r.sim.Cloud.Calls,
-		"deleted": r.sim.Cloud.DeletedMachines,
-		"rented":  r.sim.Cloud.LaunchedMachines,
-		"starts":  r.sim.Checker.StartCount,
+		"cloud-calls":       r.sim.Cloud.Calls,
+		"deleted-machines":  r.sim.Cloud.DeletedMachines,
+		"launched-machines": r.sim.Cloud.LaunchedMachines,
+		"starts":            r.sim.Checker.StartCount,
 	}
 	got, ok := counts[name]
 	if !ok || float64(got) < least || float64(got) > most {
--- a/internal/scenario/steps_faults.go
+++ b/internal/scenario/steps_faults.go
@@ -23,12 +23,12 @@
 	"crash": {form: "dsd", schedule: func(r *runner, a arguments) {
 		r.crashControllersAt(a.durations[0], a.names[0], a.durations[1])
 	}},
-	"crashes": {form: "dsddn", schedule: func(r *runner, a arguments) {
+	"crash-loop": {form: "dsddn", schedule: func(r *runner, a arguments) {
 		for i := range int(a.numbers[0]) {
 			r.crashControllersAt(a.durations[0]+time.Duration(i)*a.durations[2], a.names[0], a.durations[1])
 		}
 	}},
-	"roll": {parse: (*runner).rollControllers},
+	"rolling-restart": {parse: (*runner).rollControllers},
 	"freeze": {form: "dds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() {
 			r.eachController(a.names[0], func(name string) { r.sim.FreezeController(name, a.durations[1]) })
@@ -40,38 +40,38 @@
 	"cut": {form: "ddsss", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.cutLinks(a.names[0], a.names[1], a.durations[1], a.names[2] == holdMessages) })
 	}},
-	"cutzone": {form: "ddss", schedule: func(r *runner, a arguments) {
+	"cut-zone": {form: "ddss", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.CutZone(api.Zone(a.names[0]), a.durations[1], a.names[1] == holdMessages) })
 	}},
-	"outage": {form: "dd", schedule: func(r *runner, a arguments) {
+	"store-outage": {form: "dd", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Store.Outage(a.durations[1]) })
 	}},
-	"refuse": {form: "dds", schedule: func(r *runner, a arguments) {
+	"refuse-controller": {form: "dds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Store.RefuseController(a.names[0], a.durations[1]) })
 	}},
-	"lose": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"lose-replies": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1])
 		r.during(a, func() { r.sim.ReplyLossRate = a.numbers[0] }, func() { r.sim.ReplyLossRate = 0 })
 	}},
-	"delay": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"delay-transactions": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1])
 		r.during(a, func() { r.sim.TransactionDelayRate = a.numbers[0] }, func() { r.sim.TransactionDelayRate = 0 })
 	}},
-	"slow": {form: "ddd", schedule: func(r *runner, a arguments) {
+	"add-latency": {form: "ddd", schedule: func(r *runner, a arguments) {
 		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1])
 		r.during(a, func() { r.sim.ExtraLatency = a.durations[2] }, func() { r.sim.ExtraLatency = 0 })
 	}},
-	"stale": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"stale-heartbeats": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1] + 2*r.configs[0].WorkerLease())
 		r.during(a, func() { r.sim.StaleHeartbeatRate = a.numbers[0] }, func() { r.sim.StaleHeartbeatRate = 0 })
 	}},
-	"keep": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"hold-heartbeats": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.during(a, func() { r.sim.HeldHeartbeatRate = a.numbers[0] }, func() { r.sim.HeldHeartbeatRate = 0 })
 	}},
-	"cloud": {form: "dd", schedule: func(r *runner, a arguments) {
+	"cloud-outage": {form: "dd", schedule: func(r *runner, a arguments) {
 		r.during(a, func() { r.sim.Cloud.Down = true }, func() { r.sim.Cloud.Down = false })
 	}},
-	"random": {form: "ndd", schedule: func(r *runner, a arguments) {
+	"random-faults": {form: "ndd", schedule: func(r *runner, a arguments) {
 		r.scheduleRandomFaults(uint64(a.numbers[0]), a.durations[0], a.durations[1])
 	}},
 }
@@ -80,24 +80,24 @@
 	"kill": {form: "ds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Kill(api.MachineID(a.names[0])) })
 	}},
-	"take": {form: "dn", schedule: func(r *runner, a arguments) {
+	"preempt-spot": {form: "dn", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.reclaimSpot(a.numbers[0]) })
 	}},
 	"hang": {form: "dds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Hang(api.MachineID(a.names[0]), a.durations[1]) })
 	}},
-	"sick": {form: "dds", schedule: func(r *runner, a arguments) {
+	"fail-tasks": {form: "dds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.FailTasks(api.MachineID(a.names[0]), a.durations[1]) })
 	}},
-	"late": {form: "dds", schedule: func(r *runner, a arguments) {
+	"delay-commands": {form: "dds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.DelayCommands(api.MachineID(a.names[0]), a.durations[1]) })
 	}},
-	"deaf": {form: "dds", schedule: func(r *runner, a arguments) {
+	"cut-inbound": {form: "dds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() {
 			r.eachMachine(a.names[0], func(id api.MachineID) { r.sim.CutInbound(id, a.durations[1]) })
 		})
 	}},
-	"mute": {form: "dds", schedule: func(r *runner, a arguments) {
+	"cut-outbound": {form: "dds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() {
 			r.eachMachine(a.names[0], func(id api.MachineID) { r.sim.CutOutbound(id, a.durations[1]) })
 		})
--- a/internal/scenario/steps_test.go
+++ b/internal/scenario/steps_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	check := func(name string) {
-		if !regexp.MustCompile(`(?m)^//\t([^\t]*, )?` + name + `\b`).Match(text) {
+		if !regexp.MustCompile(`(?m)^//\t([^\t]*, )?` + name + ` `).Match(text) {
 			t.Errorf("step %s is not documented", name)
 		}
 	}
--- a/internal/scenario/steps_work.go
+++ b/internal/scenario/steps_work.go
@@ -19,36 +19,36 @@
 var workSteps = map[string]step{
 	"machines": {parse: (*runner).launchMachines},
 	"capacity": {parse: (*runner).setCapacity},
-	"boots": {form: "d", schedule: func(r *runner, a arguments) {
+	"boot-time": {form: "d", schedule: func(r *runner, a arguments) {
 		for i := range r.sim.Cloud.Types {
 			r.sim.Cloud.Types[i].BootSeconds = a.durations[0].Seconds()
 		}
 	}},
-	"limits": {schedule: func(r *runner, _ arguments) { r.sim.Store.RateLimited = true }},
-	"rules":  {parse: (*runner).replaceRules},
-	"end":    {form: "d", schedule: func(r *runner, a arguments) { r.end = a.durations[0] }},
+	"store-limits":   {schedule: func(r *runner, _ arguments) { r.sim.Store.RateLimited = true }},
+	"priority-rules": {parse: (*runner).replaceRules},
+	"end":            {form: "d", schedule: func(r *runner, a arguments) { r.end = a.durations[0] }},
 }
 
 var userSteps = map[string]step{
 	"submit": {parse: (*runner).submit},
 	"cancel": {parse: (*runner).cancel},
-	"ask": {form: "ds", schedule: func(r *runner, a arguments) {
+	"poll": {form: "ds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Users.PollOnce(r.jobID(a.names[0])) })
 	}},
-	"polls": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"extra-polls": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.during(a, func() { r.sim.Users.PollsPerInterval = int(a.numbers[0]) }, func() { r.sim.Users.PollsPerInterval = 0 })
 	}},
-	"cancelnow": {form: "dnd", schedule: func(r *runner, a arguments) {
+	"cancel-running": {form: "dnd", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Users.CancelRunning(int(a.numbers[0]), a.durations[1]) })
 	}},
-	"cancelends": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"cancel-at-end": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.during(a, func() { r.sim.Users.CancelAtEndShare = a.numbers[0] }, func() { r.sim.Users.CancelAtEndShare = 0 })
 	}},
-	"looks": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"poll-on-change": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.during(a, func() { r.sim.Users.PollOnChange, r.sim.Users.CancelNewShare = true, a.numbers[0] },
 			func() { r.sim.Users.PollOnChange = false })
 	}},
-	"odd": {form: "dd", schedule: func(r *runner, a arguments) {
+	"irregular-requests": {form: "dd", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Users.SendIrregularRequests(a.durations[1]) })
 	}},
 }
@@ -78,17 +78,17 @@
 }
 
 var reservationSteps = map[string]step{
-	"skips": {form: "dssn", schedule: func(r *runner, a arguments) {
+	"import-skips": {form: "dssn", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.ReservationClients.Import(a.names[0], a.names[1], int(a.numbers[0])) })
 	}},
-	"office": {form: "ddssdn", schedule: func(r *runner, a arguments) {
+	"request-skips": {form: "ddssdn", schedule: func(r *runner, a arguments) {
 		from, to, interval := a.durations[0], a.durations[1], a.durations[2]
 		for at := from; at < to; at += interval {
 			r.sim.After(at, func() { r.sim.ReservationClients.RequestReservation(a.names[0], a.names[1], int(a.numbers[0])) })
 		}
 		r.depots[a.names[0]] = true
 	}},
-	"skip": {form: "dsss", schedule: func(r *runner, a arguments) {
+	"skip-availability": {form: "dsss", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.ReservationClients.ChangeAvailability(a.names[0], a.names[1], a.names[2]) })
 	}},
 }
@@ -118,7 +118,7 @@
 	cloud := r.sim.Cloud
 	machineType, spot, zones := api.MachineTypeName("c8"), false, cloud.Types[0].Zones
 	for _, word := range words[1:] {
-		if z, ok := strings.CutPrefix(word, "in="); ok {
+		if z, ok := strings.CutPrefix(word, "zone="); ok {
 			zones = []api.Zone{api.Zone(z)}
 		} else if word == "spot" {
 			spot = true
--- a/internal/scenario/submit.go
+++ b/internal/scenario/submit.go
@@ -45,22 +45,22 @@
 
 // textKeys are the keys with a word as their value, and those without a value.
 var textKeys = map[string]func(*submission, string){
-	"tenant":   func(s *submission, v string) { s.tenant = tenant.Name(v) },
-	"team":     func(s *submission, v string) { s.spec.Team = api.Team(v) },
-	"class":    func(s *submission, v string) { s.spec.Class = api.Class(v) },
-	"image":    func(s *submission, v string) { s.spec.Image = api.Image(v) },
-	"priority": func(s *submission, v string) { s.spec.Priority = api.Priority(v) },
-	"types":    func(s *submission, v string) { s.spec.Types = []api.MachineTypeName{api.MachineTypeName(v)} },
-	"zone":     func(s *submission, v string) { s.spec.Zone = api.Zone(v) },
-	"at":       func(s *submission, v string) { s.controller = v },
-	"together": func(s *submission, _ string) { s.spec.OneZone = true },
-	"scatter":  func(s *submission, _ string) { s.spec.Spread = true },
-	"spot":     func(s *submission, _ string) { s.spec.Spot = true },
+	"tenant":     func(s *submission, v string) { s.tenant = tenant.Name(v) },
+	"team":       func(s *submission, v string) { s.spec.Team = api.Team(v) },
+	"class":      func(s *submission, v string) { s.spec.Class = api.Class(v) },
+	"image":      func(s *submission, v string) { s.spec.Image = api.Image(v) },
+	"priority":   func(s *submission, v string) { s.spec.Priority = api.Priority(v) },
+	"types":      func(s *submission, v string) { s.spec.Types = []api.MachineTypeName{api.MachineTypeName(v)} },
+	"zone":       func(s *submission, v string) { s.spec.Zone = api.Zone(v) },
+	"controller": func(s *submission, v string) { s.controller = v },
+	"together":   func(s *submission, _ string) { s.spec.OneZone = true },
+	"scatter":    func(s *submission, _ string) { s.spec.Spread = true },
+	"spot":       func(s *submission, _ string) { s.spec.Spot = true },
 }
 
 // parseSubmission reads a job: tasks, cpus, gpus, run (seconds), team (each: by turns), priority,
 // types, needs and job-needs (POOL:UNITS, of each task or of the job), zone, deadline, checkpoint,
-// save, at (a controller), times and every (so many like it, with the numbers that follow, so many
+// save, controller (that gets the submission), times and every (so many like it, with the numbers that follow, so many
 // seconds apart) with =, and the words together, scatter and spot.
 func parseSubmission(words []string) (*submission, error) {
 	if len(words) < 3 {
--- a/internal/scenario/zone_loss_size_test.go
+++ b/internal/scenario/zone_loss_size_test.go
@@ -20,7 +20,7 @@
 machines %d
 capacity %d
 submit 1 run-1000 service tasks=4 cpus=2 scatter priority=critical times=%d every=%.4f
-cutzone 90 70 b hold
+cut-zone 90 70 b hold
 end 240
 `
 
--- a/internal/scenario/zone_loss_test.go
+++ b/internal/scenario/zone_loss_test.go
@@ -20,17 +20,17 @@
 	line("machines %d", machines)
 	line("machines 8 g8")
 	line("capacity %d", machines+8+r.IntN(machines/2))
-	line("limit red 0")
+	line("team-limit red 0")
 	services := machines / (4 + r.IntN(4))
 	line("submit 1 run-1 service tasks=%d cpus=2 scatter priority=critical class=web team=blue times=%d every=0.05", 2+r.IntN(4), services)
 	line("submit 3 run-1000 array tasks=%d cpus=2 run=%d times=20 every=4", machines/10, 10+r.IntN(30))
 	line("submit 5 run-2000 gang tasks=2 cpus=4 gpus=1 run=40 types=g8 priority=high class=train together checkpoint=10 save=1 times=3 every=25")
 	lost := pick("a", "b", "c")
 	at, length := 30+r.IntN(20), 15+r.IntN(90)
-	line("cutzone %d %d %s %s", at, length, lost, pick("hold", "drop"))
+	line("cut-zone %d %d %s %s", at, length, lost, pick("hold", "drop"))
 	if r.IntN(3) == 0 {
 		if other := pick("a", "b", "c"); other != lost {
-			line("cutzone %d %d %s %s", at+r.IntN(40), 20+r.IntN(60), other, pick("hold", "drop"))
+			line("cut-zone %d %d %s %s", at+r.IntN(40), 20+r.IntN(60), other, pick("hold", "drop"))
 		}
 	}
 	for range 2 {
@@ -47,19 +47,19 @@
 		case 3:
 			line("cut %d %d %s %s %s", when, duration, controllerName, pick("state", "workers", "peers", "cloud", "all"), pick("hold", "drop"))
 		case 4:
-			line("outage %d %d", when, 1+duration/2)
+			line("store-outage %d %d", when, 1+duration/2)
 		case 5:
-			line("refuse %d %d %s", when, duration, controllerName)
+			line("refuse-controller %d %d %s", when, duration, controllerName)
 		case 6:
-			line("cloud %d %d", when, duration)
+			line("cloud-outage %d %d", when, duration)
 		case 7:
-			line("roll %d %d", when, 4+r.IntN(6))
+			line("rolling-restart %d %d", when, 4+r.IntN(6))
 		case 8:
-			line("delay %d %d 0.2", when, duration)
+			line("delay-transactions %d %d 0.2", when, duration)
 		}
 	}
 	line("cancel %d run-%d", at+r.IntN(length), 1+r.IntN(services))
-	line("floor 0.6")
+	line("min-served 0.6")
 	line("end 330")
 	line("expect all done")
 	return b.String()
