--- a/internal/docscheck/architecture_test.go
+++ b/internal/docscheck/architecture_test.go
@@ -6,30 +6,30 @@
 	"testing"
 )
 
-// This file holds the tables of packages and layers in docs/architecture.md to the module.
+// This file compares the tables of packages and layers in docs/architecture.md with the module.
 
 const architecturePage = "docs/architecture.md"
 
-// described is a package's row in the page on the architecture.
-type described struct {
+// packageRow is a row of the table of packages.
+type packageRow struct {
 	layer string
 }
 
-// readPackages reads the table of packages, by directory.
-func readPackages(t *testing.T) map[string]described {
+// readPackages returns the rows of the table of packages, by directory.
+func readPackages(t *testing.T) map[string]packageRow {
 	t.Helper()
-	packages := map[string]described{}
+	packages := map[string]packageRow{}
 	for _, row := range tableRows(t, architecturePage, "package", "layer", "owns") {
 		name, layer := strings.Trim(row[0], "`"), row[1]
 		if _, ok := packages[name]; ok {
 			t.Errorf("%s: package %q is described twice", architecturePage, name)
 		}
-		packages[name] = described{layer: layer}
+		packages[name] = packageRow{layer: layer}
 	}
 	return packages
 }
 
-// readLayers reads which layers a layer may import.
+// readLayers returns the layers that each layer may import.
 func readLayers(t *testing.T) map[string][]string {
 	t.Helper()
 	layers := map[string][]string{}
@@ -43,12 +43,12 @@
 	packages, module := readPackages(t), readSources(t)
 	for dir := range module.imports {
 		if _, ok := packages[dir]; !ok {
-			t.Errorf("%s: package %q is missing", architecturePage, dir)
+			t.Errorf("%s: package %q has no row", architecturePage, dir)
 		}
 	}
 	for name := range packages {
 		if _, ok := module.imports[name]; !ok {
-			t.Errorf("%s: no such package: %q", architecturePage, name)
+			t.Errorf("%s: package %q does not exist", architecturePage, name)
 		}
 	}
 }
@@ -59,12 +59,12 @@
 		layer := packages[dir].layer
 		allowed, ok := layers[layer]
 		if !ok {
-			t.Errorf("%s: package %q is in no layer: %q", architecturePage, dir, layer)
+			t.Errorf("%s: package %q has the unknown layer %q", architecturePage, dir, layer)
 			continue
 		}
 		for imported := range imports {
 			if importedLayer := packages[imported].layer; !slices.Contains(allowed, importedLayer) {
-				t.Errorf("%s (%s) imports %s (%s); allowed are %v", dir, layer, imported, importedLayer, allowed)
+				t.Errorf("%s (%s) imports %s (%s); allowed layers: %v", dir, layer, imported, importedLayer, allowed)
 			}
 		}
 	}
--- a/internal/docscheck/doc.go
+++ b/internal/docscheck/doc.go
@@ -1,4 +1,4 @@
-// Package docscheck holds the pages under docs to the code: that every package is described and
-// imports only what the page on the architecture allows, and that the files, packages, identifiers,
-// tests, scenarios and log messages that the pages name exist. It has tests only.
+// Package docscheck tests that the documentation matches the code: every package is described and
+// imports only the layers that docs/architecture.md allows, and all files, packages, identifiers, tests,
+// scenarios and log messages that the pages name exist.
 package docscheck
--- a/internal/docscheck/page_test.go
+++ b/internal/docscheck/page_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// This file reads pages.
+// This file reads documentation pages.
 
-// readPage reads a page, named from the module's root.
+// readPage returns the text of a page, whose path is relative to the module's root.
 func readPage(t *testing.T, page string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(moduleRoot, page))
@@ -21,7 +21,8 @@
 	return string(text)
 }
 
-// tableRows returns the rows of the page's tables with these columns, of which there must be one.
+// tableRows returns the rows of all tables of a page with these columns. A page without any fails the
+// test.
 func tableRows(t *testing.T, page string, columns ...string) [][]string {
 	t.Helper()
 	var rows [][]string
@@ -43,7 +44,7 @@
 	return rows
 }
 
-// tableCells splits a line of a table; nil for other lines.
+// tableCells returns the cells of a table's line, or nil for other lines.
 func tableCells(line string) []string {
 	inner, ok := strings.CutPrefix(strings.TrimSpace(line), "|")
 	if !ok {
@@ -58,7 +59,7 @@
 
 var codeSpan = regexp.MustCompile("`([^`\n]+)`")
 
-// codeSpans returns what stands in backticks in a text, apart from blocks of code.
+// codeSpans returns the texts in backticks, except in indented code blocks.
 func codeSpans(text string) []string {
 	var spans []string
 	for line := range strings.Lines(text) {
--- a/internal/docscheck/references_test.go
+++ b/internal/docscheck/references_test.go
@@ -9,20 +9,20 @@
 	"testing"
 )
 
-// This file follows the references of pages into the tree.
+// This file checks the references of pages to the code and to other pages.
 
 const (
 	operationsPage = "docs/operations.md"
 	safetyPage     = "docs/safety.md"
 )
 
-// checkedPages returns the pages whose references must resolve: all but the accounts of incidents,
-// which tell of the tree as it was.
+// checkedPages returns the pages whose references must resolve. Reports of incidents are excluded, as
+// they describe older versions.
 func checkedPages(t *testing.T) []string {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(moduleRoot, "docs", "*.md"))
 	if err != nil || len(found) == 0 {
-		t.Fatal("no pages: ", err)
+		t.Fatal("no pages under docs: ", err)
 	}
 	pages := []string{"README.md", "CONTRIBUTING.md"}
 	for _, file := range found {
@@ -31,7 +31,7 @@
 	return pages
 }
 
-// otherPackages are packages and variables of other modules that pages name with a selector.
+// otherPackages are packages and variables outside the module that pages use in selectors.
 var otherPackages = map[string]bool{"errors": true, "t": true}
 
 const scenarioDirectory = "internal/scenario/testdata"
@@ -47,13 +47,13 @@
 	hyphenated = regexp.MustCompile(`^[a-z0-9]+(-[a-z0-9]+)*(-\*)?$`)
 )
 
-// exists reports whether a path of the tree, from the module's root, exists.
+// exists reports whether a path relative to the module's root exists.
 func exists(name string) bool {
 	_, err := os.Stat(filepath.Join(moduleRoot, name))
 	return err == nil
 }
 
-// problem says what is wrong with a reference in backticks, "" if it resolves or is none.
+// problem describes why a reference in backticks does not resolve; "" if it resolves or is no reference.
 func (s *sources) problem(reference string) string {
 	switch {
 	case testName.MatchString(reference):
@@ -73,14 +73,14 @@
 	case identifier.MatchString(reference):
 		for name := range strings.SplitSeq(reference, ".") {
 			if !s.names[name] {
-				return "nothing is declared with that name"
+				return "no declaration with that name"
 			}
 		}
 	}
 	return ""
 }
 
-// selectorProblem checks package.Name and package.Type.Member.
+// selectorProblem checks references of the forms package.Name and package.Type.Member.
 func (s *sources) selectorProblem(reference string) string {
 	parts := selector.FindStringSubmatch(reference)
 	if otherPackages[parts[1]] {
@@ -91,7 +91,7 @@
 		return "no such package"
 	}
 	if !declared[parts[2]] || parts[3] != "" && !declared[parts[3]] {
-		return "the package declares no such name"
+		return "no such declaration in the package"
 	}
 	return ""
 }
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestScenariosExist looks at the columns of docs/safety.md that name the scenarios and tests which
-// show a rule.
+// TestScenariosExist checks the columns of docs/safety.md that name the scenarios and tests of each
+// rule, and the patterns of scenario names in all pages.
 func TestScenariosExist(t *testing.T) {
 	tables := [][][]string{
 		tableRows(t, safetyPage, "rule", "upheld by", "shown by"),
@@ -130,7 +130,7 @@
 	}
 }
 
-// notScenarios are words beside scenarios in the same columns: rules of the checker, and a kind of fault.
+// notScenarios are other words in the same columns: a rule of the checker and a kind of fault.
 var notScenarios = map[string]bool{"pool": true, "ask": true}
 
 func checkScenario(t *testing.T, page, row, reference string) {
@@ -143,17 +143,17 @@
 		t.Fatal(err)
 	}
 	if len(found) == 0 {
-		t.Errorf("%s: %s: no scenario `%s`", page, row, reference)
+		t.Errorf("%s: %s: no such scenario `%s`", page, row, reference)
 	}
 }
 
-// TestLogMessagesExist looks at the messages that docs/operations.md explains.
+// TestLogMessagesExist checks that the code contains each log message that docs/operations.md explains.
 func TestLogMessagesExist(t *testing.T) {
 	module := readSources(t)
 	for _, row := range tableRows(t, operationsPage, "message", "meaning") {
 		for _, message := range codeSpans(row[0]) {
 			if message != "debug" && !module.literals[message] {
-				t.Errorf("%s: nothing logs `%s`", operationsPage, message)
+				t.Errorf("%s: no such log message `%s`", operationsPage, message)
 			}
 		}
 	}
@@ -177,7 +177,7 @@
 	}
 }
 
-// hasHeading reports whether a page has a heading to which an anchor points.
+// hasHeading reports whether a page has the heading of an anchor.
 func hasHeading(t *testing.T, page, anchor string) bool {
 	t.Helper()
 	for _, match := range heading.FindAllStringSubmatch(readPage(t, page), -1) {
@@ -188,5 +188,5 @@
 	return false
 }
 
-// notInAnchor is what anchors leave out of a heading.
+// notInAnchor matches the characters of a heading that its anchor omits.
 var notInAnchor = regexp.MustCompile("[^A-Za-z0-9 _-]")
--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -13,25 +13,25 @@
 	"testing"
 )
 
-// This file reads the module's sources.
+// This file parses the module's sources.
 
-// modulePath is the module's path, with which its packages' import paths begin.
+// modulePath is the prefix of the import paths of the module's packages.
 const modulePath = "basaltwall"
 
-// moduleRoot is the module's root directory, seen from this package.
+// moduleRoot is the module's root directory, relative to this package.
 const moduleRoot = "../.."
 
-// sources is what the module's Go files declare and import.
+// sources has the declarations, imports and string literals of the module's Go files.
 type sources struct {
-	imports  map[string]map[string]bool // by package directory: the module's packages that its production files import
+	imports  map[string]map[string]bool // by package directory: imported packages of the module, except in tests
 	files    map[string]bool            // Go files, by path and by name
 	declared map[string]map[string]bool // by package name: functions, types, variables, methods and fields
-	names    map[string]bool            // all of them together
+	names    map[string]bool            // declared names of all packages
 	tests    map[string]bool            // test and benchmark functions
-	literals map[string]bool            // string literals of production files
+	literals map[string]bool            // string literals, except in tests
 }
 
-// readSources parses all Go files of the module. Nested modules are not part of it.
+// readSources parses all Go files of the module, without nested modules.
 func readSources(t *testing.T) *sources {
 	t.Helper()
 	s := &sources{
@@ -56,7 +56,7 @@
 	return s
 }
 
-// skipDirectory returns fs.SkipDir for directories that hold no packages of the module.
+// skipDirectory returns fs.SkipDir for directories without packages of the module.
 func skipDirectory(dir, name string) error {
 	if dir == moduleRoot {
 		return nil
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,12 +1,10 @@
-// Package golden is for tests of what a version reads that another has written: it keeps bytes
-// as they were written in a file, fills values so that no field of them is zero, and compares
-// values field by field.
+// Package golden supports tests of compatibility between versions. It keeps encoded values in golden
+// files, fills values so that no field is zero, and compares values field by field.
 //
-// A section stays as it was written, for versions that wrote it run beside this one during an
-// upgrade, and what they stored is read after it. A type that gets a field gets a section more;
-// the one it had is then compared with a value that has not the field. Only for what no other
-// version reads, as answers that are shown to people, a section may be replaced, by removing it
-// and adding it again.
+// A section of a golden file is never changed, because older versions run beside this one during an
+// upgrade, and data that they stored is read afterwards. When a type gets a new field, add a section and
+// compare the existing one with a value without the field. Only text that no other version reads, such
+// as answers shown to people, may be replaced, by removing its section and adding it again.
 package golden
 
 import (
@@ -27,24 +25,24 @@
 	"golang.org/x/tools/txtar"
 )
 
-// Variable is the environment variable that, set to add, has tests add to the file what it
-// lacks. What is there is never overwritten: other versions have written it and read it.
+// Variable is the environment variable that makes tests add missing sections to golden files if it is
+// set to "add". Existing sections are never overwritten.
 const Variable = "BASALTWALL_GOLDEN"
 
-// File is what earlier versions wrote, in sections with names.
+// File is a golden file with named sections.
 type File struct {
 	t       testing.TB
 	path    string
 	archive *txtar.Archive
-	asked   map[string]bool
+	read    map[string]bool // by section
 	added   bool
 }
 
-// Open reads the file of a test. At its end each section must have been asked for.
+// Open reads the golden file of a test. The test fails if it does not read every section.
 func Open(t testing.TB) *File {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", t.Name()+".txtar")
-	f := &File{t: t, path: path, archive: &txtar.Archive{Comment: []byte("What a version wrote that others must read. It is added to, not changed.\n")}, asked: map[string]bool{}}
+	f := &File{t: t, path: path, archive: &txtar.Archive{Comment: []byte("What a version wrote that others must read. It is added to, not changed.\n")}, read: map[string]bool{}}
 	data, err := os.ReadFile(path)
 	switch {
 	case err == nil:
@@ -58,8 +56,8 @@
 
 func (f *File) close() {
 	for _, s := range f.archive.Files {
-		if !f.asked[s.Name] {
-			f.t.Errorf("nothing reads section %q of %s", s.Name, f.path)
+		if !f.read[s.Name] {
+			f.t.Errorf("section %q of %s is not read", s.Name, f.path)
 		}
 	}
 	if !f.added {
@@ -74,46 +72,46 @@
 	}
 }
 
-// Section is what a section holds, without the end of its last line; where the file lacks it, it
-// is what is written today.
-func (f *File) Section(name, today string) string {
+// Section returns the content of a section without its last line break. If the section is missing and
+// may be added, it adds and returns the current content.
+func (f *File) Section(name, current string) string {
 	f.t.Helper()
-	if f.asked[name] {
-		f.t.Fatalf("section %q is asked for twice", name)
+	if f.read[name] {
+		f.t.Fatalf("section %q is read twice", name)
 	}
-	f.asked[name] = true
+	f.read[name] = true
 	for _, s := range f.archive.Files {
 		if s.Name == name {
 			return strings.TrimSuffix(string(s.Data), "\n")
 		}
 	}
 	if os.Getenv(Variable) != "add" {
-		f.t.Fatalf("%s has no section %q; %s=add adds it", f.path, name, Variable)
+		f.t.Fatalf("%s has no section %q; set %s=add to add it", f.path, name, Variable)
 	}
 	f.added = true
-	f.archive.Files = append(f.archive.Files, txtar.File{Name: name, Data: []byte(today + "\n")})
-	return today
+	f.archive.Files = append(f.archive.Files, txtar.File{Name: name, Data: []byte(current + "\n")})
+	return current
 }
 
-// Text requires that today's text is the section's.
-func (f *File) Text(name, today string) {
+// Text requires that a text equals the section.
+func (f *File) Text(name, current string) {
 	f.t.Helper()
-	if golden := f.Section(name, today); golden != today {
-		f.t.Errorf("%s: today it is\n%s\nand was\n%s", name, today, golden)
+	if golden := f.Section(name, current); golden != current {
+		f.t.Errorf("%s: text is\n%s\nexpected\n%s", name, current, golden)
 	}
 }
 
-// JSON requires that today's writing of a value is the section, and that the section is read as
+// JSON requires that the JSON encoding of a value equals the section, and that the section decodes to
 // the value. It returns the section.
 func JSON[T any](f *File, name string, want T) []byte {
 	f.t.Helper()
-	today, err := json.Marshal(want)
+	current, err := json.Marshal(want)
 	if err != nil {
 		f.t.Fatalf("%s: %v", name, err)
 	}
-	golden := f.Section(name, string(today))
-	if golden != string(today) {
-		f.t.Errorf("%s: it is written today as\n%s\nand was as\n%s", name, today, golden)
+	golden := f.Section(name, string(current))
+	if golden != string(current) {
+		f.t.Errorf("%s: encoding is\n%s\nexpected\n%s", name, current, golden)
 	}
 	var got T
 	if err := json.Unmarshal([]byte(golden), &got); err != nil {
@@ -123,27 +121,26 @@
 	return []byte(golden)
 }
 
-// Gob requires that the section, which encoding/gob wrote, is read as a value, and that the
-// type Old, a copy of the value's type as it was, reads the same from the section and from
-// today's writing, and is read as the same. It returns the section. The bytes themselves are not
-// compared, as maps have no order in them.
+// Gob requires that the section, in the encoding of encoding/gob, decodes to a value, and that the type
+// Old, a copy of an older version of the value's type, is compatible with it in both directions. It
+// returns the section. The bytes are not compared, as the order of map entries varies.
 func Gob[T, Old any](f *File, name string, want T) []byte {
 	f.t.Helper()
-	today := encode(f.t, name, want)
-	golden, err := base64.StdEncoding.DecodeString(f.Section(name, base64.StdEncoding.EncodeToString(today)))
+	current := encode(f.t, name, want)
+	golden, err := base64.StdEncoding.DecodeString(f.Section(name, base64.StdEncoding.EncodeToString(current)))
 	if err != nil {
 		f.t.Fatalf("%s: %v", name, err)
 	}
-	var old, written Old
-	var got, back T
-	decode(f.t, name+", as it was", golden, &got)
-	Same(f.t, name+", as it was", got, want)
-	decode(f.t, name+", as it was, by the type that was", golden, &old)
-	Same(f.t, name+", as it was, by the type that was", old, want)
-	decode(f.t, name+", as it is, by the type that was", today, &written)
-	Same(f.t, name+", as it is, by the type that was", written, want)
-	decode(f.t, name+", written by the type that was", encode(f.t, name, old), &back)
-	Same(f.t, name+", written by the type that was", back, want)
+	var oldFromGolden, oldFromCurrent Old
+	var fromGolden, fromOld T
+	decode(f.t, name+", golden data", golden, &fromGolden)
+	Same(f.t, name+", golden data", fromGolden, want)
+	decode(f.t, name+", golden data decoded by the old type", golden, &oldFromGolden)
+	Same(f.t, name+", golden data decoded by the old type", oldFromGolden, want)
+	decode(f.t, name+", current data decoded by the old type", current, &oldFromCurrent)
+	Same(f.t, name+", current data decoded by the old type", oldFromCurrent, want)
+	decode(f.t, name+", data encoded by the old type", encode(f.t, name, oldFromGolden), &fromOld)
+	Same(f.t, name+", data encoded by the old type", fromOld, want)
 	return golden
 }
 
@@ -163,14 +160,14 @@
 	}
 }
 
-// Filled is a value of which no exported field is zero, and numbers and texts differ from each
-// other. They are the same each time and do not depend on the names of types and fields. Where a
-// field is of the type of one of the values in own, that is what it gets.
-func Filled[T any](t testing.TB, own ...any) T {
+// Filled returns a value without zero exported fields, in which all numbers and strings differ. The
+// result is deterministic and independent of the names of types and fields. Fields of the type of a
+// value in preset get that value.
+func Filled[T any](t testing.TB, preset ...any) T {
 	t.Helper()
-	f := filler{t: t, own: map[reflect.Type]reflect.Value{}, within: map[reflect.Type]int{}}
-	for _, v := range own {
-		f.own[reflect.TypeOf(v)] = reflect.ValueOf(v)
+	f := filler{t: t, preset: map[reflect.Type]reflect.Value{}, depths: map[reflect.Type]int{}}
+	for _, v := range preset {
+		f.preset[reflect.TypeOf(v)] = reflect.ValueOf(v)
 	}
 	var v T
 	f.fill(reflect.ValueOf(&v).Elem())
@@ -178,25 +175,25 @@
 }
 
 type filler struct {
-	t      testing.TB
-	own    map[reflect.Type]reflect.Value
-	last   int
-	within map[reflect.Type]int // structs that are being filled
+	t       testing.TB
+	preset  map[reflect.Type]reflect.Value
+	counter int                  // source of distinct numbers and strings
+	depths  map[reflect.Type]int // nesting depth by struct type
 }
 
-// fill reports whether it filled the value: of a type that holds itself only two levels are.
+// fill reports whether it filled the value: recursive types are filled to the second level.
 func (f *filler) fill(v reflect.Value) bool {
-	if own, ok := f.own[v.Type()]; ok {
-		v.Set(own)
+	if preset, ok := f.preset[v.Type()]; ok {
+		v.Set(preset)
 		return true
 	}
-	f.last++
+	f.counter++
 	switch v.Interface().(type) {
 	case netip.Addr:
-		v.Set(reflect.ValueOf(netip.AddrFrom4([4]byte{10, 0, byte(f.last >> 8), byte(f.last)})))
+		v.Set(reflect.ValueOf(netip.AddrFrom4([4]byte{10, 0, byte(f.counter >> 8), byte(f.counter)})))
 		return true
 	case json.RawMessage:
-		v.SetBytes(fmt.Appendf(nil, `{"n":%d}`, f.last))
+		v.SetBytes(fmt.Appendf(nil, `{"n":%d}`, f.counter))
 		return true
 	}
 	switch v.Kind() {
@@ -229,17 +226,17 @@
 	case reflect.Bool:
 		v.SetBool(true)
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(f.last))
+		v.SetInt(int64(f.counter))
 	case reflect.Uint8:
-		v.SetUint(uint64(f.last%255 + 1))
+		v.SetUint(uint64(f.counter%255 + 1))
 	case reflect.Uint, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(f.last))
+		v.SetUint(uint64(f.counter))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(f.last) + 0.5)
+		v.SetFloat(float64(f.counter) + 0.5)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("v%d", f.last))
+		v.SetString(fmt.Sprintf("v%d", f.counter))
 	default:
-		f.t.Fatalf("a value of type %v can't be filled: give one", v.Type())
+		f.t.Fatalf("can't fill a value of type %v: pass a preset", v.Type())
 	}
 }
 
@@ -268,11 +265,11 @@
 }
 
 func (f *filler) fillStruct(v reflect.Value) bool {
-	if f.within[v.Type()] == 2 {
+	if f.depths[v.Type()] == 2 {
 		return false
 	}
-	f.within[v.Type()]++
-	defer func() { f.within[v.Type()]-- }()
+	f.depths[v.Type()]++
+	defer func() { f.depths[v.Type()]-- }()
 	exported := 0
 	for i := range v.NumField() {
 		if v.Type().Field(i).IsExported() {
@@ -281,14 +278,13 @@
 		}
 	}
 	if exported == 0 {
-		f.t.Fatalf("a value of type %v can't be filled: give one", v.Type())
+		f.t.Fatalf("can't fill a value of type %v: pass a preset", v.Type())
 	}
 	return true
 }
 
-// Same requires that two values are the same field by field. Structs of different types are
-// compared by the order of their fields, whatever their names, without those that are not
-// exported.
+// Same requires that two values are equal field by field. Structs of different types are compared by
+// the order of their exported fields, regardless of names.
 func Same(t testing.TB, what string, got, want any) {
 	t.Helper()
 	if d := differ("", reflect.ValueOf(got), reflect.ValueOf(want)); d != "" {
@@ -296,7 +292,7 @@
 	}
 }
 
-// differ says where two values differ, or nothing.
+// differ describes the first difference between two values; "" if they are equal.
 func differ(at string, a, b reflect.Value) string {
 	if a.IsValid() != b.IsValid() {
 		return mismatch(at, a, b)
@@ -381,7 +377,7 @@
 	return ""
 }
 
-// lookUp finds what a map holds under a key of another map, whose type may have another name.
+// lookUp returns a map's value for a key of another map, whose type may have another name.
 func lookUp(m, key reflect.Value) (reflect.Value, bool) {
 	for _, k := range m.MapKeys() {
 		if differ("", k, key) == "" {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -30,7 +30,7 @@
 	inner
 }
 
-// renamed is all under other names.
+// renamed is a copy of all with other names.
 type renamed struct {
 	V1  int
 	V2  uint16
@@ -40,20 +40,20 @@
 	V6  []byte
 	V7  json.RawMessage
 	V8  netip.Addr
-	V9  *one
-	V10 []one
-	V11 map[one]float64
+	V9  *renamedInner
+	V10 []renamedInner
+	V11 map[renamedInner]float64
 	V12 [2]int
 	V13 *renamed
-	one
+	renamedInner
 }
 
-type one struct {
+type renamedInner struct {
 	X int
 	Y string
 }
 
-// What is filled has no zero field, is the same each time, and whatever the names.
+// TestFilled checks that filled values have no zero fields, are deterministic and do not depend on names.
 func TestFilled(t *testing.T) {
 	v := Filled[all](t)
 	var zero func(at string, v reflect.Value)
@@ -79,18 +79,18 @@
 	}
 	zero("", reflect.ValueOf(v))
 	if v.Self == nil || v.Self.Self != nil {
-		t.Error("a type that holds itself is not filled to its second level")
+		t.Error("recursive type is not filled to its second level")
 	}
 	if again := Filled[all](t); !reflect.DeepEqual(again, v) {
 		t.Errorf("%+v, then %+v", v, again)
 	}
-	Same(t, "under other names", Filled[renamed](t), v)
-	if own := Filled[all](t, inner{7, "own"}); *own.To != (inner{7, "own"}) {
-		t.Errorf("%+v", own.To)
+	Same(t, "with other names", Filled[renamed](t), v)
+	if preset := Filled[all](t, inner{7, "own"}); *preset.To != (inner{7, "own"}) {
+		t.Errorf("%+v", preset.To)
 	}
 }
 
-// Each difference is found.
+// TestDiffer checks that each difference is found.
 func TestDiffer(t *testing.T) {
 	for what, change := range map[string]func(*all){
 		".Int": func(v *all) { v.Int = 0 }, ".Uint": func(v *all) { v.Uint++ }, ".Float": func(v *all) { v.Float = 0 }, ".Text": func(v *all) { v.Text += "x" },
--- a/internal/modelcheck/modelcheck.go
+++ b/internal/modelcheck/modelcheck.go
@@ -1,13 +1,14 @@
-// Package modelcheck explores models in tests exhaustively: it visits every reachable state, breadth first.
+// Package modelcheck explores the states of a model exhaustively in tests, by breadth-first search.
 package modelcheck
 
-// Explore visits the states that are reachable from the first in at most so many steps; with 0 steps,
-// all. next calls visit with each successor of a state, and reports whether the state violates an
-// invariant; then the search ends. Explore returns how many states it has seen.
-func Explore[State comparable](first State, steps int, next func(state State, visit func(State)) (wrong bool)) (states int, wrong bool) {
+// Explore visits the states that are reachable from the first one in at most maxSteps steps, or all
+// reachable states if maxSteps is 0. The function next calls visit with each successor of a state and
+// reports whether the state violates an invariant, which ends the search. Explore returns the number of
+// visited states and whether one violates an invariant.
+func Explore[State comparable](first State, maxSteps int, next func(state State, visit func(State)) (violated bool)) (states int, violated bool) {
 	seen := map[State]bool{first: true}
 	frontier := []State{first}
-	for step := 0; len(frontier) > 0 && (steps == 0 || step < steps); step++ {
+	for step := 0; len(frontier) > 0 && (maxSteps == 0 || step < maxSteps); step++ {
 		var nextFrontier []State
 		visit := func(successor State) {
 			if !seen[successor] {
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,12 +1,11 @@
-// Package proptest is imported by tests for its side effect: it fixes the seed of property
-// tests, so that CI gives the same verdict every time. With -rapid.seed=0 (or any other number)
-// a run draws other cases.
+// Package proptest fixes the seed of property tests, so that CI runs are deterministic. Tests import it
+// for its side effect. The flag -rapid.seed selects other cases; 0 selects a random seed.
 package proptest
 
 import (
 	"flag"
 
-	_ "pgregory.net/rapid" // whose flags must be there
+	_ "pgregory.net/rapid" // defines the flags
 )
 
 func init() {
--- a/internal/testport/testport.go
+++ b/internal/testport/testport.go
@@ -1,5 +1,5 @@
-// Package testport reserves ports of 127.0.0.1 for servers that get their
-// address before they listen.
+// Package testport reserves ports of 127.0.0.1 for test servers whose address
+// must be known before they listen.
 package testport
 
 import (
@@ -9,10 +9,10 @@
 	"syscall"
 )
 
-// Reserve takes a free port and keeps it until release is called. A port that
-// was found free and let go may become the near end of anybody's connection
-// before the server listens; this one stays bound, without listening, which
-// lets only a server with SO_REUSEADDR (as package net sets it) in.
+// Reserve reserves a free port until release is called. The port is bound
+// without listening, so that it can't become the local port of a connection
+// before the server listens. A server with SO_REUSEADDR, which package net
+// sets, can listen on it.
 func Reserve() (addr string, release func(), err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
--- a/internal/testport/testport_test.go
+++ b/internal/testport/testport_test.go
@@ -5,32 +5,31 @@
 	"testing"
 )
 
-// A server can listen at a reserved address, and no connection is made from it.
-// CI once failed because a port that was found free and let go had meanwhile
-// become the near end of another test's connection.
+// TestReservedPort checks that a server can listen on a reserved port, and that
+// no connection can use it as its local port.
 func TestReservedPort(t *testing.T) {
 	addr, release, err := Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer release()
-	far, err := net.Listen("tcp", "127.0.0.1:0")
+	remote, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = far.Close() }()
-	near, err := net.ResolveTCPAddr("tcp", addr)
+	defer func() { _ = remote.Close() }()
+	local, err := net.ResolveTCPAddr("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := net.Dialer{LocalAddr: near}
-	if c, err := d.Dial("tcp", far.Addr().String()); err == nil {
+	d := net.Dialer{LocalAddr: local}
+	if c, err := d.Dial("tcp", remote.Addr().String()); err == nil {
 		_ = c.Close()
-		t.Error("a connection took the reserved port")
+		t.Error("a connection could use the reserved port")
 	}
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		t.Fatalf("the server can't have its port: %v", err)
+		t.Fatalf("server can't listen on the reserved port: %v", err)
 	}
 	_ = l.Close()
 }
