--- a/tools/regress/bench.go
+++ b/tools/regress/bench.go
@@ -8,14 +8,13 @@
 	"sync"
 )
 
-// runBench runs the bench's program.
 func runBench(out, errs io.Writer, args ...string) error {
 	c := exec.Command(cli.Bench, args...)
 	c.Stdout, c.Stderr = out, errs
 	return c.Run()
 }
 
-// runParallel calls functions, cli.Jobs of them at once at most, and returns when all have.
+// runParallel calls functions, at most cli.Jobs at once, and waits for all of them.
 func runParallel(functions []func()) {
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, cli.Jobs)
@@ -29,7 +28,7 @@
 	wait.Wait()
 }
 
-// deploymentName is the name of a deployment's file without its folder and its extension.
+// deploymentName returns the base name of a deployment file without its extension.
 func deploymentName(file string) string {
 	return strings.TrimSuffix(filepath.Base(file), ".toml")
 }
--- a/tools/regress/deployment.go
+++ b/tools/regress/deployment.go
@@ -9,10 +9,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-// tomlTable is a table of a deployment's file.
+// tomlTable is a table of a deployment file.
 type tomlTable = map[string]any
 
-// readDeployment reads a deployment's file.
 func readDeployment(file string) (tomlTable, error) {
 	var deployment tomlTable
 	if _, err := toml.DecodeFile(file, &deployment); err != nil {
@@ -21,7 +20,7 @@
 	return deployment, nil
 }
 
-// scaleWork multiplies the jobs that a deployment begins with and those that arrive.
+// scaleWork multiplies the initial jobs of a deployment and the arrival rates.
 func scaleWork(deployment tomlTable, factor float64) {
 	scaleRows(deployment["jobs"], factor, "initial")
 	jobs, _ := deployment["jobs"].([]tomlTable)
@@ -30,7 +29,7 @@
 	}
 }
 
-// scaleRows multiplies fields of each table in an array of tables, or of a single table.
+// scaleRows multiplies fields of a table, or of each table in an array.
 func scaleRows(value any, factor float64, fields ...string) {
 	rows, _ := value.([]tomlTable)
 	if table, ok := value.(tomlTable); ok {
@@ -43,7 +42,7 @@
 	}
 }
 
-// scaleField multiplies a field, if there is one.
+// scaleField multiplies a numeric field, if it exists.
 func scaleField(r tomlTable, field string, factor float64) {
 	switch v := r[field].(type) {
 	case int64:
@@ -53,8 +52,8 @@
 	}
 }
 
-// writeDeployment writes a copy of a file's deployment under a name into a folder, and beside it the
-// file that the deployment refers to. It returns the copy's path.
+// writeDeployment writes a changed copy of the deployment in file to dir under a new name, together with
+// a copy of the file that its field wire names. It returns the path of the copy.
 func writeDeployment(deployment tomlTable, file, dir, name string) (string, error) {
 	deployment["name"] = name
 	if wire, _ := deployment["wire"].(string); wire != "" {
--- a/tools/regress/grow.go
+++ b/tools/regress/grow.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// machineFaultPrefix begins the kinds of faults whose count is one of machines.
+// machineFaultPrefix is the prefix of the kinds of faults whose count is a number of machines.
 const machineFaultPrefix = "machine_"
 
-// growDeployment writes a copy of a deployment into a folder, with so many times the machines, the
-// work and the teams' limits, and controllers that restart so many seconds after they end.
-// What the controllers and the key-value store may use stays. It returns the copy's path.
+// growDeployment writes a copy of a deployment to dir, with machines, jobs and team limits multiplied by
+// factor and a new restart delay of the controllers, in seconds. The limits of the controllers and the
+// key-value store stay the same. It returns the path of the copy.
 func growDeployment(file, dir string, factor, restartDelay float64) (string, error) {
 	deployment, err := readDeployment(file)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return writeDeployment(deployment, file, dir, deploymentName(file)+fmt.Sprintf("-x%g", factor))
 }
 
-// scaleMachineFaults multiplies how many machines the days' faults hit.
+// scaleMachineFaults multiplies the numbers of machines that the days' faults affect.
 func scaleMachineFaults(deployment tomlTable, factor float64) {
 	days, _ := deployment["day"].([]tomlTable)
 	for _, d := range days {
--- a/tools/regress/grow_test.go
+++ b/tools/regress/grow_test.go
@@ -9,8 +9,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// A grown copy has so many times the machines, the work and the limits, and nothing else is
-// another but the name and how soon a process is back.
+// TestGrowDeployment checks that only machines, jobs, limits, the name and the restart delay of a grown
+// copy differ.
 func TestGrowDeployment(t *testing.T) {
 	dir := t.TempDir()
 	deployment := "name = \"a\"\n[nodes]\ncount = 3\nrestart_delay_s = 3.0\n[state]\nrps = 150.0\n[[capacity]]\ncount = 5\nspot = 3\n[[machines]]\ncount = 4\n" +
--- a/tools/regress/job_log.go
+++ b/tools/regress/job_log.go
@@ -10,30 +10,30 @@
 	"basaltwall/controller/core"
 )
 
-// Keys of the controllers' log records of jobs; the messages are core.LogJobAccepted and its like.
+// Attributes of the controllers' log records of jobs. Package core defines the messages.
 const (
 	logKeyJob   = "job"
 	logKeyAfter = "after" // seconds since the job was accepted
 	logKeyClass = "asks.class"
 	logKeyTasks = "asks.tasks"
-	logKeyCPUs  = "asks.cpus" // of each task, as are those below
+	logKeyCPUs  = "asks.cpus" // per task, like the next ones
 	logKeyGPUs  = "asks.gpus"
 	logKeyMemGB = "asks.mem_gb"
 )
 
-// maxLogLine bounds a line of a day's log, in bytes.
+// maxLogLine is the longest valid line of a day's log, in bytes.
 const maxLogLine = 1 << 20
 
-// loggedJob is what controllers' logs tell of a job.
+// loggedJob is the state of a job according to the logs of the controllers.
 type loggedJob struct {
 	class              string
 	gpus, cpus, memory float64 // of all its tasks
-	acceptedAt         float64 // seconds of simulated time, as far as is known
-	startDelay         float64 // seconds from acceptance to the first start; infinite without one
+	acceptedAt         float64 // seconds of simulated time, derived from its first record
+	startDelay         float64 // seconds between acceptance and first start; infinite without a start
 	done, cancelled    bool
 }
 
-// started tells whether any record says that the job started.
+// started reports whether the log has a start of the job.
 func (j *loggedJob) started() bool { return !math.IsInf(j.startDelay, 1) }
 
 // jobRecord is a log record of a job.
@@ -43,14 +43,14 @@
 	fields  map[string]string
 }
 
-// number is the value of a numeric field, 0 if the record does not have it.
+// number returns the value of a numeric field; 0 if it is missing.
 func (r *jobRecord) number(key string) float64 {
 	v, _ := strconv.ParseFloat(r.fields[key], 64)
 	return v
 }
 
-// parseJobRecord reads a line of a day's log: the simulated time, the controller, and what it wrote.
-// It is false for lines that are no record of a job.
+// parseJobRecord parses a line of a day's log: the simulated time, the controller and its log record. It
+// returns false for lines without a record of a job.
 func parseJobRecord(line string) (jobRecord, bool) {
 	clock, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	at, err := strconv.ParseFloat(clock, 64)
@@ -73,8 +73,8 @@
 	return record, true
 }
 
-// update takes in a log record of the job. A job may have several records of its start, as a
-// controller that took over its partition may not know of the first.
+// update updates the job by a log record. A job may have several records of its start, as the next owner
+// of its partition may not know of the first one.
 func (j *loggedJob) update(record *jobRecord) {
 	if class := record.fields[logKeyClass]; class != "" {
 		tasks := record.number(logKeyTasks)
@@ -93,7 +93,7 @@
 	}
 }
 
-// parseJobLog gathers the jobs from a day's log, by their IDs.
+// parseJobLog returns the jobs in a day's log by ID.
 func parseJobLog(r io.Reader) map[string]*loggedJob {
 	jobs := map[string]*loggedJob{}
 	lines := bufio.NewScanner(r)
--- a/tools/regress/job_log_test.go
+++ b/tools/regress/job_log_test.go
@@ -12,10 +12,10 @@
 	"basaltwall/internal/scenario"
 )
 
-// loggedScenario has a job of each end: one that is done, one that is cancelled while it runs, and
-// one that comes too late for a machine of its type to boot. The first has a single task: of one whose
-// tasks end in several partitions at once no owner may log the end.
-const loggedScenario = `Jobs with each end.
+// loggedScenario has a completed job, a running job that is cancelled, and one that arrives too late for a
+// machine of its type to boot. The first has a single task, because the end of a job whose tasks end in
+// several partitions at once may not be logged.
+const loggedScenario = `Jobs with different outcomes.
 -- script --
 machines 6
 submit 1 run-1 array tasks=1 cpus=2 run=10 class=sweep
@@ -27,8 +27,8 @@
 expect run-2 aborted
 `
 
-// simulatedLog has what controllers log while a scenario is played, in lines as the bench writes
-// them: behind a time and a controller's name.
+// simulatedLog runs a scenario and returns the controllers' log in the bench's format: each line begins
+// with a time and a controller's name.
 func simulatedLog(t *testing.T, script string) string {
 	t.Helper()
 	var records bytes.Buffer
@@ -46,8 +46,8 @@
 	return log.String()
 }
 
-// The parser finds a job's acceptance, start and end in what the controllers really log, with the
-// messages and keys that it reads them by.
+// TestParseJobLogOfControllers checks that the parser's messages and keys match the log records that
+// controllers write of a job's acceptance, start and end.
 func TestParseJobLogOfControllers(t *testing.T) {
 	log := simulatedLog(t, loggedScenario)
 	fields := map[string][]string{
@@ -81,13 +81,14 @@
 		t.Run(want.message, func(t *testing.T) {
 			got := slices.Compact(slices.Sorted(slices.Values(records[want.message])))
 			if !slices.Equal(got, want.jobs) {
-				t.Errorf("logged of %v, want %v", got, want.jobs)
+				t.Errorf("logged for %v, want %v", got, want.jobs)
 			}
 		})
 	}
 }
 
-// Jobs that are gathered from what the controllers really log have their class, size and end.
+// TestLoggedJobsOfControllers checks class, size and outcome of jobs that are parsed from a log of
+// controllers.
 func TestLoggedJobsOfControllers(t *testing.T) {
 	jobs := parseJobLog(strings.NewReader(simulatedLog(t, loggedScenario)))
 	for _, want := range []struct {
@@ -112,14 +113,14 @@
 	}
 }
 
-// Lines that are no record of a job are passed over.
+// TestParseJobRecordOfOtherLines checks that lines without a record of a job are ignored.
 func TestParseJobRecordOfOtherLines(t *testing.T) {
 	for name, line := range map[string]string{
 		"empty":           "",
 		"no time":         `stone-0 time=x level=INFO msg="job done" job=run-1`,
 		"no message":      "5.0000 stone-0 started",
-		"another message": `5.0000 stone-0 time=x level=INFO msg="partition taken" partition=1`,
-		"another of jobs": `5.0000 stone-0 time=x level=INFO msg="job done early" job=run-1`,
+		"another message": `5.0000 stone-0 time=x level=INFO msg="partition acquired" partition=1`,
+		"similar message": `5.0000 stone-0 time=x level=INFO msg="job done early" job=run-1`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			if record, ok := parseJobRecord(line); ok {
--- a/tools/regress/journal.go
+++ b/tools/regress/journal.go
@@ -11,17 +11,17 @@
 	"slices"
 )
 
-// The bench's subcommands, as the journal names them.
+// Names of the bench's subcommands in the journal.
 const (
 	cmdScore = "score"
 	cmdHunt  = "hunt"
 	cmdRun   = "run"
 )
 
-// drawnDayPrefix begins the names of days that the bench draws anew for each score.
-const drawnDayPrefix = "fresh-"
+// randomDayPrefix is the prefix of the names of random days that the bench generates for each score.
+const randomDayPrefix = "fresh-"
 
-// journalEntry is what the tool reads of an entry in the journal.
+// journalEntry has the fields of a journal entry that this tool reads.
 type journalEntry struct {
 	ID    string      `json:"id"`
 	At    []string    `json:"at"`
@@ -34,7 +34,7 @@
 	Days  []dayResult `json:"days"`
 }
 
-// dayResult is what an entry says of a day that was played.
+// dayResult is the result of a day in a journal entry.
 type dayResult struct {
 	Name     string         `json:"name"`
 	Score    float64        `json:"score"`
@@ -43,13 +43,13 @@
 	Restarts float64        `json:"restarts"`
 }
 
-// isScore tells whether the entry has a deployment's score.
+// isScore reports whether the entry has a deployment's score.
 func (e *journalEntry) isScore() bool { return e.Cmd == cmdScore && e.Score != nil }
 
-// quick tells whether the entry is of a score that estimates all days from a few.
+// quick reports whether the score is an estimate from a few days.
 func (e *journalEntry) quick() bool { return slices.Contains(e.Argv, "--quick") }
 
-// failures lists what must never happen: a broken rule, a failed day, a controller that ended.
+// failures lists broken rules, failed days, and controllers that ended unexpectedly.
 func (e *journalEntry) failures() []string {
 	var out []string
 	for _, d := range e.Days {
@@ -60,7 +60,7 @@
 			out = append(out, fmt.Sprintf("%s, day %s: %s", e.Site, d.Name, d.Fault))
 		}
 		if d.Restarts > 0 {
-			out = append(out, fmt.Sprintf("%s, day %s: a controller ended by itself", e.Site, d.Name))
+			out = append(out, fmt.Sprintf("%s, day %s: a controller ended unexpectedly", e.Site, d.Name))
 		}
 	}
 	if !e.OK {
@@ -69,13 +69,13 @@
 	return out
 }
 
-// readJournal reads all entries, the oldest first.
+// readJournal reads all journal entries, oldest first.
 func readJournal(dir string) ([]*journalEntry, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	slices.Sort(names) // they begin with the time
+	slices.Sort(names) // names begin with the time
 	var out []*journalEntry
 	for _, name := range names {
 		data, err := os.ReadFile(name)
@@ -94,8 +94,8 @@
 	return out, nil
 }
 
-// lastScore is the newest score of a deployment; a quick one estimates one of all days, and is
-// compared with such where there is none of its kind.
+// lastScore returns the newest quick or full score of a deployment, or the newest of the other kind if
+// there is none.
 func lastScore(journal []*journalEntry, deployment string, quick bool) *journalEntry {
 	var other *journalEntry
 	for _, e := range slices.Backward(journal) {
@@ -112,7 +112,7 @@
 	return other
 }
 
-// bestScore is the highest score of a deployment: many small falls in a row show against it.
+// bestScore returns the highest score of a deployment, which reveals a series of small decreases.
 func bestScore(journal []*journalEntry, deployment string) float64 {
 	top := 0.0
 	for _, e := range journal {
--- a/tools/regress/largest_jobs.go
+++ b/tools/regress/largest_jobs.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// maxStartWait is how long one of a class's largest jobs may wait to start, in seconds: well
-// within the four minutes after which a day fails.
+// maxStartWait is the longest wait of a class's largest jobs until they start, in seconds. It is less than
+// the four minutes after which a day fails.
 const maxStartWait = 200.0
 
-// largestJobs tells how the largest jobs of classes were served.
+// largestJobs describes the service of the largest tenth of the jobs of each class.
 type largestJobs struct {
-	class         string  // whose largest tenth was served least
-	share         float64 // of that tenth, served
-	slowestJob    string  // of any class's largest, the one that waited longest to start
-	maxStartDelay float64 // seconds that it waited
+	class         string  // with the lowest share
+	share         float64 // served share of its largest jobs
+	slowestJob    string  // with the longest wait until its start, of all classes
+	maxStartDelay float64 // its wait, seconds
 }
 
-// completionGrace is what an array or gang that came late may still take when the day ends, in
-// seconds, beyond the time for which its like ran: it is not counted.
+// completionGrace is a time before the end of the day, in seconds. Arrays and gangs that arrive within it
+// and don't complete are not counted.
 const completionGrace = 240.0
 
-// largestTenth is the largest tenth of jobs, one at least, by what all their tasks take.
+// largestTenth returns the largest tenth of jobs, at least one, by the total resources of their tasks.
 func largestTenth(jobs map[string]*loggedJob, ids []string) []string {
 	sorted := slices.Clone(ids)
 	slices.SortStableFunc(sorted, func(a, b string) int {
@@ -32,12 +32,12 @@
 	return sorted[:(len(sorted)+9)/10]
 }
 
-// findLargestJobs looks at the largest tenth of each class's jobs. Of a class of which none is
-// ever done, services, those count as served that started; of the others those that were done, if
-// they came well before the end, which is in seconds of simulated time.
+// findLargestJobs evaluates the largest tenth of the jobs of each class. In classes with completed jobs,
+// jobs count as served if they completed; in the others, which have services, if they started. Jobs that
+// arrived shortly before the end, in seconds of simulated time, are not counted.
 func findLargestJobs(jobs map[string]*loggedJob, end float64) largestJobs {
 	byClass := map[string][]string{}
-	finite := map[string]bool{} // classes of which some job is done
+	finite := map[string]bool{} // classes with a completed job
 	for _, id := range slices.Sorted(maps.Keys(jobs)) {
 		if j := jobs[id]; j.class != "" && !j.cancelled {
 			byClass[j.class] = append(byClass[j.class], id)
@@ -52,7 +52,7 @@
 			if waited := min(j.startDelay, end-j.acceptedAt); waited > out.maxStartDelay {
 				out.slowestJob, out.maxStartDelay = id, waited
 			}
-			if j.cameTooLate(end, finite[class]) {
+			if j.arrivedTooLate(end, finite[class]) {
 				continue
 			}
 			counted++
@@ -70,11 +70,10 @@
 	return out
 }
 
-// served tells whether the job got what it asked for: its end if jobs of its class are finite, its
-// start otherwise.
+// served reports whether the job completed or, if its class has no finite jobs, started.
 func (j *loggedJob) served(finite bool) bool { return j.done || !finite && j.started() }
 
-// cameTooLate tells whether the day's end came too soon after the job for it to be counted.
-func (j *loggedJob) cameTooLate(end float64, finite bool) bool {
+// arrivedTooLate reports whether the job arrived too shortly before the end to be counted.
+func (j *loggedJob) arrivedTooLate(end float64, finite bool) bool {
 	return finite && !j.done && j.acceptedAt > end-completionGrace || !j.started() && j.acceptedAt > end-maxStartWait
 }
--- a/tools/regress/main.go
+++ b/tools/regress/main.go
@@ -1,6 +1,6 @@
-// Command regress runs a set of the users' deployments on the bench, shows each one's
-// figure beside the last of its kind in the journal, and fails on a broken rule, a day
-// that failed, or a fall beyond noise. docs/regression.md says which set is for what.
+// Command regress runs a set of the users' deployments on the bench, compares their scores
+// with the previous ones in the journal, and fails on a broken rule, a failed day, or a
+// decrease beyond noise. docs/regression.md describes the sets.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// Names of the sets; full and scale are made of the others.
+// Names of the sets of deployments; full and scale combine or reuse the others.
 const (
 	setLanding = "landing"
 	setState   = "state"
@@ -26,7 +26,7 @@
 	setScale   = "scale"
 )
 
-// sets are the deployments by what a change touches, as files below the sites' folder.
+// sets are the deployment files of each set, relative to the folder of deployments.
 var sets = map[string][]string{
 	setLanding: {"next/kippermulde-grown.toml", "next/lopresti-mercato-grown.toml", "added/sortierwerk-erding.toml"},
 	setState:   {"more/fleet/kippermulde-fleet.toml", "more/fleet/lopresti-mercato-fleet.toml"},
@@ -35,46 +35,46 @@
 	setHunt:    {"more/hunt/kippermulde-hunt.toml", "more/hunt/lopresti-mercato-hunt.toml"},
 }
 
-// scoreNoise is by how much a deployment's figure may differ with nothing changed.
+// scoreNoise is the largest difference between scores that may be random.
 const scoreNoise = 0.03
 
 // cli are the flags and arguments.
 var cli struct {
-	Bench   string  `required:"" type:"existingfile" help:"The bench's program."`
-	Sites   string  `required:"" type:"existingdir" help:"The folder with the deployments."`
-	Journal string  `default:"journal" type:"existingdir" help:"Where the bench writes its entries."`
-	Why     string  `required:"" help:"What the run is for, in a sentence under 120 characters."`
-	Jobs    int     `default:"6" help:"Days at once."`
-	Hunt    int     `default:"0" help:"Days to draw on each deployment after the score."`
-	Grow    float64 `help:"Play copies with so many times the machines and the work instead. The set state plays the fleets' copies with 1.5 beside them unless this is 1."`
-	Back    float64 `default:"0.2" help:"Seconds until a process of such a copy is back."`
-	Own     string  `default:"tools/regress/days" type:"existingdir" help:"Days of the project's own, which the set hunt plays: a folder for each deployment."`
-	Seeds   int     `default:"1" help:"Seeds with which the set hunt plays each of these days."`
-	Set     string  `arg:"" enum:"landing,state,full,hunt,scale" help:"scale: days of copies of the hunt sites at the size to come, for their rules; landing: every change; state: also what touches storage, membership, timers or messages; full: all days of all deployments; hunt: days drawn and days of the project's own, for broken rules."`
+	Bench   string  `required:"" type:"existingfile" help:"Path of the bench program."`
+	Sites   string  `required:"" type:"existingdir" help:"Folder with the deployments."`
+	Journal string  `default:"journal" type:"existingdir" help:"Folder of the bench's journal."`
+	Why     string  `required:"" help:"Purpose of the run, in a sentence of less than 120 characters."`
+	Jobs    int     `default:"6" help:"Number of days that run in parallel."`
+	Hunt    int     `default:"0" help:"Number of random days on each deployment after the score."`
+	Grow    float64 `help:"Run copies with machines and jobs multiplied by this factor instead. The set state also runs copies of the fleets with factor 1.5 unless this is 1."`
+	Back    float64 `default:"0.2" help:"Restart delay of controllers in such copies, in seconds."`
+	Own     string  `default:"tools/regress/days" type:"existingdir" help:"Folder of the project's own days for the set hunt, with a subfolder for each deployment."`
+	Seeds   int     `default:"1" help:"Number of seeds for each of these days."`
+	Set     string  `arg:"" enum:"landing,state,full,hunt,scale" help:"landing: for every change; state: for changes of storage, membership, timers or messages; full: all days of all deployments; hunt: random days and the project's own days, for broken rules; scale: days of copies of the hunt deployments at the target size, for broken rules."`
 }
 
-// problemsError is returned by a run that found something wrong.
+// problemsError is returned by a run with problems.
 type problemsError []string
 
 // Error lists the problems, one a line.
 func (e problemsError) Error() string { return strings.Join(e, "\n") }
 
-// regression is a run of a set.
+// regression is one run of a set.
 type regression struct {
-	files  []string        // the deployments that are played
-	dir    string          // for copies of deployments
-	before []*journalEntry // entries that were there before
+	files  []string        // deployments to run
+	dir    string          // temporary folder for copies of deployments
+	before []*journalEntry // entries before this run
 
 	problems []string
 }
 
-// quick tells whether scores estimate all days from a few.
+// quick reports whether scores are estimates from a few days.
 func (r *regression) quick() bool { return cli.Set != setFull }
 
-// scored tells whether the set's deployments are scored.
+// scored reports whether the set has scores.
 func (r *regression) scored() bool { return cli.Set != setHunt && cli.Set != setScale }
 
-// run plays the chosen set and compares it with the journal.
+// run runs the selected set and compares the results with the journal.
 func run() error {
 	dir, err := os.MkdirTemp("", "grown")
 	if err != nil {
@@ -88,7 +88,7 @@
 	if r.before, err = readJournal(cli.Journal); err != nil {
 		return err
 	}
-	// What the bench makes of a score is in the journal, so its exit code alone is not the verdict.
+	// The journal has the results, so entries are checked even if the bench reports an error.
 	failed := r.play()
 	entries, err := r.newEntries()
 	if err != nil {
@@ -101,7 +101,7 @@
 	return failed
 }
 
-// selectFiles are the files of the chosen set's deployments.
+// selectFiles returns the deployment files of the selected set.
 func selectFiles() []string {
 	files := slices.Clone(sets[setLanding])
 	switch cli.Set {
@@ -118,7 +118,7 @@
 	return files
 }
 
-// play has the bench play the set. It returns with which errors the bench ended.
+// play runs the set on the bench and returns the errors of the bench.
 func (r *regression) play() error {
 	var failed error
 	huntDays := cli.Hunt
@@ -146,7 +146,7 @@
 	return failed
 }
 
-// newEntries are the entries of days and scores that the journal did not have before.
+// newEntries returns the journal entries of days and scores of this run.
 func (r *regression) newEntries() ([]*journalEntry, error) {
 	known := map[string]bool{}
 	for _, e := range r.before {
@@ -161,14 +161,14 @@
 	}), nil
 }
 
-// check prints the scores beside the former ones and notes what is wrong.
+// check prints the scores beside the previous ones and records problems.
 func (r *regression) check(entries []*journalEntry) {
 	fileOf := map[string]string{}
 	for _, f := range r.files {
 		fileOf[deploymentName(f)] = f
 	}
 	seen := map[string]bool{} // deployments with a score
-	var days []playedDay
+	var days []scoredDay
 	fmt.Printf("\n%-26s %8s %8s %8s %8s  (simulated)\n", "deployment", "best", "before", "now", "change")
 	for _, e := range entries {
 		r.problems = append(r.problems, e.failures()...)
@@ -177,8 +177,8 @@
 		}
 		seen[e.Site] = true
 		for _, d := range e.Days {
-			if f := fileOf[e.Site]; f != "" && !strings.HasPrefix(d.Name, drawnDayPrefix) {
-				days = append(days, playedDay{f, d.Name})
+			if f := fileOf[e.Site]; f != "" && !strings.HasPrefix(d.Name, randomDayPrefix) {
+				days = append(days, scoredDay{f, d.Name})
 			}
 		}
 		r.compareScore(e)
@@ -188,13 +188,14 @@
 	}
 	for _, f := range r.files {
 		if name := deploymentName(f); !seen[name] {
-			r.problems = append(r.problems, name+": no score was written")
+			r.problems = append(r.problems, name+": no score in the journal")
 		}
 	}
 	r.problems = append(r.problems, checkServed(days)...)
 }
 
-// compareScore prints a score beside the former ones of its deployment; a fall beyond noise is a problem.
+// compareScore prints a score beside the previous ones of its deployment. A decrease beyond noise is a
+// problem.
 func (r *regression) compareScore(e *journalEntry) {
 	previous := lastScore(r.before, e.Site, r.quick())
 	if previous == nil {
@@ -204,15 +205,15 @@
 	change := *e.Score - *previous.Score
 	fmt.Printf("%-26s %8.3f %8.3f %8.3f %+8.3f  against %s\n", e.Site, bestScore(r.before, e.Site), *previous.Score, *e.Score, change, previous.ID)
 	if change < -scoreNoise {
-		r.problems = append(r.problems, fmt.Sprintf("%s fell by %.3f: repeat it, or with --no-cpu, then trace it", e.Site, -change))
+		r.problems = append(r.problems, fmt.Sprintf("%s: score decreased by %.3f: repeat the run, also with --no-cpu, then find the cause", e.Site, -change))
 	}
 }
 
-// defaultGrowth is how many times the machines the copies of the fleets have in the set state.
+// defaultGrowth is the factor of machines and jobs of the grown copies in the set state.
 const defaultGrowth = 1.5
 
-// grownCopies writes grown copies of deployments into a folder and returns what is to be played: the
-// copies instead of the deployments, or beside them where only the fleets have copies.
+// grownCopies writes grown copies of deployments to dir and returns the files to run: the copies instead
+// of the originals, or, in the set state, copies of the fleets in addition to them.
 func grownCopies(files []string, dir string) ([]string, error) {
 	factor, originals := cli.Grow, files
 	switch {
@@ -235,6 +236,6 @@
 }
 
 func main() {
-	ctx := kong.Parse(&cli, kong.Description("Runs a set of deployments on the bench and compares it with the journal."))
+	ctx := kong.Parse(&cli, kong.Description("Runs a set of deployments on the bench and compares the results with the journal."))
 	ctx.FatalIfErrorf(run())
 }
--- a/tools/regress/project_days.go
+++ b/tools/regress/project_days.go
@@ -10,27 +10,27 @@
 	"sync"
 )
 
-// defaultHuntDays is how many days the set hunt has the bench draw on each deployment.
+// defaultHuntDays is the number of random days on each deployment in the set hunt.
 const defaultHuntDays = 10
 
-// grownSuffix is what the name of a grown copy ends with: its days are those of the original.
+// grownSuffix is the suffix of the name of a grown copy, which uses the original's days.
 var grownSuffix = regexp.MustCompile(`-x[0-9.]+$`)
 
-// projectDays are the files of the days of the project's own for a deployment.
+// projectDays returns the files of the project's own days for a deployment.
 func projectDays(dir, file string) ([]string, error) {
 	deployment := grownSuffix.ReplaceAllString(deploymentName(file), "")
 	return filepath.Glob(filepath.Join(dir, deployment, "*.toml"))
 }
 
-// projectDayRun is a day of the project's own, to be played on a deployment with a seed.
+// projectDayRun is one of the project's own days, to be run on a deployment with a seed.
 type projectDayRun struct {
 	file string // of the deployment
 	day  string // the day's file
-	seed int    // 0: the day's own
+	seed int    // 0: the seed in the day's file
 }
 
-// play plays the day and returns what the bench wrote. It is an error if the day could not be played;
-// what happened in it is in the journal.
+// play runs the day and returns the output of the bench. It returns an error only if the day did not run
+// to its end; the results are in the journal.
 func (r projectDayRun) play() ([]byte, error) {
 	args := []string{"run", r.file, r.day, "--why", cli.Why}
 	if r.seed > 0 {
@@ -39,16 +39,16 @@
 	var out bytes.Buffer
 	err := runBench(&out, os.Stderr, args...)
 	if err != nil && !strings.Contains(out.String(), playedMarker) {
-		return out.Bytes(), fmt.Errorf("%s, day %s: not played: %w", filepath.Base(r.file), filepath.Base(r.day), err)
+		return out.Bytes(), fmt.Errorf("%s, day %s: did not run: %w", filepath.Base(r.file), filepath.Base(r.day), err)
 	}
 	return out.Bytes(), nil
 }
 
-// playedMarker is in the bench's output of each day that it played to its end.
+// playedMarker is in the bench's output of each day that ran to its end.
 const playedMarker = "rules:"
 
-// runProjectDays plays the project's own days of the deployments, and returns those that could not be
-// played.
+// runProjectDays runs the project's own days of the deployments and returns a problem for each that did
+// not run.
 func runProjectDays(files []string) []string {
 	var problems []string
 	var mutex sync.Mutex // of problems and of the output
@@ -56,7 +56,7 @@
 	for _, f := range files {
 		days, err := projectDays(cli.Own, f)
 		if err != nil || len(days) == 0 {
-			problems = append(problems, fmt.Sprintf("%s: no days of the project's own: %v", filepath.Base(f), err))
+			problems = append(problems, fmt.Sprintf("%s: no days in the folder of the project's own days: %v", filepath.Base(f), err))
 			continue
 		}
 		for _, day := range days {
--- a/tools/regress/project_days_test.go
+++ b/tools/regress/project_days_test.go
@@ -7,8 +7,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Each deployment of the set hunt has days of the project's own, which can be read and name
-// troubles, and a grown copy has those of its original.
+// TestProjectDays checks that each deployment of the set hunt has valid days of the project's own with at
+// least two faults, and that a grown copy has the days of its original.
 func TestProjectDays(t *testing.T) {
 	for _, f := range sets["hunt"] {
 		days, err := projectDays("days", f)
@@ -29,7 +29,7 @@
 				t.Errorf("%s: %v", file, err)
 			}
 			if day.Name+".toml" != filepath.Base(file) || day.Length <= 0 || len(day.Faults) < 2 {
-				t.Errorf("%s: %q, %v s, %d troubles", file, day.Name, day.Length, len(day.Faults))
+				t.Errorf("%s: %q, %v s, %d faults", file, day.Name, day.Length, len(day.Faults))
 			}
 		}
 	}
--- a/tools/regress/resize.go
+++ b/tools/regress/resize.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// deploymentSize is how large a copy of a deployment is to be.
+// deploymentSize is the size of a resized copy of a deployment.
 type deploymentSize struct {
 	Machines    int
 	Controllers int
@@ -15,13 +15,12 @@
 	Teams       int
 }
 
-// targetSize is the size that the users expect, see docs/CAPACITY.md.
+// targetSize is the size that the users expect; see docs/CAPACITY.md.
 var targetSize = deploymentSize{Machines: 2700, Controllers: 23, Zones: 8, Teams: 57}
 
-// resizeDeployment writes a copy of a deployment with so many machines, controllers, zones and teams into a
-// folder; work and limits grow with the machines. Teams and zones are multiplied: each has copies
-// that share what it had. Limits of the controllers and of the key-value store stay. It returns the
-// copy's path.
+// resizeDeployment writes a copy of a deployment with another size to dir. Jobs and team limits grow with
+// the machines. Teams and zones are replicated, and the replicas share the resources of the original.
+// The limits of the controllers and the key-value store stay the same. It returns the path of the copy.
 func resizeDeployment(file, dir string, to deploymentSize) (string, error) {
 	deployment, err := readDeployment(file)
 	if err != nil {
@@ -30,7 +29,7 @@
 	nodes, _ := deployment["nodes"].(tomlTable)
 	machines, _ := deployment["machines"].([]tomlTable)
 	if nodes == nil || len(machines) == 0 {
-		return "", fmt.Errorf("%s: nodes, machines: none", file)
+		return "", fmt.Errorf("%s: nodes or machines missing", file)
 	}
 	zones := zonesOf(deployment)
 	zoneCopies := replicateZones(zones, to.Zones)
@@ -46,7 +45,7 @@
 	return writeDeployment(deployment, file, dir, fmt.Sprintf("%s-%dx%d", deploymentName(file), to.Machines, to.Controllers))
 }
 
-// machineCount is how many machines the rows name.
+// machineCount returns the total number of machines in rows.
 func machineCount(rows []tomlTable) int64 {
 	sum := int64(0)
 	for _, r := range rows {
@@ -56,7 +55,7 @@
 	return sum
 }
 
-// zonesOf are the zones that a deployment's machines are in.
+// zonesOf returns the zones of a deployment's machines.
 func zonesOf(deployment tomlTable) []string {
 	seen := map[string]bool{}
 	rows, _ := deployment["capacity"].([]tomlTable)
@@ -68,7 +67,7 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// replicateZones gives each zone copies, so that there are so many in all.
+// replicateZones returns the names of the copies of each zone, itself included, for a total of count zones.
 func replicateZones(zones []string, count int) map[string][]string {
 	out := map[string][]string{}
 	for i := range max(count, len(zones)) {
@@ -82,7 +81,7 @@
 	return out
 }
 
-// controllerZones are the zones that controllers lie in: those that they lay in, and their copies.
+// controllerZones returns the zones of the controllers: the original ones and their copies.
 func controllerZones(nodes tomlTable, zoneCopies map[string][]string) []any {
 	var out []any
 	old, _ := nodes["zones"].([]any)
@@ -95,7 +94,8 @@
 	return out
 }
 
-// distributeMachines divides each row's machines, so many times as many, among the copies of its zone.
+// distributeMachines multiplies each row's machines by a factor and distributes them over the copies of
+// its zone.
 func distributeMachines(rows []tomlTable, zoneCopies map[string][]string, factor float64) []tomlTable {
 	var out []tomlTable
 	for _, r := range rows {
@@ -120,7 +120,7 @@
 	return out
 }
 
-// replicateTeams gives each team copies that share its guarantee, its limit and its jobs.
+// replicateTeams replicates teams for a total of count; the copies share the guarantee, limit and jobs.
 func replicateTeams(deployment tomlTable, count int, factor float64) {
 	teams, _ := deployment["teams"].([]tomlTable)
 	copies := map[string][]any{}
--- a/tools/regress/resize_test.go
+++ b/tools/regress/resize_test.go
@@ -45,8 +45,8 @@
 arrivals = { rate = 0.5 }
 `
 
-// A copy at another size has what is asked for, and no more work or limits for a machine than the
-// deployment.
+// TestResizeDeployment checks that a resized copy has the requested size, and the same jobs and limits per
+// machine as the original.
 func TestResizeDeployment(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "a.toml")
@@ -82,7 +82,7 @@
 	}
 	for _, name := range of {
 		if !names[name] {
-			t.Errorf("a job of %v, which is no team", name)
+			t.Errorf("a job of the unknown team %v", name)
 		}
 	}
 }
--- a/tools/regress/scale_days.go
+++ b/tools/regress/scale_days.go
@@ -5,14 +5,15 @@
 	"os"
 )
 
-// scaleDays are the days that are played of copies at the target's size.
+// scaleDays are the days that run on copies of the target size.
 var scaleDays = []string{"restart", "zone"}
 
-// scaleEndSeconds is until when these are played, in seconds of simulated time: all controllers have
-// ended once and a zone was cut off by then.
+// scaleEndSeconds is the end of these days, in seconds of simulated time: after a restart of all
+// controllers and the partition of a zone.
 const scaleEndSeconds = 240
 
-// runScaleDays plays days of copies of the target's size, for their rules. It returns what is wrong.
+// runScaleDays runs days on copies of the target size, to find broken rules. It returns the copies that
+// could not be written.
 func runScaleDays(files []string, dir string) []string {
 	var problems []string
 	for _, f := range files {
@@ -22,7 +23,7 @@
 			continue
 		}
 		for _, day := range scaleDays {
-			// What is wrong with it is in the journal's entry.
+			// The journal entry has the problems of the day.
 			_ = runBench(os.Stdout, os.Stderr, "run", copied, day, "--no-cpu", "--until", fmt.Sprint(scaleEndSeconds), "--why", cli.Why)
 		}
 	}
--- a/tools/regress/served.go
+++ b/tools/regress/served.go
@@ -13,11 +13,11 @@
 	"strings"
 )
 
-// minServedShare is the share under which no class and no team may fall on any day.
+// minServedShare is the least share to which each class and team must be served on each day.
 const minServedShare = 0.6
 
-// dayReport is what a day's report tells of how classes and teams were served. Of teams it
-// counts the jobs that started and no more.
+// dayReport has the service of classes and teams in a day's report. For teams it has only the number of
+// started jobs.
 type dayReport struct {
 	Duration float64 `json:"duration_s"`
 	Classes  map[string]struct {
@@ -25,7 +25,7 @@
 		Started   int      `json:"started"`
 		Done      int      `json:"done"`
 		Cancelled int      `json:"cancelled"`
-		Up        *float64 `json:"up"` // of services: the share of the replica time
+		Up        *float64 `json:"up"` // share of the replica time, only for services
 	} `json:"classes"`
 	Teams map[string]struct {
 		Jobs    int `json:"jobs"`
@@ -33,24 +33,24 @@
 	} `json:"teams"`
 }
 
-// servedShare is how much of a class's or a team's work was served, from 0 to 1.
+// servedShare is the share to which a class or team was served, from 0 to 1.
 type servedShare struct {
 	name  string
 	share float64
 }
 
-// unknownShare is above every share, so that the first one that is found replaces it.
+// unknownShare is the initial value of a minimum of shares.
 const unknownShare = 2
 
-// shareOf is the share of jobs that got something; it is 1 if there were none.
-func shareOf(got, of int) float64 {
-	if of <= 0 {
+// shareOf returns got divided by total; 1 if total is 0.
+func shareOf(got, total int) float64 {
+	if total <= 0 {
 		return 1
 	}
-	return float64(got) / float64(of)
+	return float64(got) / float64(total)
 }
 
-// leastServed is the class and the team that were served least.
+// leastServed returns the class and the team with the lowest shares.
 func (r *dayReport) leastServed() (class, team servedShare) {
 	class, team = servedShare{share: unknownShare}, servedShare{share: unknownShare}
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
@@ -73,30 +73,30 @@
 	return class, team
 }
 
-// errNoReport is returned for a day whose report lacks classes or teams.
+// errNoReport is returned for a day whose report is missing or lacks classes or teams.
 var errNoReport = errors.New("no report of classes and teams")
 
-// playedDay is a day of a deployment that was scored.
-type playedDay struct {
+// scoredDay is a scored day of a deployment.
+type scoredDay struct {
 	file string // of the deployment
 	day  string
 }
 
-// String names the day in messages.
-func (d playedDay) String() string {
+// String returns the names of the deployment and the day.
+func (d scoredDay) String() string {
 	return deploymentName(d.file) + ", day " + d.day
 }
 
-// servedDay is how a day's work was served.
+// servedDay has the lowest shares of a day.
 type servedDay struct {
-	played      playedDay
+	played      scoredDay
 	class, team servedShare
 	largest     largestJobs
 }
 
-// playServedDay plays a day once more for its report, which is written to a file.
-func playServedDay(d playedDay, reportFile string) (*servedDay, error) {
-	// A day that misses its objectives is known from the score, so what counts is the report.
+// runServedDay runs a day again to get its report, which the bench writes to reportFile.
+func runServedDay(d scoredDay, reportFile string) (*servedDay, error) {
+	// The bench also returns an error if a day misses its objectives, so only the report counts.
 	var log bytes.Buffer
 	_ = runBench(io.Discard, &log, "run", d.file, d.day, "--no-cpu", "--log", "info", "--report", reportFile, "--why", cli.Why)
 	var report dayReport
@@ -114,21 +114,21 @@
 	return &servedDay{played: d, class: class, team: team, largest: findLargestJobs(parseJobLog(&log), report.Duration)}, nil
 }
 
-// line is the day's line in the table that is printed.
+// line returns the day's line of the printed table.
 func (s *servedDay) line() string {
 	return fmt.Sprintf("%-40s %-16s %6.3f   %-16s %6.3f   %-16s %6.3f %6.0f s", s.played, s.class.name, s.class.share, s.team.name, s.team.share,
 		s.largest.class, s.largest.share, s.largest.maxStartDelay)
 }
 
-// problem is what is wrong with how the day was served, empty if nothing is.
+// problem describes the shares and waits beyond their limits; "" if there are none.
 func (s *servedDay) problem() string {
 	var reasons []string
 	if min(s.class.share, s.team.share, s.largest.share) < minServedShare {
-		reasons = append(reasons, fmt.Sprintf("class %s was served to %.3f, team %s to %.3f, the largest of %s to %.3f, at least %.1f is expected",
+		reasons = append(reasons, fmt.Sprintf("class %s was served to %.3f, team %s to %.3f, the largest jobs of %s to %.3f; at least %.1f is expected",
 			s.class.name, s.class.share, s.team.name, s.team.share, s.largest.class, s.largest.share, minServedShare))
 	}
 	if s.largest.maxStartDelay > maxStartWait {
-		reasons = append(reasons, fmt.Sprintf("%s, of the largest of its class, waited %.0f s to begin, %.0f s at most is expected", s.largest.slowestJob, s.largest.maxStartDelay, maxStartWait))
+		reasons = append(reasons, fmt.Sprintf("%s, one of the largest jobs of its class, waited %.0f s until its start; at most %.0f s is expected", s.largest.slowestJob, s.largest.maxStartDelay, maxStartWait))
 	}
 	if len(reasons) == 0 {
 		return ""
@@ -136,9 +136,9 @@
 	return s.played.String() + ": " + strings.Join(reasons, "; ")
 }
 
-// checkServed plays days once more for their reports, which a score does not give, and
-// prints who was served least. It returns what is wrong.
-func checkServed(days []playedDay) []string {
+// checkServed runs days again for their reports, which a score does not include, and prints the lowest
+// shares. It returns the problems.
+func checkServed(days []scoredDay) []string {
 	dir, err := os.MkdirTemp("", "regress")
 	if err != nil {
 		return []string{err.Error()}
@@ -148,11 +148,11 @@
 	var plays []func()
 	for i, d := range days {
 		plays = append(plays, func() {
-			served[i], failures[i] = playServedDay(d, filepath.Join(dir, fmt.Sprintf("%d.json", i)))
+			served[i], failures[i] = runServedDay(d, filepath.Join(dir, fmt.Sprintf("%d.json", i)))
 		})
 	}
 	runParallel(plays)
-	fmt.Printf("\n%-40s %-16s %6s   %-16s %6s   %-16s %6s %s  (simulated)\n", "least served", "class", "", "team", "", "largest of", "", "latest begin")
+	fmt.Printf("\n%-40s %-16s %6s   %-16s %6s   %-16s %6s %s  (simulated)\n", "least served", "class", "", "team", "", "largest of", "", "longest wait")
 	var problems []string
 	for i, s := range served {
 		if failures[i] != nil {
--- a/tools/regress/served_test.go
+++ b/tools/regress/served_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The least served are found by what is missing: replica time, jobs that did not end, jobs
-// of a team that never started. Cancelled work is held against nobody.
+// TestLeastServed checks that missing replica time, jobs that did not complete, and jobs of a team that did
+// not start reduce a share, and that cancelled jobs don't.
 func TestLeastServed(t *testing.T) {
 	var r dayReport
 	if err := json.Unmarshal([]byte(`{"classes":{"web":{"jobs":10,"started":10,"done":0,"cancelled":7,"up":0.97},
