--- a/tools/scale/agent.go
+++ b/tools/scale/agent.go
@@ -19,17 +19,18 @@
 	"basaltwall/internal/emulator"
 )
 
-// agentCmd measures what the protocol costs one worker: an emulated worker alone in a process, beside
-// a controller that only keeps it busy. Fetching, running and saving tasks are not in it.
+// agentCmd measures the cost of the protocol for one worker: an emulated worker in a process of its own,
+// which a stub controller keeps busy. The cost of fetching images, running tasks and saving checkpoints is
+// not included.
 type agentCmd struct {
-	Tasks  int           `default:"27" help:"Tasks that run at once."`
-	Starts float64       `default:"0.6" help:"Task starts a second."`
-	For    time.Duration `default:"30s" help:"How long it is measured, ten minutes at most."`
-	Out    string        `default:"docs/capacity" type:"existingdir" help:"Where the result is kept."`
+	Tasks  int           `default:"27" help:"Number of running tasks."`
+	Starts float64       `default:"0.6" help:"Task starts per second."`
+	For    time.Duration `default:"30s" help:"Duration of the measurement, at most ten minutes."`
+	Out    string        `default:"docs/capacity" type:"existingdir" help:"Folder of the results."`
 	Child  string        `hidden:"" help:"The controller's address, in the worker's own process."`
 }
 
-// agentResult is what a worker alone uses.
+// agentResult is the measured cost of one worker.
 type agentResult struct {
 	At         string  `json:"at"`
 	Tasks      int     `json:"tasks"`
@@ -41,16 +42,16 @@
 	Bytes      float64 `json:"bytes_a_second"`
 }
 
-// Times of a measurement.
+// Durations of a measurement.
 const (
 	maxAgentTime = 10 * time.Minute
 	agentSettle  = 10 * time.Second // until the tasks run
 )
 
-// errNoHeartbeats is returned when the worker sent none in the time that was measured.
-var errNoHeartbeats = errors.New("the worker does not report")
+// errNoHeartbeats is returned if the worker sent no heartbeats during the measurement.
+var errNoHeartbeats = errors.New("the worker sent no heartbeats")
 
-// Run starts the worker's process and keeps it busy.
+// Run starts the worker's process, keeps it busy and saves the measurement.
 func (c *agentCmd) Run(ctx context.Context) error {
 	if c.Child != "" {
 		return c.runWorker(ctx)
@@ -91,7 +92,7 @@
 	return os.WriteFile(filepath.Join(c.Out, agentFile), append(data, '\n'), 0o644)
 }
 
-// measure reads what the worker's process uses and sends in the time that is asked for.
+// measure returns the resources and the traffic of the worker's process over the requested duration.
 func (c *agentCmd) measure(ctx context.Context, pid int, stub *stubController) (agentResult, error) {
 	usageBefore, countsBefore, begun := usageOf(pid), stub.count(), time.Now()
 	if err := sleep(ctx, c.For); err != nil {
@@ -113,10 +114,10 @@
 	}, nil
 }
 
-// agentFile is where the result lies, beside the runs' results.
+// agentFile is the file of the result in the folder of results.
 const agentFile = "agent/agent.json"
 
-// runWorker is the worker's process: a simulation with one machine, whose controller is elsewhere.
+// runWorker runs a simulation with one machine, whose controller is the stub in the parent process.
 func (c *agentCmd) runWorker(ctx context.Context) error {
 	e := &experiment{Name: "agent", Controllers: 1, Machines: 1, Zones: 1, Regions: 1, Teams: 1, Machine: machineSpec{CPUs: 64, MemGB: 256, CacheGB: 100, Fetch: 1},
 		Workers: workerTimes{Report: 3, Lease: 31, GangWait: 35, GangPeer: 6, Cancel: 61}, State: storeLimits{RPS: 150, WriteRPS: 50, ValueKB: 8, TxnOps: 48},
@@ -135,5 +136,5 @@
 	return nil
 }
 
-// agentJob is the job whose tasks the worker runs.
+// agentJob is the ID of the job whose tasks the worker runs.
 const agentJob = "run-000001"
--- a/tools/scale/experiment.go
+++ b/tools/scale/experiment.go
@@ -8,11 +8,11 @@
 	"basaltwall/api"
 )
 
-// experiment is a file that says what is played and measured. With vary it is played once for
-// each value.
+// experiment is the content of an experiment file: a deployment, its load and faults, and the durations of
+// the phases. With vary it runs once for each value.
 type experiment struct {
 	Name               string           `toml:"name"`
-	What               string           `toml:"what"` // in a sentence
+	What               string           `toml:"what"` // description, one sentence
 	Seed               uint64           `toml:"seed"`
 	Controllers        int              `toml:"controllers"`
 	Machines           int              `toml:"machines"`
@@ -20,8 +20,8 @@
 	Regions            int              `toml:"regions"`
 	Teams              int              `toml:"teams"`
 	RegionDelay        float64          `toml:"region_delay_ms"`
-	Settle             float64          `toml:"settle_s"`  // after the fill, before counting begins
-	Measure            float64          `toml:"measure_s"` // for how long it is counted
+	Settle             float64          `toml:"settle_s"`  // between fill and measurement
+	Measure            float64          `toml:"measure_s"` // duration of the measurement
 	FillWithin         float64          `toml:"fill_within_s"`
 	Machine            machineSpec      `toml:"machine"`
 	Workers            workerTimes      `toml:"workers"`
@@ -34,7 +34,7 @@
 	Vary               *variation       `toml:"vary"`
 }
 
-// variation is one thing that differs between the runs of an experiment.
+// variation is the parameter that differs between the runs of an experiment.
 type variation struct {
 	Key    string `toml:"key"` // machines, controllers or running
 	Values []int  `toml:"values"`
@@ -48,7 +48,7 @@
 	Fetch   float64 `toml:"fetch_gb_per_s" json:"fetch_gb_per_s"`
 }
 
-// workerTimes are the timers of workers, in seconds.
+// workerTimes are the intervals and timeouts of workers, in seconds.
 type workerTimes struct {
 	Report   float64 `toml:"report_s" json:"report_s"`
 	Lease    float64 `toml:"lease_s" json:"lease_s"`
@@ -71,14 +71,14 @@
 	ListLag float64 `toml:"list_lag_s" json:"list_lag_s"`
 }
 
-// controllerLimits are what a controller may use.
+// controllerLimits are the resource limits of a controller.
 type controllerLimits struct {
 	CPUShare float64 `toml:"cpu_share" json:"cpu_share"`
 	MemoryMB float64 `toml:"memory_mb" json:"memory_mb"`
 	FDLimit  int     `toml:"fd_limit" json:"fd_limit"`
 }
 
-// jobLoad is a stream of jobs that are alike.
+// jobLoad is a stream of equal jobs.
 type jobLoad struct {
 	Name     string  `toml:"name"`
 	Kind     string  `toml:"kind"` // array, gang or service
@@ -89,30 +89,30 @@
 	Run      float64 `toml:"run_s"`
 	Together bool    `toml:"together"`
 	Scatter  bool    `toml:"scatter"`
-	Images   int     `toml:"images"` // how many images its jobs have among them
-	// FillTasks is how many of its tasks are to run before it is counted; they are submitted over
-	// FillOver seconds. Every is the time between its jobs from then on, 0: none.
+	Images   int     `toml:"images"` // number of different images
+	// FillTasks is the number of its tasks that must run before the measurement; they are submitted over
+	// FillOver seconds. Interval is the time between later jobs in seconds; 0: no more jobs.
 	FillTasks   int     `toml:"fill"`
 	FillOver    float64 `toml:"fill_over_s"`
 	Interval    float64 `toml:"every_s"`
-	CancelShare float64 `toml:"cancel_share"` // of its jobs, cancelled halfway
+	CancelShare float64 `toml:"cancel_share"` // share of jobs that are cancelled after half of their run time
 }
 
-// faultSpec is a fault, at a time counted from the start of the measurement.
+// faultSpec is a fault at a time since the start of the measurement.
 type faultSpec struct {
 	At     float64 `toml:"at_s"`
-	What   string  `toml:"what"` // end, cut_region
+	What   string  `toml:"what"` // end or cut_region
 	Count  int     `toml:"count"`
-	Back   float64 `toml:"back_s"` // end: when the processes are back
+	Back   float64 `toml:"back_s"` // end: downtime of the processes
 	Region int     `toml:"region"`
 	For    float64 `toml:"for_s"`
 	Hold   bool    `toml:"hold"`
 }
 
-// kinds are the kinds of jobs by their names in files.
+// kinds are the kinds of jobs by their names in experiment files.
 var kinds = map[string]api.Kind{"array": api.Array, "gang": api.Gang, "service": api.Service}
 
-// Kinds of faults and keys that an experiment varies, as files name them.
+// Names in experiment files: kinds of faults and parameters of a variation.
 const (
 	faultCrash     = "end"
 	faultCutRegion = "cut_region"
@@ -122,10 +122,10 @@
 	varyRunning     = "running"
 )
 
-// defaultFillWithin is how long the fill may take unless the experiment says otherwise, in seconds.
+// defaultFillWithin is the default timeout of the fill, in seconds.
 const defaultFillWithin = 300
 
-// readExperiment reads and validates a file. An invalid field is a *fieldError.
+// readExperiment reads and validates an experiment file. It returns a *fieldError for an invalid field.
 func readExperiment(path string) (*experiment, error) {
 	e := &experiment{Seed: 1, Zones: 1, Regions: 1, Teams: 1, FillWithin: defaultFillWithin}
 	if err := decodeTOML(path, e); err != nil {
@@ -137,7 +137,7 @@
 	return e, nil
 }
 
-// variants are the experiment's runs, one for each value that it varies.
+// variants returns the runs of the experiment, one for each value of its variation.
 func (e *experiment) variants() []*experiment {
 	if e.Vary == nil {
 		return []*experiment{e}
@@ -160,7 +160,7 @@
 	return out
 }
 
-// targetTasks is how many tasks run at once when the fill is over.
+// targetTasks returns the number of tasks that run after the fill.
 func (e *experiment) targetTasks() int {
 	sum := 0
 	for _, l := range e.Loads {
@@ -169,5 +169,5 @@
 	return sum
 }
 
-// seconds is a number of seconds as a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/tools/scale/faults.go
+++ b/tools/scale/faults.go
@@ -8,14 +8,14 @@
 	"basaltwall/internal/emulator"
 )
 
-// faultWatch follows what comes after a fault.
+// faultWatch records the recovery from a fault.
 type faultWatch struct {
 	faultResult
 	injectedAt  time.Duration
-	tokenBefore api.FencingToken // the highest before it
+	tokenBefore api.FencingToken // highest token before the fault
 }
 
-// scheduleFaults has the window's faults happen at their times.
+// scheduleFaults schedules the faults of the experiment.
 func (r *experimentRun) scheduleFaults() {
 	r.fleet.Do(func(sim *emulator.Simulation) {
 		for _, f := range r.experiment.Faults {
@@ -24,7 +24,6 @@
 	})
 }
 
-// injectFault has a fault happen now.
 func (r *experimentRun) injectFault(sim *emulator.Simulation, f faultSpec) {
 	_, _, token := sim.MachinesAboveToken(0)
 	r.faults = append(r.faults, &faultWatch{faultResult: faultResult{What: f.What, At: f.At}, injectedAt: sim.Now, tokenBefore: token})
@@ -37,8 +36,8 @@
 	}
 }
 
-// crashControllers kills controllers, all of them unless the fault says how many, and starts them again
-// after its time.
+// crashControllers kills controllers, all of them unless the fault has a count, and restarts them after the
+// fault's downtime.
 func (r *experimentRun) crashControllers(sim *emulator.Simulation, f faultSpec) {
 	sim.Checker.FaultUntil(sim.Now + seconds(f.Back))
 	count := f.Count
@@ -55,7 +54,8 @@
 	}
 }
 
-// watchFaults notes when machines are commanded under newer tokens after all controllers ended.
+// watchFaults records after crashes of controllers how long it takes until machines get commands with newer
+// tokens.
 func (r *experimentRun) watchFaults(sim *emulator.Simulation) {
 	for _, f := range r.faults {
 		if f.What != faultCrash || f.AllCommanded != 0 {
--- a/tools/scale/fit.go
+++ b/tools/scale/fit.go
@@ -8,17 +8,18 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// fittedLine is a fitted line and how far the points lie from it at most, as a share of the largest.
+// fittedLine is a linear fit. Its residual is the largest distance of a point, as a share of the largest
+// value.
 type fittedLine struct {
 	intercept, slope, residual float64
 	points                     plotter.XYs
 }
 
-// centerRun is the run that all series of varied runs share.
+// centerRun is the name of the run that belongs to all series of varied runs.
 const centerRun = "slope-center"
 
-// variedRuns are the runs of some sources in which one thing was varied, the one that all share
-// included, in the order of its value.
+// variedRuns returns the successful runs with a label in which a parameter was varied, and the center run,
+// ordered by the parameter's value.
 func variedRuns(results []*result, label, key string) []*result {
 	var out []*result
 	for _, r := range results {
@@ -33,7 +34,7 @@
 	return out
 }
 
-// fitLine fits a line through the runs in which one thing was varied.
+// fitLine fits a line to a value of the runs in which a parameter was varied. It needs at least three runs.
 func fitLine(results []*result, label, key string, value func(*result) float64) (fittedLine, bool) {
 	var x, y []float64
 	for _, r := range variedRuns(results, label, key) {
--- a/tools/scale/fit_test.go
+++ b/tools/scale/fit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A slope is that of the line through the points, with how far they lie from it.
+// TestFit checks slope and residual of a fit, and that it ignores failed runs.
 func TestFit(t *testing.T) {
 	var results []*result
 	for i, cpu := range []float64{1, 2, 3.3} {
@@ -17,10 +17,10 @@
 		t.Errorf("%+v, %v", f, ok)
 	}
 	if _, ok := fitLine(results[:2], "x", varyControllers, cpu.value); ok {
-		t.Error("two points give a slope")
+		t.Error("fit with two points")
 	}
-	results[0].Failed = "it did"
+	results[0].Failed = "failed"
 	if _, ok := fitLine(results, "x", varyControllers, cpu.value); ok {
-		t.Error("a run that failed counts")
+		t.Error("a failed run is not ignored")
 	}
 }
--- a/tools/scale/hosted.go
+++ b/tools/scale/hosted.go
@@ -17,13 +17,13 @@
 	"basaltwall/tenant"
 )
 
-// Size of the deployment whose tenants are measured.
+// Size of the hosted deployment.
 const (
 	hostedControllers = 3
 	hostedMachines    = 8
 )
 
-// Times of the deployment.
+// Intervals and timeouts of the hosted deployment.
 const (
 	hostedReadyTimeout   = 20 * time.Second
 	hostedReadyInterval  = 100 * time.Millisecond
@@ -31,17 +31,17 @@
 	hostedRequestTimeout = 5 * time.Second
 )
 
-// tenantRetention is how long a tenant's ended jobs are kept, in seconds.
+// tenantRetention is the retention of a tenant's ended jobs, in seconds.
 const tenantRetention = 60
 
-// hostedDeployment is a few controllers as processes, beside the emulators.
+// hostedDeployment is a set of controller processes with emulators of their environment.
 type hostedDeployment struct {
 	cluster
 	jobNumber atomic.Int64
 }
 
-// startDeployment starts the emulators and the controllers and waits until they take requests. They
-// stop with the context.
+// startDeployment starts the emulators and the controllers and waits until they are ready. They stop with
+// the context.
 func startDeployment(ctx context.Context, program, dir string, hosted bool) (*hostedDeployment, error) {
 	live, err := emulator.StartLive(ctx, hostedControllers, hostedMachines)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return d, sleep(ctx, hostedSettle)
 }
 
-// writeAdminKey writes an operators' key to a file and returns its secret.
+// writeAdminKey writes an administration key to a file and returns its secret.
 func writeAdminKey(file string) (string, error) {
 	_, secret, err := tenant.NewKey([tenant.RandomBytes]byte{3}, "admin", 0, 0)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return secret.String(), os.WriteFile(file, []byte(secret.String()), 0o600)
 }
 
-// startHostedController starts a controller's process, which is killed when the context is over.
+// startHostedController starts a controller process, which is killed when the context is done.
 func startHostedController(ctx context.Context, program string, args []string) error {
 	cmd := exec.CommandContext(ctx, program, args...)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL="+defaultLogLevel)
@@ -110,7 +110,7 @@
 	Name     string       `json:"name"`
 }
 
-// createTenant creates a tenant with an agreed rate of submissions a second, and a key, which it returns.
+// createTenant creates a tenant with a rate limit in submissions per second, and returns a key for it.
 func (d *hostedDeployment) createTenant(ctx context.Context, name, team string, rate float64) (string, error) {
 	var created tenancy.TenantView
 	err := d.change(ctx, http.MethodPut, pathTenants+name, newTenant{Teams: []string{team}, Rate: rate, Burst: 2 * rate, Retention: tenantRetention}, &created)
@@ -140,7 +140,7 @@
 	return json.Unmarshal(response, into)
 }
 
-// cpuSeconds is the processor time of all controllers, in seconds.
+// cpuSeconds returns the processor time of all controllers, in seconds.
 func (d *hostedDeployment) cpuSeconds(ctx context.Context) float64 {
 	sum := 0.0
 	for i := range d.addresses {
--- a/tools/scale/main.go
+++ b/tools/scale/main.go
@@ -1,6 +1,6 @@
-// Command scale measures the service at large size on one machine: controllers are real processes
-// of the shipped program; emulators of workers, users, the key-value store and the cloud share one
-// process on loopback. What it measures lies in docs/capacity, and docs/CAPACITY.md is made from that.
+// Command scale measures large deployments on one machine: the controllers are processes of the released
+// program; emulators of workers, users, the key-value store and the cloud share one process on loopback.
+// It writes results to docs/capacity and generates the tables of docs/CAPACITY.md from them.
 package main
 
 import (
@@ -15,26 +15,26 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli are the subcommands.
+// cli has the subcommands.
 var cli struct {
-	Run     runCmd     `cmd:"" help:"Play experiments and keep their results."`
-	Page    pageCmd    `cmd:"" help:"Write the tables and plots of the capacity page anew from the results."`
-	Agent   agentCmd   `cmd:"" help:"Measure what the protocol costs one worker, alone in a process."`
-	Tenants tenantsCmd `cmd:"" help:"Measure a hosted service with a tenant that floods it."`
+	Run     runCmd     `cmd:"" help:"Run experiments and save their results."`
+	Page    pageCmd    `cmd:"" help:"Regenerate the tables and plots of the capacity page from the results."`
+	Agent   agentCmd   `cmd:"" help:"Measure the cost of the protocol for one worker in a process of its own."`
+	Tenants tenantsCmd `cmd:"" help:"Measure a hosted service with a tenant that floods submissions."`
 }
 
-// runCmd plays experiments.
+// runCmd runs experiments.
 type runCmd struct {
-	Program string   `default:"target/basaltwall" type:"existingfile" help:"The program to measure."`
-	Out     string   `default:"docs/capacity" type:"existingdir" help:"Where results are kept."`
-	Label   string   `required:"" help:"Names the sources that are measured, in the results' names: before, say."`
-	Files   []string `arg:"" type:"existingfile" help:"Experiments (TOML)."`
+	Program string   `default:"target/basaltwall" type:"existingfile" help:"Program to measure."`
+	Out     string   `default:"docs/capacity" type:"existingdir" help:"Folder of the results."`
+	Label   string   `required:"" help:"Label of the measured version, part of the results' file names."`
+	Files   []string `arg:"" type:"existingfile" help:"Experiment files (TOML)."`
 }
 
-// errViolation ends a run in which a rule was broken.
-var errViolation = errors.New("a rule was broken")
+// errViolation is returned for a run that broke an invariant.
+var errViolation = errors.New("invariant broken")
 
-// Run plays the experiments one after the other.
+// Run runs the experiments in order.
 func (c *runCmd) Run(ctx context.Context) error {
 	var all []*experiment
 	for _, f := range c.Files {
@@ -54,7 +54,7 @@
 			if e.Vary != nil {
 				res.Vary, res.Value = e.Vary.Key, e.Vary.Values[i]
 			}
-			if err := c.keep(res); err != nil {
+			if err := c.saveResult(res); err != nil {
 				return err
 			}
 			if ctx.Err() != nil {
@@ -69,8 +69,8 @@
 	return failed
 }
 
-// keep saves a run's result and logs it.
-func (c *runCmd) keep(res *result) error {
+// saveResult saves a run's result and logs it.
+func (c *runCmd) saveResult(res *result) error {
 	file, err := res.save(c.Out)
 	if err != nil {
 		return err
@@ -82,6 +82,6 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	k := kong.Parse(&cli, kong.Name("scale"), kong.Description("Measures the service at large size on loopback."), kong.BindTo(ctx, (*context.Context)(nil)))
+	k := kong.Parse(&cli, kong.Name("scale"), kong.Description("Measures large deployments on loopback."), kong.BindTo(ctx, (*context.Context)(nil)))
 	k.FatalIfErrorf(k.Run())
 }
--- a/tools/scale/measure.go
+++ b/tools/scale/measure.go
@@ -8,7 +8,7 @@
 	"basaltwall/internal/emulator"
 )
 
-// measurement is all that is read at the start and at the end of the window.
+// measurement has the counters at the start or at the end of the window.
 type measurement struct {
 	takenAt     time.Time
 	traffic     emulator.TrafficSnapshot
@@ -17,7 +17,7 @@
 	emulator    usage
 }
 
-// takeMeasurement reads the counts as they are now.
+// takeMeasurement reads the current counters.
 func (r *experimentRun) takeMeasurement() measurement {
 	m := measurement{takenAt: time.Now(), traffic: r.fleet.Traffic.Snapshot(), store: r.fleet.StoreCounts(), emulator: usageOf(os.Getpid())}
 	for _, p := range r.processes {
@@ -26,7 +26,7 @@
 	return m
 }
 
-// measure counts for the time of the window, in which faults happen.
+// measure runs the measurement window with its faults and fills in the result.
 func (r *experimentRun) measure(ctx context.Context) error {
 	window := seconds(r.experiment.Measure)
 	for _, p := range r.processes {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// fillResult fills in the result from what was read before and after the window.
+// fillResult fills in the result from the counters before and after the window.
 func (r *experimentRun) fillResult(ctx context.Context, before, after measurement) {
 	res := r.result
 	res.Window = after.takenAt.Sub(before.takenAt).Seconds()
@@ -65,7 +65,7 @@
 	r.fleet.Do(r.fillFromSimulation)
 }
 
-// fillControllerUsage fills in what each controller used in the window.
+// fillControllerUsage fills in the resources that each controller used in the window.
 func (r *experimentRun) fillControllerUsage(ctx context.Context, before, after measurement) {
 	res := r.result
 	for i, p := range r.processes {
@@ -80,7 +80,7 @@
 	}
 }
 
-// fillWorkerTraffic fills in what one worker sends and receives on average.
+// fillWorkerTraffic fills in the average control traffic of a worker.
 func (r *experimentRun) fillWorkerTraffic() {
 	res := r.result
 	heartbeats, commands := res.Traffic.Flows[emulator.FlowHeartbeats], res.Traffic.Flows[emulator.FlowCommands]
@@ -92,7 +92,7 @@
 	}
 }
 
-// fillFromSimulation fills in what the simulation has seen.
+// fillFromSimulation fills in the running tasks, start rates, latencies and faults.
 func (r *experimentRun) fillFromSimulation(sim *emulator.Simulation) {
 	res := r.result
 	res.Running = sim.Checker.RunningTasks()
@@ -109,7 +109,7 @@
 	}
 }
 
-// readControllerStats asks a controller for its own account of its time and for its partitions.
+// readControllerStats reads a controller's processor time by kind of work and its number of partitions.
 func (r *experimentRun) readControllerStats(ctx context.Context, index int, u *controllerUsage) {
 	var metrics struct {
 		Work map[string]float64 `json:"work_s"`
--- a/tools/scale/metric.go
+++ b/tools/scale/metric.go
@@ -6,7 +6,7 @@
 	"basaltwall/internal/emulator"
 )
 
-// metric is a figure that results have; the table of roles refers to it by its name.
+// metric is a figure of a result; roles refer to it by name.
 type metric struct {
 	name        string
 	description string
@@ -14,7 +14,7 @@
 	value       func(r *result) float64
 }
 
-// metrics are the figures that the page shows, in its order.
+// metrics are the figures of the capacity page, in order.
 var metrics = []metric{
 	{"cpu_total", "processor time of all controllers", "cores", func(r *result) float64 { return r.CPU }},
 	{"cpu_most", "of the busiest controller", "cores", func(r *result) float64 {
@@ -50,7 +50,7 @@
 	{"hollow_cpu", "processor time of all that is hollow", "cores", func(r *result) float64 { return r.EmulatorCPU }},
 }
 
-// findMetric finds a metric by its name.
+// findMetric returns the metric with a name.
 func findMetric(name string) (metric, bool) {
 	i := slices.IndexFunc(metrics, func(m metric) bool { return m.name == name })
 	if i < 0 {
@@ -67,7 +67,7 @@
 	return count / r.Window
 }
 
-// maxOverControllers is the largest value of any controller.
+// maxOverControllers returns the largest value of all controllers.
 func maxOverControllers(r *result, value func(controllerUsage) float64) float64 {
 	largest := 0.0
 	for _, c := range r.ControllerUsage {
@@ -76,7 +76,7 @@
 	return largest
 }
 
-// messageRate is how many messages a second flows have together.
+// messageRate returns the total messages per second of flows.
 func messageRate(r *result, flows map[string]emulator.Flow) float64 {
 	sum := int64(0)
 	for _, f := range flows {
@@ -85,7 +85,7 @@
 	return perSecond(r, float64(sum))
 }
 
-// byteRate is how many bytes a second flows have together, both ways.
+// byteRate returns the total bytes per second of flows, in both directions.
 func byteRate(r *result, flows map[string]emulator.Flow) float64 {
 	sum := int64(0)
 	for _, f := range flows {
@@ -94,7 +94,7 @@
 	return perSecond(r, float64(sum))
 }
 
-// totalStored is what the key-value store holds of all kinds.
+// totalStored returns the total size of the key-value store.
 func totalStored(r *result) (sum emulator.StoredSize) {
 	for _, s := range r.Stored {
 		sum.Keys += s.Keys
--- a/tools/scale/page.go
+++ b/tools/scale/page.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// pageCmd writes the generated sections of the capacity page.
+// pageCmd regenerates sections of the capacity page.
 type pageCmd struct {
-	Results string `default:"docs/capacity" type:"existingdir" help:"Where the results are."`
-	Page    string `default:"docs/CAPACITY.md" type:"existingfile" help:"The page; what lies between its markers is written anew."`
-	Check   bool   `help:"Change nothing, and fail if the page is not what the results give."`
+	Results string `default:"docs/capacity" type:"existingdir" help:"Folder of the results."`
+	Page    string `default:"docs/CAPACITY.md" type:"existingfile" help:"Capacity page; the sections between its markers are replaced."`
+	Check   bool   `help:"Only check that the page matches the results."`
 }
 
-// The page's generated sections lie between such lines.
+// Markers of the generated sections of the page.
 const (
 	markBegin = "<!-- scale: %s -->"
 	markEnd   = "<!-- scale: end -->"
 )
 
-// errStale is returned when the page is not what the results give.
-var errStale = errors.New("the page is not what the results give: run scale page")
+// errStale is returned if the page does not match the results.
+var errStale = errors.New("the page does not match the results: run scale page")
 
-// Run writes the page's sections and the plots.
+// Run writes the page's sections and the plots, or checks the page.
 func (c *pageCmd) Run() error {
 	results, err := readResults(c.Results)
 	if err != nil {
@@ -62,16 +62,16 @@
 	return writePlots(results, c.Results)
 }
 
-// replaceSection replaces what lies between a section's markers.
+// replaceSection replaces the text between a section's markers.
 func replaceSection(page, name, section string) (string, error) {
 	begin := fmt.Sprintf(markBegin, name)
 	before, rest, ok := strings.Cut(page, begin)
 	if !ok {
-		return "", fmt.Errorf("no line %q in the page", begin)
+		return "", fmt.Errorf("page has no marker %q", begin)
 	}
 	_, after, ok := strings.Cut(rest, markEnd)
 	if !ok {
-		return "", fmt.Errorf("no line %q after %q", markEnd, begin)
+		return "", fmt.Errorf("page has no marker %q after %q", markEnd, begin)
 	}
 	return before + begin + "\n\n" + section + "\n" + markEnd + after, nil
 }
--- a/tools/scale/page_test.go
+++ b/tools/scale/page_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The capacity page is what the kept results give, so that no figure on it is written by hand.
+// TestPageMatchesResults checks that the capacity page is generated from the saved results.
 func TestPageMatchesResults(t *testing.T) {
 	check := &pageCmd{Results: "../../docs/capacity", Page: "../../docs/CAPACITY.md", Check: true}
 	if err := check.Run(); err != nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-// A page without a section's markers is an error that names them.
+// TestPageWithoutMarkers checks that the error for a missing marker names the marker.
 func TestPageWithoutMarkers(t *testing.T) {
 	if _, err := replaceSection("text", "roles", "x"); err == nil || !strings.Contains(err.Error(), "scale: roles") {
 		t.Errorf("%v", err)
--- a/tools/scale/plan.go
+++ b/tools/scale/plan.go
@@ -8,7 +8,7 @@
 	"basaltwall/internal/emulator"
 )
 
-// machineTypeName is the only type of machines.
+// machineTypeName is the name of the only machine type.
 const machineTypeName api.MachineTypeName = "node"
 
 // Names of an experiment's zones, regions and teams.
@@ -16,14 +16,13 @@
 func regionName(i int) string { return fmt.Sprintf("region-%d", i) }
 func teamName(i int) string   { return fmt.Sprintf("team-%d", i) }
 
-// Shares of what the machines hold that each team is guaranteed, and may use at most, in parts of
-// an even share.
+// Guarantee and limit of each team, as multiples of an equal share of the machines' CPUs.
 const (
 	guaranteedShare = 0.8
 	maxShare        = 4
 )
 
-// deploymentConfig is the deployment of an experiment.
+// deploymentConfig returns the deployment of an experiment.
 func deploymentConfig(e *experiment) emulator.FleetConfig {
 	var zones []api.Zone
 	regions := &emulator.Regions{ByZone: map[api.Zone]string{}, Home: regionName(0), Latency: seconds(e.RegionDelay / 1000)}
@@ -44,7 +43,7 @@
 	return deployment
 }
 
-// machineType is the type as the cloud offers it.
+// machineType returns the machine type that the cloud offers.
 func (m machineSpec) machineType(zones []api.Zone) api.MachineType {
 	return api.MachineType{Name: machineTypeName, CPUs: m.CPUs, MemGB: m.MemGB, CacheGB: m.CacheGB, FetchRate: m.Fetch,
 		Price: 1, SpotPrice: 0.5, BootSeconds: 30, Zones: zones}
@@ -59,10 +58,9 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// clockErrorMillis is how far the controllers' clocks may be from each other.
+// clockErrorMillis is the maximum clock skew between controllers, in milliseconds.
 const clockErrorMillis = 250
 
-// sharedSettings are the settings that all controllers share. Each team gets its parts of an even share.
 func sharedSettings(e *experiment, zones []api.Zone) map[string]any {
 	even := float64(e.Machines) * e.Machine.CPUs / float64(e.Teams)
 	var teams []teamQuota
@@ -73,7 +71,6 @@
 		"workers": e.Workers, "state": e.State, "cloud": e.Cloud, "limits": e.Limits, "clock_error_ms": clockErrorMillis}
 }
 
-// nextJob is the next job of a load.
 func (r *experimentRun) nextJob(l *jobLoad) *api.JobSpec {
 	n := r.jobCount
 	r.jobCount++
@@ -98,7 +95,7 @@
 	return spec
 }
 
-// submit submits the next job of a load, and cancels it halfway through its run if its turn has come.
+// submit submits the next job of a load. A share of the jobs is cancelled after half of their run time.
 func (r *experimentRun) submit(sim *emulator.Simulation, l *jobLoad) {
 	spec := r.nextJob(l)
 	r.submittedAt[spec.Ref] = sim.Now
@@ -108,7 +105,7 @@
 	}
 }
 
-// submitFill submits what is to run before anything is counted.
+// submitFill submits the tasks that must run before the measurement.
 func (r *experimentRun) submitFill(sim *emulator.Simulation) {
 	for i := range r.experiment.Loads {
 		l := &r.experiment.Loads[i]
@@ -119,7 +116,7 @@
 	}
 }
 
-// submitStreams has each load's jobs come until the run is over.
+// submitStreams submits the jobs of each load at its interval until the end of the run.
 func (r *experimentRun) submitStreams(sim *emulator.Simulation) {
 	for i := range r.experiment.Loads {
 		l := &r.experiment.Loads[i]
--- a/tools/scale/plot.go
+++ b/tools/scale/plot.go
@@ -11,19 +11,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// sourceColors are the colours of the sources in a plot.
-var sourceColors = []color.Color{color.RGBA{R: 31, G: 119, B: 180, A: 255}, color.RGBA{R: 214, G: 39, B: 40, A: 255}, color.RGBA{R: 44, G: 160, B: 44, A: 255}}
+// labelColors are the colours of the labels in a plot.
+var labelColors = []color.Color{color.RGBA{R: 31, G: 119, B: 180, A: 255}, color.RGBA{R: 214, G: 39, B: 40, A: 255}, color.RGBA{R: 44, G: 160, B: 44, A: 255}}
 
-// plottedMetrics are the metrics that are drawn over each key that is varied.
+// plottedMetrics are the metrics that are plotted over each varied parameter.
 var plottedMetrics = []string{"cpu_total", "memory_most", "peer_messages", "urgent_p99"}
 
-// Size of a plot.
 const (
 	plotWidth  = 12 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
 )
 
-// writePlots draws each slope of processor time, memory, messages and latency.
+// writePlots writes a plot for each metric and varied parameter.
 func writePlots(results []*result, dir string) error {
 	for _, key := range []string{varyMachines, varyRunning, varyControllers} {
 		for _, name := range plottedMetrics {
@@ -37,15 +36,15 @@
 	return nil
 }
 
-// writePlot draws a metric over a key that is varied, with a line for each source that has runs enough.
-// Without any it writes no file.
+// writePlot plots a metric over a varied parameter, with a fitted line for each label with at least three
+// runs. It writes no file if there is none.
 func writePlot(results []*result, m metric, key, file string) error {
 	p := plot.New()
 	p.Title.Text = m.description + ", measured on loopback"
 	p.X.Label.Text, p.Y.Label.Text = key, m.unit
 	p.Y.Min = 0
 	drawn := false
-	for i, label := range sourceLabels(results) {
+	for i, label := range runLabels(results) {
 		f, ok := fitLine(results, label, key, m.value)
 		if !ok {
 			continue
@@ -55,7 +54,7 @@
 		if err != nil {
 			return err
 		}
-		points.Color = sourceColors[i%len(sourceColors)]
+		points.Color = labelColors[i%len(labelColors)]
 		fitted := plotter.NewFunction(func(x float64) float64 { return f.intercept + f.slope*x })
 		fitted.Color = points.Color
 		p.Add(points, fitted)
--- a/tools/scale/pollcost.go
+++ b/tools/scale/pollcost.go
@@ -13,11 +13,11 @@
 	"basaltwall/api"
 )
 
-// metricsInterval is longer than it takes until the controllers' account of their processor time, which
-// they bring up to date every five seconds, is current.
+// metricsInterval is longer than the five seconds between updates of the processor time in the controllers'
+// metrics.
 const metricsInterval = 6 * time.Second
 
-// pollStats is what polls at a steady rate have come to.
+// pollStats has the results of polls at a steady rate.
 type pollStats struct {
 	mu           sync.Mutex
 	latency      *hdrhistogram.Histogram // microseconds
@@ -25,21 +25,21 @@
 	elapsed      time.Duration
 }
 
-// pollCost is what polls have cost the controllers.
+// pollCost is the processor time that polls cost the controllers.
 type pollCost struct {
 	polls      *pollStats
-	cpuSeconds float64 // of all polls together
+	cpuSeconds float64 // of all polls
 }
 
-// String summarizes the polls and the cost of each in a line.
+// String summarizes the polls and their cost in a line.
 func (c pollCost) String() string {
 	each := c.cpuSeconds / float64(max(1, c.polls.done))
-	return fmt.Sprintf("%.0f polls a second, %d failed; p50 %.1f ms, p99 %.1f ms; %.0f microseconds of processor each", float64(c.polls.done)/c.polls.elapsed.Seconds(), c.polls.failed,
+	return fmt.Sprintf("%.0f polls per second, %d failed; p50 %.1f ms, p99 %.1f ms; %.0f microseconds of processor time per poll", float64(c.polls.done)/c.polls.elapsed.Seconds(), c.polls.failed,
 		quantileMillis(c.polls.latency, 50), quantileMillis(c.polls.latency, 99), each*1e6)
 }
 
-// measurePollCost polls a service that is running at a rate for a while, and takes from what the
-// controllers used what they use without polls.
+// measurePollCost polls a running service at a rate and returns the additional processor time of the
+// controllers, compared with a phase without polls.
 func (d *hostedDeployment) measurePollCost(ctx context.Context, key string, rate float64, phase time.Duration) (pollCost, error) {
 	number := d.jobNumber.Add(1)
 	service := strings.Replace(fmt.Sprintf(jobTemplate, number, calmTeam), `"sweep"`, `"daemon"`, 1)
@@ -60,7 +60,7 @@
 	return pollCost{polls: polls, cpuSeconds: d.cpuSeconds(ctx) - before - idle}, nil
 }
 
-// poll sends GETs of a path at a rate, to the controllers by turns.
+// poll sends GET requests for a path at a rate, to the controllers in turn.
 func (d *hostedDeployment) poll(ctx context.Context, key, path string, rate float64, phase time.Duration) *pollStats {
 	stats := &pollStats{latency: hdrhistogram.New(1, 10_000_000, 3)}
 	var wait sync.WaitGroup
@@ -80,7 +80,6 @@
 	return stats
 }
 
-// count counts the response to a poll.
 func (s *pollStats) count(sentAt time.Time, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/tools/scale/process.go
+++ b/tools/scale/process.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// clockTick is the unit of the kernel's account of processor time; USER_HZ is 100 on Linux.
+// clockTick is the unit of processor times in /proc; USER_HZ is 100 on Linux.
 const clockTick = 10 * time.Millisecond
 
-// process is a controller that runs as the shipped program.
+// process is a controller that runs as a process of the released program.
 type process struct {
 	label, program, settingsPath, logDir string
 
 	mu              sync.Mutex
 	cmd             *exec.Cmd
 	pastCPU         time.Duration // processor time of earlier processes
-	unexpectedExits int           // that nobody asked for
-	killRequested   bool          // its end was asked for
+	unexpectedExits int
+	killRequested   bool
 }
 
-// start starts the program. It ends with this process at the latest.
+// start starts the program, which is killed when this process ends.
 func (p *process) start() error {
 	log, err := os.OpenFile(filepath.Join(p.logDir, p.label+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -59,10 +59,9 @@
 	return nil
 }
 
-// defaultLogLevel is what controllers log unless the environment says otherwise.
+// defaultLogLevel is the controllers' log level unless LOG_LEVEL is set.
 const defaultLogLevel = "error"
 
-// logLevel is what controllers log, errors unless the environment says otherwise.
 func logLevel() string {
 	if l := os.Getenv("LOG_LEVEL"); l != "" {
 		return l
@@ -70,7 +69,6 @@
 	return defaultLogLevel
 }
 
-// kill kills the process.
 func (p *process) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,14 +78,15 @@
 	}
 }
 
-// usage is what a process has used.
+// usage is the resource usage of a process.
 type usage struct {
 	CPU     time.Duration
-	PeakRSS int64 // bytes of resident memory at most
-	RSS     int64
+	PeakRSS int64 // bytes
+	RSS     int64 // bytes
 }
 
-// usage reads the kernel's account of the process and what the earlier processes of the same controller used.
+// usage returns the resource usage of the process, with the processor time of earlier processes of the
+// same controller.
 func (p *process) usage() usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +98,7 @@
 	return u
 }
 
-// usageOf reads the kernel's account of a process.
+// usageOf returns the resource usage of a process.
 func usageOf(pid int) (u usage) {
 	if data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid)); err == nil {
 		fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
@@ -127,7 +126,7 @@
 	return u
 }
 
-// resetPeak has the kernel begin anew to note the peak of a process's resident memory.
+// resetPeak resets the kernel's record of the process's peak resident memory.
 func (p *process) resetPeak() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/tools/scale/process_test.go
+++ b/tools/scale/process_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// A process that was started ends with the run, and its use is read.
+// TestProcessEnds checks that an unexpected exit of a process is counted, and that resource usage is read.
 func TestProcessEnds(t *testing.T) {
 	dir := t.TempDir()
 	p := &process{label: "x", program: build(t), settingsPath: filepath.Join(dir, "none.json"), logDir: dir}
 	if err := p.start(); err != nil {
 		t.Fatal(err)
 	}
-	for range 100 { // it ends by itself, for want of settings
+	for range 100 { // it exits because its settings are missing
 		p.mu.Lock()
-		over := p.cmd == nil
+		exited := p.cmd == nil
 		p.mu.Unlock()
-		if over {
+		if exited {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -26,9 +26,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil || p.unexpectedExits != 1 {
-		t.Errorf("it runs: %v, %d ends", p.cmd != nil, p.unexpectedExits)
+		t.Errorf("process runs: %v, %d unexpected exits", p.cmd != nil, p.unexpectedExits)
 	}
 	if usageOf(syscall.Getpid()).RSS == 0 {
-		t.Error("no use of memory is read")
+		t.Error("resident memory is 0")
 	}
 }
--- a/tools/scale/request.go
+++ b/tools/scale/request.go
@@ -21,31 +21,31 @@
 	pathTenants    = "/admin/v1/tenants/"
 )
 
-// errNotReady is returned when controllers do not take requests in time.
-var errNotReady = errors.New("the controllers do not get ready")
+// errNotReady is returned if controllers are not ready within the timeout.
+var errNotReady = errors.New("controllers are not ready within the timeout")
 
-// statusError is returned for a response whose status is not the expected one.
+// statusError is returned for a response with an unexpected status.
 type statusError struct {
 	status int
 	body   []byte
 }
 
-// Error shows the status and the response's body.
+// Error returns the status and the body of the response.
 func (e *statusError) Error() string { return fmt.Sprintf("%d %s", e.status, e.body) }
 
-// cluster is how the controllers of a deployment are asked.
+// cluster sends requests to the controllers of a deployment.
 type cluster struct {
 	client    *http.Client
 	addresses []string // of the controllers' APIs
 	key       string   // for the administration API; empty where no key is needed
 }
 
-// request sends a request with a key to one of the controllers and reads the response.
+// request sends a request with a key to one of the controllers and returns status and body.
 func (c *cluster) request(ctx context.Context, index int, method, path, key string, body []byte) (int, []byte, error) {
 	return request(ctx, c.client, method, c.addresses[index%len(c.addresses)]+path, key, body)
 }
 
-// getJSON decodes what one of the controllers responds to a GET.
+// getJSON decodes the response of one of the controllers to a GET request.
 func (c *cluster) getJSON(ctx context.Context, index int, path string, into any) error {
 	status, body, err := c.request(ctx, index, http.MethodGet, path, c.key, nil)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return json.Unmarshal(body, into)
 }
 
-// awaitReady waits until every controller takes requests.
+// awaitReady waits until all controllers are ready.
 func awaitReady(ctx context.Context, c *cluster, timeout, interval time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		ready := 0
@@ -76,7 +76,7 @@
 	return errNotReady
 }
 
-// sleep waits for a time, or until the context is over.
+// sleep waits for a duration or until the context is done.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -86,7 +86,7 @@
 	}
 }
 
-// request sends a request, with a key if there is one, and reads the response.
+// request sends a request, with a key unless it is empty, and returns status and body.
 func request(ctx context.Context, client *http.Client, method, target, key string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+target, bytes.NewReader(body))
 	if err != nil {
@@ -104,5 +104,5 @@
 	return res.StatusCode, data, err
 }
 
-// maxResponseBytes bounds what is read of a response.
+// maxResponseBytes is the largest part of a response body that is read.
 const maxResponseBytes = 1 << 20
--- a/tools/scale/resources_test.go
+++ b/tools/scale/resources_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A run that would take more than half of the machine's memory is refused before it starts.
+// TestRefusesTooLarge checks that a run that exceeds the limits of memory or processes is refused.
 func TestRefusesTooLarge(t *testing.T) {
 	e := &experiment{Controllers: 23, Loads: []jobLoad{{FillTasks: 74_000}}}
 	if err := checkResources(e, 1<<40); err != nil {
--- a/tools/scale/result.go
+++ b/tools/scale/result.go
@@ -15,11 +15,10 @@
 	"basaltwall/internal/emulator"
 )
 
-// result is what a run measured.
 type result struct {
 	Name        string  `json:"name"`
 	What        string  `json:"what,omitempty"`
-	Label       string  `json:"label"` // of the sources, given by who runs it
+	Label       string  `json:"label"` // of the measured version, given on the command line
 	At          string  `json:"at"`
 	Cores       int     `json:"cores"`
 	Failed      string  `json:"failed,omitempty"`
@@ -28,7 +27,7 @@
 	Machines    int     `json:"machines"`
 	Controllers int     `json:"controllers"`
 	Teams       int     `json:"teams"`
-	TargetTasks int     `json:"tasks_filled"` // that were to run before it was counted
+	TargetTasks int     `json:"tasks_filled"` // that must run before the measurement
 	Running     int     `json:"tasks_running"`
 	FillSeconds float64 `json:"fill_s"`
 	Window      float64 `json:"window_s"`
@@ -38,7 +37,7 @@
 	Jobs        int     `json:"jobs_submitted"`
 
 	ControllerUsage []controllerUsage              `json:"controllers_use"`
-	CPU             float64                        `json:"controllers_cpu_cores"` // all together
+	CPU             float64                        `json:"controllers_cpu_cores"` // of all controllers
 	EmulatorCPU     float64                        `json:"hollow_cpu_cores"`
 	EmulatorMB      float64                        `json:"hollow_mb"`
 	Traffic         emulator.TrafficSnapshot       `json:"traffic"`
@@ -51,23 +50,23 @@
 	UnexpectedExits int                            `json:"controllers_that_ended"`
 }
 
-// controllerUsage is what a controller used in the window.
+// controllerUsage is the resource usage of a controller in the window.
 type controllerUsage struct {
 	Label      string             `json:"label"`
 	Cores      float64            `json:"cores"`
 	PeakMB     float64            `json:"peak_mb"`
 	Partitions int                `json:"parts"`
-	Work       map[string]float64 `json:"work_s,omitempty"` // by kind, since it began
+	Work       map[string]float64 `json:"work_s,omitempty"` // processor time by kind of work, since the start of the process
 }
 
-// workerTraffic is what one worker sends and gets for control, on average.
+// workerTraffic is the average control traffic of a worker.
 type workerTraffic struct {
 	Heartbeats float64 `json:"reports_a_second"`
 	Direct     float64 `json:"direct_commands_a_second"`
 	Bytes      float64 `json:"bytes_a_second"`
 }
 
-// latency describes a histogram, in seconds.
+// latency summarizes a histogram, in seconds.
 type latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_s"`
@@ -76,35 +75,36 @@
 	Max   float64 `json:"max_s"`
 }
 
-// faultResult is how long it took after a fault until machines were commanded again.
+// faultResult has the times from a fault until machines got commands again, in seconds.
 type faultResult struct {
 	What             string  `json:"what"`
 	At               float64 `json:"at_s"`
-	HalfCommanded    float64 `json:"half_s,omitempty"` // of the machines commanded
-	MostCommanded    float64 `json:"nine_tenths_s,omitempty"`
+	HalfCommanded    float64 `json:"half_s,omitempty"`        // half of the machines
+	MostCommanded    float64 `json:"nine_tenths_s,omitempty"` // nine tenths
 	AllCommanded     float64 `json:"all_s,omitempty"`
 	FirstUrgentStart float64 `json:"first_urgent_start_s,omitempty"`
 }
 
-// Names of latencies; those of users' requests are the requests' kinds, some with a suffix.
+// Names of latencies. Latencies of users' requests have the name of the request's kind and, if they failed,
+// a suffix.
 const (
 	latencyAccepted    = "accepted"
 	latencyPoll        = "poll"
 	latencyCancel      = "cancel"
 	latencySettings    = "settings in force everywhere"
-	latencyStartPrefix = "start " // before the job's class
-	latencyFillPrefix  = "fill "  // before the above, of jobs that came before the window
+	latencyStartPrefix = "start " // followed by the job's class
+	latencyFillPrefix  = "fill "  // followed by the start latency, for jobs submitted before the window
 	latencyStartUrgent = latencyStartPrefix + "urgent"
 	latencyStartBatch  = latencyStartPrefix + "batch"
 )
 
-// latencies are histograms of microseconds by name.
+// latencies are histograms by name, in microseconds.
 type latencies map[string]*hdrhistogram.Histogram
 
-// maxLatencyMicros is the longest latency that is told apart, in microseconds.
+// maxLatencyMicros is the upper end of the histograms, in microseconds.
 const maxLatencyMicros = int64(20 * time.Minute / time.Microsecond)
 
-// add counts a duration.
+// add adds a duration to a histogram.
 func (l latencies) add(name string, d time.Duration) {
 	h := l[name]
 	if h == nil {
@@ -114,7 +114,6 @@
 	_ = h.RecordValue(min(maxLatencyMicros, max(1, d.Microseconds())))
 }
 
-// describe summarizes the histograms.
 func (l latencies) describe() map[string]latency {
 	out := map[string]latency{}
 	for name, h := range l {
@@ -124,10 +123,10 @@
 	return out
 }
 
-// startsBySecond counts task starts by the second of simulated time.
+// startsBySecond has the number of task starts in each second of simulated time.
 type startsBySecond map[int]int
 
-// peak is the most starts in a second, and the most a second over ten of them.
+// peak returns the most starts in one second, and the highest average over ten seconds.
 func (r startsBySecond) peak() (second int, ten float64) {
 	for at := range r {
 		second = max(second, r[at])
@@ -140,13 +139,13 @@
 	return second, ten
 }
 
-// newResult is the result of a run that begins.
+// newResult returns a result without measurements.
 func newResult(e *experiment, label string) *result {
 	return &result{Name: e.Name, What: e.What, Label: label, At: time.Now().UTC().Format(time.RFC3339), Cores: runtime.NumCPU(),
 		Machines: e.Machines, Controllers: e.Controllers, Teams: e.Teams, TargetTasks: e.targetTasks(), Violations: []string{}}
 }
 
-// valueOf is the run's value of the key that an experiment varies.
+// valueOf returns the run's value of a parameter that experiments vary.
 func (r *result) valueOf(key string) int {
 	switch key {
 	case varyMachines:
@@ -157,7 +156,7 @@
 	return r.TargetTasks
 }
 
-// save writes the result to a folder.
+// save writes the result to a folder and returns the file's path.
 func (r *result) save(dir string) (string, error) {
 	data, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -167,7 +166,7 @@
 	return name, os.WriteFile(name, append(data, '\n'), 0o644)
 }
 
-// readResults reads all results in a folder, by name.
+// readResults reads all results in a folder, ordered by file name.
 func readResults(dir string) ([]*result, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
--- a/tools/scale/roles.go
+++ b/tools/scale/roles.go
@@ -6,23 +6,22 @@
 	"strings"
 )
 
-// role is a line of the page's table of roles: what a role takes of something at the target.
+// role is a row of the page's table of roles: the usage of a metric by a role at the target size.
 type role struct {
 	Role      string  `toml:"role"`
 	Metric    string  `toml:"metric"`
-	Share     string  `toml:"share"` // "": as it is; "controller": divided by the controllers
+	Share     string  `toml:"share"` // "controller": divided by the number of controllers
 	Budget    float64 `toml:"budget"`
-	From      string  `toml:"from"` // the run that is at the target
+	From      string  `toml:"from"` // run at the target size
 	Mechanism string  `toml:"mechanism"`
 }
 
-// rolesFile has the roles, beside the results.
+// rolesFile is the file of the roles in the folder of results.
 const rolesFile = "roles.toml"
 
-// shareController is the share of roles whose metric is divided by the number of controllers.
+// shareController makes a role divide its metric by the number of controllers.
 const shareController = "controller"
 
-// readRoles reads the table's rows.
 func readRoles(path string) ([]role, error) {
 	var file struct {
 		Rows []role `toml:"row"`
@@ -32,13 +31,13 @@
 	}
 	for i, r := range file.Rows {
 		if _, ok := findMetric(r.Metric); !ok {
-			return nil, fmt.Errorf("%s: %w", path, newFieldError(fmt.Sprintf("row[%d].metric", i), "%q: no such metric", r.Metric))
+			return nil, fmt.Errorf("%s: %w", path, newFieldError(fmt.Sprintf("row[%d].metric", i), "%q: unknown metric", r.Metric))
 		}
 	}
 	return file.Rows, nil
 }
 
-// value is what the role takes in a run.
+// value returns the role's usage in a run.
 func (row *role) value(r *result) float64 {
 	m, _ := findMetric(row.Metric)
 	if row.Share == shareController {
@@ -47,16 +46,15 @@
 	return m.value(r)
 }
 
-// slopeText shows how much more the role takes for so many more of what is varied.
-func (row *role) slopeText(results []*result, label, key string, times float64) string {
+// slopeText returns the increase of the role's usage when a parameter grows by a number of units.
+func (row *role) slopeText(results []*result, label, key string, units float64) string {
 	f, ok := fitLine(results, label, key, row.value)
 	if !ok {
 		return noFigure
 	}
-	return fmt.Sprintf("%s (±%.0f %%)", formatFigure(f.slope*times), 100*f.residual)
+	return fmt.Sprintf("%s (±%.0f %%)", formatFigure(f.slope*units), 100*f.residual)
 }
 
-// write writes the role's line.
 func (row *role) write(b *strings.Builder, results []*result, labels []string) {
 	values, last, newest := []string{}, math.NaN(), ""
 	for _, label := range labels {
@@ -78,11 +76,11 @@
 		budget, left, row.Mechanism)
 }
 
-// roleTable shows what each role takes at the target, with what it takes for one more of each.
+// roleTable returns the table of the roles' usage at the target size and its increase with each parameter.
 func roleTable(rows []role, results []*result) string {
 	var b strings.Builder
 	b.WriteString("| role | what | at the target, by sources | a machine more | 1,000 tasks more | a controller more | budget | left | carried by |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	labels := sourceLabels(results)
+	labels := runLabels(results)
 	for i := range rows {
 		rows[i].write(&b, results, labels)
 	}
--- a/tools/scale/roles_test.go
+++ b/tools/scale/roles_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A table of roles that names no metric of ours is an error with the row.
+// TestBadRoles checks that the error for an invalid role names its row and field.
 func TestBadRoles(t *testing.T) {
 	for _, test := range []struct{ name, text, field string }{
 		{"unknown metric", "[[row]]\nmetric = \"nothing\"\n", "row[0].metric"},
@@ -25,7 +25,7 @@
 			}
 			var invalid *fieldError
 			if !errors.As(err, &invalid) {
-				t.Errorf("%v is no field error", err)
+				t.Errorf("%v is not a field error", err)
 			}
 		})
 	}
--- a/tools/scale/run.go
+++ b/tools/scale/run.go
@@ -14,7 +14,7 @@
 	"basaltwall/internal/emulator"
 )
 
-// experimentRun is an experiment's run under way.
+// experimentRun is the state of a run of an experiment.
 type experimentRun struct {
 	experiment *experiment
 	fleet      *emulator.Fleet
@@ -22,26 +22,26 @@
 	result     *result
 	client     *http.Client
 
-	// What follows belongs to the fleet's simulation and is accessed within fleet.Do.
+	// The fields below are accessed only within fleet.Do.
 	latencies    latencies
 	startRates   startsBySecond
 	startedTasks map[api.TaskID]bool         // tasks that have started
-	submittedAt  map[api.JobID]time.Duration // when each job first was
-	measureStart time.Duration               // jobs count from here on; 0: not yet
+	submittedAt  map[api.JobID]time.Duration // time of the first submission
+	measureStart time.Duration               // 0 before the measurement
 	measureEnd   time.Duration
 	jobCount     int
 	faults       []*faultWatch
 }
 
-// Times of a run.
+// Durations and thresholds of a run.
 const (
 	readyTimeout    = 60 * time.Second
 	checkInterval   = 200 * time.Millisecond
-	membershipDelay = 3 * time.Second // after all are ready, until machines have sent heartbeats
-	filledShare     = 0.98            // of the tasks to run, at which the fill is over
+	membershipDelay = 3 * time.Second // until machines have sent heartbeats to the ready controllers
+	filledShare     = 0.98            // share of the target tasks at which the fill ends
 )
 
-// runExperiment plays one run of an experiment.
+// runExperiment performs one run of an experiment.
 func runExperiment(ctx context.Context, e *experiment, program, label string) (*result, error) {
 	limit, err := memoryLimit()
 	if err != nil {
@@ -78,7 +78,6 @@
 	return r.result, err
 }
 
-// startControllers starts the controllers.
 func (r *experimentRun) startControllers(program, dir string) error {
 	for i, data := range r.fleet.SettingsFiles {
 		label := string(r.fleet.Configs[i].Label)
@@ -94,7 +93,7 @@
 	return nil
 }
 
-// cluster is how the run's controllers are asked.
+// cluster returns a client for the run's controllers.
 func (r *experimentRun) cluster() *cluster {
 	c := &cluster{client: r.client}
 	for i := range r.fleet.Configs {
@@ -110,7 +109,7 @@
 	}
 }
 
-// runPhases goes through the phases: ready, filled, settled, measured.
+// runPhases performs the phases of a run: startup, fill, settling and measurement.
 func (r *experimentRun) runPhases(ctx context.Context) error {
 	if err := awaitReady(ctx, r.cluster(), readyTimeout, checkInterval); err != nil {
 		return err
@@ -127,7 +126,7 @@
 	return r.measure(ctx)
 }
 
-// fill submits what is to run all the time, and waits until nearly all of it does.
+// fill submits the base load and waits until nearly all of its tasks run.
 func (r *experimentRun) fill(ctx context.Context) error {
 	begun := time.Now()
 	r.fleet.Do(r.installHooks)
@@ -140,7 +139,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d tasks run after %v s", running, r.experiment.targetTasks(), r.experiment.FillWithin)
+			return fmt.Errorf("%d of %d tasks are running after %v s", running, r.experiment.targetTasks(), r.experiment.FillWithin)
 		}
 		if err := sleep(ctx, checkInterval); err != nil {
 			return err
@@ -152,13 +151,13 @@
 	return nil
 }
 
-// installHooks has the simulation report starts and responses.
+// installHooks registers the observers of task starts and responses.
 func (r *experimentRun) installHooks(sim *emulator.Simulation) {
 	sim.Checker.OnStart = r.observeStart
 	sim.Users.OnResponse = r.observeResponse
 }
 
-// observeStart counts a task's start, and how long its job waited for it if it is the task's first.
+// observeStart counts a task's start, and records the latency of its first start.
 func (r *experimentRun) observeStart(at, submitted time.Duration, id api.TaskID, spec *api.JobSpec) {
 	r.startRates[int(at/time.Second)]++
 	if r.measureStart != 0 && at >= r.measureStart && at < r.measureEnd {
@@ -180,7 +179,7 @@
 	}
 }
 
-// observeResponse counts how long a user waited for a response.
+// observeResponse records the latency of a response to a user.
 func (r *experimentRun) observeResponse(kind emulator.RequestKind, took time.Duration, status int) {
 	if r.measureStart == 0 {
 		return
--- a/tools/scale/run_test.go
+++ b/tools/scale/run_test.go
@@ -12,7 +12,7 @@
 	"basaltwall/internal/emulator"
 )
 
-// build builds the shipped program as the deploy file says.
+// build builds the program with the flags of the deploy file.
 func build(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "basaltwall")
@@ -23,8 +23,8 @@
 	return program
 }
 
-// The small form of the scale run: real controllers under emulated work of every kind break no rule,
-// everything that is to run runs, and what passes between them is counted.
+// TestSmallRun runs a small experiment: real controllers with emulated load of each kind break no invariant,
+// all target tasks run, and traffic is counted.
 func TestSmallRun(t *testing.T) {
 	e, err := readExperiment("experiments/small.toml")
 	if err != nil {
@@ -36,10 +36,10 @@
 		t.Fatal(err)
 	}
 	if len(r.Violations) > 0 || r.UnexpectedExits > 0 {
-		t.Errorf("%d controllers ended, rules broken: %v", r.UnexpectedExits, r.Violations)
+		t.Errorf("%d unexpected exits of controllers, invariants broken: %v", r.UnexpectedExits, r.Violations)
 	}
 	if r.Running < e.targetTasks()*9/10 {
-		t.Errorf("%d of %d tasks run", r.Running, e.targetTasks())
+		t.Errorf("%d of %d tasks are running", r.Running, e.targetTasks())
 	}
 	for _, c := range r.ControllerUsage {
 		if c.Partitions != 1 || c.PeakMB == 0 {
@@ -48,7 +48,7 @@
 	}
 	for _, name := range []string{"accepted", "poll", "start batch", "start urgent", "start gangs", "cancel", "settings in force everywhere"} {
 		if r.Latency[name].Count == 0 {
-			t.Errorf("no %q was measured: %v", name, r.Latency)
+			t.Errorf("no latency %q: %v", name, r.Latency)
 		}
 	}
 	flows := r.Traffic.Flows
@@ -61,7 +61,7 @@
 		t.Errorf("not counted: %+v", r.Traffic)
 	}
 	if files, err := filepath.Glob("/proc/[0-9]*/cmdline"); err == nil {
-		time.Sleep(200 * time.Millisecond) // until the kernel has taken them away
+		time.Sleep(200 * time.Millisecond) // until the kernel has removed the killed processes
 		for _, f := range files {
 			if data, err := os.ReadFile(f); err == nil && strings.HasPrefix(string(data), program) {
 				t.Errorf("%s still runs: %q", f, data)
--- a/tools/scale/settings.go
+++ b/tools/scale/settings.go
@@ -13,16 +13,16 @@
 const (
 	settingsPollInterval = 20 * time.Millisecond
 	settingsTimeout      = 30 * time.Second
-	baseIdleHold         = 3600 // seconds; changes set it to this and to one more by turns
+	baseIdleHold         = 3600 // seconds; changes alternate between this value and one more
 )
 
-// settingsRevision is what is read of the settings as the administration API shows them.
+// settingsRevision has the revision of the settings in a response of the administration API.
 type settingsRevision struct {
 	Revision uint64 `json:"revision"`
 }
 
-// changeSettings changes the operators' settings through the administration API, by turns at all
-// controllers, and times until every controller acts by each change.
+// changeSettings changes the operators' settings through the administration API of each controller in turn,
+// and records the latency until all controllers apply each change.
 func (r *experimentRun) changeSettings(ctx context.Context, window time.Duration) error {
 	if r.experiment.SettingsChangeRate <= 0 {
 		return nil
@@ -42,9 +42,9 @@
 	}
 }
 
-// changeSettingsOnce makes one change at a controller and waits until it is in force everywhere.
+// changeSettingsOnce makes one change at a controller and waits until all controllers apply it.
 func (r *experimentRun) changeSettingsOnce(ctx context.Context, at, round int) {
-	var settings map[string]json.RawMessage // sent back as they are but for one
+	var settings map[string]json.RawMessage // all are sent back unchanged except one
 	if r.cluster().getJSON(ctx, at, pathSettings, &settings) != nil {
 		return
 	}
@@ -55,12 +55,12 @@
 	}
 	begun := time.Now()
 	status, body, err := r.cluster().request(ctx, at, http.MethodPut, pathSettings, "", body)
-	var made settingsRevision
-	if err != nil || status != http.StatusOK || json.Unmarshal(body, &made) != nil {
+	var changed settingsRevision
+	if err != nil || status != http.StatusOK || json.Unmarshal(body, &changed) != nil {
 		return
 	}
 	for i := range r.processes {
-		if r.awaitSettings(ctx, i, made, begun.Add(settingsTimeout)) != nil {
+		if r.awaitSettings(ctx, i, changed, begun.Add(settingsTimeout)) != nil {
 			return
 		}
 	}
@@ -68,12 +68,12 @@
 	r.fleet.Do(func(*emulator.Simulation) { r.latencies.add(latencySettings, took) })
 }
 
-// awaitSettings waits until a controller acts by a revision of the settings, or until a time. It is an
-// error only if the context is over.
-func (r *experimentRun) awaitSettings(ctx context.Context, index int, made settingsRevision, end time.Time) error {
-	for time.Now().Before(end) {
+// awaitSettings waits until a controller applies a revision of the settings, or until a deadline. It
+// returns an error only if the context is done.
+func (r *experimentRun) awaitSettings(ctx context.Context, index int, changed settingsRevision, deadline time.Time) error {
+	for time.Now().Before(deadline) {
 		var current settingsRevision
-		if r.cluster().getJSON(ctx, index, pathSettings, &current) == nil && current.Revision >= made.Revision {
+		if r.cluster().getJSON(ctx, index, pathSettings, &current) == nil && current.Revision >= changed.Revision {
 			return nil
 		}
 		if err := sleep(ctx, settingsPollInterval); err != nil {
--- a/tools/scale/stub_controller.go
+++ b/tools/scale/stub_controller.go
@@ -10,7 +10,7 @@
 	"basaltwall/api"
 )
 
-// stubController responds to a worker's heartbeats so that it always runs so many tasks.
+// stubController responds to a worker's heartbeats with commands that keep targetTasks tasks running.
 type stubController struct {
 	targetTasks int
 
@@ -19,17 +19,16 @@
 	counts   agentCounts
 }
 
-// agentCounts are what was received and sent.
+// agentCounts has the number of heartbeats and the bytes in both directions.
 type agentCounts struct{ heartbeats, bytes int }
 
-// count is what was counted so far.
 func (s *stubController) count() agentCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// headerBytes is about what a request's and a response's headers take beside the bodies.
+// headerBytes is the approximate size of the headers of a request and its response.
 const headerBytes = 250
 
 // ServeHTTP responds to a heartbeat.
@@ -52,10 +51,10 @@
 	_, _ = rw.Write(response)
 }
 
-// maxStartsAtOnce bounds the starts in one response, so that tasks do not all end at once.
+// maxStartsAtOnce is the maximum number of starts in one response, so that the tasks' ends are spread.
 const maxStartsAtOnce = 3
 
-// nextCommands has ended tasks reaped and others started in their place.
+// nextCommands returns commands that reap ended tasks and start others in their place.
 func (s *stubController) nextCommands(tasks []api.TaskStatus) api.CommandBatch {
 	batch := api.CommandBatch{Token: 1}
 	active := 0
--- a/tools/scale/tables.go
+++ b/tools/scale/tables.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// sourceLabels are the sources that were measured, in the order of time.
-func sourceLabels(results []*result) []string {
+// runLabels returns the labels of the measured versions, oldest first.
+func runLabels(results []*result) []string {
 	sorted := slices.Clone(results)
 	slices.SortStableFunc(sorted, func(a, b *result) int { return strings.Compare(a.At, b.At) })
 	var out []string
@@ -23,7 +23,7 @@
 	return out
 }
 
-// findResult is a run's result, nil if there is none that ended well.
+// findResult returns the result of a run; nil if there is none or it failed.
 func findResult(results []*result, label, name string) *result {
 	for _, r := range results {
 		if r.Label == label && r.Name == name && r.Failed == "" {
@@ -33,10 +33,10 @@
 	return nil
 }
 
-// bySource are the results by the order of their sources.
-func bySource(results []*result) []*result {
+// sortByLabel returns the results in the order of their labels.
+func sortByLabel(results []*result) []*result {
 	var out []*result
-	for _, label := range sourceLabels(results) {
+	for _, label := range runLabels(results) {
 		for _, r := range results {
 			if r.Label == label {
 				out = append(out, r)
@@ -46,12 +46,12 @@
 	return out
 }
 
-// slopeTable shows each metric at each value of what was varied, by sources.
+// slopeTable returns tables of each metric at each value of the varied parameters.
 func slopeTable(results []*result) string {
 	var b strings.Builder
 	for _, key := range []string{varyMachines, varyRunning, varyControllers} {
 		var runs []*result
-		for _, label := range sourceLabels(results) {
+		for _, label := range runLabels(results) {
 			runs = append(runs, variedRuns(results, label, key)...)
 		}
 		if len(runs) == 0 {
@@ -74,7 +74,7 @@
 	return b.String()
 }
 
-// metricTitle is a metric's description with its unit.
+// metricTitle returns a metric's description with its unit.
 func metricTitle(m metric) string {
 	if m.unit == "" {
 		return m.description
@@ -82,11 +82,11 @@
 	return m.description + ", " + m.unit
 }
 
-// runTable shows the runs in which nothing was varied.
+// runTable returns the table of all runs.
 func runTable(results []*result) string {
 	var b strings.Builder
 	b.WriteString("| run | sources | controllers | tasks running | fill, s | window, s | starts a second; best second; best ten | controllers' cores | rules broken | failed |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
-	for _, r := range bySource(results) {
+	for _, r := range sortByLabel(results) {
 		failed := r.Failed
 		if failed == "" {
 			failed = "no"
@@ -97,11 +97,11 @@
 	return b.String()
 }
 
-// faultTable shows what came after faults.
+// faultTable returns the table of recovery times after faults.
 func faultTable(results []*result) string {
 	var b strings.Builder
 	b.WriteString("| run | sources | fault | half, nine tenths, all machines commanded after, s | first urgent start of a job that came later, s |\n| --- | --- | --- | --- | --- |\n")
-	for _, r := range bySource(results) {
+	for _, r := range sortByLabel(results) {
 		for _, f := range r.Faults {
 			fmt.Fprintf(&b, "| %s | %s | %s at %.0f s | %s, %s, %s | %s |\n", r.Name, r.Label, f.What, f.At, formatOptional(f.HalfCommanded), formatOptional(f.MostCommanded), formatOptional(f.AllCommanded), formatOptional(f.FirstUrgentStart))
 		}
@@ -109,7 +109,7 @@
 	return b.String()
 }
 
-// agentTable shows what one worker alone uses.
+// agentTable returns the table of the cost of one worker.
 func agentTable(dir string) string {
 	var r agentResult
 	data, err := os.ReadFile(filepath.Join(dir, agentFile))
@@ -120,10 +120,10 @@
 		r.Tasks, formatFigure(r.Starts), r.Window, formatFigure(r.Cores), formatFigure(r.ResidentMB), formatFigure(r.Heartbeats), formatFigure(r.Bytes))
 }
 
-// noFigure stands where there is none.
+// noFigure stands for a missing figure.
 const noFigure = "-"
 
-// formatOptional writes a number, where 0 means that there is none.
+// formatOptional formats a number; 0 stands for a missing one.
 func formatOptional(v float64) string {
 	if v == 0 {
 		return noFigure
@@ -131,7 +131,7 @@
 	return formatFigure(v)
 }
 
-// formatFigure writes a number with three significant digits.
+// formatFigure formats a number with three significant digits.
 func formatFigure(v float64) string {
 	switch a := math.Abs(v); {
 	case math.IsNaN(v):
--- a/tools/scale/tenants.go
+++ b/tools/scale/tenants.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// tenantsCmd measures a hosted service of real processes, beside the emulators: what a tenant that
-// keeps within its rate sees alone and beside a flood, and what a request costs with tenants and
-// without. It is bounded in time and in requests.
+// tenantsCmd measures a hosted service of real controller processes and emulators: the latencies of a
+// tenant within its rate limit, alone and while another tenant floods submissions, and the cost of a
+// request with and without tenants.
 type tenantsCmd struct {
-	Program string        `default:"target/basaltwall" type:"existingfile" help:"The program to measure."`
-	Phase   time.Duration `default:"15s" help:"How long each phase lasts, a minute at most."`
-	Rate    float64       `default:"5" help:"Submissions a second that are agreed with each tenant."`
-	Flood   float64       `default:"50" help:"How many times its rate the flooding tenant submits."`
-	Polls   float64       `default:"300" help:"Polls a second when the cost of a request is measured, 1000 at most."`
+	Program string        `default:"target/basaltwall" type:"existingfile" help:"Program to measure."`
+	Phase   time.Duration `default:"15s" help:"Duration of each phase, at most a minute."`
+	Rate    float64       `default:"5" help:"Rate limit of each tenant in submissions per second."`
+	Flood   float64       `default:"50" help:"Submission rate of the flooding tenant, as a multiple of its rate limit."`
+	Polls   float64       `default:"300" help:"Polls per second for the cost of a request, at most 1000."`
 }
 
-// Bounds of what the flags may ask for.
+// Upper bounds of the flags.
 const (
 	maxPhase      = time.Minute
 	maxPolls      = 1000
@@ -26,7 +26,7 @@
 	maxFlood      = 200
 )
 
-// The tenants and the teams that they submit for.
+// Names of the tenants and of their teams.
 const (
 	calmTenant  = "calm"
 	calmTeam    = "red"
@@ -34,17 +34,17 @@
 	floodTeam   = "blue"
 )
 
-// calmShare is how much of its agreed rate the tenant uses that keeps within it.
+// calmShare is the share of its rate limit that the calm tenant uses.
 const calmShare = 0.8
 
-// Times of a measurement.
+// Durations of a measurement.
 const (
-	floodLead       = time.Second     // of the flood, before the calm tenant begins beside it
-	floodExtra      = 2 * time.Second // that the flood lasts longer than a phase
+	floodLead       = time.Second     // between the start of the flood and that of the calm tenant
+	floodExtra      = 2 * time.Second // duration of the flood beyond that of a phase
 	deploymentPause = time.Second     // between two deployments
 )
 
-// Run measures without tenants and with them.
+// Run measures a deployment without tenants and one with tenants.
 func (c *tenantsCmd) Run() error {
 	c.Phase, c.Polls = min(c.Phase, maxPhase), min(c.Polls, maxPolls)
 	c.Rate, c.Flood = min(c.Rate, maxTenantRate), min(c.Flood, maxFlood)
--- a/tools/scale/validate.go
+++ b/tools/scale/validate.go
@@ -8,17 +8,17 @@
 	"basaltwall/api"
 )
 
-// Bounds of what an experiment may ask for.
+// Bounds of the fields of an experiment.
 const (
 	maxControllers = 64
 	maxMachines    = 10_000
 	maxSeconds     = 1200
 	maxZones       = 64
 	maxTeams       = 1000
-	maxTasks       = 100_000 // of a job
+	maxTasks       = 100_000 // per job
 )
 
-// checkRange is an error unless a number lies between bounds, both included.
+// checkRange returns an error unless a number is between low and high, both included.
 func checkRange(field string, value, low, high float64) error {
 	if value < low || value > high {
 		return newFieldError(field, "%v: must be between %v and %v", value, low, high)
@@ -26,10 +26,11 @@
 	return nil
 }
 
-// validate returns the errors of the fields that are wrong, of one part of the file at a time.
+// validate returns the errors of all invalid top-level fields, or the error of the first invalid load,
+// fault or variation.
 func (e *experiment) validate() error {
 	if e.Name == "" || strings.ContainsAny(e.Name, "/ ") {
-		return newFieldError("name", "must be there, without spaces and slashes")
+		return newFieldError("name", "must not be empty or contain spaces or slashes")
 	}
 	err := errors.Join(
 		checkRange("controllers", float64(e.Controllers), 1, maxControllers),
@@ -64,11 +65,11 @@
 	return nil
 }
 
-// validate returns the error of the first field that is wrong.
+// validate returns the error of the first invalid field of the load.
 func (l *jobLoad) validate() error {
 	switch {
 	case l.Name == "":
-		return newFieldError("name", "must be there")
+		return newFieldError("name", "must not be empty")
 	case kinds[l.Kind] == "":
 		return newFieldError("kind", "%q: must be array, gang or service", l.Kind)
 	case api.Priority(l.Priority).Rank() < 0:
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// validate returns the error of the first field that is wrong in a fault of an experiment.
+// validate returns the error of the first invalid field of the fault.
 func (f *faultSpec) validate(e *experiment) error {
 	switch {
 	case f.What != faultCrash && f.What != faultCutRegion:
@@ -93,18 +94,18 @@
 	case f.At < 0 || f.At > e.Measure:
 		return newFieldError("at_s", "%v: must be within measure_s", f.At)
 	case f.What == faultCutRegion && (f.Region < 0 || f.Region >= e.Regions):
-		return newFieldError("region", "%d: no such region", f.Region)
+		return newFieldError("region", "%d: unknown region", f.Region)
 	}
 	return nil
 }
 
-// validate returns the error of the first field that is wrong.
+// validate returns the error of the first invalid field of the variation.
 func (v *variation) validate() error {
 	if v.Key != varyMachines && v.Key != varyControllers && v.Key != varyRunning {
 		return newFieldError("vary.key", "%q: must be %s, %s or %s", v.Key, varyMachines, varyControllers, varyRunning)
 	}
 	if len(v.Values) == 0 {
-		return newFieldError("vary.values", "none")
+		return newFieldError("vary.values", "must not be empty")
 	}
 	return nil
 }
--- a/tools/scale/validate_test.go
+++ b/tools/scale/validate_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A bad experiment file is refused with the field's name.
+// TestBadExperiments checks that the error for an invalid experiment file names the field.
 func TestBadExperiments(t *testing.T) {
 	good, err := os.ReadFile("experiments/small.toml")
 	if err != nil {
@@ -45,7 +45,7 @@
 			}
 			var invalid *fieldError
 			if !errors.As(err, &invalid) {
-				t.Errorf("%v is no field error", err)
+				t.Errorf("%v is not a field error", err)
 			}
 		})
 	}
