--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -8,10 +8,10 @@
 	"basaltwall/internal/invariant"
 )
 
-// This file compares what came of a scenario with what its script expected at the end.
+// This file checks the expectations that a script has for its end.
 
-// checkExpectations notes everything expected that did not come about. An error means that the
-// script expects something that nothing counts.
+// checkExpectations records a problem for each expectation that is not met. It returns an error if
+// the script names an unknown count.
 func (r *runner) checkExpectations() error {
 	if err := r.checkUpperBounds(); err != nil {
 		return err
@@ -32,11 +32,11 @@
 
 func (r *runner) checkGranted() {
 	if n := r.sim.ReservationClients.Granted; !r.expected.granted.contains(n) {
-		r.problemf("%d offers and promises were told, expected %d to %d", n, r.expected.granted.min, r.expected.granted.max)
+		r.problemf("clients received %d offers and promises, expected %d to %d", n, r.expected.granted.min, r.expected.granted.max)
 	}
 }
 
-// counts are those that a script can bound, by the names that it gives them.
+// counts returns the counts that a script can bound, by name.
 func (r *runner) counts() map[string]float64 {
 	seconds := r.end.Seconds()
 	store, cloud := r.sim.Store, r.sim.Cloud
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// checkServiceLevels notes the classes and teams that were served less than expected.
+// checkServiceLevels records a problem for each class and team that was served less than expected.
 func (r *runner) checkServiceLevels() {
 	classes, teams := r.sim.Checker.ServiceLevels(r.sim.Now)
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
@@ -80,7 +80,7 @@
 	}
 	for _, target := range r.expected.completionTargets {
 		if got := r.sim.Users.CompletedWithin(target.class, target.within); got < target.share {
-			r.problemf("of class %s %.3f was done within %v, expected %.3f at least", target.class, got, target.within, target.share)
+			r.problemf("class %s: %.3f of the jobs completed within %v, expected %.3f at least", target.class, got, target.within, target.share)
 		}
 	}
 	for _, team := range slices.Sorted(maps.Keys(teams)) {
@@ -88,18 +88,19 @@
 	}
 	largestJobs, late := r.sim.Checker.LargestJobs(r.sim.Now, r.expected.maxStartWait)
 	for _, class := range slices.Sorted(maps.Keys(largestJobs)) {
-		r.checkMinServed("the largest of class", string(class), largestJobs[class])
+		r.checkMinServed("the largest jobs of class", string(class), largestJobs[class])
 	}
 	r.problems = append(r.problems, late...)
 }
 
 func (r *runner) checkMinServed(what, name string, level invariant.ServiceLevel) {
 	if level.Share() < r.expected.minServed {
-		r.problemf("min-served: of %s %s %.3f was served of %d jobs, expected %.3f at least", what, name, level.Share(), level.Jobs, r.expected.minServed)
+		r.problemf("%s %s was served to %.3f with %d jobs, expected %.3f at least", what, name, level.Share(), level.Jobs, r.expected.minServed)
 	}
 }
 
-// checkJobs checks the jobs that the script names, then all that end where it expects that of all.
+// checkJobs checks the jobs that the script names, then all arrays and gangs if it has an expectation
+// for all.
 func (r *runner) checkJobs() {
 	for _, e := range r.expected.jobs {
 		if e.job != all {
@@ -130,7 +131,7 @@
 func (r *runner) checkRates() {
 	for _, bound := range r.expected.rateBounds {
 		if excess := r.sim.Tenants.RateExcess(bound.name, bound.rate); excess > bound.burst {
-			r.problemf("tenant %s: %.1f more than its rate were accepted, expected %.1f at most", bound.name, excess, bound.burst)
+			r.problemf("tenant %s: %.1f accepted submissions above its rate, expected %.1f at most", bound.name, excess, bound.burst)
 		}
 	}
 }
@@ -138,7 +139,7 @@
 func (r *runner) checkPools() {
 	for _, use := range r.expected.poolUses {
 		if got := use.measured(); got < use.min {
-			r.problemf("pool %s: %.3f of it was used, expected %.3f at least", use.name, got, use.min)
+			r.problemf("pool %s: %.3f of the units were held on average, expected %.3f at least", use.name, got, use.min)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.expected.maxHeldUnits)) {
--- a/internal/scenario/fault_combinations_test.go
+++ b/internal/scenario/fault_combinations_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// faultCombinationScript draws two to four faults that share a window, again and again, while long arrays,
-// services and gangs run on three to seven controllers' machines and many of them are
-// cancelled, by any controller. Who is served is not asked, as all of it may be out for most
-// of the time: only that no rule breaks, and that in the end every cancellation is acknowledged.
+// faultCombinationScript generates repeated combinations of two to four overlapping faults with three to
+// seven controllers, while arrays, services and gangs run and many are cancelled through any controller.
+// It has no expectations of service levels, as the cluster may be down for most of the time: no invariant
+// may break, and each cancellation must be acknowledged.
 func faultCombinationScript(seed uint64) string {
 	r, pick, line, b := newScriptBuilder(seed, 30)
 	line("-- script --")
@@ -40,7 +40,7 @@
 		job++
 	}
 	for at := 8 + 10*r.Float64(); at < last-90; at += 30 + 60*r.Float64() {
-		controllerName := fmt.Sprintf("stone-%d", r.IntN(controllerCount)) // more than one of them may be its
+		controllerName := fmt.Sprintf("stone-%d", r.IntN(controllerCount)) // several faults may hit this one
 		for range 2 + r.IntN(3) {
 			when, length := at+8*r.Float64()*r.Float64(), 3+float64(r.IntN(30))
 			if r.IntN(3) == 0 {
@@ -57,14 +57,14 @@
 	return b.String()
 }
 
-// combinedFault is what was drawn for one fault of a combination.
+// combinedFault has the random parameters of one fault of a combination.
 type combinedFault struct {
 	controller, machine string
 	when, length        float64
-	mode                string // of a cut
+	mode                string // of a cut: hold or drop
 }
 
-// drawFault draws which fault it is, and writes its steps.
+// drawFault chooses a random fault and writes its steps.
 func drawFault(r *rand.Rand, pick func(...string) string, line func(string, ...any), f combinedFault) {
 	switch r.IntN(25) {
 	case 0, 1:
@@ -122,10 +122,10 @@
 	}
 }
 
-// outageLength is how long an outage lasts: as the fault beside it, or longer than a lease, or
-// than a cancellation may take.
+// outageLength returns the duration of an outage: that of the fault beside it, longer than a lease, or
+// longer than the time limit of a cancellation.
 func outageLength(which int, length float64) float64 {
 	return []float64{length, 30 + length, 60 + length}[which]
 }
 
-func TestRandomFaultCombinations(t *testing.T) { runDrawnScripts(t, faultCombinationScript) }
+func TestRandomFaultCombinations(t *testing.T) { runRandomScripts(t, faultCombinationScript) }
--- a/internal/scenario/fragmentation_test.go
+++ b/internal/scenario/fragmentation_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// fragmentationScript draws small models that leave machines in pieces, large ones that need whole
-// machines, and gangs beside them, with three to seven controllers and two or three faults while
-// machines are kept and models move. In the end all that is wanted is up.
+// fragmentationScript generates small models that fragment machines, large models that need whole
+// machines, and gangs, with three to seven controllers and two or three faults while machines are
+// reserved and models move. All replicas must be up at the end.
 func fragmentationScript(seed uint64) string {
 	r, pick, line, b := newScriptBuilder(seed, 31)
 	controllerCount, machines := 3+2*r.IntN(3), 12+r.IntN(25)
@@ -55,5 +55,5 @@
 	return b.String()
 }
 
-// TestRandomFragmentation plays some drawn days of models; see runs.
-func TestRandomFragmentation(t *testing.T) { runDrawnScripts(t, fragmentationScript) }
+// TestRandomFragmentation runs random scenarios of fragmented machines; see runRandomScripts.
+func TestRandomFragmentation(t *testing.T) { runRandomScripts(t, fragmentationScript) }
--- a/internal/scenario/random_faults.go
+++ b/internal/scenario/random_faults.go
@@ -9,22 +9,22 @@
 	"basaltwall/internal/emulator"
 )
 
-// This file draws faults by chance. A seed stands for the same faults as long as the order of the
-// draws and of the table stays.
+// This file injects random faults. A seed gives the same faults as long as the order of the random
+// draws and of the table stays the same.
 
-// randomFault is one fault with what was drawn for it.
+// randomFault has the random parameters of a fault.
 type randomFault struct {
 	*runner
 	rng        *rand.Rand
 	controller string
 	length     time.Duration
 	machine    api.MachineID
-	hold       bool // messages are held, not dropped
+	hold       bool // cuts hold messages and don't drop them
 	share      float64
 	zone       api.Zone
 }
 
-// randomFaults are the faults to choose from. The order is part of what a seed means.
+// randomFaults are the faults to choose from. Their order determines the faults of a seed.
 var randomFaults = []func(*randomFault){
 	func(f *randomFault) { f.sim.CrashController(f.controller, time.Duration(1+f.rng.IntN(8))*time.Second) },
 	func(f *randomFault) {
@@ -61,7 +61,7 @@
 	(*randomFault).addLatency,
 }
 
-// scheduleRandomFaults draws faults of every kind between two times.
+// scheduleRandomFaults schedules random faults between two times.
 func (r *runner) scheduleRandomFaults(seed uint64, from, to time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	at := from
@@ -73,7 +73,7 @@
 	}
 }
 
-// drawFault draws what a fault may need, always the same number of draws.
+// drawFault draws the parameters of a fault, always with the same number of draws.
 func (r *runner) drawFault(rng *rand.Rand) *randomFault {
 	f := &randomFault{runner: r, rng: rng}
 	f.controller = string(r.configs[rng.IntN(len(r.configs))].Label)
--- a/internal/scenario/reservations_size_test.go
+++ b/internal/scenario/reservations_size_test.go
@@ -9,9 +9,9 @@
 	"basaltwall/internal/emulator"
 )
 
-// TestReservationsAtSize measures by hand, with BASALTWALL_SKIPS set, 20,000 skips of 200 depots and a
-// hundred enquiries a second for a minute, half of them for the same ten skips, beside a cluster
-// of 300 machines with work. It judges nothing but the rules.
+// TestReservationsAtSize runs only with BASALTWALL_SKIPS set. It reports latencies and store requests with
+// 20,000 skips of 200 depots and a hundred reservation requests per second for a minute, half of them for
+// the same ten skips, beside a loaded cluster of 300 machines. It logs problems and does not fail on them.
 func TestReservationsAtSize(t *testing.T) {
 	if os.Getenv("BASALTWALL_SKIPS") == "" {
 		t.Skip("BASALTWALL_SKIPS is not set")
@@ -45,6 +45,6 @@
 		t.Log(p)
 	}
 	o, s := res.Simulation.ReservationClients, res.Simulation.Store
-	fmt.Printf("emulated: %d granted, %d refused, %v a request, the slowest %v; in the minute %.1f requests of offices answered and %.1f told to ask again, %.1f writes and %.1f requests a second; largest value %d, refused over limits %d, ledger's keys %d KB\n",
+	fmt.Printf("emulated: %d granted, %d refused, %v a request, the slowest %v; in the minute %.1f requests of clients answered and %.1f to be repeated, %.1f writes and %.1f requests to the store per second; largest value %d bytes, %d requests throttled, keys of the ledger %d KB\n",
 		o.Granted, o.Refused, o.MeanLatency(), o.MaxLatency, float64(during[3])/60, float64(during[2])/60, float64(during[0])/60, float64(during[1])/60, s.LargestValue, s.ThrottledRequests, s.BytesUnder("s/")>>10)
 }
--- a/internal/scenario/reservations_test.go
+++ b/internal/scenario/reservations_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// reservationScript draws enquiries for few skips of two depots under faults, with three to seven
-// controllers.
+// reservationScript generates reservation requests for few skips of two depots and random faults, with
+// three to seven controllers.
 func reservationScript(seed uint64) string {
 	r, pick, line, b := newScriptBuilder(seed, 27)
 	controllerCount := 3 + 2*r.IntN(3)
@@ -50,5 +50,5 @@
 	return b.String()
 }
 
-// TestRandomReservations plays some drawn days of offices; see runs.
-func TestRandomReservations(t *testing.T) { runDrawnScripts(t, reservationScript) }
+// TestRandomReservations runs random scenarios of reservations; see runRandomScripts.
+func TestRandomReservations(t *testing.T) { runRandomScripts(t, reservationScript) }
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -13,42 +13,39 @@
 	"basaltwall/internal/emulator"
 )
 
-// This file plays a scenario.
+// This file runs a scenario.
 
-// reservationCheckLead is how long before the end it is checked that clients' reservations are listed.
+// reservationCheckLead is the time between the check that clients' reservations are listed and the end.
 const reservationCheckLead = 10 * time.Second
 
-// simulationSeed is that of every scenario's simulation.
 const simulationSeed = 1
 
-// TraceLogs makes Run write the controllers' logs with the scenario's time. It is
-// for looking at one scenario alone.
+// TraceLogs makes Run write the controllers' logs to standard error, with simulated time.
 var TraceLogs bool
 
-// Result is what a scenario came to.
+// Result is the result of a scenario.
 type Result struct {
-	Problems   []string // rules that were broken and expectations that were not met
+	Problems   []string // broken invariants and unmet expectations
 	Simulation *emulator.Simulation
 }
 
-// runner plays one scenario.
 type runner struct {
 	sim             *emulator.Simulation
 	configs         []*config.Config
 	files           map[string][]byte
 	end             time.Duration
 	expected        expectations
-	finiteJobs      []api.JobID     // of work that ends
+	finiteJobs      []api.JobID     // arrays and gangs
 	initialMachines int             // machines that are up at the start
-	depots          map[string]bool // that offices ask of
+	depots          map[string]bool // depots with reservation requests
 
 	problems []string
 }
 
-// Run plays a scenario. An error means that its script can't be played.
+// Run runs a scenario. It returns an error if its script is invalid.
 func Run(data []byte) (Result, error) { return run(data, nil) }
 
-// run plays a scenario; before it begins, onReady is told of its simulation, if set.
+// run runs a scenario. It passes the simulation to onReady, unless that is nil, before the start.
 func run(data []byte, onReady func(*emulator.Simulation)) (Result, error) {
 	s, err := parseScript(data)
 	if err != nil {
@@ -80,7 +77,7 @@
 	return Result{Problems: r.problems, Simulation: r.sim}, nil
 }
 
-// newRunner makes the deployment that a script describes.
+// newRunner sets up the deployment that a script describes.
 func newRunner(s script) (*runner, error) {
 	configs, err := s.configs()
 	if err != nil {
@@ -100,7 +97,6 @@
 	return r, nil
 }
 
-// play runs the simulation to its end.
 func (r *runner) play() {
 	for _, depot := range slices.Sorted(maps.Keys(r.depots)) {
 		r.sim.After(r.end-reservationCheckLead, func() { r.sim.ReservationClients.CheckListed(depot) })
@@ -111,7 +107,7 @@
 	r.checkGranted()
 }
 
-// traceLogs writes the logs to standard error, with the simulation's time.
+// traceLogs writes the logs to standard error, with simulated time.
 func (r *runner) traceLogs() {
 	useSimulatedTime := func(_ []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey {
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,10 +1,12 @@
-// Package scenario plays the tests' scenarios: small text files, each a
-// deployment, what its users do and the faults that are injected. Its runner
-// plays them against the emulators and reports every broken invariant and every
-// expectation that is not met.
+// Package scenario runs test scenarios: text files that describe a deployment,
+// its users' requests, the faults to inject and the expected results. Its runner
+// executes them against the emulators and reports each broken invariant and each
+// unmet expectation.
 //
-// A scenario is a txtar archive. Its comment says what it is about; the file
-// "script" has a line for each step, blank lines and lines from # on aside:
+// A scenario is a txtar archive. Its comment summarizes the case; the file
+// "script" has one step per line. Blank lines and text after # are ignored.
+// Times and durations are in seconds; AT, FROM and TO are offsets from the
+// scenario's start, FOR is a duration:
 //
 //	team-limit TEAM CPUS                Limits a team's CPUs.
 //	teams N GPUS MAX                    Replaces the default teams by team-0 to team-(N-1), each with GPUS
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -29,12 +29,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			playScenario(t, data)
+			runScenario(t, data)
 		})
 	}
 }
 
-func playScenario(t *testing.T, data []byte) {
+func runScenario(t *testing.T, data []byte) {
 	t.Helper()
 	tr := newTranscript()
 	res, err := run(data, tr.watch)
@@ -47,19 +47,19 @@
 	}
 }
 
-// playSeeds plays a script that takes a seed with so many of them.
-func playSeeds(t *testing.T, script string, seeds int) {
+// runSeeds runs a script with the seeds from 0 to seeds-1.
+func runSeeds(t *testing.T, script string, seeds int) {
 	t.Helper()
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playScenario(t, fmt.Appendf(nil, script, seed))
+			runScenario(t, fmt.Appendf(nil, script, seed))
 		})
 	}
 }
 
-// randomScript has work of every kind under faults drawn by chance, and then
-// the quiet in which all of it must come to its end.
+// randomScript has jobs of each kind under random faults, followed by a time without
+// faults in which all jobs must complete.
 const randomScript = `
 -- script --
 team-limit red 40
@@ -91,11 +91,11 @@
 `
 
 func TestRandomFaults(t *testing.T) {
-	playSeeds(t, randomScript, 24)
+	runSeeds(t, randomScript, 24)
 }
 
-// hostedScript has two tenants with work of every kind, suspended and resumed under faults
-// drawn by chance; in the end one is removed with its jobs.
+// hostedScript has two tenants with jobs of each kind, which are suspended and resumed under
+// random faults; at the end one is removed with its jobs.
 const hostedScript = `
 -- script --
 machines 6
@@ -117,7 +117,7 @@
 resume 100 kipper
 suspend 130 kipper 5
 remove 140 kipper cancel
-min-served 0  # what is suspended is not served
+min-served 0  # suspended tenants are not served
 end 420
 expect lopresti/run-1 done
 expect lopresti/run-49 done
@@ -126,11 +126,11 @@
 `
 
 func TestRandomFaultsHosted(t *testing.T) {
-	playSeeds(t, hostedScript, 12)
+	runSeeds(t, hostedScript, 12)
 }
 
-// poolsScript has work of every kind that needs units of two pools, which become smaller
-// and larger, under faults drawn by chance.
+// poolsScript has jobs of each kind that need units of two pools, which are resized, under
+// random faults.
 const poolsScript = `
 -- script --
 machines 6
@@ -163,5 +163,5 @@
 `
 
 func TestRandomFaultsPools(t *testing.T) {
-	playSeeds(t, poolsScript, 12)
+	runSeeds(t, poolsScript, 12)
 }
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -13,18 +13,18 @@
 	"basaltwall/api"
 )
 
-// This file reads scripts: the archive, its lines and the arguments of a line.
+// This file parses scripts: the archive, its lines and the arguments of a line.
 
-// scriptFile is the file of the archive that has the steps.
+// scriptFile is the file with the steps within the archive.
 const scriptFile = "script"
 
 var (
-	errNotUnderstood = errors.New("not understood")
-	errNoScript      = errors.New("no script")
-	errNoEnd         = errors.New("no end")
+	errBadArguments = errors.New("invalid arguments")
+	errNoScript     = errors.New("archive has no script")
+	errNoEnd        = errors.New("script has no step end")
 )
 
-// line is a step as it stands in the script.
+// line is one line of a script: a step and its arguments.
 type line struct {
 	name      string
 	arguments []string
@@ -34,13 +34,13 @@
 	return strings.Join(append([]string{l.name}, l.arguments...), " ")
 }
 
-// script is a scenario as it was read.
+// script is a parsed scenario.
 type script struct {
 	lines []line
 	files map[string][]byte // all files of the archive, by name
 }
 
-// parseScript reads a scenario's archive.
+// parseScript parses a scenario's archive.
 func parseScript(data []byte) (script, error) {
 	s := script{files: map[string][]byte{}}
 	for _, f := range txtar.Parse(data).Files {
@@ -61,24 +61,24 @@
 	return s, nil
 }
 
-// has tells whether a step of that name is in the script.
+// has reports whether the script contains a step.
 func (s script) has(name string) bool {
 	return slices.ContainsFunc(s.lines, func(l line) bool { return l.name == name })
 }
 
-// arguments are those of a line, by kind, each kind in the line's order.
+// arguments are the arguments of a line, grouped by type, in the line's order.
 type arguments struct {
 	durations []time.Duration
 	numbers   []float64
 	names     []string
 }
 
-// parseArguments reads a line's arguments. The form has a letter for each: d is a duration in
-// seconds, n a number, s a word.
+// parseArguments parses a line's arguments. The form has one letter per argument: d for a duration in
+// seconds, n for a number, s for a word.
 func parseArguments(words []string, form string) (arguments, error) {
 	var a arguments
 	if len(words) != len(form) {
-		return a, fmt.Errorf("%d words, expected %d", len(words), len(form))
+		return a, fmt.Errorf("%d arguments, expected %d", len(words), len(form))
 	}
 	for i, f := range form {
 		if f == 's' {
--- a/internal/scenario/settings.go
+++ b/internal/scenario/settings.go
@@ -9,8 +9,8 @@
 	"basaltwall/config"
 )
 
-// This file makes the controllers' settings and the cloud's machine types, and has the steps that
-// change them before the deployment exists.
+// This file builds the controllers' settings and the cloud's machine types, and has the steps that
+// change them before the deployment starts.
 
 const settingsFormat = `{"label":"stone-%d","domain":%q,"api_addr":"10.0.0.%d:8080","peer_listen":"10.0.0.%d:8081",
 "peers":[%s],"external":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
@@ -23,10 +23,10 @@
 
 const peerFormat = `{"label":"stone-%d","domain":%q,"peer_addr":"10.0.0.%d:8081"}`
 
-// objectiveShare is the share of the objectives that a script adds.
+// objectiveShare is the share of jobs that must meet an objective of a script.
 const objectiveShare = 0.9
 
-// parseConfigs returns the controllers' settings: a controller for each of the zones, which is in it.
+// parseConfigs returns the settings of one controller in each of the zones.
 func parseConfigs(zones []string) ([]*config.Config, error) {
 	var out []*config.Config
 	for i := range zones {
@@ -45,9 +45,9 @@
 	return out, nil
 }
 
-// configs returns the settings that the script asks for.
+// configs returns the controllers' settings with the changes of the script.
 func (s script) configs() ([]*config.Config, error) {
-	// Unless the script says otherwise three controllers, in no machine's zone.
+	// By default three controllers run outside the machines' zones.
 	zones := []string{"region", "region", "region"}
 	for _, l := range s.lines {
 		if l.name == "controllers" {
@@ -68,8 +68,8 @@
 	return configs, nil
 }
 
-// machineTypes returns what the cloud offers in those zones, or in zone a alone if the script
-// wants a single type.
+// machineTypes returns the machine types that the cloud offers in the zones, or in zone a alone if the
+// script has the step only-type.
 func (s script) machineTypes(zones []api.Zone) []api.MachineType {
 	types := []api.MachineType{
 		{Name: "c8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootSeconds: 20, Zones: zones},
@@ -87,7 +87,7 @@
 	return types
 }
 
-// settingStep changes the settings of every controller before the deployment exists.
+// settingStep is a step that changes the settings of all controllers before the deployment starts.
 type settingStep struct {
 	form  string
 	apply func(*config.Deployment, arguments)
@@ -102,7 +102,7 @@
 	}},
 }
 
-// applySetting changes the settings as a line says; lines that are no settings leave them.
+// applySetting applies a line to the settings, if its step changes settings.
 func applySetting(deployment *config.Deployment, l line) error {
 	if l.name == "zones" {
 		deployment.Zones = nil
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// isSetting tells whether a step was applied before the deployment existed.
+// isSetting reports whether a step changes settings.
 func isSetting(name string) bool {
 	_, ok := settingSteps[name]
 	return ok || name == "zones" || name == "controllers"
--- a/internal/scenario/steps.go
+++ b/internal/scenario/steps.go
@@ -5,19 +5,19 @@
 	"maps"
 )
 
-// This file looks steps up by name; the files steps_*.go have them, by concern.
+// This file finds steps by name; the files steps_*.go define them.
 
-var errNoSuchStep = errors.New("no such step")
+var errUnknownStep = errors.New("unknown step")
 
-// step is what a line of the script does. A step with a form has its arguments parsed and is
-// added by schedule; one whose arguments vary reads them itself in parse.
+// step defines what a line of a script does. With a schedule function, the arguments are parsed by the
+// form; a step with optional arguments has a parse function that parses them.
 type step struct {
 	form     string
 	schedule func(*runner, arguments)
 	parse    func(r *runner, words []string) error
 }
 
-// steps has all steps but those that change settings, by name.
+// steps are all steps by name, except those that change settings.
 var steps = mergeSteps(workSteps, userSteps, hostingSteps, reservationSteps, controllerFaultSteps, networkFaultSteps,
 	machineFaultSteps, expectationSteps)
 
@@ -29,14 +29,14 @@
 	return merged
 }
 
-// addStep schedules what a line says, or notes what it expects.
+// addStep schedules the action of a line or records its expectation.
 func (r *runner) addStep(l line) error {
 	if isSetting(l.name) {
 		return nil
 	}
 	s, ok := steps[l.name]
 	if !ok {
-		return errNoSuchStep
+		return errUnknownStep
 	}
 	if s.parse != nil {
 		return s.parse(r, l.arguments)
--- a/internal/scenario/steps_expectations.go
+++ b/internal/scenario/steps_expectations.go
@@ -8,20 +8,21 @@
 	"basaltwall/tenant"
 )
 
-// This file has the steps that note what is expected. Those with a time are checked then, the
-// others at the end, see expectations.go.
+// This file has the steps with expectations. Steps with a time are checked at that time, the others at
+// the end; see expectations.go.
 
-// defaultMinServed is the share to which every class and team is served in a scenario that names
-// no other.
+// defaultMinServed is the least share to which each class and team must be served, unless the script
+// has the step min-served.
 const defaultMinServed = 0.5
 
-// defaultMaxStartWait is how long the largest jobs of a class may wait to begin in one that says nothing else.
+// defaultMaxStartWait is the longest wait of a class's largest jobs until they start, unless the script
+// has the step max-start-wait.
 const defaultMaxStartWait = 240 * time.Second
 
-// unlimited is the upper bound of a count that is not bounded.
+// unlimited is the upper bound of a count without limit.
 const unlimited = 1 << 30
 
-// countRange is the least and the most that a count may come to.
+// countRange is the range of valid values of a count, bounds included.
 type countRange struct{ min, max int }
 
 func (c countRange) contains(n int) bool { return c.min <= n && n <= c.max }
@@ -29,7 +30,7 @@
 type expectation struct {
 	job   api.JobID // or all
 	state api.JobState
-	by    time.Duration // 0: any time
+	by    time.Duration // 0: no limit
 }
 
 type completionTarget struct {
@@ -54,20 +55,20 @@
 	state string
 }
 
-// expectations are all that a script expects at the end.
+// expectations are the expectations of a script for its end.
 type expectations struct {
 	jobs              []expectation
 	starts            countRange
 	deleted           countRange
-	granted           countRange         // reservations that clients were told of
-	upperBounds       map[string]float64 // of counts by name
+	granted           countRange         // offers and promises that clients received
+	upperBounds       map[string]float64 // of counts, by name
 	minServed         float64
 	minClassServed    map[api.Class]float64
 	completionTargets []completionTarget
-	maxStartWait      time.Duration // of the largest jobs of a class; 0: for ever
+	maxStartWait      time.Duration // of the largest jobs of a class; 0: no limit
 	tenantStates      []tenantState
 	rateBounds        []rateBound
-	maxHeldUnits      map[api.PoolName]int // the most that should ever have been held of pools
+	maxHeldUnits      map[api.PoolName]int // the most units that were ever held
 	poolUses          []poolUse
 }
 
@@ -133,7 +134,7 @@
 	}},
 }
 
-// expectJob reads REF STATE [by AT].
+// expectJob parses REF STATE [by AT].
 func (r *runner) expectJob(words []string) error {
 	var e expectation
 	switch {
@@ -145,28 +146,28 @@
 		}
 		e.by = api.Seconds(by)
 	default:
-		return errNotUnderstood
+		return errBadArguments
 	}
 	e.job, e.state = r.jobID(words[0]), api.JobState(words[1])
 	r.expected.jobs = append(r.expected.jobs, e)
 	return nil
 }
 
-// checkHeldUnits runs during the scenario.
+// checkHeldUnits compares the held units of a pool with the expected number at the current time.
 func (r *runner) checkHeldUnits(pool api.PoolName, want int) {
 	if now, _ := r.sim.Tenants.HeldUnits(pool); now != want {
 		r.problemf("pool %s: %d units are held at %.0f s, expected %v", pool, now, r.sim.Now.Seconds(), want)
 	}
 }
 
-// checkReplicas runs during the scenario.
+// checkReplicas checks the share of due replicas that are up at the current time.
 func (r *runner) checkReplicas(at time.Duration, minShare float64) {
 	if up, due := r.sim.Checker.ReplicaCounts(r.sim.Now); float64(up) < minShare*float64(due) {
 		r.problemf("%d of %d replicas are up at %.0f s, expected %v", up, due, at.Seconds(), minShare)
 	}
 }
 
-// checkCountSoFar runs during the scenario. A count of an unknown name is a problem too.
+// checkCountSoFar checks a count at the current time. An unknown name is a problem too.
 func (r *runner) checkCountSoFar(at time.Duration, name string, least, most float64) {
 	counts := map[string]int{
 		"cloud-calls":       r.sim.Cloud.Calls,
--- a/internal/scenario/steps_faults.go
+++ b/internal/scenario/steps_faults.go
@@ -7,16 +7,16 @@
 	"basaltwall/internal/emulator"
 )
 
-// This file has the steps that inject a fault: into controllers, the network with the services
-// beyond it, and machines.
+// This file has the steps that inject faults into controllers, the network, the key-value store, the
+// cloud and machines.
 
-// rollDowntime is how many seconds a controller is down in a rolling restart that says nothing else.
+// rollDowntime is the default downtime of a controller in a rolling restart, in seconds.
 const rollDowntime = "3"
 
-// holdMessages is the word for a cut that holds messages back; any other word drops them.
+// holdMessages makes a cut hold messages; any other word makes it drop them.
 const holdMessages = "hold"
 
-// all is the word for every controller, machine, endpoint or job.
+// all stands for all controllers, machines, endpoints or jobs.
 const all = "all"
 
 var controllerFaultSteps = map[string]step{
@@ -110,7 +110,7 @@
 	})
 }
 
-// rollControllers restarts all controllers one after the other.
+// rollControllers parses AT EVERY [BACK] and schedules a restart of each controller in turn.
 func (r *runner) rollControllers(words []string) error {
 	if len(words) == 2 {
 		words = append(words, rollDowntime)
@@ -144,7 +144,7 @@
 	}
 }
 
-// cutLinks cuts controllers off from an endpoint, or from all.
+// cutLinks cuts controllers off from one or all endpoints.
 func (r *runner) cutLinks(controllerName, endpoint string, length time.Duration, hold bool) {
 	endpoints := []emulator.Endpoint{
 		emulator.EndpointStore, emulator.EndpointWorkers, emulator.EndpointPeers, emulator.EndpointCloud, emulator.EndpointUsers,
@@ -158,7 +158,7 @@
 	})
 }
 
-// reclaimSpot has the cloud take back every so many'th of the spot machines, unannounced.
+// reclaimSpot kills a share of the spot machines, evenly distributed over their list.
 func (r *runner) reclaimSpot(share float64) {
 	seen := 0.0
 	for _, id := range r.sim.Cloud.SpotMachines() {
--- a/internal/scenario/steps_test.go
+++ b/internal/scenario/steps_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestEveryStepIsDocumented holds the package's documentation and the table of steps together.
+// TestEveryStepIsDocumented checks that the package's documentation has every step.
 func TestEveryStepIsDocumented(t *testing.T) {
 	text, err := os.ReadFile("scenario.go")
 	if err != nil {
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestStepsAreWellFormed checks that no step is in two tables, and that each either has its
-// arguments parsed or parses them itself.
+// TestStepsAreWellFormed checks that no step is in two tables, and that each has either a parse or a
+// schedule function.
 func TestStepsAreWellFormed(t *testing.T) {
 	tables := []map[string]step{workSteps, userSteps, hostingSteps, reservationSteps, controllerFaultSteps, networkFaultSteps,
 		machineFaultSteps, expectationSteps}
--- a/internal/scenario/steps_work.go
+++ b/internal/scenario/steps_work.go
@@ -13,7 +13,7 @@
 
 // This file has the steps of ordinary operation: machines, users, tenants, pools and reservations.
 
-// initialMachineBoot is how long the machines take that are up at the start.
+// initialMachineBoot is the boot time of the machines that are up at the start.
 const initialMachineBoot = 10 * time.Millisecond
 
 var workSteps = map[string]step{
@@ -93,13 +93,13 @@
 	}},
 }
 
-// during schedules the begin and the end of what a line's first two durations, AT and FOR, span.
+// during calls begin at the time AT and end after the duration FOR, a line's first two durations.
 func (r *runner) during(a arguments, begin, end func()) {
 	r.sim.After(a.durations[0], begin)
 	r.sim.After(a.durations[0]+a.durations[1], end)
 }
 
-// jobID is the id that a job is known by: NAME/REF is that of a tenant's.
+// jobID returns a job's id; NAME/REF stands for the job REF of the tenant NAME.
 func (r *runner) jobID(word string) api.JobID {
 	if name, ref, ok := strings.Cut(word, "/"); ok {
 		return r.sim.Tenants.RegisterJob(tenant.Name(name), api.JobID(ref))
@@ -109,7 +109,7 @@
 
 func (r *runner) launchMachines(words []string) error {
 	if len(words) == 0 {
-		return fmt.Errorf("how many?")
+		return fmt.Errorf("number of machines is missing")
 	}
 	n, err := strconv.Atoi(words[0])
 	if err != nil {
@@ -139,7 +139,7 @@
 
 func (r *runner) setCapacity(words []string) error {
 	if len(words) == 0 || len(words) > 2 {
-		return errNotUnderstood
+		return errBadArguments
 	}
 	n, err := strconv.Atoi(words[0])
 	if err != nil {
@@ -164,7 +164,7 @@
 	}
 	text, ok := r.files[a.names[0]]
 	if !ok {
-		return fmt.Errorf("no file %s", a.names[0])
+		return fmt.Errorf("archive has no file %s", a.names[0])
 	}
 	r.sim.After(a.durations[0], func() { r.sim.SetPriorityRules(text) })
 	return nil
@@ -185,7 +185,7 @@
 func (r *runner) removeTenant(words []string) error {
 	cancelJobs := len(words) == 3
 	if len(words) < 2 || len(words) > 3 || cancelJobs && words[2] != "cancel" {
-		return errNotUnderstood
+		return errBadArguments
 	}
 	at, err := strconv.ParseFloat(words[0], 64)
 	if err != nil {
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// resizePool makes a pool or changes its size; with reclaim, holders are preempted if more is held.
+// resizePool creates or resizes a pool; with reclaim, holders are preempted if more units are held.
 func (r *runner) resizePool(a arguments, reclaim bool) {
 	r.sim.After(a.durations[0], func() {
 		r.sim.Tenants.UpdatePool(api.PoolName(a.names[0]), func(p *pools.View) {
--- a/internal/scenario/submit.go
+++ b/internal/scenario/submit.go
@@ -10,27 +10,27 @@
 	"basaltwall/tenant"
 )
 
-// This file reads the step submit.
+// This file parses the step submit.
 
-var errNoSuchKind = errors.New("no such kind")
+var errUnknownKind = errors.New("unknown kind of job")
 
 var jobKinds = map[string]api.Kind{"array": api.Array, "gang": api.Gang, "service": api.Service}
 
-// teamByTurns is the team of a submission whose jobs belong to all teams by turns.
-const teamByTurns = "each"
+// teamEach distributes the jobs of a submission over all teams in turn.
+const teamEach = "each"
 
-// submission is one line's jobs.
+// submission is a stream of equal jobs that one line submits.
 type submission struct {
 	spec       api.JobSpec
 	at         float64 // seconds
-	runTime    float64 // seconds a task runs
-	controller string  // that is asked, any if empty
+	runTime    float64 // run time of a task, seconds
+	controller string  // receives the request; any if empty
 	tenant     tenant.Name
-	times      int     // how many jobs
+	times      int     // number of jobs
 	interval   float64 // seconds between them
 }
 
-// numericKeys are the keys with a number as their value.
+// numericKeys are the keys with a numeric value.
 var numericKeys = map[string]func(*submission, float64){
 	"tasks":      func(s *submission, v float64) { s.spec.Tasks = int(v) },
 	"cpus":       func(s *submission, v float64) { s.spec.CPUs = v },
@@ -43,7 +43,7 @@
 	"save":       func(s *submission, v float64) { s.spec.Save = v },
 }
 
-// textKeys are the keys with a word as their value, and those without a value.
+// textKeys are the keys with a word as value or without a value.
 var textKeys = map[string]func(*submission, string){
 	"tenant":     func(s *submission, v string) { s.tenant = tenant.Name(v) },
 	"team":       func(s *submission, v string) { s.spec.Team = api.Team(v) },
@@ -58,13 +58,14 @@
 	"spot":       func(s *submission, _ string) { s.spec.Spot = true },
 }
 
-// parseSubmission reads a job: tasks, cpus, gpus, run (seconds), team (each: by turns), priority,
-// types, needs and job-needs (POOL:UNITS, of each task or of the job), zone, deadline, checkpoint,
-// save, controller (that gets the submission), times and every (so many like it, with the numbers that follow, so many
-// seconds apart) with =, and the words together, scatter and spot.
+// parseSubmission parses AT REF KIND and the job's fields as key=value: tasks, cpus, gpus, run (seconds),
+// team (each: all teams in turn), tenant, class, priority, image, types, zone, deadline, checkpoint, save,
+// needs and job-needs (POOL:UNITS, per task or per job), controller (that receives the request), times
+// (number of jobs, with consecutive references) and every (seconds between them). The words together,
+// scatter and spot have no value.
 func parseSubmission(words []string) (*submission, error) {
 	if len(words) < 3 {
-		return nil, errNotUnderstood
+		return nil, errBadArguments
 	}
 	at, err := strconv.ParseFloat(words[0], 64)
 	if err != nil {
@@ -75,7 +76,7 @@
 		Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1,
 	}}
 	if s.spec.Kind == "" {
-		return nil, errNoSuchKind
+		return nil, errUnknownKind
 	}
 	for _, word := range words[3:] {
 		key, value, _ := strings.Cut(word, "=")
@@ -89,7 +90,6 @@
 	return s, nil
 }
 
-// set applies one key.
 func (s *submission) set(key, value string) error {
 	if apply, ok := numericKeys[key]; ok {
 		number, err := strconv.ParseFloat(value, 64)
@@ -109,11 +109,11 @@
 	case "job-needs":
 		return s.addPoolRequest(value, func(units int) api.PoolRequest { return api.PoolRequest{Job: units} })
 	default:
-		return fmt.Errorf("no such key %s", key)
+		return fmt.Errorf("unknown key %s", key)
 	}
 }
 
-// addPoolRequest reads POOL:UNITS.
+// addPoolRequest parses POOL:UNITS.
 func (s *submission) addPoolRequest(value string, request func(units int) api.PoolRequest) error {
 	pool, count, _ := strings.Cut(value, ":")
 	units, err := strconv.Atoi(count)
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// submit schedules the jobs of a line.
+// submit schedules the submissions of a line.
 func (r *runner) submit(words []string) error {
 	s, err := parseSubmission(words)
 	if err != nil {
@@ -143,7 +143,7 @@
 		if s.tenant != "" {
 			spec.Ref = r.sim.Tenants.RegisterJob(s.tenant, spec.Ref)
 		}
-		if s.spec.Team == teamByTurns {
+		if s.spec.Team == teamEach {
 			spec.Team = teams[i%len(teams)].Name
 		}
 		if spec.Kind != api.Service {
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -22,18 +22,18 @@
 	"basaltwall/internal/emulator"
 )
 
-var transcripts = flag.String("transcripts", "", "`directory` that gets a file for each scenario that is played, with the count and the digest of all effects")
+var transcripts = flag.String("transcripts", "", "`directory` for a file per scenario with the number and the digest of its effects")
 
 // transcript is the digest of all effects that the controllers' Step returned in a scenario, in
-// order, each with its controller and the virtual time. It depends on values alone and not on
-// the names of Go's types and fields: a change that only renames leaves it as it is.
+// order, each with its controller and the simulated time. It does not depend on the names of Go types
+// and fields, so renaming them does not change it.
 type transcript struct {
 	hash  hash.Hash
 	count int
 	buf   []byte
 }
 
-// newTranscript is nil unless transcripts are wanted.
+// newTranscript returns nil unless the flag transcripts is set.
 func newTranscript() *transcript {
 	if *transcripts == "" {
 		return nil
@@ -61,8 +61,8 @@
 	tr.buf = b
 }
 
-// plain is an effect with its name; a message to a controller within which another lies encoded
-// is followed by that one as a value, as Go's encodings carry the names of types and fields.
+// plain returns an effect with its name. It decodes messages that are embedded in messages to other
+// controllers, as their encodings contain the names of Go types and fields.
 func plain(e message.Effect) []any {
 	switch e := e.(type) {
 	case message.Reply:
@@ -90,22 +90,21 @@
 		}
 		return []any{"peer", e}
 	}
-	panic(fmt.Sprintf("transcript: effect %T", e))
+	panic(fmt.Sprintf("transcript: unknown effect %T", e))
 }
 
-// appendText writes a text or bytes with their length.
+// appendText appends a string or bytes with their length.
 func appendText[T string | []byte](b []byte, s T) []byte {
 	b = binary.BigEndian.AppendUint64(b, uint64(len(s)))
 	return append(b, s...)
 }
 
-// appendValue writes a value: its kind, and what is in it. Fields of a struct, those that are
-// not exported too, come in the order of their declaration, what a map holds in the order of
-// its encoded keys.
+// appendValue appends a value's kind and content. All fields of a struct are in declaration order,
+// the entries of a map in the order of their encoded keys.
 func appendValue(b []byte, v reflect.Value) []byte {
 	b = append(b, byte(v.Kind()))
 	switch v.Kind() {
-	case reflect.Invalid: // an interface with nothing in it
+	case reflect.Invalid: // an empty interface
 	case reflect.Bool:
 		if v.Bool() {
 			return append(b, 1)
@@ -152,7 +151,7 @@
 		}
 		return appendMap(append(b, 1), v)
 	default:
-		panic(fmt.Sprintf("transcript: a value of kind %s", v.Kind()))
+		panic(fmt.Sprintf("transcript: unsupported kind %s", v.Kind()))
 	}
 	return b
 }
@@ -179,7 +178,7 @@
 	return b
 }
 
-// save writes the file of the scenario that the test has played.
+// save writes the transcript of the test's scenario to its file.
 func (tr *transcript) save(t *testing.T) {
 	t.Helper()
 	if tr == nil {
@@ -194,7 +193,8 @@
 	}
 }
 
-// A transcript tells values apart and does not look at names or at the order of maps.
+// TestTranscriptEncoding checks that different values have different encodings, regardless of Go names
+// and map order.
 func TestTranscriptEncoding(t *testing.T) {
 	type one struct {
 		A int
@@ -215,7 +215,7 @@
 	want := digest(one{1, m, &data})
 	for range 20 {
 		if got := digest(other{1, m, &data}); got != want {
-			t.Fatal("names or the order of a map change the encoding")
+			t.Fatal("encoding depends on names or map order")
 		}
 	}
 	seen := map[string]int{}
--- a/internal/scenario/zone_loss_size_test.go
+++ b/internal/scenario/zone_loss_size_test.go
@@ -12,8 +12,8 @@
 	"basaltwall/internal/emulator"
 )
 
-// sizeScript loses one of three zones for 70 s, with leases of 30 s; a quarter of the capacity is
-// services', and most of the rest short arrays'.
+// sizeScript cuts off one of three zones for 70 s, with leases of 30 s. Services use a quarter of the
+// capacity, and short arrays most of the rest.
 const sizeScript = `
 -- script --
 controllers region region region
@@ -26,9 +26,9 @@
 
 const sizeArrays = "submit 32 run-100000 array tasks=24 cpus=2 run=20 deadline=70 times=%d every=%.4f\n"
 
-// TestZoneLossAtSize measures by hand what the loss of a zone costs with as many machines as
-// BASALTWALL_SIZES names, separated by commas; with BASALTWALL_ARRAYS=no of services alone, so
-// that the writes are those of the loss. It judges nothing but the rules.
+// TestZoneLossAtSize runs only with BASALTWALL_SIZES set to comma-separated numbers of machines. It
+// reports the effects of the loss of a zone; with BASALTWALL_ARRAYS=no only services run, so that all
+// writes are due to the loss. It logs problems and does not fail on them.
 func TestZoneLossAtSize(t *testing.T) {
 	sizes := os.Getenv("BASALTWALL_SIZES")
 	if sizes == "" {
@@ -65,8 +65,8 @@
 			}
 			classes, _ := sim.Checker.ServiceLevels(sim.Now)
 			up, due := sim.Checker.ReplicaCounts(sim.Now)
-			t.Logf("%d of %d replicas at the end", up, due)
-			fmt.Printf("emulated %5d machines: replica-s missed %7.0f, lowest up %.3f, 50/90/100%% back after %v/%v/%v, arrays late %d of %d, served %.3f, writes %d, requests %d, calls %d, rented %d, deleted %d; lost %d replicas, %d writes from the leases' end until all were back\n",
+			t.Logf("%d of %d replicas are up at the end", up, due)
+			fmt.Printf("emulated %5d machines: replica-seconds missed %7.0f, lowest share up %.3f, 50/90/100%% recovered after %v/%v/%v, arrays late %d of %d, served %.3f, writes %d, requests %d, cloud calls %d, launched %d, deleted %d; lost %d replicas, %d writes between lease expiry and recovery\n",
 				n, m.missedReplicaSeconds, m.minUpShare, m.recoveryTimes[0], m.recoveryTimes[1], m.recoveryTimes[2], late, arrays, classes["batch"].Share(), sim.Store.Writes-m.writes, sim.Store.Requests-m.requests, sim.Cloud.Calls-m.calls, sim.Cloud.LaunchedMachines, sim.Cloud.DeletedMachines, m.maxLost, m.writesAtRecovery-m.writesAtLeaseExpiry)
 		})
 	}
@@ -75,15 +75,15 @@
 type zoneLossStats struct {
 	missedReplicaSeconds, minUpShare      float64
 	maxLost                               int
-	recoveryTimes                         [3]time.Duration // from the end of the leases
+	recoveryTimes                         [3]time.Duration // since lease expiry, for 50, 90 and 100 % of the replicas
 	writes, requests, calls               int
-	writesAtLeaseExpiry, writesAtRecovery int // writes at the end of the leases, and when all were back
+	writesAtLeaseExpiry, writesAtRecovery int
 }
 
 func (m *zoneLossStats) observe(sim *emulator.Simulation) {
 	const from, lease, every = 90 * time.Second, 30 * time.Second, 250 * time.Millisecond
 	sim.After(from, func() { m.writes, m.requests, m.calls = sim.Store.Writes, sim.Store.Requests, sim.Cloud.Calls })
-	sim.After(from+lease-5*time.Second, func() { m.writesAtLeaseExpiry = sim.Store.Writes }) // the first leases end sooner
+	sim.After(from+lease-5*time.Second, func() { m.writesAtLeaseExpiry = sim.Store.Writes }) // the first leases expire earlier
 	var sample func()
 	sample = func() {
 		up, due := sim.Checker.ReplicaCounts(sim.Now)
--- a/internal/scenario/zone_loss_test.go
+++ b/internal/scenario/zone_loss_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// zoneLossScript draws a loss of one zone or of two after one another, with 60 to 200 machines
-// and three to seven controllers inside and outside, and two further faults in some phase
-// of it. All that is lost must start again, and nobody go unserved.
+// zoneLossScript generates the loss of one zone, or of two in succession, with 60 to 200 machines and
+// three to seven controllers inside and outside, and two other faults at a random phase. All lost tasks
+// must restart, and each class and team must be served.
 func zoneLossScript(seed uint64) string {
 	r, pick, line, b := newScriptBuilder(seed, 21)
 	line("-- script --")
@@ -65,7 +65,7 @@
 	return b.String()
 }
 
-// drawControllers draws three, five or seven of them and where they are.
+// drawControllers places three, five or seven controllers in random zones and returns their number.
 func drawControllers(r *rand.Rand, pick func(...string) string, line func(string, ...any)) int {
 	domains := make([]string, 3+2*r.IntN(3))
 	for i := range domains {
@@ -75,12 +75,12 @@
 	return len(domains)
 }
 
-// TestRandomZoneLosses plays some drawn losses; see runs.
-func TestRandomZoneLosses(t *testing.T) { runDrawnScripts(t, zoneLossScript) }
+// TestRandomZoneLosses runs random scenarios of zone losses; see runRandomScripts.
+func TestRandomZoneLosses(t *testing.T) { runRandomScripts(t, zoneLossScript) }
 
-// runDrawnScripts plays twelve scripts that are drawn; BASALTWALL_RUNS=N plays so many by hand, from
-// BASALTWALL_FROM on.
-func runDrawnScripts(t *testing.T, draw func(seed uint64) string) {
+// runRandomScripts runs generated scripts with twelve seeds. BASALTWALL_RUNS overrides their number,
+// BASALTWALL_FROM the first seed.
+func runRandomScripts(t *testing.T, draw func(seed uint64) string) {
 	count, from := 12, 0
 	for name, to := range map[string]*int{"BASALTWALL_RUNS": &count, "BASALTWALL_FROM": &from} {
 		if v := os.Getenv(name); v != "" {
@@ -95,7 +95,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			script := draw(uint64(seed))
-			playScenario(t, []byte(script))
+			runScenario(t, []byte(script))
 			if t.Failed() {
 				t.Log(script)
 			}
@@ -103,7 +103,7 @@
 	}
 }
 
-// newScriptBuilder is what a drawn script is made with: chance, one of some words, and a line more.
+// newScriptBuilder returns a random source and functions that choose a random word and append a line.
 func newScriptBuilder(seed, stream uint64) (r *rand.Rand, pick func(of ...string) string, line func(format string, args ...any), b *strings.Builder) {
 	r, b = rand.New(rand.NewPCG(seed, stream)), &strings.Builder{}
 	pick = func(of ...string) string { return of[r.IntN(len(of))] }
