--- a/internal/scenario/steps_work.go
+++ b/internal/scenario/steps_work.go
@@ -13,42 +13,42 @@
 
 // This file has the steps of ordinary operation: machines, users, tenants, pools and reservations.
 
-// initialMachineBoot is how long the machines take that are up at the start.
+// initialMachineBoot is the boot time of the machines that are up at the start.
 const initialMachineBoot = 10 * time.Millisecond
 
 var workSteps = map[string]step{
 	"machines": {parse: (*runner).launchMachines},
 	"capacity": {parse: (*runner).setCapacity},
-	"boots": {form: "d", schedule: func(r *runner, a arguments) {
+	"boot-time": {form: "d", schedule: func(r *runner, a arguments) {
 		for i := range r.sim.Cloud.Types {
 			r.sim.Cloud.Types[i].BootSeconds = a.durations[0].Seconds()
 		}
 	}},
-	"limits": {schedule: func(r *runner, _ arguments) { r.sim.Store.RateLimited = true }},
-	"rules":  {parse: (*runner).replaceRules},
-	"end":    {form: "d", schedule: func(r *runner, a arguments) { r.end = a.durations[0] }},
+	"store-limits":   {schedule: func(r *runner, _ arguments) { r.sim.Store.RateLimited = true }},
+	"priority-rules": {parse: (*runner).replaceRules},
+	"end":            {form: "d", schedule: func(r *runner, a arguments) { r.end = a.durations[0] }},
 }
 
 var userSteps = map[string]step{
 	"submit": {parse: (*runner).submit},
 	"cancel": {parse: (*runner).cancel},
-	"ask": {form: "ds", schedule: func(r *runner, a arguments) {
+	"poll": {form: "ds", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Users.PollOnce(r.jobID(a.names[0])) })
 	}},
-	"polls": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"extra-polls": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.during(a, func() { r.sim.Users.PollsPerInterval = int(a.numbers[0]) }, func() { r.sim.Users.PollsPerInterval = 0 })
 	}},
-	"cancelnow": {form: "dnd", schedule: func(r *runner, a arguments) {
+	"cancel-running": {form: "dnd", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Users.CancelRunning(int(a.numbers[0]), a.durations[1]) })
 	}},
-	"cancelends": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"cancel-at-end": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.during(a, func() { r.sim.Users.CancelAtEndShare = a.numbers[0] }, func() { r.sim.Users.CancelAtEndShare = 0 })
 	}},
-	"looks": {form: "ddn", schedule: func(r *runner, a arguments) {
+	"poll-on-change": {form: "ddn", schedule: func(r *runner, a arguments) {
 		r.during(a, func() { r.sim.Users.PollOnChange, r.sim.Users.CancelNewShare = true, a.numbers[0] },
 			func() { r.sim.Users.PollOnChange = false })
 	}},
-	"odd": {form: "dd", schedule: func(r *runner, a arguments) {
+	"irregular-requests": {form: "dd", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.Users.SendIrregularRequests(a.durations[1]) })
 	}},
 }
@@ -78,28 +78,28 @@
 }
 
 var reservationSteps = map[string]step{
-	"skips": {form: "dssn", schedule: func(r *runner, a arguments) {
+	"import-skips": {form: "dssn", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.ReservationClients.Import(a.names[0], a.names[1], int(a.numbers[0])) })
 	}},
-	"office": {form: "ddssdn", schedule: func(r *runner, a arguments) {
+	"request-skips": {form: "ddssdn", schedule: func(r *runner, a arguments) {
 		from, to, interval := a.durations[0], a.durations[1], a.durations[2]
 		for at := from; at < to; at += interval {
 			r.sim.After(at, func() { r.sim.ReservationClients.RequestReservation(a.names[0], a.names[1], int(a.numbers[0])) })
 		}
 		r.depots[a.names[0]] = true
 	}},
-	"skip": {form: "dsss", schedule: func(r *runner, a arguments) {
+	"skip-availability": {form: "dsss", schedule: func(r *runner, a arguments) {
 		r.sim.After(a.durations[0], func() { r.sim.ReservationClients.ChangeAvailability(a.names[0], a.names[1], a.names[2]) })
 	}},
 }
 
-// during schedules the begin and the end of what a line's first two durations, AT and FOR, span.
+// during calls begin at the time AT and end after the duration FOR, a line's first two durations.
 func (r *runner) during(a arguments, begin, end func()) {
 	r.sim.After(a.durations[0], begin)
 	r.sim.After(a.durations[0]+a.durations[1], end)
 }
 
-// jobID is the id that a job is known by: NAME/REF is that of a tenant's.
+// jobID returns a job's id; NAME/REF stands for the job REF of the tenant NAME.
 func (r *runner) jobID(word string) api.JobID {
 	if name, ref, ok := strings.Cut(word, "/"); ok {
 		return r.sim.Tenants.RegisterJob(tenant.Name(name), api.JobID(ref))
@@ -109,7 +109,7 @@
 
 func (r *runner) launchMachines(words []string) error {
 	if len(words) == 0 {
-		return fmt.Errorf("how many?")
+		return fmt.Errorf("number of machines is missing")
 	}
 	n, err := strconv.Atoi(words[0])
 	if err != nil {
@@ -118,7 +118,7 @@
 	cloud := r.sim.Cloud
 	machineType, spot, zones := api.MachineTypeName("c8"), false, cloud.Types[0].Zones
 	for _, word := range words[1:] {
-		if z, ok := strings.CutPrefix(word, "in="); ok {
+		if z, ok := strings.CutPrefix(word, "zone="); ok {
 			zones = []api.Zone{api.Zone(z)}
 		} else if word == "spot" {
 			spot = true
@@ -139,7 +139,7 @@
 
 func (r *runner) setCapacity(words []string) error {
 	if len(words) == 0 || len(words) > 2 {
-		return errNotUnderstood
+		return errBadArguments
 	}
 	n, err := strconv.Atoi(words[0])
 	if err != nil {
@@ -164,7 +164,7 @@
 	}
 	text, ok := r.files[a.names[0]]
 	if !ok {
-		return fmt.Errorf("no file %s", a.names[0])
+		return fmt.Errorf("archive has no file %s", a.names[0])
 	}
 	r.sim.After(a.durations[0], func() { r.sim.SetPriorityRules(text) })
 	return nil
@@ -185,7 +185,7 @@
 func (r *runner) removeTenant(words []string) error {
 	cancelJobs := len(words) == 3
 	if len(words) < 2 || len(words) > 3 || cancelJobs && words[2] != "cancel" {
-		return errNotUnderstood
+		return errBadArguments
 	}
 	at, err := strconv.ParseFloat(words[0], 64)
 	if err != nil {
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// resizePool makes a pool or changes its size; with reclaim, holders are preempted if more is held.
+// resizePool creates or resizes a pool; with reclaim, holders are preempted if more units are held.
 func (r *runner) resizePool(a arguments, reclaim bool) {
 	r.sim.After(a.durations[0], func() {
 		r.sim.Tenants.UpdatePool(api.PoolName(a.names[0]), func(p *pools.View) {
--- a/internal/scenario/zone_loss_test.go
+++ b/internal/scenario/zone_loss_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// zoneLossScript draws a loss of one zone or of two after one another, with 60 to 200 machines
-// and three to seven controllers inside and outside, and two further faults in some phase
-// of it. All that is lost must start again, and nobody go unserved.
+// zoneLossScript generates the loss of one zone, or of two in succession, with 60 to 200 machines and
+// three to seven controllers inside and outside, and two other faults at a random phase. All lost tasks
+// must restart, and each class and team must be served.
 func zoneLossScript(seed uint64) string {
 	r, pick, line, b := newScriptBuilder(seed, 21)
 	line("-- script --")
@@ -20,17 +20,17 @@
 	line("machines %d", machines)
 	line("machines 8 g8")
 	line("capacity %d", machines+8+r.IntN(machines/2))
-	line("limit red 0")
+	line("team-limit red 0")
 	services := machines / (4 + r.IntN(4))
 	line("submit 1 run-1 service tasks=%d cpus=2 scatter priority=critical class=web team=blue times=%d every=0.05", 2+r.IntN(4), services)
 	line("submit 3 run-1000 array tasks=%d cpus=2 run=%d times=20 every=4", machines/10, 10+r.IntN(30))
 	line("submit 5 run-2000 gang tasks=2 cpus=4 gpus=1 run=40 types=g8 priority=high class=train together checkpoint=10 save=1 times=3 every=25")
 	lost := pick("a", "b", "c")
 	at, length := 30+r.IntN(20), 15+r.IntN(90)
-	line("cutzone %d %d %s %s", at, length, lost, pick("hold", "drop"))
+	line("cut-zone %d %d %s %s", at, length, lost, pick("hold", "drop"))
 	if r.IntN(3) == 0 {
 		if other := pick("a", "b", "c"); other != lost {
-			line("cutzone %d %d %s %s", at+r.IntN(40), 20+r.IntN(60), other, pick("hold", "drop"))
+			line("cut-zone %d %d %s %s", at+r.IntN(40), 20+r.IntN(60), other, pick("hold", "drop"))
 		}
 	}
 	for range 2 {
@@ -47,25 +47,25 @@
 		case 3:
 			line("cut %d %d %s %s %s", when, duration, controllerName, pick("state", "workers", "peers", "cloud", "all"), pick("hold", "drop"))
 		case 4:
-			line("outage %d %d", when, 1+duration/2)
+			line("store-outage %d %d", when, 1+duration/2)
 		case 5:
-			line("refuse %d %d %s", when, duration, controllerName)
+			line("refuse-controller %d %d %s", when, duration, controllerName)
 		case 6:
-			line("cloud %d %d", when, duration)
+			line("cloud-outage %d %d", when, duration)
 		case 7:
-			line("roll %d %d", when, 4+r.IntN(6))
+			line("rolling-restart %d %d", when, 4+r.IntN(6))
 		case 8:
-			line("delay %d %d 0.2", when, duration)
+			line("delay-transactions %d %d 0.2", when, duration)
 		}
 	}
 	line("cancel %d run-%d", at+r.IntN(length), 1+r.IntN(services))
-	line("floor 0.6")
+	line("min-served 0.6")
 	line("end 330")
 	line("expect all done")
 	return b.String()
 }
 
-// drawControllers draws three, five or seven of them and where they are.
+// drawControllers places three, five or seven controllers in random zones and returns their number.
 func drawControllers(r *rand.Rand, pick func(...string) string, line func(string, ...any)) int {
 	domains := make([]string, 3+2*r.IntN(3))
 	for i := range domains {
@@ -75,12 +75,12 @@
 	return len(domains)
 }
 
-// TestRandomZoneLosses plays some drawn losses; see runs.
-func TestRandomZoneLosses(t *testing.T) { runDrawnScripts(t, zoneLossScript) }
+// TestRandomZoneLosses runs random scenarios of zone losses; see runRandomScripts.
+func TestRandomZoneLosses(t *testing.T) { runRandomScripts(t, zoneLossScript) }
 
-// runDrawnScripts plays twelve scripts that are drawn; BASALTWALL_RUNS=N plays so many by hand, from
-// BASALTWALL_FROM on.
-func runDrawnScripts(t *testing.T, draw func(seed uint64) string) {
+// runRandomScripts runs generated scripts with twelve seeds. BASALTWALL_RUNS overrides their number,
+// BASALTWALL_FROM the first seed.
+func runRandomScripts(t *testing.T, draw func(seed uint64) string) {
 	count, from := 12, 0
 	for name, to := range map[string]*int{"BASALTWALL_RUNS": &count, "BASALTWALL_FROM": &from} {
 		if v := os.Getenv(name); v != "" {
@@ -95,7 +95,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			script := draw(uint64(seed))
-			playScenario(t, []byte(script))
+			runScenario(t, []byte(script))
 			if t.Failed() {
 				t.Log(script)
 			}
@@ -103,7 +103,7 @@
 	}
 }
 
-// newScriptBuilder is what a drawn script is made with: chance, one of some words, and a line more.
+// newScriptBuilder returns a random source and functions that choose a random word and append a line.
 func newScriptBuilder(seed, stream uint64) (r *rand.Rand, pick func(of ...string) string, line func(format string, args ...any), b *strings.Builder) {
 	r, b = rand.New(rand.NewPCG(seed, stream)), &strings.Builder{}
 	pick = func(of ...string) string { return of[r.IntN(len(of))] }
