--- a/controller/agent/siblings.go
+++ b/controller/agent/dependencies.go
@@ -7,8 +7,8 @@
 	"basaltwall/controller/core"
 )
 
-// Siblings holds the other components that the manager calls.
-type Siblings struct {
+// Dependencies holds the other components that the manager calls.
+type Dependencies struct {
 	Autoscaler Autoscaler
 	Balancer   Balancer
 	Follower   Follower
--- a/controller/agent/directcall.go
+++ b/controller/agent/directcall.go
@@ -83,7 +83,7 @@
 		if owned != nil && !m.Deleting {
 			am.reconcileMachine(m, owned, false)
 		}
-		am.siblings.Autoscaler.EvaluateScaleIn(m, owned)
+		am.deps.Autoscaler.EvaluateScaleIn(m, owned)
 	}
 }
 
@@ -101,14 +101,14 @@
 	if am.callDue(m, owned, urgent) {
 		am.sendCommands(m, owned)
 	}
-	am.siblings.Health.CheckLiveness(m, owned)
+	am.deps.Health.CheckLiveness(m, owned)
 }
 
 // callDue reports whether a machine should be called now: a call is urgent, the machine has not
 // reported this owner's token yet, or its heartbeat is overdue.
 func (am *Manager) callDue(m *core.Machine, owned *core.OwnedPartition, urgent bool) bool {
 	divisor := probeDivisor
-	if am.siblings.Health.ZoneUnavailable(m.Zone) {
+	if am.deps.Health.ZoneUnavailable(m.Zone) {
 		divisor = unavailableZoneProbeDivisor
 	}
 	if m.CallInFlight || m.Address == "" || am.core.Now < m.NextCallAt {
@@ -161,7 +161,7 @@
 func (am *Manager) handleDirectReply(m *core.Machine, owned *core.OwnedPartition, heartbeat *api.Heartbeat) {
 	m.LastDirectReply, m.MissedCalls, m.SuspectSince = am.core.Now, 0, 0
 	if heartbeat.Token > m.CommandToken {
-		am.siblings.Follower.LinearizableRead(func() {}, func() {}) // the log will show that the partition was lost
+		am.deps.Follower.LinearizableRead(func() {}, func() {}) // the log will show that the partition was lost
 		return
 	}
 	am.applyHeartbeat(m, heartbeat, owned)
--- a/controller/agent/exit.go
+++ b/controller/agent/exit.go
@@ -40,7 +40,7 @@
 		if p.OwnerState.RunningSince != 0 {
 			am.updateRelativeRuntime(m, j, am.core.Now.Sub(p.OwnerState.RunningSince).Seconds())
 		}
-		am.siblings.Scheduler.RecordTaskEnd(owned, p, true, "done")
+		am.deps.Scheduler.RecordTaskEnd(owned, p, true, "done")
 		return
 	case api.ReasonError:
 		j.OwnerState.Failures++
@@ -55,7 +55,7 @@
 	case api.ReasonUnknown:
 		j.OwnerState.BackoffUntil = am.core.Now.Add(unknownReasonBackoff)
 	}
-	am.siblings.Scheduler.RecordTaskEnd(owned, p, false, string(taskReport.Reason))
+	am.deps.Scheduler.RecordTaskEnd(owned, p, false, string(taskReport.Reason))
 }
 
 // updateRelativeRuntime updates a machine's relative runtime by comparing a task's runtime, in seconds,
--- a/controller/agent/heartbeat.go
+++ b/controller/agent/heartbeat.go
@@ -29,7 +29,7 @@
 		am.redirectHeartbeat(c, am.core.State.Partitions[p].Owner)
 		return
 	}
-	if am.siblings.Autoscaler.IsDeleted(heartbeat.Machine) {
+	if am.deps.Autoscaler.IsDeleted(heartbeat.Machine) {
 		am.core.ReplyError(c.Req, statusUnavailable, "machine was deleted")
 		return
 	}
@@ -43,7 +43,7 @@
 	if heartbeat.Token > m.CommandToken {
 		// Another controller commands the machine under a later term, so this one no longer owns it.
 		am.core.Reply(c.Req, statusMisdirected, api.Redirect{}, 0)
-		am.siblings.Follower.LinearizableRead(func() {}, func() {})
+		am.deps.Follower.LinearizableRead(func() {}, func() {})
 		return
 	}
 	newer := am.applyHeartbeat(m, heartbeat, owned)
@@ -88,7 +88,7 @@
 	machine := c.Heartbeat.Machine
 	previous := am.redirects[machine]
 	repeated := previous.to == owner && am.core.Now.Sub(previous.at) < am.core.RedirectTTL
-	if (repeated || am.siblings.Gossiper.ReportsSilent(owner, machine)) && am.siblings.Gossiper.IsPeer(owner) {
+	if (repeated || am.deps.Gossiper.ReportsSilent(owner, machine)) && am.deps.Gossiper.IsPeer(owner) {
 		am.redirects[machine] = redirect{owner, am.core.Now}
 		am.forwardHeartbeat(c, owner)
 		return
--- a/controller/agent/machines.go
+++ b/controller/agent/machines.go
@@ -55,7 +55,7 @@
 		return
 	}
 	m.LoanRevision = loan.Revision
-	am.siblings.Preemptor.ReserveExclusively(m, loan.Job)
+	am.deps.Preemptor.ReserveExclusively(m, loan.Job)
 }
 
 // recordLoans adds new loans to machineLoans and removes ended ones.
@@ -66,7 +66,7 @@
 		}
 		am.machineLoans[id] = machineLoan{loan.Revision, am.core.Now}
 		if loan.Transferred && am.core.Partitions[loan.Partition] != nil {
-			am.siblings.Balancer.AdoptMachine(id)
+			am.deps.Balancer.AdoptMachine(id)
 		}
 	}
 	for id := range am.machineLoans {
@@ -83,11 +83,11 @@
 	if !ok || am.core.Now.Sub(loan.knownAt) > am.core.HeartbeatTimeout {
 		return false
 	}
-	if len(am.core.State.PlacementsOn(id)) > 0 || am.siblings.Autoscaler.IsDeleted(id) {
+	if len(am.core.State.PlacementsOn(id)) > 0 || am.deps.Autoscaler.IsDeleted(id) {
 		return false
 	}
 	m, owned := am.core.Machines[id], am.core.Partitions[am.core.PartitionOf(id)]
-	return owned == nil || m == nil || m.LastHeartbeat == 0 || !am.siblings.Scheduler.IsSchedulable(m, owned)
+	return owned == nil || m == nil || m.LastHeartbeat == 0 || !am.deps.Scheduler.IsSchedulable(m, owned)
 }
 
 // LoanKnownAt returns the time at which this controller learned of a machine's latest loan; 0 if the
--- a/controller/agent/manager.go
+++ b/controller/agent/manager.go
@@ -16,8 +16,8 @@
 
 // Manager manages the machines of owned partitions through their agents.
 type Manager struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	sortedMachines      []*core.Machine   // all machines by ID; nil if the lists must be rebuilt
 	machinesByPartition [][]*core.Machine // the machines of each partition by ID
@@ -44,7 +44,7 @@
 }
 
 // Connect sets the components that the manager calls.
-func (am *Manager) Connect(siblings Siblings) { am.siblings = siblings }
+func (am *Manager) Connect(deps Dependencies) { am.deps = deps }
 
 // Limits on concurrent direct calls.
 const (
--- a/controller/agent/reconcile.go
+++ b/controller/agent/reconcile.go
@@ -21,7 +21,7 @@
 	if heartbeat.Epoch < m.Epoch || (heartbeat.Epoch == m.Epoch && heartbeat.Seq <= m.Sequence) {
 		return false
 	}
-	if !am.siblings.Scheduler.IsSchedulable(m, owned) {
+	if !am.deps.Scheduler.IsSchedulable(m, owned) {
 		owned.Dirty = true // the heartbeat may make the machine schedulable
 	}
 	am.updateSuspicion(m, heartbeat)
@@ -77,7 +77,7 @@
 // reconcilePlacement compares a placement with the tasks in its machine's latest heartbeat.
 func (am *Manager) reconcilePlacement(owned *core.OwnedPartition, m *core.Machine, p *core.Placement) {
 	if p.Epoch < m.Epoch {
-		am.siblings.Scheduler.RecordTaskEnd(owned, p, false, core.EndReasonEpochOver)
+		am.deps.Scheduler.RecordTaskEnd(owned, p, false, core.EndReasonEpochOver)
 		return
 	}
 	taskReport, reported := m.ReportedTasks[core.AttemptKey{Task: p.Task, Attempt: p.Attempt}]
@@ -100,7 +100,7 @@
 	}
 	launchToken := am.LatestLaunchToken(p, owned)
 	if m.ReportedToken > launchToken {
-		am.siblings.Scheduler.RecordTaskEnd(owned, p, false, "never started")
+		am.deps.Scheduler.RecordTaskEnd(owned, p, false, "never started")
 	} else {
 		m.UncertainToken = max(m.UncertainToken, launchToken)
 	}
@@ -133,7 +133,7 @@
 			remaining -= am.core.Now.Sub(p.OwnerState.RunningSince).Seconds()
 		}
 		if p.Job.Spec.Kind == api.Service || remaining > noticeSeconds {
-			am.siblings.Scheduler.StopTask(p)
+			am.deps.Scheduler.StopTask(p)
 		}
 	}
 }
--- a/controller/autoscale/accelerators.go
+++ b/controller/autoscale/accelerators.go
@@ -13,7 +13,7 @@
 // CountAccelerators counts a partition's machines with accelerators.
 func (as *Manager) CountAccelerators(p api.PartitionID) map[message.AcceleratorKind]message.AcceleratorCount {
 	counts := acceleratorCounts{}
-	for _, m := range as.siblings.Agents.MachinesOf(p) {
+	for _, m := range as.deps.Agents.MachinesOf(p) {
 		if m.LastHeartbeat != 0 && !m.Deleting && as.core.HasAccelerators(m.MachineType) {
 			as.countMachine(counts, m.ID, kindOf(m.MachineType, m.Spot))
 		}
@@ -50,10 +50,10 @@
 	for p := range as.core.Partitions {
 		out[p] = as.CountAccelerators(p)
 	}
-	for _, status := range as.siblings.Gossip.PeerPartitionStatuses() {
+	for _, status := range as.deps.Gossip.PeerPartitionStatuses() {
 		out[status.Part] = status.Accelerated
 	}
-	as.siblings.Gossip.EachUnreportedMachine(func(p api.PartitionID, listed api.Instance) {
+	as.deps.Gossip.EachUnreportedMachine(func(p api.PartitionID, listed api.Instance) {
 		if !as.core.HasAccelerators(listed.Type) {
 			return
 		}
--- a/controller/autoscale/autoscale.go
+++ b/controller/autoscale/autoscale.go
@@ -24,8 +24,8 @@
 	// NextDemandSample is when the capacity targets are computed next.
 	NextDemandSample api.Time
 
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	types     typeRefresh
 	targets   map[api.MachineTypeName]*capacityTarget
@@ -46,7 +46,7 @@
 }
 
 // Connect sets the components that the autoscaler depends on.
-func (as *Manager) Connect(siblings Siblings) { as.siblings = siblings }
+func (as *Manager) Connect(deps Dependencies) { as.deps = deps }
 
 // Reconcile reads the machine types and the machine list, computes the capacity targets and
 // scales out, each when it is due. It is called at every step.
--- a/controller/autoscale/capacitytarget.go
+++ b/controller/autoscale/capacitytarget.go
@@ -136,7 +136,7 @@
 func (as *Manager) sampleDemand() map[api.MachineTypeName]demandSample {
 	samples := map[api.MachineTypeName]demandSample{}
 	for _, j := range as.core.State.Jobs {
-		if j.Terminal() || as.core.IsCPUOnly(j.Spec) || as.siblings.Tenancy.StartsBlocked(j) {
+		if j.Terminal() || as.core.IsCPUOnly(j.Spec) || as.deps.Tenancy.StartsBlocked(j) {
 			continue
 		}
 		typ := as.CheapestType(j.Spec)
@@ -148,7 +148,7 @@
 		machines := float64(j.Spec.Tasks-j.CompletedCount) / float64(max(1, j.Demand.Slots(typ.Capacity())))
 		sample := samples[typ.Name]
 		sample.total += machines
-		if latencySensitive || as.siblings.Scheduler.SpotRisk(j) > riskySpotLoss {
+		if latencySensitive || as.deps.Scheduler.SpotRisk(j) > riskySpotLoss {
 			sample.latencySensitive += machines
 		}
 		samples[typ.Name] = sample
--- a/controller/autoscale/consolidate.go
+++ b/controller/autoscale/consolidate.go
@@ -32,21 +32,21 @@
 	m.ConsolidatingUntil = as.core.Now.Add(core.ReservationTTL)
 	slog.Info("services relocated", "machine", m.ID, "tasks", len(as.core.State.PlacementsOn(m.ID)))
 	for _, p := range slices.Clone(as.core.State.PlacementsOn(m.ID)) {
-		as.siblings.Scheduler.StopTask(p)
+		as.deps.Scheduler.StopTask(p)
 	}
 }
 
 // consolidationCandidates returns the machines whose services may move, and the machines that
 // may receive them.
 func (as *Manager) consolidationCandidates(owned *core.OwnedPartition, kind message.AcceleratorKind) (sources, destinations []*core.Machine) {
-	for _, m := range as.siblings.Agents.MachinesOf(owned.ID) {
+	for _, m := range as.deps.Agents.MachinesOf(owned.ID) {
 		if kindOf(m.MachineType, m.Spot) != kind || m.Surplus || as.core.Now < m.ConsolidatingUntil {
 			continue
 		}
-		if !as.siblings.Scheduler.IsSchedulable(m, owned) || len(as.core.State.PlacementsOn(m.ID)) == 0 {
+		if !as.deps.Scheduler.IsSchedulable(m, owned) || len(as.core.State.PlacementsOn(m.ID)) == 0 {
 			continue
 		}
-		if as.siblings.Preemptor.ReservedFor(m) == "" {
+		if as.deps.Preemptor.ReservedFor(m) == "" {
 			destinations = append(destinations, m)
 		}
 		if as.allServicesMovable(m, owned) {
@@ -63,7 +63,7 @@
 	for _, p := range as.core.State.PlacementsOn(source.ID) {
 		i := slices.IndexFunc(destinations, func(m *core.Machine) bool {
 			_, cached := m.CachedImages[p.Job.Spec.Image]
-			return cached && m != source && p.Job.Demand.Fits(as.siblings.Scheduler.FreeCapacityOn(m, owned).Minus(taken[m]))
+			return cached && m != source && p.Job.Demand.Fits(as.deps.Scheduler.FreeCapacityOn(m, owned).Minus(taken[m]))
 		})
 		if i < 0 {
 			return false
--- a/controller/autoscale/deletions.go
+++ b/controller/autoscale/deletions.go
@@ -75,7 +75,7 @@
 	}
 	queue.inFlight = true
 	batch := as.takeDeletionBatch()
-	as.siblings.Follower.LinearizableRead(
+	as.deps.Follower.LinearizableRead(
 		func() { as.deleteBatch(batch) },
 		func() {
 			as.finishDeletionCall(false)
@@ -172,7 +172,7 @@
 	case core.DeletionReasonIdle:
 		return len(as.core.State.PlacementsOn(m.ID)) == 0
 	case core.DeletionReasonZoneLost:
-		return as.siblings.Health.RecordedState(m.Zone) == zonehealth.Failed
+		return as.deps.Health.RecordedState(m.Zone) == zonehealth.Failed
 	default:
 		return true
 	}
@@ -214,11 +214,11 @@
 	if m.Spot && deletion.wasReclaimed() {
 		as.spot.reclaimed++
 	}
-	as.siblings.Balancer.DropLoanRecord(owned, m.ID)
+	as.deps.Balancer.DropLoanRecord(owned, m.ID)
 	if as.core.Partitions[owned.ID] == owned {
 		as.endTasks(m, owned)
 	}
-	as.siblings.Agents.ForgetMachine(m.ID)
+	as.deps.Agents.ForgetMachine(m.ID)
 }
 
 // wasReclaimed reports whether a spot machine was presumably reclaimed by the cloud.
@@ -230,7 +230,7 @@
 func (as *Manager) endTasks(m *core.Machine, owned *core.OwnedPartition) {
 	for _, p := range as.core.State.PlacementsOn(m.ID) {
 		if p.Partition == owned.ID && !p.Finishing {
-			as.siblings.Scheduler.RecordTaskEnd(owned, p, false, core.EndReasonMachineDeleted)
+			as.deps.Scheduler.RecordTaskEnd(owned, p, false, core.EndReasonMachineDeleted)
 		}
 	}
 	owned.Dirty = true
--- a/controller/autoscale/deletions_test.go
+++ b/controller/autoscale/deletions_test.go
@@ -73,7 +73,7 @@
 		scheduler: &fakeScheduler{},
 	}
 	shared.Partitions[0] = test.owned
-	test.Connect(Siblings{Agents: test.agents, Balancer: fakeBalancer{}, Follower: fakeFollower{}, Health: test.health, Scheduler: test.scheduler})
+	test.Connect(Dependencies{Agents: test.agents, Balancer: fakeBalancer{}, Follower: fakeFollower{}, Health: test.health, Scheduler: test.scheduler})
 	return test
 }
 
--- a/controller/autoscale/siblings.go
+++ b/controller/autoscale/dependencies.go
@@ -12,8 +12,8 @@
 	"basaltwall/zonehealth"
 )
 
-// Siblings are the other components that the autoscaler depends on.
-type Siblings struct {
+// Dependencies are the other components that the autoscaler depends on.
+type Dependencies struct {
 	Agents     Agents
 	Backfiller Backfiller
 	Balancer   Balancer
--- a/controller/autoscale/incoming.go
+++ b/controller/autoscale/incoming.go
@@ -17,13 +17,13 @@
 			incoming[offerOf(listed)]++
 		}
 	}
-	for id := range as.siblings.Agents.LoanedMachines() {
+	for id := range as.deps.Agents.LoanedMachines() {
 		listed, ok := as.Listed[id]
 		if !ok {
 			continue
 		}
 		slow := listed.AgeSeconds > slowBootFactor*as.core.BootSeconds(listed.Type)
-		if (accounted[id] || slow) && as.siblings.Agents.LoanInTransit(id) {
+		if (accounted[id] || slow) && as.deps.Agents.LoanInTransit(id) {
 			incoming[offerOf(listed)]++
 		}
 	}
@@ -43,12 +43,12 @@
 			accounted[id] = true // the cloud's list may lag behind
 		}
 	}
-	for _, status := range as.siblings.Gossip.PeerPartitionStatuses() {
+	for _, status := range as.deps.Gossip.PeerPartitionStatuses() {
 		for _, id := range status.Fresh {
 			accounted[id] = true
 		}
 	}
-	as.siblings.Gossip.EachUnreportedMachine(func(_ api.PartitionID, listed api.Instance) { accounted[listed.ID] = true })
+	as.deps.Gossip.EachUnreportedMachine(func(_ api.PartitionID, listed api.Instance) { accounted[listed.ID] = true })
 	return accounted
 }
 
--- a/controller/autoscale/jobdemand.go
+++ b/controller/autoscale/jobdemand.go
@@ -38,7 +38,7 @@
 		demand.zone = plan.zoneWithMostCapacity(j)
 	}
 	if j.Spec.Spread {
-		demand.placedByZone, _ = plan.manager.siblings.Scheduler.TaskZones(j)
+		demand.placedByZone, _ = plan.manager.deps.Scheduler.TaskZones(j)
 	}
 	return demand
 }
--- a/controller/autoscale/machinelist.go
+++ b/controller/autoscale/machinelist.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		listed := as.Listed[id]
-		m := as.siblings.Agents.EnsureMachine(id)
+		m := as.deps.Agents.EnsureMachine(id)
 		m.ApplyListing(listed)
 		if m.Deleting || as.core.Now < m.NextCallAt && m.LastHeartbeat == 0 {
 			continue
--- a/controller/autoscale/offers.go
+++ b/controller/autoscale/offers.go
@@ -92,14 +92,14 @@
 func (plan *scaleOutPlan) available(offer core.MachineOffer) bool {
 	as := plan.manager
 	return as.scaleOuts.backoffUntil[offer] <= as.core.Now &&
-		!as.siblings.Health.ZoneUnavailable(offer.Zone) &&
+		!as.deps.Health.ZoneUnavailable(offer.Zone) &&
 		plan.mayProbeZone(offer.Zone)
 }
 
 // mayProbeZone reports whether one more machine may be requested in a zone. In a recovering
 // zone without machines, at most probeMachines are requested.
 func (plan *scaleOutPlan) mayProbeZone(zone api.Zone) bool {
-	health := plan.manager.siblings.Health
+	health := plan.manager.deps.Health
 	observed := health.Observation(zone) // must be read before ZoneState, which may update it
 	if health.ZoneState(zone) != zonehealth.Recovering || observed.All > 0 {
 		return true
--- a/controller/autoscale/plan.go
+++ b/controller/autoscale/plan.go
@@ -53,14 +53,14 @@
 	for name, team := range as.core.Teams {
 		plan.remainingQuota[name] = core.QuotaLimit(team).Minus(use[name])
 	}
-	plan.freeUnits = as.siblings.Pools.FreePoolUnits()
+	plan.freeUnits = as.deps.Pools.FreePoolUnits()
 	return plan
 }
 
 // addFreeMachines adds the machines that are up.
 func (plan *scaleOutPlan) addFreeMachines() {
 	types := plan.manager.core.MachineTypes
-	plan.manager.siblings.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+	plan.manager.deps.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
 		if !class.Usable {
 			return
 		}
@@ -95,13 +95,13 @@
 // urgent first: those aged above all others, then by priority, then by aging stage.
 func (as *Manager) jobsByUrgency() []*core.Job {
 	jobs := slices.Collect(maps.Values(as.core.State.PendingJobs))
-	for id := range as.siblings.Health.ReplacementDemand() {
+	for id := range as.deps.Health.ReplacementDemand() {
 		if j := as.core.State.Jobs[id]; j != nil && as.core.State.PendingJobs[id] == nil {
 			jobs = append(jobs, j)
 		}
 	}
-	stage := func(j *core.Job) sched.AgingStage { return as.siblings.Backfiller.WaitStage(j, core.AllPartitions) }
-	priority := as.siblings.Priorities.EffectivePriority
+	stage := func(j *core.Job) sched.AgingStage { return as.deps.Backfiller.WaitStage(j, core.AllPartitions) }
+	priority := as.deps.Priorities.EffectivePriority
 	slices.SortFunc(jobs, func(a, b *core.Job) int {
 		return cmp.Or(
 			compareBools(stage(b) == sched.AgedAboveAll, stage(a) == sched.AgedAboveAll),
@@ -114,11 +114,11 @@
 
 // addJob plans machines for a job's pending and replacement tasks.
 func (plan *scaleOutPlan) addJob(j *core.Job) {
-	if j.OwnerState.BackoffUntil > plan.manager.core.Now || plan.manager.siblings.Tenancy.StartsBlocked(j) {
+	if j.OwnerState.BackoffUntil > plan.manager.core.Now || plan.manager.deps.Tenancy.StartsBlocked(j) {
 		return
 	}
 	waiting := plan.takeStartable(j)
-	waiting += plan.manager.siblings.Health.ReplacementDemand()[j.ID]
+	waiting += plan.manager.deps.Health.ReplacementDemand()[j.ID]
 	if waiting <= 0 {
 		return
 	}
@@ -171,7 +171,7 @@
 // totalCapacitySlots counts the tasks of a job that the machines would hold if they were empty.
 func (as *Manager) totalCapacitySlots(s *api.JobSpec) int {
 	slots := 0
-	for _, count := range as.siblings.Capacity.TotalSlotsByPartition(s) {
+	for _, count := range as.deps.Capacity.TotalSlotsByPartition(s) {
 		slots += count
 	}
 	return slots
--- a/controller/autoscale/scalein.go
+++ b/controller/autoscale/scalein.go
@@ -32,7 +32,7 @@
 	}
 	if owned == nil {
 		if as.core.Now.Sub(max(m.LastHeartbeat, m.DiscoveredAt)) > forgetAfter {
-			as.siblings.Agents.ForgetMachine(m.ID)
+			as.deps.Agents.ForgetMachine(m.ID)
 		}
 		return
 	}
@@ -49,8 +49,8 @@
 // machines only the evacuation plan deletes.
 func (as *Manager) isRetained(m *core.Machine) bool {
 	return as.hasRetainingWork(m.ID, m.MachineType) ||
-		as.siblings.Health.ZoneUnavailable(m.Zone) ||
-		m.Consolidated && as.siblings.Preemptor.ReservedFor(m) != ""
+		as.deps.Health.ZoneUnavailable(m.Zone) ||
+		m.Consolidated && as.deps.Preemptor.ReservedFor(m) != ""
 }
 
 // isIdle reports whether a machine has exceeded its idle timeout.
@@ -71,7 +71,7 @@
 	_, listed := as.Listed[m.ID]
 	switch {
 	case !listed && m.LastHeartbeat == 0 && as.core.Now.Sub(m.DiscoveredAt) > forgetAfter:
-		as.siblings.Agents.ForgetMachine(m.ID)
+		as.deps.Agents.ForgetMachine(m.ID)
 	case m.QuarantinedUntil > as.core.Now && m.LastHeartbeat != 0:
 		as.ScheduleDeletion(m, owned, core.DeletionReasonQuarantined)
 	case idle && owned.InFlight == nil && len(m.ReportedTasks) == 0 && as.deletions.failures == 0:
--- a/controller/autoscale/spothistory.go
+++ b/controller/autoscale/spothistory.go
@@ -46,7 +46,7 @@
 	if elapsed := as.core.Now.Sub(h.sampledAt); h.sampledAt != 0 && elapsed > 0 {
 		h.decay(elapsed)
 		for p := range as.core.Partitions {
-			for _, m := range as.siblings.Agents.MachinesOf(p) {
+			for _, m := range as.deps.Agents.MachinesOf(p) {
 				if m.Spot && m.LastHeartbeat != 0 {
 					h.uptimeSeconds += elapsed.Seconds()
 				}
--- a/controller/autoscale/surplus.go
+++ b/controller/autoscale/surplus.go
@@ -75,7 +75,7 @@
 // then those with the fewest placements, then the newest.
 func (as *Manager) selectSurplus(p api.PartitionID, kind message.AcceleratorKind, count int) {
 	var free []*core.Machine
-	for _, m := range as.siblings.Agents.MachinesOf(p) {
+	for _, m := range as.deps.Agents.MachinesOf(p) {
 		switch {
 		case kindOf(m.MachineType, m.Spot) != kind:
 		case m.LastHeartbeat != 0 && !m.Deleting && !as.hasLongRunningWork(m.ID):
--- a/controller/balance/balancer.go
+++ b/controller/balance/balancer.go
@@ -18,12 +18,12 @@
 
 // Balancer moves pending tasks, quota and machines between partitions.
 type Balancer struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 }
 
-// Siblings are the other components that the balancer depends on.
-type Siblings struct {
+// Dependencies are the other components that the balancer depends on.
+type Dependencies struct {
 	Agents     Agents
 	Autoscaler Autoscaler
 	Backfiller Backfiller
@@ -135,4 +135,4 @@
 func New(k *core.Core) *Balancer { return &Balancer{core: k} }
 
 // Connect sets the components that the balancer depends on.
-func (b *Balancer) Connect(s Siblings) { b.siblings = s }
+func (b *Balancer) Connect(s Dependencies) { b.deps = s }
--- a/controller/balance/capacity.go
+++ b/controller/balance/capacity.go
@@ -15,7 +15,7 @@
 	demand, cpuOnly := s.Demand(), b.core.IsCPUOnly(s)
 	mayPreempt := s.Priority.Rank() >= core.PreemptorRank
 	free, preemptible := map[api.PartitionID][]sched.Machine{}, map[api.PartitionID][]sched.Machine{}
-	b.siblings.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+	b.deps.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
 		if !class.Usable || !b.core.IsEligible(s, cpuOnly, class.Type, class.Zone, class.Spot) {
 			return
 		}
@@ -54,7 +54,7 @@
 		return ""
 	}
 	slots := map[api.Zone]int{}
-	b.siblings.Gossip.EachFreeCapacity(func(_ api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+	b.deps.Gossip.EachFreeCapacity(func(_ api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
 		if class.Usable && sched.Feasible(s, class.Type, class.Zone, class.Spot) {
 			// Free capacity counts more than capacity that preemption would free.
 			slots[class.Zone] += capacity.Count * (2*s.Demand().Slots(capacity.Free) + s.Demand().Slots(capacity.Could))
--- a/controller/balance/demand.go
+++ b/controller/balance/demand.go
@@ -73,7 +73,7 @@
 func (b *Balancer) lenderCapacity(j *core.Job, demand *message.UnmetDemand) (slots []int, machines []sched.Machine) {
 	cpuOnly := b.core.IsCPUOnly(j.Spec)
 	slots = make([]int, len(b.core.State.Partitions))
-	b.siblings.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+	b.deps.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
 		if !class.Usable || demand.Zone != "" && class.Zone != demand.Zone ||
 			!b.core.IsEligible(j.Spec, cpuOnly, class.Type, class.Zone, class.Spot) || !sched.ZoneFeasible(j.Spec, demand.Zones, class.Zone) {
 			return
--- a/controller/balance/loan.go
+++ b/controller/balance/loan.go
@@ -27,7 +27,7 @@
 		return
 	}
 	owned.NextLoan = b.core.Now.Add(minLendInterval)
-	for _, status := range b.siblings.Gossip.OtherPartitionStatuses(owned) {
+	for _, status := range b.deps.Gossip.OtherPartitionStatuses(owned) {
 		for _, demand := range status.Lack {
 			if demand.Spec == nil || len(owned.UnmetDemands) > 0 && status.Part > owned.ID {
 				continue // of two partitions with unmet demand, the one with the higher ID lends
@@ -52,8 +52,8 @@
 		return true
 	}
 	if plan.Machine != nil {
-		b.siblings.Preemptor.ReserveExclusively(plan.Machine, demand.Spec.Ref)
-		b.siblings.Preemptor.ExecutePreemption(plan, demand.Spec.Ref)
+		b.deps.Preemptor.ReserveExclusively(plan.Machine, demand.Spec.Ref)
+		b.deps.Preemptor.ExecutePreemption(plan, demand.Spec.Ref)
 		return false
 	}
 	if m := b.selectTransferMachine(owned, demand, cpuOnly); m != nil {
@@ -70,13 +70,13 @@
 // machine that preemption would empty at the lowest cost.
 func (b *Balancer) selectLoanMachine(owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) (empty *core.Machine, best core.PreemptionPlan) {
 	mayPreempt := !cpuOnly || demand.Stage != sched.NotAged
-	for _, m := range b.siblings.Agents.MachinesOf(owned.ID) {
-		reservedFor := b.siblings.Preemptor.ReservedFor(m)
+	for _, m := range b.deps.Agents.MachinesOf(owned.ID) {
+		reservedFor := b.deps.Preemptor.ReservedFor(m)
 		if reservedFor != "" && reservedFor != demand.Spec.Ref || !b.isLendable(m, owned, demand, cpuOnly) {
 			continue
 		}
 		if b.isEmpty(m) {
-			if demand.Spec.Demand().Fits(b.siblings.Scheduler.FreeCapacityOn(m, owned)) {
+			if demand.Spec.Demand().Fits(b.deps.Scheduler.FreeCapacityOn(m, owned)) {
 				return m, core.PreemptionPlan{}
 			}
 			continue
@@ -84,7 +84,7 @@
 		if !mayPreempt {
 			continue
 		}
-		plan := b.siblings.Preemptor.PlanPreemption(m, owned, demand.Spec, demand.Spec.Tasks, false)
+		plan := b.deps.Preemptor.PlanPreemption(m, owned, demand.Spec, demand.Spec.Tasks, false)
 		emptied := plan.Tasks > 0 && len(plan.Victims) == len(b.core.State.PlacementsOn(m.ID))
 		if emptied && (best.Machine == nil || plan.Cost < best.Cost) {
 			best = plan
@@ -105,7 +105,7 @@
 
 // isLendable reports whether a machine may be lent, in its present state, for a job with unmet demand.
 func (b *Balancer) isLendable(m *core.Machine, owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) bool {
-	return b.siblings.Scheduler.IsSchedulable(m, owned) && !m.CallInFlight &&
+	return b.deps.Scheduler.IsSchedulable(m, owned) && !m.CallInFlight &&
 		isInZoneOf(m, demand) &&
 		b.core.IsEligible(demand.Spec, cpuOnly, m.MachineType, m.Zone, m.Spot)
 }
@@ -119,14 +119,14 @@
 // partition.
 func (b *Balancer) reserveForLoan(owned *core.OwnedPartition, demand *message.UnmetDemand) {
 	var candidates []*core.Machine
-	for _, m := range b.siblings.Agents.MachinesOf(owned.ID) {
-		if b.siblings.Scheduler.IsSchedulable(m, owned) && isInZoneOf(m, demand) {
+	for _, m := range b.deps.Agents.MachinesOf(owned.ID) {
+		if b.deps.Scheduler.IsSchedulable(m, owned) && isInZoneOf(m, demand) {
 			candidates = append(candidates, m)
 		}
 	}
-	machines, views := b.siblings.Backfiller.ReservableMachines(owned, demand.Spec, candidates)
+	machines, views := b.deps.Backfiller.ReservableMachines(owned, demand.Spec, candidates)
 	if i, _ := backfill.SoonestEmpty(views, demand.Spec.Demand()); i >= 0 {
-		b.siblings.Backfiller.Reserve(owned, machines[i], demand.Spec.Ref, demand.Spec.Priority.Rank(), demand.Stage)
+		b.deps.Backfiller.Reserve(owned, machines[i], demand.Spec.Ref, demand.Spec.Priority.Rank(), demand.Stage)
 	}
 }
 
@@ -156,9 +156,9 @@
 			case 200:
 				b.core.Metrics.MachinesLoaned++
 				slog.Info("machine lent", "machine", id, "from", owned.ID, "to", borrower, "for", jobID)
-				b.siblings.Log.LinearizableRead(settle, retry)
+				b.deps.Log.LinearizableRead(settle, retry)
 			case 409:
-				b.siblings.Log.LinearizableRead(settle, retry)
+				b.deps.Log.LinearizableRead(settle, retry)
 			default:
 				retry()
 			}
--- a/controller/balance/move.go
+++ b/controller/balance/move.go
@@ -43,7 +43,7 @@
 	owned.NextMove = b.core.Now.Add(core.GossipInterval)
 	candidatesLeft := maxMoveCandidates
 	pending := owned.RotateAfterCursor(slices.Sorted(maps.Keys(b.core.State.PendingJobs)))
-	for _, jobID := range b.siblings.Priorities.SortByPriority(pending) {
+	for _, jobID := range b.deps.Priorities.SortByPriority(pending) {
 		j := b.core.State.PendingJobs[jobID]
 		if !b.isMovable(j) || j.PendingTasks(owned.ID) == 0 {
 			continue
@@ -65,7 +65,7 @@
 // isMovable reports whether a job may be moved now: its tasks may start, and it was not moved
 // recently.
 func (b *Balancer) isMovable(j *core.Job) bool {
-	if j.OwnerState.BackoffUntil > b.core.Now || b.siblings.Tenancy.StartsBlocked(j) {
+	if j.OwnerState.BackoffUntil > b.core.Now || b.deps.Tenancy.StartsBlocked(j) {
 		return false
 	}
 	movedAt := j.OwnerState.RebalancedAt
@@ -75,16 +75,16 @@
 // HasReservationFor reports whether a partition has reserved a machine for a job because it has been
 // pending for long.
 func (b *Balancer) HasReservationFor(owned *core.OwnedPartition, jobID api.JobID) bool {
-	return slices.ContainsFunc(b.siblings.Agents.MachinesOf(owned.ID), func(m *core.Machine) bool {
-		return m.Consolidated && b.siblings.Preemptor.ReservedFor(m) == jobID
+	return slices.ContainsFunc(b.deps.Agents.MachinesOf(owned.ID), func(m *core.Machine) bool {
+		return m.Consolidated && b.deps.Preemptor.ReservedFor(m) == jobID
 	})
 }
 
 // moveTargetFor chooses the partition to which a job's pending tasks should move, if any.
 func (b *Balancer) moveTargetFor(owned *core.OwnedPartition, j *core.Job) moveTarget {
-	stuck := j.OwnerState.Unplaceable && b.siblings.Backfiller.WaitStage(j, owned.ID) != sched.NotAged &&
+	stuck := j.OwnerState.Unplaceable && b.deps.Backfiller.WaitStage(j, owned.ID) != sched.NotAged &&
 		b.core.Now.Sub(j.OwnerState.RebalancedAt) > stuckMoveInterval
-	freeSlots := b.siblings.Capacity.FreeSlotsByPartition(j.Spec)
+	freeSlots := b.deps.Capacity.FreeSlotsByPartition(j.Spec)
 	if freeSlots[owned.ID] > 0 && j.Spec.Kind == api.Array {
 		return moveTarget{} // the next round can place tasks here
 	}
@@ -113,7 +113,7 @@
 		if partition == owned.ID {
 			continue
 		}
-		if spare := free - b.siblings.Capacity.PendingTasksIn(partition, j.Spec); spare > best.tasks {
+		if spare := free - b.deps.Capacity.PendingTasksIn(partition, j.Spec); spare > best.tasks {
 			best = moveTarget{partition, spare}
 		}
 	}
@@ -147,7 +147,7 @@
 // its own partition even if this were empty. There the job can wait for capacity or preempt tasks.
 func (b *Balancer) largestForWholeJob(owned *core.OwnedPartition, j *core.Job) moveTarget {
 	best := moveTarget{}
-	slots := b.siblings.Capacity.TotalSlotsByPartition(j.Spec)
+	slots := b.deps.Capacity.TotalSlotsByPartition(j.Spec)
 	if slots[owned.ID] >= j.Spec.Tasks {
 		return best
 	}
@@ -167,15 +167,15 @@
 	if len(b.core.Settings.Priority) == 0 {
 		return best
 	}
-	slots := b.siblings.Capacity.TotalSlotsByPartition(j.Spec)
+	slots := b.deps.Capacity.TotalSlotsByPartition(j.Spec)
 	waiting := j.PendingTasks(owned.ID)
-	waitingHere, slotsHere := float64(b.siblings.Capacity.PendingTasksIn(owned.ID, j.Spec)), float64(slots[owned.ID])
+	waitingHere, slotsHere := float64(b.deps.Capacity.PendingTasksIn(owned.ID, j.Spec)), float64(slots[owned.ID])
 	for i, count := range slots {
 		partition, slotsThere := api.PartitionID(i), float64(count)
 		if partition == owned.ID || count == 0 {
 			continue
 		}
-		waitingThere := float64(b.siblings.Capacity.PendingTasksIn(partition, j.Spec))
+		waitingThere := float64(b.deps.Capacity.PendingTasksIn(partition, j.Spec))
 		surplus := (waitingHere*slotsThere - waitingThere*slotsHere) / (slotsHere + slotsThere)
 		if int(surplus) > best.tasks && surplus > minRebalanceShare*waitingHere {
 			best = moveTarget{partition, min(waiting, int(surplus))}
@@ -186,7 +186,7 @@
 
 // nextWithCapacity returns the next partition, in order of ID, with machines that a job may use.
 func (b *Balancer) nextWithCapacity(owned *core.OwnedPartition, j *core.Job) moveTarget {
-	slots := b.siblings.Capacity.TotalSlotsByPartition(j.Spec)
+	slots := b.deps.Capacity.TotalSlotsByPartition(j.Spec)
 	for i := 1; i < len(slots); i++ {
 		if next := (int(owned.ID) + i) % len(slots); slots[next] > 0 {
 			return moveTarget{api.PartitionID(next), j.PendingTasks(owned.ID)}
@@ -221,7 +221,7 @@
 			b.core.Metrics.TaskMoves++
 		}
 		slog.Info("pending tasks moved", "job", jobID, "from", owned.ID, "to", target.partition, "max_tasks", target.tasks, "status", response.Status)
-		b.siblings.Log.LinearizableRead(settle, settle)
+		b.deps.Log.LinearizableRead(settle, settle)
 	})
 	return true
 }
--- a/controller/balance/quota.go
+++ b/controller/balance/quota.go
@@ -24,7 +24,7 @@
 		return nil
 	}
 	transfers := b.reservedQuotaTransfers(owned, remaining)
-	for _, status := range b.siblings.Gossip.OtherPartitionStatuses(owned) {
+	for _, status := range b.deps.Gossip.OtherPartitionStatuses(owned) {
 		if b.core.Now >= owned.NextQuotaTransfer[status.Part] {
 			transfers = append(transfers, b.idleQuotaTransfers(owned, &status, remaining)...)
 		}
--- a/controller/balance/transfer.go
+++ b/controller/balance/transfer.go
@@ -20,22 +20,22 @@
 
 // allSupportFormat reports whether every controller supports a record format.
 func (b *Balancer) allSupportFormat(format int) bool {
-	return !slices.ContainsFunc(b.core.Controllers, func(id api.ControllerID) bool { return b.siblings.Membership.Format(id) < format })
+	return !slices.ContainsFunc(b.core.Controllers, func(id api.ControllerID) bool { return b.deps.Membership.Format(id) < format })
 }
 
 // selectTransferMachine returns the machine of a partition with free capacity for the most tasks of a
 // job and, among equals, the fewest tasks of its own; nil if no machine can be lent with its tasks.
 func (b *Balancer) selectTransferMachine(owned *core.OwnedPartition, demand *message.UnmetDemand, cpuOnly bool) *core.Machine {
-	if !slices.Contains(demand.Lenders, owned.ID) || b.siblings.Scheduler.IsRecordRingFull(owned) || !b.allSupportFormat(clusterstate.FormatTransfers) {
+	if !slices.Contains(demand.Lenders, owned.ID) || b.deps.Scheduler.IsRecordRingFull(owned) || !b.allSupportFormat(clusterstate.FormatTransfers) {
 		return nil
 	}
 	var best *core.Machine
 	bestSlots := 0
-	for _, m := range b.siblings.Agents.MachinesOf(owned.ID) {
-		if b.siblings.Preemptor.ReservedFor(m) != "" || !b.isLendable(m, owned, demand, cpuOnly) || !b.IsTransferable(m, owned) {
+	for _, m := range b.deps.Agents.MachinesOf(owned.ID) {
+		if b.deps.Preemptor.ReservedFor(m) != "" || !b.isLendable(m, owned, demand, cpuOnly) || !b.IsTransferable(m, owned) {
 			continue
 		}
-		slots := min(demand.Spec.Demand().Slots(b.siblings.Scheduler.FreeCapacityOn(m, owned)), demand.Spec.Tasks)
+		slots := min(demand.Spec.Demand().Slots(b.deps.Scheduler.FreeCapacityOn(m, owned)), demand.Spec.Tasks)
 		fewerTasks := best != nil && slots == bestSlots && len(b.core.State.PlacementsOn(m.ID)) < len(b.core.State.PlacementsOn(best.ID))
 		if slots > bestSlots || fewerTasks {
 			best, bestSlots = m, slots
@@ -57,7 +57,7 @@
 		}
 		jobs[p.Job.ID] = true
 	}
-	return len(jobs) < b.siblings.Scheduler.RoundConditionBudget()
+	return len(jobs) < b.deps.Scheduler.RoundConditionBudget()
 }
 
 // isTransferableTask reports whether a task can change its partition: its machine has reported it, it
@@ -96,7 +96,7 @@
 	round.Record.QuotaTransfers = b.usedQuotaTransfers(borrower, used)
 	slog.Info("machine lent with running tasks", "machine", m.ID, "from", owned.ID, "to", borrower, "for", jobID, "tasks", len(placements))
 	b.core.Metrics.MachinesTransferred++
-	b.siblings.Scheduler.CommitRound(owned, round)
+	b.deps.Scheduler.CommitRound(owned, round)
 }
 
 // usedQuotaTransfers returns transfers of the quota that transferred tasks use, for teams with a limit.
@@ -114,10 +114,10 @@
 // AdoptMachine adds a machine that was lent to an owned partition with its tasks. The machine is called
 // as soon as its address is known, so that it receives the new fencing token and reports its tasks.
 func (b *Balancer) AdoptMachine(id api.MachineID) {
-	m := b.siblings.Agents.EnsureMachine(id)
+	m := b.deps.Agents.EnsureMachine(id)
 	m.DiscoveredAt, m.MissedCalls = b.core.Now, 0
-	if listed, ok := b.siblings.Autoscaler.ListedMachine(id); ok {
+	if listed, ok := b.deps.Autoscaler.ListedMachine(id); ok {
 		m.ApplyListing(listed)
 	}
-	b.siblings.Agents.ContactNow(m)
+	b.deps.Agents.ContactNow(m)
 }
--- a/controller/capacity/capacity.go
+++ b/controller/capacity/capacity.go
@@ -12,12 +12,12 @@
 
 // Counter counts capacity and pending demand.
 type Counter struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 }
 
-// Siblings are the other components that the Counter depends on.
-type Siblings struct {
+// Dependencies are the other components that the Counter depends on.
+type Dependencies struct {
 	Gossip     Gossip
 	Priorities Priorities
 	Tenants    Tenants
@@ -42,13 +42,13 @@
 func New(shared *core.Core) *Counter { return &Counter{core: shared} }
 
 // Connect sets the components that the Counter depends on.
-func (c *Counter) Connect(siblings Siblings) { c.siblings = siblings }
+func (c *Counter) Connect(deps Dependencies) { c.deps = deps }
 
 // FreeSlotsByPartition counts the tasks of a job that each partition could start now.
 func (c *Counter) FreeSlotsByPartition(spec *api.JobSpec) []int {
 	slots := make([]int, len(c.core.State.Partitions))
 	demand, cpuOnly := spec.Demand(), c.core.IsCPUOnly(spec)
-	c.siblings.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+	c.deps.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
 		if cpuOnly && class.Closed {
 			return
 		}
@@ -64,7 +64,7 @@
 func (c *Counter) TotalSlotsByPartition(spec *api.JobSpec) []int {
 	slots := make([]int, len(c.core.State.Partitions))
 	demand, cpuOnly := spec.Demand(), c.core.IsCPUOnly(spec)
-	c.siblings.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+	c.deps.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
 		machineType := c.core.MachineTypes[class.Type]
 		if class.Usable && machineType != nil && sched.Feasible(spec, class.Type, class.Zone, class.Spot) && !(cpuOnly && machineType.GPUs > 0) {
 			slots[p] += capacity.Count * demand.Slots(machineType.Capacity())
@@ -78,10 +78,10 @@
 // accelerators if the job needs some, nor, with priority rules, tasks of lower priority.
 func (c *Counter) PendingTasksIn(p api.PartitionID, spec *api.JobSpec) int {
 	count, demand := 0, spec.Demand()
-	hasRules, priority := len(c.core.Settings.Priority) > 0, c.siblings.Priorities.EffectivePriority(spec)
+	hasRules, priority := len(c.core.Settings.Priority) > 0, c.deps.Priorities.EffectivePriority(spec)
 	for _, j := range c.core.State.PendingJobs {
-		if demand.GPU > 0 && j.Demand.GPU == 0 || c.siblings.Tenants.StartsBlocked(j) ||
-			hasRules && c.siblings.Priorities.EffectivePriority(j.Spec) < priority {
+		if demand.GPU > 0 && j.Demand.GPU == 0 || c.deps.Tenants.StartsBlocked(j) ||
+			hasRules && c.deps.Priorities.EffectivePriority(j.Spec) < priority {
 			continue
 		}
 		pending := j.PendingTasks(p)
@@ -101,7 +101,7 @@
 func (c *Counter) FreeCapacityGroups() []core.FreeCapacityGroup {
 	var groups []core.FreeCapacityGroup
 	index := map[core.FreeCapacityGroup]int{}
-	c.siblings.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
+	c.deps.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
 		key := core.FreeCapacityGroup{Partition: p, Class: class, FreeCapacity: message.FreeCapacity{Free: capacity.Free}}
 		i, ok := index[key]
 		if !ok {
--- a/controller/eligibility/eligibility.go
+++ b/controller/eligibility/eligibility.go
@@ -11,12 +11,12 @@
 
 // Checker decides whether machines get new tasks.
 type Checker struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 }
 
-// Siblings are the other components that the checker depends on.
-type Siblings struct {
+// Dependencies are the other components that the checker depends on.
+type Dependencies struct {
 	Agents Agents
 	Health Health
 }
@@ -36,7 +36,7 @@
 func New(k *core.Core) *Checker { return &Checker{core: k} }
 
 // Connect sets the components that the checker depends on.
-func (e *Checker) Connect(s Siblings) { e.siblings = s }
+func (e *Checker) Connect(s Dependencies) { e.deps = s }
 
 // missedCallTimeout is the time since the last heartbeat after which a machine that missed a call counts as
 // unresponsive.
@@ -82,7 +82,7 @@
 		return core.ReasonUnresponsive
 	case m.SuspectSince != 0:
 		return core.ReasonSuspect
-	case e.siblings.Health.ZoneUnavailable(m.Zone) && sinceHeartbeat > e.core.Config.HeartbeatInterval()*5/4:
+	case e.deps.Health.ZoneUnavailable(m.Zone) && sinceHeartbeat > e.core.Config.HeartbeatInterval()*5/4:
 		return core.ReasonZoneUnavailable
 	case e.outboundCutOff(m, owned):
 		return core.ReasonOutboundCutOff
@@ -101,6 +101,6 @@
 // outboundCutOff reports whether a machine has sent no heartbeat of its own for the heartbeat timeout, also if it
 // answers calls. Its lease is then not renewed, and its tasks end when the lease expires.
 func (e *Checker) outboundCutOff(m *core.Machine, owned *core.OwnedPartition) bool {
-	since := max(m.LeaseRenewedAt, m.FirstHeartbeat, m.DiscoveredAt, owned.OwnedSince, e.siblings.Agents.LoanKnownAt(m.ID))
+	since := max(m.LeaseRenewedAt, m.FirstHeartbeat, m.DiscoveredAt, owned.OwnedSince, e.deps.Agents.LoanKnownAt(m.ID))
 	return e.core.Now.Sub(since) >= e.heartbeatTimeout()
 }
--- a/controller/gossip/capacity.go
+++ b/controller/gossip/capacity.go
@@ -17,7 +17,7 @@
 func (x *Exchange) EachFreeCapacity(visit func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity)) {
 	for _, p := range slices.Sorted(maps.Keys(x.core.Partitions)) {
 		owned := x.core.Partitions[p]
-		for _, m := range x.siblings.Agents.MachinesOf(p) {
+		for _, m := range x.deps.Agents.MachinesOf(p) {
 			if m.LastHeartbeat != 0 && !m.Deleting {
 				class, capacity := x.describeMachine(m, owned)
 				visit(p, class, capacity)
@@ -41,7 +41,7 @@
 func (x *Exchange) describeMachine(m *core.Machine, owned *core.OwnedPartition) (message.MachineClass, message.FreeCapacity) {
 	class, capacity := x.classOf(m, owned), message.FreeCapacity{Count: 1}
 	if class.Usable {
-		capacity.Free = x.siblings.Scheduler.FreeCapacityOn(m, owned)
+		capacity.Free = x.deps.Scheduler.FreeCapacityOn(m, owned)
 		capacity.Could = x.withPreemptibleFreed(m.ID, capacity.Free)
 	}
 	return class, capacity
@@ -58,8 +58,8 @@
 // classOf returns the class of a machine. A machine that has not reported the owner's token yet is
 // usable, since it will do so shortly; a machine that is reserved for consolidation is not.
 func (x *Exchange) classOf(m *core.Machine, owned *core.OwnedPartition) message.MachineClass {
-	reason := x.siblings.Eligibility.UnschedulableReason(m, owned)
-	reserved := m.Consolidated && x.siblings.Preemptor.ReservedFor(m) != ""
+	reason := x.deps.Eligibility.UnschedulableReason(m, owned)
+	reserved := m.Consolidated && x.deps.Preemptor.ReservedFor(m) != ""
 	schedulable := reason == core.Schedulable || reason == core.ReasonTokenNotAnnounced
 	return message.MachineClass{
 		Type: m.MachineType, Zone: m.Zone, Spot: m.Spot,
@@ -70,13 +70,13 @@
 // PreemptibleCapacity returns a machine's free capacity if all preemptible tasks that rank below
 // core.PreemptorRank were preempted.
 func (x *Exchange) PreemptibleCapacity(m *core.Machine, owned *core.OwnedPartition) api.Resources {
-	return x.withPreemptibleFreed(m.ID, x.siblings.Scheduler.FreeCapacityOn(m, owned))
+	return x.withPreemptibleFreed(m.ID, x.deps.Scheduler.FreeCapacityOn(m, owned))
 }
 
 func (x *Exchange) withPreemptibleFreed(id api.MachineID, free api.Resources) api.Resources {
 	capacity := free
 	for _, p := range x.core.State.PlacementsOn(id) {
-		if !p.Finishing && p.Job.Spec.Kind != api.Gang && p.Job.Spec.Priority.Rank() < core.PreemptorRank && x.siblings.Health.IsPreemptible(p) {
+		if !p.Finishing && p.Job.Spec.Kind != api.Gang && p.Job.Spec.Priority.Rank() < core.PreemptorRank && x.deps.Health.IsPreemptible(p) {
 			capacity = capacity.Plus(p.Job.Demand)
 		}
 	}
@@ -92,9 +92,9 @@
 	if !slices.Contains(reported, false) {
 		return
 	}
-	for _, id := range x.siblings.Inventory.ListedMachineIDs() {
-		listed, ok := x.siblings.Inventory.ListedMachine(id)
-		if !ok || listed.State != api.MachineRunning || x.core.MachineTypes[listed.Type] == nil || x.siblings.Inventory.IsDeleted(id) {
+	for _, id := range x.deps.Inventory.ListedMachineIDs() {
+		listed, ok := x.deps.Inventory.ListedMachine(id)
+		if !ok || listed.State != api.MachineRunning || x.core.MachineTypes[listed.Type] == nil || x.deps.Inventory.IsDeleted(id) {
 			continue
 		}
 		p := x.core.PartitionOf(id)
--- a/controller/gossip/siblings.go
+++ b/controller/gossip/dependencies.go
@@ -8,8 +8,8 @@
 	"basaltwall/zonehealth"
 )
 
-// Siblings holds the other components that an Exchange calls.
-type Siblings struct {
+// Dependencies holds the other components that an Exchange calls.
+type Dependencies struct {
 	Log         Log
 	Agents      Agents
 	Inventory   Inventory
--- a/controller/gossip/exchange.go
+++ b/controller/gossip/exchange.go
@@ -27,8 +27,8 @@
 
 // Exchange sends this controller's gossip and stores the latest gossip of each peer.
 type Exchange struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	peers      map[api.ControllerID]*peer
 	nextSendAt api.Time
@@ -60,7 +60,7 @@
 }
 
 // Connect sets the components that the exchange calls.
-func (x *Exchange) Connect(siblings Siblings) { x.siblings = siblings }
+func (x *Exchange) Connect(deps Dependencies) { x.deps = deps }
 
 // AddPeer adds a peer, whose gossip is accepted from then on.
 func (x *Exchange) AddPeer(id api.ControllerID) { x.peers[id] = &peer{} }
@@ -103,7 +103,7 @@
 	p.gossip.Passed = nil
 	for _, scaleOut := range g.Rented {
 		for _, id := range scaleOut.Machines {
-			x.siblings.Inventory.NoteProvisioned(id, scaleOut.Type, scaleOut.Zone, scaleOut.Spot)
+			x.deps.Inventory.NoteProvisioned(id, scaleOut.Type, scaleOut.Zone, scaleOut.Spot)
 		}
 	}
 	for _, status := range g.Parts {
--- a/controller/gossip/send.go
+++ b/controller/gossip/send.go
@@ -24,9 +24,9 @@
 	}
 	previouslySentAt := x.lastSentAt
 	x.nextSendAt, x.lastSentAt = x.core.Now.Add(core.GossipInterval), x.core.Now
-	x.siblings.Agents.ExpireRedirects()
+	x.deps.Agents.ExpireRedirects()
 	own := x.ownGossip()
-	if x.siblings.Log.UsesRelays() {
+	if x.deps.Log.UsesRelays() {
 		x.sendThroughRelays(own, previouslySentAt)
 	} else {
 		x.sendTo(x.Peers(), own)
@@ -46,7 +46,7 @@
 		x.recordDemand(p, owned.QuotaDemand)
 	}
 	if x.core.Partitions[0] != nil { // the owner of partition 0 scales out the whole cluster
-		own.Rented = x.siblings.Inventory.ProvisionedNotListed()
+		own.Rented = x.deps.Inventory.ProvisionedNotListed()
 	}
 	return own
 }
@@ -55,7 +55,7 @@
 // relay sends it to one. A relay sends it to the other relays together with the gossip that its clients
 // have sent since its last gossip, and to its clients together with all gossip received since then.
 func (x *Exchange) sendThroughRelays(own *message.Gossip, since api.Time) {
-	relays := x.siblings.Log.CurrentRelays()
+	relays := x.deps.Log.CurrentRelays()
 	if !relay.Contains(relays, x.core.Config.Label) {
 		x.sendToRelay(own)
 		return
@@ -84,7 +84,7 @@
 // sendToRelay sends gossip to this controller's relay, or to all peers if no relay is available.
 func (x *Exchange) sendToRelay(own *message.Gossip) {
 	targets := x.Peers()
-	if via := x.siblings.Log.NextRelay(); via != "" {
+	if via := x.deps.Log.NextRelay(); via != "" {
 		targets = []api.ControllerID{via}
 	}
 	x.sendTo(targets, own)
@@ -105,7 +105,7 @@
 // and those that are not known to be live, since it is unknown which relay they use.
 func (x *Exchange) ownClients(relays []relay.Member, nonRelays []api.ControllerID) []api.ControllerID {
 	return slices.DeleteFunc(nonRelays, func(id api.ControllerID) bool {
-		member := relay.Member{ID: id, Zone: x.siblings.Log.ZoneOfController(id)}
+		member := relay.Member{ID: id, Zone: x.deps.Log.ZoneOfController(id)}
 		prefersSelf := relay.PreferenceOrder(member, relays)[0] == x.core.Config.Label
 		usesSelf := x.peers[id].receivedDirectly && x.peers[id].recent(x.core.Now)
 		return x.core.IsLive(id) && !prefersSelf && !usesSelf
@@ -122,8 +122,8 @@
 		p.sendInFlight = true
 		x.core.CallPeer(id, core.PeerTimeout, message.PeerMessage{Gossip: g}, func(response message.PeerResponse) {
 			p.sendInFlight = false
-			if !response.OK && x.siblings.Log.UsesRelays() {
-				x.siblings.Log.MarkRelayFailed(id)
+			if !response.OK && x.deps.Log.UsesRelays() {
+				x.deps.Log.MarkRelayFailed(id)
 			}
 		})
 	}
--- a/controller/gossip/status.go
+++ b/controller/gossip/status.go
@@ -30,10 +30,10 @@
 	status.Short = slices.Sorted(maps.Keys(owned.ShortTypes))
 	status.Spare = x.core.RemainingQuota(owned.ID)
 	status.Waiting = owned.PendingTaskCount
-	status.Accelerated = x.siblings.Autoscaler.CountAccelerators(owned.ID)
-	status.Zones = x.siblings.Health.SilentByZone(owned)
+	status.Accelerated = x.deps.Autoscaler.CountAccelerators(owned.ID)
+	status.Zones = x.deps.Health.SilentByZone(owned)
 	summary := machineSummary{status: &status, classes: map[message.MachineClass]int{}, capacities: map[message.FreeCapacity]int{}}
-	for _, m := range x.siblings.Agents.MachinesOf(owned.ID) {
+	for _, m := range x.deps.Agents.MachinesOf(owned.ID) {
 		if m.LastHeartbeat == 0 || m.Deleting {
 			continue
 		}
--- a/controller/health/siblings.go
+++ b/controller/health/dependencies.go
@@ -8,8 +8,8 @@
 	"basaltwall/controller/message"
 )
 
-// Siblings holds the other components that the monitor calls.
-type Siblings struct {
+// Dependencies holds the other components that the monitor calls.
+type Dependencies struct {
 	Agents     Agents
 	Autoscaler Autoscaler
 	Follower   Follower
--- a/controller/health/evacuation.go
+++ b/controller/health/evacuation.go
@@ -60,8 +60,8 @@
 // evacuatePartition plans the evacuation of a partition's lost machines and schedules their deletion.
 // No plan is made while deletions are not possible, since machines may recover until then.
 func (mon *Monitor) evacuatePartition(owned *core.OwnedPartition) {
-	maxMachines := core.MaxDeletionBatch - mon.siblings.Autoscaler.PendingDeletionCount()
-	if maxMachines <= 0 || mon.siblings.Autoscaler.DeletionsBackingOff() {
+	maxMachines := core.MaxDeletionBatch - mon.deps.Autoscaler.PendingDeletionCount()
+	if maxMachines <= 0 || mon.deps.Autoscaler.DeletionsBackingOff() {
 		return
 	}
 	lost := mon.lostMachines(owned)
@@ -72,7 +72,7 @@
 		m := lost[evacuation.Machine]
 		slog.Debug("machine evacuated with its zone", "machine", m.ID, "zone", m.Zone,
 			"tasks", len(mon.core.State.PlacementsOn(m.ID)), "placeable", len(evacuation.Placements))
-		mon.siblings.Autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonZoneLost)
+		mon.deps.Autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonZoneLost)
 	}
 }
 
@@ -80,7 +80,7 @@
 // before their deletion.
 func (mon *Monitor) lostMachines(owned *core.OwnedPartition) map[api.MachineID]*core.Machine {
 	lost := map[api.MachineID]*core.Machine{}
-	for _, m := range mon.siblings.Agents.MachinesOf(owned.ID) {
+	for _, m := range mon.deps.Agents.MachinesOf(owned.ID) {
 		if m.Deleting || mon.records[m.Zone].State != zonehealth.Failed || mon.core.MachineTypes[m.MachineType] == nil {
 			continue
 		}
--- a/controller/health/evacuationinput.go
+++ b/controller/health/evacuationinput.go
@@ -45,7 +45,7 @@
 			Excluded:       mon.isExcluded,
 		},
 	}
-	for _, m := range mon.siblings.Agents.MachinesOf(owned.ID) {
+	for _, m := range mon.deps.Agents.MachinesOf(owned.ID) {
 		b.addMachine(m)
 	}
 	b.addOtherPartitions()
@@ -94,13 +94,13 @@
 				b.input.PendingTasks = append(b.input.PendingTasks, b.task(p.Job, p.Task.Index, 0))
 			}
 		}
-	case mon.siblings.Scheduler.IsSchedulable(m, b.owned) && mon.siblings.Preemptor.ReservedFor(m) == "":
+	case mon.deps.Scheduler.IsSchedulable(m, b.owned) && mon.deps.Preemptor.ReservedFor(m) == "":
 		b.input.FreeCapacity = append(b.input.FreeCapacity, zonehealth.FreeCapacity{
 			Type:                m.MachineType,
 			Zone:                m.Zone,
 			Spot:                m.Spot,
-			Free:                mon.siblings.Scheduler.FreeCapacityOn(m, b.owned),
-			FreeAfterPreemption: mon.siblings.Gossiper.PreemptibleCapacity(m, b.owned),
+			Free:                mon.deps.Scheduler.FreeCapacityOn(m, b.owned),
+			FreeAfterPreemption: mon.deps.Gossiper.PreemptibleCapacity(m, b.owned),
 			Count:               1,
 			HasImage: func(img api.Image) bool {
 				_, cached := m.CachedImages[img]
@@ -134,7 +134,7 @@
 // share of it.
 func (b *inputBuilder) addOtherPartitions() {
 	partitions := len(b.mon.core.State.Partitions)
-	b.mon.siblings.Gossiper.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, free message.FreeCapacity) {
+	b.mon.deps.Gossiper.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, free message.FreeCapacity) {
 		typ := b.mon.core.MachineTypes[class.Type]
 		if p == b.owned.ID || !class.Usable || class.Closed || typ == nil {
 			return
@@ -158,7 +158,7 @@
 	budget := maxPendingInPlan
 	for _, id := range slices.Sorted(maps.Keys(b.mon.core.State.PendingJobs)) {
 		j := b.mon.core.State.PendingJobs[id]
-		if b.mon.siblings.Tenancy.StartsBlocked(j) {
+		if b.mon.deps.Tenancy.StartsBlocked(j) {
 			continue
 		}
 		for i := range min(j.PendingTasks(b.owned.ID), budget) {
@@ -178,7 +178,7 @@
 		WithinGuarantee:  mon.core.IsWithinGuarantee(j, b.teamUsage),
 		RunningElsewhere: len(j.Placements) - j.FinishingCount - b.unreachable[j.ID],
 		SlackSeconds:     mon.deadlineSlack(j),
-		PriorityBoost:    mon.siblings.Priorities.PriorityBoost(j.Spec),
+		PriorityBoost:    mon.deps.Priorities.PriorityBoost(j.Spec),
 	}
 	if runningSince != 0 && j.Spec.Kind != api.Service {
 		task.LostWorkSeconds = mon.core.Now.Sub(runningSince).Seconds()
@@ -198,7 +198,7 @@
 	placed := map[api.Zone]int{}
 	b.input.PlacedByZone[j.ID] = placed
 	for _, p := range j.Placements {
-		zone := b.mon.siblings.Scheduler.MachineZone(p.Machine)
+		zone := b.mon.deps.Scheduler.MachineZone(p.Machine)
 		if zone != "" && !p.Finishing && b.lost[p.Machine] == nil {
 			placed[zone]++
 		}
--- a/controller/health/floors.go
+++ b/controller/health/floors.go
@@ -115,7 +115,7 @@
 		teams:          map[api.Team]zonehealth.Usage{},
 		maxUsable:      map[api.Class]float64{},
 	}
-	mon.siblings.Gossiper.EachFreeCapacity(func(_ api.PartitionID, class message.MachineClass, free message.FreeCapacity) {
+	mon.deps.Gossiper.EachFreeCapacity(func(_ api.PartitionID, class message.MachineClass, free message.FreeCapacity) {
 		if typ := mon.core.MachineTypes[class.Type]; typ != nil && class.Usable {
 			u.capacity += typ.CPUs * float64(free.Count)
 			u.machineCounts[class] += free.Count
@@ -146,12 +146,12 @@
 	usable := u.usableCPUs(j.Spec)
 	u.maxUsable[j.Spec.Class] = max(u.maxUsable[j.Spec.Class], usable)
 	pending := 0
-	if !u.mon.siblings.Tenancy.StartsBlocked(j) && usable > 0 && u.mayStart(j) {
+	if !u.mon.deps.Tenancy.StartsBlocked(j) && usable > 0 && u.mayStart(j) {
 		pending = lost + u.reserveQuota(j, running, lost)
 	}
 	cpus := j.Demand.CPU.Float()
 	held, demand := cpus*float64(running), cpus*float64(running+pending)
-	floorShare := u.mon.siblings.Priorities.FairShareFloor(j.Spec)
+	floorShare := u.mon.deps.Priorities.FairShareFloor(j.Spec)
 	starving := pending > 0 && zonehealth.Starving(u.mon.sinceWallClock(j.AcceptedAt))
 	noFloor := !u.zoneFailed && floorShare == 0 && !starving
 	addUsage(u.classes, j.Spec.Class, zonehealth.Usage{Allocated: held, Demand: demand, NoFloor: noFloor, FloorShare: floorShare})
--- a/controller/health/liveness.go
+++ b/controller/health/liveness.go
@@ -46,7 +46,7 @@
 		// Applies also if the network is probably at fault, since a controller that is partitioned from
 		// this one may renew the machine's lease. Waiting for minMissedCalls could exceed the
 		// cancellation timeout if many machines are unreachable.
-		mon.siblings.Autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonCancelled)
+		mon.deps.Autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonCancelled)
 		return
 	}
 	if mon.mayRecover(m, unreachable) || mon.tooFewCalls(m, owned) {
@@ -58,7 +58,7 @@
 	if mon.recentlyUnreachable(mon.controllerIsolated(), allZones) && unreachable < isolatedControllerLeases*mon.core.Config.WorkerLease() {
 		return
 	}
-	mon.siblings.Autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonUnreachable)
+	mon.deps.Autoscaler.ScheduleDeletion(m, owned, core.DeletionReasonUnreachable)
 }
 
 // livenessTimeout returns the time without a heartbeat after which a machine's liveness is checked.
@@ -93,7 +93,7 @@
 	if m.Address != "" {
 		return m.MissedCalls < minMissedCalls
 	}
-	listedAt := mon.siblings.Autoscaler.ListedAt()
+	listedAt := mon.deps.Autoscaler.ListedAt()
 	listLag := api.Seconds(mon.core.Config.Deployment.Cloud.ListLag)
 	return listedAt == 0 || listedAt.Sub(owned.OwnedSince) < 2*listLag
 }
--- a/controller/health/monitor.go
+++ b/controller/health/monitor.go
@@ -17,8 +17,8 @@
 	// Floors limits the preemption of the tasks of a class or team, and the capacity that they may use.
 	Floors Floors
 
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	records             map[api.Zone]zonehealth.Record
 	recordWriteInFlight bool
@@ -50,4 +50,4 @@
 }
 
 // Connect sets the components that the monitor calls.
-func (mon *Monitor) Connect(siblings Siblings) { mon.siblings = siblings }
+func (mon *Monitor) Connect(deps Dependencies) { mon.deps = deps }
--- a/controller/health/observation.go
+++ b/controller/health/observation.go
@@ -28,9 +28,9 @@
 		mergeCounts(mon.localObservation, mon.SilentByZone(mon.core.Partitions[p]))
 	}
 	allObservations := []zonehealth.Observation{mon.localObservation}
-	for _, peer := range mon.siblings.Gossiper.Peers() {
+	for _, peer := range mon.deps.Gossiper.Peers() {
 		observation := zonehealth.Observation{}
-		for _, status := range mon.siblings.Gossiper.PartitionStatusesOf(peer) {
+		for _, status := range mon.deps.Gossiper.PartitionStatusesOf(peer) {
 			mergeCounts(observation, status.Zones)
 		}
 		allObservations = append(allObservations, observation)
@@ -57,7 +57,7 @@
 // out.
 func (mon *Monitor) SilentByZone(owned *core.OwnedPartition) map[api.Zone]zonehealth.MachineCount {
 	counts := map[api.Zone]zonehealth.MachineCount{}
-	for _, m := range mon.siblings.Agents.MachinesOf(owned.ID) {
+	for _, m := range mon.deps.Agents.MachinesOf(owned.ID) {
 		if !mon.isEvidence(m) {
 			continue
 		}
@@ -88,7 +88,7 @@
 // mayBeBooting reports whether a machine that has never sent a heartbeat may still be booting: the
 // cloud does not list it as running, and it has no placements.
 func (mon *Monitor) mayBeBooting(m *core.Machine) bool {
-	return !mon.siblings.Autoscaler.IsListedRunning(m) && len(mon.core.State.PlacementsOn(m.ID)) == 0
+	return !mon.deps.Autoscaler.IsListedRunning(m) && len(mon.core.State.PlacementsOn(m.ID)) == 0
 }
 
 // isUnreachable reports whether a machine is unreachable for this controller. A machine with unanswered
--- a/controller/health/record.go
+++ b/controller/health/record.go
@@ -102,7 +102,7 @@
 
 // observeControllers records when peers lost their membership.
 func (mon *Monitor) observeControllers() {
-	for _, peer := range mon.siblings.Gossiper.Peers() {
+	for _, peer := range mon.deps.Gossiper.Peers() {
 		if mon.core.IsLive(peer) {
 			delete(mon.controllerLostAt, peer)
 		} else if mon.controllerLostAt[peer] == 0 {
@@ -155,7 +155,7 @@
 				"heartbeat_age_s", float64(record.Since-max(previous.LastHeartbeat, record.LastHeartbeat))/1000,
 				"partitions_inside", len(record.PartitionsInside))
 		}
-		mon.siblings.Follower.LinearizableRead(finish, finish)
+		mon.deps.Follower.LinearizableRead(finish, finish)
 	})
 	return true
 }
--- a/controller/health/replacement.go
+++ b/controller/health/replacement.go
@@ -36,13 +36,13 @@
 // unneeded one.
 func (mon *Monitor) countUnreachableTasks() {
 	counter := &lossCounter{replacements: map[api.JobID]int{}, unreachable: map[api.JobID]int{}}
-	mon.siblings.Gossiper.EachFreeCapacity(func(_ api.PartitionID, class message.MachineClass, free message.FreeCapacity) {
+	mon.deps.Gossiper.EachFreeCapacity(func(_ api.PartitionID, class message.MachineClass, free message.FreeCapacity) {
 		if class.Usable {
 			counter.preemptible += free.Could.CPU * api.Quantity(free.Count)
 		}
 	})
-	for _, id := range mon.siblings.Autoscaler.ListedMachineIDs() {
-		instance, _ := mon.siblings.Autoscaler.ListedMachine(id)
+	for _, id := range mon.deps.Autoscaler.ListedMachineIDs() {
+		instance, _ := mon.deps.Autoscaler.ListedMachine(id)
 		if mon.records[instance.Zone].State == zonehealth.Failed && !mon.deletingOrReachable(id) {
 			mon.countLostMachine(counter, id, instance)
 		}
--- a/controller/jobs/cancel.go
+++ b/controller/jobs/cancel.go
@@ -31,8 +31,8 @@
 
 // Cancel cancels a job for a user.
 func (s *Service) Cancel(c message.Cancel) {
-	if s.siblings.Tenants.Enabled() {
-		s.siblings.Tenants.CancelHosted(c)
+	if s.deps.Tenants.Enabled() {
+		s.deps.Tenants.CancelHosted(c)
 		return
 	}
 	id := api.JobID(c.Ref)
--- a/controller/jobs/forward.go
+++ b/controller/jobs/forward.go
@@ -24,7 +24,7 @@
 // ForwardTargets returns the peers that reach the state service. It rotates them, so that a retry
 // of a request does not go to the same slow peer again.
 func (s *Service) ForwardTargets() []api.ControllerID {
-	peers := s.siblings.Gossip.PeersThatReachStore()
+	peers := s.deps.Gossip.PeersThatReachStore()
 	if len(peers) == 0 {
 		return peers
 	}
--- a/controller/jobs/jobadmin.go
+++ b/controller/jobs/jobadmin.go
@@ -30,5 +30,5 @@
 		s.core.ReplyError(c.Req, 404, "no such job, or it has ended")
 		return
 	}
-	s.core.Reply(c.Req, 200, s.ViewJob(j, s.siblings.Capacity.FreeCapacityGroups()), 0)
+	s.core.Reply(c.Req, 200, s.ViewJob(j, s.deps.Capacity.FreeCapacityGroups()), 0)
 }
--- a/controller/jobs/listing.go
+++ b/controller/jobs/listing.go
@@ -56,7 +56,7 @@
 	slices.SortFunc(entries, func(a, b entry) int {
 		return cmp.Or(cmp.Compare(b.tardiness, a.tardiness), cmp.Compare(a.job.AcceptedAt, b.job.AcceptedAt), cmp.Compare(a.job.ID, b.job.ID))
 	})
-	capacityGroups := s.siblings.Capacity.FreeCapacityGroups()
+	capacityGroups := s.deps.Capacity.FreeCapacityGroups()
 	for _, e := range entries[:min(limit, len(entries))] {
 		listing.Jobs = append(listing.Jobs, s.ViewJob(e.job, capacityGroups))
 	}
--- a/controller/jobs/longpending.go
+++ b/controller/jobs/longpending.go
@@ -19,7 +19,7 @@
 // LongPendingJobs counts, by category of the pending reason, the jobs that have been pending in an owned partition
 // for at least longPendingThreshold without a placement there.
 func (s *Service) LongPendingJobs() map[string]int {
-	counts, capacityGroups, budget := map[string]int{}, s.siblings.Capacity.FreeCapacityGroups(), maxLongPendingJobs
+	counts, capacityGroups, budget := map[string]int{}, s.deps.Capacity.FreeCapacityGroups(), maxLongPendingJobs
 	for _, ref := range slices.Sorted(maps.Keys(s.core.State.PendingJobs)) {
 		j := s.core.State.PendingJobs[ref]
 		waited := time.Duration(s.core.WallClock-j.AcceptedAt) * time.Millisecond
--- a/controller/jobs/query.go
+++ b/controller/jobs/query.go
@@ -37,7 +37,7 @@
 
 // LookupJob finds a job by a linearizable read.
 func (s *Service) LookupJob(id api.JobID, found func(api.JobStatus), notFound, fail func()) {
-	s.siblings.Log.LinearizableRead(func() { s.FindJob(id, found, notFound, fail) }, fail)
+	s.deps.Log.LinearizableRead(func() { s.FindJob(id, found, notFound, fail) }, fail)
 }
 
 // FindJob finds a job in the cluster state, which must be current, or by its stored result.
@@ -51,8 +51,8 @@
 
 // Poll answers a query for a job's status.
 func (s *Service) Poll(c message.Poll) {
-	if s.siblings.Tenants.Enabled() {
-		s.siblings.Tenants.PollHosted(c)
+	if s.deps.Tenants.Enabled() {
+		s.deps.Tenants.PollHosted(c)
 		return
 	}
 	id := api.JobID(c.Ref)
--- a/controller/jobs/service.go
+++ b/controller/jobs/service.go
@@ -15,8 +15,8 @@
 
 // Service serves requests about jobs.
 type Service struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	lookups              resultLookups
 	pendingCancellations []pendingCancellation
@@ -25,8 +25,8 @@
 	submitTokensAt       api.Time
 }
 
-// Siblings are the other components that the Service calls.
-type Siblings struct {
+// Dependencies are the other components that the Service calls.
+type Dependencies struct {
 	Agents       Agents
 	Balancer     Balancer
 	Capacity     Capacity
@@ -98,7 +98,7 @@
 }
 
 // Connect sets the components that the Service calls.
-func (s *Service) Connect(siblings Siblings) { s.siblings = siblings }
+func (s *Service) Connect(deps Dependencies) { s.deps = deps }
 
 // Ready answers a readiness probe. A controller that has loaded the state stays ready while the
 // state service is unreachable: it can forward requests to a peer, and an outage must not leave the
--- a/controller/jobs/service_test.go
+++ b/controller/jobs/service_test.go
@@ -41,6 +41,6 @@
 	shared.Teams = map[api.Team]config.Team{"red": {Name: "red"}}
 	shared.AddMachineTypes([]api.MachineType{{Name: "c8", CPUs: 8, MemGB: 32, Zones: []api.Zone{"a", "b"}}})
 	service := New(shared)
-	service.Connect(Siblings{Capacity: noCapacity{}, Pools: noPools{}, Priorities: noPriorityRules{}, Reservations: idleLedger{}})
+	service.Connect(Dependencies{Capacity: noCapacity{}, Pools: noPools{}, Priorities: noPriorityRules{}, Reservations: idleLedger{}})
 	return service
 }
--- a/controller/jobs/split.go
+++ b/controller/jobs/split.go
@@ -15,10 +15,10 @@
 // capacity, less that needed by pending tasks. All tasks go to one partition if the job requires
 // it.
 func (s *Service) SplitAcrossPartitions(spec *api.JobSpec) []clusterstate.TaskRange {
-	freeSlots := s.siblings.Capacity.FreeSlotsByPartition(spec)
+	freeSlots := s.deps.Capacity.FreeSlotsByPartition(spec)
 	weights := make([]float64, len(s.core.State.Partitions))
 	for i := range weights {
-		weights[i] = float64(freeSlots[i]) - float64(s.siblings.Capacity.PendingTasksIn(api.PartitionID(i), spec))
+		weights[i] = float64(freeSlots[i]) - float64(s.deps.Capacity.PendingTasksIn(api.PartitionID(i), spec))
 	}
 	switch {
 	case spec.NeedsSinglePartition():
@@ -32,13 +32,13 @@
 // partitionFor selects the partition of a job that needs a single one: preferably with free
 // capacity for all tasks, otherwise with capacity after preemptions.
 func (s *Service) partitionFor(spec *api.JobSpec, weights []float64, freeSlots []int) api.PartitionID {
-	fitting, afterPreemption := s.siblings.Balancer.PartitionsWithCapacity(spec)
+	fitting, afterPreemption := s.deps.Balancer.PartitionsWithCapacity(spec)
 	if len(fitting) == 0 {
 		fitting = afterPreemption
 	}
 	if len(fitting) == 0 {
 		// The job has to wait or to preempt: prefer partitions with suitable machines.
-		for i, total := range s.siblings.Capacity.TotalSlotsByPartition(spec) {
+		for i, total := range s.deps.Capacity.TotalSlotsByPartition(spec) {
 			weights[i] += float64(total) - float64(freeSlots[i])
 		}
 	}
--- a/controller/jobs/submit.go
+++ b/controller/jobs/submit.go
@@ -20,8 +20,8 @@
 // Submit accepts or refuses a job. It is idempotent: a job that was accepted earlier is refused
 // only for a malformed request, even if machine types or limits have changed since.
 func (s *Service) Submit(c message.Submit) {
-	if s.siblings.Tenants.Enabled() {
-		s.siblings.Tenants.SubmitHosted(c, hostedSubmitTries)
+	if s.deps.Tenants.Enabled() {
+		s.deps.Tenants.SubmitHosted(c, hostedSubmitTries)
 		return
 	}
 	spec, err := api.ParseJob(c.Body)
@@ -42,7 +42,7 @@
 		s.LookupJob(spec.Ref, sub.replyKnown, sub.forward, sub.forward)
 		return
 	}
-	if reason := cmp.Or(s.InfeasibleReason(spec), s.siblings.Pools.CheckPoolNeeds(spec, "")); reason != "" {
+	if reason := cmp.Or(s.InfeasibleReason(spec), s.deps.Pools.CheckPoolNeeds(spec, "")); reason != "" {
 		sub.refuse(api.StatusUnprocessableEntity, reason)
 		return
 	}
@@ -104,7 +104,7 @@
 	case api.StatusOK:
 		s.core.Reply(sub.request.Req, api.StatusCreated, api.JobStatus{JobID: id, State: api.JobPending}, 0)
 		slog.Info(core.LogJobAccepted, "job", id, core.SpecAttr(sub.spec))
-		s.siblings.Log.LinearizableRead(func() {}, func() {}) // reads the job's record, so that its first round comes soon
+		s.deps.Log.LinearizableRead(func() {}, func() {}) // reads the job's record, so that its first round comes soon
 	case api.StatusConflict:
 		s.LookupJob(id, sub.replyKnown, sub.forward, sub.forward)
 	case api.StatusTooManyRequests: // the state service would refuse a peer too
--- a/controller/logfollow/follower.go
+++ b/controller/logfollow/follower.go
@@ -23,8 +23,8 @@
 	// controllers together stay within the store's limit on requests.
 	NextReadAt api.Time
 
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	loading    bool
 	nextLoadAt api.Time
@@ -45,8 +45,8 @@
 	subscribers   []subscriber
 }
 
-// Siblings holds the other components that a Follower calls.
-type Siblings struct {
+// Dependencies holds the other components that a Follower calls.
+type Dependencies struct {
 	State     StateFactory
 	Ownership Ownership
 }
@@ -74,7 +74,7 @@
 func New(shared *core.Core) *Follower { return &Follower{core: shared} }
 
 // Connect sets the components that the follower calls.
-func (f *Follower) Connect(siblings Siblings) { f.siblings = siblings }
+func (f *Follower) Connect(deps Dependencies) { f.deps = deps }
 
 // readRequestWindow is the time after the latest request for a linearizable read during which the
 // follower continues periodic reads instead of a watch.
--- a/controller/logfollow/load.go
+++ b/controller/logfollow/load.go
@@ -22,7 +22,7 @@
 		f.resumeLoad()
 		return
 	}
-	f.core.State = f.siblings.State.NewState()
+	f.core.State = f.deps.State.NewState()
 	f.core.State.BeginLoad()
 	f.loadPage("", 0)
 }
--- a/controller/logfollow/read.go
+++ b/controller/logfollow/read.go
@@ -122,7 +122,7 @@
 	for _, owned := range f.core.Partitions {
 		owned.Dirty = true
 	}
-	f.siblings.Ownership.DropLostPartitions()
+	f.deps.Ownership.DropLostPartitions()
 }
 
 // readResult is the result of a read of the log.
--- a/controller/metrics/reporter.go
+++ b/controller/metrics/reporter.go
@@ -11,12 +11,12 @@
 
 // Reporter composes the metrics.
 type Reporter struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 }
 
-// Siblings are the other components that the reporter calls.
-type Siblings struct {
+// Dependencies are the other components that the reporter calls.
+type Dependencies struct {
 	Log          Log
 	Agents       Agents
 	Health       Health
@@ -77,7 +77,7 @@
 func New(k *core.Core) *Reporter { return &Reporter{core: k} }
 
 // Connect sets the components that the reporter calls.
-func (r *Reporter) Connect(s Siblings) { r.siblings = s }
+func (r *Reporter) Connect(s Dependencies) { r.deps = s }
 
 // MaxPools bounds the number of pools in the metrics.
 const MaxPools = 200
@@ -91,15 +91,15 @@
 func (r *Reporter) View() View {
 	v := r.viewCounters()
 	v.UpSeconds = r.core.Now.Sub(r.core.StartedAt).Seconds()
-	v.IsRelay = r.siblings.Log.IsRelay()
+	v.IsRelay = r.deps.Log.IsRelay()
 	v.Jobs, v.PendingCalls = len(r.core.State.Jobs), len(r.core.PendingCalls)
-	v.LongPendingJobs = r.siblings.Jobs.LongPendingJobs()
+	v.LongPendingJobs = r.deps.Jobs.LongPendingJobs()
 	r.addUsage(&v)
 	r.addPendingWork(&v)
 	v.MachinesNotResumed = r.machinesNotResumed()
 	v.Zones = r.viewZones()
-	v.Reservations = r.siblings.Reservations.ViewMetrics()
-	v.Fragmentation = r.siblings.Backfill.FragmentedCapacity()
+	v.Reservations = r.deps.Reservations.ViewMetrics()
+	v.Fragmentation = r.deps.Backfill.FragmentedCapacity()
 	r.addPools(&v)
 	v.Latencies = r.viewLatencies()
 	return v
@@ -175,7 +175,7 @@
 func (r *Reporter) machinesNotResumed() int {
 	count := 0
 	for p, owned := range r.core.Partitions {
-		for _, m := range r.siblings.Agents.MachinesOf(p) {
+		for _, m := range r.deps.Agents.MachinesOf(p) {
 			if m.LastHeartbeat != 0 && m.ReportedToken < r.core.MinToken(owned, m.ID) {
 				count++
 			}
@@ -187,7 +187,7 @@
 // viewZones returns the zones that are not healthy, nil if all are.
 func (r *Reporter) viewZones() map[api.Zone]ZoneView {
 	var zones map[api.Zone]ZoneView
-	health := r.siblings.Health
+	health := r.deps.Health
 	for _, name := range r.core.Config.Deployment.Zones {
 		state := health.ZoneState(name)
 		if state == zonehealth.Healthy {
@@ -211,7 +211,7 @@
 
 // addPools adds the first MaxPools pools by name, if there are any.
 func (r *Reporter) addPools(v *View) {
-	pools := r.siblings.Pools
+	pools := r.deps.Pools
 	if pools.Count() == 0 {
 		return
 	}
--- a/controller/operations/service.go
+++ b/controller/operations/service.go
@@ -14,12 +14,12 @@
 
 // Service serves operators' requests.
 type Service struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 }
 
-// Siblings are the other components that the service calls.
-type Siblings struct {
+// Dependencies are the other components that the service calls.
+type Dependencies struct {
 	Tenants      Tenants
 	Pools        Pools
 	Reservations Reservations
@@ -84,7 +84,7 @@
 func New(k *core.Core) *Service { return &Service{core: k} }
 
 // Connect sets the components that the service calls.
-func (s *Service) Connect(siblings Siblings) { s.siblings = siblings }
+func (s *Service) Connect(deps Dependencies) { s.deps = deps }
 
 // HandleAdmin serves an operator's request. A hosted service first authorizes the request by its key, except for a
 // forwarded request, which the forwarding controller has authorized.
@@ -93,8 +93,8 @@
 		s.core.ReplyError(c.Req, 503, "starting")
 		return
 	}
-	if s.siblings.Tenants.Enabled() && !c.Forwarded {
-		s.siblings.Tenants.WithOperator(c, s.HandleAuthorized)
+	if s.deps.Tenants.Enabled() && !c.Forwarded {
+		s.deps.Tenants.WithOperator(c, s.HandleAuthorized)
 		return
 	}
 	s.handleCommon(c)
@@ -106,15 +106,15 @@
 	switch c.What {
 	case message.AdminTenants, message.AdminTenant, message.AdminUsage, message.AdminPutTenant, message.AdminSuspendTenant, message.AdminResumeTenant,
 		message.AdminRemoveTenant, message.AdminAddKey, message.AdminRevokeKey:
-		err = s.siblings.Tenants.HandleTenantRequest(c)
+		err = s.deps.Tenants.HandleTenantRequest(c)
 	case message.AdminOperators, message.AdminPutOperators, message.AdminAddOperatorKey, message.AdminRevokeOperatorKey:
-		err = s.siblings.Tenants.HandleOperatorsRequest(c)
+		err = s.deps.Tenants.HandleOperatorsRequest(c)
 	case message.AdminPutTeam, message.AdminRemoveTeam:
-		err = s.siblings.Tenants.HandleTeamRequest(c)
+		err = s.deps.Tenants.HandleTeamRequest(c)
 	case message.AdminPools, message.AdminPool, message.AdminPutPool, message.AdminRemovePool:
-		err = s.siblings.Pools.HandlePoolRequest(c)
+		err = s.deps.Pools.HandlePoolRequest(c)
 	case message.AdminAudit:
-		s.siblings.Tenants.ListAudit(c)
+		s.deps.Tenants.ListAudit(c)
 	default:
 		s.handleCommon(c)
 	}
@@ -127,7 +127,7 @@
 func (s *Service) handleCommon(c message.AdminRequest) {
 	switch c.What {
 	case message.AdminMetrics:
-		s.siblings.Metrics.HandleRequest(c)
+		s.deps.Metrics.HandleRequest(c)
 	case message.AdminMembers:
 		s.core.Reply(c.Req, 200, s.viewMembers(), 0)
 	case message.AdminPartitions:
@@ -137,9 +137,9 @@
 	case message.AdminTeams:
 		s.core.Reply(c.Req, 200, s.viewTeams(), 0)
 	case message.AdminJobs, message.AdminJob:
-		s.siblings.Jobs.HandleAdminRequest(c)
+		s.deps.Jobs.HandleAdminRequest(c)
 	case message.AdminReservations, message.AdminChangeReservation:
-		s.siblings.Reservations.HandleRequest(c)
+		s.deps.Reservations.HandleRequest(c)
 	case message.AdminSettings:
 		s.core.Reply(c.Req, 200, s.currentSettings(), 0)
 	case message.AdminChangeSettings:
--- a/controller/operations/settings.go
+++ b/controller/operations/settings.go
@@ -98,7 +98,7 @@
 		If:     []api.Condition{{Key: core.SettingsKey, Version: settings.Revision}},
 		Writes: []api.Write{{Put: core.SettingsKey, Value: v}},
 	}
-	tenants := s.siblings.Tenants
+	tenants := s.deps.Tenants
 	if tenants.Enabled() {
 		tx.Writes = append(tx.Writes, tenants.AuditWrite(c, "settings", s.core.Settings.AuditView(), settings.AuditView()))
 	}
--- a/controller/operations/views.go
+++ b/controller/operations/views.go
@@ -95,7 +95,7 @@
 func (s *Service) viewMachines() []MachineView {
 	views := []MachineView{}
 	for _, p := range slices.Sorted(maps.Keys(s.core.Partitions)) {
-		for _, m := range s.siblings.Agents.MachinesOf(p) {
+		for _, m := range s.deps.Agents.MachinesOf(p) {
 			views = append(views, s.viewMachine(m, s.core.Partitions[p]))
 		}
 	}
@@ -110,7 +110,7 @@
 		Zone:                m.Zone,
 		Spot:                m.Spot,
 		Tasks:               []string{},
-		UnschedulableReason: s.siblings.Eligibility.UnschedulableReason(m, owned),
+		UnschedulableReason: s.deps.Eligibility.UnschedulableReason(m, owned),
 	}
 	for _, placement := range s.core.State.PlacementsOn(m.ID) {
 		v.Tasks = append(v.Tasks, placement.Task.String())
@@ -120,7 +120,7 @@
 
 func (s *Service) viewTeams() []TeamView {
 	views := []TeamView{}
-	usage, owners := s.core.TeamUsage(), s.siblings.Tenants.TeamOwners()
+	usage, owners := s.core.TeamUsage(), s.deps.Tenants.TeamOwners()
 	for _, name := range slices.Sorted(maps.Keys(s.core.Teams)) {
 		team := s.core.Teams[name]
 		v := TeamView{
@@ -132,8 +132,8 @@
 			MaxCPUs:        team.CPUsMax,
 			MaxGPUs:        team.GPUsMax,
 		}
-		if s.siblings.Tenants.Enabled() {
-			record, ok := s.siblings.Tenants.TeamRecord(name)
+		if s.deps.Tenants.Enabled() {
+			record, ok := s.deps.Tenants.TeamRecord(name)
 			v.OperatorDefined, v.Revision, v.Tenant = ok, record.Revision, string(owners[name])
 		}
 		v.Shares = s.viewShares(name, team)
--- a/controller/ordering/priorities.go
+++ b/controller/ordering/priorities.go
@@ -20,15 +20,15 @@
 
 // Priorities orders jobs by the operators' rules. Without rules only a job's own priority counts.
 type Priorities struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	shortage shortageState
 	order    orderCache
 }
 
-// Siblings are the other components that Priorities depends on.
-type Siblings struct {
+// Dependencies are the other components that Priorities depends on.
+type Dependencies struct {
 	Agents Agents
 	Gossip Gossip
 	Health Health
@@ -66,7 +66,7 @@
 func New(k *core.Core) *Priorities { return &Priorities{core: k} }
 
 // Connect sets the components that Priorities depends on.
-func (po *Priorities) Connect(s Siblings) { po.siblings = s }
+func (po *Priorities) Connect(s Dependencies) { po.deps = s }
 
 // orderCache holds the latest computed order.
 type orderCache struct {
@@ -100,7 +100,7 @@
 	}
 	conditions := priority.ActiveConditions{
 		ControllerDown: len(po.core.State.Members) < len(po.core.Controllers),
-		ZoneFailed:     po.siblings.Health.AnyZoneFailedOrRecovering(),
+		ZoneFailed:     po.deps.Health.AnyZoneFailedOrRecovering(),
 	}
 	workloads := slices.SortedFunc(maps.Keys(present), compareWorkloads)
 	cache.ordering = po.core.Settings.Priority.Resolve(workloads, conditions)
@@ -189,7 +189,7 @@
 	}
 	highest := map[*core.Machine]float64{}
 	var machines []*core.Machine
-	for _, m := range po.siblings.Agents.MachinesOf(owned.ID) {
+	for _, m := range po.deps.Agents.MachinesOf(owned.ID) {
 		for _, p := range po.core.State.PlacementsOn(m.ID) {
 			highest[m] = max(highest[m], 1+po.EffectivePriority(p.Job.Spec))
 		}
@@ -198,7 +198,7 @@
 		}
 	}
 	slices.SortStableFunc(machines, func(a, b *core.Machine) int { return sched.Descending(highest[a], highest[b]) })
-	for _, m := range machines[:min(len(machines), po.siblings.Agents.MaxDirectCalls()/2)] {
-		po.siblings.Agents.ContactNow(m)
+	for _, m := range machines[:min(len(machines), po.deps.Agents.MaxDirectCalls()/2)] {
+		po.deps.Agents.ContactNow(m)
 	}
 }
--- a/controller/ordering/shortage.go
+++ b/controller/ordering/shortage.go
@@ -110,7 +110,7 @@
 			short[name] = true
 		}
 	}
-	for _, status := range po.siblings.Gossip.PeerPartitionStatuses() {
+	for _, status := range po.deps.Gossip.PeerPartitionStatuses() {
 		for _, name := range status.Short {
 			short[name] = true
 		}
@@ -137,6 +137,6 @@
 		if response.Status == 200 {
 			slog.Info("capacity shortage changed", "types", next.Types, "term", owned.Term)
 		}
-		po.siblings.Log.LinearizableRead(settle, settle)
+		po.deps.Log.LinearizableRead(settle, settle)
 	})
 }
--- a/controller/ownership/claims.go
+++ b/controller/ownership/claims.go
@@ -83,7 +83,7 @@
 		if response.Status != api.StatusOK {
 			m.nextClaimAt[p] = m.core.Now.Add(core.RetryDelay)
 			claimOver := func() { delete(m.claimsInFlight, p) }
-			m.siblings.Log.LinearizableRead(claimOver, claimOver)
+			m.deps.Log.LinearizableRead(claimOver, claimOver)
 			return
 		}
 		m.beginOwnership(p, response.Txn.Revision)
@@ -93,10 +93,10 @@
 // beginOwnership begins the ownership of a partition whose claim is durable, after a read that includes
 // the claim. All writes of the former owner precede the claim's revision, so the read includes them too.
 func (m *Manager) beginOwnership(p api.PartitionID, term api.Revision) {
-	m.siblings.Log.LinearizableRead(func() {
+	m.deps.Log.LinearizableRead(func() {
 		delete(m.claimsInFlight, p)
 		if partition := m.core.State.Partitions[p]; partition.Term == term && partition.Owner == m.core.Config.Label {
-			m.siblings.Scheduler.BeginOwnership(p, term)
+			m.deps.Scheduler.BeginOwnership(p, term)
 		}
 	}, func() {
 		delete(m.claimsInFlight, p)
@@ -119,7 +119,7 @@
 		if response.Status == api.StatusOK && m.core.Partitions[owned.ID] == owned {
 			slog.Info("partition handed over", "partition", owned.ID, "to", newOwner)
 			delete(m.core.Partitions, owned.ID)
-			m.siblings.Log.LinearizableRead(func() {}, func() {})
+			m.deps.Log.LinearizableRead(func() {}, func() {})
 		}
 	})
 }
--- a/controller/ownership/claims_test.go
+++ b/controller/ownership/claims_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	m := newTestManager(t)
 	log, scheduler := &fakeLog{}, &fakeScheduler{}
-	m.Connect(Siblings{Log: log, Scheduler: scheduler})
+	m.Connect(Dependencies{Log: log, Scheduler: scheduler})
 	m.lease.registered = true
 	m.core.State.Members["n"] = clusterstate.MemberValue{Incarnation: 1}
 	m.core.State.Partitions[0].Owner, m.core.State.Partitions[0].Term = "gone", 7
--- a/controller/ownership/manager.go
+++ b/controller/ownership/manager.go
@@ -15,8 +15,8 @@
 // Manager maintains this controller's member key, claims the partitions that it should own and hands
 // over those that another controller should own.
 type Manager struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	lease memberLease
 
@@ -28,8 +28,8 @@
 	nextClaimAt    map[api.PartitionID]api.Time // time of the next attempt after a failed claim
 }
 
-// Siblings holds the other components that a Manager calls.
-type Siblings struct {
+// Dependencies holds the other components that a Manager calls.
+type Dependencies struct {
 	Log       Log
 	Scheduler Scheduler
 }
@@ -59,7 +59,7 @@
 }
 
 // Connect sets the components that the manager calls.
-func (m *Manager) Connect(siblings Siblings) { m.siblings = siblings }
+func (m *Manager) Connect(deps Dependencies) { m.deps = deps }
 
 // Format returns the newest record format that a controller supports, 0 if the controller was never
 // observed live.
--- a/controller/pools/admin.go
+++ b/controller/pools/admin.go
@@ -97,8 +97,8 @@
 		before = previous
 	}
 	key := core.KeyPool + c.ID
-	txn := api.Txn{If: []api.Condition{{Key: key, Version: revision}}, Writes: []api.Write{{Put: key, Value: data}, pm.siblings.Tenancy.AuditWrite(c, "pool "+c.ID, before, next)}}
-	pm.siblings.Tenancy.CommitChange(c, txn, "the pool", func(committed api.Revision) any { return pm.view(next, committed) })
+	txn := api.Txn{If: []api.Condition{{Key: key, Version: revision}}, Writes: []api.Write{{Put: key, Value: data}, pm.deps.Tenancy.AuditWrite(c, "pool "+c.ID, before, next)}}
+	pm.deps.Tenancy.CommitChange(c, txn, "the pool", func(committed api.Revision) any { return pm.view(next, committed) })
 	return nil
 }
 
@@ -128,7 +128,7 @@
 		}
 	}
 	for _, name := range p.Tenants {
-		if !pm.siblings.Tenancy.HasTenant(name) {
+		if !pm.deps.Tenancy.HasTenant(name) {
 			return &tenant.Error{Status: 422, Field: "tenants", Reason: "there is no tenant " + string(name)}
 		}
 	}
--- a/controller/pools/manager.go
+++ b/controller/pools/manager.go
@@ -21,8 +21,8 @@
 
 // Manager divides counted resources among partitions.
 type Manager struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	table        *pool.Table // nil if the service is not hosted
 	reconciledAt api.Time
@@ -30,8 +30,8 @@
 	shareMoves   uint64
 }
 
-// Siblings are the other components that a Manager calls.
-type Siblings struct {
+// Dependencies are the other components that a Manager calls.
+type Dependencies struct {
 	Backfiller Backfiller
 	Capacity   Capacity
 	Follower   Follower
@@ -79,7 +79,7 @@
 func New(k *core.Core) *Manager { return &Manager{core: k} }
 
 // Connect sets the components that the Manager calls.
-func (pm *Manager) Connect(siblings Siblings) { pm.siblings = siblings }
+func (pm *Manager) Connect(deps Dependencies) { pm.deps = deps }
 
 // RecordKinds returns the kinds of records that the Manager replicates: pools, if the service is
 // hosted. It resets the replica for a new load.
--- a/controller/pools/preemption.go
+++ b/controller/pools/preemption.go
@@ -56,7 +56,7 @@
 
 // compareHoldings orders holdings, the first to be preempted first.
 func (pm *Manager) compareHoldings(a, b holding) int {
-	return cmp.Or(sched.Descending(pm.siblings.Priorities.EffectivePriority(b.job.Spec), pm.siblings.Priorities.EffectivePriority(a.job.Spec)),
+	return cmp.Or(sched.Descending(pm.deps.Priorities.EffectivePriority(b.job.Spec), pm.deps.Priorities.EffectivePriority(a.job.Spec)),
 		core.BoolToInt(a.isGang())-core.BoolToInt(b.isGang()),
 		cmp.Compare(b.job.AcceptedAt, a.job.AcceptedAt),
 		cmp.Compare(b.job.ID, a.job.ID),
@@ -101,7 +101,7 @@
 func (pm *Manager) preempt(name api.PoolName, h holding) {
 	for _, placement := range h.placements {
 		if pm.core.Partitions[placement.Partition] != nil && !placement.OwnerState.StopRequested {
-			pm.siblings.Scheduler.StopTask(placement)
+			pm.deps.Scheduler.StopTask(placement)
 			placement.Job.OwnerState.PreemptedTasks++
 			slog.Info("task preempted", core.TenantAttr(placement.Job), "task", placement.Task, "machine", placement.Machine, "pool", name)
 		}
--- a/controller/pools/requests.go
+++ b/controller/pools/requests.go
@@ -31,7 +31,7 @@
 	held := pm.heldByTeam(entry)
 	for _, j := range pm.core.State.PendingJobs {
 		need, ok := j.Spec.PoolRequest(name)
-		if !ok || pm.siblings.Tenancy.StartsBlocked(j) || j.OwnerState.BackoffUntil > pm.core.Now {
+		if !ok || pm.deps.Tenancy.StartsBlocked(j) || j.OwnerState.BackoffUntil > pm.core.Now {
 			continue
 		}
 		for p := range pm.core.State.Partitions {
@@ -55,7 +55,7 @@
 	if entitled {
 		demand.Starts = min(demand.Starts, (entry.Guaranteed[j.Spec.Team]-held[j.Spec.Team])/demand.Units)
 	}
-	demand.Reserves = entitled || pm.siblings.Backfiller.WaitStage(j, partition) != sched.NotAged || j.Spec.Priority.Rank() >= core.PreemptorRank ||
+	demand.Reserves = entitled || pm.deps.Backfiller.WaitStage(j, partition) != sched.NotAged || j.Spec.Priority.Rank() >= core.PreemptorRank ||
 		demand.Units > 1 && pool.ShouldReserve(time.Duration(pm.core.WallClock-j.AcceptedAt)*time.Millisecond)
 	return request{job: j, partition: partition, entitled: entitled, demand: demand}
 }
@@ -63,7 +63,7 @@
 // compareRequests orders requests, the first to be served first.
 func (pm *Manager) compareRequests(a, b request) int {
 	return cmp.Or(core.BoolToInt(pm.isAgedAboveAll(b))-core.BoolToInt(pm.isAgedAboveAll(a)),
-		sched.Descending(pm.siblings.Priorities.EffectivePriority(a.job.Spec), pm.siblings.Priorities.EffectivePriority(b.job.Spec)),
+		sched.Descending(pm.deps.Priorities.EffectivePriority(a.job.Spec), pm.deps.Priorities.EffectivePriority(b.job.Spec)),
 		core.BoolToInt(b.entitled)-core.BoolToInt(a.entitled),
 		cmp.Compare(a.job.AcceptedAt, b.job.AcceptedAt),
 		cmp.Compare(a.job.ID, b.job.ID),
@@ -72,14 +72,14 @@
 
 // isAgedAboveAll reports whether a request has aged so far that it precedes all others.
 func (pm *Manager) isAgedAboveAll(r request) bool {
-	return pm.siblings.Backfiller.WaitStage(r.job, r.partition) == sched.AgedAboveAll
+	return pm.deps.Backfiller.WaitStage(r.job, r.partition) == sched.AgedAboveAll
 }
 
 // hasCapacityFor reports whether a requesting job has free capacity in its partition. It is always
 // true for jobs that need a single partition: they need their units before they can be moved or
 // preempt others.
 func (pm *Manager) hasCapacityFor(r request) bool {
-	return r.job.Spec.NeedsSinglePartition() || pm.siblings.Capacity.FreeSlotsByPartition(r.job.Spec)[r.partition] > 0
+	return r.job.Spec.NeedsSinglePartition() || pm.deps.Capacity.FreeSlotsByPartition(r.job.Spec)[r.partition] > 0
 }
 
 // PoolBacklog returns the number of requested units of a pool, and the age in seconds of the oldest
--- a/controller/pools/shares.go
+++ b/controller/pools/shares.go
@@ -55,7 +55,7 @@
 		delete(pm.shareWrites, name)
 		if response.Status == 200 {
 			pm.shareMoves++
-			pm.siblings.Follower.LinearizableRead(func() {}, func() {})
+			pm.deps.Follower.LinearizableRead(func() {}, func() {})
 		}
 	})
 }
@@ -76,7 +76,7 @@
 			continue
 		}
 		if freeSlots[r.job] == nil {
-			freeSlots[r.job] = pm.siblings.Capacity.FreeSlotsByPartition(r.job.Spec)
+			freeSlots[r.job] = pm.deps.Capacity.FreeSlotsByPartition(r.job.Spec)
 		}
 		startable := r.demand
 		startable.Starts = min(startable.Starts, freeSlots[r.job][r.partition])
--- a/controller/preemption/plan.go
+++ b/controller/preemption/plan.go
@@ -18,7 +18,7 @@
 	candidates, available := p.candidates(m, owned, spec, avoidLate)
 	plan := core.PreemptionPlan{Machine: m, Tasks: min(maxTasks, demand.Slots(available))}
 	slices.SortStableFunc(candidates, func(a, b *core.Placement) int {
-		return cmp.Or(cmp.Compare(p.siblings.Priorities.PriorityBoost(a.Job.Spec), p.siblings.Priorities.PriorityBoost(b.Job.Spec)),
+		return cmp.Or(cmp.Compare(p.deps.Priorities.PriorityBoost(a.Job.Spec), p.deps.Priorities.PriorityBoost(b.Job.Spec)),
 			cmp.Compare(p.preemptionCost(a), p.preemptionCost(b)))
 	})
 	cost := 0.0
@@ -39,7 +39,7 @@
 // there after tasks that are already being stopped have ended.
 func (p *Planner) candidates(m *core.Machine, owned *core.OwnedPartition, spec *api.JobSpec, avoidLate bool) (candidates []*core.Placement, available api.Resources) {
 	preemptor := p.newPreemptingJob(m, spec)
-	available = p.siblings.Scheduler.FreeCapacityOn(m, owned)
+	available = p.deps.Scheduler.FreeCapacityOn(m, owned)
 	for _, placement := range p.core.State.PlacementsOn(m.ID) {
 		if placement.Finishing {
 			continue
@@ -49,7 +49,7 @@
 			continue
 		}
 		if placement.Partition == owned.ID && p.isPreemptibleBy(placement, preemptor) &&
-			p.siblings.Health.IsPreemptible(placement) && !(avoidLate && p.missedObjective(placement) > 0) {
+			p.deps.Health.IsPreemptible(placement) && !(avoidLate && p.missedObjective(placement) > 0) {
 			candidates = append(candidates, placement)
 		}
 	}
@@ -67,7 +67,7 @@
 func (p *Planner) newPreemptingJob(m *core.Machine, spec *api.JobSpec) preemptingJob {
 	return preemptingJob{
 		rank:              spec.Priority.Rank(),
-		effectivePriority: p.siblings.Priorities.EffectivePriority(spec),
+		effectivePriority: p.deps.Priorities.EffectivePriority(spec),
 		needsAccelerators: p.core.HasAccelerators(m.MachineType) && !p.core.IsCPUOnly(spec),
 	}
 }
@@ -80,7 +80,7 @@
 	if spec.Priority.Rank() >= preemptor.rank || spec.Kind == api.Gang {
 		return false
 	}
-	return p.siblings.Priorities.EffectivePriority(spec) < preemptor.effectivePriority || preemptor.needsAccelerators && p.core.IsCPUOnly(spec)
+	return p.deps.Priorities.EffectivePriority(spec) < preemptor.effectivePriority || preemptor.needsAccelerators && p.core.IsCPUOnly(spec)
 }
 
 // preemptionCost returns the cost of preempting a task, in CPU seconds: its run time plus the
@@ -118,7 +118,7 @@
 		p.core.Metrics.PreemptedTasks++
 		victim.Job.OwnerState.PreemptedTasks++
 		slog.Info("task preempted", "task", victim.Task, "machine", victim.Machine, "for", id)
-		p.siblings.Health.AdjustFloors(victim.Job.Spec, -victim.Job.Demand.CPU.Float())
-		p.siblings.Scheduler.StopTask(victim)
+		p.deps.Health.AdjustFloors(victim.Job.Spec, -victim.Job.Demand.CPU.Float())
+		p.deps.Scheduler.StopTask(victim)
 	}
 }
--- a/controller/preemption/planner.go
+++ b/controller/preemption/planner.go
@@ -13,12 +13,12 @@
 
 // Planner decides which tasks are preempted for which job.
 type Planner struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 }
 
-// Siblings are the other components that the planner depends on.
-type Siblings struct {
+// Dependencies are the other components that the planner depends on.
+type Dependencies struct {
 	Agents     Agents
 	Health     Health
 	Priorities Priorities
@@ -58,7 +58,7 @@
 func New(shared *core.Core) *Planner { return &Planner{core: shared} }
 
 // Connect sets the components that the planner depends on.
-func (p *Planner) Connect(siblings Siblings) { p.siblings = siblings }
+func (p *Planner) Connect(deps Dependencies) { p.deps = deps }
 
 // RunsLowerPriority reports whether a partition has placed tasks of a lower priority rank.
 func (p *Planner) RunsLowerPriority(partition api.PartitionID, rank int) bool {
--- a/controller/preemption/select.go
+++ b/controller/preemption/select.go
@@ -49,7 +49,7 @@
 	}
 	startObjective := p.core.StartObjective(j.Spec.Class)
 	byZone := map[api.Zone][]core.PreemptionPlan{}
-	for _, m := range p.siblings.Agents.MachinesOf(owned.ID) {
+	for _, m := range p.deps.Agents.MachinesOf(owned.ID) {
 		if !p.isUsable(m, owned, request, j) {
 			continue
 		}
@@ -78,7 +78,7 @@
 	if reservedJob := p.ReservedFor(m); reservedJob != "" && reservedJob != j.ID {
 		return false
 	}
-	return p.siblings.Scheduler.IsSchedulable(m, owned) && !request.ExcludedMachines[m.ID] &&
+	return p.deps.Scheduler.IsSchedulable(m, owned) && !request.ExcludedMachines[m.ID] &&
 		p.core.IsEligible(j.Spec, request.AcceleratorOptional, m.MachineType, m.Zone, m.Spot) &&
 		sched.ZoneFeasible(j.Spec, request.PlacedByZone, m.Zone)
 }
@@ -88,7 +88,7 @@
 	machine := &sched.Machine{
 		CachedImages:   m.CachedImages,
 		FetchRate:      p.core.MachineTypes[m.MachineType].FetchRate,
-		FetchingImages: p.siblings.Scheduler.PendingImageFetches(m),
+		FetchingImages: p.deps.Scheduler.PendingImageFetches(m),
 	}
 	return fetchSlowdownFactor * machine.FetchTime(j.Spec)
 }
--- a/controller/reservations/load.go
+++ b/controller/reservations/load.go
@@ -50,7 +50,7 @@
 		}
 		s.loadedPairs = append(s.loadedPairs, a.Page.Pairs...)
 		if k := len(a.Page.Pairs); a.Page.More && k > 0 {
-			s.resumeAfter(s.siblings.Log.PageReadInterval(), func() { s.loadPage(a.Page.Pairs[k-1].Key, from) })
+			s.resumeAfter(s.deps.Log.PageReadInterval(), func() { s.loadPage(a.Page.Pairs[k-1].Key, from) })
 			return
 		}
 		s.finishLoad(from)
--- a/controller/reservations/request.go
+++ b/controller/reservations/request.go
@@ -46,7 +46,7 @@
 		proceed()
 		return
 	}
-	s.forward(c, s.siblings.Jobs.ForwardTargets(), func() { s.refuseUnreachable(c) })
+	s.forward(c, s.deps.Jobs.ForwardTargets(), func() { s.refuseUnreachable(c) })
 }
 
 func (s *Service) refuseUnreachable(c message.AdminRequest) {
@@ -57,7 +57,7 @@
 // seems unreachable.
 func (s *Service) preferredWriter(depot reservation.Depot) []api.ControllerID {
 	owner := s.core.State.Partitions[s.shardOf(depot)].Owner
-	if owner == s.core.Config.Label || !s.core.IsLive(owner) || !s.siblings.Gossip.HeardRecently(owner) {
+	if owner == s.core.Config.Label || !s.core.IsLive(owner) || !s.deps.Gossip.HeardRecently(owner) {
 		return nil
 	}
 	return []api.ControllerID{owner}
--- a/controller/reservations/service.go
+++ b/controller/reservations/service.go
@@ -32,8 +32,8 @@
 
 // Service maintains the replica of the ledger and serves requests from it.
 type Service struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	replica         *reservation.Ledger // nil if not loaded
 	requested       bool                // there was a request; the ledger is not loaded before
@@ -56,8 +56,8 @@
 // ReadWaiter is a query that waits for a linearizable read of the ledger.
 type ReadWaiter struct{ OnRead, OnFailure func() }
 
-// Siblings are the other components that the service calls.
-type Siblings struct {
+// Dependencies are the other components that the service calls.
+type Dependencies struct {
 	Jobs   Jobs
 	Gossip Gossip
 	Log    Log
@@ -84,7 +84,7 @@
 func New(k *core.Core) *Service { return &Service{core: k} }
 
 // Connect sets the components that the service calls.
-func (s *Service) Connect(siblings Siblings) { s.siblings = siblings }
+func (s *Service) Connect(deps Dependencies) { s.deps = deps }
 
 // Install sets the replica to a loaded ledger, and enqueues the requests that waited for it.
 func (s *Service) Install(replica *reservation.Ledger) {
--- a/controller/rounds/capacity.go
+++ b/controller/rounds/capacity.go
@@ -12,7 +12,7 @@
 
 // IsSchedulable reports whether a machine may get new tasks.
 func (s *Scheduler) IsSchedulable(m *core.Machine, owned *core.OwnedPartition) bool {
-	return s.siblings.Eligibility.UnschedulableReason(m, owned) == core.Schedulable
+	return s.deps.Eligibility.UnschedulableReason(m, owned) == core.Schedulable
 }
 
 // FreeCapacityOn returns the capacity of a machine less the demand of all tasks that are or may be
@@ -78,5 +78,5 @@
 	if m := s.core.Machines[id]; m != nil && m.Zone != "" {
 		return m.Zone
 	}
-	return s.siblings.Autoscaler.ListedZone(id)
+	return s.deps.Autoscaler.ListedZone(id)
 }
--- a/controller/rounds/checkpoint.go
+++ b/controller/rounds/checkpoint.go
@@ -79,5 +79,5 @@
 func (s *Scheduler) retryCheckpoint(owned *core.OwnedPartition) {
 	owned.NextArchive = s.core.Now.Add(core.RetryDelay)
 	allowCheckpoint := func() { owned.Checkpointing = false }
-	s.siblings.Follower.LinearizableRead(allowCheckpoint, allowCheckpoint)
+	s.deps.Follower.LinearizableRead(allowCheckpoint, allowCheckpoint)
 }
--- a/controller/rounds/commit.go
+++ b/controller/rounds/commit.go
@@ -31,7 +31,7 @@
 		return
 	}
 	slot := clusterstate.RoundKey(owned.ID, round.Record.Seq)
-	if s.siblings.Tenancy.Enabled() {
+	if s.deps.Tenancy.Enabled() {
 		round.Txn.If = append(round.Txn.If, s.core.State.VersionCondition(core.KeyGate))
 	}
 	round.Txn.If = append(round.Txn.If, s.core.State.VersionCondition(slot), owned.OwnershipCondition())
@@ -76,7 +76,7 @@
 		s.resolveRound(owned, round)
 	case response.Status == api.StatusConflict:
 		// A job has changed, so this record can never be written.
-		s.siblings.Follower.LinearizableRead(func() { s.abandonRound(owned, round) }, func() { s.retryRound(owned, round) })
+		s.deps.Follower.LinearizableRead(func() { s.abandonRound(owned, round) }, func() { s.retryRound(owned, round) })
 	default:
 		if response.Status == api.StatusTooManyRequests {
 			s.backOffRounds()
@@ -99,7 +99,7 @@
 
 // resolveRound reads the log to determine whether a round has been written.
 func (s *Scheduler) resolveRound(owned *core.OwnedPartition, round *core.PendingRound) {
-	s.siblings.Follower.LinearizableRead(func() { s.abandonRound(owned, round) }, func() { s.retryRound(owned, round) })
+	s.deps.Follower.LinearizableRead(func() { s.abandonRound(owned, round) }, func() { s.retryRound(owned, round) })
 }
 
 // abandonRound drops a round that can no longer be written. If the cluster state, which is up to
@@ -137,7 +137,7 @@
 		}
 		if m := s.core.Machines[start.Machine]; m != nil {
 			m.IdleSince = s.core.Now
-			s.siblings.Agents.ContactNow(m)
+			s.deps.Agents.ContactNow(m)
 		}
 	}
 	owned.Dirty = true
--- a/controller/rounds/siblings.go
+++ b/controller/rounds/dependencies.go
@@ -11,8 +11,8 @@
 	"basaltwall/sched"
 )
 
-// Siblings contains the other components that the scheduler uses.
-type Siblings struct {
+// Dependencies contains the other components that the scheduler uses.
+type Dependencies struct {
 	Agents      Agents
 	Autoscaler  Autoscaler
 	Backfiller  Backfiller
--- a/controller/rounds/flow.go
+++ b/controller/rounds/flow.go
@@ -31,7 +31,7 @@
 func (s *Scheduler) scheduleTasks(owned *core.OwnedPartition, round *core.PendingRound, maxStarts int) []*core.Placement {
 	resetDemand(owned)
 	pendingJobs, smallestDemand := s.pendingJobs(owned)
-	units, jobs := s.siblings.Pools.AllocatePoolUnits(owned, s.siblings.Tenancy.LimitTenantJobs(owned, pendingJobs))
+	units, jobs := s.deps.Pools.AllocatePoolUnits(owned, s.deps.Tenancy.LimitTenantJobs(owned, pendingJobs))
 	if len(jobs) == 0 {
 		return nil
 	}
@@ -41,7 +41,7 @@
 		input: &sched.Input{
 			AvailableUnits:  units,
 			LargestCapacity: s.core.LargestMachine,
-			TypicalDemands:  s.siblings.Backfiller.TypicalDemands(),
+			TypicalDemands:  s.deps.Backfiller.TypicalDemands(),
 			RemainingQuota:  s.unreservedQuota(owned),
 			MaxStarts:       maxStarts,
 		},
@@ -49,7 +49,7 @@
 	s.addMachines(problem, smallestDemand)
 	s.addJobs(problem, jobs)
 	for i, j := range problem.jobs {
-		s.siblings.Preemptor.PreemptForFastStart(owned, problem.input, &problem.input.Jobs[i], j)
+		s.deps.Preemptor.PreemptForFastStart(owned, problem.input, &problem.input.Jobs[i], j)
 	}
 	s.recordFlowSize(problem)
 	starts, placed := s.solve(problem)
@@ -76,7 +76,7 @@
 	for _, id := range slices.Sorted(maps.Keys(s.core.State.PendingJobs)) {
 		j := s.core.State.PendingJobs[id]
 		pending := j.PendingTasks(owned.ID)
-		if s.siblings.Tenancy.StartsBlocked(j) {
+		if s.deps.Tenancy.StartsBlocked(j) {
 			continue
 		}
 		if j.OwnerState.BackoffUntil > s.core.Now {
@@ -113,7 +113,7 @@
 // addMachines adds the partition's schedulable machines whose free capacity covers the smallest
 // demand.
 func (s *Scheduler) addMachines(problem *flowProblem, smallestDemand api.Resources) {
-	for _, m := range s.siblings.Agents.MachinesOf(problem.owned.ID) {
+	for _, m := range s.deps.Agents.MachinesOf(problem.owned.ID) {
 		if !s.IsSchedulable(m, problem.owned) {
 			continue
 		}
@@ -139,13 +139,13 @@
 		Free:            free,
 		GPU:             machineType.GPUs > 0,
 		AcceleratorOnly: m.ScaleInCandidate,
-		FastStart:       s.siblings.Autoscaler.SuitsLatencySensitive(m),
+		FastStart:       s.deps.Autoscaler.SuitsLatencySensitive(m),
 		Surplus:         m.Surplus || s.core.Now < m.ConsolidatingUntil,
 		Slowdown:        m.RelativeRuntime,
 		FetchRate:       machineType.FetchRate,
 		FetchingImages:  s.PendingImageFetches(m),
 		CachedImages:    m.CachedImages,
-		ReservedFor:     s.siblings.Preemptor.ReservedFor(m),
+		ReservedFor:     s.deps.Preemptor.ReservedFor(m),
 		SoftReservation: m.SoftReservation,
 		ReservationRank: m.ReservationRank,
 	}
@@ -154,7 +154,7 @@
 // addJobs adds the jobs with tasks that may start in this round.
 func (s *Scheduler) addJobs(problem *flowProblem, jobs []*core.Job) {
 	problem.teamUsage = s.core.TeamUsage()
-	problem.incomingMachines = sync.OnceValue(s.siblings.Autoscaler.IncomingMachines)
+	problem.incomingMachines = sync.OnceValue(s.deps.Autoscaler.IncomingMachines)
 	problem.jobs = jobs[:0]
 	for _, j := range jobs {
 		if request, ok := s.flowJob(problem, j); ok {
@@ -167,7 +167,7 @@
 // flowJob returns a job as input of the flow problem; ok is false if none of its tasks may start.
 func (s *Scheduler) flowJob(problem *flowProblem, j *core.Job) (request sched.Job, ok bool) {
 	pending := s.startableTasks(problem.owned, j, problem.round, max(problem.schedulableCount, 1))
-	stage, waited := s.siblings.Backfiller.RoundStage(problem.owned, j)
+	stage, waited := s.deps.Backfiller.RoundStage(problem.owned, j)
 	pending = s.limitStarts(j, pending, stage)
 	if len(pending) == 0 {
 		return sched.Job{}, false
@@ -182,16 +182,16 @@
 		Pending:             pending,
 		PlacedByZone:        zones,
 		Urgency:             s.urgency(j, problem.schedulableCPUs),
-		PriorityBoost:       s.siblings.Priorities.PriorityBoost(j.Spec),
+		PriorityBoost:       s.deps.Priorities.PriorityBoost(j.Spec),
 		AgingStage:          stage,
 		WaitedSeconds:       waited,
-		ReservesQuota:       stage == sched.AgedAboveAll && s.siblings.Backfiller.FitsAttainableQuota(j, len(pending)),
+		ReservesQuota:       stage == sched.AgedAboveAll && s.deps.Backfiller.FitsAttainableQuota(j, len(pending)),
 		WithinGuarantee:     s.core.IsWithinGuarantee(j, problem.teamUsage),
 		HoldsJobUnits:       j.LiveCount() > 0,
 		StartSLO:            s.core.StartObjective(j.Spec.Class),
 		ExcludedMachines:    j.OwnerState.FailedOn,
 		NewMachineSeconds:   s.bootingMachineDelay(j, problem.incomingMachines),
-		FastStart:           s.siblings.Autoscaler.IsLatencySensitive(j.Spec),
+		FastStart:           s.deps.Autoscaler.IsLatencySensitive(j.Spec),
 		AcceleratorOptional: s.core.IsCPUOnly(j.Spec),
 		SpotRisk:            s.SpotRisk(j),
 	}
@@ -208,7 +208,7 @@
 	if stage != sched.NotAged && j.Spec.Kind == api.Array {
 		pending = pending[:min(len(pending), 1)]
 	}
-	allowed := s.siblings.Health.StartAllowance(j)
+	allowed := s.deps.Health.StartAllowance(j)
 	if allowed >= len(pending) || stage == sched.AgedAboveAll {
 		return pending
 	}
@@ -283,9 +283,9 @@
 	placed = make([]int, len(problem.jobs))
 	for _, assignment := range sched.PlanRound(problem.input) {
 		m, j := problem.machines[assignment.MachineIndex], problem.jobs[assignment.JobIndex]
-		s.siblings.Health.AdjustFloors(j.Spec, j.Demand.CPU.Float())
+		s.deps.Health.AdjustFloors(j.Spec, j.Demand.CPU.Float())
 		placed[assignment.JobIndex]++
-		s.siblings.Backfiller.ChargeMustStartCredit(problem.owned, j, problem.input.Jobs[assignment.JobIndex].AgingStage)
+		s.deps.Backfiller.ChargeMustStartCredit(problem.owned, j, problem.input.Jobs[assignment.JobIndex].AgingStage)
 		s.logStart(problem, assignment)
 		starts = append(starts, &core.Placement{
 			Task:      api.TaskID{Job: j.ID, Index: assignment.Task},
--- a/controller/rounds/ownership.go
+++ b/controller/rounds/ownership.go
@@ -26,12 +26,12 @@
 		s.adoptPlacement(owned, placement)
 	}
 	// Applies the latest machine list at once: the next one may take long.
-	s.siblings.Autoscaler.ReconcileMachineList()
-	for _, m := range s.siblings.Agents.MachinesOf(p) {
+	s.deps.Autoscaler.ReconcileMachineList()
+	for _, m := range s.deps.Agents.MachinesOf(p) {
 		m.CommandToken, m.UncertainToken, m.MissedCalls, m.DiscoveredAt = s.core.MinToken(owned, m.ID), 0, 0, s.core.Now
 	}
-	s.siblings.Backfiller.RestoreReservations(owned)
-	s.siblings.Priorities.ContactPriorityMachines(owned)
+	s.deps.Backfiller.RestoreReservations(owned)
+	s.deps.Priorities.ContactPriorityMachines(owned)
 	s.core.Metrics.Takeovers++
 	slog.Info("partition acquired", "partition", p, "term", term, "tasks", len(s.core.State.PlacementsByPartition[p]))
 }
@@ -45,10 +45,10 @@
 	if tracking.PlacedAt == 0 {
 		tracking.PlacedAt = s.core.Now
 	}
-	if s.siblings.Autoscaler.IsDeleted(placement.Machine) {
+	if s.deps.Autoscaler.IsDeleted(placement.Machine) {
 		s.RecordTaskEnd(owned, placement, false, core.EndReasonMachineDeleted)
 	} else {
-		s.siblings.Agents.EnsureMachine(placement.Machine)
+		s.deps.Agents.EnsureMachine(placement.Machine)
 	}
 }
 
@@ -58,5 +58,5 @@
 		delete(s.core.Partitions, owned.ID)
 		slog.Info("partition lost", "partition", owned.ID)
 	}
-	s.siblings.Follower.LinearizableRead(func() {}, func() {})
+	s.deps.Follower.LinearizableRead(func() {}, func() {})
 }
--- a/controller/rounds/plan.go
+++ b/controller/rounds/plan.go
@@ -55,7 +55,7 @@
 		bytesLeft:       s.RoundByteBudget(),
 		maxConditions:   s.RoundConditionBudget(),
 	}
-	if pools := s.siblings.Pools.Count(); pools > 0 {
+	if pools := s.deps.Pools.Count(); pools > 0 {
 		b.maxConditions -= min(core.MaxRoundPools, pools)
 	}
 	return b
@@ -70,7 +70,7 @@
 	}
 	s.acknowledgeCancellations(b)
 	owned.PlannedTeams = map[api.Team]bool{}
-	owned.ReservedQuota = s.siblings.Backfiller.QuotaReservedForOthers(owned)
+	owned.ReservedQuota = s.deps.Backfiller.QuotaReservedForOthers(owned)
 	maxStarts := b.bytesLeft / maxEntryBytes
 	for _, start := range s.scheduleTasks(owned, b.round, maxStarts) {
 		b.addStart(start)
@@ -79,8 +79,8 @@
 	for _, name := range slices.Sorted(maps.Keys(b.namedPools)) {
 		b.round.Txn.If = append(b.round.Txn.If, s.core.State.VersionCondition(core.KeyPool+string(name)))
 	}
-	b.round.Record.QuotaTransfers = s.siblings.Balancer.SpareQuotaTransfers(owned)
-	b.round.Record.Reservations = s.siblings.Backfiller.ReservationChanges(owned)
+	b.round.Record.QuotaTransfers = s.deps.Balancer.SpareQuotaTransfers(owned)
+	b.round.Record.Reservations = s.deps.Backfiller.ReservationChanges(owned)
 	return b.round
 }
 
@@ -158,8 +158,8 @@
 func (s *Scheduler) acknowledgeCancellations(b *roundBuilder) {
 	for _, id := range slices.Sorted(maps.Keys(s.core.State.CancellingJobs)) {
 		j := s.core.State.CancellingJobs[id]
-		s.siblings.Jobs.StopCancelledTasks(b.owned, j)
-		if !s.siblings.Jobs.CanAcknowledgeCancellation(b.owned, j) {
+		s.deps.Jobs.StopCancelledTasks(b.owned, j)
+		if !s.deps.Jobs.CanAcknowledgeCancellation(b.owned, j) {
 			continue
 		}
 		if b.bytesLeft < maxEntryBytes {
--- a/controller/rounds/scheduler.go
+++ b/controller/rounds/scheduler.go
@@ -15,8 +15,8 @@
 
 // Scheduler runs the rounds of owned partitions and makes them durable.
 type Scheduler struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	roundRate roundRate
 }
@@ -27,7 +27,7 @@
 }
 
 // Connect sets the other components that the scheduler uses.
-func (s *Scheduler) Connect(siblings Siblings) { s.siblings = siblings }
+func (s *Scheduler) Connect(deps Dependencies) { s.deps = deps }
 
 // RunPartition does the work that is due for an owned partition: a checkpoint, archiving,
 // rebalancing, reservations, and a round if something has changed since the last one.
@@ -35,10 +35,10 @@
 	s.maybeCheckpoint(owned)
 	s.archiveJobs(owned)
 	if !s.core.Overloaded() {
-		s.siblings.Balancer.RebalancePending(owned)
-		s.siblings.Balancer.LendMachines(owned)
+		s.deps.Balancer.RebalancePending(owned)
+		s.deps.Balancer.LendMachines(owned)
 	}
-	s.siblings.Backfiller.Backfill(owned)
+	s.deps.Backfiller.Backfill(owned)
 	if s.isRecheckDue(owned) {
 		owned.Dirty = true
 	}
--- a/controller/rounds/tasks.go
+++ b/controller/rounds/tasks.go
@@ -41,6 +41,6 @@
 		placement.OwnerState.StopGrace = placement.Job.Spec.Save + 1
 	}
 	if m := s.core.Machines[placement.Machine]; m != nil {
-		s.siblings.Agents.ContactNow(m)
+		s.deps.Agents.ContactNow(m)
 	}
 }
--- a/controller/rounds/unmetdemand.go
+++ b/controller/rounds/unmetdemand.go
@@ -52,7 +52,7 @@
 		if request.TasksWithinUnits(problem.input.AvailableUnits, missing) == 0 {
 			continue // it lacks pool units, not a machine
 		}
-		s.siblings.Priorities.RecordShortage(problem.owned, j.Spec)
+		s.deps.Priorities.RecordShortage(problem.owned, j.Spec)
 		if placed[i] == 0 {
 			s.recordUnplacedJob(recorder, request, j, missing)
 		}
@@ -89,12 +89,12 @@
 // all of its tasks must be in one partition, and preempts tasks of lower priority for it.
 func (s *Scheduler) recordUnplacedJob(r *unmetDemandRecorder, request *sched.Job, j *core.Job, missing int) {
 	if j.Spec.NeedsSinglePartition() && len(r.owned.UnmetDemands) < message.MaxUnmetDemands {
-		r.owned.UnmetDemands = append(r.owned.UnmetDemands, s.siblings.Balancer.UnmetDemandOf(r.owned, j, request))
+		r.owned.UnmetDemands = append(r.owned.UnmetDemands, s.deps.Balancer.UnmetDemandOf(r.owned, j, request))
 	}
-	if r.preemptionsLeft > 0 && s.core.Now >= j.OwnerState.NextPreemptionAt && s.siblings.Preemptor.RunsLowerPriority(r.owned.ID, j.Spec.Priority.Rank()) {
+	if r.preemptionsLeft > 0 && s.core.Now >= j.OwnerState.NextPreemptionAt && s.deps.Preemptor.RunsLowerPriority(r.owned.ID, j.Spec.Priority.Rank()) {
 		r.preemptionsLeft--
 		j.OwnerState.NextPreemptionAt = s.core.Now.Add(preemptionInterval)
-		s.siblings.Preemptor.PreemptFor(r.owned, request, j, missing, 0)
+		s.deps.Preemptor.PreemptFor(r.owned, request, j, missing, 0)
 	}
 }
 
--- a/controller/rounds/urgency.go
+++ b/controller/rounds/urgency.go
@@ -30,7 +30,7 @@
 			shortest = delay
 		}
 	}
-	if s.siblings.Preemptor.StartDelay(j) > 2*shortest {
+	if s.deps.Preemptor.StartDelay(j) > 2*shortest {
 		return 0
 	}
 	return shortest
@@ -52,7 +52,7 @@
 			continue // it misses this objective anyway
 		}
 		criticalWindow := min(run, max(0, singleRun+s.core.LivenessTimeout.Seconds()+singleRun-slack))
-		survives := math.Exp(-s.siblings.Autoscaler.SpotLossRate() * criticalWindow)
+		survives := math.Exp(-s.deps.Autoscaler.SpotLossRate() * criticalWindow)
 		return 1 - math.Pow(survives, float64(j.Spec.Tasks-j.CompletedCount))
 	}
 	return 0
--- a/controller/starvation/aging.go
+++ b/controller/starvation/aging.go
@@ -36,7 +36,7 @@
 	if p == core.AllPartitions {
 		running = j.LiveCount()
 	}
-	if running > 0 || j.OwnerState.BackoffUntil > g.core.Now || g.siblings.Tenancy.StartsBlocked(j) {
+	if running > 0 || j.OwnerState.BackoffUntil > g.core.Now || g.deps.Tenancy.StartsBlocked(j) {
 		return 0, false
 	}
 	waited = time.Duration(g.core.WallClock-j.AcceptedAt) * time.Millisecond
@@ -67,7 +67,7 @@
 func (g *Guard) RoundStage(owned *core.OwnedPartition, j *core.Job) (stage sched.AgingStage, waitedSeconds float64) {
 	waited, _ := g.waitingTime(j, owned.ID)
 	stage = g.WaitStage(j, owned.ID)
-	if stage != sched.NotAged && owned.MustStartCredit < 0 && !g.siblings.Balancer.HasReservationFor(owned, j.ID) {
+	if stage != sched.NotAged && owned.MustStartCredit < 0 && !g.deps.Balancer.HasReservationFor(owned, j.ID) {
 		stage = sched.NotAged
 	}
 	if stage == sched.NotAged {
--- a/controller/starvation/fragmentation.go
+++ b/controller/starvation/fragmentation.go
@@ -38,7 +38,7 @@
 // suffersFragmentation reports whether a job's tasks need most of a machine's accelerators while
 // smaller tasks compete for them.
 func (g *Guard) suffersFragmentation(s *api.JobSpec) bool {
-	cheapest := g.siblings.Autoscaler.CheapestType(s)
+	cheapest := g.deps.Autoscaler.CheapestType(s)
 	fillsMachine := s.GPUs > 0 && cheapest != nil && 2*s.GPUs > cheapest.GPUs
 	return fillsMachine && fragmentation.MayStrand(s.Demand(), g.TypicalDemands())
 }
@@ -55,8 +55,8 @@
 
 func (g *Guard) partitionFragmentation(owned *core.OwnedPartition) []core.FragmentationView {
 	var views []core.FragmentationView
-	for _, m := range g.siblings.Agents.MachinesOf(owned.ID) {
-		if !g.core.HasAccelerators(m.MachineType) || !g.siblings.Scheduler.IsSchedulable(m, owned) {
+	for _, m := range g.deps.Agents.MachinesOf(owned.ID) {
+		if !g.core.HasAccelerators(m.MachineType) || !g.deps.Scheduler.IsSchedulable(m, owned) {
 			continue
 		}
 		i := slices.IndexFunc(views, func(v core.FragmentationView) bool { return v.Type == m.MachineType && v.Zone == m.Zone })
@@ -64,7 +64,7 @@
 			i = len(views)
 			views = append(views, core.FragmentationView{Partition: owned.ID, Type: m.MachineType, Zone: m.Zone})
 		}
-		free := g.siblings.Scheduler.FreeCapacityOn(m, owned)
+		free := g.deps.Scheduler.FreeCapacityOn(m, owned)
 		views[i].Free += free.GPU.Float()
 		views[i].Unusable += fragmentation.Measure(free, g.TypicalDemands())
 	}
--- a/controller/starvation/guard.go
+++ b/controller/starvation/guard.go
@@ -17,14 +17,14 @@
 
 // Guard reserves machines and quota for the jobs that have waited longest.
 type Guard struct {
-	core     *core.Core
-	siblings Siblings
+	core *core.Core
+	deps Dependencies
 
 	demandProfile demandProfile
 }
 
-// Siblings contains the other components that the guard uses.
-type Siblings struct {
+// Dependencies contains the other components that the guard uses.
+type Dependencies struct {
 	Agents     Agents
 	Autoscaler Autoscaler
 	Balancer   Balancer
@@ -101,4 +101,4 @@
 func New(k *core.Core) *Guard { return &Guard{core: k} }
 
 // Connect sets the other components that the guard uses.
-func (g *Guard) Connect(s Siblings) { g.siblings = s }
+func (g *Guard) Connect(s Dependencies) { g.deps = s }
--- a/controller/starvation/quota.go
+++ b/controller/starvation/quota.go
@@ -30,7 +30,7 @@
 func (g *Guard) QuotaReservedForOthers(owned *core.OwnedPartition) map[api.PartitionID]map[api.Team]api.Resources {
 	out := map[api.PartitionID]map[api.Team]api.Resources{}
 	remaining := g.core.RemainingQuota(owned.ID)
-	for _, status := range g.siblings.Gossip.OtherPartitionStatuses(owned) {
+	for _, status := range g.deps.Gossip.OtherPartitionStatuses(owned) {
 		for _, team := range slices.Sorted(maps.Keys(status.Due)) {
 			if _, wantedHere := owned.MustStartQuotaDemand[team]; wantedHere && owned.ID < status.Part {
 				continue
--- a/controller/starvation/record.go
+++ b/controller/starvation/record.go
@@ -28,10 +28,10 @@
 		if loan.Partition != owned.ID || j == nil || m == nil {
 			continue
 		}
-		if g.core.Now.Sub(g.siblings.Agents.LoanKnownAt(id)) > backfill.StartDeadline/2 || j.PendingTasks(owned.ID) == 0 {
+		if g.core.Now.Sub(g.deps.Agents.LoanKnownAt(id)) > backfill.StartDeadline/2 || j.PendingTasks(owned.ID) == 0 {
 			continue
 		}
-		if _, waits := g.waitingTime(j, owned.ID); waits && g.siblings.Preemptor.ReservedFor(m) != "" {
+		if _, waits := g.waitingTime(j, owned.ID); waits && g.deps.Preemptor.ReservedFor(m) != "" {
 			m.ReservedUntil, m.IdleSince = g.core.Now.Add(core.ReservationTTL), g.core.Now
 		}
 	}
@@ -42,8 +42,8 @@
 // service on it is left to Backfill: the service may have no capacity elsewhere, and others wait
 // for the rest of the machine.
 func (g *Guard) extendWholeMachineReservations(owned *core.OwnedPartition) {
-	for _, m := range g.siblings.Agents.MachinesOf(owned.ID) {
-		if !m.Consolidated || g.siblings.Preemptor.ReservedFor(m) == "" || g.core.Now.Sub(m.ConsolidatedAt) > backfill.StartDeadline {
+	for _, m := range g.deps.Agents.MachinesOf(owned.ID) {
+		if !m.Consolidated || g.deps.Preemptor.ReservedFor(m) == "" || g.core.Now.Sub(m.ConsolidatedAt) > backfill.StartDeadline {
 			continue
 		}
 		j, machineType := g.core.State.Jobs[m.ReservedFor], g.core.MachineTypes[m.MachineType]
@@ -67,15 +67,15 @@
 func (g *Guard) ReservationChanges(owned *core.OwnedPartition) []clusterstate.Reservation {
 	var out []clusterstate.Reservation
 	recorded := g.core.State.Partitions[owned.ID].Reservations
-	for _, m := range g.siblings.Agents.MachinesOf(owned.ID) {
-		jobID := g.siblings.Preemptor.ReservedFor(m)
+	for _, m := range g.deps.Agents.MachinesOf(owned.ID) {
+		jobID := g.deps.Preemptor.ReservedFor(m)
 		if m.Consolidated && jobID != "" && recorded[m.ID].Job != jobID && len(out) < maxReservationChanges {
 			out = append(out, clusterstate.Reservation{Machine: m.ID, Job: jobID, Since: g.core.WallClock})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(recorded)) {
 		m := g.core.Machines[id]
-		ended := m == nil || g.core.PartitionOf(id) != owned.ID || !m.Consolidated || g.siblings.Preemptor.ReservedFor(m) == ""
+		ended := m == nil || g.core.PartitionOf(id) != owned.ID || !m.Consolidated || g.deps.Preemptor.ReservedFor(m) == ""
 		if ended && len(out) < maxReservationChanges {
 			out = append(out, clusterstate.Reservation{Machine: id})
 		}
@@ -91,7 +91,7 @@
 		if g.core.PartitionOf(id) != owned.ID || j == nil {
 			continue
 		}
-		m := g.siblings.Agents.EnsureMachine(id)
+		m := g.deps.Agents.EnsureMachine(id)
 		g.markReserved(m, recorded.Job, j.Spec.Priority.Rank(), true)
 		m.ConsolidatedAt = g.core.Now
 	}
--- a/controller/starvation/relocation.go
+++ b/controller/starvation/relocation.go
@@ -68,7 +68,7 @@
 	for _, p := range slices.Clone(placements) {
 		p.Job.OwnerState.ReplicaMovedAt = g.core.Now
 		g.core.Metrics.ReplicasMoved++
-		g.siblings.Scheduler.StopTask(p)
+		g.deps.Scheduler.StopTask(p)
 	}
 }
 
@@ -93,7 +93,7 @@
 	claimsLeft := maxCapacityClaims
 	for _, id := range slices.Sorted(maps.Keys(g.core.State.PendingJobs)) {
 		j := g.core.State.PendingJobs[id]
-		if j.Demand.GPU == 0 || g.siblings.Tenancy.StartsBlocked(j) || g.suffersFragmentation(j.Spec) {
+		if j.Demand.GPU == 0 || g.deps.Tenancy.StartsBlocked(j) || g.suffersFragmentation(j.Spec) {
 			continue
 		}
 		pending := min(claimsLeft, j.Spec.Tasks-j.CompletedCount-len(j.Placements)+j.FinishingCount)
@@ -108,7 +108,7 @@
 // peerMachines returns the machines of other controllers with free accelerators, the fullest first.
 func (g *Guard) peerMachines() []peerMachine {
 	var out []peerMachine
-	for _, status := range g.siblings.Gossip.PeerPartitionStatuses() {
+	for _, status := range g.deps.Gossip.PeerPartitionStatuses() {
 		for _, group := range status.Rooms {
 			if group.Kind < 0 || group.Kind >= len(status.Kinds) || !status.Kinds[group.Kind].Usable || group.Free.GPU <= 0 {
 				continue
@@ -146,15 +146,15 @@
 	var best *core.Machine
 	bestCost, cpuOnly := 0.0, g.core.IsCPUOnly(j.Spec)
 	for _, m := range capacity.machines {
-		if m == excluded || g.siblings.Preemptor.ReservedFor(m) != "" || j.OwnerState.FailedOn[m.ID] ||
+		if m == excluded || g.deps.Preemptor.ReservedFor(m) != "" || j.OwnerState.FailedOn[m.ID] ||
 			!g.core.IsEligible(j.Spec, cpuOnly, m.MachineType, m.Zone, m.Spot) {
 			continue
 		}
-		free := g.siblings.Scheduler.FreeCapacityOn(m, owned).Minus(capacity.claimed[m])
+		free := g.deps.Scheduler.FreeCapacityOn(m, owned).Minus(capacity.claimed[m])
 		if !j.Demand.Fits(free) {
 			continue
 		}
-		images := sched.Machine{CachedImages: m.CachedImages, FetchRate: g.core.MachineTypes[m.MachineType].FetchRate, FetchingImages: g.siblings.Scheduler.PendingImageFetches(m)}
+		images := sched.Machine{CachedImages: m.CachedImages, FetchRate: g.core.MachineTypes[m.MachineType].FetchRate, FetchingImages: g.deps.Scheduler.PendingImageFetches(m)}
 		cost := images.FetchTime(j.Spec) + fragmentation.Increase(free, j.Demand, g.TypicalDemands())
 		if best == nil || cost < bestCost {
 			best, bestCost = m, cost
--- a/controller/starvation/reserve.go
+++ b/controller/starvation/reserve.go
@@ -56,8 +56,8 @@
 		releases:           map[*core.Machine][]backfill.Release{},
 		relocationReleases: map[*core.Machine][]backfill.Release{},
 	}
-	for _, m := range g.siblings.Agents.MachinesOf(owned.ID) {
-		if g.siblings.Scheduler.IsSchedulable(m, owned) {
+	for _, m := range g.deps.Agents.MachinesOf(owned.ID) {
+		if g.deps.Scheduler.IsSchedulable(m, owned) {
 			pass.schedulable = append(pass.schedulable, m)
 		}
 	}
@@ -71,7 +71,7 @@
 	if j.Spec.Kind == api.Gang {
 		tasksNeeded = j.Spec.Tasks
 	}
-	if j.Demand.Slots(pass.remainingQuota[j.Spec.Team]) < tasksNeeded || g.siblings.Pools.PendingReasonPool(j, owned.ID) != "" {
+	if j.Demand.Slots(pass.remainingQuota[j.Spec.Team]) < tasksNeeded || g.deps.Pools.PendingReasonPool(j, owned.ID) != "" {
 		return // it waits for quota or for a pool, not for machines
 	}
 	var relocation *relocationCapacity
@@ -104,7 +104,7 @@
 // partitions lend the rest. It returns nil if there is no machine for a single task.
 func (g *Guard) selectMachines(j *core.Job, candidates []backfill.Machine, tasksNeeded int) (chosen []int, afterSeconds float64) {
 	request := backfill.Request{Demand: j.Demand, Tasks: tasksNeeded, OneZone: j.Spec.OneZone}
-	request.PlacedByZone, _ = g.siblings.Scheduler.TaskZones(j)
+	request.PlacedByZone, _ = g.deps.Scheduler.TaskZones(j)
 	if j.Spec.Spread {
 		request.MaxPerZone = (j.Spec.Tasks + 1) / 2
 	}
@@ -130,7 +130,7 @@
 	releases map[*core.Machine][]backfill.Release, capacity *relocationCapacity) (machines []*core.Machine, views []backfill.Machine) {
 	cpuOnly := g.core.IsCPUOnly(s)
 	for _, m := range candidates {
-		reservedFor := g.siblings.Preemptor.ReservedFor(m)
+		reservedFor := g.deps.Preemptor.ReservedFor(m)
 		if isReservedAgainst(m, reservedFor, s) || excluded[m.ID] || !g.core.IsEligible(s, cpuOnly, m.MachineType, m.Zone, m.Spot) {
 			continue
 		}
@@ -140,7 +140,7 @@
 			releases[m] = machineReleases
 		}
 		machines = append(machines, m)
-		views = append(views, backfill.Machine{Zone: m.Zone, Free: g.siblings.Scheduler.FreeCapacityOn(m, owned), Releases: machineReleases, Reserved: reservedFor == s.Ref})
+		views = append(views, backfill.Machine{Zone: m.Zone, Free: g.deps.Scheduler.FreeCapacityOn(m, owned), Releases: machineReleases, Reserved: reservedFor == s.Ref})
 	}
 	return machines, views
 }
@@ -190,7 +190,7 @@
 // Reserve reserves a machine for a job. Unless the job is aged above all others, jobs of a higher
 // rank may still start there.
 func (g *Guard) Reserve(owned *core.OwnedPartition, m *core.Machine, jobID api.JobID, rank int, stage sched.AgingStage) {
-	if g.siblings.Preemptor.ReservedFor(m) != jobID {
+	if g.deps.Preemptor.ReservedFor(m) != jobID {
 		g.core.Metrics.MachinesReserved++
 		m.ConsolidatedAt = g.core.Now
 		slog.Info("machine reserved", "machine", m.ID, "for", jobID, "tasks", len(g.core.State.PlacementsOn(m.ID)))
--- a/controller/tenancy/authentication.go
+++ b/controller/tenancy/authentication.go
@@ -51,7 +51,7 @@
 // withTenant authenticates a caller after a linearizable read, so that no controller accepts a
 // revoked key, and calls callback with the tenant. If the read fails, it calls forward.
 func (ts *Service) withTenant(req message.ReqID, c message.Caller, callback func(*tenant.Entry), forward func()) {
-	ts.siblings.Follower.LinearizableRead(func() {
+	ts.deps.Follower.LinearizableRead(func() {
 		entry, err := ts.authenticateTenant(c)
 		if err != nil {
 			ts.core.RefuseError(req, err)
@@ -97,7 +97,7 @@
 		c.KeyID = id
 		callback(c)
 	}
-	ts.siblings.Follower.LinearizableRead(serve, func() {
+	ts.deps.Follower.LinearizableRead(serve, func() {
 		if !aboutController || !ts.core.Loaded || !ts.trustsWithoutRead(c.Caller) {
 			ts.core.ReplyError(c.Req, 503, reasonStoreUnreachable)
 			return
@@ -127,7 +127,7 @@
 // trustsWithoutRead reports whether a caller's key may be verified without a new read: the admin key
 // of the configuration always, other keys up to OperatorKeyCacheTTL after the last read.
 func (ts *Service) trustsWithoutRead(c message.Caller) bool {
-	if lastReadAt := ts.siblings.Follower.LastReadAt(); lastReadAt != 0 && ts.core.Now.Sub(lastReadAt) <= OperatorKeyCacheTTL {
+	if lastReadAt := ts.deps.Follower.LastReadAt(); lastReadAt != 0 && ts.core.Now.Sub(lastReadAt) <= OperatorKeyCacheTTL {
 		return true
 	}
 	secret, err := c.BearerSecret()
--- a/controller/tenancy/changes.go
+++ b/controller/tenancy/changes.go
@@ -42,7 +42,7 @@
 	switch status {
 	case 200:
 		ts.core.Reply(req, 200, view(revision), 0)
-		ts.siblings.Follower.LinearizableRead(func() {}, func() {})
+		ts.deps.Follower.LinearizableRead(func() {}, func() {})
 	case 409:
 		ts.core.ReplyError(req, 409, "revision: "+what+" changed since")
 	default:
--- a/controller/tenancy/siblings.go
+++ b/controller/tenancy/dependencies.go
@@ -10,8 +10,8 @@
 	"basaltwall/tenant"
 )
 
-// Siblings are the other components that a Service calls.
-type Siblings struct {
+// Dependencies are the other components that a Service calls.
+type Dependencies struct {
 	Follower  Follower
 	Jobs      Jobs
 	Pools     Pools
--- a/controller/tenancy/forward.go
+++ b/controller/tenancy/forward.go
@@ -58,5 +58,5 @@
 		ts.core.ReplyError(req, 503, "request could not be forwarded")
 		return
 	}
-	ts.siblings.Jobs.Forward(req, wrapped, forwarded)
+	ts.deps.Jobs.Forward(req, wrapped, forwarded)
 }
--- a/controller/tenancy/jobrequests.go
+++ b/controller/tenancy/jobrequests.go
@@ -13,7 +13,7 @@
 // internal id, and with functions that answer that there is no such job or forward the request.
 func (ts *Service) withTenantJob(req message.ReqID, f hostedForward, forwarded bool, callback func(id api.JobID, notFound, forward func())) {
 	forward := func() { ts.forwardHosted(req, f, forwarded) }
-	if ts.siblings.Jobs.ShouldForward(forwarded) {
+	if ts.deps.Jobs.ShouldForward(forwarded) {
 		forward()
 		return
 	}
@@ -31,7 +31,7 @@
 func (ts *Service) PollHosted(c message.Poll) {
 	request := hostedForward{Kind: forwardPoll, Ref: c.Ref, Caller: c.Caller}
 	ts.withTenantJob(c.Req, request, c.Forwarded, func(id api.JobID, notFound, forward func()) {
-		ts.siblings.Jobs.FindJob(id, func(s api.JobStatus) {
+		ts.deps.Jobs.FindJob(id, func(s api.JobStatus) {
 			s.JobID = api.JobID(c.Ref)
 			ts.core.Reply(c.Req, 200, s, 0)
 		}, notFound, forward)
@@ -49,6 +49,6 @@
 			ts.core.Reply(c.Req, 200, api.JobStatus{JobID: api.JobID(c.Ref), State: s.State}, 0)
 		}
 		retryLater := func() { ts.core.ReplyError(c.Req, 503, core.ReasonCancellationPending) }
-		ts.siblings.Jobs.RecordCancellation(id, cancelTries, ts.siblings.Jobs.RespondWhenAcknowledged(c.Forwarded, acknowledged, retryLater), notFound, forward)
+		ts.deps.Jobs.RecordCancellation(id, cancelTries, ts.deps.Jobs.RespondWhenAcknowledged(c.Forwarded, acknowledged, retryLater), notFound, forward)
 	})
 }
--- a/controller/tenancy/reconcile.go
+++ b/controller/tenancy/reconcile.go
@@ -34,7 +34,7 @@
 		return
 	}
 	hostedState.reconciledAt = ts.core.Now
-	ts.siblings.Pools.ReconcilePools()
+	ts.deps.Pools.ReconcilePools()
 	ts.sweepHistory()
 	draining := map[tenant.Name][]*core.Placement{} // of tenants whose drain period has passed
 	var removing []*tenant.Entry
@@ -74,7 +74,7 @@
 		running := byTenant[name]
 		slices.SortFunc(running, compareDrainOrder)
 		for _, placement := range running[:min(maxDrainedTasks, len(running))] {
-			ts.siblings.Scheduler.StopTask(placement)
+			ts.deps.Scheduler.StopTask(placement)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	if entry.CancelJobs {
 		slices.SortFunc(open, func(a, b *core.Job) int { return strings.Compare(string(a.ID), string(b.ID)) })
 		for _, j := range open[:min(maxCancelledJobs*len(ts.core.Partitions), len(open))] {
-			ts.siblings.Jobs.RecordCancellation(j.ID, 1, func(api.JobStatus) {}, func() {}, func() {})
+			ts.deps.Jobs.RecordCancellation(j.ID, 1, func(api.JobStatus) {}, func() {}, func() {})
 		}
 	}
 	if remaining > 0 || ts.core.Partitions[0] == nil || ts.hosted.finishingRemoval {
@@ -117,7 +117,7 @@
 func (ts *Service) finishRemoval(name tenant.Name, revision api.Revision) {
 	ts.hosted.finishingRemoval = true
 	release := func() { ts.hosted.finishingRemoval = false }
-	ts.siblings.Follower.LinearizableRead(func() {
+	ts.deps.Follower.LinearizableRead(func() {
 		entry := ts.hosted.tenants.Get(name)
 		if entry == nil || entry.Revision != revision {
 			release()
--- a/controller/tenancy/service.go
+++ b/controller/tenancy/service.go
@@ -29,9 +29,9 @@
 
 // Service serves the tenants and operators of a hosted service.
 type Service struct {
-	core     *core.Core
-	siblings Siblings
-	hosted   *hostedService // nil if the service is not hosted
+	core   *core.Core
+	deps   Dependencies
+	hosted *hostedService // nil if the service is not hosted
 }
 
 // hostedService is the state of a controller of a hosted service.
@@ -63,7 +63,7 @@
 }
 
 // Connect sets the components that the Service calls.
-func (ts *Service) Connect(siblings Siblings) { ts.siblings = siblings }
+func (ts *Service) Connect(deps Dependencies) { ts.deps = deps }
 
 // InitHosted initializes the state of a hosted service if the configuration has one.
 func (ts *Service) InitHosted() {
--- a/controller/tenancy/submission.go
+++ b/controller/tenancy/submission.go
@@ -30,7 +30,7 @@
 // record, so that it fails after a suspension or a revoked key that this controller has not read yet.
 func (ts *Service) SubmitHosted(c message.Submit, tries int) {
 	s := &submission{service: ts, command: c, tries: tries}
-	if ts.siblings.Jobs.ShouldForward(c.Forwarded) || len(ts.core.MachineTypes) == 0 {
+	if ts.deps.Jobs.ShouldForward(c.Forwarded) || len(ts.core.MachineTypes) == 0 {
 		s.forward()
 		return
 	}
@@ -46,7 +46,7 @@
 	}
 	s.entry, s.spec, s.ref = entry, spec, spec.Ref
 	spec.Ref = tenant.JobID(entry.Name, s.ref)
-	if _, ok := ts.siblings.Jobs.JobStatus(spec.Ref); ok {
+	if _, ok := ts.deps.Jobs.JobStatus(spec.Ref); ok {
 		s.replyIfKnown(s.forward)
 		return
 	}
@@ -68,13 +68,13 @@
 		refuse()
 		return
 	}
-	s.service.siblings.Follower.LinearizableRead(func() { s.service.SubmitHosted(s.command, s.tries-1) }, s.forward)
+	s.service.deps.Follower.LinearizableRead(func() { s.service.SubmitHosted(s.command, s.tries-1) }, s.forward)
 }
 
 // replyIfKnown answers with the state of the job if it was accepted earlier, and otherwise calls
 // unknown.
 func (s *submission) replyIfKnown(unknown func()) {
-	s.service.siblings.Jobs.LookupJob(s.spec.Ref, func(status api.JobStatus) {
+	s.service.deps.Jobs.LookupJob(s.spec.Ref, func(status api.JobStatus) {
 		s.service.core.Reply(s.command.Req, 200, api.JobStatus{JobID: s.ref, State: status.State}, 0)
 	}, unknown, s.forward)
 }
@@ -102,11 +102,11 @@
 		s.retry(func() { s.refuse(422, "bottega: unknown team", 0) })
 		return true
 	}
-	if reason := ts.siblings.Jobs.InfeasibleReason(spec); reason != "" {
+	if reason := ts.deps.Jobs.InfeasibleReason(spec); reason != "" {
 		s.refuse(422, reason, 0)
 		return true
 	}
-	if reason := ts.siblings.Pools.CheckPoolNeeds(spec, entry.Name); reason != "" {
+	if reason := ts.deps.Pools.CheckPoolNeeds(spec, entry.Name); reason != "" {
 		s.retry(func() { s.refuse(422, reason, 0) })
 		return true
 	}
@@ -135,7 +135,7 @@
 // write writes the job and answers.
 func (s *submission) write() {
 	ts, name, id := s.service, s.entry.Name, s.spec.Ref
-	value := clusterstate.JobValue{Spec: s.spec, Split: ts.siblings.Jobs.SplitAcrossPartitions(s.spec), AcceptedAt: ts.core.WallClock, Tenant: string(name), TenantJobID: s.ref}
+	value := clusterstate.JobValue{Spec: s.spec, Split: ts.deps.Jobs.SplitAcrossPartitions(s.spec), AcceptedAt: ts.core.WallClock, Tenant: string(name), TenantJobID: s.ref}
 	data, err := json.Marshal(value)
 	if err != nil || ts.core.JobExceedsValueSize(data) {
 		s.refuse(400, core.ReasonSpecTooLarge, 0)
@@ -167,5 +167,5 @@
 	ts.core.Reply(s.command.Req, 201, api.JobStatus{JobID: s.ref, State: api.JobPending}, 0)
 	slog.Info(core.LogJobAccepted, "job", id, core.SpecAttr(s.spec))
 	written := func() { ts.removePendingSubmission(name, id) }
-	ts.siblings.Follower.LinearizableRead(written, written)
+	ts.deps.Follower.LinearizableRead(written, written)
 }
--- a/controller/wiring.go
+++ b/controller/wiring.go
@@ -35,9 +35,9 @@
 
 // connectState connects the components that read and write the cluster state and exchange gossip.
 func (n *Controller) connectState() {
-	n.follower.Connect(logfollow.Siblings{State: n, Ownership: n.membership})
-	n.membership.Connect(ownership.Siblings{Log: n.follower, Scheduler: n.scheduler})
-	n.gossiper.Connect(gossip.Siblings{
+	n.follower.Connect(logfollow.Dependencies{State: n, Ownership: n.membership})
+	n.membership.Connect(ownership.Dependencies{Log: n.follower, Scheduler: n.scheduler})
+	n.gossiper.Connect(gossip.Dependencies{
 		Log:         n.follower,
 		Agents:      n.agents,
 		Inventory:   n.autoscaler,
@@ -51,7 +51,7 @@
 
 // connectMachines connects the components that manage machines.
 func (n *Controller) connectMachines() {
-	n.agents.Connect(agent.Siblings{
+	n.agents.Connect(agent.Dependencies{
 		Autoscaler: n.autoscaler,
 		Balancer:   n.balancer,
 		Follower:   n.follower,
@@ -60,7 +60,7 @@
 		Preemptor:  n.preemptor,
 		Scheduler:  n.scheduler,
 	})
-	n.health.Connect(health.Siblings{
+	n.health.Connect(health.Dependencies{
 		Agents:     n.agents,
 		Autoscaler: n.autoscaler,
 		Follower:   n.follower,
@@ -70,8 +70,8 @@
 		Scheduler:  n.scheduler,
 		Tenancy:    n.tenancy,
 	})
-	n.eligibility.Connect(eligibility.Siblings{Agents: n.agents, Health: n.health})
-	n.autoscaler.Connect(autoscale.Siblings{
+	n.eligibility.Connect(eligibility.Dependencies{Agents: n.agents, Health: n.health})
+	n.autoscaler.Connect(autoscale.Dependencies{
 		Agents:     n.agents,
 		Backfiller: n.backfiller,
 		Balancer:   n.balancer,
@@ -85,12 +85,12 @@
 		Scheduler:  n.scheduler,
 		Tenancy:    n.tenancy,
 	})
-	n.capacity.Connect(capacity.Siblings{Gossip: n.gossiper, Priorities: n.priorities, Tenants: n.tenancy})
+	n.capacity.Connect(capacity.Dependencies{Gossip: n.gossiper, Priorities: n.priorities, Tenants: n.tenancy})
 }
 
 // connectScheduling connects the components that place tasks on machines.
 func (n *Controller) connectScheduling() {
-	n.scheduler.Connect(rounds.Siblings{
+	n.scheduler.Connect(rounds.Dependencies{
 		Eligibility: n.eligibility,
 		Agents:      n.agents,
 		Autoscaler:  n.autoscaler,
@@ -104,14 +104,14 @@
 		Priorities:  n.priorities,
 		Tenancy:     n.tenancy,
 	})
-	n.preemptor.Connect(preemption.Siblings{
+	n.preemptor.Connect(preemption.Dependencies{
 		Agents:     n.agents,
 		Health:     n.health,
 		Priorities: n.priorities,
 		Scheduler:  n.scheduler,
 	})
-	n.priorities.Connect(ordering.Siblings{Agents: n.agents, Gossip: n.gossiper, Health: n.health, Log: n.follower})
-	n.backfiller.Connect(starvation.Siblings{
+	n.priorities.Connect(ordering.Dependencies{Agents: n.agents, Gossip: n.gossiper, Health: n.health, Log: n.follower})
+	n.backfiller.Connect(starvation.Dependencies{
 		Agents:     n.agents,
 		Autoscaler: n.autoscaler,
 		Balancer:   n.balancer,
@@ -121,7 +121,7 @@
 		Scheduler:  n.scheduler,
 		Tenancy:    n.tenancy,
 	})
-	n.balancer.Connect(balance.Siblings{
+	n.balancer.Connect(balance.Dependencies{
 		Agents:     n.agents,
 		Autoscaler: n.autoscaler,
 		Backfiller: n.backfiller,
@@ -134,7 +134,7 @@
 		Scheduler:  n.scheduler,
 		Tenancy:    n.tenancy,
 	})
-	n.pools.Connect(pools.Siblings{
+	n.pools.Connect(pools.Dependencies{
 		Backfiller: n.backfiller,
 		Capacity:   n.capacity,
 		Follower:   n.follower,
@@ -146,7 +146,7 @@
 
 // connectServices connects the components that answer users and operators.
 func (n *Controller) connectServices() {
-	n.jobs.Connect(jobs.Siblings{
+	n.jobs.Connect(jobs.Dependencies{
 		Agents:       n.agents,
 		Balancer:     n.balancer,
 		Capacity:     n.capacity,
@@ -157,9 +157,9 @@
 		Reservations: n.reservations,
 		Tenants:      n.tenancy,
 	})
-	n.tenancy.Connect(tenancy.Siblings{Follower: n.follower, Jobs: n.jobs, Pools: n.pools, Scheduler: n.scheduler})
-	n.reservations.Connect(reservations.Siblings{Jobs: n.jobs, Gossip: n.gossiper, Log: n.follower})
-	n.admin.Connect(operations.Siblings{
+	n.tenancy.Connect(tenancy.Dependencies{Follower: n.follower, Jobs: n.jobs, Pools: n.pools, Scheduler: n.scheduler})
+	n.reservations.Connect(reservations.Dependencies{Jobs: n.jobs, Gossip: n.gossiper, Log: n.follower})
+	n.admin.Connect(operations.Dependencies{
 		Tenants:      n.tenancy,
 		Pools:        n.pools,
 		Reservations: n.reservations,
@@ -168,7 +168,7 @@
 		Agents:       n.agents,
 		Eligibility:  n.eligibility,
 	})
-	n.reporter.Connect(metrics.Siblings{
+	n.reporter.Connect(metrics.Dependencies{
 		Log:          n.follower,
 		Agents:       n.agents,
 		Health:       n.health,
