--- a/admin/pools.go
+++ b/admin/pools.go
@@ -106,7 +106,7 @@
 func poolsTable(w io.Writer, all []pools.View) {
 	writeRow(w, "POOL", "STATE", "SIZE", "HELD", "WAITING", "OLDEST WAIT", "UNIT")
 	for _, p := range all {
-		writeRow(w, p.Name, p.State, p.Size, sum(p.Held), p.WaitingUnits, fmt.Sprintf("%.0f s", p.OldestWait), p.Unit)
+		writeRow(w, p.Name, p.State, p.Size, sum(p.Held), p.PendingUnits, fmt.Sprintf("%.0f s", p.OldestWait), p.Unit)
 	}
 }
 
@@ -116,7 +116,7 @@
 	writeRow(w, "size", p.Size, fmt.Sprintf("largest %d", p.Largest))
 	writeRow(w, "held", sum(p.Held))
 	writeRow(w, "reclaims", p.Reclaim)
-	writeRow(w, "waiting", p.WaitingUnits, fmt.Sprintf("oldest wait %.0f s", p.OldestWait))
+	writeRow(w, "waiting", p.PendingUnits, fmt.Sprintf("oldest wait %.0f s", p.OldestWait))
 	writeRow(w, "teams", joinNames(p.Teams))
 	writeRow(w, "tenants", joinNames(p.Tenants))
 	for _, team := range slices.Sorted(maps.Keys(p.Guaranteed)) {
--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -59,7 +59,7 @@
 		err = json.Unmarshal(r.Body, &offered)
 		response.Types = offered.Types
 	case c.List != nil:
-		err = json.Unmarshal(r.Body, &response.Hosts)
+		err = json.Unmarshal(r.Body, &response.MachineList)
 	case c.Create != nil:
 		var created api.MachineIDList
 		err = json.Unmarshal(r.Body, &created)
--- a/cloud/golden_test.go
+++ b/cloud/golden_test.go
@@ -40,7 +40,7 @@
 		want   message.CloudResponse
 	}{
 		{"types answer", types, 200, typesData, message.CloudResponse{Types: catalogue.Types}},
-		{"list answer", list, 200, hostsData, message.CloudResponse{Hosts: hosts}},
+		{"list answer", list, 200, hostsData, message.CloudResponse{MachineList: hosts}},
 		{"rent answer", message.CloudCall{ID: 1, Create: &create}, 200, namesData, message.CloudResponse{Machines: names.Machines}},
 		{"rent refused", message.CloudCall{ID: 1, Create: &create}, 503, refusal, message.CloudResponse{NoCapacity: true}},
 		{"rent failed", message.CloudCall{ID: 1, Create: &create}, 503, []byte(`{"error":"later"}`), message.CloudResponse{}},
--- a/clusterstate/checkpoint.go
+++ b/clusterstate/checkpoint.go
@@ -15,8 +15,8 @@
 )
 
 // Checkpoint returns a partition's whole state as a record. The order of its entries is deterministic.
-func (s *State[J, P]) Checkpoint(partition api.PartitionID) Record {
-	c := Record{Seq: s.Partitions[partition].RoundSeq, Revision: s.Revision}
+func (s *State[J, P]) Checkpoint(partition api.PartitionID) RoundRecord {
+	c := RoundRecord{Seq: s.Partitions[partition].RoundSeq, Revision: s.Revision}
 	for _, jobID := range slices.Sorted(maps.Keys(s.Jobs)) {
 		j := s.Jobs[jobID]
 		d := JobDelta{Job: jobID, CancellationAcknowledged: j.cancellationAcknowledged[partition]}
@@ -74,7 +74,7 @@
 
 // encodeCheckpoint encodes and compresses a checkpoint, since the key-value store limits writes and IDs of
 // jobs and machines occur many times.
-func encodeCheckpoint(c Record) ([]byte, error) {
+func encodeCheckpoint(c RoundRecord) ([]byte, error) {
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
@@ -90,8 +90,8 @@
 }
 
 // decodeCheckpoint decodes the result of encodeCheckpoint.
-func decodeCheckpoint(blob []byte) (Record, error) {
-	var c Record
+func decodeCheckpoint(blob []byte) (RoundRecord, error) {
+	var c RoundRecord
 	text, err := io.ReadAll(flate.NewReader(bytes.NewReader(blob)))
 	if err != nil {
 		return c, fmt.Errorf("decompressing: %w", err)
--- a/clusterstate/golden_test.go
+++ b/clusterstate/golden_test.go
@@ -55,7 +55,7 @@
 	put(t, b, "b/lend/i-8", golden.JSON(f, "lend", plain), 10)
 	golden.Same(t, "lend", b.Loans["i-8"], Loan{plain, 10})
 
-	round := golden.Filled[Record](t)
+	round := golden.Filled[RoundRecord](t)
 	b.Partitions[2].RoundSeq = round.Seq - 1
 	put(t, b, "b/round/2/2", golden.JSON(f, "round", round), 11)
 	if b.Partitions[2].RoundSeq != round.Seq {
@@ -67,7 +67,7 @@
 	for _, reservation := range round.Reservations {
 		golden.Same(t, "reservation", b.Partitions[2].Reservations[reservation.Machine], reservation)
 	}
-	golden.JSON(f, "empty round", Record{Jobs: []JobDelta{{Starts: []TaskStart{{}}}}, QuotaTransfers: []QuotaTransfer{{}}, Reservations: []Reservation{{}}})
+	golden.JSON(f, "empty round", RoundRecord{Jobs: []JobDelta{{Starts: []TaskStart{{}}}}, QuotaTransfers: []QuotaTransfer{{}}, Reservations: []Reservation{{}}})
 }
 
 // Rounds and checkpoints stored by earlier versions, with starts, completions and failures of tasks,
@@ -87,7 +87,7 @@
 		put(t, b, RoundKey(0, uint64(i+1)), []byte(r), api.Revision(6+i))
 	}
 	b.Revision = 8
-	want := Record{Seq: 3, Revision: 8, Jobs: []JobDelta{{Job: "run-7", CancellationAcknowledged: true, CompletedBits: []byte{1, 0, 0, 0, 128},
+	want := RoundRecord{Seq: 3, Revision: 8, Jobs: []JobDelta{{Job: "run-7", CancellationAcknowledged: true, CompletedBits: []byte{1, 0, 0, 0, 128},
 		Starts: []TaskStart{{Task: 1, Machine: "i-1", Epoch: 11, Attempt: 3}, {Task: 3, Machine: "i-1", Epoch: 11, Attempt: 5}}}},
 		QuotaTransfers: []QuotaTransfer{{To: 1, Team: "red", Amount: api.Resources{CPU: 2e6, GPU: 3e6, Mem: 4e6}}}, Reservations: []Reservation{{Machine: "i-3", Job: "run-7", Since: 1500}}}
 	golden.Same(t, "state after the rounds", b.Checkpoint(0), want)
--- a/clusterstate/load.go
+++ b/clusterstate/load.go
@@ -51,7 +51,7 @@
 
 // loadedRound is a round and the revision at which it was written.
 type loadedRound struct {
-	Record
+	RoundRecord
 	revision api.Revision
 }
 
@@ -62,36 +62,36 @@
 		return 0, loadedRound{}, err
 	}
 	r := loadedRound{revision: revision}
-	if err := json.Unmarshal(value, &r.Record); err != nil {
+	if err := json.Unmarshal(value, &r.RoundRecord); err != nil {
 		return 0, loadedRound{}, err
 	}
 	return partition, r, nil
 }
 
 // readCheckpoint decodes a partition's checkpoint from its chunks; it is empty if there is none.
-func (s *State[J, P]) readCheckpoint(partition api.PartitionID, raw map[string]json.RawMessage) (Record, error) {
+func (s *State[J, P]) readCheckpoint(partition api.PartitionID, raw map[string]json.RawMessage) (RoundRecord, error) {
 	head := s.Partitions[partition].CheckpointHead
 	if head.Chunks == 0 {
-		return Record{}, nil
+		return RoundRecord{}, nil
 	}
 	var blob []byte
 	for k := range head.Chunks {
 		var chunk []byte
 		if err := json.Unmarshal(raw[CheckpointChunkKey(partition, head.Generation, k)], &chunk); err != nil {
-			return Record{}, fmt.Errorf("checkpoint of partition %d, chunk %d: %w", partition, k, err)
+			return RoundRecord{}, fmt.Errorf("checkpoint of partition %d, chunk %d: %w", partition, k, err)
 		}
 		blob = append(blob, chunk...)
 	}
 	c, err := decodeCheckpoint(blob)
 	if err != nil {
-		return Record{}, fmt.Errorf("checkpoint of partition %d: %w", partition, err)
+		return RoundRecord{}, fmt.Errorf("checkpoint of partition %d: %w", partition, err)
 	}
 	return c, nil
 }
 
 // restorePartition applies a partition's checkpoint and then, ordered by revision, the rounds after it and
 // the transfers of machines with tasks to the partition. The error is a *RoundGapError.
-func (s *State[J, P]) restorePartition(partition api.PartitionID, c Record, rounds []loadedRound) error {
+func (s *State[J, P]) restorePartition(partition api.PartitionID, c RoundRecord, rounds []loadedRound) error {
 	ps := &s.Partitions[partition]
 	ps.RoundSeq = c.Seq
 	s.applyDeltas(partition, c.Seq, c.Jobs, max(c.Revision, 1)) // a checkpoint without a revision precedes all transfers
@@ -111,7 +111,7 @@
 			s.applyDeltas(partition, 0, incoming[0].Tasks, 0)
 			incoming = incoming[1:]
 		}
-		s.applyRound(partition, &r.Record, r.revision)
+		s.applyRound(partition, &r.RoundRecord, r.revision)
 	}
 	for _, l := range incoming {
 		s.applyDeltas(partition, 0, l.Tasks, 0)
--- a/clusterstate/loan_test.go
+++ b/clusterstate/loan_test.go
@@ -111,7 +111,7 @@
 			case 0: // a loan of the machine with its tasks
 				s.write(t, map[string]any{
 					KeyLoan + string(id):     LoanValue{Partition: api.PartitionID(r.IntN(partitions)), Transferred: true, Tasks: state.StartsOn(id)},
-					RoundKey(partition, seq): Record{Seq: seq},
+					RoundKey(partition, seq): RoundRecord{Seq: seq},
 				}, state)
 			case 1: // a checkpoint of the partition
 				if seq < state.Partitions[partition].CheckpointHead.Seq+RingSize/2 && r.IntN(3) > 0 {
@@ -136,10 +136,10 @@
 				case p != nil && p.Partition == partition && r.IntN(4) == 0:
 					d.Completed = []int{task}
 				case p != nil && p.Partition == partition:
-					d.Terminated = []int{task}
+					d.EndedIncomplete = []int{task}
 				}
 				if seq < state.Partitions[partition].CheckpointHead.Seq+RingSize {
-					s.write(t, map[string]any{RoundKey(partition, seq): Record{Seq: seq, Jobs: []JobDelta{d}}}, state)
+					s.write(t, map[string]any{RoundKey(partition, seq): RoundRecord{Seq: seq, Jobs: []JobDelta{d}}}, state)
 				}
 			}
 			if len(state.PlacementsOn(id)) == 0 && state.LoanCheckpointed(id) {
--- a/clusterstate/records.go
+++ b/clusterstate/records.go
@@ -85,7 +85,7 @@
 	Job                      api.JobID   `json:"j"`
 	Starts                   []TaskStart `json:"+,omitempty"`
 	Completed                []int       `json:"d,omitempty"` // tasks that ended by completion
-	Terminated               []int       `json:"l,omitempty"` // tasks that ended otherwise
+	EndedIncomplete          []int       `json:"l,omitempty"` // tasks that ended otherwise
 	CancellationAcknowledged bool        `json:"x,omitempty"` // see Job.CancellationConfirmed
 	CompletedBits            []byte      `json:"b,omitempty"` // only in checkpoints: bit set of completed tasks
 }
@@ -105,9 +105,9 @@
 	Since   api.WallTime  `json:"t,omitempty"`
 }
 
-// Record is the changes of a partition's round. A checkpoint is a partition's whole state in the same form,
+// RoundRecord is the changes of a partition's round. A checkpoint is a partition's whole state in the same form,
 // with placements as starts, completions as bits and quota transfers as totals.
-type Record struct {
+type RoundRecord struct {
 	Seq uint64 `json:"q"`
 	// Revision, set only in checkpoints, is the revision up to which the writer had applied the log.
 	Revision       api.Revision    `json:"rev,omitempty"`
--- a/clusterstate/round.go
+++ b/clusterstate/round.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return err
 	}
-	var r Record
+	var r RoundRecord
 	if err := json.Unmarshal(value, &r); err != nil {
 		return err
 	}
@@ -31,7 +31,7 @@
 		if j == nil {
 			continue
 		}
-		for _, i := range slices.Concat(d.Completed, d.Terminated) {
+		for _, i := range slices.Concat(d.Completed, d.EndedIncomplete) {
 			if p := j.Placements[i]; p != nil && p.Partition == partition {
 				s.removePlacement(p)
 			}
@@ -39,7 +39,7 @@
 		if d.CancellationAcknowledged {
 			j.cancellationAcknowledged[partition] = true
 		}
-		j.RetryCount += len(d.Terminated)
+		j.RetryCount += len(d.EndedIncomplete)
 		for _, i := range d.Completed {
 			j.markCompleted(partition, i)
 		}
@@ -68,12 +68,12 @@
 }
 
 // ApplyRecord applies a round if it is the next one of the partition.
-func (s *State[J, P]) ApplyRecord(partition api.PartitionID, r *Record) {
+func (s *State[J, P]) ApplyRecord(partition api.PartitionID, r *RoundRecord) {
 	s.applyRound(partition, r, 0)
 }
 
 // applyRound applies a round if it is the next one of the partition; at is as in applyDeltas.
-func (s *State[J, P]) applyRound(partition api.PartitionID, r *Record, at api.Revision) {
+func (s *State[J, P]) applyRound(partition api.PartitionID, r *RoundRecord, at api.Revision) {
 	ps := &s.Partitions[partition]
 	if r.Seq != ps.RoundSeq+1 {
 		return
--- a/clusterstate/state_test.go
+++ b/clusterstate/state_test.go
@@ -77,7 +77,7 @@
 		case p != nil && r.IntN(3) == 0:
 			state.SetFinishing(p, !p.Finishing)
 		case p != nil && r.IntN(2) == 0:
-			d.Terminated = []int{task}
+			d.EndedIncomplete = []int{task}
 		case p != nil && r.IntN(4) == 0:
 			d.Completed = []int{task}
 		}
@@ -85,7 +85,7 @@
 		if r.IntN(2) == 0 {
 			reservation.Job, reservation.Since = j.ID, api.WallTime(step)
 		}
-		state.ApplyRecord(partition, &Record{Seq: state.Partitions[partition].RoundSeq + 1, Jobs: []JobDelta{d}, Reservations: []Reservation{reservation}})
+		state.ApplyRecord(partition, &RoundRecord{Seq: state.Partitions[partition].RoundSeq + 1, Jobs: []JobDelta{d}, Reservations: []Reservation{reservation}})
 		if got, reserved := state.Partitions[partition].Reservations[reservation.Machine]; reserved != (reservation.Job != "") || reserved && got != reservation {
 			t.Fatalf("reservation %+v after record %+v", got, reservation)
 		}
@@ -162,7 +162,7 @@
 	}
 	spec := &api.JobSpec{Ref: "run-1", Kind: api.Array, Tasks: 2, Priority: api.Normal}
 	value := JobValue{Spec: spec, Split: []TaskRange{{0, 1, 0}, {1, 2, 1}}, Cancelled: true}
-	rounds := map[string]Record{
+	rounds := map[string]RoundRecord{
 		RoundKey(0, 1): {Seq: 1, Jobs: []JobDelta{{Job: "run-1", Starts: []TaskStart{{Task: 0, Machine: "i-1"}}}}},
 		RoundKey(1, 1): {Seq: 1, Jobs: []JobDelta{{Job: "run-1", Starts: []TaskStart{{Task: 1, Machine: "i-2"}}}}},
 		RoundKey(0, 2): {Seq: 2, Jobs: []JobDelta{{Job: "run-1", CancellationAcknowledged: true}}},
@@ -175,7 +175,7 @@
 	if j := state.Jobs["run-1"]; j.CancellationConfirmed() || j.State() != api.JobRunning || !j.CancellationAcknowledged(0) || state.CancellingJobs["run-1"] == nil {
 		t.Fatalf("job %s, confirmed %v, with one of two acknowledgements", j.State(), j.CancellationConfirmed())
 	}
-	rounds[RoundKey(1, 2)] = Record{Seq: 2, Jobs: []JobDelta{{Job: "run-1", CancellationAcknowledged: true}}}
+	rounds[RoundKey(1, 2)] = RoundRecord{Seq: 2, Jobs: []JobDelta{{Job: "run-1", CancellationAcknowledged: true}}}
 	put(state, RoundKey(1, 2), 5, rounds[RoundKey(1, 2)])
 	if j := state.Jobs["run-1"]; j.State() != api.JobCancelled {
 		t.Fatalf("job %s with both acknowledgements", j.State())
--- a/controller/agent/command_test.go
+++ b/controller/agent/command_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	shared := core.New(cfg, 1)
-	shared.State = clusterstate.New[core.JobTracking, core.PlacementTracking](cfg.Deployment.InitialSize)
+	shared.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](cfg.Deployment.InitialSize)
 	shared.Now, shared.Loaded = api.Time(time.Minute), true
 	spec := &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 1, CPUs: 1}
 	put(t, shared, clusterstate.KeyPartition+"0", clusterstate.PartitionValue{Owner: "n"})
@@ -74,7 +74,7 @@
 // token below the loan's revision, which may be higher than the new owner's term.
 func TestLaunchTokenAfterTransfer(t *testing.T) {
 	am, owned, m, j := newTestManager(t)
-	am.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
+	am.core.State.ApplyRecord(0, &clusterstate.RoundRecord{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
 	if got := am.LatestLaunchToken(j.Placements[0], owned); got != api.FencingToken(owned.Term)-1 {
 		t.Errorf("latest launch token %d under term %d", got, owned.Term)
 	}
@@ -103,7 +103,7 @@
 // Commands that end tasks precede launches, since they free the capacity.
 func TestLaunchesComeLast(t *testing.T) {
 	am, owned, m, j := newTestManager(t)
-	am.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
+	am.core.State.ApplyRecord(0, &clusterstate.RoundRecord{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
 	for attempt, state := range map[api.Attempt]api.TaskState{3: api.TaskExited, 4: api.TaskRunning} {
 		k := core.AttemptKey{Task: api.TaskID{Job: "run-9"}, Attempt: attempt}
 		m.ReportedTasks[k] = api.TaskStatus{Task: k.Task.String(), Attempt: attempt, State: state}
--- a/controller/agent/dependencies.go
+++ b/controller/agent/dependencies.go
@@ -44,8 +44,8 @@
 type Gossiper interface {
 	// IsPeer reports whether a controller is a configured peer.
 	IsPeer(api.ControllerID) bool
-	// ReportsSilent reports whether a machine's owner reports the machine as unreachable.
-	ReportsSilent(owner api.ControllerID, machine api.MachineID) bool
+	// ReportsUnreachable reports whether a machine's owner reports the machine as unreachable.
+	ReportsUnreachable(owner api.ControllerID, machine api.MachineID) bool
 }
 
 // Health is the component that monitors zones and machines.
--- a/controller/agent/directcall.go
+++ b/controller/agent/directcall.go
@@ -21,51 +21,51 @@
 	unavailableZoneProbeDivisor = 8
 )
 
-// ContactNow schedules an immediate direct call that sends a machine its commands.
-func (am *Manager) ContactNow(m *core.Machine) {
-	if !m.ContactPending {
-		m.ContactPending = true
-		am.pendingContacts = append(am.pendingContacts, m)
+// ScheduleDirectCall schedules an immediate direct call that sends a machine its commands.
+func (am *Manager) ScheduleDirectCall(m *core.Machine) {
+	if !m.DirectCallPending {
+		m.DirectCallPending = true
+		am.pendingDirectCalls = append(am.pendingDirectCalls, m)
 	}
 }
 
-// PendingContactCount returns the number of machines with a scheduled direct call.
-func (am *Manager) PendingContactCount() int { return len(am.pendingContacts) }
+// PendingDirectCallCount returns the number of machines with a scheduled direct call.
+func (am *Manager) PendingDirectCallCount() int { return len(am.pendingDirectCalls) }
 
 // ReconcileMachines makes the scheduled direct calls and reconciles the next machines in order. Each
-// step reconciles only a fraction of the machines; all of them are covered within SweepInterval.
+// step reconciles only a fraction of the machines; all of them are covered within MachineInspectionInterval.
 func (am *Manager) ReconcileMachines() {
 	am.sortMachines()
-	am.contactPending()
+	am.makePendingDirectCalls()
 	am.sweep()
 }
 
-// contactPending makes the scheduled direct calls, within the limit on calls in flight.
-func (am *Manager) contactPending() {
-	pending := am.pendingContacts
-	am.pendingContacts = nil
+// makePendingDirectCalls makes the scheduled direct calls, within the limit on calls in flight.
+func (am *Manager) makePendingDirectCalls() {
+	pending := am.pendingDirectCalls
+	am.pendingDirectCalls = nil
 	for _, m := range pending {
-		if !m.ContactPending || am.core.Machines[m.ID] != m {
+		if !m.DirectCallPending || am.core.Machines[m.ID] != m {
 			continue
 		}
-		m.ContactPending = false
+		m.DirectCallPending = false
 		owned := am.core.Partitions[am.core.PartitionOf(m.ID)]
 		if owned == nil || m.Deleting {
 			continue
 		}
 		if m.CallInFlight || am.core.Now < m.NextCallAt || am.directCallsInFlight >= am.maxDirectCalls {
-			am.ContactNow(m) // retried in the next step
+			am.ScheduleDirectCall(m) // retried in the next step
 			continue
 		}
 		am.reconcileMachine(m, owned, true)
 	}
 }
 
-// sweep reconciles the next machines in order, so many that SweepInterval covers all of them.
+// sweep reconciles the next machines in order, so many that MachineInspectionInterval covers all of them.
 func (am *Manager) sweep() {
 	elapsed := am.core.Now.Sub(am.lastSweepAt)
-	count := int(int64(len(am.sortedMachines)) * int64(min(elapsed, core.SweepInterval)) / int64(core.SweepInterval))
-	if count == 0 && elapsed < core.SweepInterval {
+	count := int(int64(len(am.sortedMachines)) * int64(min(elapsed, core.MachineInspectionInterval)) / int64(core.MachineInspectionInterval))
+	if count == 0 && elapsed < core.MachineInspectionInterval {
 		return
 	}
 	am.lastSweepAt = am.core.Now
@@ -153,24 +153,24 @@
 			break
 		}
 	}
-	m.MissedCalls++
+	m.UnansweredCalls++
 	m.NextCallAt = am.core.Now.Add(unansweredCallDelay)
 }
 
 // handleDirectReply processes the heartbeat in a machine's answer to a direct call.
 func (am *Manager) handleDirectReply(m *core.Machine, owned *core.OwnedPartition, heartbeat *api.Heartbeat) {
-	m.LastDirectReply, m.MissedCalls, m.SuspectSince = am.core.Now, 0, 0
+	m.LastDirectReply, m.UnansweredCalls, m.SuspectSince = am.core.Now, 0, 0
 	if heartbeat.Token > m.CommandToken {
 		am.deps.Follower.LinearizableRead(func() {}, func() {}) // the log will show that the partition was lost
 		return
 	}
 	am.applyHeartbeat(m, heartbeat, owned)
 	if m.SuspectSince != 0 {
-		m.SuspectSince, owned.Dirty = 0, true // the answer proves that the machine is reachable
+		m.SuspectSince, owned.NeedsRound = 0, true // the answer proves that the machine is reachable
 	}
 	for _, command := range am.CommandsFor(m, owned) {
 		if command.Op == api.OpStart || command.Op == api.OpStop && command.GracePeriod == 0 {
-			am.ContactNow(m) // command issued during the call, or withheld until the agent knew this owner's token
+			am.ScheduleDirectCall(m) // command issued during the call, or withheld until the agent knew this owner's token
 			break
 		}
 	}
--- a/controller/agent/heartbeat.go
+++ b/controller/agent/heartbeat.go
@@ -57,11 +57,11 @@
 		return
 	}
 	if c.Forwarded || m.SuspectSince != 0 {
-		am.ContactNow(m)
+		am.ScheduleDirectCall(m)
 	} else if newer {
 		// The response carries the same commands as a direct call. An older heartbeat may be a delayed
 		// duplicate whose response nobody reads.
-		m.ContactPending = false
+		m.DirectCallPending = false
 	}
 	am.core.Reply(c.Req, statusOK, api.CommandBatch{Token: m.CommandToken, Commands: am.CommandsFor(m, owned)}, 0)
 }
@@ -88,7 +88,7 @@
 	machine := c.Heartbeat.Machine
 	previous := am.redirects[machine]
 	repeated := previous.to == owner && am.core.Now.Sub(previous.at) < am.core.RedirectTTL
-	if (repeated || am.deps.Gossiper.ReportsSilent(owner, machine)) && am.deps.Gossiper.IsPeer(owner) {
+	if (repeated || am.deps.Gossiper.ReportsUnreachable(owner, machine)) && am.deps.Gossiper.IsPeer(owner) {
 		am.redirects[machine] = redirect{owner, am.core.Now}
 		am.forwardHeartbeat(c, owner)
 		return
--- a/controller/agent/manager.go
+++ b/controller/agent/manager.go
@@ -24,7 +24,7 @@
 	sortedLoanVersion   int               // State.LoanGeneration for which the lists were built
 	machineLoans        map[api.MachineID]machineLoan
 
-	pendingContacts     []*core.Machine // machines with a scheduled direct call
+	pendingDirectCalls  []*core.Machine // machines with a scheduled direct call
 	sweepIndex          int             // index in sortedMachines of the next machine to reconcile
 	lastSweepAt         api.Time
 	directCallsInFlight int
--- a/controller/agent/reconcile.go
+++ b/controller/agent/reconcile.go
@@ -22,7 +22,7 @@
 		return false
 	}
 	if !am.deps.Scheduler.IsSchedulable(m, owned) {
-		owned.Dirty = true // the heartbeat may make the machine schedulable
+		owned.NeedsRound = true // the heartbeat may make the machine schedulable
 	}
 	am.updateSuspicion(m, heartbeat)
 	am.updateMachine(m, heartbeat)
@@ -77,7 +77,7 @@
 // reconcilePlacement compares a placement with the tasks in its machine's latest heartbeat.
 func (am *Manager) reconcilePlacement(owned *core.OwnedPartition, m *core.Machine, p *core.Placement) {
 	if p.Epoch < m.Epoch {
-		am.deps.Scheduler.RecordTaskEnd(owned, p, false, core.EndReasonEpochOver)
+		am.deps.Scheduler.RecordTaskEnd(owned, p, false, core.EndReasonEpochEnded)
 		return
 	}
 	taskReport, reported := m.ReportedTasks[core.AttemptKey{Task: p.Task, Attempt: p.Attempt}]
@@ -116,7 +116,7 @@
 	}
 	startWasKnown := p.OwnerState.Reported && core.TaskStarted(p.OwnerState.State)
 	if p.Job.Cancelled && !startWasKnown {
-		owned.Dirty = true // the owner may now be able to acknowledge the job's cancellation
+		owned.NeedsRound = true // the owner may now be able to acknowledge the job's cancellation
 	}
 	p.OwnerState.Reported, p.OwnerState.State = true, state
 }
--- a/controller/autoscale/deletions.go
+++ b/controller/autoscale/deletions.go
@@ -233,5 +233,5 @@
 			as.deps.Scheduler.RecordTaskEnd(owned, p, false, core.EndReasonMachineDeleted)
 		}
 	}
-	owned.Dirty = true
+	owned.NeedsRound = true
 }
--- a/controller/autoscale/deletions_test.go
+++ b/controller/autoscale/deletions_test.go
@@ -64,7 +64,7 @@
 	}
 	shared := core.New(cfg, 1)
 	shared.Now = api.Time(time.Minute)
-	shared.State = clusterstate.New[core.JobTracking, core.PlacementTracking](cfg.Deployment.InitialSize)
+	shared.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](cfg.Deployment.InitialSize)
 	test := &deletionTest{
 		Manager:   New(shared),
 		owned:     &core.OwnedPartition{ID: 0},
--- a/controller/autoscale/dependencies.go
+++ b/controller/autoscale/dependencies.go
@@ -33,7 +33,7 @@
 	MachinesOf(api.PartitionID) []*core.Machine
 	EnsureMachine(api.MachineID) *core.Machine
 	ForgetMachine(api.MachineID)
-	// LoanedMachines iterates over the machines whose partition changed recently.
+	// LoanedMachines returns the machines on loan, in no particular order.
 	LoanedMachines() iter.Seq[api.MachineID]
 	// LoanInTransit reports whether a machine was loaned recently and has not sent a
 	// heartbeat to its new owner yet.
@@ -42,7 +42,7 @@
 
 // Backfiller is the interface to the backfiller.
 type Backfiller interface {
-	WaitStage(*core.Job, api.PartitionID) sched.AgingStage
+	AgingStage(*core.Job, api.PartitionID) sched.AgingStage
 }
 
 // Balancer is the interface to the balancer.
@@ -66,7 +66,7 @@
 
 // Health is the interface to the zone health monitor.
 type Health interface {
-	Observation(api.Zone) zonehealth.Assessment
+	Assessment(api.Zone) zonehealth.Assessment
 	RecordedState(api.Zone) zonehealth.State
 	ZoneState(api.Zone) zonehealth.State
 	ZoneUnavailable(api.Zone) bool
--- a/controller/autoscale/inventory.go
+++ b/controller/autoscale/inventory.go
@@ -93,8 +93,8 @@
 	return !listed && !inv.IsDeleted(id)
 }
 
-// NoteProvisioned records a machine that another controller has provisioned.
-func (inv *Inventory) NoteProvisioned(id api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool) {
+// RecordProvisioned records a machine that another controller has provisioned.
+func (inv *Inventory) RecordProvisioned(id api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool) {
 	if _, known := inv.Provisioned[id]; !known {
 		inv.noteProvisioned(id, core.MachineOffer{Type: typ, Zone: zone, Spot: spot})
 	}
--- a/controller/autoscale/machinelist.go
+++ b/controller/autoscale/machinelist.go
@@ -42,11 +42,11 @@
 			as.listing, as.nextListAt = false, as.core.Now.Add(listInterval/2)
 			return
 		}
-		page := response.Hosts.Machines
+		page := response.MachineList.Machines
 		for _, listed := range page {
 			as.partialList[listed.ID] = listed
 		}
-		if response.Hosts.More && len(page) > 0 {
+		if response.MachineList.More && len(page) > 0 {
 			as.readMachinePage(page[len(page)-1].ID)
 			return
 		}
--- a/controller/autoscale/offers.go
+++ b/controller/autoscale/offers.go
@@ -100,7 +100,7 @@
 // zone without machines, at most probeMachines are requested.
 func (plan *scaleOutPlan) mayProbeZone(zone api.Zone) bool {
 	health := plan.manager.deps.Health
-	observed := health.Observation(zone) // must be read before ZoneState, which may update it
+	observed := health.Assessment(zone) // must be read before ZoneState, which may update it
 	if health.ZoneState(zone) != zonehealth.Recovering || observed.All > 0 {
 		return true
 	}
--- a/controller/autoscale/plan.go
+++ b/controller/autoscale/plan.go
@@ -100,7 +100,7 @@
 			jobs = append(jobs, j)
 		}
 	}
-	stage := func(j *core.Job) sched.AgingStage { return as.deps.Backfiller.WaitStage(j, core.AllPartitions) }
+	stage := func(j *core.Job) sched.AgingStage { return as.deps.Backfiller.AgingStage(j, core.AllPartitions) }
 	priority := as.deps.Priorities.EffectivePriority
 	slices.SortFunc(jobs, func(a, b *core.Job) int {
 		return cmp.Or(
--- a/controller/autoscale/scalein.go
+++ b/controller/autoscale/scalein.go
@@ -50,7 +50,7 @@
 func (as *Manager) isRetained(m *core.Machine) bool {
 	return as.hasRetainingWork(m.ID, m.MachineType) ||
 		as.deps.Health.ZoneUnavailable(m.Zone) ||
-		m.Consolidated && as.deps.Preemptor.ReservedFor(m) != ""
+		m.ReservedForAged && as.deps.Preemptor.ReservedFor(m) != ""
 }
 
 // isIdle reports whether a machine has exceeded its idle timeout.
--- a/controller/balance/balancer.go
+++ b/controller/balance/balancer.go
@@ -43,8 +43,8 @@
 	MachinesOf(api.PartitionID) []*core.Machine
 	// EnsureMachine returns a machine, and adds it if it is unknown.
 	EnsureMachine(api.MachineID) *core.Machine
-	// ContactNow schedules an immediate call to a machine.
-	ContactNow(*core.Machine)
+	// ScheduleDirectCall schedules an immediate call to a machine.
+	ScheduleDirectCall(*core.Machine)
 }
 
 // Autoscaler is the interface to the autoscaler.
@@ -55,8 +55,8 @@
 
 // Backfiller is the interface to the component that reserves machines for aged jobs.
 type Backfiller interface {
-	// WaitStage returns the aging stage of a job in a partition.
-	WaitStage(*core.Job, api.PartitionID) sched.AgingStage
+	// AgingStage returns the aging stage of a job in a partition.
+	AgingStage(*core.Job, api.PartitionID) sched.AgingStage
 	// ReservableMachines returns the candidates that may be reserved for a job, and the present
 	// and future free capacity of each.
 	ReservableMachines(*core.OwnedPartition, *api.JobSpec, []*core.Machine) ([]*core.Machine, []backfill.Machine)
@@ -71,8 +71,8 @@
 	// TotalSlotsByPartition counts the tasks of a job that the machines would hold if they were
 	// empty.
 	TotalSlotsByPartition(*api.JobSpec) []int
-	// PendingTasksIn counts the pending tasks of a partition that compete with a job.
-	PendingTasksIn(api.PartitionID, *api.JobSpec) int
+	// CompetingTasksIn counts the pending tasks of a partition that compete with a job.
+	CompetingTasksIn(api.PartitionID, *api.JobSpec) int
 }
 
 // Gossip is the interface to the gossiper.
--- a/controller/balance/capacity.go
+++ b/controller/balance/capacity.go
@@ -13,7 +13,7 @@
 // the job's priority allows preemption, after preemption.
 func (b *Balancer) PartitionsWithCapacity(s *api.JobSpec) (now, afterPreemption map[api.PartitionID]bool) {
 	demand, cpuOnly := s.Demand(), b.core.IsCPUOnly(s)
-	mayPreempt := s.Priority.Rank() >= core.PreemptorRank
+	mayPreempt := s.Priority.Rank() >= core.MinPreemptorRank
 	free, preemptible := map[api.PartitionID][]sched.Machine{}, map[api.PartitionID][]sched.Machine{}
 	b.deps.Gossip.EachFreeCapacity(func(p api.PartitionID, class message.MachineClass, capacity message.FreeCapacity) {
 		if !class.Usable || !b.core.IsEligible(s, cpuOnly, class.Type, class.Zone, class.Spot) {
--- a/controller/balance/loan.go
+++ b/controller/balance/loan.go
@@ -144,7 +144,7 @@
 		If:     []api.Condition{owned.OwnershipCondition(), b.core.State.VersionCondition(key)},
 		Writes: []api.Write{{Put: key, Value: value}},
 	}
-	settle := func() { owned.LoanInFlight, owned.Dirty = false, true }
+	settle := func() { owned.LoanInFlight, owned.NeedsRound = false, true }
 	var attempt func()
 	retry := func() { b.core.DeferCall(attempt) }
 	attempt = func() {
--- a/controller/balance/move.go
+++ b/controller/balance/move.go
@@ -42,7 +42,7 @@
 	}
 	owned.NextMove = b.core.Now.Add(core.GossipInterval)
 	candidatesLeft := maxMoveCandidates
-	pending := owned.RotateAfterCursor(slices.Sorted(maps.Keys(b.core.State.PendingJobs)))
+	pending := owned.RotateToCursor(slices.Sorted(maps.Keys(b.core.State.PendingJobs)))
 	for _, jobID := range b.deps.Priorities.SortByPriority(pending) {
 		j := b.core.State.PendingJobs[jobID]
 		if !b.isMovable(j) || j.PendingTasks(owned.ID) == 0 {
@@ -76,13 +76,13 @@
 // pending for long.
 func (b *Balancer) HasReservationFor(owned *core.OwnedPartition, jobID api.JobID) bool {
 	return slices.ContainsFunc(b.deps.Agents.MachinesOf(owned.ID), func(m *core.Machine) bool {
-		return m.Consolidated && b.deps.Preemptor.ReservedFor(m) == jobID
+		return m.ReservedForAged && b.deps.Preemptor.ReservedFor(m) == jobID
 	})
 }
 
 // moveTargetFor chooses the partition to which a job's pending tasks should move, if any.
 func (b *Balancer) moveTargetFor(owned *core.OwnedPartition, j *core.Job) moveTarget {
-	stuck := j.OwnerState.Unplaceable && b.deps.Backfiller.WaitStage(j, owned.ID) != sched.NotAged &&
+	stuck := j.OwnerState.Unplaceable && b.deps.Backfiller.AgingStage(j, owned.ID) != sched.NotAged &&
 		b.core.Now.Sub(j.OwnerState.RebalancedAt) > stuckMoveInterval
 	freeSlots := b.deps.Capacity.FreeSlotsByPartition(j.Spec)
 	if freeSlots[owned.ID] > 0 && j.Spec.Kind == api.Array {
@@ -113,7 +113,7 @@
 		if partition == owned.ID {
 			continue
 		}
-		if spare := free - b.deps.Capacity.PendingTasksIn(partition, j.Spec); spare > best.tasks {
+		if spare := free - b.deps.Capacity.CompetingTasksIn(partition, j.Spec); spare > best.tasks {
 			best = moveTarget{partition, spare}
 		}
 	}
@@ -169,13 +169,13 @@
 	}
 	slots := b.deps.Capacity.TotalSlotsByPartition(j.Spec)
 	waiting := j.PendingTasks(owned.ID)
-	waitingHere, slotsHere := float64(b.deps.Capacity.PendingTasksIn(owned.ID, j.Spec)), float64(slots[owned.ID])
+	waitingHere, slotsHere := float64(b.deps.Capacity.CompetingTasksIn(owned.ID, j.Spec)), float64(slots[owned.ID])
 	for i, count := range slots {
 		partition, slotsThere := api.PartitionID(i), float64(count)
 		if partition == owned.ID || count == 0 {
 			continue
 		}
-		waitingThere := float64(b.deps.Capacity.PendingTasksIn(partition, j.Spec))
+		waitingThere := float64(b.deps.Capacity.CompetingTasksIn(partition, j.Spec))
 		surplus := (waitingHere*slotsThere - waitingThere*slotsHere) / (slotsHere + slotsThere)
 		if int(surplus) > best.tasks && surplus > minRebalanceShare*waitingHere {
 			best = moveTarget{partition, min(waiting, int(surplus))}
--- a/controller/balance/quota.go
+++ b/controller/balance/quota.go
@@ -90,7 +90,7 @@
 	}
 	starvedDemand, starvedThere := status.Starved[team]
 	_, starvedHere := owned.QuotaStarvedDemand[team]
-	_, mustStartHere := owned.MustStartQuotaDemand[team]
+	_, mustStartHere := owned.AgedQuotaDemand[team]
 	if !starvedThere || mustStartHere || starvedHere && owned.ID < status.Part {
 		return api.Resources{}, false
 	}
--- a/controller/balance/transfer.go
+++ b/controller/balance/transfer.go
@@ -77,7 +77,7 @@
 		return
 	}
 	round := &core.PendingRound{
-		Record:   clusterstate.Record{Seq: b.core.State.Partitions[owned.ID].RoundSeq + 1},
+		Record:   clusterstate.RoundRecord{Seq: b.core.State.Partitions[owned.ID].RoundSeq + 1},
 		Ends:     map[*core.Placement]bool{},
 		Transfer: true,
 	}
@@ -115,9 +115,9 @@
 // as soon as its address is known, so that it receives the new fencing token and reports its tasks.
 func (b *Balancer) AdoptMachine(id api.MachineID) {
 	m := b.deps.Agents.EnsureMachine(id)
-	m.DiscoveredAt, m.MissedCalls = b.core.Now, 0
+	m.DiscoveredAt, m.UnansweredCalls = b.core.Now, 0
 	if listed, ok := b.deps.Autoscaler.ListedMachine(id); ok {
 		m.ApplyListing(listed)
 	}
-	b.deps.Agents.ContactNow(m)
+	b.deps.Agents.ScheduleDirectCall(m)
 }
--- a/controller/cancel_test.go
+++ b/controller/cancel_test.go
@@ -16,7 +16,7 @@
 func newCancelledJob(t *testing.T) (*Controller, *core.OwnedPartition, *core.Machine, *core.Job) {
 	t.Helper()
 	n, owned, m, j := newTestOwner(t, testSpec(2))
-	n.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}, {Task: 1, Machine: m.ID, Epoch: 1}}}}})
+	n.core.State.ApplyRecord(0, &clusterstate.RoundRecord{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}, {Task: 1, Machine: m.ID, Epoch: 1}}}}})
 	for _, p := range j.Placements {
 		p.OwnerState.Reported, p.OwnerState.State = true, api.TaskRunning
 	}
@@ -92,11 +92,11 @@
 	ask(true)
 	ask(false)
 	n.core.Now = n.core.Now.Add(time.Second)
-	if n.jobs.AnswerCancellations(); retried != 1 || answered != 0 {
+	if n.jobs.ReplyToCancellations(); retried != 1 || answered != 0 {
 		t.Errorf("after a second: %d answered, %d told to retry", answered, retried)
 	}
-	n.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 2, Jobs: []clusterstate.JobDelta{{Job: j.ID, CancellationAcknowledged: true}}})
-	if n.jobs.AnswerCancellations(); retried != 1 || answered != 1 || n.jobs.PendingCancellations() != 0 {
+	n.core.State.ApplyRecord(0, &clusterstate.RoundRecord{Seq: 2, Jobs: []clusterstate.JobDelta{{Job: j.ID, CancellationAcknowledged: true}}})
+	if n.jobs.ReplyToCancellations(); retried != 1 || answered != 1 || n.jobs.PendingCancellations() != 0 {
 		t.Errorf("%d answered, %d told to retry, %d pending", answered, retried, n.jobs.PendingCancellations())
 	}
 	if v := n.reporter.View(); v.PendingCancellations != 0 {
@@ -116,7 +116,7 @@
 	}
 	lost := 0
 	for _, d := range owned.InFlight.Record.Jobs {
-		if lost += len(d.Terminated); len(d.Completed) > 0 {
+		if lost += len(d.EndedIncomplete); len(d.Completed) > 0 {
 			t.Errorf("tasks recorded as done: %v", d.Completed)
 		}
 	}
@@ -156,7 +156,7 @@
 		t.Errorf("%d calls with %d stops, expected 1 with 2", count, stops)
 	}
 	n.jobs.StopCancelledTasks(owned, j)
-	if n.agents.PendingContactCount() != 0 {
+	if n.agents.PendingDirectCallCount() != 0 {
 		t.Error("the machine is contacted again for the same cancellation")
 	}
 }
--- a/controller/capacity/capacity.go
+++ b/controller/capacity/capacity.go
@@ -73,10 +73,10 @@
 	return slots
 }
 
-// PendingTasksIn counts the pending tasks of a partition that compete with a job, in units of
+// CompetingTasksIn counts the pending tasks of a partition that compete with a job, in units of
 // that job's CPU demand. Tasks whose start is blocked do not compete, nor tasks without
 // accelerators if the job needs some, nor, with priority rules, tasks of lower priority.
-func (c *Counter) PendingTasksIn(p api.PartitionID, spec *api.JobSpec) int {
+func (c *Counter) CompetingTasksIn(p api.PartitionID, spec *api.JobSpec) int {
 	count, demand := 0, spec.Demand()
 	hasRules, priority := len(c.core.Settings.Priority) > 0, c.deps.Priorities.EffectivePriority(spec)
 	for _, j := range c.core.State.PendingJobs {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -109,7 +109,7 @@
 	}
 	kinds = append(kinds, n.pools.RecordKinds()...)
 	kinds = append(kinds, n.tenancy.RecordKinds()...)
-	return clusterstate.New[core.JobTracking, core.PlacementTracking](n.core.Config.Deployment.InitialSize, kinds...)
+	return clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](n.core.Config.Deployment.InitialSize, kinds...)
 }
 
 // Step processes the commands that have arrived and returns the requested effects in order. It must
@@ -165,7 +165,7 @@
 	case message.WorkerHeartbeat:
 		n.agents.HandleHeartbeat(c)
 	case message.PeerGossip:
-		n.gossiper.Handle(c)
+		n.gossiper.HandleGossip(c)
 	case message.ReadLog:
 		n.follower.HandleReadLog(c)
 	case message.MalformedMessage:
@@ -190,13 +190,13 @@
 	n.core.RunDeferredCalls()
 	n.startWork(message.WorkMembership)
 	n.membership.MaintainLease()
-	n.jobs.AnswerCancellations()
+	n.jobs.ReplyToCancellations()
 	if !n.core.Loaded {
 		n.follower.LoadState()
 		return
 	}
 	n.followState()
-	n.startWork(message.WorkFleet)
+	n.startWork(message.WorkScaling)
 	n.autoscaler.Reconcile()
 	n.tenancy.ReconcileTenants()
 	n.startWork(message.WorkRounds)
--- a/controller/core/intervals.go
+++ b/controller/core/intervals.go
@@ -36,8 +36,8 @@
 	// DeferredJobsInterval is the delay of a round for jobs that the previous round left out, if
 	// nothing else triggers a round.
 	DeferredJobsInterval = time.Second
-	// SweepInterval is the time between two inspections of a machine when nothing else triggers one.
-	SweepInterval = time.Second
+	// MachineInspectionInterval is the time between two inspections of a machine when nothing else triggers one.
+	MachineInspectionInterval = time.Second
 	// DemandSampleInterval is the time between two samples of the demand for machines with
 	// accelerators.
 	DemandSampleInterval = time.Second
@@ -111,7 +111,7 @@
 	// Allows for one renewal without a response and a late retry.
 	t.MemberLeaseTTL = max(t.LeaseRenewInterval*10/3, t.LeaseRenewInterval+RenewTimeout+2*RetryDelay)
 	// Leaves time for a deletion without a response, its retry, and the read before it.
-	t.CancellationTimeout = max(cancelTimeout/2, cancelTimeout-2*CloudTimeout-2*SweepInterval)
+	t.CancellationTimeout = max(cancelTimeout/2, cancelTimeout-2*CloudTimeout-2*MachineInspectionInterval)
 	lease := cfg.WorkerLease()
 	t.LeaseCoversCancellation = lease+lease/1000+leaseSlack <= cancelTimeout
 	t.HandoverDelay = max(5*time.Second, t.MemberLeaseTTL)
--- a/controller/core/machine.go
+++ b/controller/core/machine.go
@@ -61,11 +61,11 @@
 // DirectCallState is the state of direct calls to a machine's agent, made without waiting for its
 // heartbeat.
 type DirectCallState struct {
-	CallInFlight    bool
-	NextCallAt      api.Time // earliest time of the next call
-	LastDirectReply api.Time
-	ContactPending  bool // the machine must be called at once
-	MissedCalls     int  // consecutive calls without a reply
+	CallInFlight      bool
+	NextCallAt        api.Time // earliest time of the next call
+	LastDirectReply   api.Time
+	DirectCallPending bool // the machine must be called at once
+	UnansweredCalls   int  // consecutive calls without a reply
 }
 
 // ScaleInState is the state of a machine's deletion, or of the decision on it.
@@ -80,8 +80,8 @@
 // ConsolidationState is the state of moving tasks off a machine to consolidate its free capacity.
 type ConsolidationState struct {
 	ConsolidatingUntil api.Time // services are moved off the machine until then
-	Consolidated       bool     // reserved for a job that has waited too long, see MachineReservation
-	ConsolidatedAt     api.Time // when it was reserved for that job
+	ReservedForAged    bool     // reserved for a job that has waited too long, see MachineReservation
+	ReservedForAgedAt  api.Time // when it was reserved for that job
 }
 
 // TaskHistory contains observations of tasks on a machine.
--- a/controller/core/partition.go
+++ b/controller/core/partition.go
@@ -17,7 +17,7 @@
 	Term          api.Revision // revision that recorded the ownership
 	OwnedSince    api.Time
 	LastRevision  api.Revision // of the last record written under this term
-	Dirty         bool         // something changed since the last round was planned
+	NeedsRound    bool         // something changed since the last round was planned
 	NeedsNewToken bool         // a record must be written to obtain a newer fencing token
 
 	RoundState
@@ -56,11 +56,11 @@
 
 // QuotaState is the state of teams' quota in a partition.
 type QuotaState struct {
-	QuotaDemand          map[api.Team]api.Resources                     // quota that pending tasks need beyond the partition's share
-	MustStartQuotaDemand map[api.Team]api.Resources                     // the part of QuotaDemand for jobs that have waited too long
-	QuotaStarvedDemand   map[api.Team]api.Resources                     // the part of QuotaDemand for jobs with free capacity but without quota for a single task
-	ReservedQuota        map[api.PartitionID]map[api.Team]api.Resources // reserved for jobs of other partitions
-	NextQuotaTransfer    map[api.PartitionID]api.Time                   // earliest time of the next transfer to a partition
+	QuotaDemand        map[api.Team]api.Resources                     // quota that pending tasks need beyond the partition's share
+	AgedQuotaDemand    map[api.Team]api.Resources                     // the part of QuotaDemand for jobs that have waited too long
+	QuotaStarvedDemand map[api.Team]api.Resources                     // the part of QuotaDemand for jobs with free capacity but without quota for a single task
+	ReservedQuota      map[api.PartitionID]map[api.Team]api.Resources // reserved for jobs of other partitions
+	NextQuotaTransfer  map[api.PartitionID]api.Time                   // earliest time of the next transfer to a partition
 }
 
 // DemandState is the demand of pending tasks as of the last round.
@@ -81,14 +81,14 @@
 
 // BackfillState is the state of starting jobs that have waited too long.
 type BackfillState struct {
-	BackfilledAt    api.Time // when these jobs were last examined
-	ServicesMovedAt api.Time // when services were last moved off a machine for them
-	MustStartCredit float64  // work that these jobs may still start ahead of others, as seconds of the largest machine
+	AgedJobsCheckedAt api.Time // when these jobs were last examined
+	ServicesMovedAt   api.Time // when services were last moved off a machine for them
+	AgedStartCredit   float64  // work that these jobs may still start ahead of others, as seconds of the largest machine
 }
 
 // PendingRound is a round whose record is being written to the state service.
 type PendingRound struct {
-	Record         clusterstate.Record
+	Record         clusterstate.RoundRecord
 	Txn            api.Txn
 	Starts         []*Placement // placements that exist once the record is durable
 	Ends           map[*Placement]bool
@@ -103,9 +103,9 @@
 	return api.Condition{Key: clusterstate.PartitionKey(clusterstate.KeyPartition, owned.ID), Version: owned.Term}
 }
 
-// RotateAfterCursor returns the sorted jobs, rotated to begin at the job last considered for a
+// RotateToCursor returns the sorted jobs, rotated to begin at the job last considered for a
 // move.
-func (owned *OwnedPartition) RotateAfterCursor(jobs []api.JobID) []api.JobID {
+func (owned *OwnedPartition) RotateToCursor(jobs []api.JobID) []api.JobID {
 	i, _ := slices.BinarySearch(jobs, owned.MoveCursor)
 	return slices.Concat(jobs[i:], jobs[:i])
 }
--- a/controller/core/preemption.go
+++ b/controller/core/preemption.go
@@ -19,8 +19,8 @@
 	PreemptionDelay = 500 * time.Millisecond
 )
 
-// PreemptorRank is the lowest priority rank of jobs that may preempt others.
-var PreemptorRank = api.High.Rank()
+// MinPreemptorRank is the lowest priority rank of jobs that may preempt others.
+var MinPreemptorRank = api.High.Rank()
 
 // PreemptionPlan is the result of stopping tasks on a machine for a job.
 type PreemptionPlan struct {
--- a/controller/core/task.go
+++ b/controller/core/task.go
@@ -7,7 +7,7 @@
 // Reasons for the end of a task that was lost with its machine or with its agent's epoch.
 const (
 	EndReasonMachineDeleted = "machine deleted"
-	EndReasonEpochOver      = "agent epoch ended"
+	EndReasonEpochEnded     = "agent epoch ended"
 )
 
 // TaskStarted reports whether a task in the given state has already started.
--- a/controller/core/timekey.go
+++ b/controller/core/timekey.go
@@ -52,10 +52,10 @@
 	return items
 }
 
-// SweepPrefix deletes records older than retention whose keys are prefix and a time, at most as
+// DeleteExpiredRecords deletes records older than retention whose keys are prefix and a time, at most as
 // many as fit into one transaction. The transaction is conditional on the ownership of a partition.
-// SweepPrefix calls done when the transaction has ended, whatever its result.
-func (k *Core) SweepPrefix(owned *OwnedPartition, prefix string, retention time.Duration, done func()) {
+// DeleteExpiredRecords calls done when the transaction has ended, whatever its result.
+func (k *Core) DeleteExpiredRecords(owned *OwnedPartition, prefix string, retention time.Duration, done func()) {
 	cutoff := TimeKey(k.WallClock - api.WallTime(retention.Milliseconds()))
 	k.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: prefix, Limit: k.Config.Deployment.State.TxnOps}}, func(response message.StoreResponse) {
 		txn := api.Txn{If: []api.Condition{owned.OwnershipCondition()}}
--- a/controller/core/tracking.go
+++ b/controller/core/tracking.go
@@ -10,11 +10,11 @@
 
 type (
 	// ClusterState is the recorded state, with the owner's tracking of jobs and placements.
-	ClusterState = clusterstate.State[JobTracking, PlacementTracking]
+	ClusterState = clusterstate.State[JobOwnerState, PlacementOwnerState]
 	// Job is an accepted job that is not yet archived.
-	Job = clusterstate.Job[JobTracking, PlacementTracking]
+	Job = clusterstate.Job[JobOwnerState, PlacementOwnerState]
 	// Placement is a durable start of a task without a recorded end.
-	Placement = clusterstate.Placement[JobTracking, PlacementTracking]
+	Placement = clusterstate.Placement[JobOwnerState, PlacementOwnerState]
 )
 
 // Keys of single records.
@@ -23,8 +23,8 @@
 	SettingsKey     = clusterstate.Root + "settings"
 )
 
-// PlacementTracking is the state of a placement that the owner of its partition keeps in memory.
-type PlacementTracking struct {
+// PlacementOwnerState is the state of a placement that the owner of its partition keeps in memory.
+type PlacementOwnerState struct {
 	LaunchToken     api.FencingToken // highest token of a launch that may be in flight
 	Reported        bool             // a heartbeat has reported the task
 	State           api.TaskState    // as last reported
@@ -36,8 +36,8 @@
 	StopGrace       float64 // grace period for the task to stop, in seconds
 }
 
-// JobTracking is the state of a job that owners of partitions keep in memory.
-type JobTracking struct {
+// JobOwnerState is the state of a job that owners of partitions keep in memory.
+type JobOwnerState struct {
 	BackoffUntil      api.Time // no new starts before, because of failures
 	Failures          int
 	FailedOn          map[api.MachineID]bool
--- a/controller/eligibility/eligibility.go
+++ b/controller/eligibility/eligibility.go
@@ -77,15 +77,15 @@
 	sinceHeartbeat := e.core.Now.Sub(m.LastHeartbeat)
 	switch {
 	case sinceHeartbeat >= e.heartbeatTimeout():
-		return core.ReasonSilent
-	case m.MissedCalls > 0 && sinceHeartbeat > missedCallTimeout:
+		return core.ReasonHeartbeatTimeout
+	case m.UnansweredCalls > 0 && sinceHeartbeat > missedCallTimeout:
 		return core.ReasonUnresponsive
 	case m.SuspectSince != 0:
 		return core.ReasonSuspect
 	case e.deps.Health.ZoneUnavailable(m.Zone) && sinceHeartbeat > e.core.Config.HeartbeatInterval()*5/4:
 		return core.ReasonZoneUnavailable
 	case e.outboundCutOff(m, owned):
-		return core.ReasonOutboundCutOff
+		return core.ReasonHeartbeatsNotArriving
 	case m.ReportedToken < e.core.MinToken(owned, m.ID):
 		return core.ReasonTokenNotAnnounced
 	}
--- a/controller/eligibility/eligibility_test.go
+++ b/controller/eligibility/eligibility_test.go
@@ -28,7 +28,7 @@
 	cfg := &config.Config{}
 	cfg.Deployment.Workers.Report = 2
 	k := core.New(cfg, 1)
-	k.State = clusterstate.New[core.JobTracking, core.PlacementTracking](1)
+	k.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](1)
 	k.AddMachineTypes([]api.MachineType{{Name: "c4"}})
 	k.Now = api.Time(time.Hour)
 	heartbeatAt := k.Now.Add(-time.Millisecond)
@@ -61,15 +61,15 @@
 		"heartbeat timeout": {func(c *Checker, _ *fakeDependencies, m *core.Machine) {
 			m.LastHeartbeat = c.core.Now.Add(-6 * time.Second)
 		},
-			core.ReasonSilent},
+			core.ReasonHeartbeatTimeout},
 		"late heartbeat within the timeout": {func(c *Checker, _ *fakeDependencies, m *core.Machine) {
 			m.LastHeartbeat = c.core.Now.Add(-5 * time.Second)
 		},
 			core.Schedulable},
 		"missed a call": {func(c *Checker, _ *fakeDependencies, m *core.Machine) {
-			m.MissedCalls, m.LastHeartbeat = 1, c.core.Now.Add(-1500*time.Millisecond)
+			m.UnansweredCalls, m.LastHeartbeat = 1, c.core.Now.Add(-1500*time.Millisecond)
 		}, core.ReasonUnresponsive},
-		"missed a call, recent heartbeat": {func(_ *Checker, _ *fakeDependencies, m *core.Machine) { m.MissedCalls = 1 }, core.Schedulable},
+		"missed a call, recent heartbeat": {func(_ *Checker, _ *fakeDependencies, m *core.Machine) { m.UnansweredCalls = 1 }, core.Schedulable},
 		"suspect":                         {func(c *Checker, _ *fakeDependencies, m *core.Machine) { m.SuspectSince = c.core.Now }, core.ReasonSuspect},
 		"zone unavailable": {func(c *Checker, s *fakeDependencies, m *core.Machine) {
 			s.unavailableZone, m.LastHeartbeat = "a", c.core.Now.Add(-3*time.Second)
@@ -77,7 +77,7 @@
 		"zone unavailable, recent heartbeat": {func(_ *Checker, s *fakeDependencies, _ *core.Machine) { s.unavailableZone = "a" }, core.Schedulable},
 		"lease not renewed": {func(c *Checker, _ *fakeDependencies, m *core.Machine) {
 			m.FirstHeartbeat, m.LeaseRenewedAt = c.core.Now.Add(-time.Minute), c.core.Now.Add(-6*time.Second)
-		}, core.ReasonOutboundCutOff},
+		}, core.ReasonHeartbeatsNotArriving},
 		"lease not renewed since a loan": {func(c *Checker, s *fakeDependencies, m *core.Machine) {
 			m.FirstHeartbeat, m.LeaseRenewedAt = c.core.Now.Add(-time.Minute), c.core.Now.Add(-6*time.Second)
 			s.loanKnownAt = c.core.Now
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -40,7 +40,7 @@
 // Stored records, their keys and their values keep the format of earlier versions.
 func TestGolden(t *testing.T) {
 	f := golden.Open(t)
-	f.Text("keys", strings.Join([]string{core.SettingsKey, core.MachineTypesKey, ordering.KeyShortage, health.RecordKeyPrefix, core.KeyPool, tenancy.KeyTenant, tenancy.KeyTeamOf, core.KeyGate, tenancy.KeyOperators, tenancy.KeyTeam, tenancy.KeyGuaranteedTotal,
+	f.Text("keys", strings.Join([]string{core.SettingsKey, core.MachineTypesKey, ordering.KeyShortage, health.RecordKeyPrefix, core.KeyPool, tenancy.KeyTenant, tenancy.KeyTeamClaim, core.KeyGate, tenancy.KeyOperators, tenancy.KeyTeam, tenancy.KeyGuaranteedTotal,
 		tenancy.KeyLastUse, tenancy.KeyHistory, tenancy.KeyAudit, clusterstate.KeyJobResult, string(tenancy.OperatorsHolder), core.TimeKey(1234567)}, "\n"))
 	golden.JSON(f, "settings", golden.Filled[core.Settings](t))
 	golden.JSON(f, "empty settings", core.Settings{})
@@ -103,7 +103,7 @@
 		Selector: priority.Selector{Class: "c", Team: "t", Form: "sweep", Priority: "high"}, Before: &priority.Selector{Class: "d"}, Rank: "critical", Condition: priority.CapacityShort, Floor: &floor}}})
 	golden.Same(t, "types", n.core.RecordedTypes, api.MachineTypes{Types: []api.MachineType{{Name: "c8", CPUs: 8, GPUs: 1, MemGB: 32, CacheGB: 20, FetchRate: 2, Price: 3, SpotPrice: 1.5, BootSeconds: 25, Zones: []api.Zone{"a", "b"}}}})
 	golden.Same(t, "short", n.priorities.RecordedShortage(), priority.Shortage{Types: []api.MachineTypeName{"c8", "g8"}, Since: 77})
-	golden.Same(t, "zone", n.health.Record("a"), zonehealth.Record{State: zonehealth.Failed, Since: 78, LastHeartbeat: 79, PartitionsInside: []api.PartitionID{1, 2}, OutageHistory: []float64{3.5, 4.5}})
+	golden.Same(t, "zone", n.health.Record("a"), zonehealth.Record{State: zonehealth.Failed, Since: 78, LastHeartbeat: 79, IsolatedPartitions: []api.PartitionID{1, 2}, OutageHistory: []float64{3.5, 4.5}})
 	golden.Same(t, "operators", *n.tenancy.Operators(), tenant.Operators{Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "00aa00aa00aa00aa", Name: "watch", Hash: []byte{1, 2}, Created: 5, Expires: 6}, Role: tenant.RoleRead}},
 		Networks: networks("10.0.0.0/8"), Proxies: networks("192.0.2.0/24"), CPUs: 7.5, GPUs: 8.5, RetiredAdminKeys: []tenant.KeyID{"11bb"}})
 	golden.Same(t, "given", n.tenancy.Guaranteed(), tenant.GuaranteedTotal{CPUs: 1.5, GPUs: 2.5})
@@ -322,6 +322,6 @@
 	f.Text("own history", transcript(t, n, func() { n.dispatch(message.ListHistory{Limit: 5, Caller: caller}) }, stored))
 	f.Text("no key", transcript(t, n, func() { n.dispatch(message.ListHistory{Limit: 5}) }, stored))
 	f.Text("other controllers' forward", fmt.Sprint(tenancy.ForwardKind, " ", message.ForwardSkips))
-	write := n.tenancy.HistoryWrite(n.core.State.Jobs["run-1"])
+	write := n.tenancy.NewHistoryWrite(n.core.State.Jobs["run-1"])
 	f.Text("history", fmt.Sprintf("%s %s", write.Put, write.Value))
 }
--- a/controller/gossip/capacity.go
+++ b/controller/gossip/capacity.go
@@ -59,7 +59,7 @@
 // usable, since it will do so shortly; a machine that is reserved for consolidation is not.
 func (x *Exchange) classOf(m *core.Machine, owned *core.OwnedPartition) message.MachineClass {
 	reason := x.deps.Eligibility.UnschedulableReason(m, owned)
-	reserved := m.Consolidated && x.deps.Preemptor.ReservedFor(m) != ""
+	reserved := m.ReservedForAged && x.deps.Preemptor.ReservedFor(m) != ""
 	schedulable := reason == core.Schedulable || reason == core.ReasonTokenNotAnnounced
 	return message.MachineClass{
 		Type: m.MachineType, Zone: m.Zone, Spot: m.Spot,
@@ -68,7 +68,7 @@
 }
 
 // PreemptibleCapacity returns a machine's free capacity if all preemptible tasks that rank below
-// core.PreemptorRank were preempted.
+// core.MinPreemptorRank were preempted.
 func (x *Exchange) PreemptibleCapacity(m *core.Machine, owned *core.OwnedPartition) api.Resources {
 	return x.withPreemptibleFreed(m.ID, x.deps.Scheduler.FreeCapacityOn(m, owned))
 }
@@ -76,7 +76,7 @@
 func (x *Exchange) withPreemptibleFreed(id api.MachineID, free api.Resources) api.Resources {
 	capacity := free
 	for _, p := range x.core.State.PlacementsOn(id) {
-		if !p.Finishing && p.Job.Spec.Kind != api.Gang && p.Job.Spec.Priority.Rank() < core.PreemptorRank && x.deps.Health.IsPreemptible(p) {
+		if !p.Finishing && p.Job.Spec.Kind != api.Gang && p.Job.Spec.Priority.Rank() < core.MinPreemptorRank && x.deps.Health.IsPreemptible(p) {
 			capacity = capacity.Plus(p.Job.Demand)
 		}
 	}
--- a/controller/gossip/dependencies.go
+++ b/controller/gossip/dependencies.go
@@ -52,8 +52,8 @@
 	IsDeleted(id api.MachineID) bool
 	// ProvisionedNotListed returns the recently created machines that are not listed yet.
 	ProvisionedNotListed() []message.RecentScaleOut
-	// NoteProvisioned records a recently created machine.
-	NoteProvisioned(id api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool)
+	// RecordProvisioned records a recently created machine.
+	RecordProvisioned(id api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool)
 }
 
 // Autoscaler is the component that scales the number of machines.
@@ -72,8 +72,8 @@
 type Health interface {
 	// IsPreemptible reports whether a task may be preempted by work of a higher rank.
 	IsPreemptible(p *core.Placement) bool
-	// SilentByZone counts a partition's machines, and the unreachable ones, by zone.
-	SilentByZone(owned *core.OwnedPartition) map[api.Zone]zonehealth.MachineCount
+	// CountMachinesByZone counts a partition's machines, and the unreachable ones, by zone.
+	CountMachinesByZone(owned *core.OwnedPartition) map[api.Zone]zonehealth.MachineCount
 }
 
 // Eligibility is the component that decides which machines accept new tasks.
--- a/controller/gossip/exchange.go
+++ b/controller/gossip/exchange.go
@@ -71,8 +71,8 @@
 // IsPeer reports whether a controller is a peer.
 func (x *Exchange) IsPeer(id api.ControllerID) bool { return x.peers[id] != nil }
 
-// Handle merges a peer's gossip and the gossip that it forwards as a relay.
-func (x *Exchange) Handle(c message.PeerGossip) {
+// HandleGossip merges a peer's gossip and the gossip that it forwards as a relay.
+func (x *Exchange) HandleGossip(c message.PeerGossip) {
 	if !x.IsPeer(c.Gossip.From) {
 		x.RejectMalformed(c.Req, string(c.Gossip.From))
 		return
@@ -103,7 +103,7 @@
 	p.gossip.Passed = nil
 	for _, scaleOut := range g.Rented {
 		for _, id := range scaleOut.Machines {
-			x.deps.Inventory.NoteProvisioned(id, scaleOut.Type, scaleOut.Zone, scaleOut.Spot)
+			x.deps.Inventory.RecordProvisioned(id, scaleOut.Type, scaleOut.Zone, scaleOut.Spot)
 		}
 	}
 	for _, status := range g.Parts {
@@ -128,7 +128,7 @@
 		return
 	}
 	for p, owned := range x.core.Partitions {
-		owned.Dirty = owned.Dirty || p != by
+		owned.NeedsRound = owned.NeedsRound || p != by
 	}
 }
 
@@ -168,8 +168,8 @@
 	return statuses
 }
 
-// HeardRecently reports whether recent gossip of a peer is stored.
-func (x *Exchange) HeardRecently(id api.ControllerID) bool {
+// HasRecentGossip reports whether recent gossip of a peer is stored.
+func (x *Exchange) HasRecentGossip(id api.ControllerID) bool {
 	p := x.peers[id]
 	return p != nil && p.recent(x.core.Now)
 }
@@ -182,9 +182,9 @@
 	})
 }
 
-// ReportsSilent reports whether a machine's owner reports the machine as unreachable in recent gossip.
-func (x *Exchange) ReportsSilent(owner api.ControllerID, id api.MachineID) bool {
-	if !x.HeardRecently(owner) {
+// ReportsUnreachable reports whether a machine's owner reports the machine as unreachable in recent gossip.
+func (x *Exchange) ReportsUnreachable(owner api.ControllerID, id api.MachineID) bool {
+	if !x.HasRecentGossip(owner) {
 		return false
 	}
 	return slices.ContainsFunc(x.peers[owner].gossip.Parts, func(status message.PartitionStatus) bool {
--- a/controller/gossip/exchange_test.go
+++ b/controller/gossip/exchange_test.go
@@ -25,7 +25,7 @@
 	}
 	shared := core.New(cfg, 1)
 	shared.Now, shared.Loaded = api.Time(time.Minute), true
-	shared.State = clusterstate.New[core.JobTracking, core.PlacementTracking](2)
+	shared.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](2)
 	shared.State.Partitions[1].Owner = "other"
 	return New(shared)
 }
@@ -90,7 +90,7 @@
 		recent, reachesStore bool
 	}{{storeStatusTTL - 1, true, true}, {storeStatusTTL, true, false}, {gossipTTL, true, false}, {gossipTTL + 1, false, false}} {
 		x.core.Now = start.Add(step.after)
-		if got := x.HeardRecently("other"); got != step.recent || (pendingTasks(t, x) == 10) != step.recent {
+		if got := x.HasRecentGossip("other"); got != step.recent || (pendingTasks(t, x) == 10) != step.recent {
 			t.Errorf("after %v: recent gossip: %v", step.after, got)
 		}
 		if got := len(x.PeersThatReachStore()) == 1; got != step.reachesStore {
--- a/controller/gossip/status.go
+++ b/controller/gossip/status.go
@@ -18,7 +18,7 @@
 // demandOf returns a partition's status with only the unmet demand of its pending tasks.
 func demandOf(owned *core.OwnedPartition) message.PartitionStatus {
 	return message.PartitionStatus{
-		Part: owned.ID, Want: owned.QuotaDemand, Due: owned.MustStartQuotaDemand,
+		Part: owned.ID, Want: owned.QuotaDemand, Due: owned.AgedQuotaDemand,
 		Starved: owned.QuotaStarvedDemand, Lack: owned.UnmetDemands,
 	}
 }
@@ -31,16 +31,16 @@
 	status.Spare = x.core.RemainingQuota(owned.ID)
 	status.Waiting = owned.PendingTaskCount
 	status.Accelerated = x.deps.Autoscaler.CountAccelerators(owned.ID)
-	status.Zones = x.deps.Health.SilentByZone(owned)
+	status.Zones = x.deps.Health.CountMachinesByZone(owned)
 	summary := machineSummary{status: &status, classes: map[message.MachineClass]int{}, capacities: map[message.FreeCapacity]int{}}
 	for _, m := range x.deps.Agents.MachinesOf(owned.ID) {
 		if m.LastHeartbeat == 0 || m.Deleting {
 			continue
 		}
-		if x.isUnreachable(m) && len(status.Silent) < message.MaxSilentMachines {
+		if x.isUnreachable(m) && len(status.Silent) < message.MaxUnreachableMachines {
 			status.Silent = append(status.Silent, m.ID)
 		}
-		if x.isFresh(m) && len(status.Fresh) < message.MaxSilentMachines {
+		if x.isFresh(m) && len(status.Fresh) < message.MaxUnreachableMachines {
 			status.Fresh = append(status.Fresh, m.ID)
 		}
 		summary.add(x.describeMachine(m, owned))
--- a/controller/health/evacuationinput.go
+++ b/controller/health/evacuationinput.go
@@ -39,7 +39,7 @@
 		input: &zonehealth.Input{
 			PlacedByZone:   map[api.JobID]map[api.Zone]int{},
 			RemainingQuota: mon.core.RemainingQuota(owned.ID),
-			PreemptingRank: core.PreemptorRank,
+			PreemptingRank: core.MinPreemptorRank,
 			ExpectedOutage: mon.expectedOutage,
 			MaxMachines:    maxMachines,
 			Excluded:       mon.isExcluded,
@@ -68,7 +68,7 @@
 
 // expectedOutage returns the expected remaining outage of a zone in seconds.
 func (mon *Monitor) expectedOutage(name api.Zone) float64 {
-	return mon.records[name].ExpectedRemaining(mon.ZoneSilenceSeconds(name))
+	return mon.records[name].ExpectedRemaining(mon.OutageSeconds(name))
 }
 
 // isExcluded reports whether a task must not use capacity that its job's constraints allow: CPU-only
@@ -115,11 +115,11 @@
 	mon := b.mon
 	typ := mon.core.MachineTypes[m.MachineType]
 	machine := zonehealth.Machine{
-		ID:               m.ID,
-		Zone:             m.Zone,
-		Capacity:         typ.Capacity(),
-		BootSeconds:      typ.BootSeconds,
-		ControllerInside: slices.Contains(mon.records[m.Zone].PartitionsInside, b.owned.ID),
+		ID:                 m.ID,
+		Zone:               m.Zone,
+		Capacity:           typ.Capacity(),
+		BootSeconds:        typ.BootSeconds,
+		ControllerIsolated: slices.Contains(mon.records[m.Zone].IsolatedPartitions, b.owned.ID),
 	}
 	for _, p := range mon.core.State.PlacementsOn(m.ID) {
 		if !p.Finishing && !p.Job.Terminal() && p.Partition == b.owned.ID {
--- a/controller/health/floors_test.go
+++ b/controller/health/floors_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	shared := core.New(cfg, 1)
-	shared.State = clusterstate.New[core.JobTracking, core.PlacementTracking](cfg.Deployment.InitialSize)
+	shared.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](cfg.Deployment.InitialSize)
 	shared.Partitions[0] = &core.OwnedPartition{ID: 0, Term: 7}
 	spec := &api.JobSpec{Ref: "run-1", Team: "red", Class: "batch", Kind: api.Array, Priority: api.Normal, Tasks: 10, CPUs: 2}
 	return New(shared), &core.Job{ID: spec.Ref, JobValue: clusterstate.JobValue{Spec: spec}, Demand: spec.Demand()}
--- a/controller/health/liveness.go
+++ b/controller/health/liveness.go
@@ -91,7 +91,7 @@
 // recent enough to contain the address.
 func (mon *Monitor) tooFewCalls(m *core.Machine, owned *core.OwnedPartition) bool {
 	if m.Address != "" {
-		return m.MissedCalls < minMissedCalls
+		return m.UnansweredCalls < minMissedCalls
 	}
 	listedAt := mon.deps.Autoscaler.ListedAt()
 	listLag := api.Seconds(mon.core.Config.Deployment.Cloud.ListLag)
--- a/controller/health/observation.go
+++ b/controller/health/observation.go
@@ -16,16 +16,16 @@
 const lateHeartbeatMargin = 2 * time.Second
 
 // observeZones combines the observations of all controllers into an assessment of each zone, at most
-// once per half SweepInterval.
+// once per half MachineInspectionInterval.
 func (mon *Monitor) observeZones() {
-	if mon.observations != nil && mon.core.Now.Sub(mon.observedAt) <= core.SweepInterval/2 {
+	if mon.observations != nil && mon.core.Now.Sub(mon.observedAt) <= core.MachineInspectionInterval/2 {
 		return
 	}
 	mon.observedAt = mon.core.Now
 	mon.observations = map[api.Zone]zonehealth.Assessment{}
 	mon.localObservation = zonehealth.Observation{}
 	for _, p := range slices.Sorted(maps.Keys(mon.core.Partitions)) {
-		mergeCounts(mon.localObservation, mon.SilentByZone(mon.core.Partitions[p]))
+		mergeCounts(mon.localObservation, mon.CountMachinesByZone(mon.core.Partitions[p]))
 	}
 	allObservations := []zonehealth.Observation{mon.localObservation}
 	for _, peer := range mon.deps.Gossiper.Peers() {
@@ -52,10 +52,10 @@
 	}
 }
 
-// SilentByZone counts a partition's machines, and the unreachable ones among them, by zone. Machines
+// CountMachinesByZone counts a partition's machines, and the unreachable ones among them, by zone. Machines
 // that may be booting, or that a new owner has neither called nor received a heartbeat from, are left
 // out.
-func (mon *Monitor) SilentByZone(owned *core.OwnedPartition) map[api.Zone]zonehealth.MachineCount {
+func (mon *Monitor) CountMachinesByZone(owned *core.OwnedPartition) map[api.Zone]zonehealth.MachineCount {
 	counts := map[api.Zone]zonehealth.MachineCount{}
 	for _, m := range mon.deps.Agents.MachinesOf(owned.ID) {
 		if !mon.isEvidence(m) {
@@ -82,7 +82,7 @@
 	if m.LastHeartbeat != 0 {
 		return true
 	}
-	return m.MissedCalls > 0 && !mon.mayBeBooting(m)
+	return m.UnansweredCalls > 0 && !mon.mayBeBooting(m)
 }
 
 // mayBeBooting reports whether a machine that has never sent a heartbeat may still be booting: the
@@ -95,7 +95,7 @@
 // calls whose heartbeats arrive only through peers counts as unreachable, since this is evidence of a
 // network partition. One that sends them here directly counts as reachable.
 func (mon *Monitor) isUnreachable(m *core.Machine, owned *core.OwnedPartition) bool {
-	if m.MissedCalls > 0 && (m.LastHeartbeat == 0 || m.HeartbeatForwarded) {
+	if m.UnansweredCalls > 0 && (m.LastHeartbeat == 0 || m.HeartbeatForwarded) {
 		return true
 	}
 	return mon.core.Now.Sub(max(m.LastHeartbeat, owned.OwnedSince)) > mon.lateHeartbeatTimeout()
@@ -106,8 +106,8 @@
 	return mon.core.Config.HeartbeatInterval() + lateHeartbeatMargin
 }
 
-// Observation returns the latest assessment of a zone by all controllers together.
-func (mon *Monitor) Observation(name api.Zone) zonehealth.Assessment {
+// Assessment returns the latest assessment of a zone by all controllers together.
+func (mon *Monitor) Assessment(name api.Zone) zonehealth.Assessment {
 	return mon.observations[name]
 }
 
--- a/controller/health/record.go
+++ b/controller/health/record.go
@@ -48,10 +48,10 @@
 	return mon.records[name].State
 }
 
-// PartitionsInside returns the partitions whose owners were lost with a zone and may still be running
+// IsolatedPartitions returns the partitions whose owners were lost with a zone and may still be running
 // inside it.
-func (mon *Monitor) PartitionsInside(name api.Zone) []api.PartitionID {
-	return mon.records[name].PartitionsInside
+func (mon *Monitor) IsolatedPartitions(name api.Zone) []api.PartitionID {
+	return mon.records[name].IsolatedPartitions
 }
 
 // AnyZoneFailedOrRecovering reports whether a zone is recorded as failed or recovering.
@@ -64,8 +64,8 @@
 	return false
 }
 
-// ZoneSilenceSeconds returns the duration of a failed zone's outage so far, in seconds.
-func (mon *Monitor) ZoneSilenceSeconds(name api.Zone) float64 {
+// OutageSeconds returns the duration of a failed zone's outage so far, in seconds.
+func (mon *Monitor) OutageSeconds(name api.Zone) float64 {
 	r := mon.records[name]
 	return max(0, float64(mon.core.WallClock-cmp.Or(r.LastHeartbeat, r.Since))/1000)
 }
@@ -125,9 +125,9 @@
 func (mon *Monitor) nextRecord(name api.Zone, previous zonehealth.Record, owned *core.OwnedPartition) zonehealth.Record {
 	healthyFor := mon.core.Now.Sub(max(mon.lastUnreachableAt[name], owned.OwnedSince))
 	thresholds := zonehealth.Thresholds{
-		FailAfter:       mon.core.LivenessTimeout,
-		HealthyAfter:    mon.stabilizationTime(),
-		RetryEmptyAfter: 2 * mon.core.Config.WorkerLease(),
+		FailAfter:                 mon.core.LivenessTimeout,
+		HealthyAfter:              mon.stabilizationTime(),
+		RetryWithoutMachinesAfter: 2 * mon.core.Config.WorkerLease(),
 	}
 	return previous.Next(mon.core.WallClock, mon.observations[name], healthyFor, thresholds, mon.partitionsInside(name))
 }
@@ -153,7 +153,7 @@
 			slog.Info("zone state changed", "zone", name, "state", stateName(record.State), "term", owned.Term,
 				"machines", assessment.All, "unreachable", assessment.Silent,
 				"heartbeat_age_s", float64(record.Since-max(previous.LastHeartbeat, record.LastHeartbeat))/1000,
-				"partitions_inside", len(record.PartitionsInside))
+				"partitions_inside", len(record.IsolatedPartitions))
 		}
 		mon.deps.Follower.LinearizableRead(finish, finish)
 	})
--- a/controller/health/replacement.go
+++ b/controller/health/replacement.go
@@ -62,7 +62,7 @@
 
 // countLostMachine counts the tasks on one lost machine.
 func (mon *Monitor) countLostMachine(counter *lossCounter, id api.MachineID, instance api.Instance) {
-	outage, lease := mon.ZoneSilenceSeconds(instance.Zone), mon.core.Config.WorkerLease().Seconds()
+	outage, lease := mon.OutageSeconds(instance.Zone), mon.core.Config.WorkerLease().Seconds()
 	replace := mon.outlastsReplacement(id, instance, outage, lease)
 	for _, p := range mon.core.State.PlacementsOn(id) {
 		if p.Finishing || p.Job.Terminal() {
@@ -82,7 +82,7 @@
 
 // countDuringLease counts a task whose machine's lease has not expired yet.
 func (counter *lossCounter) countDuringLease(p *core.Placement, replace bool) {
-	if p.Job.Spec.Priority.Rank() < core.PreemptorRank {
+	if p.Job.Spec.Priority.Rank() < core.MinPreemptorRank {
 		return
 	}
 	if replace && counter.preemptible < p.Job.Demand.CPU {
@@ -97,7 +97,7 @@
 // the machine. outage is the duration of the zone's outage so far; both durations are in seconds.
 func (mon *Monitor) outlastsReplacement(id api.MachineID, instance api.Instance, outage, lease float64) bool {
 	record := mon.records[instance.Zone]
-	if slices.Contains(record.PartitionsInside, mon.core.PartitionOf(id)) {
+	if slices.Contains(record.IsolatedPartitions, mon.core.PartitionOf(id)) {
 		return false
 	}
 	target := max(lease, outage+mon.core.BootSeconds(instance.Type))
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -117,7 +117,7 @@
 		if got := len(n.scheduler.PlanRound(owned).Starts) > 0; got != starts || n.tenancy.StartsBlocked(j) == starts {
 			t.Errorf("tenant state %q: starts planned %v, starts blocked %v", state, got, n.tenancy.StartsBlocked(j))
 		}
-		if pending := n.capacity.PendingTasksIn(0, j.Spec); (pending > 0) != starts {
+		if pending := n.capacity.CompetingTasksIn(0, j.Spec); (pending > 0) != starts {
 			t.Errorf("tenant state %q: %d tasks count as pending", state, pending)
 		}
 	}
@@ -170,12 +170,12 @@
 		t.Errorf("a job is examined after %d rounds, expected at most %d", rounds, limit)
 	}
 	// A round runs without any new event for the jobs that the last one did not examine.
-	owned.Dirty, owned.NextRound = false, 0
+	owned.NeedsRound, owned.NextRound = false, 0
 	owned.PlannedAt = n.core.Now
 	n.core.Now = n.core.Now.Add(core.DeferredJobsInterval)
-	before := n.tenancy.RoundTurns("flood", 0)
+	before := n.tenancy.RoundRotations("flood", 0)
 	n.scheduler.RunPartition(owned)
-	if n.tenancy.RoundTurns("flood", 0) == before {
+	if n.tenancy.RoundRotations("flood", 0) == before {
 		t.Error("no job is examined while there are no new events")
 	}
 }
--- a/controller/jobs/acknowledge.go
+++ b/controller/jobs/acknowledge.go
@@ -51,7 +51,7 @@
 		}
 		if m := s.core.Machines[p.Machine]; m != nil {
 			p.OwnerState.HaltRequested = true
-			s.deps.Agents.ContactNow(m)
+			s.deps.Agents.ScheduleDirectCall(m)
 		}
 	}
 }
--- a/controller/jobs/cancel.go
+++ b/controller/jobs/cancel.go
@@ -31,7 +31,7 @@
 
 // Cancel cancels a job for a user.
 func (s *Service) Cancel(c message.Cancel) {
-	if s.deps.Tenants.Enabled() {
+	if s.deps.Tenants.Hosted() {
 		s.deps.Tenants.CancelHosted(c)
 		return
 	}
@@ -142,9 +142,9 @@
 // acknowledged yet.
 func (s *Service) PendingCancellations() int { return len(s.pendingCancellations) }
 
-// AnswerCancellations answers the requests whose cancellation has been acknowledged or whose
+// ReplyToCancellations answers the requests whose cancellation has been acknowledged or whose
 // deadline has passed.
-func (s *Service) AnswerCancellations() {
+func (s *Service) ReplyToCancellations() {
 	if len(s.pendingCancellations) == 0 {
 		return
 	}
--- a/controller/jobs/pendingreason.go
+++ b/controller/jobs/pendingreason.go
@@ -13,7 +13,7 @@
 // pendingReasons explains why a job's tasks are pending: by priority rule and by partition.
 func (s *Service) pendingReasons(j *core.Job, partitions []api.PartitionID, capacityGroups []core.FreeCapacityGroup) []string {
 	var reasons []string
-	if rule := s.deps.Priorities.PendingReasonPriority(j.Spec); rule != "" && j.HasPendingTasks() {
+	if rule := s.deps.Priorities.HigherPriorityRule(j.Spec); rule != "" && j.HasPendingTasks() {
 		reasons = append(reasons, fmt.Sprintf("priority rule %q ranks other jobs first", rule))
 	}
 	for _, p := range partitions {
@@ -63,7 +63,7 @@
 	if reason := s.quotaReason(j, p); reason != "" {
 		return reason
 	}
-	if reason := s.deps.Pools.PendingReasonPool(j, p); reason != "" {
+	if reason := s.deps.Pools.PoolPendingReason(j, p); reason != "" {
 		return reason
 	}
 	if owned := s.core.Partitions[p]; owned != nil && s.deps.Balancer.HasReservationFor(owned, j.ID) {
--- a/controller/jobs/query.go
+++ b/controller/jobs/query.go
@@ -51,7 +51,7 @@
 
 // Poll answers a query for a job's status.
 func (s *Service) Poll(c message.Poll) {
-	if s.deps.Tenants.Enabled() {
+	if s.deps.Tenants.Hosted() {
 		s.deps.Tenants.PollHosted(c)
 		return
 	}
--- a/controller/jobs/service.go
+++ b/controller/jobs/service.go
@@ -40,7 +40,7 @@
 
 // Agents is what the Service needs of the agent manager.
 type Agents interface {
-	ContactNow(m *core.Machine)
+	ScheduleDirectCall(m *core.Machine)
 }
 
 // Balancer is what the Service needs of the balancer.
@@ -53,7 +53,7 @@
 type Capacity interface {
 	FreeSlotsByPartition(spec *api.JobSpec) []int
 	TotalSlotsByPartition(spec *api.JobSpec) []int
-	PendingTasksIn(p api.PartitionID, spec *api.JobSpec) int
+	CompetingTasksIn(p api.PartitionID, spec *api.JobSpec) int
 	FreeCapacityGroups() []core.FreeCapacityGroup
 }
 
@@ -69,13 +69,13 @@
 
 // Pools is what the Service needs of the pool manager.
 type Pools interface {
-	CheckPoolNeeds(spec *api.JobSpec, name tenant.Name) string
-	PendingReasonPool(j *core.Job, p api.PartitionID) string
+	CheckPoolRequests(spec *api.JobSpec, name tenant.Name) string
+	PoolPendingReason(j *core.Job, p api.PartitionID) string
 }
 
 // Priorities is what the Service needs of the priority rules.
 type Priorities interface {
-	PendingReasonPriority(spec *api.JobSpec) string
+	HigherPriorityRule(spec *api.JobSpec) string
 }
 
 // Reservations is what the Service needs of the reservation service.
@@ -86,7 +86,7 @@
 // Tenants is what the Service needs of the tenant service, which serves users' requests if the
 // service is hosted.
 type Tenants interface {
-	Enabled() bool
+	Hosted() bool
 	SubmitHosted(c message.Submit, tries int)
 	PollHosted(c message.Poll)
 	CancelHosted(c message.Cancel)
--- a/controller/jobs/service_test.go
+++ b/controller/jobs/service_test.go
@@ -19,10 +19,10 @@
 	idleLedger      struct{ Reservations }
 )
 
-func (noCapacity) FreeCapacityGroups() []core.FreeCapacityGroup        { return nil }
-func (noPools) PendingReasonPool(*core.Job, api.PartitionID) string    { return "" }
-func (noPriorityRules) PendingReasonPriority(spec *api.JobSpec) string { return "" }
-func (idleLedger) RecentlyWrote() bool                                 { return false }
+func (noCapacity) FreeCapacityGroups() []core.FreeCapacityGroup     { return nil }
+func (noPools) PoolPendingReason(*core.Job, api.PartitionID) string { return "" }
+func (noPriorityRules) HigherPriorityRule(spec *api.JobSpec) string { return "" }
+func (idleLedger) RecentlyWrote() bool                              { return false }
 
 // newTestService returns the Service of the only controller of a cluster with one partition, a
 // machine type of 8 CPUs and a team "red".
@@ -37,7 +37,7 @@
 	}
 	shared := core.New(cfg, 1)
 	shared.Now, shared.Loaded = api.Time(time.Minute), true
-	shared.State = clusterstate.New[core.JobTracking, core.PlacementTracking](1)
+	shared.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](1)
 	shared.Teams = map[api.Team]config.Team{"red": {Name: "red"}}
 	shared.AddMachineTypes([]api.MachineType{{Name: "c8", CPUs: 8, MemGB: 32, Zones: []api.Zone{"a", "b"}}})
 	service := New(shared)
--- a/controller/jobs/split.go
+++ b/controller/jobs/split.go
@@ -18,7 +18,7 @@
 	freeSlots := s.deps.Capacity.FreeSlotsByPartition(spec)
 	weights := make([]float64, len(s.core.State.Partitions))
 	for i := range weights {
-		weights[i] = float64(freeSlots[i]) - float64(s.deps.Capacity.PendingTasksIn(api.PartitionID(i), spec))
+		weights[i] = float64(freeSlots[i]) - float64(s.deps.Capacity.CompetingTasksIn(api.PartitionID(i), spec))
 	}
 	switch {
 	case spec.NeedsSinglePartition():
--- a/controller/jobs/submit.go
+++ b/controller/jobs/submit.go
@@ -20,7 +20,7 @@
 // Submit accepts or refuses a job. It is idempotent: a job that was accepted earlier is refused
 // only for a malformed request, even if machine types or limits have changed since.
 func (s *Service) Submit(c message.Submit) {
-	if s.deps.Tenants.Enabled() {
+	if s.deps.Tenants.Hosted() {
 		s.deps.Tenants.SubmitHosted(c, hostedSubmitTries)
 		return
 	}
@@ -42,7 +42,7 @@
 		s.LookupJob(spec.Ref, sub.replyKnown, sub.forward, sub.forward)
 		return
 	}
-	if reason := cmp.Or(s.InfeasibleReason(spec), s.deps.Pools.CheckPoolNeeds(spec, "")); reason != "" {
+	if reason := cmp.Or(s.InfeasibleReason(spec), s.deps.Pools.CheckPoolRequests(spec, "")); reason != "" {
 		sub.refuse(api.StatusUnprocessableEntity, reason)
 		return
 	}
--- a/controller/logfollow/read.go
+++ b/controller/logfollow/read.go
@@ -120,7 +120,7 @@
 		f.core.AddMachineTypes(f.core.RecordedTypes.Types)
 	}
 	for _, owned := range f.core.Partitions {
-		owned.Dirty = true
+		owned.NeedsRound = true
 	}
 	f.deps.Ownership.DropLostPartitions()
 }
--- a/controller/logfollow/relays_test.go
+++ b/controller/logfollow/relays_test.go
@@ -28,7 +28,7 @@
 	}
 	shared := core.New(cfg, 1)
 	shared.Now = 1
-	shared.State = clusterstate.New[core.JobTracking, core.PlacementTracking](controllers)
+	shared.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](controllers)
 	return New(shared)
 }
 
--- a/controller/message/peer.go
+++ b/controller/message/peer.go
@@ -87,8 +87,8 @@
 	Lack        []UnmetDemand                        // jobs that do not fit in this partition as a whole
 }
 
-// MaxSilentMachines is the maximum number of machines in PartitionStatus.Silent.
-const MaxSilentMachines = 500
+// MaxUnreachableMachines is the maximum number of machines in PartitionStatus.Silent.
+const MaxUnreachableMachines = 500
 
 // MachineClass is the attributes by which machines are grouped.
 type MachineClass struct {
--- a/controller/message/responses.go
+++ b/controller/message/responses.go
@@ -28,11 +28,11 @@
 	}
 	// CloudResponse is the response to a CloudCall.
 	CloudResponse struct {
-		ID       CallID
-		Status   int
-		Types    []api.MachineType
-		Hosts    api.InstanceList
-		Machines []api.MachineID
+		ID          CallID
+		Status      int
+		Types       []api.MachineType
+		MachineList api.InstanceList
+		Machines    []api.MachineID
 
 		NoCapacity bool // the cloud has no capacity for the requested machines
 	}
--- a/controller/message/usage.go
+++ b/controller/message/usage.go
@@ -7,11 +7,11 @@
 // ResourceUsage informs the controller, which reads no clock, of the time that its work takes and of
 // the number of queued commands.
 type ResourceUsage struct {
-	StepTime       time.Duration            // duration of the last step
-	WorkTime       [WorkKinds]time.Duration // by kind of work, since the process started
-	ProcessTime    time.Duration            // of the whole process, since it started
-	QueueLength    int                      // queued commands
-	QueuedRequests int                      // queued commands other than workers' heartbeats
+	StepTime       time.Duration                // duration of the last step
+	WorkTime       [WorkKindCount]time.Duration // by kind of work, since the process started
+	ProcessTime    time.Duration                // of the whole process, since it started
+	QueueLength    int                          // queued commands
+	QueuedRequests int                          // queued commands other than workers' heartbeats
 }
 
 // WorkKind is a kind of work by which time is accounted.
@@ -27,15 +27,15 @@
 	WorkPeers
 	WorkOperators
 	WorkMembership // lease renewal and log reads
-	WorkFleet
+	WorkScaling
 	WorkRounds
 	WorkMachines
 	WorkGossip
-	WorkKinds // number of kinds
+	WorkKindCount // number of kinds
 )
 
 // workKindNames are the names of the kinds in metrics.
-var workKindNames = [WorkKinds]string{
+var workKindNames = [WorkKindCount]string{
 	WorkUsers:      "users",
 	WorkHeartbeats: "reports",
 	WorkStore:      "state_answers",
@@ -44,7 +44,7 @@
 	WorkPeers:      "peers",
 	WorkOperators:  "operators",
 	WorkMembership: "membership",
-	WorkFleet:      "fleet",
+	WorkScaling:    "fleet",
 	WorkRounds:     "rounds",
 	WorkMachines:   "machines",
 	WorkGossip:     "gossip",
--- a/controller/metrics/reporter.go
+++ b/controller/metrics/reporter.go
@@ -22,7 +22,7 @@
 	Health       Health
 	Jobs         Jobs
 	Reservations Reservations
-	Backfill     Backfill
+	Backfiller   Backfiller
 	Pools        Pools
 }
 
@@ -40,9 +40,9 @@
 // Health is what the reporter needs of the zone health monitor.
 type Health interface {
 	ZoneState(api.Zone) zonehealth.State
-	Observation(api.Zone) zonehealth.Assessment
-	ZoneSilenceSeconds(api.Zone) float64
-	PartitionsInside(api.Zone) []api.PartitionID
+	Assessment(api.Zone) zonehealth.Assessment
+	OutageSeconds(api.Zone) float64
+	IsolatedPartitions(api.Zone) []api.PartitionID
 	ExpiredLeaseTasks(api.Zone) int
 }
 
@@ -58,8 +58,8 @@
 	ViewMetrics() *core.ReservationMetrics
 }
 
-// Backfill is what the reporter needs of the backfiller.
-type Backfill interface {
+// Backfiller is what the reporter needs of the backfiller.
+type Backfiller interface {
 	FragmentedCapacity() []core.FragmentationView
 }
 
@@ -99,7 +99,7 @@
 	v.MachinesNotResumed = r.machinesNotResumed()
 	v.Zones = r.viewZones()
 	v.Reservations = r.deps.Reservations.ViewMetrics()
-	v.Fragmentation = r.deps.Backfill.FragmentedCapacity()
+	v.Fragmentation = r.deps.Backfiller.FragmentedCapacity()
 	r.addPools(&v)
 	v.Latencies = r.viewLatencies()
 	return v
@@ -196,14 +196,14 @@
 		if zones == nil {
 			zones = map[api.Zone]ZoneView{}
 		}
-		observed := health.Observation(name)
+		observed := health.Assessment(name)
 		zones[name] = ZoneView{
-			State:            string(state),
-			SilentSeconds:    health.ZoneSilenceSeconds(name),
-			Machines:         observed.All,
-			SilentMachines:   observed.Silent,
-			PartitionsInside: health.PartitionsInside(name),
-			PendingTasks:     health.ExpiredLeaseTasks(name),
+			State:               string(state),
+			UnreachableSeconds:  health.OutageSeconds(name),
+			Machines:            observed.All,
+			UnreachableMachines: observed.Silent,
+			IsolatedPartitions:  health.IsolatedPartitions(name),
+			PendingTasks:        health.ExpiredLeaseTasks(name),
 		}
 	}
 	return zones
--- a/controller/metrics/view.go
+++ b/controller/metrics/view.go
@@ -78,12 +78,12 @@
 
 // ZoneView is an unhealthy zone as shown to operators.
 type ZoneView struct {
-	State            string            `json:"state"`    // doubtful, lost or returning
-	SilentSeconds    float64           `json:"silent_s"` // since the last heartbeat of its unreachable machines
-	Machines         int               `json:"machines"` // known machines, summed over the gossip of all controllers
-	SilentMachines   int               `json:"machines_silent"`
-	PartitionsInside []api.PartitionID `json:"parts_inside,omitempty"` // partitions whose owners were lost with the zone
-	PendingTasks     int               `json:"tasks_waiting"`          // on machines with expired leases
+	State               string            `json:"state"`    // doubtful, lost or returning
+	UnreachableSeconds  float64           `json:"silent_s"` // since the last heartbeat of its unreachable machines
+	Machines            int               `json:"machines"` // known machines, summed over the gossip of all controllers
+	UnreachableMachines int               `json:"machines_silent"`
+	IsolatedPartitions  []api.PartitionID `json:"parts_inside,omitempty"` // partitions whose owners were lost with the zone
+	PendingTasks        int               `json:"tasks_waiting"`          // on machines with expired leases
 }
 
 // PoolView is a pool as shown to operators, in units.
--- a/controller/operations/service.go
+++ b/controller/operations/service.go
@@ -31,8 +31,8 @@
 
 // Tenants is what the service needs of the tenant service.
 type Tenants interface {
-	// Enabled reports whether the service is hosted.
-	Enabled() bool
+	// Hosted reports whether the service is hosted.
+	Hosted() bool
 	// WithOperator calls back with a request if its key authorizes it, and refuses it otherwise.
 	WithOperator(message.AdminRequest, func(message.AdminRequest))
 
@@ -41,8 +41,8 @@
 	HandleTeamRequest(message.AdminRequest) error
 	ListAudit(message.AdminRequest)
 
-	// AuditWrite returns the write of an audit entry, for the transaction of the change.
-	AuditWrite(c message.AdminRequest, subject string, before, after any) api.Write
+	// NewAuditWrite returns the write of an audit entry, for the transaction of the change.
+	NewAuditWrite(c message.AdminRequest, subject string, before, after any) api.Write
 	// ReplyChange answers a change by the status of its transaction.
 	ReplyChange(req message.ReqID, status int, revision api.Revision, what string, view func(api.Revision) any)
 
@@ -93,7 +93,7 @@
 		s.core.ReplyError(c.Req, 503, "starting")
 		return
 	}
-	if s.deps.Tenants.Enabled() && !c.Forwarded {
+	if s.deps.Tenants.Hosted() && !c.Forwarded {
 		s.deps.Tenants.WithOperator(c, s.HandleAuthorized)
 		return
 	}
--- a/controller/operations/settings.go
+++ b/controller/operations/settings.go
@@ -99,8 +99,8 @@
 		Writes: []api.Write{{Put: core.SettingsKey, Value: v}},
 	}
 	tenants := s.deps.Tenants
-	if tenants.Enabled() {
-		tx.Writes = append(tx.Writes, tenants.AuditWrite(c, "settings", s.core.Settings.AuditView(), settings.AuditView()))
+	if tenants.Hosted() {
+		tx.Writes = append(tx.Writes, tenants.NewAuditWrite(c, "settings", s.core.Settings.AuditView(), settings.AuditView()))
 	}
 	s.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		tenants.ReplyChange(c.Req, a.Status, a.Txn.Revision, "the settings have", func(revision api.Revision) any {
--- a/controller/operations/views.go
+++ b/controller/operations/views.go
@@ -58,9 +58,9 @@
 	}
 	// QuotaShareView is a partition's share of a team's limit.
 	QuotaShareView struct {
-		Part api.PartitionID `json:"part"`
-		CPUs float64         `json:"cpus"`
-		GPUs float64         `json:"gpus"`
+		Partition api.PartitionID `json:"part"`
+		CPUs      float64         `json:"cpus"`
+		GPUs      float64         `json:"gpus"`
 	}
 )
 
@@ -132,7 +132,7 @@
 			MaxCPUs:        team.CPUsMax,
 			MaxGPUs:        team.GPUsMax,
 		}
-		if s.deps.Tenants.Enabled() {
+		if s.deps.Tenants.Hosted() {
 			record, ok := s.deps.Tenants.TeamRecord(name)
 			v.OperatorDefined, v.Revision, v.Tenant = ok, record.Revision, string(owners[name])
 		}
@@ -151,7 +151,7 @@
 	for i := range shares {
 		p := api.PartitionID(i)
 		share := s.core.State.QuotaShare(p, name, core.QuotaLimit(team))
-		shares[i].Part = p
+		shares[i].Partition = p
 		if team.CPUsMax > 0 {
 			shares[i].CPUs = share.CPU.Float()
 		}
--- a/controller/ordering/priorities.go
+++ b/controller/ordering/priorities.go
@@ -39,8 +39,8 @@
 type Agents interface {
 	// MachinesOf returns a partition's machines, sorted by ID.
 	MachinesOf(api.PartitionID) []*core.Machine
-	// ContactNow schedules an immediate call to a machine.
-	ContactNow(*core.Machine)
+	// ScheduleDirectCall schedules an immediate call to a machine.
+	ScheduleDirectCall(*core.Machine)
 	// MaxDirectCalls returns the maximum number of simultaneous calls to machines.
 	MaxDirectCalls() int
 }
@@ -149,9 +149,9 @@
 	return float64(s.Priority.Rank()) + po.PriorityBoost(s)
 }
 
-// PendingReasonPriority returns the name of the rule by which other work takes precedence over a job,
+// HigherPriorityRule returns the name of the rule by which other work takes precedence over a job,
 // or "".
-func (po *Priorities) PendingReasonPriority(s *api.JobSpec) string {
+func (po *Priorities) HigherPriorityRule(s *api.JobSpec) string {
 	if !po.hasRules() {
 		return ""
 	}
@@ -199,6 +199,6 @@
 	}
 	slices.SortStableFunc(machines, func(a, b *core.Machine) int { return sched.Descending(highest[a], highest[b]) })
 	for _, m := range machines[:min(len(machines), po.deps.Agents.MaxDirectCalls()/2)] {
-		po.deps.Agents.ContactNow(m)
+		po.deps.Agents.ScheduleDirectCall(m)
 	}
 }
--- a/controller/ordering/shortage.go
+++ b/controller/ordering/shortage.go
@@ -64,8 +64,8 @@
 	return out
 }
 
-// RecordShortage records that a job's pending tasks find no free capacity in a partition.
-func (po *Priorities) RecordShortage(owned *core.OwnedPartition, s *api.JobSpec) {
+// ObserveShortage records that a job's pending tasks find no free capacity in a partition.
+func (po *Priorities) ObserveShortage(owned *core.OwnedPartition, s *api.JobSpec) {
 	if !po.HasShortageRule() {
 		return
 	}
--- a/controller/ownership/lease_test.go
+++ b/controller/ownership/lease_test.go
@@ -25,7 +25,7 @@
 	}
 	shared := core.New(cfg, 1)
 	shared.Now, shared.Loaded = api.Time(time.Minute), true
-	shared.State = clusterstate.New[core.JobTracking, core.PlacementTracking](1)
+	shared.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](1)
 	return New(shared)
 }
 
--- a/controller/pools/admin.go
+++ b/controller/pools/admin.go
@@ -97,7 +97,7 @@
 		before = previous
 	}
 	key := core.KeyPool + c.ID
-	txn := api.Txn{If: []api.Condition{{Key: key, Version: revision}}, Writes: []api.Write{{Put: key, Value: data}, pm.deps.Tenancy.AuditWrite(c, "pool "+c.ID, before, next)}}
+	txn := api.Txn{If: []api.Condition{{Key: key, Version: revision}}, Writes: []api.Write{{Put: key, Value: data}, pm.deps.Tenancy.NewAuditWrite(c, "pool "+c.ID, before, next)}}
 	pm.deps.Tenancy.CommitChange(c, txn, "the pool", func(committed api.Revision) any { return pm.view(next, committed) })
 	return nil
 }
--- a/controller/pools/allocation.go
+++ b/controller/pools/allocation.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// CheckPoolNeeds returns the reason why a job may not request its units of pools; it is empty if it may.
-func (pm *Manager) CheckPoolNeeds(s *api.JobSpec, name tenant.Name) string {
+// CheckPoolRequests returns the reason why a job may not request its units of pools; it is empty if it may.
+func (pm *Manager) CheckPoolRequests(s *api.JobSpec, name tenant.Name) string {
 	for _, need := range s.Needs {
 		entry, units := pm.entry(need.Pool), need.Units(s.GangSize(), false)
 		switch {
@@ -98,9 +98,9 @@
 	return free
 }
 
-// PendingReasonPool names the pool that keeps a job from starting in a partition; it is empty if none
+// PoolPendingReason names the pool that keeps a job from starting in a partition; it is empty if none
 // does.
-func (pm *Manager) PendingReasonPool(j *core.Job, p api.PartitionID) string {
+func (pm *Manager) PoolPendingReason(j *core.Job, p api.PartitionID) string {
 	for _, need := range j.Spec.Needs {
 		entry := pm.entry(need.Pool)
 		if entry == nil {
--- a/controller/pools/manager.go
+++ b/controller/pools/manager.go
@@ -42,7 +42,7 @@
 
 // Backfiller is what a Manager needs of the backfiller.
 type Backfiller interface {
-	WaitStage(*core.Job, api.PartitionID) sched.AgingStage
+	AgingStage(*core.Job, api.PartitionID) sched.AgingStage
 }
 
 // Capacity is what a Manager needs of the capacity counts.
@@ -71,7 +71,7 @@
 type Tenancy interface {
 	StartsBlocked(*core.Job) bool
 	HasTenant(tenant.Name) bool
-	AuditWrite(c message.AdminRequest, subject string, before, after any) api.Write
+	NewAuditWrite(c message.AdminRequest, subject string, before, after any) api.Write
 	CommitChange(c message.AdminRequest, txn api.Txn, what string, view func(api.Revision) any)
 }
 
--- a/controller/pools/manager_test.go
+++ b/controller/pools/manager_test.go
@@ -28,7 +28,7 @@
 	cfg.Hosted = &config.Hosted{}
 	k := core.New(cfg, 1)
 	pm := New(k)
-	k.State = clusterstate.New[core.JobTracking, core.PlacementTracking](cfg.Deployment.InitialSize, pm.RecordKinds()...)
+	k.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](cfg.Deployment.InitialSize, pm.RecordKinds()...)
 	owned := &core.OwnedPartition{ID: 0, Term: 7}
 	k.Partitions[0] = owned
 	spec := &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 4, CPUs: 1, Needs: []api.PoolRequest{{Pool: "routing", Task: 1}}}
@@ -65,18 +65,18 @@
 	pm, _, j := newTestManager(t, 3)
 	entry := pm.Table().Get("routing")
 	entry.Tenants = []tenant.Name{"lopresti"}
-	refusal := pm.CheckPoolNeeds(j.Spec, "kipper")
+	refusal := pm.CheckPoolRequests(j.Spec, "kipper")
 	other := *j.Spec
 	other.Needs = []api.PoolRequest{{Pool: "nothing", Task: 1}}
-	if strings.ReplaceAll(pm.CheckPoolNeeds(&other, "kipper"), "nothing", "routing") != refusal || refusal == "" {
-		t.Errorf("%q, but %q for a pool that does not exist", refusal, pm.CheckPoolNeeds(&other, "kipper"))
+	if strings.ReplaceAll(pm.CheckPoolRequests(&other, "kipper"), "nothing", "routing") != refusal || refusal == "" {
+		t.Errorf("%q, but %q for a pool that does not exist", refusal, pm.CheckPoolRequests(&other, "kipper"))
 	}
-	if reason := pm.CheckPoolNeeds(j.Spec, "lopresti"); reason != "" {
+	if reason := pm.CheckPoolRequests(j.Spec, "lopresti"); reason != "" {
 		t.Errorf("an allowed tenant is refused: %s", reason)
 	}
 	tooMany := *j.Spec
 	tooMany.Needs = []api.PoolRequest{{Pool: "routing", Task: 4}}
-	if reason := pm.CheckPoolNeeds(&tooMany, "lopresti"); !strings.Contains(reason, "never has more than 3") {
+	if reason := pm.CheckPoolRequests(&tooMany, "lopresti"); !strings.Contains(reason, "never has more than 3") {
 		t.Errorf("4 of 3 units: %q", reason)
 	}
 }
--- a/controller/pools/preemption.go
+++ b/controller/pools/preemption.go
@@ -115,7 +115,7 @@
 		return nil
 	}
 	for _, r := range requests {
-		if r.job.Spec.Priority.Rank() < core.PreemptorRank {
+		if r.job.Spec.Priority.Rank() < core.MinPreemptorRank {
 			return nil
 		}
 		if r.demand.Units <= entry.Size && pm.hasCapacityFor(r) {
--- a/controller/pools/requests.go
+++ b/controller/pools/requests.go
@@ -55,7 +55,7 @@
 	if entitled {
 		demand.Starts = min(demand.Starts, (entry.Guaranteed[j.Spec.Team]-held[j.Spec.Team])/demand.Units)
 	}
-	demand.Reserves = entitled || pm.deps.Backfiller.WaitStage(j, partition) != sched.NotAged || j.Spec.Priority.Rank() >= core.PreemptorRank ||
+	demand.Reserves = entitled || pm.deps.Backfiller.AgingStage(j, partition) != sched.NotAged || j.Spec.Priority.Rank() >= core.MinPreemptorRank ||
 		demand.Units > 1 && pool.ShouldReserve(time.Duration(pm.core.WallClock-j.AcceptedAt)*time.Millisecond)
 	return request{job: j, partition: partition, entitled: entitled, demand: demand}
 }
@@ -72,7 +72,7 @@
 
 // isAgedAboveAll reports whether a request has aged so far that it precedes all others.
 func (pm *Manager) isAgedAboveAll(r request) bool {
-	return pm.deps.Backfiller.WaitStage(r.job, r.partition) == sched.AgedAboveAll
+	return pm.deps.Backfiller.AgingStage(r.job, r.partition) == sched.AgedAboveAll
 }
 
 // hasCapacityFor reports whether a requesting job has free capacity in its partition. It is always
--- a/controller/pools/views.go
+++ b/controller/pools/views.go
@@ -16,7 +16,7 @@
 		pool.Pool
 		Held         []int        `json:"held"` // by partition
 		Free         []int        `json:"free"` // available for allocation, by partition
-		WaitingUnits int          `json:"waiting_units"`
+		PendingUnits int          `json:"waiting_units"`
 		OldestWait   float64      `json:"oldest_wait_s"`
 		Revision     api.Revision `json:"revision"`
 		Holders      []HolderView `json:"holders,omitempty"`
@@ -41,7 +41,7 @@
 	for partition := range v.Held {
 		v.Free = append(v.Free, p.Available(api.PartitionID(partition), v.Held))
 	}
-	v.WaitingUnits, v.OldestWait = pm.PoolBacklog(p.Name)
+	v.PendingUnits, v.OldestWait = pm.PoolBacklog(p.Name)
 	return v
 }
 
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -83,7 +83,7 @@
 		if len(owned.UnmetDemands) > 0 {
 			t.Errorf("%s: the tasks count as unmet demand for machines", what)
 		}
-		if why := n.pools.PendingReasonPool(j, 0); !strings.Contains(why, "routing") {
+		if why := n.pools.PoolPendingReason(j, 0); !strings.Contains(why, "routing") {
 			t.Errorf("%s: the pending reason is %q, expected the pool in it", what, why)
 		}
 	}
@@ -136,8 +136,8 @@
 			got++
 		}
 	}
-	if got != core.MaxRoundPools || len(round.Starts) != core.MaxRoundPools || !owned.Dirty {
-		t.Errorf("%d conditions on pools and %d starts, expected %d of each; another round is due: %v", got, len(round.Starts), core.MaxRoundPools, owned.Dirty)
+	if got != core.MaxRoundPools || len(round.Starts) != core.MaxRoundPools || !owned.NeedsRound {
+		t.Errorf("%d conditions on pools and %d starts, expected %d of each; another round is due: %v", got, len(round.Starts), core.MaxRoundPools, owned.NeedsRound)
 	}
 }
 
--- a/controller/preemption/faststart.go
+++ b/controller/preemption/faststart.go
@@ -42,7 +42,7 @@
 	if request.StartSLO <= 0 || slack <= 0 || j.OwnerState.PreemptedForStart {
 		return
 	}
-	if rank := j.Spec.Priority.Rank(); rank < core.PreemptorRank || !p.RunsLowerPriority(owned.ID, rank) {
+	if rank := j.Spec.Priority.Rank(); rank < core.MinPreemptorRank || !p.RunsLowerPriority(owned.ID, rank) {
 		return
 	}
 	fastSlots, slowFetches := findFastSlots(input, request, j, slack)
@@ -61,7 +61,7 @@
 	if p.PreemptFor(owned, request, j, need, maxFetch) > 0 {
 		request.Pending = request.Pending[:fastSlots]
 		j.OwnerState.BackoffUntil = p.core.Now.Add(core.PreemptionDelay)
-		owned.Dirty = true
+		owned.NeedsRound = true
 	}
 }
 
--- a/controller/preemption/planner.go
+++ b/controller/preemption/planner.go
@@ -2,7 +2,7 @@
 // the job has started, so that preempted tasks do not start there again.
 //
 // It owns no state. Reservations are in core.Machine, and the state of preemption for a job is in
-// core.JobTracking.
+// core.JobOwnerState.
 package preemption
 
 import (
@@ -84,5 +84,5 @@
 
 // ReserveExclusively reserves a machine for a job for which it was lent or tasks are preempted on it.
 func (p *Planner) ReserveExclusively(m *core.Machine, id api.JobID) {
-	m.ReservedFor, m.SoftReservation, m.ReservedUntil, m.Consolidated = id, false, p.core.Now.Add(core.ReservationTTL), false
+	m.ReservedFor, m.SoftReservation, m.ReservedUntil, m.ReservedForAged = id, false, p.core.Now.Add(core.ReservationTTL), false
 }
--- a/controller/reservations/request.go
+++ b/controller/reservations/request.go
@@ -57,7 +57,7 @@
 // seems unreachable.
 func (s *Service) preferredWriter(depot reservation.Depot) []api.ControllerID {
 	owner := s.core.State.Partitions[s.shardOf(depot)].Owner
-	if owner == s.core.Config.Label || !s.core.IsLive(owner) || !s.deps.Gossip.HeardRecently(owner) {
+	if owner == s.core.Config.Label || !s.core.IsLive(owner) || !s.deps.Gossip.HasRecentGossip(owner) {
 		return nil
 	}
 	return []api.ControllerID{owner}
--- a/controller/reservations/service.go
+++ b/controller/reservations/service.go
@@ -71,7 +71,7 @@
 
 // Gossip is what the service needs of the gossiper.
 type Gossip interface {
-	HeardRecently(api.ControllerID) bool
+	HasRecentGossip(api.ControllerID) bool
 }
 
 // Log is what the service needs of the log follower.
--- a/controller/reservations/sync.go
+++ b/controller/reservations/sync.go
@@ -54,7 +54,7 @@
 		return
 	}
 	s.sweptAt, s.sweeping = s.core.Now, true
-	s.core.SweepPrefix(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { s.sweeping = false })
+	s.core.DeleteExpiredRecords(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { s.sweeping = false })
 }
 
 // readDue reports whether the changes must be read: for a pending query or change, after a conflict, for a cleanup,
--- a/controller/rounds/archive.go
+++ b/controller/rounds/archive.go
@@ -58,7 +58,7 @@
 	result, _ := json.Marshal(j.State()) // a string can always be encoded
 	writes := []api.Write{{Drop: clusterstate.KeyJob + string(j.ID)}, {Put: clusterstate.KeyJobResult + string(j.ID), Value: result}}
 	if j.Tenant != "" {
-		writes = append(writes, s.deps.Tenancy.HistoryWrite(j))
+		writes = append(writes, s.deps.Tenancy.NewHistoryWrite(j))
 	}
 	return writes
 }
--- a/controller/rounds/checkpoint.go
+++ b/controller/rounds/checkpoint.go
@@ -71,7 +71,7 @@
 	if json.Unmarshal(headWrite.Value, &head) == nil {
 		s.core.State.Partitions[owned.ID].CheckpointHead = head
 	}
-	owned.Checkpointing, owned.Dirty = false, true
+	owned.Checkpointing, owned.NeedsRound = false, true
 }
 
 // retryCheckpoint allows a new checkpoint after a read of the log, which updates the versions of
--- a/controller/rounds/commit.go
+++ b/controller/rounds/commit.go
@@ -31,7 +31,7 @@
 		return
 	}
 	slot := clusterstate.RoundKey(owned.ID, round.Record.Seq)
-	if s.deps.Tenancy.Enabled() {
+	if s.deps.Tenancy.Hosted() {
 		round.Txn.If = append(round.Txn.If, s.core.State.VersionCondition(core.KeyGate))
 	}
 	round.Txn.If = append(round.Txn.If, s.core.State.VersionCondition(slot), owned.OwnershipCondition())
@@ -117,7 +117,7 @@
 		s.core.Metrics.IndeterminateUnwritten++
 	}
 	maps.Copy(owned.PendingEnds, round.Ends)
-	owned.Dirty = true
+	owned.NeedsRound = true
 }
 
 // ApplyCommittedRound applies a partition's round in flight, whose record was written at the given
@@ -137,10 +137,10 @@
 		}
 		if m := s.core.Machines[start.Machine]; m != nil {
 			m.IdleSince = s.core.Now
-			s.deps.Agents.ContactNow(m)
+			s.deps.Agents.ScheduleDirectCall(m)
 		}
 	}
-	owned.Dirty = true
+	owned.NeedsRound = true
 }
 
 // countCommittedRound updates the metrics with a committed round.
@@ -158,7 +158,7 @@
 }
 
 // logFinishedJobs logs the jobs completed by a record.
-func (s *Scheduler) logFinishedJobs(record *clusterstate.Record) {
+func (s *Scheduler) logFinishedJobs(record *clusterstate.RoundRecord) {
 	for _, delta := range record.Jobs {
 		if j := s.core.State.Jobs[delta.Job]; j != nil && len(delta.Completed) > 0 && j.State() == api.JobDone {
 			slog.Info(core.LogJobDone, core.TenantAttr(j), "job", delta.Job, core.SpecAttr(j.Spec), "estimate", j.Spec.Estimate,
--- a/controller/rounds/dependencies.go
+++ b/controller/rounds/dependencies.go
@@ -37,8 +37,8 @@
 type Agents interface {
 	EnsureMachine(id api.MachineID) *core.Machine
 	MachinesOf(p api.PartitionID) []*core.Machine
-	// ContactNow calls a machine's agent in this step.
-	ContactNow(m *core.Machine)
+	// ScheduleDirectCall calls a machine's agent in this step.
+	ScheduleDirectCall(m *core.Machine)
 }
 
 // Autoscaler requests and deletes machines.
@@ -59,21 +59,21 @@
 
 // Backfiller reserves machines and quota for jobs that have waited too long.
 type Backfiller interface {
-	Backfill(owned *core.OwnedPartition)
+	ReserveForAgedJobs(owned *core.OwnedPartition)
 	RestoreReservations(owned *core.OwnedPartition)
 	ReservationChanges(owned *core.OwnedPartition) []clusterstate.Reservation
-	// QuotaReservedForOthers returns the quota, by partition and team, that is left to jobs of other
-	// partitions that must start.
+	// QuotaReservedForOthers returns the quota, by partition and team, that is left to aged jobs of
+	// other partitions.
 	QuotaReservedForOthers(owned *core.OwnedPartition) map[api.PartitionID]map[api.Team]api.Resources
 	TypicalDemands() []fragmentation.Demand
-	// RoundStage returns the aging stage of a job and its waiting time in seconds.
-	RoundStage(owned *core.OwnedPartition, j *core.Job) (sched.AgingStage, float64)
+	// RoundAgingStage returns the aging stage of a job and its waiting time in seconds.
+	RoundAgingStage(owned *core.OwnedPartition, j *core.Job) (sched.AgingStage, float64)
 	// FitsAttainableQuota reports whether a number of a job's tasks fit into its team's quota once all
 	// other tasks have ended, except those of services.
 	FitsAttainableQuota(j *core.Job, tasks int) bool
-	// ChargeMustStartCredit accounts for a start. It limits the share of starts for which aged jobs
+	// ChargeAgedStartCredit accounts for a start. It limits the share of starts for which aged jobs
 	// have precedence over others.
-	ChargeMustStartCredit(owned *core.OwnedPartition, j *core.Job, stage sched.AgingStage)
+	ChargeAgedStartCredit(owned *core.OwnedPartition, j *core.Job, stage sched.AgingStage)
 }
 
 // Balancer moves jobs, quota and machines between partitions.
@@ -130,18 +130,18 @@
 // Priorities applies the operators' priority rules.
 type Priorities interface {
 	PriorityBoost(spec *api.JobSpec) float64
-	RecordShortage(owned *core.OwnedPartition, spec *api.JobSpec)
+	ObserveShortage(owned *core.OwnedPartition, spec *api.JobSpec)
 	ContactPriorityMachines(owned *core.OwnedPartition)
 }
 
 // Tenancy serves tenants.
 type Tenancy interface {
-	// Enabled reports whether the service has tenants.
-	Enabled() bool
+	// Hosted reports whether the service has tenants.
+	Hosted() bool
 	// StartsBlocked reports whether pending tasks of a job may not start.
 	StartsBlocked(j *core.Job) bool
 	// LimitTenantJobs removes the jobs of a tenant that exceed its limit for a round.
 	LimitTenantJobs(owned *core.OwnedPartition, jobs []*core.Job) []*core.Job
-	// HistoryWrite returns the write that adds a finished job to its tenant's history.
-	HistoryWrite(j *core.Job) api.Write
+	// NewHistoryWrite returns the write that adds a finished job to its tenant's history.
+	NewHistoryWrite(j *core.Job) api.Write
 }
--- a/controller/rounds/flow.go
+++ b/controller/rounds/flow.go
@@ -55,7 +55,7 @@
 	starts, placed := s.solve(problem)
 	s.recordUnmetDemand(problem, placed)
 	if len(starts) > 0 {
-		owned.Dirty = true // more may follow next round
+		owned.NeedsRound = true // more may follow next round
 	}
 	return starts
 }
@@ -64,7 +64,7 @@
 func resetDemand(owned *core.OwnedPartition) {
 	owned.ShortTypes = nil
 	owned.QuotaDemand = map[api.Team]api.Resources{}
-	owned.MustStartQuotaDemand = map[api.Team]api.Resources{}
+	owned.AgedQuotaDemand = map[api.Team]api.Resources{}
 	owned.QuotaStarvedDemand = map[api.Team]api.Resources{}
 	owned.UnmetDemands = nil
 	owned.PendingTaskCount = 0
@@ -80,7 +80,7 @@
 			continue
 		}
 		if j.OwnerState.BackoffUntil > s.core.Now {
-			owned.Dirty = owned.Dirty || pending > 0
+			owned.NeedsRound = owned.NeedsRound || pending > 0
 			continue
 		}
 		if pending == 0 && j.FinishingCount == 0 {
@@ -99,7 +99,7 @@
 }
 
 // unreservedQuota returns the quota that each team has left in the partition, less the quota
-// reserved for jobs of other partitions that must start.
+// reserved for aged jobs of other partitions.
 func (s *Scheduler) unreservedQuota(owned *core.OwnedPartition) map[api.Team]api.Resources {
 	remaining := s.core.RemainingQuota(owned.ID)
 	for _, teams := range owned.ReservedQuota {
@@ -132,22 +132,22 @@
 func (s *Scheduler) flowMachine(m *core.Machine, free api.Resources) sched.Machine {
 	machineType := s.core.MachineTypes[m.MachineType]
 	return sched.Machine{
-		ID:              m.ID,
-		Type:            m.MachineType,
-		Zone:            m.Zone,
-		Spot:            m.Spot,
-		Free:            free,
-		GPU:             machineType.GPUs > 0,
-		AcceleratorOnly: m.ScaleInCandidate,
-		FastStart:       s.deps.Autoscaler.SuitsLatencySensitive(m),
-		Surplus:         m.Surplus || s.core.Now < m.ConsolidatingUntil,
-		Slowdown:        m.RelativeRuntime,
-		FetchRate:       machineType.FetchRate,
-		FetchingImages:  s.PendingImageFetches(m),
-		CachedImages:    m.CachedImages,
-		ReservedFor:     s.deps.Preemptor.ReservedFor(m),
-		SoftReservation: m.SoftReservation,
-		ReservationRank: m.ReservationRank,
+		ID:                  m.ID,
+		Type:                m.MachineType,
+		Zone:                m.Zone,
+		Spot:                m.Spot,
+		Free:                free,
+		HasAccelerators:     machineType.GPUs > 0,
+		AcceleratorOnly:     m.ScaleInCandidate,
+		ForLatencySensitive: s.deps.Autoscaler.SuitsLatencySensitive(m),
+		Surplus:             m.Surplus || s.core.Now < m.ConsolidatingUntil,
+		Slowdown:            m.RelativeRuntime,
+		FetchRate:           machineType.FetchRate,
+		FetchingImages:      s.PendingImageFetches(m),
+		CachedImages:        m.CachedImages,
+		ReservedFor:         s.deps.Preemptor.ReservedFor(m),
+		SoftReservation:     m.SoftReservation,
+		ReservationRank:     m.ReservationRank,
 	}
 }
 
@@ -167,7 +167,7 @@
 // flowJob returns a job as input of the flow problem; ok is false if none of its tasks may start.
 func (s *Scheduler) flowJob(problem *flowProblem, j *core.Job) (request sched.Job, ok bool) {
 	pending := s.startableTasks(problem.owned, j, problem.round, max(problem.schedulableCount, 1))
-	stage, waited := s.deps.Backfiller.RoundStage(problem.owned, j)
+	stage, waited := s.deps.Backfiller.RoundAgingStage(problem.owned, j)
 	pending = s.limitStarts(j, pending, stage)
 	if len(pending) == 0 {
 		return sched.Job{}, false
@@ -191,7 +191,7 @@
 		StartSLO:            s.core.StartObjective(j.Spec.Class),
 		ExcludedMachines:    j.OwnerState.FailedOn,
 		NewMachineSeconds:   s.bootingMachineDelay(j, problem.incomingMachines),
-		FastStart:           s.deps.Autoscaler.IsLatencySensitive(j.Spec),
+		LatencySensitive:    s.deps.Autoscaler.IsLatencySensitive(j.Spec),
 		AcceleratorOptional: s.core.IsCPUOnly(j.Spec),
 		SpotRisk:            s.SpotRisk(j),
 	}
@@ -256,7 +256,7 @@
 }
 
 // isStartable reports whether a task is not completed and has no placement, except one of this
-// partition that the round records as terminated.
+// partition that the round records as ended.
 func isStartable(owned *core.OwnedPartition, j *core.Job, round *core.PendingRound, task int) bool {
 	if j.Completed.Has(task) {
 		return false
@@ -285,7 +285,7 @@
 		m, j := problem.machines[assignment.MachineIndex], problem.jobs[assignment.JobIndex]
 		s.deps.Health.AdjustFloors(j.Spec, j.Demand.CPU.Float())
 		placed[assignment.JobIndex]++
-		s.deps.Backfiller.ChargeMustStartCredit(problem.owned, j, problem.input.Jobs[assignment.JobIndex].AgingStage)
+		s.deps.Backfiller.ChargeAgedStartCredit(problem.owned, j, problem.input.Jobs[assignment.JobIndex].AgingStage)
 		s.logStart(problem, assignment)
 		starts = append(starts, &core.Placement{
 			Task:      api.TaskID{Job: j.ID, Index: assignment.Task},
--- a/controller/rounds/ownership.go
+++ b/controller/rounds/ownership.go
@@ -17,7 +17,7 @@
 		Term:         term,
 		OwnedSince:   s.core.Now,
 		LastRevision: term,
-		Dirty:        true,
+		NeedsRound:   true,
 		RoundState:   core.RoundState{PendingEnds: map[*core.Placement]bool{}},
 		QuotaState:   core.QuotaState{NextQuotaTransfer: map[api.PartitionID]api.Time{}},
 	}
@@ -28,7 +28,7 @@
 	// Applies the latest machine list at once: the next one may take long.
 	s.deps.Autoscaler.ReconcileMachineList()
 	for _, m := range s.deps.Agents.MachinesOf(p) {
-		m.CommandToken, m.UncertainToken, m.MissedCalls, m.DiscoveredAt = s.core.MinToken(owned, m.ID), 0, 0, s.core.Now
+		m.CommandToken, m.UncertainToken, m.UnansweredCalls, m.DiscoveredAt = s.core.MinToken(owned, m.ID), 0, 0, s.core.Now
 	}
 	s.deps.Backfiller.RestoreReservations(owned)
 	s.deps.Priorities.ContactPriorityMachines(owned)
--- a/controller/rounds/plan.go
+++ b/controller/rounds/plan.go
@@ -46,7 +46,7 @@
 	b := &roundBuilder{
 		owned: owned,
 		round: &core.PendingRound{
-			Record: clusterstate.Record{Seq: s.core.State.Partitions[owned.ID].RoundSeq + 1},
+			Record: clusterstate.RoundRecord{Seq: s.core.State.Partitions[owned.ID].RoundSeq + 1},
 			Ends:   map[*core.Placement]bool{},
 		},
 		deltas:          map[api.JobID]*clusterstate.JobDelta{},
@@ -62,7 +62,7 @@
 }
 
 // PlanRound plans a round of a partition: first ends of tasks, then new starts. Entries that don't
-// fit are left to the next round, for which the partition is marked dirty.
+// fit are left to the next round, which the partition then needs.
 func (s *Scheduler) PlanRound(owned *core.OwnedPartition) *core.PendingRound {
 	b := s.newRoundBuilder(owned)
 	for _, placement := range slices.SortedFunc(maps.Keys(owned.PendingEnds), comparePlacements) {
@@ -113,7 +113,7 @@
 	}
 	done := b.isCompletion(placement)
 	if b.bytesLeft < maxEntryBytes || done && b.exceedsConditions(placement.Job.ID) {
-		b.owned.Dirty = true
+		b.owned.NeedsRound = true
 		return
 	}
 	d := b.delta(placement.Job)
@@ -121,10 +121,10 @@
 		d.Completed = append(d.Completed, placement.Task.Index)
 		b.conditionalJobs[placement.Job.ID] = true
 	} else {
-		d.Terminated = append(d.Terminated, placement.Task.Index)
+		d.EndedIncomplete = append(d.EndedIncomplete, placement.Task.Index)
 	}
 	b.bytesLeft -= taskEndBytes
-	if len(d.Completed)+len(d.Terminated) == 1 {
+	if len(d.Completed)+len(d.EndedIncomplete) == 1 {
 		b.bytesLeft -= jobDeltaBytes
 	}
 	b.round.Ends[placement] = done
@@ -163,7 +163,7 @@
 			continue
 		}
 		if b.bytesLeft < maxEntryBytes {
-			b.owned.Dirty = true
+			b.owned.NeedsRound = true
 			return
 		}
 		b.delta(j).CancellationAcknowledged = true
@@ -175,7 +175,7 @@
 // pools from which it takes units.
 func (b *roundBuilder) addStart(start *core.Placement) {
 	if b.exceedsConditions(start.Job.ID) || !core.AddRoundPools(b.namedPools, start.Job.Spec.Needs) {
-		b.owned.Dirty = true
+		b.owned.NeedsRound = true
 		return
 	}
 	b.conditionalJobs[start.Job.ID] = true
--- a/controller/rounds/rate_test.go
+++ b/controller/rounds/rate_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	shared := core.New(cfg, 1)
-	shared.State = clusterstate.New[core.JobTracking, core.PlacementTracking](cfg.Deployment.InitialSize)
+	shared.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](cfg.Deployment.InitialSize)
 	shared.Now = 1
 	return New(shared)
 }
--- a/controller/rounds/scheduler.go
+++ b/controller/rounds/scheduler.go
@@ -38,14 +38,14 @@
 		s.deps.Balancer.RebalancePending(owned)
 		s.deps.Balancer.LendMachines(owned)
 	}
-	s.deps.Backfiller.Backfill(owned)
+	s.deps.Backfiller.ReserveForAgedJobs(owned)
 	if s.isRecheckDue(owned) {
-		owned.Dirty = true
+		owned.NeedsRound = true
 	}
 	if !s.isRoundDue(owned) || s.IsRecordRingFull(owned) {
 		return
 	}
-	owned.Dirty, owned.PlannedAt = false, s.core.Now
+	owned.NeedsRound, owned.PlannedAt = false, s.core.Now
 	round := s.PlanRound(owned)
 	if isEmptyRecord(&round.Record) && !owned.NeedsNewToken {
 		owned.NextRound = s.core.Now.Add(s.currentRoundInterval())
@@ -69,11 +69,11 @@
 	if owned.InFlight != nil || owned.Releasing || owned.LoanInFlight {
 		return false
 	}
-	return s.core.Now >= owned.NextRound && (owned.Dirty || owned.NeedsNewToken)
+	return s.core.Now >= owned.NextRound && (owned.NeedsRound || owned.NeedsNewToken)
 }
 
 // isEmptyRecord reports whether a round has nothing to record.
-func isEmptyRecord(record *clusterstate.Record) bool {
+func isEmptyRecord(record *clusterstate.RoundRecord) bool {
 	return len(record.Jobs) == 0 && len(record.QuotaTransfers) == 0 && len(record.Reservations) == 0
 }
 
--- a/controller/rounds/tasks.go
+++ b/controller/rounds/tasks.go
@@ -19,11 +19,11 @@
 	tracking := &placement.Job.OwnerState
 	tracking.LastTaskEndedAt = s.core.Now
 	owned.PendingEnds[placement] = done
-	owned.Dirty = true
+	owned.NeedsRound = true
 	if done {
 		return
 	}
-	if reason == core.EndReasonMachineDeleted || reason == core.EndReasonEpochOver {
+	if reason == core.EndReasonMachineDeleted || reason == core.EndReasonEpochEnded {
 		tracking.LostTasks++
 		tracking.LastLossAt, tracking.PreemptedForStart = s.core.Now, false
 	}
@@ -41,6 +41,6 @@
 		placement.OwnerState.StopGrace = placement.Job.Spec.Save + 1
 	}
 	if m := s.core.Machines[placement.Machine]; m != nil {
-		s.deps.Agents.ContactNow(m)
+		s.deps.Agents.ScheduleDirectCall(m)
 	}
 }
--- a/controller/rounds/unmetdemand.go
+++ b/controller/rounds/unmetdemand.go
@@ -52,7 +52,7 @@
 		if request.TasksWithinUnits(problem.input.AvailableUnits, missing) == 0 {
 			continue // it lacks pool units, not a machine
 		}
-		s.deps.Priorities.RecordShortage(problem.owned, j.Spec)
+		s.deps.Priorities.ObserveShortage(problem.owned, j.Spec)
 		if placed[i] == 0 {
 			s.recordUnplacedJob(recorder, request, j, missing)
 		}
@@ -70,7 +70,7 @@
 	need.Mem = 0
 	addDemand(r.owned.QuotaDemand, j, need)
 	if request.ReservesQuota {
-		addDemand(r.owned.MustStartQuotaDemand, j, need)
+		addDemand(r.owned.AgedQuotaDemand, j, need)
 	}
 	if startable == 0 && r.starvedChecksLeft > 0 {
 		r.starvedChecksLeft--
--- a/controller/starvation/aging.go
+++ b/controller/starvation/aging.go
@@ -48,9 +48,9 @@
 	return waited, true
 }
 
-// WaitStage returns the aging stage of a job in a partition, or in all partitions for
+// AgingStage returns the aging stage of a job in a partition, or in all partitions for
 // core.AllPartitions.
-func (g *Guard) WaitStage(j *core.Job, p api.PartitionID) sched.AgingStage {
+func (g *Guard) AgingStage(j *core.Job, p api.PartitionID) sched.AgingStage {
 	waited, ok := g.waitingTime(j, p)
 	if !ok {
 		return sched.NotAged
@@ -61,13 +61,13 @@
 	return backfill.AgingStageOf(waited)
 }
 
-// RoundStage returns the aging stage of a job in a round, and its waiting time in seconds. Once
+// RoundAgingStage returns the aging stage of a job in a round, and its waiting time in seconds. Once
 // aged jobs have used up their share of the starts, only jobs with reserved machines have
 // precedence.
-func (g *Guard) RoundStage(owned *core.OwnedPartition, j *core.Job) (stage sched.AgingStage, waitedSeconds float64) {
+func (g *Guard) RoundAgingStage(owned *core.OwnedPartition, j *core.Job) (stage sched.AgingStage, waitedSeconds float64) {
 	waited, _ := g.waitingTime(j, owned.ID)
-	stage = g.WaitStage(j, owned.ID)
-	if stage != sched.NotAged && owned.MustStartCredit < 0 && !g.deps.Balancer.HasReservationFor(owned, j.ID) {
+	stage = g.AgingStage(j, owned.ID)
+	if stage != sched.NotAged && owned.AgedStartCredit < 0 && !g.deps.Balancer.HasReservationFor(owned, j.ID) {
 		stage = sched.NotAged
 	}
 	if stage == sched.NotAged {
@@ -76,10 +76,10 @@
 	return stage, waited.Seconds()
 }
 
-// ChargeMustStartCredit accounts for the start of a task: its share of the largest machine,
+// ChargeAgedStartCredit accounts for the start of a task: its share of the largest machine,
 // multiplied by its expected runtime. Starts of aged jobs use up the credit that other starts build
 // up.
-func (g *Guard) ChargeMustStartCredit(owned *core.OwnedPartition, j *core.Job, stage sched.AgingStage) {
+func (g *Guard) ChargeAgedStartCredit(owned *core.OwnedPartition, j *core.Job, stage sched.AgingStage) {
 	seconds := j.Spec.Estimate
 	if j.Spec.Kind == api.Service {
 		seconds = serviceRuntimeSeconds
@@ -89,7 +89,7 @@
 		work *= -(1/agedStartShare - 1)
 	}
 	limit := creditHorizon.Seconds()
-	owned.MustStartCredit = max(-limit, min(limit, owned.MustStartCredit+work))
+	owned.AgedStartCredit = max(-limit, min(limit, owned.AgedStartCredit+work))
 }
 
 // agedJobs returns the aged jobs with pending tasks in a partition, those with the longest
@@ -97,7 +97,7 @@
 func (g *Guard) agedJobs(owned *core.OwnedPartition) []*core.Job {
 	var aged []*core.Job
 	for _, j := range g.core.State.PendingJobs {
-		if g.WaitStage(j, owned.ID) != sched.NotAged && j.PendingTasks(owned.ID) > 0 {
+		if g.AgingStage(j, owned.ID) != sched.NotAged && j.PendingTasks(owned.ID) > 0 {
 			aged = append(aged, j)
 		}
 	}
--- a/controller/starvation/fragmentation.go
+++ b/controller/starvation/fragmentation.go
@@ -40,7 +40,7 @@
 func (g *Guard) suffersFragmentation(s *api.JobSpec) bool {
 	cheapest := g.deps.Autoscaler.CheapestType(s)
 	fillsMachine := s.GPUs > 0 && cheapest != nil && 2*s.GPUs > cheapest.GPUs
-	return fillsMachine && fragmentation.MayStrand(s.Demand(), g.TypicalDemands())
+	return fillsMachine && fragmentation.MayFragment(s.Demand(), g.TypicalDemands())
 }
 
 // FragmentedCapacity returns the free accelerators by partition, type and zone, and how many of
--- a/controller/starvation/guard.go
+++ b/controller/starvation/guard.go
@@ -67,9 +67,9 @@
 
 // Pools allocates pool units.
 type Pools interface {
-	// PendingReasonPool returns the reason why a pool keeps a job from starting in a partition; empty
+	// PoolPendingReason returns the reason why a pool keeps a job from starting in a partition; empty
 	// if none does.
-	PendingReasonPool(*core.Job, api.PartitionID) string
+	PoolPendingReason(*core.Job, api.PartitionID) string
 }
 
 // Preemptor preempts tasks and reserves machines for the jobs that need them.
--- a/controller/starvation/quota.go
+++ b/controller/starvation/quota.go
@@ -32,7 +32,7 @@
 	remaining := g.core.RemainingQuota(owned.ID)
 	for _, status := range g.deps.Gossip.OtherPartitionStatuses(owned) {
 		for _, team := range slices.Sorted(maps.Keys(status.Due)) {
-			if _, wantedHere := owned.MustStartQuotaDemand[team]; wantedHere && owned.ID < status.Part {
+			if _, wantedHere := owned.AgedQuotaDemand[team]; wantedHere && owned.ID < status.Part {
 				continue
 			}
 			share := api.Resources{
--- a/controller/starvation/record.go
+++ b/controller/starvation/record.go
@@ -39,11 +39,11 @@
 
 // extendWholeMachineReservations extends the reservation of a machine that was emptied for tasks
 // that fill most of it, so that the next such task needs no new reservation. A machine with a
-// service on it is left to Backfill: the service may have no capacity elsewhere, and others wait
+// service on it is left to ReserveForAgedJobs: the service may have no capacity elsewhere, and others wait
 // for the rest of the machine.
 func (g *Guard) extendWholeMachineReservations(owned *core.OwnedPartition) {
 	for _, m := range g.deps.Agents.MachinesOf(owned.ID) {
-		if !m.Consolidated || g.deps.Preemptor.ReservedFor(m) == "" || g.core.Now.Sub(m.ConsolidatedAt) > backfill.StartDeadline {
+		if !m.ReservedForAged || g.deps.Preemptor.ReservedFor(m) == "" || g.core.Now.Sub(m.ReservedForAgedAt) > backfill.StartDeadline {
 			continue
 		}
 		j, machineType := g.core.State.Jobs[m.ReservedFor], g.core.MachineTypes[m.MachineType]
@@ -69,13 +69,13 @@
 	recorded := g.core.State.Partitions[owned.ID].Reservations
 	for _, m := range g.deps.Agents.MachinesOf(owned.ID) {
 		jobID := g.deps.Preemptor.ReservedFor(m)
-		if m.Consolidated && jobID != "" && recorded[m.ID].Job != jobID && len(out) < maxReservationChanges {
+		if m.ReservedForAged && jobID != "" && recorded[m.ID].Job != jobID && len(out) < maxReservationChanges {
 			out = append(out, clusterstate.Reservation{Machine: m.ID, Job: jobID, Since: g.core.WallClock})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(recorded)) {
 		m := g.core.Machines[id]
-		ended := m == nil || g.core.PartitionOf(id) != owned.ID || !m.Consolidated || g.deps.Preemptor.ReservedFor(m) == ""
+		ended := m == nil || g.core.PartitionOf(id) != owned.ID || !m.ReservedForAged || g.deps.Preemptor.ReservedFor(m) == ""
 		if ended && len(out) < maxReservationChanges {
 			out = append(out, clusterstate.Reservation{Machine: id})
 		}
@@ -93,6 +93,6 @@
 		}
 		m := g.deps.Agents.EnsureMachine(id)
 		g.markReserved(m, recorded.Job, j.Spec.Priority.Rank(), true)
-		m.ConsolidatedAt = g.core.Now
+		m.ReservedForAgedAt = g.core.Now
 	}
 }
--- a/controller/starvation/reserve.go
+++ b/controller/starvation/reserve.go
@@ -28,18 +28,18 @@
 	relocationCapacity *relocationCapacity // nil until a job needs it
 }
 
-// Backfill reserves machines for the aged jobs of a partition that found no free capacity. Other
+// ReserveForAgedJobs reserves machines for the aged jobs of a partition that found no free capacity. Other
 // jobs don't start on these machines, so that the capacity becomes free as a whole. The
 // reservations are in the partition's record, see ReservationChanges; its next owner keeps them
 // until its own first pass.
-func (g *Guard) Backfill(owned *core.OwnedPartition) {
-	if g.core.Now.Sub(owned.BackfilledAt) < backfillInterval {
+func (g *Guard) ReserveForAgedJobs(owned *core.OwnedPartition) {
+	if g.core.Now.Sub(owned.AgedJobsCheckedAt) < backfillInterval {
 		return
 	}
-	owned.BackfilledAt = g.core.Now
+	owned.AgedJobsCheckedAt = g.core.Now
 	g.extendLoanReservations(owned)
 	g.extendWholeMachineReservations(owned)
-	owned.Dirty = owned.Dirty || len(g.ReservationChanges(owned)) > 0
+	owned.NeedsRound = owned.NeedsRound || len(g.ReservationChanges(owned)) > 0
 	jobs := g.agedJobs(owned)
 	if len(jobs) == 0 {
 		return
@@ -67,11 +67,11 @@
 
 // reserveForJob reserves the machines on which a job can start soonest.
 func (g *Guard) reserveForJob(pass *backfillPass, j *core.Job) {
-	owned, stage, tasksNeeded := pass.owned, g.WaitStage(j, pass.owned.ID), 1
+	owned, stage, tasksNeeded := pass.owned, g.AgingStage(j, pass.owned.ID), 1
 	if j.Spec.Kind == api.Gang {
 		tasksNeeded = j.Spec.Tasks
 	}
-	if j.Demand.Slots(pass.remainingQuota[j.Spec.Team]) < tasksNeeded || g.deps.Pools.PendingReasonPool(j, owned.ID) != "" {
+	if j.Demand.Slots(pass.remainingQuota[j.Spec.Team]) < tasksNeeded || g.deps.Pools.PoolPendingReason(j, owned.ID) != "" {
 		return // it waits for quota or for a pool, not for machines
 	}
 	var relocation *relocationCapacity
@@ -86,7 +86,7 @@
 	chosen, afterSeconds := g.selectMachines(j, candidates, tasksNeeded)
 	j.OwnerState.Unplaceable = chosen == nil
 	if afterSeconds == 0 && chosen != nil && !candidates[chosen[0]].Reserved {
-		owned.Dirty = true // its capacity is free: the next round places it
+		owned.NeedsRound = true // its capacity is free: the next round places it
 	}
 	for _, i := range chosen {
 		g.Reserve(owned, machines[i], j.ID, j.Spec.Priority.Rank(), stage)
@@ -192,9 +192,9 @@
 func (g *Guard) Reserve(owned *core.OwnedPartition, m *core.Machine, jobID api.JobID, rank int, stage sched.AgingStage) {
 	if g.deps.Preemptor.ReservedFor(m) != jobID {
 		g.core.Metrics.MachinesReserved++
-		m.ConsolidatedAt = g.core.Now
+		m.ReservedForAgedAt = g.core.Now
 		slog.Info("machine reserved", "machine", m.ID, "for", jobID, "tasks", len(g.core.State.PlacementsOn(m.ID)))
-		owned.Dirty = true
+		owned.NeedsRound = true
 	}
 	g.markReserved(m, jobID, rank, stage != sched.AgedAboveAll)
 }
@@ -202,5 +202,5 @@
 // markReserved sets a machine's reservation for a job.
 func (g *Guard) markReserved(m *core.Machine, jobID api.JobID, rank int, soft bool) {
 	m.ReservedFor, m.ReservationRank, m.SoftReservation = jobID, rank, soft
-	m.ReservedUntil, m.Consolidated = g.core.Now.Add(core.ReservationTTL), true
+	m.ReservedUntil, m.ReservedForAged = g.core.Now.Add(core.ReservationTTL), true
 }
--- a/controller/starvation_test.go
+++ b/controller/starvation_test.go
@@ -40,7 +40,7 @@
 	spec.Ref = "run-7"
 	n, owned, m, j := newTestOwner(t, spec)
 	applyRecord := func(reservations ...clusterstate.Reservation) {
-		n.core.State.ApplyRecord(0, &clusterstate.Record{Seq: n.core.State.Partitions[0].RoundSeq + 1, Reservations: reservations})
+		n.core.State.ApplyRecord(0, &clusterstate.RoundRecord{Seq: n.core.State.Partitions[0].RoundSeq + 1, Reservations: reservations})
 	}
 	n.backfiller.Reserve(owned, m, j.ID, j.Spec.Priority.Rank(), sched.AgedWithinPriority)
 	reservations := n.backfiller.ReservationChanges(owned)
@@ -51,9 +51,9 @@
 	if again := n.backfiller.ReservationChanges(owned); len(again) != 0 {
 		t.Fatalf("an unchanged reservation is recorded again: %+v", again)
 	}
-	m.ReservedFor, m.ReservedUntil, m.Consolidated = "", 0, false // another owner knows only the record
+	m.ReservedFor, m.ReservedUntil, m.ReservedForAged = "", 0, false // another owner knows only the record
 	n.scheduler.BeginOwnership(0, 8)
-	if n.preemptor.ReservedFor(m) != j.ID || !m.Consolidated {
+	if n.preemptor.ReservedFor(m) != j.ID || !m.ReservedForAged {
 		t.Error("a new owner does not restore the reservation")
 	}
 	if len(n.backfiller.ReservationChanges(n.core.Partitions[0])) != 0 {
--- a/controller/tenancy/audit.go
+++ b/controller/tenancy/audit.go
@@ -39,9 +39,9 @@
 	}
 )
 
-// AuditWrite returns the write of an audit entry, for the transaction of the change. before and
+// NewAuditWrite returns the write of an audit entry, for the transaction of the change. before and
 // after must not contain secrets.
-func (ts *Service) AuditWrite(c message.AdminRequest, subject string, before, after any) api.Write {
+func (ts *Service) NewAuditWrite(c message.AdminRequest, subject string, before, after any) api.Write {
 	entry := AuditEntry{Time: ts.core.WallClock, Key: c.KeyID, Action: string(c.What), KeyName: c.Sub, Subject: subject}
 	if from := ts.clientAddr(c.Caller); from.IsValid() {
 		entry.From = from.String()
--- a/controller/tenancy/dependencies.go
+++ b/controller/tenancy/dependencies.go
@@ -40,8 +40,8 @@
 
 // Pools is what a Service needs of the pool manager.
 type Pools interface {
-	CheckPoolNeeds(s *api.JobSpec, name tenant.Name) string
-	PendingReasonPool(j *core.Job, p api.PartitionID) string
+	CheckPoolRequests(s *api.JobSpec, name tenant.Name) string
+	PoolPendingReason(j *core.Job, p api.PartitionID) string
 	ReconcilePools()
 }
 
--- a/controller/tenancy/history.go
+++ b/controller/tenancy/history.go
@@ -42,8 +42,8 @@
 // historyPrefix returns the key prefix of a tenant's history.
 func historyPrefix(name tenant.Name) string { return KeyHistory + string(name) + "/" }
 
-// HistoryWrite returns the write of a tenant's archived job to its history.
-func (ts *Service) HistoryWrite(j *core.Job) api.Write {
+// NewHistoryWrite returns the write of a tenant's archived job to its history.
+func (ts *Service) NewHistoryWrite(j *core.Job) api.Write {
 	value, _ := json.Marshal(FinishedJob{JobID: j.TenantJobID, State: j.State(), Class: j.Spec.Class, Team: j.Spec.Team, Tasks: j.Spec.Tasks, AcceptedAt: j.AcceptedAt, EndedAt: ts.core.WallClock})
 	return api.Write{Put: historyPrefix(tenant.Name(j.Tenant)) + core.TimeKey(ts.core.WallClock) + "-" + string(j.TenantJobID), Value: value}
 }
@@ -85,5 +85,5 @@
 	} else {
 		hostedState.sweep.nextTenant = 0
 	}
-	ts.core.SweepPrefix(owned, prefix, retention, func() { hostedState.sweep.inProgress = false })
+	ts.core.DeleteExpiredRecords(owned, prefix, retention, func() { hostedState.sweep.inProgress = false })
 }
--- a/controller/tenancy/operators.go
+++ b/controller/tenancy/operators.go
@@ -99,7 +99,7 @@
 	}
 	txn := api.Txn{
 		If:     []api.Condition{{Key: KeyOperators, Version: revision}, ts.core.State.VersionCondition(KeyGuaranteedTotal)},
-		Writes: []api.Write{{Put: KeyOperators, Value: data}, ts.AuditWrite(c, "operators", viewAuditedOperators(old), viewAuditedOperators(updated))},
+		Writes: []api.Write{{Put: KeyOperators, Value: data}, ts.NewAuditWrite(c, "operators", viewAuditedOperators(old), viewAuditedOperators(updated))},
 	}
 	ts.CommitChange(c, txn, "the operators' record", func(committed api.Revision) any {
 		if secret != nil {
--- a/controller/tenancy/queue.go
+++ b/controller/tenancy/queue.go
@@ -78,7 +78,7 @@
 		return "quota limit of team " + string(j.Spec.Team)
 	}
 	for p := range ts.core.State.Partitions {
-		if j.PendingTasks(api.PartitionID(p)) > 0 && ts.deps.Pools.PendingReasonPool(j, api.PartitionID(p)) != "" {
+		if j.PendingTasks(api.PartitionID(p)) > 0 && ts.deps.Pools.PoolPendingReason(j, api.PartitionID(p)) != "" {
 			return "pool units not available"
 		}
 	}
--- a/controller/tenancy/rounds.go
+++ b/controller/tenancy/roundlimit.go
@@ -42,10 +42,10 @@
 			deferred[j] = true
 		}
 		queue := tenantPartition{tenant: name, partition: owned.ID}
-		for _, i := range tenant.Window(len(tenantJobs), MaxJobsPerRound, ts.hosted.roundTurns[queue]) {
+		for _, i := range tenant.Window(len(tenantJobs), MaxJobsPerRound, ts.hosted.roundRotations[queue]) {
 			delete(deferred, tenantJobs[i])
 		}
-		ts.hosted.roundTurns[queue]++
+		ts.hosted.roundRotations[queue]++
 	}
 	owned.UnexaminedJobs = len(deferred)
 	return slices.DeleteFunc(jobs, func(j *core.Job) bool { return deferred[j] })
@@ -56,10 +56,10 @@
 	return cmp.Or(b.Spec.Priority.Rank()-a.Spec.Priority.Rank(), cmp.Compare(a.AcceptedAt, b.AcceptedAt), cmp.Compare(a.ID, b.ID))
 }
 
-// RoundTurns returns the number of rotations of a tenant's jobs in a partition's rounds. The service
+// RoundRotations returns the number of rotations of a tenant's jobs in a partition's rounds. The service
 // must be hosted.
-func (ts *Service) RoundTurns(name tenant.Name, p api.PartitionID) int {
-	return ts.hosted.roundTurns[tenantPartition{tenant: string(name), partition: p}]
+func (ts *Service) RoundRotations(name tenant.Name, p api.PartitionID) int {
+	return ts.hosted.roundRotations[tenantPartition{tenant: string(name), partition: p}]
 }
 
 // StartsBlocked reports whether a job's pending tasks must not start because of its tenant's state.
--- a/controller/tenancy/service.go
+++ b/controller/tenancy/service.go
@@ -15,8 +15,8 @@
 const (
 	// KeyTenant is the prefix of tenants' records.
 	KeyTenant = clusterstate.Root + "tenant/"
-	// KeyTeamOf is the prefix of claims, each of a team for one tenant.
-	KeyTeamOf = clusterstate.Root + "teamof/"
+	// KeyTeamClaim is the prefix of claims, each of a team for one tenant.
+	KeyTeamClaim = clusterstate.Root + "teamof/"
 	// KeyOperators is the key of the operators' record.
 	KeyOperators = clusterstate.Root + "operators"
 	// KeyTeam is the prefix of teams that operators defined in addition to those of the settings
@@ -42,10 +42,10 @@
 	teams      map[api.Team]core.TeamRecord // defined by operators
 	guaranteed tenant.GuaranteedTotal
 
-	admission   admission
-	keyUses     keyUses
-	submissions map[tenant.Name]*SubmissionCounts
-	roundTurns  map[tenantPartition]int // rotations of a tenant's jobs in a partition's rounds
+	admission      admission
+	keyUses        keyUses
+	submissions    map[tenant.Name]*SubmissionCounts
+	roundRotations map[tenantPartition]int // rotations of a tenant's jobs in a partition's rounds
 
 	reconciledAt     api.Time
 	finishingRemoval bool // the write that completes a removal is in flight
@@ -72,10 +72,10 @@
 		return
 	}
 	ts.hosted = &hostedService{
-		adminKey:    hosted.AdminKey,
-		admission:   newAdmission(),
-		submissions: map[tenant.Name]*SubmissionCounts{},
-		roundTurns:  map[tenantPartition]int{},
+		adminKey:       hosted.AdminKey,
+		admission:      newAdmission(),
+		submissions:    map[tenant.Name]*SubmissionCounts{},
+		roundRotations: map[tenantPartition]int{},
 	}
 }
 
@@ -96,8 +96,8 @@
 	}
 }
 
-// Enabled reports whether the service is hosted.
-func (ts *Service) Enabled() bool { return ts.hosted != nil }
+// Hosted reports whether the service is hosted.
+func (ts *Service) Hosted() bool { return ts.hosted != nil }
 
 // Tenants returns the tenants' records. The service must be hosted.
 func (ts *Service) Tenants() *tenant.Table { return ts.hosted.tenants }
--- a/controller/tenancy/service_test.go
+++ b/controller/tenancy/service_test.go
@@ -36,7 +36,7 @@
 	k := core.New(cfg, 1)
 	k.Now, k.Loaded = api.Time(time.Minute), true
 	ts := New(k)
-	k.State = clusterstate.New[core.JobTracking, core.PlacementTracking](cfg.Deployment.InitialSize, ts.RecordKinds()...)
+	k.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](cfg.Deployment.InitialSize, ts.RecordKinds()...)
 	k.Partitions[0] = &core.OwnedPartition{ID: 0, Term: 7}
 	key, secret, err := tenant.NewKey([tenant.RandomBytes]byte{2}, "first", 1000, 60_000)
 	if err != nil {
--- a/controller/tenancy/submission.go
+++ b/controller/tenancy/submission.go
@@ -106,7 +106,7 @@
 		s.refuse(422, reason, 0)
 		return true
 	}
-	if reason := ts.deps.Pools.CheckPoolNeeds(spec, entry.Name); reason != "" {
+	if reason := ts.deps.Pools.CheckPoolRequests(spec, entry.Name); reason != "" {
 		s.retry(func() { s.refuse(422, reason, 0) })
 		return true
 	}
--- a/controller/tenancy/teams.go
+++ b/controller/tenancy/teams.go
@@ -138,11 +138,11 @@
 		Writes: []api.Write{
 			{Put: KeyTeam + c.ID, Value: teamValue},
 			{Put: KeyGuaranteedTotal, Value: guaranteedValue},
-			ts.AuditWrite(c, "team "+c.ID, old.Team, updated),
+			ts.NewAuditWrite(c, "team "+c.ID, old.Team, updated),
 		},
 	}
 	if c.What == "team-remove" {
-		txn.If = append(txn.If, api.Condition{Key: KeyTeamOf + c.ID})
+		txn.If = append(txn.If, api.Condition{Key: KeyTeamClaim + c.ID})
 	}
 	ts.CommitChange(c, txn, "the team or the budget for teams", func(revision api.Revision) any {
 		return core.TeamRecord{Team: updated, Tenant: ts.TeamOwners()[api.Team(c.ID)], Revision: revision}
--- a/controller/tenancy/tenantrecord.go
+++ b/controller/tenancy/tenantrecord.go
@@ -28,7 +28,7 @@
 	if old != nil {
 		previous = old.Tenant
 	}
-	extraWrites := []api.Write{ts.AuditWrite(c, "tenant "+string(updated.Name), tenantAuditView(previous), tenantAuditView(updated))}
+	extraWrites := []api.Write{ts.NewAuditWrite(c, "tenant "+string(updated.Name), tenantAuditView(previous), tenantAuditView(updated))}
 	if c.What == "suspend" {
 		value, _ := json.Marshal(updated.Name)
 		extraWrites = append(extraWrites, api.Write{Put: core.KeyGate, Value: value})
@@ -80,7 +80,7 @@
 	}
 	ts.core.CallStoreTxn(txn, func(response message.StoreResponse) {
 		status := response.Status
-		if status == 409 && slices.ContainsFunc(response.Txn.Failed, func(k string) bool { return strings.HasPrefix(k, KeyTeamOf) }) {
+		if status == 409 && slices.ContainsFunc(response.Txn.Failed, func(k string) bool { return strings.HasPrefix(k, KeyTeamClaim) }) {
 			status = statusTeamTaken
 		}
 		respond(status, response.Txn.Revision)
@@ -93,13 +93,13 @@
 	for _, team := range t.Teams {
 		if !slices.Contains(had, team) {
 			claim, _ := json.Marshal(t.Name)
-			txn.If = append(txn.If, api.Condition{Key: KeyTeamOf + string(team)}, ts.core.State.VersionCondition(KeyTeam+string(team)))
-			txn.Writes = append(txn.Writes, api.Write{Put: KeyTeamOf + string(team), Value: claim})
+			txn.If = append(txn.If, api.Condition{Key: KeyTeamClaim + string(team)}, ts.core.State.VersionCondition(KeyTeam+string(team)))
+			txn.Writes = append(txn.Writes, api.Write{Put: KeyTeamClaim + string(team), Value: claim})
 		}
 	}
 	for _, team := range had {
 		if !slices.Contains(t.Teams, team) {
-			txn.Writes = append(txn.Writes, api.Write{Drop: KeyTeamOf + string(team)})
+			txn.Writes = append(txn.Writes, api.Write{Drop: KeyTeamClaim + string(team)})
 		}
 	}
 }
--- a/controller/tenancy/tenants.go
+++ b/controller/tenancy/tenants.go
@@ -39,19 +39,19 @@
 	// TenantRequest is the body of a request that changes a tenant; the operation determines which
 	// fields are used.
 	TenantRequest struct {
-		Revision  *api.Revision   `json:"revision"`
-		Display   string          `json:"display"`
-		Teams     []api.Team      `json:"teams"`
-		Rate      float64         `json:"rate"`
-		Burst     float64         `json:"burst"`
-		OpenJobs  int             `json:"open_jobs"`
-		Networks  tenant.Networks `json:"networks"`
-		Retention float64         `json:"retention_s"`
-		Why       string          `json:"why"`
-		Drain     float64         `json:"drain_s"`
-		Cancel    bool            `json:"cancel"`
-		Name      string          `json:"name"`
-		Expires   api.WallTime    `json:"expires"`
+		Revision      *api.Revision   `json:"revision"`
+		Display       string          `json:"display"`
+		Teams         []api.Team      `json:"teams"`
+		Rate          float64         `json:"rate"`
+		Burst         float64         `json:"burst"`
+		OpenJobs      int             `json:"open_jobs"`
+		Networks      tenant.Networks `json:"networks"`
+		Retention     float64         `json:"retention_s"`
+		SuspendReason string          `json:"why"`
+		Drain         float64         `json:"drain_s"`
+		Cancel        bool            `json:"cancel"`
+		Name          string          `json:"name"`
+		Expires       api.WallTime    `json:"expires"`
 	}
 )
 
@@ -163,7 +163,7 @@
 		t.Display, t.Teams, t.Rate, t.Burst = request.Display, request.Teams, request.Rate, request.Burst
 		t.OpenJobs, t.Networks, t.Retention = request.OpenJobs, request.Networks, request.Retention
 	case "suspend":
-		t, err = t.Suspend(request.Why, request.Drain, ts.core.WallClock)
+		t, err = t.Suspend(request.SuspendReason, request.Drain, ts.core.WallClock)
 	case "resume":
 		t, err = t.Resume()
 	case "remove":
--- a/controller/transfer_test.go
+++ b/controller/transfer_test.go
@@ -28,7 +28,7 @@
 		"a finishing task":         {func(_ *core.Machine, _ *core.Job, p *core.Placement) { p.Finishing = true }, false},
 	} {
 		n, owned, m, j := newTestOwner(t, testSpec(1))
-		n.core.State.ApplyRecord(0, &clusterstate.Record{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
+		n.core.State.ApplyRecord(0, &clusterstate.RoundRecord{Seq: 1, Jobs: []clusterstate.JobDelta{{Job: j.ID, Starts: []clusterstate.TaskStart{{Task: 0, Machine: m.ID, Epoch: 1}}}}})
 		p := j.Placements[0]
 		p.OwnerState.Reported, p.OwnerState.State = true, api.TaskRunning
 		tc.change(m, j, p)
--- a/controller/wiring.go
+++ b/controller/wiring.go
@@ -174,7 +174,7 @@
 		Health:       n.health,
 		Jobs:         n.jobs,
 		Reservations: n.reservations,
-		Backfill:     n.backfiller,
+		Backfiller:   n.backfiller,
 		Pools:        n.pools,
 	})
 }
--- a/controller/zones_test.go
+++ b/controller/zones_test.go
@@ -44,13 +44,13 @@
 		all, unreachable int
 	}{
 		{"recent heartbeat", func(*Controller, *core.Machine) {}, 1, 0},
-		{"heartbeat after failed calls", func(_ *Controller, m *core.Machine) { m.MissedCalls = 4 }, 1, 0},
-		{"heartbeat forwarded by a peer, and calls fail", func(_ *Controller, m *core.Machine) { m.MissedCalls, m.HeartbeatForwarded = 2, true }, 1, 1},
+		{"heartbeat after failed calls", func(_ *Controller, m *core.Machine) { m.UnansweredCalls = 4 }, 1, 0},
+		{"heartbeat forwarded by a peer, and calls fail", func(_ *Controller, m *core.Machine) { m.UnansweredCalls, m.HeartbeatForwarded = 2, true }, 1, 1},
 		{"heartbeat timed out", func(n *Controller, _ *core.Machine) { n.core.Now = n.core.Now.Add(n.core.Config.WorkerLease()) }, 1, 1},
 		{"no heartbeat yet, never called", func(_ *Controller, m *core.Machine) { m.LastHeartbeat = 0 }, 0, 0},
-		{"no heartbeat yet, calls fail, not listed as running", func(_ *Controller, m *core.Machine) { m.LastHeartbeat, m.MissedCalls = 0, 3 }, 0, 0},
+		{"no heartbeat yet, calls fail, not listed as running", func(_ *Controller, m *core.Machine) { m.LastHeartbeat, m.UnansweredCalls = 0, 3 }, 0, 0},
 		{"no heartbeat yet, calls fail, listed as running", func(n *Controller, m *core.Machine) {
-			m.LastHeartbeat, m.MissedCalls = 0, 3
+			m.LastHeartbeat, m.UnansweredCalls = 0, 3
 			n.autoscaler.Listed[m.ID] = api.Instance{ID: m.ID, State: api.MachineRunning}
 		}, 1, 1},
 		{"being deleted as idle", func(n *Controller, m *core.Machine) {
@@ -64,7 +64,7 @@
 	} {
 		n, owned, m, _ := newTestOwner(t, testSpec(1))
 		tc.change(n, m)
-		if c := n.health.SilentByZone(owned)["a"]; c.All != tc.all || c.Silent != tc.unreachable {
+		if c := n.health.CountMachinesByZone(owned)["a"]; c.All != tc.all || c.Silent != tc.unreachable {
 			t.Errorf("%s: %d of %d unreachable, expected %d of %d", tc.what, c.Silent, c.All, tc.unreachable, tc.all)
 		}
 	}
--- a/fragmentation/fragmentation.go
+++ b/fragmentation/fragmentation.go
@@ -68,8 +68,8 @@
 	return Measure(free.Minus(task), typical) - Measure(free, typical)
 }
 
-// MayStrand reports whether tasks with smaller typical demands may fragment the free capacity so that a
+// MayFragment reports whether tasks with smaller typical demands may fragment the free capacity so that a
 // demand fits no machine. That requires a typical demand of at most half as many accelerators.
-func MayStrand(demand api.Resources, typical []Demand) bool {
+func MayFragment(demand api.Resources, typical []Demand) bool {
 	return slices.ContainsFunc(typical, func(d Demand) bool { return 2*d.Resources.GPU <= demand.GPU })
 }
--- a/fragmentation/fragmentation_test.go
+++ b/fragmentation/fragmentation_test.go
@@ -28,8 +28,8 @@
 		t.Error("Measure is wrong for an empty machine, a full machine or a single free GPU")
 	}
 	small := TypicalDemands(map[api.Resources]int{gpus(1): 3})
-	if Increase(gpus(8), gpus(1), small) != 0 || MayStrand(gpus(1), small) || !MayStrand(gpus(8), typical) {
-		t.Error("Increase or MayStrand is wrong for a single typical demand, or MayStrand for the largest of several")
+	if Increase(gpus(8), gpus(1), small) != 0 || MayFragment(gpus(1), small) || !MayFragment(gpus(8), typical) {
+		t.Error("Increase or MayFragment is wrong for a single typical demand, or MayFragment for the largest of several")
 	}
 	// Tasks without accelerators increase fragmentation if they use CPUs that tasks with accelerators need.
 	if cpu := (api.Resources{CPU: api.ToQuantity(2)}); Increase(gpus(8), cpu, typical) <= 0 || Increase(gpus(8).Plus(cpu), cpu, typical) != 0 {
--- a/sched/cost.go
+++ b/sched/cost.go
@@ -57,13 +57,13 @@
 	if m.Slowdown > slowdownThreshold {
 		score -= m.Slowdown - 1
 	}
-	if m.GPU && j.AcceleratorOptional {
+	if m.HasAccelerators && j.AcceleratorOptional {
 		score -= acceleratorPenalty
 	}
-	if m.FastStart && !j.FastStart && !j.AcceleratorOptional {
+	if m.ForLatencySensitive && !j.LatencySensitive && !j.AcceleratorOptional {
 		score -= fastStartPenalty
 	}
-	if m.GPU && len(in.TypicalDemands) > 0 {
+	if m.HasAccelerators && len(in.TypicalDemands) > 0 {
 		score -= fragmentationWeight * fragmentation.Increase(free, j.Demand, in.TypicalDemands) / max(1, in.LargestCapacity.GPU.Float())
 	}
 	if m.Surplus {
--- a/sched/fragmentation_test.go
+++ b/sched/fragmentation_test.go
@@ -18,7 +18,7 @@
 		RemainingQuota: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}}}
 	for i := range machines {
 		used := api.Quantity(r.IntN(9))
-		in.Machines = append(in.Machines, Machine{ID: api.MachineID(fmt.Sprintf("i-%d", i)), Type: "m8", Zone: "a", GPU: true, FetchRate: 1,
+		in.Machines = append(in.Machines, Machine{ID: api.MachineID(fmt.Sprintf("i-%d", i)), Type: "m8", Zone: "a", HasAccelerators: true, FetchRate: 1,
 			Free: api.Resources{CPU: 96e6 - 12e6*used, GPU: 8e6 - 1e6*used, Mem: 768e6 - 90e6*used}})
 	}
 	for i := range jobs {
@@ -106,7 +106,7 @@
 			for i := 0; i < len(tasks); i += 2 {
 				in := &Input{LargestCapacity: demand(8e6), MaxStarts: 60, TypicalDemands: typical, RemainingQuota: map[api.Team]api.Resources{"red": {CPU: 1 << 50, GPU: 1 << 50, Mem: 1 << 50}}}
 				for m, gpus := range free {
-					in.Machines = append(in.Machines, Machine{ID: api.MachineID(fmt.Sprint("i-", m)), Type: "m8", Zone: "a", GPU: true, FetchRate: 1, Free: demand(gpus)})
+					in.Machines = append(in.Machines, Machine{ID: api.MachineID(fmt.Sprint("i-", m)), Type: "m8", Zone: "a", HasAccelerators: true, FetchRate: 1, Free: demand(gpus)})
 				}
 				for n, gpus := range tasks[i : i+2] {
 					s := &api.JobSpec{Ref: api.JobID(fmt.Sprint("run-", n)), Team: "red", Kind: api.Service, Priority: api.High, Tasks: 1}
--- a/sched/job.go
+++ b/sched/job.go
@@ -24,7 +24,7 @@
 	StartSLO            float64          // objective for a start, in seconds; 0: none
 	NewMachineSeconds   float64          // seconds until a booting machine would have the image; 0: none boots
 	ExcludedMachines    map[api.MachineID]bool
-	FastStart           bool    // should start sooner than a machine boots
+	LatencySensitive    bool    // should start sooner than a machine boots
 	AcceleratorOptional bool    // some type without accelerators can take its tasks
 	SpotRisk            float64 // probability that the reclaim of a spot machine makes it late, between 0 and 1
 }
--- a/sched/machine.go
+++ b/sched/machine.go
@@ -10,22 +10,22 @@
 
 // Machine is a machine that may take tasks in a round.
 type Machine struct {
-	ID              api.MachineID
-	Type            api.MachineTypeName
-	Zone            api.Zone
-	Spot            bool
-	Free            api.Resources
-	GPU             bool    // the type has accelerators
-	AcceleratorOnly bool    // only for jobs that need its accelerators
-	FastStart       bool    // of a type that latency-sensitive jobs need
-	Surplus         bool    // exceeds the demand: used last, so that it can be scaled in
-	Slowdown        float64 // runtime of its tasks relative to other machines; 0: unknown
-	CachedImages    map[api.Image]CachedImage
-	FetchRate       float64      // GB per second
-	FetchingImages  []ImageFetch // fetches in progress, which may share the rate
-	ReservedFor     api.JobID    // only this job may use the machine; see SoftReservation
-	SoftReservation bool         // jobs of a higher rank than ReservationRank may use it too
-	ReservationRank int
+	ID                  api.MachineID
+	Type                api.MachineTypeName
+	Zone                api.Zone
+	Spot                bool
+	Free                api.Resources
+	HasAccelerators     bool    // the type has accelerators
+	AcceleratorOnly     bool    // only for jobs that need its accelerators
+	ForLatencySensitive bool    // of a type that latency-sensitive jobs need
+	Surplus             bool    // exceeds the demand: used last, so that it can be scaled in
+	Slowdown            float64 // runtime of its tasks relative to other machines; 0: unknown
+	CachedImages        map[api.Image]CachedImage
+	FetchRate           float64      // GB per second
+	FetchingImages      []ImageFetch // fetches in progress, which may share the rate
+	ReservedFor         api.JobID    // only this job may use the machine; see SoftReservation
+	SoftReservation     bool         // jobs of a higher rank than ReservationRank may use it too
+	ReservationRank     int
 }
 
 // ImageFetch is an image that a machine is fetching.
@@ -57,7 +57,7 @@
 // accelerators, to keep its accelerators free. A service never ends and would block them
 // permanently.
 func (m *Machine) withholdsAccelerators(j *Job) bool {
-	return j.AcceleratorOptional && m.GPU && (m.AcceleratorOnly || j.Spec.Kind == api.Service)
+	return j.AcceleratorOptional && m.HasAccelerators && (m.AcceleratorOnly || j.Spec.Kind == api.Service)
 }
 
 // HasImage reports whether an image is in the machine's cache.
--- a/sched/sched.go
+++ b/sched/sched.go
@@ -97,7 +97,7 @@
 	out.Machines = slices.Clone(in.Machines)
 	for i := range out.Machines {
 		m := &out.Machines[i]
-		m.AcceleratorOnly = m.AcceleratorOnly || m.GPU && slices.ContainsFunc(in.Jobs, func(j Job) bool {
+		m.AcceleratorOnly = m.AcceleratorOnly || m.HasAccelerators && slices.ContainsFunc(in.Jobs, func(j Job) bool {
 			return len(j.Pending) > 0 && !j.AcceleratorOptional && j.Demand.GPU > 0 && j.Demand.GPU <= m.Free.GPU && Feasible(j.Spec, m.Type, m.Zone, m.Spot)
 		})
 	}
--- a/sched/sched_test.go
+++ b/sched/sched_test.go
@@ -74,7 +74,7 @@
 	cases := map[string]func(other *Machine, j *Job){
 		"slow":        func(m *Machine, _ *Job) { m.Slowdown = 2 },
 		"no image":    func(m *Machine, j *Job) { m.CachedImages = nil },
-		"accelerator": func(m *Machine, _ *Job) { m.GPU = true },
+		"accelerator": func(m *Machine, _ *Job) { m.HasAccelerators = true },
 		"less free":   func(m *Machine, _ *Job) { m.Free.CPU -= 4e6 },
 		"excluded":    func(m *Machine, j *Job) { j.ExcludedMachines = map[api.MachineID]bool{m.ID: true} },
 		"other zone":  func(m *Machine, j *Job) { m.Zone, j.Spec.Zone = "x", "z" },
@@ -96,7 +96,7 @@
 		}
 	}
 	in := loadedInput(1, 1)
-	in.Machines[0].Free, in.Machines[0].GPU = api.Resources{CPU: 8e6, Mem: 32e6}, true
+	in.Machines[0].Free, in.Machines[0].HasAccelerators = api.Resources{CPU: 8e6, Mem: 32e6}, true
 	in.Jobs[0].AcceleratorOptional, in.Jobs[0].Spec.Kind = true, api.Service
 	if plan := PlanRound(in); len(plan) != 0 {
 		t.Errorf("a service on an accelerator machine: %v", plan)
--- a/server/usage.go
+++ b/server/usage.go
@@ -13,7 +13,7 @@
 type workMeter struct {
 	since   time.Time // start of the current work
 	current message.WorkKind
-	spent   [message.WorkKinds]time.Duration
+	spent   [message.WorkKindCount]time.Duration
 }
 
 // switchTo adds the elapsed time to the current kind of work and makes next the current kind.
--- a/zonehealth/evacuation.go
+++ b/zonehealth/evacuation.go
@@ -28,12 +28,12 @@
 
 // Machine is an unreachable machine of a failed zone.
 type Machine struct {
-	ID               api.MachineID
-	Zone             api.Zone
-	Capacity         api.Resources
-	BootSeconds      float64 // boot time of a replacement
-	ControllerInside bool    // whether a controller in the zone may be renewing its lease
-	Tasks            []Task
+	ID                 api.MachineID
+	Zone               api.Zone
+	Capacity           api.Resources
+	BootSeconds        float64 // boot time of a replacement
+	ControllerIsolated bool    // whether a controller in the zone may be renewing its lease
+	Tasks              []Task
 }
 
 // FreeCapacity is the free capacity of Count identical machines outside the failed zones.
@@ -245,7 +245,7 @@
 func (p *evacuationPlanner) taskWaitCost(t *Task, m *Machine) float64 {
 	outage := p.in.ExpectedOutage(m.Zone)
 	cost := outage
-	if m.ControllerInside {
+	if m.ControllerIsolated {
 		cost *= 1 - insideAliveProbability
 	}
 	if t.SlackSeconds < outage {
--- a/zonehealth/evacuationcost.go
+++ b/zonehealth/evacuationcost.go
@@ -27,7 +27,7 @@
 // the interruption of tasks that may still run on it.
 func evacuationCost(m *Machine) float64 {
 	cost := m.Capacity.CPU.Float() * m.BootSeconds
-	if m.ControllerInside {
+	if m.ControllerIsolated {
 		for i := range m.Tasks {
 			t := &m.Tasks[i]
 			cost += insideAliveProbability * rankWeight[t.Spec.Priority.Rank()] * t.Demand.CPU.Float() * (restartSeconds + t.LostWorkSeconds)
--- a/zonehealth/record.go
+++ b/zonehealth/record.go
@@ -30,10 +30,10 @@
 	State         State        `json:"state,omitempty"`
 	Since         api.WallTime `json:"since,omitempty"` // start of the state
 	LastHeartbeat api.WallTime `json:"heard,omitempty"` // latest heartbeat of its unreachable machines
-	// PartitionsInside lists the partitions whose owners were in the zone and were lost with it. These
+	// IsolatedPartitions lists the partitions whose owners were in the zone and were lost with it. These
 	// owners may still be running and renewing the leases of their machines in the zone.
-	PartitionsInside []api.PartitionID `json:"inside,omitempty"`
-	OutageHistory    []float64         `json:"past,omitempty"` // durations of recent outages, in seconds, oldest first
+	IsolatedPartitions []api.PartitionID `json:"inside,omitempty"`
+	OutageHistory      []float64         `json:"past,omitempty"` // durations of recent outages, in seconds, oldest first
 }
 
 // maxOutageHistory is the maximum length of Record.OutageHistory.
@@ -41,14 +41,14 @@
 
 // Thresholds are the durations that conditions must last before the state of a zone changes.
 type Thresholds struct {
-	FailAfter       time.Duration // since the last heartbeat, before a suspect zone fails
-	HealthyAfter    time.Duration // reachable, before a zone is healthy again
-	RetryEmptyAfter time.Duration // failed and without machines, before scale-out there is tried again
+	FailAfter                 time.Duration // since the last heartbeat, before a suspect zone fails
+	HealthyAfter              time.Duration // reachable, before a zone is healthy again
+	RetryWithoutMachinesAfter time.Duration // failed and without machines, before scale-out there is tried again
 }
 
 // Next returns the record after an assessment, unchanged if the state stays the same. healthyFor is the
 // time since the writer last assessed the zone as unreachable, and partitionsInside is the new
-// PartitionsInside if the zone fails now.
+// IsolatedPartitions if the zone fails now.
 func (r Record) Next(now api.WallTime, a Assessment, healthyFor time.Duration, t Thresholds, partitionsInside []api.PartitionID) Record {
 	next := r.nextState(now, a, healthyFor, t)
 	if next == r.State {
@@ -56,10 +56,10 @@
 	}
 	switch {
 	case next == Suspect:
-		r.LastHeartbeat, r.PartitionsInside = cmp.Or(a.Heard, now), nil
+		r.LastHeartbeat, r.IsolatedPartitions = cmp.Or(a.Heard, now), nil
 	case next == Failed && r.State == Suspect:
 		r.LastHeartbeat = cmp.Or(a.Heard, r.LastHeartbeat)
-		r.PartitionsInside = slices.Sorted(slices.Values(partitionsInside))
+		r.IsolatedPartitions = slices.Sorted(slices.Values(partitionsInside))
 	case next == Failed:
 		r.LastHeartbeat = cmp.Or(a.Heard, now)
 	}
@@ -68,7 +68,7 @@
 		r.OutageHistory = r.OutageHistory[max(0, len(r.OutageHistory)-maxOutageHistory):]
 	}
 	if next == Healthy {
-		r.LastHeartbeat, r.PartitionsInside = 0, nil
+		r.LastHeartbeat, r.IsolatedPartitions = 0, nil
 	}
 	r.State, r.Since = next, max(now, r.Since) // a previous writer's clock may have been ahead
 	return r
@@ -98,7 +98,7 @@
 		switch {
 		case responding >= minRespondingMachines && !a.Unreachable:
 			return Recovering
-		case empty && elapsed(r.Since, now) >= t.RetryEmptyAfter:
+		case empty && elapsed(r.Since, now) >= t.RetryWithoutMachinesAfter:
 			return Recovering // no machine is left to send heartbeats; a scale-out shows whether the zone works
 		}
 	case Recovering:
--- a/zonehealth/record_test.go
+++ b/zonehealth/record_test.go
@@ -13,7 +13,7 @@
 	_ "basaltwall/internal/proptest"
 )
 
-var thresholds = Thresholds{FailAfter: 9 * time.Second, HealthyAfter: 5 * time.Second, RetryEmptyAfter: time.Minute}
+var thresholds = Thresholds{FailAfter: 9 * time.Second, HealthyAfter: 5 * time.Second, RetryWithoutMachinesAfter: time.Minute}
 
 func assess(all, silent int, lastHeartbeat api.WallTime) Assessment {
 	return Assess([]Observation{{"a": {All: all, Silent: silent, Heard: lastHeartbeat}, "b": {All: 20}}}, "a")
@@ -36,7 +36,7 @@
 	step(18, assess(10, 10, 11*s), 0, Suspect)
 	step(19, assess(10, 2, 11*s), time.Second, Suspect)
 	step(20, assess(10, 10, 11*s), 0, Failed)
-	if r.LastHeartbeat != 11*s || !slices.Equal(r.PartitionsInside, []api.PartitionID{1, 2}) {
+	if r.LastHeartbeat != 11*s || !slices.Equal(r.IsolatedPartitions, []api.PartitionID{1, 2}) {
 		t.Errorf("record of the failed zone: %+v", r)
 	}
 	step(40, assess(6, 6, 11*s), 0, Failed)
@@ -49,7 +49,7 @@
 	step(67, assess(6, 3, 62*s), 0, Failed)
 	step(80, assess(6, 0, 0), 0, Recovering)
 	step(86, assess(6, 0, 0), 6*time.Second, Healthy)
-	if r.LastHeartbeat != 0 || len(r.PartitionsInside) != 0 || len(r.OutageHistory) != 2 {
+	if r.LastHeartbeat != 0 || len(r.IsolatedPartitions) != 0 || len(r.OutageHistory) != 2 {
 		t.Errorf("record of the healthy zone: %+v", r)
 	}
 	// A short outage is recorded too, and a writer without observations changes nothing.
@@ -273,7 +273,7 @@
 	}
 	slack := NoDeadline
 	evacuated := func(s *api.JobSpec, tasks int, freeCPU float64, inside bool, remaining float64) bool {
-		m := Machine{ID: "i-1", Zone: "a", Capacity: api.Resources{CPU: api.ToQuantity(16)}, BootSeconds: 50, ControllerInside: inside}
+		m := Machine{ID: "i-1", Zone: "a", Capacity: api.Resources{CPU: api.ToQuantity(16)}, BootSeconds: 50, ControllerIsolated: inside}
 		for i := range tasks {
 			m.Tasks = append(m.Tasks, Task{ID: api.TaskID{Job: "run-1", Index: i}, Spec: s, Demand: s.Demand(), SlackSeconds: slack})
 		}
