--- a/admin/client.go
+++ b/admin/client.go
@@ -22,13 +22,13 @@
 )
 
 // request sends a request to the administration API and returns the body of the response.
-func (c *Cmd) request(method, path string, body []byte) ([]byte, error) {
+func (c *OperatorCmd) request(method, path string, body []byte) ([]byte, error) {
 	return doRequest(c.Addr, c.KeyFile, method, Prefix+path, body)
 }
 
 // requestJSON sends a request with a JSON body to the administration API and returns the body of the
 // response.
-func (c *Cmd) requestJSON(method, path string, body any) ([]byte, error) {
+func (c *OperatorCmd) requestJSON(method, path string, body any) ([]byte, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
@@ -37,7 +37,7 @@
 }
 
 // callAndPrint sends a request and prints the response as JSON.
-func (c *Cmd) callAndPrint(method, path string, body []byte) error {
+func (c *OperatorCmd) callAndPrint(method, path string, body []byte) error {
 	answer, err := c.request(method, path, body)
 	if err != nil {
 		return err
@@ -46,7 +46,7 @@
 }
 
 // send sends a request with a JSON body and prints the response as JSON.
-func (c *Cmd) send(method, path string, body any) error {
+func (c *OperatorCmd) send(method, path string, body any) error {
 	answer, err := c.requestJSON(method, path, body)
 	if err != nil {
 		return err
@@ -56,7 +56,7 @@
 
 // sendWithRevision requests a change of the resource at a path. The request contains the resource's current
 // revision, which is read first, so that a concurrent change is not overwritten.
-func (c *Cmd) sendWithRevision(path, change string, body revisioned) error {
+func (c *OperatorCmd) sendWithRevision(path, change string, body revisioned) error {
 	current, err := fetch[revision](c, path)
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 }
 
 // fetch reads the resource at a path.
-func fetch[T any](c *Cmd, path string) (T, error) {
+func fetch[T any](c *OperatorCmd, path string) (T, error) {
 	var value T
 	data, err := c.request(api.MethodGet, path, nil)
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // printTable prints the resource at a path as a table, or as JSON if the --json flag is set.
-func printTable[T any](c *Cmd, path string, table func(io.Writer, T)) error {
+func printTable[T any](c *OperatorCmd, path string, table func(io.Writer, T)) error {
 	body, err := c.request(api.MethodGet, path, nil)
 	if err != nil {
 		return err
--- a/admin/client_test.go
+++ b/admin/client_test.go
@@ -22,8 +22,8 @@
 
 // commands has the subcommands of the program's client.
 type commands struct {
-	Admin Cmd    `cmd:""`
-	Job   JobCmd `cmd:""`
+	Admin OperatorCmd `cmd:""`
+	Job   JobCmd      `cmd:""`
 }
 
 // runCommand parses and runs a command line.
@@ -231,9 +231,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tenantTable(&out, tenancy.TenantView{Tenant: tenant.Tenant{Name: "kipper", State: tenant.Suspended, SuspendReason: "unpaid", Teams: []api.Team{"dispo", "red"}, Networks: networks, Retention: 3600},
+	tenantTable(&out, tenancy.TenantView{Tenant: tenant.Tenant{Name: "kipper", State: tenant.Suspended, SuspendReason: "unpaid", Teams: []api.Team{"dispo", "red"}, Networks: networks, RetentionSeconds: 3600},
 		Keys: []tenancy.KeyView{{ID: "00aa", Name: "laptop", Created: 1}}, Jobs: 3, Tasks: 9, Revision: 12})
-	operatorsTable(&out, tenancy.OperatorsView{AdminKey: "11bb", AdminKeyRetired: true, Keys: []tenancy.OperatorKeyView{{KeyView: tenancy.KeyView{Name: "watch"}, Role: tenant.RoleRead}}, CPUs: 4, Guaranteed: tenant.GuaranteedTotal{CPUs: 3}})
+	operatorsTable(&out, tenancy.OperatorsView{AdminKey: "11bb", AdminKeyRevoked: true, Keys: []tenancy.OperatorKeyView{{KeyView: tenancy.KeyView{Name: "watch"}, Role: tenant.RoleRead}}, TeamCPUBudget: 4, Guaranteed: tenant.GuaranteedTotal{CPUs: 3}})
 	queueTable(&out, tenancy.QueueView{Open: 2, Jobs: []tenancy.UnfinishedJob{{Ref: "run-7", State: api.JobPending, Reason: "suspended: unpaid"}}, After: "x-run-7"})
 	usageTable(&out, tenancy.UsageView{Open: 2, OpenJobs: 2000, Teams: []tenancy.TeamUsage{{Team: "dispo", UsedCPUs: 2, MaxCPUs: 6}}})
 	for _, part := range []string{"suspended\tunpaid", "dispo,red", "3\tof 2000", "10.0.0.0/8,2001:db8::/32", "laptop\t00aa", "1h0m0s", "rate\tnone",
--- a/admin/command.go
+++ b/admin/command.go
@@ -16,9 +16,9 @@
 // errUnknownCommand is returned by Do for an unknown subcommand.
 var errUnknownCommand = errors.New("unknown subcommand")
 
-// Cmd is the operators' command line. Kong reads it by reflection: the fields and their tags define the
+// OperatorCmd is the operators' command line. Kong reads it by reflection: the fields and their tags define the
 // flags and subcommands.
-type Cmd struct {
+type OperatorCmd struct {
 	Addr    string `required:"" placeholder:"IP:PORT" help:"The api_addr of a controller."`
 	KeyFile string `type:"existingfile" env:"BASALTWALL_KEY_FILE" placeholder:"FILE" help:"A file with an operator's key, for a hosted service."`
 
@@ -83,7 +83,7 @@
 }
 
 // Do runs a subcommand. command is its path in kong's notation, for example "job <ref>".
-func (c *Cmd) Do(command string) error {
+func (c *OperatorCmd) Do(command string) error {
 	group, rest, _ := strings.Cut(command, " ")
 	switch group {
 	case "tenant":
@@ -115,7 +115,7 @@
 }
 
 // replaceSettings replaces the operators' settings by the content of a file.
-func (c *Cmd) replaceSettings(file string) error {
+func (c *OperatorCmd) replaceSettings(file string) error {
 	body, err := os.ReadFile(file)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
--- a/admin/import.go
+++ b/admin/import.go
@@ -21,7 +21,7 @@
 
 // importSkips adds the skips of a CSV file. Each request adds a page of skips of one depot. A repeated
 // import does not change existing skips.
-func (c *Cmd) importSkips(file string) error {
+func (c *OperatorCmd) importSkips(file string) error {
 	f, err := os.Open(file)
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 
 // skipImport collects skips by depot and sends the page of a depot when it is full.
 type skipImport struct {
-	admin  *Cmd
+	admin  *OperatorCmd
 	pages  map[string][]importedSkip // by depot
 	depots []string                  // in order of first occurrence in the file
 	sent   int                       // number of skips sent
--- a/admin/operators.go
+++ b/admin/operators.go
@@ -52,7 +52,7 @@
 }
 
 // operators runs a subcommand for the operators' record.
-func (c *Cmd) operators(command string) error {
+func (c *OperatorCmd) operators(command string) error {
 	o := &c.Operators
 	switch command {
 	case "show":
@@ -69,16 +69,16 @@
 }
 
 // putOperators changes the fields of the operators' record whose flags are set.
-func (c *Cmd) putOperators(flags operatorsPutCmd) error {
+func (c *OperatorCmd) putOperators(flags operatorsPutCmd) error {
 	current, err := fetch[tenancy.OperatorsView](c, "operators")
 	if err != nil {
 		return err
 	}
-	override(&current.CPUs, flags.CPUs)
-	override(&current.GPUs, flags.GPUs)
+	override(&current.TeamCPUBudget, flags.CPUs)
+	override(&current.TeamGPUBudget, flags.GPUs)
 	return c.send(api.MethodPut, "operators", operatorsRequest{
-		CPUs:     current.CPUs,
-		GPUs:     current.GPUs,
+		CPUs:     current.TeamCPUBudget,
+		GPUs:     current.TeamGPUBudget,
 		Networks: overrideList(flags.Network, prefixStrings(current.Networks)),
 		Proxies:  overrideList(flags.Proxy, prefixStrings(current.Proxies)),
 		revision: revision{current.Revision},
@@ -86,7 +86,7 @@
 }
 
 // team runs a subcommand for teams created by operators.
-func (c *Cmd) team(command string) error {
+func (c *OperatorCmd) team(command string) error {
 	if command == "put <name>" {
 		return c.putTeam(c.Team.Put)
 	}
@@ -94,7 +94,7 @@
 }
 
 // putTeam creates a team, or replaces its guarantee and limit.
-func (c *Cmd) putTeam(p teamPutCmd) error {
+func (c *OperatorCmd) putTeam(p teamPutCmd) error {
 	current, err := c.teamRevision(p.Name)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 	return c.send(api.MethodPut, teamPath(p.Name), teamRequest{CPUs: p.CPUs, CPUsMax: p.CPUsMax, GPUs: p.GPUs, GPUsMax: p.GPUsMax, revision: revision{current}})
 }
 
-func (c *Cmd) removeTeam(name string) error {
+func (c *OperatorCmd) removeTeam(name string) error {
 	current, err := c.teamRevision(name)
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 func teamPath(name string) string { return "teams/" + url.PathEscape(name) }
 
 // teamRevision returns the revision of a team, or 0 if the team does not exist.
-func (c *Cmd) teamRevision(name string) (api.Revision, error) {
+func (c *OperatorCmd) teamRevision(name string) (api.Revision, error) {
 	teams, err := fetch[[]operations.TeamView](c, "teams")
 	if err != nil {
 		return 0, err
--- a/admin/pools.go
+++ b/admin/pools.go
@@ -42,7 +42,7 @@
 func poolPath(name string) string { return "pools/" + url.PathEscape(name) }
 
 // pool runs a subcommand for pools.
-func (c *Cmd) pool(command string) error {
+func (c *OperatorCmd) pool(command string) error {
 	switch command {
 	case "list":
 		return printTable(c, "pools", poolsTable)
@@ -57,7 +57,7 @@
 }
 
 // putPool creates a pool, or changes the fields of an existing pool whose flags are set.
-func (c *Cmd) putPool(flags poolPutCmd) error {
+func (c *OperatorCmd) putPool(flags poolPutCmd) error {
 	path := poolPath(flags.Name)
 	current, err := fetch[pools.View](c, path)
 	if err != nil && !isNotFound(err) {
@@ -65,7 +65,7 @@
 	}
 	frozen := current.State == pool.Frozen
 	override(&current.Size, flags.Size)
-	override(&current.Largest, flags.Largest)
+	override(&current.MaxSize, flags.Largest)
 	override(&current.Unit, flags.Unit)
 	override(&frozen, flags.Frozen)
 	override(&current.Reclaim, flags.Reclaim)
@@ -79,7 +79,7 @@
 	return c.send(api.MethodPut, path, poolRequest{
 		Frozen:     frozen,
 		Guaranteed: guaranteed,
-		Largest:    max(current.Largest, current.Size),
+		MaxSize:    max(current.MaxSize, current.Size),
 		Reclaim:    current.Reclaim,
 		revision:   revision{current.Revision},
 		Size:       current.Size,
@@ -113,7 +113,7 @@
 func poolTable(w io.Writer, p pools.View) {
 	writeRow(w, "pool", p.Name, p.Unit)
 	writeRow(w, "state", p.State)
-	writeRow(w, "size", p.Size, fmt.Sprintf("largest %d", p.Largest))
+	writeRow(w, "size", p.Size, fmt.Sprintf("largest %d", p.MaxSize))
 	writeRow(w, "held", sum(p.Held))
 	writeRow(w, "reclaims", p.Reclaim)
 	writeRow(w, "waiting", p.PendingUnits, fmt.Sprintf("oldest wait %.0f s", p.OldestWait))
--- a/admin/requests.go
+++ b/admin/requests.go
@@ -87,7 +87,7 @@
 type poolRequest struct {
 	Frozen     bool           `json:"frozen"`
 	Guaranteed map[string]int `json:"guaranteed"`
-	Largest    int            `json:"largest"`
+	MaxSize    int            `json:"largest"`
 	Reclaim    bool           `json:"reclaim"`
 	revision
 	Size    int      `json:"size"`
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -64,7 +64,7 @@
 func skipsPath(depot string) string { return "skips/" + url.PathEscape(depot) }
 
 // skips runs a subcommand for skips.
-func (c *Cmd) skips(command string) error {
+func (c *OperatorCmd) skips(command string) error {
 	action, _, _ := strings.Cut(command, " ")
 	change := func(depot string, body any) error {
 		return c.send(api.MethodPost, skipsPath(depot)+"/"+action, body)
--- a/admin/tables.go
+++ b/admin/tables.go
@@ -99,14 +99,14 @@
 
 func tenantTable(w io.Writer, t tenancy.TenantView) {
 	writeRow(w, "tenant", t.Name)
-	writeRow(w, "display name", t.Display)
+	writeRow(w, "display name", t.DisplayName)
 	writeRow(w, "state", t.State, t.SuspendReason)
 	writeRow(w, "teams", joinNames(t.Teams))
 	writeRow(w, "rate", formatLimit(t.Rate), "burst "+formatLimit(t.Burst))
 	writeRow(w, "open jobs", t.Jobs, fmt.Sprintf("of %d", t.OpenJobLimit()))
 	writeRow(w, "tasks", t.Tasks)
 	writeRow(w, "networks", formatNetworks(t.Networks, "anywhere"))
-	writeRow(w, "history retention", time.Duration(t.Retention*float64(time.Second)))
+	writeRow(w, "history retention", time.Duration(t.RetentionSeconds*float64(time.Second)))
 	writeRow(w, "revision", t.Revision)
 	writeRow(w)
 	writeRow(w, "KEY", "ID", "CREATED", "EXPIRES", "LAST USED")
@@ -117,13 +117,13 @@
 
 func operatorsTable(w io.Writer, o tenancy.OperatorsView) {
 	first := "full access"
-	if o.AdminKeyRetired {
+	if o.AdminKeyRevoked {
 		first = "retired"
 	}
 	writeRow(w, "first key", o.AdminKey, first)
 	writeRow(w, "networks", formatNetworks(o.Networks, "anywhere"))
 	writeRow(w, "proxies", formatNetworks(o.Proxies, "none"))
-	writeRow(w, "reserved for teams", fmt.Sprintf("%v CPUs, %v guaranteed", o.CPUs, o.Guaranteed.CPUs), fmt.Sprintf("%v GPUs, %v guaranteed", o.GPUs, o.Guaranteed.GPUs))
+	writeRow(w, "reserved for teams", fmt.Sprintf("%v CPUs, %v guaranteed", o.TeamCPUBudget, o.Guaranteed.CPUs), fmt.Sprintf("%v GPUs, %v guaranteed", o.TeamGPUBudget, o.Guaranteed.GPUs))
 	writeRow(w, "revision", o.Revision)
 	writeRow(w)
 	writeRow(w, "KEY", "ID", "CREATED", "EXPIRES", "LAST USED", "ROLE")
--- a/admin/tenants.go
+++ b/admin/tenants.go
@@ -76,7 +76,7 @@
 func tenantPath(name string) string { return "tenants/" + url.PathEscape(name) }
 
 // tenant runs a subcommand for tenants.
-func (c *Cmd) tenant(command string) error {
+func (c *OperatorCmd) tenant(command string) error {
 	t := &c.Tenant
 	switch command {
 	case "list":
@@ -86,7 +86,7 @@
 	case "usage <name>":
 		return printTable(c, tenantPath(t.Usage.Name)+"/usage", usageTable)
 	case "add <name>":
-		return c.putTenant(t.Add, tenancy.TenantView{Tenant: tenant.Tenant{Retention: newTenantRetention.Seconds()}})
+		return c.putTenant(t.Add, tenancy.TenantView{Tenant: tenant.Tenant{RetentionSeconds: newTenantRetention.Seconds()}})
 	case "change <name>":
 		current, err := fetch[tenancy.TenantView](c, tenantPath(t.Change.Name))
 		if err != nil {
@@ -109,27 +109,27 @@
 }
 
 // revokeKey revokes a key of the tenant or of the operators, given by their path.
-func (c *Cmd) revokeKey(path, key string) error {
+func (c *OperatorCmd) revokeKey(path, key string) error {
 	return c.sendWithRevision(path, "keys/"+url.PathEscape(key)+"/revoke", &revision{})
 }
 
 // putTenant sends a tenant's current attributes, with those replaced whose flags are set.
-func (c *Cmd) putTenant(flags tenantPutCmd, current tenancy.TenantView) error {
+func (c *OperatorCmd) putTenant(flags tenantPutCmd, current tenancy.TenantView) error {
 	t := current.Tenant
-	override(&t.Display, flags.Display)
+	override(&t.DisplayName, flags.Display)
 	override(&t.Rate, flags.Rate)
 	override(&t.Burst, flags.Burst)
 	override(&t.OpenJobs, flags.OpenJobs)
 	if flags.Retention != nil {
-		t.Retention = flags.Retention.Seconds()
+		t.RetentionSeconds = flags.Retention.Seconds()
 	}
 	return c.send(api.MethodPut, tenantPath(flags.Name), tenantRequest{
 		Burst:            t.Burst,
-		Display:          t.Display,
+		Display:          t.DisplayName,
 		Networks:         overrideList(flags.Network, prefixStrings(t.Networks)),
 		OpenJobs:         t.OpenJobs,
 		Rate:             t.Rate,
-		RetentionSeconds: t.Retention,
+		RetentionSeconds: t.RetentionSeconds,
 		revision:         revision{current.Revision},
 		Teams:            overrideList(flags.Team, toStrings(t.Teams)),
 	})
--- a/cmd/basaltwall/main.go
+++ b/cmd/basaltwall/main.go
@@ -97,7 +97,7 @@
 
 // Run prints the secret of a new key. The secret is not stored.
 func (newKeyCmd) Run() error {
-	var random [tenant.RandomBytes]byte
+	var random [tenant.KeyRandomBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return fmt.Errorf("reading random bytes: %w", err)
 	}
@@ -138,12 +138,12 @@
 // cli is the command line. Kong reads it by reflection: the fields and their tags define the flags and
 // subcommands.
 type cli struct {
-	Serve   serveCmd     `cmd:"" default:"withargs" help:"Run a controller."`
-	Check   checkCmd     `cmd:"" help:"Check a settings file."`
-	Version versionCmd   `cmd:"" help:"Print the version."`
-	Admin   admin.Cmd    `cmd:"" help:"Show and change a controller's state and settings, for operators."`
-	Job     admin.JobCmd `cmd:"" help:"Submit, show and cancel a tenant's jobs in a hosted service."`
-	NewKey  newKeyCmd    `cmd:"" help:"Print a new key, for the operators' --admin-key-file."`
+	Serve   serveCmd          `cmd:"" default:"withargs" help:"Run a controller."`
+	Check   checkCmd          `cmd:"" help:"Check a settings file."`
+	Version versionCmd        `cmd:"" help:"Print the version."`
+	Admin   admin.OperatorCmd `cmd:"" help:"Show and change a controller's state and settings, for operators."`
+	Job     admin.JobCmd      `cmd:"" help:"Submit, show and cancel a tenant's jobs in a hosted service."`
+	NewKey  newKeyCmd         `cmd:"" help:"Print a new key, for the operators' --admin-key-file."`
 }
 
 func main() {
--- a/config/check.go
+++ b/config/check.go
@@ -56,8 +56,8 @@
 		field string
 	}{
 		{float64(d.InitialSize), "initial_size"},
-		{d.Workers.Report, "workers.report_s"},
-		{d.Workers.Lease, "workers.lease_s"},
+		{d.Workers.HeartbeatInterval, "workers.report_s"},
+		{d.Workers.LeaseDuration, "workers.lease_s"},
 		{d.Workers.Cancel, "workers.cancel_s"},
 		{d.State.RPS, "state.rps"},
 		{d.State.WriteRPS, "state.write_rps"},
--- a/config/check_test.go
+++ b/config/check_test.go
@@ -29,7 +29,7 @@
 		{"peer with the label of this controller", func(c *Config) { c.Peers[0].Label = "a" }, `settings: peers: label "a" is missing or the label of this controller`},
 		{"peer without an address", func(c *Config) { c.Peers[0].Addr = "" }, "settings: peers.b: not an ip:port"},
 		{"invalid address", func(c *Config) { c.APIAddr = "x" }, "settings: api_addr: not an ip:port"},
-		{"no heartbeat interval", func(c *Config) { c.Deployment.Workers.Report = 0 }, "settings: deployment.workers.report_s: must be above 0"},
+		{"no heartbeat interval", func(c *Config) { c.Deployment.Workers.HeartbeatInterval = 0 }, "settings: deployment.workers.report_s: must be above 0"},
 		{"negative rate", func(c *Config) { c.Deployment.Cloud.RPS = -1 }, "settings: deployment.cloud.rps: must be above 0"},
 		{"value size too small", func(c *Config) { c.Deployment.State.ValueKB = 0.5 }, "settings: deployment.state.value_kb: 0.5 is less than 1"},
 		{"transactions too small", func(c *Config) { c.Deployment.State.TxnOps = 1 }, "settings: deployment.state.txn_ops: 1 is less than 2"},
--- a/config/config.go
+++ b/config/config.go
@@ -71,11 +71,11 @@
 	Teams       []Team      `json:"teams"`
 	Objectives  []Objective `json:"objectives"`
 	Workers     struct {
-		Report   float64 `json:"report_s"`
-		Lease    float64 `json:"lease_s"`
-		GangWait float64 `json:"gang_wait_s"`
-		GangPeer float64 `json:"gang_peer_s"`
-		Cancel   float64 `json:"cancel_s"`
+		HeartbeatInterval float64 `json:"report_s"`
+		LeaseDuration     float64 `json:"lease_s"`
+		GangStartTimeout  float64 `json:"gang_wait_s"`
+		GangPeerTimeout   float64 `json:"gang_peer_s"`
+		Cancel            float64 `json:"cancel_s"`
 	} `json:"workers"`
 	State struct {
 		RPS      float64 `json:"rps"`
@@ -126,7 +126,9 @@
 }
 
 // HeartbeatInterval returns the interval between a worker's heartbeats.
-func (c *Config) HeartbeatInterval() time.Duration { return api.Seconds(c.Deployment.Workers.Report) }
+func (c *Config) HeartbeatInterval() time.Duration {
+	return api.Seconds(c.Deployment.Workers.HeartbeatInterval)
+}
 
 // WorkerLease returns the duration after which a worker without contact to its controller stops its tasks.
-func (c *Config) WorkerLease() time.Duration { return api.Seconds(c.Deployment.Workers.Lease) }
+func (c *Config) WorkerLease() time.Duration { return api.Seconds(c.Deployment.Workers.LeaseDuration) }
--- a/controller/eligibility/eligibility_test.go
+++ b/controller/eligibility/eligibility_test.go
@@ -26,7 +26,7 @@
 func newSchedulable(t *testing.T) (*Checker, *fakeDependencies, *core.Machine, *core.OwnedPartition) {
 	t.Helper()
 	cfg := &config.Config{}
-	cfg.Deployment.Workers.Report = 2
+	cfg.Deployment.Workers.HeartbeatInterval = 2
 	k := core.New(cfg, 1)
 	k.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](1)
 	k.AddMachineTypes([]api.MachineType{{Name: "c4"}})
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -105,13 +105,13 @@
 	golden.Same(t, "short", n.priorities.RecordedShortage(), priority.Shortage{Types: []api.MachineTypeName{"c8", "g8"}, Since: 77})
 	golden.Same(t, "zone", n.health.Record("a"), zonehealth.Record{State: zonehealth.Failed, Since: 78, LastHeartbeat: 79, IsolatedPartitions: []api.PartitionID{1, 2}, OutageHistory: []float64{3.5, 4.5}})
 	golden.Same(t, "operators", *n.tenancy.Operators(), tenant.Operators{Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "00aa00aa00aa00aa", Name: "watch", Hash: []byte{1, 2}, Created: 5, Expires: 6}, Role: tenant.RoleRead}},
-		Networks: networks("10.0.0.0/8"), Proxies: networks("192.0.2.0/24"), CPUs: 7.5, GPUs: 8.5, RetiredAdminKeys: []tenant.KeyID{"11bb"}})
+		Networks: networks("10.0.0.0/8"), Proxies: networks("192.0.2.0/24"), TeamCPUBudget: 7.5, TeamGPUBudget: 8.5, RevokedAdminKeys: []tenant.KeyID{"11bb"}})
 	golden.Same(t, "given", n.tenancy.Guaranteed(), tenant.GuaranteedTotal{CPUs: 1.5, GPUs: 2.5})
 	team, _ := n.tenancy.TeamRecord("dispo")
 	golden.Same(t, "team", team, core.TeamRecord{Team: tenant.Team{Name: "dispo", CPUs: 1, GPUs: 2, CPUsMax: 3, GPUsMax: 4}, Revision: 26})
-	golden.Same(t, "tenant", *n.tenancy.Tenants().Get("kipper"), tenant.Entry{Tenant: tenant.Tenant{Name: "kipper", Display: "Kipper", Teams: []api.Team{"dispo"}, State: tenant.Suspended,
-		Rate: 1.5, Burst: 2.5, OpenJobs: 3, Networks: networks("10.0.0.0/8"), Retention: 4.5, SuspendReason: "unpaid", SuspendedAt: 5, Drain: 6.5, CancelJobs: true}, Revision: 27})
-	golden.Same(t, "pool", *n.pools.Table().Get("routing"), pool.Entry{Pool: pool.Pool{Name: "routing", Unit: "seats", Size: 9, Largest: 10, Teams: []api.Team{"dispo"},
+	golden.Same(t, "tenant", *n.tenancy.Tenants().Get("kipper"), tenant.Entry{Tenant: tenant.Tenant{Name: "kipper", DisplayName: "Kipper", Teams: []api.Team{"dispo"}, State: tenant.Suspended,
+		Rate: 1.5, Burst: 2.5, OpenJobs: 3, Networks: networks("10.0.0.0/8"), RetentionSeconds: 4.5, SuspendReason: "unpaid", SuspendedAt: 5, DrainSeconds: 6.5, CancelJobs: true}, Revision: 27})
+	golden.Same(t, "pool", *n.pools.Table().Get("routing"), pool.Entry{Pool: pool.Pool{Name: "routing", Unit: "seats", Size: 9, MaxSize: 10, Teams: []api.Team{"dispo"},
 		Tenants: []tenant.Name{"kipper"}, Guaranteed: map[api.Team]int{"dispo": 2}, State: pool.Frozen, Reclaim: true, Shares: []int{8}}, Revision: 28})
 }
 
@@ -294,10 +294,10 @@
 	if err := n.core.State.Put("b/job/run-1", []byte(`{"s":{"ref":"run-1","mestiere":"batch","bottega":"red","forma":"sweep","urgenza":"normal","pezzi":4,"cores":1,"gpus":0,"ram_gb":1,"stampo":"x","image_gb":1,"stima_s":5,"gettoni":[{"nome":"routing","a_pezzo":1}]},"p":[[0,4,0]],"t":900,"n":"kipper","u":"run-1"}`), 10); err != nil {
 		t.Fatal(err)
 	}
-	*n.tenancy.Operators() = tenant.Operators{CPUs: 100, GPUs: 10, Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "0102030405060708", Name: "watch", Hash: make([]byte, 32), Created: 4}, Role: tenant.RoleRead}}}
+	*n.tenancy.Operators() = tenant.Operators{TeamCPUBudget: 100, TeamGPUBudget: 10, Keys: []tenant.OperatorKey{{Key: tenant.Key{ID: "0102030405060708", Name: "watch", Hash: make([]byte, 32), Created: 4}, Role: tenant.RoleRead}}}
 	n.tenancy.CountSubmission("kipper", "")
 	n.tenancy.CountSubmission("kipper", "rate")
-	random := [tenant.RandomBytes]byte{7}
+	random := [tenant.KeyRandomBytes]byte{7}
 	stored := map[string][]api.KeyValue{
 		"used/kipper/":    {{Key: "used/kipper/0200000000000000", Value: []byte("3600000")}},
 		"used/-/":         {{Key: "used/-/0102030405060708", Value: []byte("7200000")}},
--- a/controller/hosted_test.go
+++ b/controller/hosted_test.go
@@ -22,7 +22,7 @@
 func hostedOwner(t testing.TB) (*Controller, *core.OwnedPartition, *core.Job, tenant.Secret) {
 	t.Helper()
 	n, owned, _, j := newTestOwner(t, testSpec(4))
-	_, admin, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
+	_, admin, err := tenant.NewKey([tenant.KeyRandomBytes]byte{1}, "admin", 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	n.tenancy.InitHosted()
 	n.tenancy.RecordKinds()
 	n.pools.RecordKinds()
-	k, s, err := tenant.NewKey([tenant.RandomBytes]byte{2}, "first", 1000, 60_000)
+	k, s, err := tenant.NewKey([tenant.KeyRandomBytes]byte{2}, "first", 1000, 60_000)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	putTenant(t, n, tenant.Tenant{Name: "kipper", State: tenant.Active, Teams: []api.Team{"red"}, Keys: []tenant.Key{k}, Networks: networks, Retention: 100})
+	putTenant(t, n, tenant.Tenant{Name: "kipper", State: tenant.Active, Teams: []api.Team{"red"}, Keys: []tenant.Key{k}, Networks: networks, RetentionSeconds: 100})
 	j.Tenant, j.TenantJobID = "kipper", "run-1"
 	return n, owned, j, s
 }
@@ -137,7 +137,7 @@
 // it.
 func TestLongQueueRotatesAcrossRounds(t *testing.T) {
 	n, owned, j, _ := hostedOwner(t)
-	putTenant(t, n, tenant.Tenant{Name: "flood", State: tenant.Active, Teams: []api.Team{"blue"}, Retention: 100})
+	putTenant(t, n, tenant.Tenant{Name: "flood", State: tenant.Active, Teams: []api.Team{"blue"}, RetentionSeconds: 100})
 	n.core.Teams["blue"] = config.Team{Name: "blue"}
 	const queue = 5000
 	put := func(ref int, cpus float64, accepted api.WallTime) *core.Job {
@@ -185,11 +185,11 @@
 // the key of its admin key file.
 func TestOperatorKeysDuringOutage(t *testing.T) {
 	n, _, _, _ := hostedOwner(t)
-	_, first, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
+	_, first, err := tenant.NewKey([tenant.KeyRandomBytes]byte{1}, "admin", 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	watch, secret, err := tenant.NewKey([tenant.RandomBytes]byte{5}, "watch", 1000, 0)
+	watch, secret, err := tenant.NewKey([tenant.KeyRandomBytes]byte{5}, "watch", 1000, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 			t.Errorf("request %s with key %s, state last read %v ago: status %d, expected %d", c.what, c.key.ID, n.core.Now.Sub(n.follower.LastReadAt()), got, c.want)
 		}
 	}
-	n.tenancy.Operators().RetiredAdminKeys = []tenant.KeyID{first.ID}
+	n.tenancy.Operators().RevokedAdminKeys = []tenant.KeyID{first.ID}
 	if got := request(first, "metrics"); got != 401 {
 		t.Errorf("request with the retired key of the admin key file: status %d", got)
 	}
--- a/controller/intervals_test.go
+++ b/controller/intervals_test.go
@@ -82,7 +82,7 @@
 		if cancel := api.Seconds(d.Workers.Cancel); intervals.CancellationTimeout >= cancel || intervals.CancellationTimeout < cancel/2 || cancel > 30*time.Second && intervals.CancellationTimeout+2*core.CloudTimeout >= cancel {
 			t.Errorf("cancelled tasks must end within %v, their machine is deleted after %v", cancel, intervals.CancellationTimeout)
 		}
-		heartbeat := api.Seconds(d.Workers.Report)
+		heartbeat := api.Seconds(d.Workers.HeartbeatInterval)
 		if latest := heartbeat * 5 / 4; intervals.HeartbeatTimeout <= latest || intervals.LivenessTimeout <= intervals.HeartbeatTimeout || intervals.RedirectTTL < latest {
 			t.Errorf("heartbeat interval %v, heartbeat timeout %v, liveness timeout %v, redirect TTL %v", heartbeat, intervals.HeartbeatTimeout, intervals.LivenessTimeout, intervals.RedirectTTL)
 		}
--- a/controller/message/commands.go
+++ b/controller/message/commands.go
@@ -65,7 +65,7 @@
 		Sub    string // within ID: the name of a key or, for AdminChangeReservation, the kind of change
 		After  string // the entry after which a page begins
 		Caller Caller
-		Random *[tenant.RandomBytes]byte // set if What.AddsKey
+		Random *[tenant.KeyRandomBytes]byte // set if What.AddsKey
 
 		Forwarded bool // by a peer, which has checked the key
 
--- a/controller/pools/admin.go
+++ b/controller/pools/admin.go
@@ -20,7 +20,7 @@
 	Revision *api.Revision `json:"revision"`
 	Unit     string        `json:"unit"`
 	Size     int           `json:"size"`
-	Largest  int           `json:"largest"`
+	MaxSize  int           `json:"largest"`
 	Teams    []api.Team    `json:"teams"`
 	Tenants  []tenant.Name `json:"tenants"`
 	Frozen   bool          `json:"frozen"`
@@ -108,7 +108,7 @@
 		p.State = pool.Removed
 		return p
 	}
-	p.Name, p.Unit, p.Size, p.Largest = api.PoolName(c.ID), request.Unit, request.Size, max(request.Largest, request.Size)
+	p.Name, p.Unit, p.Size, p.MaxSize = api.PoolName(c.ID), request.Unit, request.Size, max(request.MaxSize, request.Size)
 	p.Teams, p.Tenants, p.Guaranteed = request.Teams, request.Tenants, request.Guaranteed
 	p.State, p.Reclaim = pool.Active, request.Reclaim
 	if request.Frozen {
--- a/controller/pools/allocation.go
+++ b/controller/pools/allocation.go
@@ -77,8 +77,8 @@
 		switch {
 		case entry == nil || entry.State == pool.Removed || !entry.Allows(s.Team, name):
 			return fmt.Sprintf("gettoni.nome: no pool %q", need.Pool)
-		case units > entry.Largest:
-			return fmt.Sprintf("gettoni: %d units of %s are needed at once, but the pool never has more than %d", units, need.Pool, entry.Largest)
+		case units > entry.MaxSize:
+			return fmt.Sprintf("gettoni: %d units of %s are needed at once, but the pool never has more than %d", units, need.Pool, entry.MaxSize)
 		}
 	}
 	return ""
--- a/controller/pools/manager_test.go
+++ b/controller/pools/manager_test.go
@@ -33,7 +33,7 @@
 	k.Partitions[0] = owned
 	spec := &api.JobSpec{Ref: "run-1", Team: "red", Kind: api.Array, Priority: api.Normal, Tasks: 4, CPUs: 1, Needs: []api.PoolRequest{{Pool: "routing", Task: 1}}}
 	putRecord(t, k, clusterstate.KeyJob+string(spec.Ref), clusterstate.JobValue{Spec: spec, Split: []clusterstate.TaskRange{{From: 0, To: spec.Tasks}}}, 7)
-	putRecord(t, k, core.KeyPool+"routing", pool.Pool{Name: "routing", Size: size, Largest: size, State: pool.Active, Shares: []int{size}}, 9)
+	putRecord(t, k, core.KeyPool+"routing", pool.Pool{Name: "routing", Size: size, MaxSize: size, State: pool.Active, Shares: []int{size}}, 9)
 	j := k.State.Jobs[spec.Ref]
 	j.Tenant, j.TenantJobID = "kipper", "run-1"
 	return pm, owned, j
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -27,7 +27,7 @@
 // putPool stores a pool of the given size, with all units in partition 0.
 func putPool(t testing.TB, n *Controller, name api.PoolName, size int) {
 	t.Helper()
-	data, err := json.Marshal(pool.Pool{Name: name, Size: size, Largest: size, State: pool.Active, Shares: []int{size}})
+	data, err := json.Marshal(pool.Pool{Name: name, Size: size, MaxSize: size, State: pool.Active, Shares: []int{size}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controller/reservations/load.go
+++ b/controller/reservations/load.go
@@ -40,7 +40,7 @@
 // loadPage reads a page of the ledger and the following ones, then the changes since revision from, that of the
 // first page, because the pages are of different revisions.
 func (s *Service) loadPage(start string, from api.Revision) {
-	s.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: reservation.Root, After: start}}, func(a message.StoreResponse) {
+	s.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: reservation.KeyPrefix, After: start}}, func(a message.StoreResponse) {
 		if a.Status != 200 {
 			s.resumeAfter(core.RetryDelay, func() { s.loadPage(start, from) })
 			return
@@ -59,7 +59,7 @@
 
 // finishLoad reads the changes since the first page, and installs the replica.
 func (s *Service) finishLoad(from api.Revision) {
-	s.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: from, Prefix: reservation.Root}}, func(a message.StoreResponse) {
+	s.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: from, Prefix: reservation.KeyPrefix}}, func(a message.StoreResponse) {
 		if a.Status == 410 { // the log no longer holds the revision of the first page
 			s.resumeAfter(core.RetryDelay, nil)
 			return
--- a/controller/reservations/sync.go
+++ b/controller/reservations/sync.go
@@ -54,7 +54,7 @@
 		return
 	}
 	s.sweptAt, s.sweeping = s.core.Now, true
-	s.core.DeleteExpiredRecords(owned, reservation.KeyArchive, reservation.ArchiveRetention, func() { s.sweeping = false })
+	s.core.DeleteExpiredRecords(owned, reservation.ArchivePrefix, reservation.ArchiveRetention, func() { s.sweeping = false })
 }
 
 // readDue reports whether the changes must be read: for a pending query or change, after a conflict, for a cleanup,
@@ -80,7 +80,7 @@
 	s.readInFlight, s.nextReadAt = true, s.core.Now.Add(s.core.LookupInterval)
 	startedAt, waiting := s.core.Now, s.pendingReads
 	s.pendingReads = nil
-	changes := &message.ChangesRequest{Since: s.replica.Revision(), Prefix: reservation.Root}
+	changes := &message.ChangesRequest{Since: s.replica.Revision(), Prefix: reservation.KeyPrefix}
 	s.core.CallStore(message.StoreCall{Changes: changes}, func(a message.StoreResponse) {
 		s.readInFlight = false
 		current := s.applyChanges(a) && s.core.Now.Sub(startedAt) < maxReadAge
--- a/controller/reservations/views.go
+++ b/controller/reservations/views.go
@@ -57,7 +57,7 @@
 	if s.replica == nil {
 		return nil
 	}
-	v := &core.ReservationMetrics{Refused: s.replica.Refused, Records: s.replica.Records, Conflicts: s.replica.Conflicts, Kinds: []reservation.Counts{}}
+	v := &core.ReservationMetrics{Refused: s.replica.Refused, Records: s.replica.RecordCount, Conflicts: s.replica.ConflictCount, Kinds: []reservation.Counts{}}
 	byKind := map[reservation.Kind]reservation.Counts{}
 	for i := range s.core.State.Partitions {
 		shard := s.replica.Shard(i)
--- a/controller/tenancy/history.go
+++ b/controller/tenancy/history.go
@@ -80,7 +80,7 @@
 	prefix, retention := KeyAudit, auditRetention
 	if names := hostedState.tenants.Names(); hostedState.sweep.nextTenant < len(names) {
 		entry := hostedState.tenants.Get(names[hostedState.sweep.nextTenant])
-		prefix, retention = historyPrefix(entry.Name), api.Seconds(entry.Retention)
+		prefix, retention = historyPrefix(entry.Name), api.Seconds(entry.RetentionSeconds)
 		hostedState.sweep.nextTenant++
 	} else {
 		hostedState.sweep.nextTenant = 0
--- a/controller/tenancy/operators.go
+++ b/controller/tenancy/operators.go
@@ -17,12 +17,12 @@
 	// OperatorsView is the operators' record as shown to operators.
 	OperatorsView struct {
 		AdminKey        tenant.KeyID           `json:"first"` // from the configuration of this controller
-		AdminKeyRetired bool                   `json:"first_retired"`
+		AdminKeyRevoked bool                   `json:"first_retired"`
 		Keys            []OperatorKeyView      `json:"keys"`
 		Networks        tenant.Networks        `json:"networks"`
 		Proxies         tenant.Networks        `json:"proxies"`
-		CPUs            float64                `json:"cpus"`
-		GPUs            float64                `json:"gpus"`
+		TeamCPUBudget   float64                `json:"cpus"`
+		TeamGPUBudget   float64                `json:"gpus"`
 		Guaranteed      tenant.GuaranteedTotal `json:"given"`
 		Revision        api.Revision           `json:"revision"`
 	}
@@ -48,12 +48,12 @@
 func (ts *Service) viewOperators(record tenant.Operators, revision api.Revision) OperatorsView {
 	v := OperatorsView{
 		AdminKey:        ts.hosted.adminKey.ID,
-		AdminKeyRetired: slices.Contains(record.RetiredAdminKeys, ts.hosted.adminKey.ID),
+		AdminKeyRevoked: slices.Contains(record.RevokedAdminKeys, ts.hosted.adminKey.ID),
 		Keys:            []OperatorKeyView{},
 		Networks:        record.Networks,
 		Proxies:         record.Proxies,
-		CPUs:            record.CPUs,
-		GPUs:            record.GPUs,
+		TeamCPUBudget:   record.TeamCPUBudget,
+		TeamGPUBudget:   record.TeamGPUBudget,
 		Guaranteed:      ts.hosted.guaranteed,
 		Revision:        revision,
 	}
@@ -126,7 +126,7 @@
 func (ts *Service) applyOperatorsChange(c message.AdminRequest, record tenant.Operators, request OperatorsRequest) (tenant.Operators, *NewKeyView, error) {
 	switch c.What {
 	case "operators-put":
-		record.Networks, record.Proxies, record.CPUs, record.GPUs = request.Networks, request.Proxies, request.CPUs, request.GPUs
+		record.Networks, record.Proxies, record.TeamCPUBudget, record.TeamGPUBudget = request.Networks, request.Proxies, request.CPUs, request.GPUs
 		err := record.Check()
 		return record, nil, err
 	case "operators-key-add":
@@ -147,12 +147,12 @@
 	// auditedOperators is the operators' record in the audit log, with counts of networks and
 	// proxies.
 	auditedOperators struct {
-		CPUs             float64              `json:"cpus"`
-		GPUs             float64              `json:"gpus"`
+		TeamCPUBudget    float64              `json:"cpus"`
+		TeamGPUBudget    float64              `json:"gpus"`
 		Keys             []auditedOperatorKey `json:"keys"`
 		Networks         int                  `json:"networks"`
 		Proxies          int                  `json:"proxies"`
-		RetiredAdminKeys []tenant.KeyID       `json:"retired"`
+		RevokedAdminKeys []tenant.KeyID       `json:"retired"`
 	}
 	// auditedOperatorKey is an operator key in the audit log.
 	auditedOperatorKey struct {
@@ -165,12 +165,12 @@
 
 func viewAuditedOperators(record tenant.Operators) auditedOperators {
 	v := auditedOperators{
-		CPUs:             record.CPUs,
-		GPUs:             record.GPUs,
+		TeamCPUBudget:    record.TeamCPUBudget,
+		TeamGPUBudget:    record.TeamGPUBudget,
 		Keys:             []auditedOperatorKey{},
 		Networks:         record.Networks.Len(),
 		Proxies:          record.Proxies.Len(),
-		RetiredAdminKeys: record.RetiredAdminKeys,
+		RevokedAdminKeys: record.RevokedAdminKeys,
 	}
 	for _, k := range record.Keys {
 		v.Keys = append(v.Keys, auditedOperatorKey{ID: k.ID, Name: k.Name, Role: k.Role, Expires: k.Expires})
--- a/controller/tenancy/reconcile.go
+++ b/controller/tenancy/reconcile.go
@@ -43,7 +43,7 @@
 		if entry.State != tenant.Suspended && entry.State != tenant.Removing {
 			continue
 		}
-		if float64(ts.core.WallClock-entry.SuspendedAt)/1000 >= entry.Drain {
+		if float64(ts.core.WallClock-entry.SuspendedAt)/1000 >= entry.DrainSeconds {
 			draining[name] = nil
 		}
 		if entry.State == tenant.Removing {
--- a/controller/tenancy/roundlimit.go
+++ b/controller/tenancy/roundlimit.go
@@ -42,7 +42,7 @@
 			deferred[j] = true
 		}
 		queue := tenantPartition{tenant: name, partition: owned.ID}
-		for _, i := range tenant.Window(len(tenantJobs), MaxJobsPerRound, ts.hosted.roundRotations[queue]) {
+		for _, i := range tenant.SelectRoundJobs(len(tenantJobs), MaxJobsPerRound, ts.hosted.roundRotations[queue]) {
 			delete(deferred, tenantJobs[i])
 		}
 		ts.hosted.roundRotations[queue]++
--- a/controller/tenancy/service_test.go
+++ b/controller/tenancy/service_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, admin, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
+	_, admin, err := tenant.NewKey([tenant.KeyRandomBytes]byte{1}, "admin", 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	ts := New(k)
 	k.State = clusterstate.New[core.JobOwnerState, core.PlacementOwnerState](cfg.Deployment.InitialSize, ts.RecordKinds()...)
 	k.Partitions[0] = &core.OwnedPartition{ID: 0, Term: 7}
-	key, secret, err := tenant.NewKey([tenant.RandomBytes]byte{2}, "first", 1000, 60_000)
+	key, secret, err := tenant.NewKey([tenant.KeyRandomBytes]byte{2}, "first", 1000, 60_000)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	putTenant(t, ts, tenant.Tenant{Name: "kipper", State: tenant.Active, Teams: []api.Team{"red"}, Keys: []tenant.Key{key}, Networks: networks, Retention: 100})
+	putTenant(t, ts, tenant.Tenant{Name: "kipper", State: tenant.Active, Teams: []api.Team{"red"}, Keys: []tenant.Key{key}, Networks: networks, RetentionSeconds: 100})
 	return ts, secret
 }
 
--- a/controller/tenancy/tenants.go
+++ b/controller/tenancy/tenants.go
@@ -39,19 +39,19 @@
 	// TenantRequest is the body of a request that changes a tenant; the operation determines which
 	// fields are used.
 	TenantRequest struct {
-		Revision      *api.Revision   `json:"revision"`
-		Display       string          `json:"display"`
-		Teams         []api.Team      `json:"teams"`
-		Rate          float64         `json:"rate"`
-		Burst         float64         `json:"burst"`
-		OpenJobs      int             `json:"open_jobs"`
-		Networks      tenant.Networks `json:"networks"`
-		Retention     float64         `json:"retention_s"`
-		SuspendReason string          `json:"why"`
-		Drain         float64         `json:"drain_s"`
-		Cancel        bool            `json:"cancel"`
-		Name          string          `json:"name"`
-		Expires       api.WallTime    `json:"expires"`
+		Revision         *api.Revision   `json:"revision"`
+		DisplayName      string          `json:"display"`
+		Teams            []api.Team      `json:"teams"`
+		Rate             float64         `json:"rate"`
+		Burst            float64         `json:"burst"`
+		OpenJobs         int             `json:"open_jobs"`
+		Networks         tenant.Networks `json:"networks"`
+		RetentionSeconds float64         `json:"retention_s"`
+		SuspendReason    string          `json:"why"`
+		DrainSeconds     float64         `json:"drain_s"`
+		Cancel           bool            `json:"cancel"`
+		Name             string          `json:"name"`
+		Expires          api.WallTime    `json:"expires"`
 	}
 )
 
@@ -160,10 +160,10 @@
 		if t.State == "" {
 			t.Name, t.State = tenant.Name(c.ID), tenant.Active
 		}
-		t.Display, t.Teams, t.Rate, t.Burst = request.Display, request.Teams, request.Rate, request.Burst
-		t.OpenJobs, t.Networks, t.Retention = request.OpenJobs, request.Networks, request.Retention
+		t.DisplayName, t.Teams, t.Rate, t.Burst = request.DisplayName, request.Teams, request.Rate, request.Burst
+		t.OpenJobs, t.Networks, t.RetentionSeconds = request.OpenJobs, request.Networks, request.RetentionSeconds
 	case "suspend":
-		t, err = t.Suspend(request.SuspendReason, request.Drain, ts.core.WallClock)
+		t, err = t.Suspend(request.SuspendReason, request.DrainSeconds, ts.core.WallClock)
 	case "resume":
 		t, err = t.Resume()
 	case "remove":
--- a/httpx/client.go
+++ b/httpx/client.go
@@ -72,8 +72,8 @@
 	c.idle[addr] = append(c.idle[addr], idleConn{conn, time.Now()})
 }
 
-// Sweep closes the connections whose idle time exceeds the idle timeout. The caller runs it periodically.
-func (c *Client) Sweep() {
+// CloseExpired closes the connections whose idle time exceeds the idle timeout. The caller runs it periodically.
+func (c *Client) CloseExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, conns := range c.idle {
--- a/httpx/parse.go
+++ b/httpx/parse.go
@@ -36,8 +36,8 @@
 	Close               bool       // the connection is closed after the response
 	Expect              bool       // the client waits for 100 Continue
 	Auth                string     // the Authorization header
-	Forwarded           string     // the X-Forwarded-For header, which is set by the client and must not be trusted
-	From                netip.Addr // the client's address; set by the server
+	ForwardedFor        string     // the X-Forwarded-For header, which is set by the client and must not be trusted
+	RemoteAddr          netip.Addr // the client's address; set by the server
 }
 
 // Response is a parsed response. Body does not alias the connection's buffer.
@@ -224,7 +224,7 @@
 	if len(parts) != 3 || parts[0] == "" || !validTarget(parts[1]) {
 		return Request{}, 0, ErrMalformed
 	}
-	r := Request{Method: parts[0], Close: h.close, Expect: h.expect, Auth: h.auth, Forwarded: h.forwarded}
+	r := Request{Method: parts[0], Close: h.close, Expect: h.expect, Auth: h.auth, ForwardedFor: h.forwarded}
 	r.Path, r.Query, _ = strings.Cut(parts[1], "?")
 	switch parts[2] {
 	case "HTTP/1.1":
--- a/httpx/server.go
+++ b/httpx/server.go
@@ -217,7 +217,7 @@
 	sc.inbuf = append([]byte(nil), sc.inbuf[n:]...)
 	sc.busy, sc.closing = true, r.Close
 	if remote, ok := c.RemoteAddr().(*net.TCPAddr); ok {
-		r.From = remote.AddrPort().Addr()
+		r.RemoteAddr = remote.AddrPort().Addr()
 	}
 	s.handler(sc.id, c.AddrIndex(), r)
 	return out, evio.None
--- a/internal/emulator/admin_model_test.go
+++ b/internal/emulator/admin_model_test.go
@@ -240,7 +240,7 @@
 			case key == "b/operators":
 				var o tenant.Operators
 				h.sim.must(json.Unmarshal(c.Value, &o))
-				reserved, guaranteesChanged = o.CPUs, true
+				reserved, guaranteesChanged = o.TeamCPUBudget, true
 				adminChanges++
 			case strings.HasPrefix(key, "b/job/"):
 				h.checkJobChange(c, rev, jobs, current)
@@ -405,7 +405,7 @@
 			data, err := json.Marshal(body)
 			sim.must(err)
 			sim.Tenants.keyCount++
-			random := [tenant.RandomBytes]byte{2, byte(sim.Tenants.keyCount), byte(sim.Tenants.keyCount >> 8)}
+			random := [tenant.KeyRandomBytes]byte{2, byte(sim.Tenants.keyCount), byte(sim.Tenants.keyCount >> 8)}
 			if a.operation == "key-add" {
 				a.createdKeyID = fmt.Sprintf("02%02x%02x0000000000", byte(sim.Tenants.keyCount), byte(sim.Tenants.keyCount>>8))
 			}
--- a/internal/emulator/controllers.go
+++ b/internal/emulator/controllers.go
@@ -55,7 +55,7 @@
 		return
 	}
 	h.controller = nil
-	sim.Checker.FaultUntil(sim.Now + downtime)
+	sim.Checker.RecordFaultUntil(sim.Now + downtime)
 	sim.After(downtime, func() { sim.StartController(name) })
 }
 
@@ -85,7 +85,7 @@
 		return
 	}
 	h.frozenUntil = sim.Now + length
-	sim.Checker.FaultUntil(h.frozenUntil)
+	sim.Checker.RecordFaultUntil(h.frozenUntil)
 	sim.After(length, func() { sim.stepController(h) })
 }
 
@@ -100,8 +100,8 @@
 	cmds := h.inbox
 	h.inbox, h.stepScheduled = nil, false
 	effects := h.controller.Step(api.Time(sim.Now-h.startedAt)+1, sim.WallTime()+api.WallTime(sim.ClockSkew[h.name].Milliseconds()), cmds)
-	if sim.Stepped != nil {
-		sim.Stepped(h.name, effects)
+	if sim.OnStep != nil {
+		sim.OnStep(h.name, effects)
 	}
 	for _, e := range effects {
 		sim.performEffect(h, e)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -78,8 +78,8 @@
 	return f, nil
 }
 
-// Do calls callback with the simulation locked. callback may read and change it.
-func (f *Fleet) Do(callback func(sim *Simulation)) {
+// WithSimulation calls callback with the simulation locked. callback may read and change it.
+func (f *Fleet) WithSimulation(callback func(sim *Simulation)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	callback(f.sim)
@@ -172,7 +172,7 @@
 // StoredByKind returns the number and total size of the entries in the key-value store, by kind of key.
 func (f *Fleet) StoredByKind() map[string]StoredSize {
 	out := map[string]StoredSize{}
-	f.Do(func(sim *Simulation) {
+	f.WithSimulation(func(sim *Simulation) {
 		for k, e := range sim.Store.entries {
 			kind, _, _ := strings.Cut(strings.TrimPrefix(k, "b/"), "/")
 			s := out[kind]
@@ -195,7 +195,7 @@
 
 // StoreCounts returns the counts of requests to the key-value store.
 func (f *Fleet) StoreCounts() (c StoreCounts) {
-	f.Do(func(sim *Simulation) {
+	f.WithSimulation(func(sim *Simulation) {
 		c = StoreCounts{sim.Store.Requests, sim.Store.Writes, sim.Store.ThrottledRequests}
 	})
 	return c
--- a/internal/emulator/restart_test.go
+++ b/internal/emulator/hosted_test.go
@@ -32,10 +32,10 @@
 		sim.Store.appendChange(api.Change{Put: key, Value: data, Version: sim.Store.revision}, 0)
 	}
 	for i := range tenants {
-		x := tenant.Tenant{Name: tenant.Name(fmt.Sprintf("tenant-%04d", i)), Display: "A company of some name & sons", Teams: []api.Team{"red"}, State: tenant.Active,
-			Rate: 5, Burst: 20, Retention: 7 * 86400}
+		x := tenant.Tenant{Name: tenant.Name(fmt.Sprintf("tenant-%04d", i)), DisplayName: "A company of some name & sons", Teams: []api.Team{"red"}, State: tenant.Active,
+			Rate: 5, Burst: 20, RetentionSeconds: 7 * 86400}
 		for k := i; k < keys; k += tenants {
-			key, secret, err := tenant.NewKey([tenant.RandomBytes]byte{3, byte(k), byte(k >> 8)}, fmt.Sprintf("k%d", k/tenants), 1000, 0)
+			key, secret, err := tenant.NewKey([tenant.KeyRandomBytes]byte{3, byte(k), byte(k >> 8)}, fmt.Sprintf("k%d", k/tenants), 1000, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -158,7 +158,7 @@
 // startCut returns a cut that heals after the given time: then restore is called and held packets are delivered.
 func (sim *Simulation) startCut(length time.Duration, hold bool, restore func()) *networkCut {
 	c := &networkCut{holdPackets: hold}
-	sim.Checker.FaultUntil(sim.Now + length)
+	sim.Checker.RecordFaultUntil(sim.Now + length)
 	sim.After(length, func() {
 		restore()
 		for _, callback := range c.heldPackets {
--- a/internal/emulator/pools.go
+++ b/internal/emulator/pools.go
@@ -97,7 +97,7 @@
 		held := t.countHeldUnits(name)
 		t.poolLedger.MaxHeld[name] = max(t.poolLedger.MaxHeld[name], held)
 		if held > p.Size || p.State != "active" {
-			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RulePool, "%d units of pool %s are held after a start, but its state is %q and its size %d", held, name, p.State, p.Size)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RulePoolSize, "%d units of pool %s are held after a start, but its state is %q and its size %d", held, name, p.State, p.Size)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 			return
 		}
 		change(&at)
-		t.adminRequest("pool-put", tenant.Name(name), map[string]any{"revision": at.Revision, "size": at.Size, "largest": max(at.Size, at.Largest),
+		t.adminRequest("pool-put", tenant.Name(name), map[string]any{"revision": at.Revision, "size": at.Size, "largest": max(at.Size, at.MaxSize),
 			"reclaim": at.Reclaim, "guaranteed": at.Guaranteed}, func(status int, _ []byte) {
 			if status != 200 {
 				retry()
@@ -132,9 +132,9 @@
 	})
 }
 
-// Utilization samples the held share of a pool's size each second between two times. The returned
+// MeasurePoolUtilization samples the held share of a pool's size each second between two times. The returned
 // function gives the mean of the samples so far.
-func (t *Tenants) Utilization(name api.PoolName, from, to time.Duration) func() float64 {
+func (t *Tenants) MeasurePoolUtilization(name api.PoolName, from, to time.Duration) func() float64 {
 	sum, samples := 0.0, 0
 	var sample func()
 	sample = func() {
@@ -151,7 +151,7 @@
 	return func() float64 { return sum / float64(max(1, samples)) }
 }
 
-// HeldUnits returns the number of units of a pool that are held now, and the peak after any start.
-func (t *Tenants) HeldUnits(name api.PoolName) (now, peak int) {
+// HeldPoolUnits returns the number of units of a pool that are held now, and the peak after any start.
+func (t *Tenants) HeldPoolUnits(name api.PoolName) (now, peak int) {
 	return t.countHeldUnits(name), t.poolLedger.MaxHeld[name]
 }
--- a/internal/emulator/reservations.go
+++ b/internal/emulator/reservations.go
@@ -58,7 +58,7 @@
 }
 
 func (o *ReservationClients) recordViolation(format string, args ...any) {
-	o.sim.Checker.RecordViolation(o.sim.Now, invariant.RulePromised, format, args...)
+	o.sim.Checker.RecordViolation(o.sim.Now, invariant.RuleBooking, format, args...)
 }
 
 // sendRequest sends a request to any controller and repeats it until the response is final. handle receives the
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -57,9 +57,9 @@
 	Address       func(number int) string
 	OnWorker      func(*Worker)
 
-	// Stepped, if set, is called after each Step of a controller with the returned effects, before they
+	// OnStep, if set, is called after each Step of a controller with the returned effects, before they
 	// are executed.
-	Stepped func(name string, effects []message.Effect)
+	OnStep func(name string, effects []message.Effect)
 
 	gangs              map[gangKey]*gang
 	checkpointProgress map[api.JobID]time.Duration
--- a/internal/emulator/starvation_test.go
+++ b/internal/emulator/starvation_test.go
@@ -44,7 +44,7 @@
 		"another zone":            {func(_ *Simulation, s *api.JobSpec) { s.Zone = "b" }, 0},
 		"another type":            {func(_ *Simulation, s *api.JobSpec) { s.Types = []api.MachineTypeName{"g8"} }, 0},
 		"cancelled":               {func(sim *Simulation, s *api.JobSpec) { sim.Checker.CancelRequested(0, s.Ref) }, 0},
-		"during a fault":          {func(sim *Simulation, _ *api.JobSpec) { sim.Checker.FaultUntil(50 * time.Second) }, 0},
+		"during a fault":          {func(sim *Simulation, _ *api.JobSpec) { sim.Checker.RecordFaultUntil(50 * time.Second) }, 0},
 		"the machine hangs": {func(sim *Simulation, _ *api.JobSpec) {
 			sim.After(60*time.Second, func() { sim.Hang("i-000000", time.Second) })
 		}, 0},
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -96,7 +96,7 @@
 // Outage makes the store unavailable for the given time. At its end all leases are renewed.
 func (s *Store) Outage(length time.Duration) {
 	s.unavailable = true
-	s.sim.Checker.FaultUntil(s.sim.Now + length)
+	s.sim.Checker.RecordFaultUntil(s.sim.Now + length)
 	s.sim.After(length, func() {
 		s.unavailable = false
 		for id := range s.leaseExpiry {
@@ -108,7 +108,7 @@
 // RefuseController refuses one controller's requests for the given time.
 func (s *Store) RefuseController(controllerName string, length time.Duration) {
 	s.refusedControllers[controllerName] = true
-	s.sim.Checker.FaultUntil(s.sim.Now + length)
+	s.sim.Checker.RecordFaultUntil(s.sim.Now + length)
 	s.sim.After(length, func() {
 		delete(s.refusedControllers, controllerName)
 		s.notifyWatches()
@@ -286,7 +286,7 @@
 		return
 	}
 	if what := missingGuard(&t); what != "" {
-		s.sim.Checker.RecordViolation(s.sim.Now, invariant.RuleUnguarded, "%s", what)
+		s.sim.Checker.RecordViolation(s.sim.Now, invariant.RuleMissingWriteGuard, "%s", what)
 	}
 	s.Writes += len(t.Writes)
 	for _, w := range t.Writes {
--- a/internal/emulator/tenants.go
+++ b/internal/emulator/tenants.go
@@ -37,7 +37,7 @@
 
 // EnableHosting makes the deployment a hosted service. It must be called before the controllers start.
 func (sim *Simulation) EnableHosting() {
-	_, secret, err := tenant.NewKey([tenant.RandomBytes]byte{1}, "admin", 0, 0)
+	_, secret, err := tenant.NewKey([tenant.KeyRandomBytes]byte{1}, "admin", 0, 0)
 	sim.must(err)
 	for _, c := range sim.configs {
 		c.Hosted = &config.Hosted{AdminKey: secret.Key("admin")}
@@ -68,7 +68,7 @@
 	data, err := json.Marshal(body)
 	t.sim.must(err)
 	t.keyCount++
-	random := [tenant.RandomBytes]byte{2, byte(t.keyCount), byte(t.keyCount >> 8)}
+	random := [tenant.KeyRandomBytes]byte{2, byte(t.keyCount), byte(t.keyCount >> 8)}
 	controllerName := t.sim.Users.anyController()
 	t.sim.externalRequest(controllerName, 5*time.Second, func(answer func(int, []byte)) {
 		if h := t.sim.controllers[controllerName]; h != nil {
@@ -170,7 +170,7 @@
 func (t *Tenants) CheckDrained(name tenant.Name) {
 	for id := range t.sim.Checker.RunningTaskIDs() {
 		if o := t.jobs[id.Job]; o.name == name {
-			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "task %s/%d of tenant %s has not drained", o.ref, id.Index, name)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleSuspension, "task %s/%d of tenant %s has not drained", o.ref, id.Index, name)
 		}
 	}
 }
@@ -207,7 +207,7 @@
 			return
 		}
 		if t.suspended[o.name] {
-			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "job %s is accepted though the suspension of tenant %s was acknowledged", o.ref, o.name)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleSuspension, "job %s is accepted though the suspension of tenant %s was acknowledged", o.ref, o.name)
 		}
 		t.acceptedAt[o.name] = append(t.acceptedAt[o.name], t.sim.Now)
 		return
@@ -230,7 +230,7 @@
 	started := map[api.JobID]bool{}
 	for _, j := range r.Jobs {
 		if o := t.jobs[j.Job]; len(j.Starts) > 0 && t.suspended[o.name] {
-			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleHeld, "%d tasks of job %s start though the suspension of tenant %s was acknowledged", len(j.Starts), o.ref, o.name)
+			t.sim.Checker.RecordViolation(t.sim.Now, invariant.RuleSuspension, "%d tasks of job %s start though the suspension of tenant %s was acknowledged", len(j.Starts), o.ref, o.name)
 		}
 		for _, i := range append(j.Done, j.Lost...) {
 			delete(t.poolLedger.starts, api.TaskID{Job: j.Job, Index: i})
--- a/internal/emulator/worker_faults.go
+++ b/internal/emulator/worker_faults.go
@@ -23,10 +23,10 @@
 		return
 	}
 	wk.hungUntil = sim.Now + length
-	sim.Checker.FaultUntil(wk.hungUntil)
+	sim.Checker.RecordFaultUntil(wk.hungUntil)
 	for _, t := range wk.allTasks() {
 		if g := sim.gangs[gangKey{t.id.Job, t.attempt}]; g != nil && g.running && g.tasks[t] &&
-			length > api.Seconds(sim.configs[sim.controllerNames[0]].Deployment.Workers.GangPeer) {
+			length > api.Seconds(sim.configs[sim.controllerNames[0]].Deployment.Workers.GangPeerTimeout) {
 			sim.failGang(g)
 		}
 	}
@@ -47,7 +47,7 @@
 		return
 	}
 	wk.commandsDelayedUntil = sim.Now + length
-	sim.Checker.FaultUntil(wk.commandsDelayedUntil)
+	sim.Checker.RecordFaultUntil(wk.commandsDelayedUntil)
 	sim.After(length, func() {
 		delayed := wk.delayedCommands
 		wk.delayedCommands = nil
@@ -62,7 +62,7 @@
 func (sim *Simulation) CutInbound(id api.MachineID, length time.Duration) {
 	if wk := sim.workers[id]; wk != nil {
 		wk.inboundCutUntil = sim.Now + length
-		sim.Checker.FaultUntil(wk.inboundCutUntil)
+		sim.Checker.RecordFaultUntil(wk.inboundCutUntil)
 	}
 }
 
@@ -70,7 +70,7 @@
 func (sim *Simulation) CutOutbound(id api.MachineID, length time.Duration) {
 	if wk := sim.workers[id]; wk != nil {
 		wk.outboundCutUntil = sim.Now + length
-		sim.Checker.FaultUntil(wk.outboundCutUntil)
+		sim.Checker.RecordFaultUntil(wk.outboundCutUntil)
 	}
 }
 
@@ -78,6 +78,6 @@
 func (sim *Simulation) FailTasks(id api.MachineID, length time.Duration) {
 	if wk := sim.workers[id]; wk != nil {
 		wk.tasksFailUntil = sim.Now + length
-		sim.Checker.FaultUntil(wk.tasksFailUntil)
+		sim.Checker.RecordFaultUntil(wk.tasksFailUntil)
 	}
 }
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -165,7 +165,7 @@
 		wk.sim.After(wk.sim.Users.runTimes[t.id.Job]-wk.sim.checkpointProgress[t.id.Job], func() { wk.sim.completeGang(g, t.spec.Tasks) })
 		return
 	}
-	wk.scheduleInState(t, api.Seconds(wk.sim.configs[wk.sim.controllerNames[0]].Deployment.Workers.GangWait), api.TaskWaiting, func() { wk.exitTask(t, api.ReasonGangIncomplete) })
+	wk.scheduleInState(t, api.Seconds(wk.sim.configs[wk.sim.controllerNames[0]].Deployment.Workers.GangStartTimeout), api.TaskWaiting, func() { wk.exitTask(t, api.ReasonGangIncomplete) })
 }
 
 func (wk *Worker) runTask(t *workerTask) {
@@ -235,7 +235,7 @@
 // a peer.
 func (sim *Simulation) failGang(g *gang) {
 	for _, x := range g.sortedTasks() {
-		x.worker.scheduleInState(x, api.Seconds(sim.configs[sim.controllerNames[0]].Deployment.Workers.GangPeer), api.TaskRunning, func() { x.worker.exitTask(x, api.ReasonGangPeersLost) })
+		x.worker.scheduleInState(x, api.Seconds(sim.configs[sim.controllerNames[0]].Deployment.Workers.GangPeerTimeout), api.TaskRunning, func() { x.worker.exitTask(x, api.ReasonGangPeersLost) })
 	}
 }
 
--- a/internal/invariant/checker.go
+++ b/internal/invariant/checker.go
@@ -67,9 +67,9 @@
 	}
 }
 
-// FaultUntil records that a fault lasts until the given time. Response and restart timeouts count from the
+// RecordFaultUntil records that a fault lasts until the given time. Response and restart timeouts count from the
 // end of the last fault.
-func (c *Checker) FaultUntil(until time.Duration) { c.faultsEndAt = max(c.faultsEndAt, until) }
+func (c *Checker) RecordFaultUntil(until time.Duration) { c.faultsEndAt = max(c.faultsEndAt, until) }
 
 // QuerySent records that a user polled for a job.
 func (c *Checker) QuerySent(at time.Duration, ref api.JobID) {
@@ -115,7 +115,7 @@
 	c.StartCount++
 	for other := range c.placements[id] {
 		if other != m {
-			c.RecordViolation(at, RuleRanTwice, "task %s starts on %s while it is on %s", id, m, other)
+			c.RecordViolation(at, RuleDuplicateRun, "task %s starts on %s while it is on %s", id, m, other)
 		}
 	}
 	c.checkPlace(at, id, s, m, typ, zone, spot)
@@ -147,14 +147,14 @@
 // checkPlace checks a machine against the job's constraints on type, zone, spot machines and spreading.
 func (c *Checker) checkPlace(at time.Duration, id api.TaskID, s *api.JobSpec, m api.MachineID, typ api.MachineTypeName, zone api.Zone, spot bool) {
 	if len(s.Types) > 0 && !slices.Contains(s.Types, typ) || s.Zone != "" && s.Zone != zone || spot && !s.Spot {
-		c.RecordViolation(at, RuleWrongPlace, "task %s is on machine %s (type %s, zone %s), which its job does not allow", id, m, typ, zone)
+		c.RecordViolation(at, RulePlacement, "task %s is on machine %s (type %s, zone %s), which its job does not allow", id, m, typ, zone)
 	}
 	same := 1
 	if s.OneZone || s.Spread {
 		same += c.countSameZone(at, id, s, zone)
 	}
 	if s.Spread && same > MaxTasksPerZone(s.Tasks) {
-		c.RecordViolation(at, RuleWrongPlace, "%d of %d tasks of spread job %s are in zone %s", same, s.Tasks, id.Job, zone)
+		c.RecordViolation(at, RulePlacement, "%d of %d tasks of spread job %s are in zone %s", same, s.Tasks, id.Job, zone)
 	}
 }
 
@@ -171,7 +171,7 @@
 		}
 		for _, p := range c.placements[other] {
 			if s.OneZone && p.zone != zone {
-				c.RecordViolation(at, RuleWrongPlace, "task %s is in zone %s while task %s is in zone %s", id, zone, other, p.zone)
+				c.RecordViolation(at, RulePlacement, "task %s is in zone %s while task %s is in zone %s", id, zone, other, p.zone)
 			}
 			if p.zone == zone {
 				same++
@@ -188,9 +188,9 @@
 	switch {
 	case !ok:
 	case at > end+api.Seconds(c.config.Deployment.Workers.Cancel):
-		c.RecordViolation(at, RuleRanCancelled, "task %s %s after the timeout of its cancellation", id, what)
+		c.RecordViolation(at, RuleRanAfterCancelTimeout, "task %s %s after the timeout of its cancellation", id, what)
 	default:
-		c.RecordViolation(at, RuleBeganCancelled, "task %s %s %.2f s after its cancellation was acknowledged", id, what, (at - end).Seconds())
+		c.RecordViolation(at, RuleStartedAfterCancel, "task %s %s %.2f s after its cancellation was acknowledged", id, what, (at - end).Seconds())
 	}
 }
 
--- a/internal/invariant/checker_test.go
+++ b/internal/invariant/checker_test.go
@@ -31,31 +31,31 @@
 		rule    Rule
 		violate func(*Checker)
 	}{
-		{RuleRanTwice, func(c *Checker) { s := job(spot); start(c, s, 0, "i-1", "a"); start(c, s, 0, "i-2", "a") }},
+		{RuleDuplicateRun, func(c *Checker) { s := job(spot); start(c, s, 0, "i-1", "a"); start(c, s, 0, "i-2", "a") }},
 		{RuleQuota, func(c *Checker) {
 			s := job(func(s *api.JobSpec) { s.Spot = true; s.CPUs = 3 })
 			start(c, s, 0, "i-1", "a")
 			start(c, s, 1, "i-1", "a")
 		}},
-		{RuleWrongPlace, func(c *Checker) { start(c, job(nil), 0, "i-1", "a") }},
-		{RuleWrongPlace, func(c *Checker) {
+		{RulePlacement, func(c *Checker) { start(c, job(nil), 0, "i-1", "a") }},
+		{RulePlacement, func(c *Checker) {
 			start(c, job(func(s *api.JobSpec) { s.Spot = true; s.Types = []api.MachineTypeName{"g8"} }), 0, "i-1", "a")
 		}},
-		{RuleWrongPlace, func(c *Checker) {
+		{RulePlacement, func(c *Checker) {
 			start(c, job(func(s *api.JobSpec) { s.Spot = true; s.Zone = "b" }), 0, "i-1", "a")
 		}},
-		{RuleWrongPlace, func(c *Checker) {
+		{RulePlacement, func(c *Checker) {
 			s := job(func(s *api.JobSpec) { s.Spot = true; s.OneZone = true })
 			start(c, s, 0, "i-1", "a")
 			start(c, s, 1, "i-2", "b")
 		}},
-		{RuleWrongPlace, func(c *Checker) {
+		{RulePlacement, func(c *Checker) {
 			s := job(func(s *api.JobSpec) { s.Spot = true; s.Spread = true })
 			for i := range 3 {
 				start(c, s, i, "i-1", "a")
 			}
 		}},
-		{RuleRanCancelled, func(c *Checker) {
+		{RuleRanAfterCancelTimeout, func(c *Checker) {
 			s := job(spot)
 			c.JobSubmitted(0, s, 0)
 			c.CancelRequested(0, "run-1")
@@ -63,14 +63,14 @@
 			c.ResponseReceived(2*time.Second, "run-1", 200, api.JobCancelled, "")
 			c.CheckTimeouts(90 * time.Second)
 		}},
-		{RuleRanCancelled, func(c *Checker) {
+		{RuleRanAfterCancelTimeout, func(c *Checker) {
 			s := job(spot)
 			c.JobSubmitted(0, s, 0)
 			c.CancelRequested(0, "run-1")
 			c.ResponseReceived(2*time.Second, "run-1", 200, api.JobCancelled, "")
 			c.TaskStarted(90*time.Second, task(0), s, "i-1", "c8", "a", true)
 		}},
-		{RuleBeganCancelled, func(c *Checker) {
+		{RuleStartedAfterCancel, func(c *Checker) {
 			s := job(spot)
 			c.JobSubmitted(0, s, 0)
 			c.CancelRequested(0, "run-1")
@@ -81,16 +81,16 @@
 		{RuleAcceptedInvalid, func(c *Checker) {
 			c.InvalidJobResponse(0, "run-9", "no cores", 400, "cores", "gpus: missing or invalid")
 		}},
-		{RuleLeftWaiting, func(c *Checker) {
+		{RuleStarvation, func(c *Checker) {
 			for at := time.Second; at < 100*time.Second; at += StarvationCheckInterval {
 				c.RecordFeasible(at, map[FeasiblePlacement]bool{{"run-1", "i-1"}: true})
 			}
 		}},
-		{RuleForgotten, func(c *Checker) {
+		{RuleJobLost, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 422, "", api.JobPending)
 		}},
-		{RuleWentBack, func(c *Checker) {
+		{RuleStateRegression, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.CancelRequested(0, "run-1")
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobPending, api.JobCancelled)
@@ -98,24 +98,24 @@
 		{RuleUnacknowledged, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.AwaitCancelAck(0, "run-1")
-			c.FaultUntil(20 * time.Second)
+			c.RecordFaultUntil(20 * time.Second)
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobRunning, "")
 			c.CheckTimeouts(96 * time.Second)
 		}},
-		{RuleForgotten, func(c *Checker) {
+		{RuleJobLost, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 404, "", api.JobPending)
 		}},
-		{RuleInvented, func(c *Checker) { c.ResponseReceived(time.Second, "run-9", 200, api.JobPending, "") }},
-		{RuleNotDone, func(c *Checker) {
+		{RuleUnsubmittedJob, func(c *Checker) { c.ResponseReceived(time.Second, "run-9", 200, api.JobPending, "") }},
+		{RulePrematureDone, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobDone, "")
 		}},
-		{RuleWentBack, func(c *Checker) {
+		{RuleStateRegression, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobRunning, api.JobDone)
 		}},
-		{RuleWentBack, func(c *Checker) {
+		{RuleStateRegression, func(c *Checker) {
 			c.JobSubmitted(0, job(nil), 0)
 			c.ResponseReceived(time.Second, "run-1", 200, api.JobCancelled, "")
 		}},
@@ -137,7 +137,7 @@
 		c := NewChecker(&config.Config{})
 		c.JobSubmitted(0, &api.JobSpec{Ref: "run-1", Tasks: 1}, 0)
 		c.ResponseReceived(at(1), "run-1", 201, api.JobPending, "")
-		c.FaultUntil(at(50))
+		c.RecordFaultUntil(at(50))
 		for s := 2; s < 200; s++ {
 			if queried && s%5 == 0 {
 				c.QuerySent(at(s), "run-1")
@@ -182,7 +182,7 @@
 	if countViolations(startOther(api.Production, "i-1")) != 0 || countViolations(startOther(api.High, "i-1")) != 1 || countViolations(startOther(api.Production, "i-2")) != 1 {
 		t.Error("preempted and moved replicas are not distinguished")
 	}
-	if countViolations(func(*Checker) {}) != 1 || countViolations(restart) != 0 || countViolations(func(c *Checker) { c.CancelRequested(at(55), "run-1") }) != 0 || countViolations(func(c *Checker) { c.FaultUntil(at(100)) }) != 0 {
+	if countViolations(func(*Checker) {}) != 1 || countViolations(restart) != 0 || countViolations(func(c *Checker) { c.CancelRequested(at(55), "run-1") }) != 0 || countViolations(func(c *Checker) { c.RecordFaultUntil(at(100)) }) != 0 {
 		t.Error("replicas lost by a move are not distinguished from others")
 	}
 }
--- a/internal/invariant/responses.go
+++ b/internal/invariant/responses.go
@@ -57,7 +57,7 @@
 	switch status {
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if previous != "" {
-			c.RecordViolation(at, RuleForgotten, "job %s was accepted before, but the response is %d", ref, status)
+			c.RecordViolation(at, RuleJobLost, "job %s was accepted before, but the response is %d", ref, status)
 		}
 		return
 	case http.StatusUnauthorized:
@@ -68,7 +68,7 @@
 		return
 	}
 	if !c.submitted[ref] {
-		c.RecordViolation(at, RuleInvented, "job %s was never submitted, but the response is %d", ref, status)
+		c.RecordViolation(at, RuleUnsubmittedJob, "job %s was never submitted, but the response is %d", ref, status)
 		return
 	}
 	c.checkState(at, ref, s, previous)
@@ -93,15 +93,15 @@
 // checkState checks a job state in a response.
 func (c *Checker) checkState(at time.Duration, ref api.JobID, s, previous api.JobState) {
 	if StateRank(previous) == RankFinal && s != previous {
-		c.RecordViolation(at, RuleWentBack, "job %s was reported %s, now %s", ref, previous, s)
+		c.RecordViolation(at, RuleStateRegression, "job %s was reported %s, now %s", ref, previous, s)
 	}
 	if s == api.JobCancelled && !c.cancelRequests[ref] {
-		c.RecordViolation(at, RuleWentBack, "job %s is reported cancelled without a cancellation request", ref)
+		c.RecordViolation(at, RuleStateRegression, "job %s is reported cancelled without a cancellation request", ref)
 	}
 	if s == api.JobDone {
 		for i := range c.specs[ref].Tasks {
 			if !c.completedTasks[api.TaskID{Job: ref, Index: i}] {
-				c.RecordViolation(at, RuleNotDone, "job %s is reported done, but task %d is not done", ref, i)
+				c.RecordViolation(at, RulePrematureDone, "job %s is reported done, but task %d is not done", ref, i)
 				break
 			}
 		}
--- a/internal/invariant/starvation.go
+++ b/internal/invariant/starvation.go
@@ -59,7 +59,7 @@
 			if k.Machine != "" {
 				where = string(k.Machine) + " has"
 			}
-			c.RecordViolation(at, RuleLeftWaiting, "job %s is pending though %s had free capacity since %.1f s", k.Job, where, since.Seconds())
+			c.RecordViolation(at, RuleStarvation, "job %s is pending though %s had free capacity since %.1f s", k.Job, where, since.Seconds())
 		}
 	}
 }
--- a/internal/invariant/timeouts.go
+++ b/internal/invariant/timeouts.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		for id := range tasks {
-			c.RecordViolation(at, RuleRanCancelled, "task %s is still on a machine after the timeout of its cancellation", id)
+			c.RecordViolation(at, RuleRanAfterCancelTimeout, "task %s is still on a machine after the timeout of its cancellation", id)
 		}
 	}
 	for id, x := range c.stoppedReplicas {
@@ -47,7 +47,7 @@
 			delete(c.stoppedReplicas, id)
 		} else if since := max(x.at, c.faultsEndAt); at > since+replicaRestartTimeout {
 			delete(c.stoppedReplicas, id)
-			c.RecordViolation(at, RuleMoved, "replica %s was stopped at %.1f s and has not restarted", id, x.at.Seconds())
+			c.RecordViolation(at, RuleReplicaNotRestarted, "replica %s was stopped at %.1f s and has not restarted", id, x.at.Seconds())
 		}
 	}
 	for _, ref := range slices.Sorted(maps.Keys(c.pendingCancels)) {
--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -144,7 +144,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.expected.maxHeldUnits)) {
 		want := r.expected.maxHeldUnits[name]
-		if _, most := r.sim.Tenants.HeldUnits(name); most != want {
+		if _, most := r.sim.Tenants.HeldPoolUnits(name); most != want {
 			r.problemf("pool %s: at most %d units were held, expected %d", name, most, want)
 		}
 	}
--- a/internal/scenario/random_faults.go
+++ b/internal/scenario/random_faults.go
@@ -91,19 +91,19 @@
 }
 
 func (f *randomFault) loseReplies() {
-	f.sim.Checker.FaultUntil(f.sim.Now + f.length)
+	f.sim.Checker.RecordFaultUntil(f.sim.Now + f.length)
 	f.sim.ReplyLossRate = f.share
 	f.sim.After(f.length, func() { f.sim.ReplyLossRate = 0 })
 }
 
 func (f *randomFault) delayTransactions() {
-	f.sim.Checker.FaultUntil(f.sim.Now + f.length)
+	f.sim.Checker.RecordFaultUntil(f.sim.Now + f.length)
 	f.sim.TransactionDelayRate = f.share
 	f.sim.After(f.length, func() { f.sim.TransactionDelayRate = 0 })
 }
 
 func (f *randomFault) repeatHeartbeats() {
-	f.sim.Checker.FaultUntil(f.sim.Now + f.length + 2*f.configs[0].WorkerLease())
+	f.sim.Checker.RecordFaultUntil(f.sim.Now + f.length + 2*f.configs[0].WorkerLease())
 	f.sim.StaleHeartbeatRate = f.share
 	f.sim.After(f.length, func() { f.sim.StaleHeartbeatRate = 0 })
 }
@@ -125,7 +125,7 @@
 }
 
 func (f *randomFault) addLatency() {
-	f.sim.Checker.FaultUntil(f.sim.Now + f.length)
+	f.sim.Checker.RecordFaultUntil(f.sim.Now + f.length)
 	f.sim.ExtraLatency = 100 * time.Millisecond
 	f.sim.After(f.length, func() { f.sim.ExtraLatency = 0 })
 }
--- a/internal/scenario/steps_expectations.go
+++ b/internal/scenario/steps_expectations.go
@@ -117,7 +117,7 @@
 		r.expected.maxHeldUnits[api.PoolName(a.names[0])] = int(a.numbers[0])
 	}},
 	"min-utilization": {form: "ddsn", schedule: func(r *runner, a arguments) {
-		measured := r.sim.Tenants.Utilization(api.PoolName(a.names[0]), a.durations[0], a.durations[1])
+		measured := r.sim.Tenants.MeasurePoolUtilization(api.PoolName(a.names[0]), a.durations[0], a.durations[1])
 		r.expected.poolUses = append(r.expected.poolUses, poolUse{name: a.names[0], min: a.numbers[0], measured: measured})
 	}},
 	"held-units": {form: "dsn", schedule: func(r *runner, a arguments) {
@@ -155,7 +155,7 @@
 
 // checkHeldUnits compares the held units of a pool with the expected number at the current time.
 func (r *runner) checkHeldUnits(pool api.PoolName, want int) {
-	if now, _ := r.sim.Tenants.HeldUnits(pool); now != want {
+	if now, _ := r.sim.Tenants.HeldPoolUnits(pool); now != want {
 		r.problemf("pool %s: %d units are held at %.0f s, expected %v", pool, now, r.sim.Now.Seconds(), want)
 	}
 }
--- a/internal/scenario/steps_faults.go
+++ b/internal/scenario/steps_faults.go
@@ -50,19 +50,19 @@
 		r.sim.After(a.durations[0], func() { r.sim.Store.RefuseController(a.names[0], a.durations[1]) })
 	}},
 	"lose-replies": {form: "ddn", schedule: func(r *runner, a arguments) {
-		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1])
+		r.sim.Checker.RecordFaultUntil(a.durations[0] + a.durations[1])
 		r.during(a, func() { r.sim.ReplyLossRate = a.numbers[0] }, func() { r.sim.ReplyLossRate = 0 })
 	}},
 	"delay-transactions": {form: "ddn", schedule: func(r *runner, a arguments) {
-		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1])
+		r.sim.Checker.RecordFaultUntil(a.durations[0] + a.durations[1])
 		r.during(a, func() { r.sim.TransactionDelayRate = a.numbers[0] }, func() { r.sim.TransactionDelayRate = 0 })
 	}},
 	"add-latency": {form: "ddd", schedule: func(r *runner, a arguments) {
-		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1])
+		r.sim.Checker.RecordFaultUntil(a.durations[0] + a.durations[1])
 		r.during(a, func() { r.sim.ExtraLatency = a.durations[2] }, func() { r.sim.ExtraLatency = 0 })
 	}},
 	"stale-heartbeats": {form: "ddn", schedule: func(r *runner, a arguments) {
-		r.sim.Checker.FaultUntil(a.durations[0] + a.durations[1] + 2*r.configs[0].WorkerLease())
+		r.sim.Checker.RecordFaultUntil(a.durations[0] + a.durations[1] + 2*r.configs[0].WorkerLease())
 		r.during(a, func() { r.sim.StaleHeartbeatRate = a.numbers[0] }, func() { r.sim.StaleHeartbeatRate = 0 })
 	}},
 	"hold-heartbeats": {form: "ddn", schedule: func(r *runner, a arguments) {
--- a/internal/scenario/transcript_test.go
+++ b/internal/scenario/transcript_test.go
@@ -45,7 +45,7 @@
 	if tr == nil {
 		return
 	}
-	sim.Stepped = func(name string, effects []message.Effect) {
+	sim.OnStep = func(name string, effects []message.Effect) {
 		for _, e := range effects {
 			tr.add(name, sim.Now, e)
 		}
--- a/pool/model_test.go
+++ b/pool/model_test.go
@@ -59,7 +59,7 @@
 			slot = 1
 		}
 		if v := w.reads[p]; !w.rounds[p][slot].sent && v.partitionCurrent {
-			x := Pool{Size: int(v.size), Largest: modelSize, State: Active, Shares: []int{int(v.shares[0]), int(v.shares[1])}}
+			x := Pool{Size: int(v.size), MaxSize: modelSize, State: Active, Shares: []int{int(v.shares[0]), int(v.shares[1])}}
 			held := []int{int(v.held[0]), int(v.held[1])}
 			free := x.Available(api.PartitionID(p), held)
 			if !r.countsExcess {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -29,7 +29,7 @@
 	Name    api.PoolName  `json:"name"`
 	Unit    string        `json:"unit,omitempty"` // name of the counted unit, for display
 	Size    int           `json:"size"`
-	Largest int           `json:"largest"` // upper bound of the size; requests for more units are refused
+	MaxSize int           `json:"largest"` // upper bound of the size; requests for more units are refused
 	Teams   []api.Team    `json:"teams,omitempty"`
 	Tenants []tenant.Name `json:"tenants,omitempty"` // allowed in addition to the teams; if both lists are empty, all work is allowed
 	// Guaranteed is the number of units that a team gets before other work of the same priority, by team.
@@ -62,7 +62,7 @@
 		return invalid("unit", "must be printable and at most %d bytes", maxText)
 	case p.Size < 0 || p.Size > maxSize:
 		return invalid("size", "must be between 0 and %d", maxSize)
-	case p.Largest < p.Size || p.Largest > maxSize:
+	case p.MaxSize < p.Size || p.MaxSize > maxSize:
 		return invalid("largest", "must be between the size and %d", maxSize)
 	case len(p.Teams) > maxEntries:
 		return invalid("teams", "at most %d", maxEntries)
@@ -86,7 +86,7 @@
 		}
 		sum += min(guarantee, maxSize) // bounded, so that the sum can't overflow
 	}
-	return len(p.Guaranteed) <= maxEntries && sum <= p.Largest
+	return len(p.Guaranteed) <= maxEntries && sum <= p.MaxSize
 }
 
 func (p *Pool) validShares(partitions int) bool {
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -28,7 +28,7 @@
 				Starts: rapid.IntRange(1, 5).Draw(t, "starts"), Reserves: rapid.Bool().Draw(t, "reserve")}
 		}), 0, 8).Draw(t, "demands")
 		shares := AllocateShares(size, held, demands)
-		p := Pool{Name: "routing", Size: size, Largest: size, State: Active, Shares: shares}
+		p := Pool{Name: "routing", Size: size, MaxSize: size, State: Active, Shares: shares}
 		if err := p.Validate(partitions); err != nil {
 			t.Fatalf("%v: %v", shares, err)
 		}
@@ -72,12 +72,12 @@
 }
 
 func TestCheckNamesTheField(t *testing.T) {
-	good := Pool{Name: "routing", Size: 3, Largest: 5, State: Active, Shares: []int{2, 1}}
+	good := Pool{Name: "routing", Size: 3, MaxSize: 5, State: Active, Shares: []int{2, 1}}
 	if err := good.Validate(2); err != nil {
 		t.Fatal(err)
 	}
 	for field, corrupt := range map[string]func(*Pool){
-		"name": func(p *Pool) { p.Name = "Routing/1" }, "size": func(p *Pool) { p.Size = -1 }, "largest": func(p *Pool) { p.Largest = 2 },
+		"name": func(p *Pool) { p.Name = "Routing/1" }, "size": func(p *Pool) { p.Size = -1 }, "largest": func(p *Pool) { p.MaxSize = 2 },
 		"unit": func(p *Pool) { p.Unit = "a\nb" }, "state": func(p *Pool) { p.State = "" }, "shares": func(p *Pool) { p.Shares = []int{3, 1} },
 		"guaranteed": func(p *Pool) { p.Guaranteed = map[api.Team]int{"red": 3, "blue": 3} },
 		"teams":      func(p *Pool) { p.Teams = make([]api.Team, maxEntries+1) }, "tenants": func(p *Pool) { p.Tenants = make([]tenant.Name, maxEntries+1) },
--- a/reservation/compose.go
+++ b/reservation/compose.go
@@ -148,7 +148,7 @@
 	ops := c.fork.cleanupOps(c.now, c.clockError, min(freeOps, maxCleanupOps))
 	d.Record.Ops = append(d.Record.Ops, ops...)
 	for _, op := range ops {
-		if op.Type == OpForget {
+		if op.Type == OpDrop {
 			d.Archived = append(d.Archived, ArchivedBooking{Depot: op.Depot, Skip: op.Skip, Booking: *c.fork.Get(op.Depot, op.Skip).booking(op.Booking)})
 		}
 	}
--- a/reservation/golden_test.go
+++ b/reservation/golden_test.go
@@ -19,9 +19,9 @@
 	golden.JSON(f, "empty record", Record{Ops: []Op{{}}})
 	golden.JSON(f, "archive", golden.Filled[[]ArchivedBooking](t))
 	golden.JSON(f, "counts", golden.Filled[Counts](t))
-	f.Text("keys", strings.Join([]string{Root, ringKey(3, 257), blockKey(4, 513), KeyArchive}, "\n"))
+	f.Text("keys", strings.Join([]string{KeyPrefix, ringKey(3, 257), blockKey(4, 513), ArchivePrefix}, "\n"))
 	var values []string
-	for _, v := range []any{Offered, Promised, Delivered, Returned, Released, Expired, OpAdd, OpOutOfService, OpInService, OpOffer, OpPromise, OpRelease, OpDeliver, OpReturn, OpExpire, OpForget,
+	for _, v := range []any{Offered, Promised, Delivered, Returned, Released, Expired, OpAdd, OpOutOfService, OpInService, OpOffer, OpPromise, OpRelease, OpDeliver, OpReturn, OpExpire, OpDrop,
 		Day(20788), bookingID(5, 6)} {
 		values = append(values, fmt.Sprint(v))
 	}
--- a/reservation/keys.go
+++ b/reservation/keys.go
@@ -14,15 +14,15 @@
 // Prefixes of the keys of the ledger. Controllers do not replicate these keys all the time: a controller
 // loads them with the first request for a skip after its restart.
 const (
-	Root        = "s/"
-	ringPrefix  = Root + "r/" // followed by SHARD/SLOT
-	blockPrefix = Root + "b/" // followed by SHARD/BLOCK
+	KeyPrefix   = "s/"
+	ringPrefix  = KeyPrefix + "r/" // followed by SHARD/SLOT
+	blockPrefix = KeyPrefix + "b/" // followed by SHARD/BLOCK
 )
 
 // Key prefix and retention of the archive of dropped bookings. Its keys sort by the time of archiving in
 // milliseconds; controllers do not replicate them.
 const (
-	KeyArchive       = "skipold/" // followed by TIME/SHARD-RECORD
+	ArchivePrefix    = "skipold/" // followed by TIME/SHARD-RECORD
 	ArchiveRetention = 5 * 366 * 24 * time.Hour
 )
 
@@ -38,7 +38,7 @@
 
 // archiveKey returns the key of the bookings that a record drops.
 func archiveKey(at api.WallTime, shard int, seq uint64) string {
-	return fmt.Sprintf("%s%013d/%d-%d", KeyArchive, at, shard, seq)
+	return fmt.Sprintf("%s%013d/%d-%d", ArchivePrefix, at, shard, seq)
 }
 
 // parseShardKey parses a key that consists of a prefix, a shard and a number, as in s/r/2/17. ok is false
--- a/reservation/ledger.go
+++ b/reservation/ledger.go
@@ -21,12 +21,12 @@
 // transactions that the ledger composes, reads the log when the next step requires it, and passes in the
 // outcomes. It is not safe for concurrent use.
 type Ledger struct {
-	WriterID   string // identifies the controller process among all others, also former ones
-	Limits     Limits
-	ClockError time.Duration            // maximum difference of the controllers' clocks
-	Conflicts  uint64                   // records that were not written because of another controller's record
-	Records    uint64                   // records written by this controller
-	Refused    map[RefusalReason]uint64 // number of refused requests
+	WriterID      string // identifies the controller process among all others, also former ones
+	Limits        Limits
+	ClockError    time.Duration            // maximum difference of the controllers' clocks
+	ConflictCount uint64                   // records that were not written because of another controller's record
+	RecordCount   uint64                   // records written by this controller
+	Refused       map[RefusalReason]uint64 // number of refused requests
 
 	revision        api.Revision            // the replica is current up to this revision
 	versions        map[string]api.Revision // by key
--- a/reservation/ledger_test.go
+++ b/reservation/ledger_test.go
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	b.ResolveConflict(0)
-	if tx := b.Compose(0, 1, 0); tx != nil || len(resultsA) != 1 || resultsA[0].Reason != "" || len(resultsB) != 1 || resultsB[0].Reason != ReasonBooked || b.Conflicts != 1 {
+	if tx := b.Compose(0, 1, 0); tx != nil || len(resultsA) != 1 || resultsA[0].Reason != "" || len(resultsB) != 1 || resultsB[0].Reason != ReasonBooked || b.ConflictCount != 1 {
 		t.Errorf("%+v and %+v", resultsA, resultsB)
 	}
 }
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	a.ResolveConflict(0)
-	if len(got) != 1 || got[0].Reason != "" || got[0].Booking.Stage != Promised || a.Conflicts != 0 {
+	if len(got) != 1 || got[0].Reason != "" || got[0].Booking.Stage != Promised || a.ConflictCount != 0 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/reservation/operation.go
+++ b/reservation/operation.go
@@ -43,7 +43,7 @@
 	OpDeliver      OpType = "deliver"
 	OpReturn       OpType = "return"
 	OpExpire       OpType = "expire"
-	OpForget       OpType = "forget" // drops a booking that was closed long ago
+	OpDrop         OpType = "forget" // drops a booking that was closed long ago
 )
 
 // Op is an operation on one skip. An operation on a booking names the booking. It changes nothing if the
@@ -143,7 +143,7 @@
 	if booking == nil {
 		return refused(sk, ReasonNoSuchBooking)
 	}
-	if op.Type == OpForget {
+	if op.Type == OpDrop {
 		return s.dropBooking(sk, booking)
 	}
 	to := stageAfter[op.Type]
--- a/reservation/request.go
+++ b/reservation/request.go
@@ -165,7 +165,7 @@
 	case b.Stage == Offered && offerExpired(b, now, clockError):
 		op.Type = OpExpire
 	case !b.Active() && now > b.ClosedAt+api.WallTime(retention.Milliseconds()):
-		op.Type = OpForget
+		op.Type = OpDrop
 	default:
 		return Op{}, false
 	}
--- a/reservation/write.go
+++ b/reservation/write.go
@@ -139,7 +139,7 @@
 	case w.results != nil:
 		g.complete(shard)
 	default:
-		g.Conflicts++
+		g.ConflictCount++
 		queue.pending, queue.inFlight = append(w.requests, queue.pending...), nil
 	}
 }
@@ -149,7 +149,7 @@
 	queue := &g.queues[shard]
 	w := queue.inFlight
 	queue.inFlight = nil
-	g.Records++
+	g.RecordCount++
 	for i, a := range w.requests {
 		if opIndex := w.draft.OpIndexes[i]; opIndex != noOps {
 			g.respond(a, w.results[opIndex])
--- a/server/hosted_test.go
+++ b/server/hosted_test.go
@@ -27,7 +27,7 @@
 // TestHostedOnLoopback runs a hosted service on real sockets and checks the access rights of tenants,
 // operators and unauthenticated clients.
 func TestHostedOnLoopback(t *testing.T) {
-	_, admin, err := tenant.NewKey([tenant.RandomBytes]byte{9}, "admin", 0, 0)
+	_, admin, err := tenant.NewKey([tenant.KeyRandomBytes]byte{9}, "admin", 0, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/server/requests.go
+++ b/server/requests.go
@@ -74,7 +74,7 @@
 			return command
 		}
 	}
-	return message.MalformedMessage{Req: id, From: r.From.String()}
+	return message.MalformedMessage{Req: id, From: r.RemoteAddr.String()}
 }
 
 // heartbeatCommand returns the command for a worker's heartbeat, or nil if it is malformed.
@@ -91,7 +91,7 @@
 func (s *Server) route(id message.ReqID, r httpx.Request) (message.Command, int) {
 	var caller message.Caller
 	if s.config.Hosted != nil {
-		caller = message.Caller{Auth: r.Auth, From: r.From, Forwarded: r.Forwarded}
+		caller = message.Caller{Auth: r.Auth, From: r.RemoteAddr, Forwarded: r.ForwardedFor}
 		if command, status, ok := routeTenant(id, r, caller); ok {
 			return command, status
 		}
@@ -183,7 +183,7 @@
 	}
 	request.Caller = caller
 	if request.What.AddsKey() {
-		request.Random = new([tenant.RandomBytes]byte)
+		request.Random = new([tenant.KeyRandomBytes]byte)
 		if _, err := rand.Read(request.Random[:]); err != nil {
 			return nil, api.StatusServiceUnavailable
 		}
--- a/server/server.go
+++ b/server/server.go
@@ -188,7 +188,7 @@
 	st.usage.StepTime, st.usage.WorkTime = time.Since(now), st.work.spent
 	if now.Sub(st.sweptAt) > sweepInterval {
 		st.sweptAt = now
-		s.httpClient.Sweep()
+		s.httpClient.CloseExpired()
 		st.usage.ProcessTime = processCPUTime()
 	}
 }
--- a/tenant/golden_test.go
+++ b/tenant/golden_test.go
@@ -28,7 +28,7 @@
 	f.Text("job id", string(JobID("kipper", "run-17")))
 
 	// Keys are stored as hashes: a key and a secret written by an earlier version must still match.
-	random := [RandomBytes]byte{}
+	random := [KeyRandomBytes]byte{}
 	for i := range random {
 		random[i] = byte(i + 1)
 	}
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	f.Text("secret", secret.String())
-	record := Tenant{Name: "kipper", Teams: []api.Team{"red"}, State: Active, Retention: 3600, Keys: []Key{key}}
+	record := Tenant{Name: "kipper", Teams: []api.Team{"red"}, State: Active, RetentionSeconds: 3600, Keys: []Key{key}}
 	data := golden.JSON(f, "tenant with a key", record)
 	table := NewTable()
 	if err := table.Put("kipper", json.RawMessage(data), 7); err != nil {
--- a/tenant/key.go
+++ b/tenant/key.go
@@ -31,8 +31,8 @@
 	secretFields = 3     // prefix, id and random data, separated by dots
 	keyIDBytes   = 8
 	secretBytes  = 32
-	// RandomBytes is the number of random bytes in a new key.
-	RandomBytes = keyIDBytes + secretBytes
+	// KeyRandomBytes is the number of random bytes in a new key.
+	KeyRandomBytes = keyIDBytes + secretBytes
 )
 
 // Secret is the confidential form of a key, which a client sends to authenticate.
@@ -81,7 +81,7 @@
 
 // NewKey returns a key and its secret, derived from random bytes. Times are in milliseconds since 1970;
 // expires is 0 for a key that does not expire.
-func NewKey(random [RandomBytes]byte, name string, now, expires api.WallTime) (Key, Secret, error) {
+func NewKey(random [KeyRandomBytes]byte, name string, now, expires api.WallTime) (Key, Secret, error) {
 	s := Secret{ID: KeyID(hex.EncodeToString(random[:keyIDBytes]))}
 	copy(s.data[:], random[keyIDBytes:])
 	k := s.Key(name)
--- a/tenant/lifecycle.go
+++ b/tenant/lifecycle.go
@@ -14,7 +14,7 @@
 	default:
 		return t, conflict("%s is %s", t.Name, t.State)
 	}
-	t.State, t.SuspendReason, t.Drain, t.SuspendedAt = Suspended, reason, drainSeconds, now
+	t.State, t.SuspendReason, t.DrainSeconds, t.SuspendedAt = Suspended, reason, drainSeconds, now
 	return t, t.Check()
 }
 
@@ -27,7 +27,7 @@
 	default:
 		return t, conflict("%s is %s", t.Name, t.State)
 	}
-	t.State, t.SuspendReason, t.Drain, t.SuspendedAt = Active, "", 0, 0
+	t.State, t.SuspendReason, t.DrainSeconds, t.SuspendedAt = Active, "", 0, 0
 	return t, nil
 }
 
--- a/tenant/operators.go
+++ b/tenant/operators.go
@@ -32,16 +32,16 @@
 	Keys             []OperatorKey `json:"keys,omitempty"`
 	Networks         Networks      `json:"networks,omitzero"` // client networks of operators; empty: any
 	Proxies          Networks      `json:"proxies,omitzero"`  // proxies whose X-Forwarded-For header is trusted
-	CPUs             float64       `json:"cpus,omitempty"`    // budget for the CPU guarantees of all teams created at run time
-	GPUs             float64       `json:"gpus,omitempty"`    // budget for the GPU guarantees of all teams created at run time
-	RetiredAdminKeys []KeyID       `json:"retired,omitempty"` // revoked keys of the configuration file
+	TeamCPUBudget    float64       `json:"cpus,omitempty"`    // budget for the CPU guarantees of all teams created at run time
+	TeamGPUBudget    float64       `json:"gpus,omitempty"`    // budget for the GPU guarantees of all teams created at run time
+	RevokedAdminKeys []KeyID       `json:"retired,omitempty"` // revoked keys of the configuration file
 }
 
 // AdminKeyName is the name by which the key of the configuration file is revoked.
 const AdminKeyName = "first"
 
 const (
-	maxRetiredAdminKeys = 16
+	maxRevokedAdminKeys = 16
 	maxAmount           = 1e7 // CPUs or GPUs
 )
 
@@ -50,11 +50,11 @@
 	switch {
 	case len(o.Keys) > maxKeys:
 		return invalid("keys", "at most %d", maxKeys)
-	case len(o.RetiredAdminKeys) > maxRetiredAdminKeys:
-		return invalid("retired", "at most %d", maxRetiredAdminKeys)
-	case !inRange(o.CPUs, 0, maxAmount):
+	case len(o.RevokedAdminKeys) > maxRevokedAdminKeys:
+		return invalid("retired", "at most %d", maxRevokedAdminKeys)
+	case !inRange(o.TeamCPUBudget, 0, maxAmount):
 		return invalid("cpus", "must be between 0 and %v", maxAmount)
-	case !inRange(o.GPUs, 0, maxAmount):
+	case !inRange(o.TeamGPUBudget, 0, maxAmount):
 		return invalid("gpus", "must be between 0 and %v", maxAmount)
 	}
 	for i, k := range o.Keys {
@@ -77,7 +77,7 @@
 // Authenticate returns the role of the key that matches a secret; the key of the configuration file has
 // RoleChange unless it is revoked. It returns false if no key matches.
 func (o *Operators) Authenticate(adminKey Key, s Secret, now api.WallTime, clockError time.Duration) (Role, bool) {
-	if adminKey.Verify(s, now, clockError) && !slices.Contains(o.RetiredAdminKeys, adminKey.ID) {
+	if adminKey.Verify(s, now, clockError) && !slices.Contains(o.RevokedAdminKeys, adminKey.ID) {
 		return RoleChange, true
 	}
 	for _, k := range o.Keys {
@@ -102,8 +102,8 @@
 // access.
 func (o Operators) Revoke(adminKey Key, name string) (Operators, error) {
 	if name == AdminKeyName {
-		if !slices.Contains(o.RetiredAdminKeys, adminKey.ID) {
-			o.RetiredAdminKeys = append(slices.Clone(o.RetiredAdminKeys), adminKey.ID)
+		if !slices.Contains(o.RevokedAdminKeys, adminKey.ID) {
+			o.RevokedAdminKeys = append(slices.Clone(o.RevokedAdminKeys), adminKey.ID)
 		}
 	} else {
 		o.Keys = slices.DeleteFunc(slices.Clone(o.Keys), func(k OperatorKey) bool { return k.Name == name })
@@ -112,7 +112,7 @@
 		}
 	}
 	permanentWriter := func(k OperatorKey) bool { return k.Role == RoleChange && k.Expires == 0 }
-	if slices.Contains(o.RetiredAdminKeys, adminKey.ID) && !slices.ContainsFunc(o.Keys, permanentWriter) {
+	if slices.Contains(o.RevokedAdminKeys, adminKey.ID) && !slices.ContainsFunc(o.Keys, permanentWriter) {
 		return o, conflict("key: at least one key with the role %s that does not expire must remain", RoleChange)
 	}
 	return o, o.Check()
--- a/tenant/operators_test.go
+++ b/tenant/operators_test.go
@@ -73,8 +73,8 @@
 func TestOperatorsCheckNamesTheField(t *testing.T) {
 	k := Secret{ID: "0011223344556677"}.Key("watch")
 	for field, o := range map[string]Operators{
-		"cpus": {CPUs: math.NaN()}, "gpus": {GPUs: -1}, "role": {Keys: []OperatorKey{{k, "all"}}}, "name": {Keys: []OperatorKey{{func() Key { x := k; x.Name = AdminKeyName; return x }(), RoleRead}}},
-		"keys": {Keys: []OperatorKey{{k, RoleRead}, {k, RoleRead}}}, "retired": {RetiredAdminKeys: make([]KeyID, maxRetiredAdminKeys+1)},
+		"cpus": {TeamCPUBudget: math.NaN()}, "gpus": {TeamGPUBudget: -1}, "role": {Keys: []OperatorKey{{k, "all"}}}, "name": {Keys: []OperatorKey{{func() Key { x := k; x.Name = AdminKeyName; return x }(), RoleRead}}},
+		"keys": {Keys: []OperatorKey{{k, RoleRead}, {k, RoleRead}}}, "retired": {RevokedAdminKeys: make([]KeyID, maxRevokedAdminKeys+1)},
 	} {
 		var e *Error
 		ok := errors.As(o.Check(), &e)
@@ -96,7 +96,7 @@
 // their sum.
 func TestGuaranteedTotalIsTheSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget := Operators{CPUs: float64(rapid.IntRange(0, 20).Draw(t, "budget")), GPUs: 3}
+		budget := Operators{TeamCPUBudget: float64(rapid.IntRange(0, 20).Draw(t, "budget")), TeamGPUBudget: 3}
 		teams := map[api.Team]Team{}
 		var total GuaranteedTotal
 		for range rapid.IntRange(1, 30).Draw(t, "operations") {
@@ -124,7 +124,7 @@
 			for _, x := range teams {
 				sum.CPUs, sum.GPUs = sum.CPUs+x.CPUs, sum.GPUs+x.GPUs
 			}
-			if sum != total || sum.CPUs > budget.CPUs || sum.GPUs > budget.GPUs {
+			if sum != total || sum.CPUs > budget.TeamCPUBudget || sum.GPUs > budget.TeamGPUBudget {
 				t.Fatalf("sum of the guarantees %v, stored total %v, budget %v", sum, total, budget)
 			}
 		}
@@ -171,7 +171,7 @@
 		firstTurn := rapid.IntRange(0, 1000).Draw(t, "turn")
 		seen := map[int]bool{}
 		for turn := range RoundsToCoverAll(n, limit) {
-			w := Window(n, limit, firstTurn+turn)
+			w := SelectRoundJobs(n, limit, firstTurn+turn)
 			if len(w) != min(n, limit) {
 				t.Fatalf("window of %d of %d jobs, limit %d", len(w), n, limit)
 			}
--- a/tenant/roundwindow.go
+++ b/tenant/roundwindow.go
@@ -2,10 +2,10 @@
 
 package tenant
 
-// Window returns which of a tenant's n jobs take part in a round, as at most limit indices into their
+// SelectRoundJobs returns which of a tenant's n jobs take part in a round, as at most limit indices into their
 // order of importance. Half of the window holds the most important jobs. The other half rotates with
 // turn, the number of the round, so that no job starves behind jobs that can't be placed.
-func Window(n, limit int, turn int) []int {
+func SelectRoundJobs(n, limit int, turn int) []int {
 	if n <= limit {
 		limit = n
 	}
--- a/tenant/table_test.go
+++ b/tenant/table_test.go
@@ -16,7 +16,7 @@
 		x := testTenant()
 		x.Name = Name(fmt.Sprintf("tenant-%04d", i))
 		for k := i; k < 5000; k += 2000 {
-			key, _, err := NewKey([RandomBytes]byte{byte(k), byte(k >> 8)}, fmt.Sprintf("k%d", k/2000), 1000, 0)
+			key, _, err := NewKey([KeyRandomBytes]byte{byte(k), byte(k >> 8)}, fmt.Sprintf("k%d", k/2000), 1000, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/tenant/team.go
+++ b/tenant/team.go
@@ -79,7 +79,7 @@
 	for _, f := range []struct {
 		field         string
 		total, budget float64
-	}{{"cpus", g.CPUs, budget.CPUs}, {"gpus", g.GPUs, budget.GPUs}} {
+	}{{"cpus", g.CPUs, budget.TeamCPUBudget}, {"gpus", g.GPUs, budget.TeamGPUBudget}} {
 		if f.total > f.budget+epsilon {
 			return &Error{Status: StatusUnprocessable, Field: f.field, Reason: fmt.Sprintf("the guarantees of all teams would be %v, which exceeds their budget of %v", f.total, f.budget)}
 		}
--- a/tenant/tenant.go
+++ b/tenant/tenant.go
@@ -28,19 +28,19 @@
 
 // Tenant is the record of a tenant.
 type Tenant struct {
-	Name      Name       `json:"name"`
-	Display   string     `json:"display,omitempty"`
-	Teams     []api.Team `json:"teams,omitempty"`
-	State     State      `json:"state"`
-	Rate      float64    `json:"rate,omitempty"`      // submissions per second over the whole service; 0: no limit
-	Burst     float64    `json:"burst,omitempty"`     // submissions in a burst over the whole service
-	OpenJobs  int        `json:"open_jobs,omitempty"` // maximum number of jobs that are not terminal; 0: DefaultOpenJobs
-	Networks  Networks   `json:"networks,omitzero"`   // allowed client networks; empty: any
-	Retention float64    `json:"retention_s"`         // retention of the job history, in seconds
+	Name             Name       `json:"name"`
+	DisplayName      string     `json:"display,omitempty"`
+	Teams            []api.Team `json:"teams,omitempty"`
+	State            State      `json:"state"`
+	Rate             float64    `json:"rate,omitempty"`      // submissions per second over the whole service; 0: no limit
+	Burst            float64    `json:"burst,omitempty"`     // submissions in a burst over the whole service
+	OpenJobs         int        `json:"open_jobs,omitempty"` // maximum number of jobs that are not terminal; 0: DefaultOpenJobs
+	Networks         Networks   `json:"networks,omitzero"`   // allowed client networks; empty: any
+	RetentionSeconds float64    `json:"retention_s"`         // retention of the job history, in seconds
 
 	SuspendReason string       `json:"why,omitempty"`
 	SuspendedAt   api.WallTime `json:"suspended_at,omitempty"` // in milliseconds since 1970
-	Drain         float64      `json:"drain_s,omitempty"`      // run time of services after the suspension, in seconds
+	DrainSeconds  float64      `json:"drain_s,omitempty"`      // run time of services after the suspension, in seconds
 	CancelJobs    bool         `json:"cancel_jobs,omitempty"`  // the removal cancels open jobs
 
 	Keys []Key `json:"keys,omitempty"`
--- a/tenant/tenant_test.go
+++ b/tenant/tenant_test.go
@@ -15,7 +15,7 @@
 )
 
 func testTenant() Tenant {
-	return Tenant{Name: "kipper", Display: "Kipper & Mulde", Teams: []api.Team{"dispo"}, State: Active, Rate: 2, Burst: 10, OpenJobs: 100, Retention: 3600}
+	return Tenant{Name: "kipper", DisplayName: "Kipper & Mulde", Teams: []api.Team{"dispo"}, State: Active, Rate: 2, Burst: 10, OpenJobs: 100, RetentionSeconds: 3600}
 }
 
 func TestCheckNamesTheField(t *testing.T) {
@@ -25,14 +25,14 @@
 	}
 	for field, corrupt := range map[string]func(*Tenant){
 		"name":        func(x *Tenant) { x.Name = "Kipper" },
-		"display":     func(x *Tenant) { x.Display = "two\nlines" },
+		"display":     func(x *Tenant) { x.DisplayName = "two\nlines" },
 		"teams":       func(x *Tenant) { x.Teams = []api.Team{"a", "b", "a"} },
 		"state":       func(x *Tenant) { x.State = "asleep" },
 		"rate":        func(x *Tenant) { x.Rate = math.NaN() },
 		"burst":       func(x *Tenant) { x.Burst = 0 },
 		"open_jobs":   func(x *Tenant) { x.OpenJobs = -1 },
-		"drain_s":     func(x *Tenant) { x.Drain = math.Inf(1) },
-		"retention_s": func(x *Tenant) { x.Retention = -1 },
+		"drain_s":     func(x *Tenant) { x.DrainSeconds = math.Inf(1) },
+		"retention_s": func(x *Tenant) { x.RetentionSeconds = -1 },
 		"keys.name":   func(x *Tenant) { x.Keys = []Key{{ID: "0011223344556677", Name: "1st", Hash: make([]byte, 32)}} },
 		"keys":        func(x *Tenant) { x.Keys = []Key{{ID: "00", Name: "first", Hash: make([]byte, 32)}} },
 	} {
@@ -95,8 +95,8 @@
 
 func TestKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(label string) (r [RandomBytes]byte) {
-			copy(r[:], rapid.SliceOfN(rapid.Byte(), RandomBytes, RandomBytes).Draw(t, label))
+		draw := func(label string) (r [KeyRandomBytes]byte) {
+			copy(r[:], rapid.SliceOfN(rapid.Byte(), KeyRandomBytes, KeyRandomBytes).Draw(t, label))
 			return r
 		}
 		a, b := draw("a"), draw("b")
@@ -134,7 +134,7 @@
 }
 
 func FuzzParseSecret(f *testing.F) {
-	_, s, _ := NewKey([RandomBytes]byte{}, "first", 0, 0)
+	_, s, _ := NewKey([KeyRandomBytes]byte{}, "first", 0, 0)
 	f.Add(s.String())
 	f.Add("bw1..")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/tenant/validation.go
+++ b/tenant/validation.go
@@ -54,7 +54,7 @@
 	if err := CheckName("name", string(t.Name)); err != nil {
 		return err
 	}
-	for _, f := range []struct{ field, text string }{{"display", t.Display}, {"why", t.SuspendReason}} {
+	for _, f := range []struct{ field, text string }{{"display", t.DisplayName}, {"why", t.SuspendReason}} {
 		if err := checkText(f.field, f.text); err != nil {
 			return err
 		}
@@ -80,9 +80,9 @@
 		return invalid("burst", "must be between 1 and %v if there is a rate", maxRate)
 	case t.OpenJobs < 0 || t.OpenJobs > maxOpenJobs:
 		return invalid("open_jobs", "must be between 0 and %d", maxOpenJobs)
-	case !inRange(t.Drain, 0, maxDrain.Seconds()):
+	case !inRange(t.DrainSeconds, 0, maxDrain.Seconds()):
 		return invalid("drain_s", "must be between 0 and %v", maxDrain.Seconds())
-	case !inRange(t.Retention, 0, maxRetention.Seconds()):
+	case !inRange(t.RetentionSeconds, 0, maxRetention.Seconds()):
 		return invalid("retention_s", "must be between 0 and %v", maxRetention.Seconds())
 	case len(t.Keys) > maxKeys:
 		return invalid("keys", "at most %d", maxKeys)
--- a/tools/scale/agent.go
+++ b/tools/scale/agent.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	fleet.Do(func(sim *emulator.Simulation) {
+	fleet.WithSimulation(func(sim *emulator.Simulation) {
 		fleet.Configs[0].APIAddr = c.Child
 		sim.Users.AddSpec(&api.JobSpec{Ref: agentJob, Team: "team-0", Kind: api.Array, Priority: api.Normal, Tasks: 100_000, CPUs: 0.5, MemGB: 0.5, Image: "img"}, seconds(float64(c.Tasks)/c.Starts))
 	})
--- a/tools/scale/faults.go
+++ b/tools/scale/faults.go
@@ -17,7 +17,7 @@
 
 // scheduleFaults schedules the faults of the experiment.
 func (r *experimentRun) scheduleFaults() {
-	r.fleet.Do(func(sim *emulator.Simulation) {
+	r.fleet.WithSimulation(func(sim *emulator.Simulation) {
 		for _, f := range r.experiment.Faults {
 			sim.After(seconds(f.At), func() { r.injectFault(sim, f) })
 		}
@@ -39,7 +39,7 @@
 // crashControllers kills controllers, all of them unless the fault has a count, and restarts them after the
 // fault's downtime.
 func (r *experimentRun) crashControllers(sim *emulator.Simulation, f faultSpec) {
-	sim.Checker.FaultUntil(sim.Now + seconds(f.Back))
+	sim.Checker.RecordFaultUntil(sim.Now + seconds(f.Back))
 	count := f.Count
 	if count == 0 {
 		count = len(r.processes)
--- a/tools/scale/hosted.go
+++ b/tools/scale/hosted.go
@@ -76,7 +76,7 @@
 
 // writeAdminKey writes an administration key to a file and returns its secret.
 func writeAdminKey(file string) (string, error) {
-	_, secret, err := tenant.NewKey([tenant.RandomBytes]byte{3}, "admin", 0, 0)
+	_, secret, err := tenant.NewKey([tenant.KeyRandomBytes]byte{3}, "admin", 0, 0)
 	if err != nil {
 		return "", err
 	}
--- a/tools/scale/measure.go
+++ b/tools/scale/measure.go
@@ -32,7 +32,7 @@
 	for _, p := range r.processes {
 		p.resetPeak()
 	}
-	r.fleet.Do(func(sim *emulator.Simulation) { r.measureStart, r.measureEnd = sim.Now, sim.Now+window })
+	r.fleet.WithSimulation(func(sim *emulator.Simulation) { r.measureStart, r.measureEnd = sim.Now, sim.Now+window })
 	before := r.takeMeasurement()
 	r.scheduleFaults()
 	changes := make(chan error, 1)
@@ -41,7 +41,7 @@
 		if err := sleep(ctx, checkInterval); err != nil {
 			return err
 		}
-		r.fleet.Do(r.watchFaults)
+		r.fleet.WithSimulation(r.watchFaults)
 	}
 	after := r.takeMeasurement()
 	if err := <-changes; err != nil {
@@ -62,7 +62,7 @@
 	res.EmulatorMB = float64(after.emulator.RSS) / (1 << 20)
 	r.fillControllerUsage(ctx, before, after)
 	r.fillWorkerTraffic()
-	r.fleet.Do(r.fillFromSimulation)
+	r.fleet.WithSimulation(r.fillFromSimulation)
 }
 
 // fillControllerUsage fills in the resources that each controller used in the window.
--- a/tools/scale/run.go
+++ b/tools/scale/run.go
@@ -129,12 +129,12 @@
 // fill submits the base load and waits until nearly all of its tasks run.
 func (r *experimentRun) fill(ctx context.Context) error {
 	begun := time.Now()
-	r.fleet.Do(r.installHooks)
-	r.fleet.Do(r.submitFill)
+	r.fleet.WithSimulation(r.installHooks)
+	r.fleet.WithSimulation(r.submitFill)
 	want := int(filledShare * float64(r.experiment.targetTasks()))
 	for end := begun.Add(seconds(r.experiment.FillWithin)); ; {
 		running := 0
-		r.fleet.Do(func(sim *emulator.Simulation) { running = sim.Checker.RunningTasks() })
+		r.fleet.WithSimulation(func(sim *emulator.Simulation) { running = sim.Checker.RunningTasks() })
 		if running >= want {
 			break
 		}
@@ -147,7 +147,7 @@
 	}
 	r.result.FillSeconds = time.Since(begun).Seconds()
 	slog.Info("target load reached", "tasks", r.experiment.targetTasks(), "after_s", r.result.FillSeconds)
-	r.fleet.Do(r.submitStreams)
+	r.fleet.WithSimulation(r.submitStreams)
 	return nil
 }
 
--- a/tools/scale/settings.go
+++ b/tools/scale/settings.go
@@ -65,7 +65,7 @@
 		}
 	}
 	took := time.Since(begun)
-	r.fleet.Do(func(*emulator.Simulation) { r.latencies.add(latencySettings, took) })
+	r.fleet.WithSimulation(func(*emulator.Simulation) { r.latencies.add(latencySettings, took) })
 }
 
 // awaitSettings waits until a controller applies a revision of the settings, or until a deadline. It
