--- a/admin/requests.go
+++ b/admin/requests.go
@@ -109,8 +109,8 @@
 	To          *string  `json:"to,omitempty"`
 }
 
-// reservationRequest changes the offer or promise with a number.
-type reservationRequest struct {
+// bookingRequest changes the offer or promise with a number.
+type bookingRequest struct {
 	Number uint64 `json:"number"`
 	Skip   string `json:"skip"`
 }
--- a/admin/routes.go
+++ b/admin/routes.go
@@ -33,8 +33,8 @@
 // listOperations are the operations without parameters. Their path is their name.
 var listOperations = []message.AdminOperation{message.AdminMembers, message.AdminPartitions, message.AdminMachines, message.AdminTeams, message.AdminMetrics}
 
-// reservationChanges are the last elements of the paths that change a depot's reservations.
-var reservationChanges = []string{"offer", "promise", "release", "deliver", "return", "out", "in", "import"}
+// skipChanges are the last elements of the paths that change a depot's bookings.
+var skipChanges = []string{"offer", "promise", "release", "deliver", "return", "out", "in", "import"}
 
 // Command returns the command for a request. For a refused request it returns nil and the HTTP status of the
 // refusal.
@@ -63,8 +63,8 @@
 		request.What, request.ID = message.AdminJob, parts[1]
 	case isDrainPath(parts):
 		request.What, request.ID, method = message.AdminOperation(parts[2]), parts[1], api.MethodPost
-	case operation == message.AdminReservations:
-		return reservationCommand(request, parts, r)
+	case operation == message.AdminSkips:
+		return skipCommand(request, parts, r)
 	case IsHostedPath(r.Path):
 		return hostedCommand(request, parts, r)
 	default:
@@ -85,9 +85,9 @@
 	return operation == message.AdminDrain || operation == message.AdminUndrain
 }
 
-// reservationCommand returns the command for a request about skips: GET skips counts skips, GET skips/DEPOT
+// skipCommand returns the command for a request about skips: GET skips counts skips, GET skips/DEPOT
 // lists a depot's skips, and POST skips/DEPOT/CHANGE changes one.
-func reservationCommand(request message.AdminRequest, parts []string, r httpx.Request) (message.Command, int) {
+func skipCommand(request message.AdminRequest, parts []string, r httpx.Request) (message.Command, int) {
 	method := api.MethodGet
 	switch {
 	case len(parts) == 1:
@@ -96,8 +96,8 @@
 		if request.After, request.Limit, ok = ParsePage(r); !ok {
 			return nil, api.StatusBadRequest
 		}
-	case len(parts) == 3 && parts[1] != "" && slices.Contains(reservationChanges, parts[2]):
-		request.What, request.Sub, method = message.AdminChangeReservation, parts[2], api.MethodPost
+	case len(parts) == 3 && parts[1] != "" && slices.Contains(skipChanges, parts[2]):
+		request.What, request.Sub, method = message.AdminChangeSkip, parts[2], api.MethodPost
 	default:
 		return nil, api.StatusNotFound
 	}
--- a/admin/skips.go
+++ b/admin/skips.go
@@ -1,6 +1,6 @@
 package admin
 
-// This file holds the subcommands for skips and their reservations.
+// This file holds the subcommands for skips and their bookings.
 
 import (
 	"basaltwall/api"
@@ -12,21 +12,21 @@
 	"strings"
 	"time"
 
-	"basaltwall/controller/reservations"
-	"basaltwall/reservation"
+	"basaltwall/controller/skips"
+	"basaltwall/skipledger"
 )
 
 type skipsCmd struct {
-	List    struct{}            `cmd:"" help:"Count the skips by depot and kind, with the approximate number free today."`
-	Show    skipsShowCmd        `cmd:"" help:"Show a depot's skips with their reservations."`
-	Offer   skipsReserveCmd     `cmd:"" help:"Reserve a free skip for an enquiry for a limited time."`
-	Promise skipsReserveCmd     `cmd:"" help:"Promise a free or an offered skip to a building site."`
-	Release skipsReservationCmd `cmd:"" help:"Release an offer or a promise."`
-	Deliver skipsReservationCmd `cmd:"" help:"Record the delivery of a promised skip."`
-	Return  skipsReservationCmd `cmd:"" help:"Record the return of a delivered skip."`
-	Out     skipsServiceCmd     `cmd:"" help:"Take a skip out of service, so that it gets no new reservations."`
-	In      skipsServiceCmd     `cmd:"" help:"Return a skip to service."`
-	Import  skipsImportCmd      `cmd:"" help:"Add skips from a file with lines DEPOT,SKIP,KIND. Existing skips are not changed."`
+	List    struct{}        `cmd:"" help:"Count the skips by depot and kind, with the approximate number free today."`
+	Show    skipsShowCmd    `cmd:"" help:"Show a depot's skips with their reservations."`
+	Offer   skipsReserveCmd `cmd:"" help:"Reserve a free skip for an enquiry for a limited time."`
+	Promise skipsReserveCmd `cmd:"" help:"Promise a free or an offered skip to a building site."`
+	Release skipsBookingCmd `cmd:"" help:"Release an offer or a promise."`
+	Deliver skipsBookingCmd `cmd:"" help:"Record the delivery of a promised skip."`
+	Return  skipsBookingCmd `cmd:"" help:"Record the return of a delivered skip."`
+	Out     skipsServiceCmd `cmd:"" help:"Take a skip out of service, so that it gets no new reservations."`
+	In      skipsServiceCmd `cmd:"" help:"Return a skip to service."`
+	Import  skipsImportCmd  `cmd:"" help:"Add skips from a file with lines DEPOT,SKIP,KIND. Existing skips are not changed."`
 }
 
 type skipsShowCmd struct {
@@ -46,7 +46,7 @@
 	For    time.Duration `default:"5m" help:"Duration of an offer (1s to 1h)."`
 }
 
-type skipsReservationCmd struct {
+type skipsBookingCmd struct {
 	Depot  string `arg:"" help:"The depot."`
 	Skip   string `arg:"" help:"The skip."`
 	Number uint64 `arg:"" help:"The number of the offer or promise."`
@@ -110,18 +110,18 @@
 	return request
 }
 
-func (c skipsReservationCmd) request() reservationRequest {
-	return reservationRequest{Number: c.Number, Skip: c.Skip}
+func (c skipsBookingCmd) request() bookingRequest {
+	return bookingRequest{Number: c.Number, Skip: c.Skip}
 }
 
-func skipCountsTable(w io.Writer, v reservations.CountsView) {
+func skipCountsTable(w io.Writer, v skips.CountsView) {
 	writeRow(w, "DEPOT", "KIND", "SKIPS", "FREE TODAY (APPROX.)", "OFFERED", "PROMISED", "OUT OF SERVICE")
 	for _, k := range v.Kinds {
 		writeRow(w, k.Depot, k.Kind, k.Skips, k.Free, k.Offered, k.Promised, k.OutOfService)
 	}
 }
 
-func skipsTable(w io.Writer, v reservations.SkipsView) {
+func skipsTable(w io.Writer, v skips.PageView) {
 	writeRow(w, "SKIP", "KIND", "STATE", "NUMBER", "FROM", "TO", "SITE")
 	for _, s := range v.Skips {
 		if s.OutOfService {
@@ -129,7 +129,7 @@
 		}
 		reserved := false
 		for _, item := range s.Items {
-			if item.Stage == reservation.Offered || item.Stage == reservation.Promised || item.Stage == reservation.Delivered {
+			if item.Stage == skipledger.Offered || item.Stage == skipledger.Promised || item.Stage == skipledger.Delivered {
 				reserved = true
 				writeRow(w, s.Skip, s.Kind, item.Stage, strconv.FormatUint(uint64(item.Number), 10), item.From, item.To, item.Site)
 			}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -29,8 +29,8 @@
 	"basaltwall/controller/ownership"
 	"basaltwall/controller/pools"
 	"basaltwall/controller/preemption"
-	"basaltwall/controller/reservations"
 	"basaltwall/controller/rounds"
+	"basaltwall/controller/skips"
 	"basaltwall/controller/starvation"
 	"basaltwall/controller/tenancy"
 )
@@ -45,26 +45,26 @@
 
 	started bool // Step has been called
 
-	core         *core.Core
-	follower     *logfollow.Follower
-	membership   *ownership.Manager
-	gossiper     *gossip.Exchange
-	agents       *agent.Manager
-	health       *health.Monitor
-	eligibility  *eligibility.Checker
-	autoscaler   *autoscale.Manager
-	scheduler    *rounds.Scheduler
-	preemptor    *preemption.Planner
-	priorities   *ordering.Priorities
-	backfiller   *starvation.Guard
-	balancer     *balance.Balancer
-	capacity     *capacity.Counter
-	jobs         *jobs.Service
-	tenancy      *tenancy.Service
-	pools        *pools.Manager
-	reservations *reservations.Service
-	admin        *operations.Service
-	reporter     *metrics.Reporter
+	core        *core.Core
+	follower    *logfollow.Follower
+	membership  *ownership.Manager
+	gossiper    *gossip.Exchange
+	agents      *agent.Manager
+	health      *health.Monitor
+	eligibility *eligibility.Checker
+	autoscaler  *autoscale.Manager
+	scheduler   *rounds.Scheduler
+	preemptor   *preemption.Planner
+	priorities  *ordering.Priorities
+	backfiller  *starvation.Guard
+	balancer    *balance.Balancer
+	capacity    *capacity.Counter
+	jobs        *jobs.Service
+	tenancy     *tenancy.Service
+	pools       *pools.Manager
+	skips       *skips.Service
+	admin       *operations.Service
+	reporter    *metrics.Reporter
 }
 
 // New returns a controller that has not read the cluster state yet. The incarnation distinguishes
@@ -88,7 +88,7 @@
 	n.jobs = jobs.New(shared)
 	n.tenancy = tenancy.New(shared)
 	n.pools = pools.New(shared)
-	n.reservations = reservations.New(shared)
+	n.skips = skips.New(shared)
 	n.admin = operations.New(shared)
 	n.reporter = metrics.New(shared)
 	n.connect()
@@ -213,7 +213,7 @@
 	n.follower.FollowLog()
 	n.follower.ReplyToSubscribers()
 	n.jobs.SendResultLookup()
-	n.reservations.SyncLedger()
+	n.skips.SyncLedger()
 	n.membership.ReconcilePartitions()
 }
 
--- a/controller/core/storelimits.go
+++ b/controller/core/storelimits.go
@@ -8,7 +8,7 @@
 const (
 	// SubmissionWriteShare is the share of submissions.
 	SubmissionWriteShare = 0.85
-	// LedgerWriteShare is the share of the reservation ledger; submissions leave it free while the
+	// LedgerWriteShare is the share of the ledger of skips; submissions leave it free while the
 	// ledger writes.
 	LedgerWriteShare = 0.2
 )
--- a/controller/core/views.go
+++ b/controller/core/views.go
@@ -4,7 +4,7 @@
 
 import (
 	"basaltwall/api"
-	"basaltwall/reservation"
+	"basaltwall/skipledger"
 )
 
 // FragmentationView is the number of free accelerators on a partition's machines of one type and
@@ -18,11 +18,11 @@
 	Unusable  float64             `json:"lost"`
 }
 
-// ReservationMetrics summarizes the reservation ledger as read by this controller.
-type ReservationMetrics struct {
-	Kinds       []reservation.Counts                 `json:"kinds"` // today, over all depots
-	Refused     map[reservation.RefusalReason]uint64 `json:"refused"`
-	Records     uint64                               `json:"records_written"`
-	Conflicts   uint64                               `json:"conflicts"`
-	OldestOffer float64                              `json:"oldest_offer_s"` // its age in seconds
+// SkipMetrics summarizes the ledger of skips as read by this controller.
+type SkipMetrics struct {
+	Kinds       []skipledger.Counts                 `json:"kinds"` // today, over all depots
+	Refused     map[skipledger.RefusalReason]uint64 `json:"refused"`
+	Records     uint64                              `json:"records_written"`
+	Conflicts   uint64                              `json:"conflicts"`
+	OldestOffer float64                             `json:"oldest_offer_s"` // its age in seconds
 }
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -18,12 +18,12 @@
 	"basaltwall/controller/operations"
 	"basaltwall/controller/ordering"
 	"basaltwall/controller/pools"
-	"basaltwall/controller/reservations"
+	"basaltwall/controller/skips"
 	"basaltwall/controller/tenancy"
 	"basaltwall/internal/golden"
 	"basaltwall/pool"
 	"basaltwall/priority"
-	"basaltwall/reservation"
+	"basaltwall/skipledger"
 	"basaltwall/tenant"
 	"basaltwall/zonehealth"
 )
@@ -125,9 +125,9 @@
 	golden.JSON(f, "jobs", golden.Filled[jobs.Listing](t))
 	golden.JSON(f, "settings", golden.Filled[operations.VersionedSettings](t))
 	golden.JSON(f, "metrics", golden.Filled[metrics.View](t))
-	golden.JSON(f, "skips", golden.Filled[reservations.SkipsView](t))
-	golden.JSON(f, "depots", golden.Filled[reservations.CountsView](t))
-	golden.JSON(f, "skip answer", golden.Filled[reservations.ChangeView](t))
+	golden.JSON(f, "skips", golden.Filled[skips.PageView](t))
+	golden.JSON(f, "depots", golden.Filled[skips.CountsView](t))
+	golden.JSON(f, "skip answer", golden.Filled[skips.ChangeView](t))
 	tenants := golden.Filled[[]tenancy.TenantView](t, networks)
 	for i := range tenants {
 		tenants[i].Tenant.Keys = nil // keys are never shown
@@ -147,8 +147,8 @@
 	golden.JSON(f, "empty job", jobs.View{})
 	golden.JSON(f, "empty metrics", metrics.View{Fragmentation: []core.FragmentationView{{}}, Zones: map[api.Zone]metrics.ZoneView{"a": {}}})
 	golden.JSON(f, "empty key", tenancy.KeyView{})
-	golden.JSON(f, "empty skip", reservations.SkipView{Items: []reservations.BookingView{{}}})
-	golden.JSON(f, "empty skip answer", reservations.ChangeView{})
+	golden.JSON(f, "empty skip", skips.SkipView{Items: []skips.BookingView{{}}})
+	golden.JSON(f, "empty skip answer", skips.ChangeView{})
 	golden.JSON(f, "empty usage", tenancy.UsageView{Submissions: &tenancy.SubmissionCounts{}})
 	golden.JSON(f, "empty holder", pools.HolderView{})
 }
@@ -172,10 +172,10 @@
 	checkRequest[tenancy.OperatorsRequest](t, f, "operators", networks)
 	checkRequest[tenancy.TeamRequest](t, f, "team")
 	checkRequest[pools.ChangeRequest](t, f, "pool")
-	checkRequest[reservations.RequestBody](t, f, "skip")
+	checkRequest[skips.RequestBody](t, f, "skip")
 }
 
-// A forwarded request about skip reservations keeps the format of earlier versions. The golden test
+// A forwarded request about bookings of skips keeps the format of earlier versions. The golden test
 // of package peer decodes one.
 func TestGoldenSkipsForward(t *testing.T) {
 	f := golden.Open(t)
@@ -265,20 +265,20 @@
 	f.Text("poll", transcript(t, n, func() { n.dispatch(message.Poll{Req: 1, Ref: "run-1"}) }, nil))
 	f.Text("hear nobody", transcript(t, n, func() { n.dispatch(message.PeerGossip{Req: 1, Gossip: &message.Gossip{From: "x"}}) }, nil))
 
-	l := reservation.NewLedger("n-1", 1, time.Second, reservation.Limits{})
+	l := skipledger.NewLedger("n-1", 1, time.Second, skipledger.Limits{})
 	if err := l.Load([]api.KeyValue{{Key: "s/b/0/257", Value: []byte(`{"u":1,"s":[{"d":"hof-nord","i":"six-1","k":"six"}]}`), Version: 3}}, 5); err != nil {
 		t.Fatal(err)
 	}
-	n.reservations.Install(l)
+	n.skips.Install(l)
 	f.Text("skips counted", transcript(t, n, func() { n.dispatch(message.AdminRequest{What: "skips"}) }, nil))
 	f.Text("skips listed", transcript(t, n, func() {
 		n.dispatch(message.AdminRequest{What: "skips", ID: "hof-nord", Limit: 5})
-		n.reservations.PendingReads()[0].OnRead()
+		n.skips.PendingReads()[0].OnRead()
 	}, nil))
-	request := &reservation.Request{Type: reservation.OpOffer, Depot: "hof-nord"}
-	for name, r := range map[string]reservation.Result{"skip offered": {Skip: "six-1", Booking: reservation.Booking{ID: 7, Key: "x", Site: "y", From: 20788, To: 20790, ExpiresAt: 8, Stage: reservation.Offered}},
-		"skip done": {Skip: "six-1"}, "skip refused": {Reason: reservation.ReasonNoneFree}, "no skip": {Reason: reservation.ReasonNoSuchSkip}, "skips busy": {Reason: reservation.ReasonBusy}} {
-		f.Text(name, transcript(t, n, func() { n.reservations.ReplyResult(1, request, r) }, nil))
+	request := &skipledger.Request{Type: skipledger.OpOffer, Depot: "hof-nord"}
+	for name, r := range map[string]skipledger.Result{"skip offered": {Skip: "six-1", Booking: skipledger.Booking{ID: 7, Key: "x", Site: "y", From: 20788, To: 20790, ExpiresAt: 8, Stage: skipledger.Offered}},
+		"skip done": {Skip: "six-1"}, "skip refused": {Reason: skipledger.ReasonNoneFree}, "no skip": {Reason: skipledger.ReasonNoSuchSkip}, "skips busy": {Reason: skipledger.ReasonBusy}} {
+		f.Text(name, transcript(t, n, func() { n.skips.ReplyResult(1, request, r) }, nil))
 	}
 }
 
--- a/controller/jobs/admission.go
+++ b/controller/jobs/admission.go
@@ -59,7 +59,7 @@
 // available. Each live controller gets an equal share of the rate.
 func (s *Service) allowSubmission() bool {
 	share := core.SubmissionWriteShare
-	if s.deps.Reservations.RecentlyWrote() {
+	if s.deps.Skips.RecentlyWrote() {
 		share -= core.LedgerWriteShare
 	}
 	rate := share * s.core.Config.Deployment.State.WriteRPS / float64(max(1, len(s.core.State.Members)))
--- a/controller/jobs/service.go
+++ b/controller/jobs/service.go
@@ -27,15 +27,15 @@
 
 // Dependencies are the other components that the Service calls.
 type Dependencies struct {
-	Agents       Agents
-	Balancer     Balancer
-	Capacity     Capacity
-	Gossip       Gossip
-	Log          Log
-	Pools        Pools
-	Priorities   Priorities
-	Reservations Reservations
-	Tenants      Tenants
+	Agents     Agents
+	Balancer   Balancer
+	Capacity   Capacity
+	Gossip     Gossip
+	Log        Log
+	Pools      Pools
+	Priorities Priorities
+	Skips      Skips
+	Tenants    Tenants
 }
 
 // Agents is what the Service needs of the agent manager.
@@ -78,8 +78,8 @@
 	HigherPriorityRule(spec *api.JobSpec) string
 }
 
-// Reservations is what the Service needs of the reservation service.
-type Reservations interface {
+// Skips is what the Service needs of the service for skips.
+type Skips interface {
 	RecentlyWrote() bool
 }
 
--- a/controller/jobs/service_test.go
+++ b/controller/jobs/service_test.go
@@ -16,7 +16,7 @@
 	noCapacity      struct{ Capacity }
 	noPools         struct{ Pools }
 	noPriorityRules struct{ Priorities }
-	idleLedger      struct{ Reservations }
+	idleLedger      struct{ Skips }
 )
 
 func (noCapacity) FreeCapacityGroups() []core.FreeCapacityGroup     { return nil }
@@ -41,6 +41,6 @@
 	shared.Teams = map[api.Team]config.Team{"red": {Name: "red"}}
 	shared.AddMachineTypes([]api.MachineType{{Name: "c8", CPUs: 8, MemGB: 32, Zones: []api.Zone{"a", "b"}}})
 	service := New(shared)
-	service.Connect(Dependencies{Capacity: noCapacity{}, Pools: noPools{}, Priorities: noPriorityRules{}, Reservations: idleLedger{}})
+	service.Connect(Dependencies{Capacity: noCapacity{}, Pools: noPools{}, Priorities: noPriorityRules{}, Skips: idleLedger{}})
 	return service
 }
--- a/controller/message/adminoperation.go
+++ b/controller/message/adminoperation.go
@@ -8,19 +8,19 @@
 
 // Operations of any service.
 const (
-	AdminMetrics           AdminOperation = "metrics"
-	AdminMembers           AdminOperation = "members"
-	AdminPartitions        AdminOperation = "parts"
-	AdminMachines          AdminOperation = "machines"
-	AdminTeams             AdminOperation = "teams"
-	AdminJobs              AdminOperation = "jobs"
-	AdminJob               AdminOperation = "job"
-	AdminReservations      AdminOperation = "skips"    // of one depot, or the counts of all depots
-	AdminChangeReservation AdminOperation = "skips-do" // AdminRequest.Sub is the kind of change
-	AdminSettings          AdminOperation = "settings"
-	AdminChangeSettings    AdminOperation = "set"
-	AdminDrain             AdminOperation = "drain"
-	AdminUndrain           AdminOperation = "undrain"
+	AdminMetrics        AdminOperation = "metrics"
+	AdminMembers        AdminOperation = "members"
+	AdminPartitions     AdminOperation = "parts"
+	AdminMachines       AdminOperation = "machines"
+	AdminTeams          AdminOperation = "teams"
+	AdminJobs           AdminOperation = "jobs"
+	AdminJob            AdminOperation = "job"
+	AdminSkips          AdminOperation = "skips"    // of one depot, or the counts of all depots
+	AdminChangeSkip     AdminOperation = "skips-do" // AdminRequest.Sub is the kind of change
+	AdminSettings       AdminOperation = "settings"
+	AdminChangeSettings AdminOperation = "set"
+	AdminDrain          AdminOperation = "drain"
+	AdminUndrain        AdminOperation = "undrain"
 )
 
 // Operations of a hosted service.
--- a/controller/message/commands.go
+++ b/controller/message/commands.go
@@ -62,7 +62,7 @@
 		Limit int    // maximum number of entries of a page
 		Body  []byte
 
-		Sub    string // within ID: the name of a key or, for AdminChangeReservation, the kind of change
+		Sub    string // within ID: the name of a key or, for AdminChangeSkip, the kind of change
 		After  string // the entry after which a page begins
 		Caller Caller
 		Random *[tenant.KeyRandomBytes]byte // set if What.AddsKey
--- a/controller/message/peer.go
+++ b/controller/message/peer.go
@@ -45,7 +45,7 @@
 	ForwardPoll      = "poll"    // Ref: the job's reference
 	ForwardCancel    = "cancel"  // Ref: the job's reference
 	ForwardHeartbeat = "checkin" // Body: a worker's encoded heartbeat
-	ForwardSkips     = "skips"   // Body: an AdminRequest about reservations, as JSON
+	ForwardSkips     = "skips"   // Body: an AdminRequest about skips, as JSON
 )
 
 // Gossip is a controller's status for the other controllers. It is advisory: safety never depends on
--- a/controller/metrics/reporter.go
+++ b/controller/metrics/reporter.go
@@ -17,13 +17,13 @@
 
 // Dependencies are the other components that the reporter calls.
 type Dependencies struct {
-	Log          Log
-	Agents       Agents
-	Health       Health
-	Jobs         Jobs
-	Reservations Reservations
-	Backfiller   Backfiller
-	Pools        Pools
+	Log        Log
+	Agents     Agents
+	Health     Health
+	Jobs       Jobs
+	Skips      Skips
+	Backfiller Backfiller
+	Pools      Pools
 }
 
 // Log is what the reporter needs of the log follower.
@@ -52,10 +52,10 @@
 	LongPendingJobs() map[string]int
 }
 
-// Reservations is what the reporter needs of the reservation service.
-type Reservations interface {
+// Skips is what the reporter needs of the service for skips.
+type Skips interface {
 	// ViewMetrics returns nil if the ledger is not loaded.
-	ViewMetrics() *core.ReservationMetrics
+	ViewMetrics() *core.SkipMetrics
 }
 
 // Backfiller is what the reporter needs of the backfiller.
@@ -98,7 +98,7 @@
 	r.addPendingWork(&v)
 	v.MachinesNotResumed = r.machinesNotResumed()
 	v.Zones = r.viewZones()
-	v.Reservations = r.deps.Reservations.ViewMetrics()
+	v.Skips = r.deps.Skips.ViewMetrics()
 	v.Fragmentation = r.deps.Backfiller.FragmentedCapacity()
 	r.addPools(&v)
 	v.Latencies = r.viewLatencies()
--- a/controller/metrics/view.go
+++ b/controller/metrics/view.go
@@ -67,8 +67,8 @@
 	// Fragmented free accelerators of owned partitions, by type.
 	Fragmentation []core.FragmentationView `json:"accelerators_in_pieces,omitempty"`
 
-	// Reservation ledger, once this controller has loaded it.
-	Reservations *core.ReservationMetrics `json:"skips,omitempty"`
+	// Ledger of skips, once this controller has loaded it.
+	Skips *core.SkipMetrics `json:"skips,omitempty"`
 
 	// Only for a hosted service: the first MaxPools pools by name, and the changes of shares that
 	// this controller has written.
--- a/controller/operations/service.go
+++ b/controller/operations/service.go
@@ -20,13 +20,13 @@
 
 // Dependencies are the other components that the service calls.
 type Dependencies struct {
-	Tenants      Tenants
-	Pools        Pools
-	Reservations Reservations
-	Metrics      Metrics
-	Jobs         Jobs
-	Agents       Agents
-	Eligibility  Eligibility
+	Tenants     Tenants
+	Pools       Pools
+	Skips       Skips
+	Metrics     Metrics
+	Jobs        Jobs
+	Agents      Agents
+	Eligibility Eligibility
 }
 
 // Tenants is what the service needs of the tenant service.
@@ -55,8 +55,8 @@
 	HandlePoolRequest(message.AdminRequest) error
 }
 
-// Reservations is what the service needs of the reservation service.
-type Reservations interface {
+// Skips is what the service needs of the service for skips.
+type Skips interface {
 	HandleRequest(message.AdminRequest)
 }
 
@@ -138,8 +138,8 @@
 		s.core.Reply(c.Req, 200, s.viewTeams(), 0)
 	case message.AdminJobs, message.AdminJob:
 		s.deps.Jobs.HandleAdminRequest(c)
-	case message.AdminReservations, message.AdminChangeReservation:
-		s.deps.Reservations.HandleRequest(c)
+	case message.AdminSkips, message.AdminChangeSkip:
+		s.deps.Skips.HandleRequest(c)
 	case message.AdminSettings:
 		s.core.Reply(c.Req, 200, s.currentSettings(), 0)
 	case message.AdminChangeSettings:
--- a/controller/reservations/load.go
+++ b/controller/skips/load.go
@@ -1,4 +1,4 @@
-package reservations
+package skips
 
 // This file loads the whole ledger into a new replica.
 
@@ -12,7 +12,7 @@
 	"basaltwall/api"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
-	"basaltwall/reservation"
+	"basaltwall/skipledger"
 )
 
 // loadFailurePause is the delay before a new load if the records could not be decoded.
@@ -40,7 +40,7 @@
 // loadPage reads a page of the ledger and the following ones, then the changes since revision from, that of the
 // first page, because the pages are of different revisions.
 func (s *Service) loadPage(start string, from api.Revision) {
-	s.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: reservation.KeyPrefix, After: start}}, func(a message.StoreResponse) {
+	s.core.CallStore(message.StoreCall{Page: &message.PageRequest{Prefix: skipledger.KeyPrefix, After: start}}, func(a message.StoreResponse) {
 		if a.Status != 200 {
 			s.resumeAfter(core.RetryDelay, func() { s.loadPage(start, from) })
 			return
@@ -59,7 +59,7 @@
 
 // finishLoad reads the changes since the first page, and installs the replica.
 func (s *Service) finishLoad(from api.Revision) {
-	s.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: from, Prefix: reservation.KeyPrefix}}, func(a message.StoreResponse) {
+	s.core.CallStore(message.StoreCall{Changes: &message.ChangesRequest{Since: from, Prefix: skipledger.KeyPrefix}}, func(a message.StoreResponse) {
 		if a.Status == 410 { // the log no longer holds the revision of the first page
 			s.resumeAfter(core.RetryDelay, nil)
 			return
@@ -100,9 +100,9 @@
 }
 
 // newReplica returns an empty ledger for this incarnation of the controller.
-func (s *Service) newReplica() *reservation.Ledger {
+func (s *Service) newReplica() *skipledger.Ledger {
 	limits := s.core.Config.Deployment.State
 	writer := fmt.Sprintf("%s-%d", s.core.Config.Label, s.core.Incarnation)
-	return reservation.NewLedger(writer, len(s.core.State.Partitions), s.core.MaxClockError(),
-		reservation.Limits{MaxValueBytes: int(limits.ValueKB*1024) - valueReserveBytes, MaxPuts: limits.TxnOps})
+	return skipledger.NewLedger(writer, len(s.core.State.Partitions), s.core.MaxClockError(),
+		skipledger.Limits{MaxValueBytes: int(limits.ValueKB*1024) - valueReserveBytes, MaxPuts: limits.TxnOps})
 }
--- a/controller/reservations/parse.go
+++ b/controller/skips/parse.go
@@ -1,6 +1,6 @@
-package reservations
+package skips
 
-// This file parses and validates requests that change reservations.
+// This file parses and validates requests that change bookings.
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"basaltwall/api"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
-	"basaltwall/reservation"
+	"basaltwall/skipledger"
 	"basaltwall/tenant"
 )
 
@@ -24,34 +24,34 @@
 )
 
 // operationTypes maps the last element of a request's path to the type of operation.
-var operationTypes = map[string]reservation.OpType{
-	"offer":   reservation.OpOffer,
-	"promise": reservation.OpPromise,
-	"release": reservation.OpRelease,
-	"deliver": reservation.OpDeliver,
-	"return":  reservation.OpReturn,
-	"out":     reservation.OpOutOfService,
-	"in":      reservation.OpInService,
-	"import":  reservation.OpAdd,
+var operationTypes = map[string]skipledger.OpType{
+	"offer":   skipledger.OpOffer,
+	"promise": skipledger.OpPromise,
+	"release": skipledger.OpRelease,
+	"deliver": skipledger.OpDeliver,
+	"return":  skipledger.OpReturn,
+	"out":     skipledger.OpOutOfService,
+	"in":      skipledger.OpInService,
+	"import":  skipledger.OpAdd,
 }
 
-// RequestBody is the body of a request that changes a reservation. Its JSON names are the wire format.
+// RequestBody is the body of a request that changes a booking. Its JSON names are the wire format.
 type RequestBody struct {
-	Name   reservation.IdempotencyKey `json:"name"`
-	Skip   reservation.SkipID         `json:"skip"`
-	Kind   reservation.Kind           `json:"kind"`
-	Number reservation.BookingID      `json:"number"`
-	Site   reservation.Site           `json:"site"`
-	From   string                     `json:"from"`
-	To     string                     `json:"to"`
-	For    *float64                   `json:"for_s"`
-	Skips  []importedSkip             `json:"skips"`
+	Name   skipledger.IdempotencyKey `json:"name"`
+	Skip   skipledger.SkipID         `json:"skip"`
+	Kind   skipledger.Kind           `json:"kind"`
+	Number skipledger.BookingID      `json:"number"`
+	Site   skipledger.Site           `json:"site"`
+	From   string                    `json:"from"`
+	To     string                    `json:"to"`
+	For    *float64                  `json:"for_s"`
+	Skips  []importedSkip            `json:"skips"`
 }
 
 // importedSkip is a skip to add to a depot.
 type importedSkip struct {
-	Skip reservation.SkipID `json:"skip"`
-	Kind reservation.Kind   `json:"kind"`
+	Skip skipledger.SkipID `json:"skip"`
+	Kind skipledger.Kind   `json:"kind"`
 }
 
 // invalidField returns the refusal of a request with an invalid field.
@@ -73,12 +73,12 @@
 }
 
 // parseRequest parses a request; the error is a *tenant.Error that names the field.
-func parseRequest(c message.AdminRequest) (*reservation.Request, error) {
+func parseRequest(c message.AdminRequest) (*skipledger.Request, error) {
 	var body RequestBody
 	if err := core.DecodeRequest(c.Body, &body); err != nil {
 		return nil, err
 	}
-	request := &reservation.Request{Type: operationTypes[c.Sub], Depot: reservation.Depot(c.ID), Key: body.Name, Skip: body.Skip,
+	request := &skipledger.Request{Type: operationTypes[c.Sub], Depot: skipledger.Depot(c.ID), Key: body.Name, Skip: body.Skip,
 		Kind: body.Kind, Booking: body.Number, Site: body.Site}
 	if err := checkText("depot", c.ID); err != nil {
 		return nil, err
@@ -90,11 +90,11 @@
 }
 
 // parseOperation validates the fields that the type of operation requires, and completes the request.
-func parseOperation(request *reservation.Request, body *RequestBody) error {
+func parseOperation(request *skipledger.Request, body *RequestBody) error {
 	switch request.Type {
-	case reservation.OpAdd:
+	case skipledger.OpAdd:
 		return parseImport(request, body.Skips)
-	case reservation.OpOffer:
+	case skipledger.OpOffer:
 		if err := checkText("name", string(body.Name)); err != nil {
 			return err
 		}
@@ -102,7 +102,7 @@
 			return invalidField("site", "an offer must not name a site or a number")
 		}
 		return parseBooking(request, body)
-	case reservation.OpPromise:
+	case skipledger.OpPromise:
 		if err := checkText("name", string(body.Name)); err != nil {
 			return err
 		}
@@ -113,7 +113,7 @@
 			return parseBooking(request, body)
 		}
 		return checkText("skip", string(body.Skip)) // promises an existing offer
-	case reservation.OpOutOfService, reservation.OpInService:
+	case skipledger.OpOutOfService, skipledger.OpInService:
 		return checkText("skip", string(body.Skip))
 	default:
 		return checkBookingChange(body)
@@ -121,7 +121,7 @@
 }
 
 // parseImport parses the skips to add to a depot.
-func parseImport(request *reservation.Request, skips []importedSkip) error {
+func parseImport(request *skipledger.Request, skips []importedSkip) error {
 	if len(skips) == 0 || len(skips) > maxSkipsPerImport {
 		return invalidField("skips", fmt.Sprintf("must list 1 to %d skips", maxSkipsPerImport))
 	}
@@ -132,7 +132,7 @@
 		if err := checkText(fmt.Sprintf("skips[%d].kind", i), string(s.Kind)); err != nil {
 			return err
 		}
-		request.Skips = append(request.Skips, reservation.Skip{ID: s.Skip, Kind: s.Kind})
+		request.Skips = append(request.Skips, skipledger.Skip{ID: s.Skip, Kind: s.Kind})
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 }
 
 // parseBooking parses a new offer or promise of a given skip, or of any skip of a kind, for a range of days.
-func parseBooking(request *reservation.Request, body *RequestBody) error {
+func parseBooking(request *skipledger.Request, body *RequestBody) error {
 	if (body.Skip == "") == (body.Kind == "") {
 		return invalidField("kind", "either a kind or a skip must be given")
 	}
@@ -157,10 +157,10 @@
 		return invalidField("kind", "too long")
 	}
 	var err error
-	if request.From, err = reservation.ParseDay(body.From); err != nil {
+	if request.From, err = skipledger.ParseDay(body.From); err != nil {
 		return invalidField("from", err.Error())
 	}
-	if request.To, err = reservation.ParseDay(body.To); err != nil {
+	if request.To, err = skipledger.ParseDay(body.To); err != nil {
 		return invalidField("to", err.Error())
 	}
 	if request.To <= request.From || request.To > request.From+maxBookingDays {
--- a/controller/reservations/parse_test.go
+++ b/controller/skips/parse_test.go
@@ -1,4 +1,4 @@
-package reservations
+package skips
 
 import (
 	"errors"
@@ -6,12 +6,12 @@
 	"testing"
 
 	"basaltwall/controller/message"
-	"basaltwall/reservation"
+	"basaltwall/skipledger"
 	"basaltwall/tenant"
 )
 
-func parseTestRequest(operation, body string) (*reservation.Request, error) {
-	return parseRequest(message.AdminRequest{What: message.AdminChangeReservation, ID: "hof-nord", Sub: operation, Body: []byte(body)})
+func parseTestRequest(operation, body string) (*skipledger.Request, error) {
+	return parseRequest(message.AdminRequest{What: message.AdminChangeSkip, ID: "hof-nord", Sub: operation, Body: []byte(body)})
 }
 
 func TestParseRequest(t *testing.T) {
--- a/controller/reservations/request.go
+++ b/controller/skips/request.go
@@ -1,4 +1,4 @@
-package reservations
+package skips
 
 // This file serves requests, or forwards them to a more suitable controller.
 
@@ -9,13 +9,13 @@
 	"basaltwall/api"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
-	"basaltwall/reservation"
+	"basaltwall/skipledger"
 )
 
-// HandleRequest answers a message.AdminReservations or message.AdminChangeReservation.
+// HandleRequest answers a message.AdminSkips or message.AdminChangeSkip.
 func (s *Service) HandleRequest(c message.AdminRequest) {
 	s.requested = true
-	if c.What == message.AdminChangeReservation {
+	if c.What == message.AdminChangeSkip {
 		request, err := parseRequest(c)
 		if err != nil {
 			s.core.RefuseError(c.Req, err)
@@ -33,7 +33,7 @@
 
 // handleChange enqueues a change at the controller that preferably writes for the depot, so that concurrent
 // requests share a write. Any controller may write: the conditions of the writes enforce the ledger's rules.
-func (s *Service) handleChange(c message.AdminRequest, request *reservation.Request) {
+func (s *Service) handleChange(c message.AdminRequest, request *skipledger.Request) {
 	s.serveOrForward(c, func() {
 		s.forward(c, s.preferredWriter(request.Depot), func() { s.enqueue(c, request) })
 	})
@@ -55,7 +55,7 @@
 
 // preferredWriter returns the owner of the partition of a depot's shard, or none if the owner is this controller or
 // seems unreachable.
-func (s *Service) preferredWriter(depot reservation.Depot) []api.ControllerID {
+func (s *Service) preferredWriter(depot skipledger.Depot) []api.ControllerID {
 	owner := s.core.State.Partitions[s.shardOf(depot)].Owner
 	if owner == s.core.Config.Label || !s.core.IsLive(owner) || !s.deps.Gossip.HasRecentGossip(owner) {
 		return nil
@@ -82,11 +82,11 @@
 }
 
 // enqueue adds a change to the replica's pending requests, or to those that wait for the replica.
-func (s *Service) enqueue(c message.AdminRequest, request *reservation.Request) {
-	pending := &reservation.PendingRequest{
+func (s *Service) enqueue(c message.AdminRequest, request *skipledger.Request) {
+	pending := &skipledger.PendingRequest{
 		Request:   request,
 		ArrivedAt: s.core.Now,
-		Respond:   func(result reservation.Result) { s.ReplyResult(c.Req, request, result) },
+		Respond:   func(result skipledger.Result) { s.ReplyResult(c.Req, request, result) },
 	}
 	if s.replica == nil {
 		s.pendingRequests = append(s.pendingRequests, pending)
@@ -96,10 +96,10 @@
 }
 
 // ReplyResult answers a change with its result.
-func (s *Service) ReplyResult(req message.ReqID, request *reservation.Request, result reservation.Result) {
+func (s *Service) ReplyResult(req message.ReqID, request *skipledger.Request, result skipledger.Result) {
 	switch result.Reason {
 	case "":
-		if request.Type != reservation.OpOffer && request.Type != reservation.OpAdd {
+		if request.Type != skipledger.OpOffer && request.Type != skipledger.OpAdd {
 			slog.Info("skip reservation changed", "what", request.Type, "depot", request.Depot, "skip", result.Skip, "number", result.Booking.ID,
 				"state", result.Booking.Stage, "site", result.Booking.Site)
 		}
@@ -109,11 +109,11 @@
 			v.BookingView = &booking
 		}
 		s.core.Reply(req, 200, v, 0)
-	case reservation.ReasonNoSuchSkip, reservation.ReasonNoSuchBooking:
+	case skipledger.ReasonNoSuchSkip, skipledger.ReasonNoSuchBooking:
 		s.core.ReplyError(req, 404, string(result.Reason))
-	case reservation.ReasonRecordTooLarge:
+	case skipledger.ReasonRecordTooLarge:
 		s.core.ReplyError(req, 400, string(result.Reason))
-	case reservation.ReasonBusy:
+	case skipledger.ReasonBusy:
 		s.core.ReplyError(req, 503, string(result.Reason))
 	default:
 		s.core.ReplyError(req, 409, string(result.Reason))
@@ -126,7 +126,7 @@
 		s.core.ReplyError(c.Req, 503, "the ledger of skips is being read")
 		return
 	}
-	v := CountsView{Kinds: []reservation.Counts{}, AgeSeconds: core.RoundToTenth(s.core.Now.Sub(s.readAt).Seconds())}
+	v := CountsView{Kinds: []skipledger.Counts{}, AgeSeconds: core.RoundToTenth(s.core.Now.Sub(s.readAt).Seconds())}
 	for i := range s.core.State.Partitions {
 		v.Kinds = append(v.Kinds, s.replica.Shard(i).Count(s.today(), s.today()+1)...)
 	}
@@ -137,16 +137,16 @@
 func (s *Service) replySkips(c message.AdminRequest) {
 	s.pendingReads = append(s.pendingReads, ReadWaiter{
 		OnRead: func() {
-			s.core.Reply(c.Req, 200, s.viewSkips(reservation.Depot(c.ID), reservation.SkipID(c.After), max(1, c.Limit)), 0)
+			s.core.Reply(c.Req, 200, s.viewSkips(skipledger.Depot(c.ID), skipledger.SkipID(c.After), max(1, c.Limit)), 0)
 		},
 		OnFailure: func() { s.refuseUnreachable(c) },
 	})
 }
 
 // viewSkips returns a page of at most limit skips of a depot, from the first one after a skip.
-func (s *Service) viewSkips(depot reservation.Depot, after reservation.SkipID, limit int) SkipsView {
+func (s *Service) viewSkips(depot skipledger.Depot, after skipledger.SkipID, limit int) PageView {
 	list, more := s.replica.Shard(s.shardOf(depot)).List(depot, after, limit)
-	v := SkipsView{Skips: []SkipView{}}
+	v := PageView{Skips: []SkipView{}}
 	for _, skip := range list {
 		view := SkipView{Depot: skip.Depot, Skip: skip.ID, Kind: skip.Kind, OutOfService: skip.OutOfService, Items: []BookingView{}}
 		for i := range skip.Bookings {
--- a/controller/reservations/service.go
+++ b/controller/skips/service.go
@@ -1,14 +1,14 @@
-// Package reservations serves the reservation ledger: offers and promises of skips to sites for ranges of days. It
-// owns this controller's replica of the ledger (reservation.Ledger, which implements the rules), the pending
+// Package skips serves the ledger of skips: offers and promises of skips to sites for ranges of days. It
+// owns this controller's replica of the ledger (skipledger.Ledger, which implements the rules), the pending
 // requests, and the write budget of the ledger. The ledger is not loaded before the first request. See docs/skips.md.
-package reservations
+package skips
 
 import (
 	"time"
 
 	"basaltwall/api"
 	"basaltwall/controller/core"
-	"basaltwall/reservation"
+	"basaltwall/skipledger"
 )
 
 // Limits of the ledger's use of the state service, so that it does not delay scheduling: core.LedgerWriteShare of the
@@ -35,10 +35,10 @@
 	core *core.Core
 	deps Dependencies
 
-	replica         *reservation.Ledger // nil if not loaded
-	requested       bool                // there was a request; the ledger is not loaded before
-	loadedPairs     []api.KeyValue      // pairs read by the load in progress
-	resumeLoad      func()              // next step of the load; nil to start it
+	replica         *skipledger.Ledger // nil if not loaded
+	requested       bool               // there was a request; the ledger is not loaded before
+	loadedPairs     []api.KeyValue     // pairs read by the load in progress
+	resumeLoad      func()             // next step of the load; nil to start it
 	readInFlight    bool
 	nextReadAt      api.Time // earliest time of the next read
 	readAt          api.Time
@@ -46,7 +46,7 @@
 	wroteAt         api.Time
 	writeTokens     float64 // available writes
 	writeTokensAt   api.Time
-	pendingRequests []*reservation.PendingRequest // waiting for the replica
+	pendingRequests []*skipledger.PendingRequest // waiting for the replica
 	pendingReads    []ReadWaiter
 	staleShards     []bool // by shard: the condition of a write failed, and the changes must be read
 	sweptAt         api.Time
@@ -87,7 +87,7 @@
 func (s *Service) Connect(deps Dependencies) { s.deps = deps }
 
 // Install sets the replica to a loaded ledger, and enqueues the requests that waited for it.
-func (s *Service) Install(replica *reservation.Ledger) {
+func (s *Service) Install(replica *skipledger.Ledger) {
 	s.replica, s.loadedPairs, s.staleShards = replica, nil, make([]bool, len(s.core.State.Partitions))
 	for _, request := range s.pendingRequests {
 		replica.Enqueue(request)
@@ -105,13 +105,13 @@
 }
 
 // shardOf returns the shard of a depot; there is one shard per partition.
-func (s *Service) shardOf(d reservation.Depot) int {
-	return reservation.ShardOf(d, len(s.core.State.Partitions))
+func (s *Service) shardOf(d skipledger.Depot) int {
+	return skipledger.ShardOf(d, len(s.core.State.Partitions))
 }
 
 const millisecondsPerDay = 86_400_000
 
 // today returns the day by this controller's clock. Only counts that are shown as approximate depend on it.
-func (s *Service) today() reservation.Day {
-	return reservation.Day(s.core.WallClock / millisecondsPerDay)
+func (s *Service) today() skipledger.Day {
+	return skipledger.Day(s.core.WallClock / millisecondsPerDay)
 }
--- a/controller/reservations/sync.go
+++ b/controller/skips/sync.go
@@ -1,4 +1,4 @@
-package reservations
+package skips
 
 // This file updates the replica and writes the pending requests.
 
@@ -9,7 +9,7 @@
 	"basaltwall/api"
 	"basaltwall/controller/core"
 	"basaltwall/controller/message"
-	"basaltwall/reservation"
+	"basaltwall/skipledger"
 )
 
 // SyncLedger advances the ledger once there was a request: it refuses requests that have timed out, sweeps the
@@ -35,7 +35,7 @@
 // expireRequests refuses requests that have timed out.
 func (s *Service) expireRequests() {
 	deadline := s.core.Now.Add(-requestTimeout)
-	var expired []*reservation.PendingRequest
+	var expired []*skipledger.PendingRequest
 	if s.replica != nil {
 		expired = s.replica.RemoveTimedOut(deadline)
 	}
@@ -43,7 +43,7 @@
 		expired, s.pendingRequests = append(expired, s.pendingRequests[0]), s.pendingRequests[1:]
 	}
 	for _, request := range expired {
-		request.Respond(reservation.Result{Reason: reservation.ReasonBusy})
+		request.Respond(skipledger.Result{Reason: skipledger.ReasonBusy})
 	}
 }
 
@@ -54,7 +54,7 @@
 		return
 	}
 	s.sweptAt, s.sweeping = s.core.Now, true
-	s.core.DeleteExpiredRecords(owned, reservation.ArchivePrefix, reservation.ArchiveRetention, func() { s.sweeping = false })
+	s.core.DeleteExpiredRecords(owned, skipledger.ArchivePrefix, skipledger.ArchiveRetention, func() { s.sweeping = false })
 }
 
 // readDue reports whether the changes must be read: for a pending query or change, after a conflict, for a cleanup,
@@ -80,7 +80,7 @@
 	s.readInFlight, s.nextReadAt = true, s.core.Now.Add(s.core.LookupInterval)
 	startedAt, waiting := s.core.Now, s.pendingReads
 	s.pendingReads = nil
-	changes := &message.ChangesRequest{Since: s.replica.Revision(), Prefix: reservation.KeyPrefix}
+	changes := &message.ChangesRequest{Since: s.replica.Revision(), Prefix: skipledger.KeyPrefix}
 	s.core.CallStore(message.StoreCall{Changes: changes}, func(a message.StoreResponse) {
 		s.readInFlight = false
 		current := s.applyChanges(a) && s.core.Now.Sub(startedAt) < maxReadAge
@@ -156,15 +156,15 @@
 }
 
 // sendWrite writes a record, and retries until the outcome is known.
-func (s *Service) sendWrite(replica *reservation.Ledger, shard int, tx api.Txn) {
+func (s *Service) sendWrite(replica *skipledger.Ledger, shard int, tx api.Txn) {
 	s.core.CallStoreTxn(tx, func(a message.StoreResponse) {
 		if s.replica != replica {
 			return // the ledger was loaded again; idempotency keys show whether the requests were applied
 		}
 		switch replica.HandleOutcome(shard, a.Status, a.Txn.Revision) {
-		case reservation.StepRead:
+		case skipledger.StepRead:
 			s.staleShards[shard] = true
-		case reservation.StepRetry:
+		case skipledger.StepRetry:
 			s.core.DeferCall(func() { s.sendWrite(replica, shard, tx) })
 		}
 	})
--- a/controller/wiring.go
+++ b/controller/wiring.go
@@ -18,8 +18,8 @@
 	"basaltwall/controller/ownership"
 	"basaltwall/controller/pools"
 	"basaltwall/controller/preemption"
-	"basaltwall/controller/reservations"
 	"basaltwall/controller/rounds"
+	"basaltwall/controller/skips"
 	"basaltwall/controller/starvation"
 	"basaltwall/controller/tenancy"
 )
@@ -147,34 +147,34 @@
 // connectServices connects the components that answer users and operators.
 func (n *Controller) connectServices() {
 	n.jobs.Connect(jobs.Dependencies{
-		Agents:       n.agents,
-		Balancer:     n.balancer,
-		Capacity:     n.capacity,
-		Gossip:       n.gossiper,
-		Log:          n.follower,
-		Pools:        n.pools,
-		Priorities:   n.priorities,
-		Reservations: n.reservations,
-		Tenants:      n.tenancy,
+		Agents:     n.agents,
+		Balancer:   n.balancer,
+		Capacity:   n.capacity,
+		Gossip:     n.gossiper,
+		Log:        n.follower,
+		Pools:      n.pools,
+		Priorities: n.priorities,
+		Skips:      n.skips,
+		Tenants:    n.tenancy,
 	})
 	n.tenancy.Connect(tenancy.Dependencies{Follower: n.follower, Jobs: n.jobs, Pools: n.pools, Scheduler: n.scheduler})
-	n.reservations.Connect(reservations.Dependencies{Jobs: n.jobs, Gossip: n.gossiper, Log: n.follower})
+	n.skips.Connect(skips.Dependencies{Jobs: n.jobs, Gossip: n.gossiper, Log: n.follower})
 	n.admin.Connect(operations.Dependencies{
-		Tenants:      n.tenancy,
-		Pools:        n.pools,
-		Reservations: n.reservations,
-		Metrics:      n.reporter,
-		Jobs:         n.jobs,
-		Agents:       n.agents,
-		Eligibility:  n.eligibility,
+		Tenants:     n.tenancy,
+		Pools:       n.pools,
+		Skips:       n.skips,
+		Metrics:     n.reporter,
+		Jobs:        n.jobs,
+		Agents:      n.agents,
+		Eligibility: n.eligibility,
 	})
 	n.reporter.Connect(metrics.Dependencies{
-		Log:          n.follower,
-		Agents:       n.agents,
-		Health:       n.health,
-		Jobs:         n.jobs,
-		Reservations: n.reservations,
-		Backfiller:   n.backfiller,
-		Pools:        n.pools,
+		Log:        n.follower,
+		Agents:     n.agents,
+		Health:     n.health,
+		Jobs:       n.jobs,
+		Skips:      n.skips,
+		Backfiller: n.backfiller,
+		Pools:      n.pools,
 	})
 }
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -33,13 +33,13 @@
 	// regions is nil if all zones are in one region.
 	regions *Regions
 
-	Store              *Store
-	Cloud              *Cloud
-	workers            map[api.MachineID]*Worker
-	workersByAddr      map[string]*Worker
-	Users              *Users
-	ReservationClients *ReservationClients
-	Tenants            *Tenants // nil unless the service is hosted
+	Store         *Store
+	Cloud         *Cloud
+	workers       map[api.MachineID]*Worker
+	workersByAddr map[string]*Worker
+	Users         *Users
+	SkipClients   *SkipClients
+	Tenants       *Tenants // nil unless the service is hosted
 
 	// ClockSkew is how far each controller's wall clock is ahead.
 	ClockSkew map[string]time.Duration
@@ -81,7 +81,7 @@
 	sim.Store = newStore(sim)
 	sim.Cloud = newCloud(sim)
 	sim.Users = newUsers(sim)
-	sim.ReservationClients = newReservationClients(sim)
+	sim.SkipClients = newSkipClients(sim)
 	for _, c := range configs {
 		sim.configs[string(c.Label)] = c
 		sim.controllerNames = append(sim.controllerNames, string(c.Label))
--- a/internal/emulator/reservations.go
+++ b/internal/emulator/skipclients.go
@@ -11,13 +11,13 @@
 	"basaltwall/internal/invariant"
 )
 
-// ReservationClients emulates clients that reserve skips (waste containers) for building sites, by phone and
+// SkipClients emulates clients that book skips (waste containers) for building sites, by phone and
 // in the portal, and checks the rule promised: a skip that is reserved for a site is never granted to another
 // site for the same days. Days are counted from 1 January 1970.
-type ReservationClients struct {
+type SkipClients struct {
 	sim           *Simulation
 	grants        []*grant
-	numbersByName map[string]uint64 // reservation numbers by the request's name
+	numbersByName map[string]uint64 // booking numbers by the request's name
 	requestCount  int
 	Granted       int
 	Refused       int
@@ -28,7 +28,7 @@
 }
 
 // MeanLatency returns the mean latency of final responses.
-func (o *ReservationClients) MeanLatency() time.Duration {
+func (o *SkipClients) MeanLatency() time.Duration {
 	return o.totalLatency / time.Duration(max(1, o.Responses))
 }
 
@@ -42,7 +42,7 @@
 	released                bool          // the client requested its end, or accepted the offer
 }
 
-type reservationResponse struct {
+type bookingResponse struct {
 	Depot  string `json:"depot"`
 	Skip   string `json:"skip"`
 	Number uint64 `json:"number"`
@@ -57,17 +57,17 @@
 	return time.Unix(int64(day)*86400, 0).UTC().Format(time.DateOnly)
 }
 
-func (o *ReservationClients) recordViolation(format string, args ...any) {
+func (o *SkipClients) recordViolation(format string, args ...any) {
 	o.sim.Checker.RecordViolation(o.sim.Now, invariant.RuleBooking, format, args...)
 }
 
 // sendRequest sends a request to any controller and repeats it until the response is final. handle receives the
 // final response.
-func (o *ReservationClients) sendRequest(depot, operation string, body map[string]any, handle func(status int, a reservationResponse)) {
+func (o *SkipClients) sendRequest(depot, operation string, body map[string]any, handle func(status int, a bookingResponse)) {
 	o.sendRequestTo(o.sim.Users.anyController(), depot, operation, body, handle)
 }
 
-func (o *ReservationClients) sendRequestTo(controllerName, depot, operation string, body map[string]any, handle func(status int, a reservationResponse)) {
+func (o *SkipClients) sendRequestTo(controllerName, depot, operation string, body map[string]any, handle func(status int, a bookingResponse)) {
 	data, err := json.Marshal(body)
 	o.sim.must(err)
 	sentAt := o.sim.Now
@@ -80,7 +80,7 @@
 			return message.AdminRequest{Req: req, What: "skips-do", ID: depot, Sub: operation, Body: data}
 		}, answer)
 	}, func(status int, b []byte) {
-		var a reservationResponse
+		var a bookingResponse
 		if status == 200 {
 			o.sim.must(json.Unmarshal(b, &a))
 		}
@@ -96,14 +96,14 @@
 }
 
 // Import adds skips of a kind to a depot.
-func (o *ReservationClients) Import(depot, kind string, n int) {
+func (o *SkipClients) Import(depot, kind string, n int) {
 	const page = 40
 	for from := 0; from < n; from += page {
 		var list []map[string]any
 		for i := from; i < min(n, from+page); i++ {
 			list = append(list, map[string]any{"skip": fmt.Sprintf("%s-%04d", kind, i), "kind": kind})
 		}
-		o.sendRequest(depot, "import", map[string]any{"skips": list}, func(status int, _ reservationResponse) {
+		o.sendRequest(depot, "import", map[string]any{"skips": list}, func(status int, _ bookingResponse) {
 			if status != 200 {
 				o.recordViolation("import into depot %s failed with status %d", depot, status)
 			}
@@ -111,9 +111,9 @@
 	}
 }
 
-// RequestReservation emulates one client. By phone it requests a promise, in the portal an offer, which it may
+// RequestBooking emulates one client. By phone it requests a promise, in the portal an offer, which it may
 // turn into a promise. It releases the promised skip, has it delivered and returned, or keeps it reserved.
-func (o *ReservationClients) RequestReservation(depot, kind string, days int) {
+func (o *SkipClients) RequestBooking(depot, kind string, days int) {
 	o.requestCount++
 	r := o.sim.rand
 	name, site := fmt.Sprintf("ask-%d", o.requestCount), fmt.Sprintf("site-%d", o.requestCount)
@@ -129,7 +129,7 @@
 			o.sim.After(delay, func() { o.endGrant(g, "release") })
 		case 2:
 			o.sim.After(delay, func() {
-				o.sendRequest(depot, "deliver", map[string]any{"skip": g.skip, "number": g.number}, func(status int, a reservationResponse) {
+				o.sendRequest(depot, "deliver", map[string]any{"skip": g.skip, "number": g.number}, func(status int, a bookingResponse) {
 					if status != 200 && status != 409 { // 409: the skip may be out of service
 						o.recordViolation("skip %s of depot %s, promised to %s as number %d, cannot be delivered: status %d", g.skip, depot, g.site, g.number, status)
 					}
@@ -143,22 +143,22 @@
 	}
 	if r.IntN(2) == 0 { // by phone, sometimes with a duplicate request
 		body["site"] = site
-		handlePromise := func(status int, a reservationResponse) { scheduleEnd(o.recordResponse(name, status, a)) }
+		handlePromise := func(status int, a bookingResponse) { scheduleEnd(o.recordResponse(name, status, a)) }
 		o.sendRequest(depot, "promise", body, handlePromise)
 		if r.IntN(4) == 0 {
-			o.sendRequest(depot, "promise", body, func(status int, a reservationResponse) { o.recordResponse(name, status, a) })
+			o.sendRequest(depot, "promise", body, func(status int, a bookingResponse) { o.recordResponse(name, status, a) })
 		}
 		return
 	}
 	body["for_s"] = 5 + r.IntN(10)
-	o.sendRequest(depot, "offer", body, func(status int, a reservationResponse) {
+	o.sendRequest(depot, "offer", body, func(status int, a bookingResponse) {
 		g := o.recordResponse(name, status, a)
 		if g == nil || r.IntN(4) == 0 {
 			return // without acceptance the offer expires
 		}
 		o.sim.After(time.Duration(1+r.IntN(12))*time.Second, func() {
 			acceptance := map[string]any{"name": name + "-take", "skip": g.skip, "number": g.number, "site": site}
-			o.sendRequest(depot, "promise", acceptance, func(status int, a reservationResponse) {
+			o.sendRequest(depot, "promise", acceptance, func(status int, a bookingResponse) {
 				if status == 200 {
 					g.released = true
 					scheduleEnd(o.recordResponse(name+"-take", status, a))
@@ -169,8 +169,8 @@
 }
 
 // ChangeAvailability takes a skip out of service or returns it to service.
-func (o *ReservationClients) ChangeAvailability(depot, operation, skip string) {
-	o.sendRequest(depot, operation, map[string]any{"skip": skip}, func(status int, _ reservationResponse) {
+func (o *SkipClients) ChangeAvailability(depot, operation, skip string) {
+	o.sendRequest(depot, operation, map[string]any{"skip": skip}, func(status int, _ bookingResponse) {
 		if status != 200 {
 			o.recordViolation("skip %s of depot %s: operation %s failed with status %d", skip, depot, operation, status)
 		}
@@ -178,21 +178,21 @@
 }
 
 // endGrant ends a promise by release or return. From the request on, the client no longer relies on it.
-func (o *ReservationClients) endGrant(g *grant, operation string) {
+func (o *SkipClients) endGrant(g *grant, operation string) {
 	g.released = true
 	body := map[string]any{"skip": g.skip, "number": g.number}
-	o.sendRequest(g.depot, operation, body, func(status int, a reservationResponse) {
+	o.sendRequest(g.depot, operation, body, func(status int, a bookingResponse) {
 		if status != 200 {
 			o.recordViolation("skip %s of depot %s, promised to %s as number %d: %s failed with status %d", g.skip, g.depot, g.site, g.number, operation, status)
 		}
-		// Sends a late duplicate, which must not end another reservation of the skip.
-		o.sim.After(time.Duration(o.sim.rand.IntN(30))*time.Second, func() { o.sendRequest(g.depot, operation, body, func(int, reservationResponse) {}) })
+		// Sends a late duplicate, which must not end another booking of the skip.
+		o.sim.After(time.Duration(o.sim.rand.IntN(30))*time.Second, func() { o.sendRequest(g.depot, operation, body, func(int, bookingResponse) {}) })
 	})
 }
 
 // recordResponse records a response and checks it against all other grants. It returns the grant if it is new,
 // otherwise nil.
-func (o *ReservationClients) recordResponse(name string, status int, a reservationResponse) *grant {
+func (o *SkipClients) recordResponse(name string, status int, a bookingResponse) *grant {
 	if status != 200 {
 		o.Refused++
 		return nil
@@ -203,7 +203,7 @@
 	_, repeated := o.numbersByName[name]
 	o.numbersByName[name] = a.Number
 	if repeated || a.State != "offered" && a.State != "promised" && a.State != "delivered" {
-		return nil // a repeated response, or the reservation has ended
+		return nil // a repeated response, or the booking has ended
 	}
 	o.Granted++
 	day := func(s string) int {
@@ -225,12 +225,12 @@
 }
 
 // inForce reports whether a grant is neither ended nor expired.
-func (o *ReservationClients) inForce(g *grant) bool {
+func (o *SkipClients) inForce(g *grant) bool {
 	return !g.released && (g.expiresAt == 0 || o.sim.Now < g.expiresAt)
 }
 
 // CheckListed lists a depot's skips at any controller and checks that every promise is in the list.
-func (o *ReservationClients) CheckListed(depot string) {
+func (o *SkipClients) CheckListed(depot string) {
 	sentAt := o.sim.Now
 	o.listPage(depot, "", map[uint64]string{}, func(listed map[uint64]string) {
 		for _, g := range o.grants {
@@ -241,7 +241,7 @@
 	})
 }
 
-func (o *ReservationClients) listPage(depot, after string, listed map[uint64]string, done func(map[uint64]string)) {
+func (o *SkipClients) listPage(depot, after string, listed map[uint64]string, done func(map[uint64]string)) {
 	controllerName := o.sim.Users.anyController()
 	o.sim.externalRequest(controllerName, 5*time.Second, func(answer func(int, []byte)) {
 		h := o.sim.controllers[controllerName]
@@ -258,8 +258,8 @@
 		}
 		var v struct {
 			Skips []struct {
-				Skip  string                `json:"skip"`
-				Items []reservationResponse `json:"items"`
+				Skip  string            `json:"skip"`
+				Items []bookingResponse `json:"items"`
 			} `json:"skips"`
 			After string `json:"after"`
 		}
@@ -279,13 +279,13 @@
 
 // CheckLog replays the ledger's records in the key-value store's log and checks that no skip is reserved
 // twice for the same day and that every grant is recorded.
-func (o *ReservationClients) CheckLog() {
-	type reservation struct {
+func (o *SkipClients) CheckLog() {
+	type booking struct {
 		depot, skip string
 		from, to    int
 		site        string
 	}
-	active, recorded := map[string]reservation{}, map[string]bool{}
+	active, recorded := map[string]booking{}, map[string]bool{}
 	for _, c := range o.sim.Store.changes {
 		shard, ok := strings.CutPrefix(c.Put, "s/r/")
 		if !ok {
@@ -315,7 +315,7 @@
 						o.recordViolation("in the log, skip %s of depot %s is reserved as %s and as %d for the same days", op.Skip, op.Depot, other, num)
 					}
 				}
-				active[fmt.Sprintf("%s/%d", shard, num)] = reservation{op.Depot, op.Skip, op.From, op.To, op.Site}
+				active[fmt.Sprintf("%s/%d", shard, num)] = booking{op.Depot, op.Skip, op.From, op.To, op.Site}
 				recorded[fmt.Sprintf("%s/%s/%d", op.Depot, op.Skip, num)] = true
 			case slices.Contains([]string{"release", "return", "expire"}, op.Do):
 				delete(active, key)
@@ -329,6 +329,6 @@
 	}
 }
 
-func newReservationClients(sim *Simulation) *ReservationClients {
-	return &ReservationClients{sim: sim, numbersByName: map[string]uint64{}}
+func newSkipClients(sim *Simulation) *SkipClients {
+	return &SkipClients{sim: sim, numbersByName: map[string]uint64{}}
 }
--- a/internal/invariant/rules.go
+++ b/internal/invariant/rules.go
@@ -20,7 +20,7 @@
 	RuleUnacknowledged        Rule = "untold"           // a cancellation is not acknowledged in time
 	RuleUnanswered            Rule = "unanswered"       // queries about an accepted job get no response in time
 	RuleReplicaNotRestarted   Rule = "moved"            // a replica that was stopped for a move does not restart in time
-	RuleBooking               Rule = "promised"         // a skip is reserved twice, or a reservation is lost
+	RuleBooking               Rule = "promised"         // a skip is booked twice, or a booking is lost
 	RulePoolSize              Rule = "pool"             // more units of a pool are held than its size
 	RuleSuspension            Rule = "held"             // a suspended tenant's job is accepted, starts or does not drain
 	RuleMissingWriteGuard     Rule = "unguarded"        // a write lacks a compare-and-swap condition on a key that it depends on
--- a/internal/scenario/expectations.go
+++ b/internal/scenario/expectations.go
@@ -31,7 +31,7 @@
 }
 
 func (r *runner) checkGranted() {
-	if n := r.sim.ReservationClients.Granted; !r.expected.granted.contains(n) {
+	if n := r.sim.SkipClients.Granted; !r.expected.granted.contains(n) {
 		r.problemf("clients received %d offers and promises, expected %d to %d", n, r.expected.granted.min, r.expected.granted.max)
 	}
 }
--- a/internal/scenario/reservations_size_test.go
+++ b/internal/scenario/reservations_size_test.go
@@ -32,10 +32,10 @@
 	var before, during [4]int
 	res, err := run([]byte(b.String()), func(sim *emulator.Simulation) {
 		sim.After(240e9, func() {
-			before = [4]int{sim.Store.Writes, sim.Store.Requests, sim.ReservationClients.Unanswered, sim.ReservationClients.Responses}
+			before = [4]int{sim.Store.Writes, sim.Store.Requests, sim.SkipClients.Unanswered, sim.SkipClients.Responses}
 		})
 		sim.After(300e9, func() {
-			during = [4]int{sim.Store.Writes - before[0], sim.Store.Requests - before[1], sim.ReservationClients.Unanswered - before[2], sim.ReservationClients.Responses - before[3]}
+			during = [4]int{sim.Store.Writes - before[0], sim.Store.Requests - before[1], sim.SkipClients.Unanswered - before[2], sim.SkipClients.Responses - before[3]}
 		})
 	})
 	if err != nil {
@@ -44,7 +44,7 @@
 	for _, p := range res.Problems {
 		t.Log(p)
 	}
-	o, s := res.Simulation.ReservationClients, res.Simulation.Store
+	o, s := res.Simulation.SkipClients, res.Simulation.Store
 	fmt.Printf("emulated: %d granted, %d refused, %v a request, the slowest %v; in the minute %.1f requests of clients answered and %.1f to be repeated, %.1f writes and %.1f requests to the store per second; largest value %d bytes, %d requests throttled, keys of the ledger %d KB\n",
 		o.Granted, o.Refused, o.MeanLatency(), o.MaxLatency, float64(during[3])/60, float64(during[2])/60, float64(during[0])/60, float64(during[1])/60, s.LargestValue, s.ThrottledRequests, s.BytesUnder("s/")>>10)
 }
--- a/internal/scenario/runner.go
+++ b/internal/scenario/runner.go
@@ -99,11 +99,11 @@
 
 func (r *runner) play() {
 	for _, depot := range slices.Sorted(maps.Keys(r.depots)) {
-		r.sim.After(r.end-reservationCheckLead, func() { r.sim.ReservationClients.CheckListed(depot) })
+		r.sim.After(r.end-reservationCheckLead, func() { r.sim.SkipClients.CheckListed(depot) })
 	}
 	r.sim.StartControllers()
 	r.sim.Run(r.end)
-	r.sim.ReservationClients.CheckLog()
+	r.sim.SkipClients.CheckLog()
 	r.checkGranted()
 }
 
--- a/internal/scenario/steps_work.go
+++ b/internal/scenario/steps_work.go
@@ -79,17 +79,17 @@
 
 var reservationSteps = map[string]step{
 	"import-skips": {form: "dssn", schedule: func(r *runner, a arguments) {
-		r.sim.After(a.durations[0], func() { r.sim.ReservationClients.Import(a.names[0], a.names[1], int(a.numbers[0])) })
+		r.sim.After(a.durations[0], func() { r.sim.SkipClients.Import(a.names[0], a.names[1], int(a.numbers[0])) })
 	}},
 	"request-skips": {form: "ddssdn", schedule: func(r *runner, a arguments) {
 		from, to, interval := a.durations[0], a.durations[1], a.durations[2]
 		for at := from; at < to; at += interval {
-			r.sim.After(at, func() { r.sim.ReservationClients.RequestReservation(a.names[0], a.names[1], int(a.numbers[0])) })
+			r.sim.After(at, func() { r.sim.SkipClients.RequestBooking(a.names[0], a.names[1], int(a.numbers[0])) })
 		}
 		r.depots[a.names[0]] = true
 	}},
 	"skip-availability": {form: "dsss", schedule: func(r *runner, a arguments) {
-		r.sim.After(a.durations[0], func() { r.sim.ReservationClients.ChangeAvailability(a.names[0], a.names[1], a.names[2]) })
+		r.sim.After(a.durations[0], func() { r.sim.SkipClients.ChangeAvailability(a.names[0], a.names[1], a.names[2]) })
 	}},
 }
 
--- a/server/skips_test.go
+++ b/server/skips_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestSkipsOnLoopback reserves skips through the administration API of two controllers. Both see the same
-// reservations, a repeated request gets the same response, and an error names the invalid field.
+// bookings, a repeated request gets the same response, and an error names the invalid field.
 func TestSkipsOnLoopback(t *testing.T) {
 	live := startControllers(t, 2, 2, nil)
 	call := func(node int, method, path, body string) (int, string) {
--- a/reservation/block.go
+++ b/skipledger/block.go
@@ -1,7 +1,7 @@
 // This file defines blocks, which store the state of the skips, and determines when a block must be
 // written.
 
-package reservation
+package skipledger
 
 import (
 	"encoding/json"
--- a/reservation/booking.go
+++ b/skipledger/booking.go
@@ -1,9 +1,9 @@
-// Package reservation implements the ledger of skip reservations. Skips are containers that depots lend
+// Package skipledger implements the ledger of bookings of skips. Skips are containers that depots lend
 // to building sites; the ledger stores for which days each of them is offered, promised, delivered or
 // returned. A shard of the ledger is built by applying its records in order; it composes the next record
 // and determines the blocks to be written with it. The package does no I/O. docs/skips.md gives the
 // reasons for the design.
-package reservation
+package skipledger
 
 import (
 	"errors"
--- a/reservation/booking_test.go
+++ b/skipledger/booking_test.go
@@ -1,4 +1,4 @@
-package reservation
+package skipledger
 
 import (
 	"encoding/json"
--- a/reservation/compose.go
+++ b/skipledger/compose.go
@@ -1,6 +1,6 @@
 // This file composes the next record of a shard from requests.
 
-package reservation
+package skipledger
 
 import (
 	"cmp"
--- a/reservation/count.go
+++ b/skipledger/count.go
@@ -1,6 +1,6 @@
 // This file computes counts and ages of bookings for reports.
 
-package reservation
+package skipledger
 
 import (
 	"cmp"
--- a/reservation/keys.go
+++ b/skipledger/keys.go
@@ -1,6 +1,6 @@
 // This file defines the keys of the ledger in the key-value store.
 
-package reservation
+package skipledger
 
 import (
 	"fmt"
--- a/reservation/ledger.go
+++ b/skipledger/ledger.go
@@ -1,6 +1,6 @@
 // This file defines a controller's ledger: its replica of the shards and its pending requests.
 
-package reservation
+package skipledger
 
 import (
 	"hash/fnv"
--- a/reservation/load.go
+++ b/skipledger/load.go
@@ -1,6 +1,6 @@
 // This file loads a shard from its blocks and records.
 
-package reservation
+package skipledger
 
 import (
 	"cmp"
--- a/reservation/operation.go
+++ b/skipledger/operation.go
@@ -1,6 +1,6 @@
 // This file defines operations, the changes that a record contains, and applies them to skips.
 
-package reservation
+package skipledger
 
 import (
 	"slices"
--- a/reservation/replica.go
+++ b/skipledger/replica.go
@@ -1,6 +1,6 @@
 // This file replicates the ledger: it loads all keys and applies the changes of the log.
 
-package reservation
+package skipledger
 
 import (
 	"encoding/json"
--- a/reservation/request.go
+++ b/skipledger/request.go
@@ -1,6 +1,6 @@
 // This file determines the operations for client requests and the due cleanup operations.
 
-package reservation
+package skipledger
 
 import (
 	"time"
--- a/reservation/shard.go
+++ b/skipledger/shard.go
@@ -1,7 +1,7 @@
 // This file defines shards of the ledger, with indexes of their skips and with forks for tentative
 // changes.
 
-package reservation
+package skipledger
 
 import (
 	"maps"
--- a/reservation/write.go
+++ b/skipledger/write.go
@@ -1,6 +1,6 @@
 // This file composes the transactions of a ledger and handles their outcomes.
 
-package reservation
+package skipledger
 
 import (
 	"encoding/json"
