--- a/tools/scale/metric.go
+++ b/tools/scale/metric.go
@@ -16,38 +16,38 @@
 
 // metrics are the figures of the capacity page, in order.
 var metrics = []metric{
-	{"cpu_total", "processor time of all controllers", "cores", func(r *result) float64 { return r.CPU }},
-	{"cpu_most", "of the busiest controller", "cores", func(r *result) float64 {
+	{"cpu_total", "CPU usage of all controllers", "cores", func(r *result) float64 { return r.CPU }},
+	{"cpu_most", "CPU usage of the busiest controller", "cores", func(r *result) float64 {
 		return maxOverControllers(r, func(c controllerUsage) float64 { return c.Cores })
 	}},
-	{"memory_most", "memory of the largest controller, at its peak", "MB", func(r *result) float64 {
+	{"memory_most", "peak memory of the largest controller", "MB", func(r *result) float64 {
 		return maxOverControllers(r, func(c controllerUsage) float64 { return c.PeakMB })
 	}},
 	{"peer_messages", "messages between controllers", "1/s", func(r *result) float64 { return messageRate(r, r.Traffic.Peers) }},
-	{"peer_bytes", "bytes between controllers", "KB/s", func(r *result) float64 { return byteRate(r, r.Traffic.Peers) / 1000 }},
-	{"state_requests", "requests to the state service", "1/s", func(r *result) float64 { return perSecond(r, float64(r.StoreCounts.Requests)) }},
-	{"state_writes", "writes to the state service", "1/s", func(r *result) float64 { return perSecond(r, float64(r.StoreCounts.Writes)) }},
-	{"state_refused", "requests that it refused for its limits", "1/s", func(r *result) float64 { return perSecond(r, float64(r.StoreCounts.Over)) }},
-	{"state_bytes", "bytes from and to the state service", "KB/s", func(r *result) float64 { return byteRate(r, r.Traffic.StoreByKind) / 1000 }},
-	{"state_keys", "keys that it holds", "", func(r *result) float64 { return float64(totalStored(r).Keys) }},
-	{"state_stored", "what it holds", "KB", func(r *result) float64 { return float64(totalStored(r).Bytes) / 1000 }},
-	{"cloud_calls", "calls to the cloud", "1/s", func(r *result) float64 { return perSecond(r, float64(r.Traffic.Flows[emulator.FlowCloud].Messages)) }},
-	{"worker_reports", "reports of a worker", "1/s", func(r *result) float64 { return r.Worker.Heartbeats }},
-	{"worker_direct", "direct commands to a worker", "1/s", func(r *result) float64 { return r.Worker.Direct }},
-	{"worker_bytes", "bytes of a worker, both ways", "KB/s", func(r *result) float64 { return r.Worker.Bytes / 1000 }},
+	{"peer_bytes", "traffic between controllers", "KB/s", func(r *result) float64 { return byteRate(r, r.Traffic.Peers) / 1000 }},
+	{"state_requests", "requests to the key-value store", "1/s", func(r *result) float64 { return perSecond(r, float64(r.StoreCounts.Requests)) }},
+	{"state_writes", "writes to the key-value store", "1/s", func(r *result) float64 { return perSecond(r, float64(r.StoreCounts.Writes)) }},
+	{"state_refused", "requests throttled by the key-value store", "1/s", func(r *result) float64 { return perSecond(r, float64(r.StoreCounts.Over)) }},
+	{"state_bytes", "traffic of the key-value store", "KB/s", func(r *result) float64 { return byteRate(r, r.Traffic.StoreByKind) / 1000 }},
+	{"state_keys", "keys in the key-value store", "", func(r *result) float64 { return float64(totalStored(r).Keys) }},
+	{"state_stored", "size of the key-value store", "KB", func(r *result) float64 { return float64(totalStored(r).Bytes) / 1000 }},
+	{"cloud_calls", "cloud API calls", "1/s", func(r *result) float64 { return perSecond(r, float64(r.Traffic.Flows[emulator.FlowCloud].Messages)) }},
+	{"worker_reports", "heartbeats per worker", "1/s", func(r *result) float64 { return r.Worker.Heartbeats }},
+	{"worker_direct", "direct commands per worker", "1/s", func(r *result) float64 { return r.Worker.Direct }},
+	{"worker_bytes", "control traffic per worker", "KB/s", func(r *result) float64 { return r.Worker.Bytes / 1000 }},
 	{"starts", "task starts", "1/s", func(r *result) float64 { return perSecond(r, float64(r.Starts)) }},
-	{"accepted_p50", "acceptance, median", "s", func(r *result) float64 { return r.Latency[latencyAccepted].P50 }},
-	{"accepted_p99", "acceptance, p99", "s", func(r *result) float64 { return r.Latency[latencyAccepted].P99 }},
-	{"poll_p50", "answer to a question, median", "s", func(r *result) float64 { return r.Latency[latencyPoll].P50 }},
-	{"poll_p99", "answer to a question, p99", "s", func(r *result) float64 { return r.Latency[latencyPoll].P99 }},
-	{"cancel_p50", "cancellation told, median", "s", func(r *result) float64 { return r.Latency[latencyCancel].P50 }},
-	{"urgent_p50", "start of urgent work, median", "s", func(r *result) float64 { return r.Latency[latencyStartUrgent].P50 }},
-	{"urgent_p99", "start of urgent work, p99", "s", func(r *result) float64 { return r.Latency[latencyStartUrgent].P99 }},
-	{"batch_p50", "start of arrays' tasks, median", "s", func(r *result) float64 { return r.Latency[latencyStartBatch].P50 }},
-	{"batch_p99", "start of arrays' tasks, p99", "s", func(r *result) float64 { return r.Latency[latencyStartBatch].P99 }},
-	{"settings_p50", "settings in force everywhere, median", "s", func(r *result) float64 { return r.Latency[latencySettings].P50 }},
-	{"settings_max", "settings in force everywhere, worst", "s", func(r *result) float64 { return r.Latency[latencySettings].Max }},
-	{"hollow_cpu", "processor time of all that is hollow", "cores", func(r *result) float64 { return r.EmulatorCPU }},
+	{"accepted_p50", "submission latency, median", "s", func(r *result) float64 { return r.Latency[latencyAccepted].P50 }},
+	{"accepted_p99", "submission latency, p99", "s", func(r *result) float64 { return r.Latency[latencyAccepted].P99 }},
+	{"poll_p50", "poll latency, median", "s", func(r *result) float64 { return r.Latency[latencyPoll].P50 }},
+	{"poll_p99", "poll latency, p99", "s", func(r *result) float64 { return r.Latency[latencyPoll].P99 }},
+	{"cancel_p50", "cancellation latency, median", "s", func(r *result) float64 { return r.Latency[latencyCancel].P50 }},
+	{"urgent_p50", "start latency of urgent tasks, median", "s", func(r *result) float64 { return r.Latency[latencyStartUrgent].P50 }},
+	{"urgent_p99", "start latency of urgent tasks, p99", "s", func(r *result) float64 { return r.Latency[latencyStartUrgent].P99 }},
+	{"batch_p50", "start latency of array tasks, median", "s", func(r *result) float64 { return r.Latency[latencyStartBatch].P50 }},
+	{"batch_p99", "start latency of array tasks, p99", "s", func(r *result) float64 { return r.Latency[latencyStartBatch].P99 }},
+	{"settings_p50", "settings applied by all controllers, median", "s", func(r *result) float64 { return r.Latency[latencySettings].P50 }},
+	{"settings_max", "settings applied by all controllers, maximum", "s", func(r *result) float64 { return r.Latency[latencySettings].Max }},
+	{"hollow_cpu", "CPU usage of the emulators", "cores", func(r *result) float64 { return r.EmulatorCPU }},
 }
 
 // findMetric returns the metric with a name.
--- a/tools/scale/roles.go
+++ b/tools/scale/roles.go
@@ -63,23 +63,23 @@
 			values = append(values, fmt.Sprintf("%s %s", label, formatFigure(last)))
 		}
 	}
-	budget, left := noFigure, noFigure
+	budget, headroom := noFigure, noFigure
 	if row.Budget > 0 {
 		budget = formatFigure(row.Budget)
 		if !math.IsNaN(last) {
-			left = fmt.Sprintf("%.0f %%", 100*(row.Budget-last)/row.Budget)
+			headroom = fmt.Sprintf("%.0f %%", 100*(row.Budget-last)/row.Budget)
 		}
 	}
 	m, _ := findMetric(row.Metric)
 	fmt.Fprintf(b, "| %s | %s, %s | %s | %s | %s | %s | %s | %s | %s |\n", row.Role, m.description, m.unit, strings.Join(values, ", "),
 		row.slopeText(results, newest, varyMachines, 1), row.slopeText(results, newest, varyRunning, 1000), row.slopeText(results, newest, varyControllers, 1),
-		budget, left, row.Mechanism)
+		budget, headroom, row.Mechanism)
 }
 
 // roleTable returns the table of the roles' usage at the target size and its increase with each parameter.
 func roleTable(rows []role, results []*result) string {
 	var b strings.Builder
-	b.WriteString("| role | what | at the target, by sources | a machine more | 1,000 tasks more | a controller more | budget | left | carried by |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	b.WriteString("| role | metric | at target size, by version | per machine | per 1,000 tasks | per controller | budget | headroom | mechanism |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	labels := runLabels(results)
 	for i := range rows {
 		rows[i].write(&b, results, labels)
--- a/tools/scale/tables.go
+++ b/tools/scale/tables.go
@@ -85,7 +85,7 @@
 // runTable returns the table of all runs.
 func runTable(results []*result) string {
 	var b strings.Builder
-	b.WriteString("| run | sources | controllers | tasks running | fill, s | window, s | starts a second; best second; best ten | controllers' cores | rules broken | failed |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	b.WriteString("| run | version | controllers | tasks running | fill, s | window, s | task starts per second: average; best second; best ten seconds | CPU usage of all controllers, cores | rules broken | failed |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, r := range sortByLabel(results) {
 		failed := r.Failed
 		if failed == "" {
@@ -100,7 +100,7 @@
 // faultTable returns the table of recovery times after faults.
 func faultTable(results []*result) string {
 	var b strings.Builder
-	b.WriteString("| run | sources | fault | half, nine tenths, all machines commanded after, s | first urgent start of a job that came later, s |\n| --- | --- | --- | --- | --- |\n")
+	b.WriteString("| run | version | fault | time until half, nine tenths, all of the machines received commands, s | first start of an urgent job submitted after the fault, s |\n| --- | --- | --- | --- | --- |\n")
 	for _, r := range sortByLabel(results) {
 		for _, f := range r.Faults {
 			fmt.Fprintf(&b, "| %s | %s | %s at %.0f s | %s, %s, %s | %s |\n", r.Name, r.Label, f.What, f.At, formatOptional(f.HalfCommanded), formatOptional(f.MostCommanded), formatOptional(f.AllCommanded), formatOptional(f.FirstUrgentStart))
@@ -116,7 +116,7 @@
 	if err != nil || json.Unmarshal(data, &r) != nil {
 		return "Not measured.\n"
 	}
-	return fmt.Sprintf("| one worker alone, %d tasks, %s starts a second, %.0f s | measured | budget |\n| --- | --- | --- |\n| processor time, cores | %s | 0.026 |\n| resident memory at its peak, MB | %s | 32 |\n| reports a second | %s | - |\n| bytes a second, bodies and about what headers take | %s | 3000 |\n",
+	return fmt.Sprintf("| single worker, %d tasks, %s task starts per second, %.0f s | measured | budget |\n| --- | --- | --- |\n| CPU usage, cores | %s | 0.026 |\n| peak resident memory, MB | %s | 32 |\n| heartbeats per second | %s | - |\n| bytes per second, bodies and estimated headers | %s | 3000 |\n",
 		r.Tasks, formatFigure(r.Starts), r.Window, formatFigure(r.Cores), formatFigure(r.ResidentMB), formatFigure(r.Heartbeats), formatFigure(r.Bytes))
 }
 
